--- a/src/rehearsal/measureMain.ts
+++ b/src/rehearsal/measureMain.ts
@@ -8,7 +8,6 @@
 import { measureBudget } from "./budgetMeasure.js";
 import { Draw } from "./draw.js";
 import { Profile } from "./profile.js";
-import { ScaleSlopes } from "./scaleSlopes.js";
 import { Simulation, type SimMachine } from "./simulation.js";
 
 const say = (line: string): void => {
@@ -23,7 +22,6 @@
 };
 
 const stepMs = 2;
-const scaleSeconds = 6;
 
 const until = (simulation: Simulation, holds: () => boolean, limitMs: number): number => {
   const startMs = simulation.time.nowMs();
@@ -306,12 +304,8 @@
     "Measure elections, roll-outs, the record and the sketches; ratios and counts, no absolute times",
   )
   .option("--seeds <count>", "How many fleets each figure is drawn from", { default: 20 })
-  .option(
-    "--only <part>",
-    "elections, rollout, record, sketches, bounds, budget or, only where it is named, scale",
-  )
+  .option("--only <part>", "elections, rollout, record, sketches, bounds or budget")
   .action(async ({ seeds, only }: { seeds: number; only?: string }) => {
-    if (only === "scale") return ScaleSlopes.measure(undefined, scaleSeconds, say);
     const wants = (part: string): boolean => only === undefined || only === part;
     for (const profile of Object.values(Profile.all)) {
       if (wants("elections")) measureElections(profile, seeds);
--- a/test/rehearsal/scale.test.ts
+++ b/test/contract/controlTraffic.test.ts
@@ -1,10 +1,9 @@
 import { expect, test } from "vitest";
 import { Bounds } from "../../src/machine/bounds.js";
 import { Gate } from "../../src/rehearsal/gate.js";
-import { HollowDaemon } from "../../src/rehearsal/scaleHollow.js";
-import { ScaleLine } from "../../src/rehearsal/scaleLine.js";
-import { ScaleSpec } from "../../src/rehearsal/scaleSpec.js";
-import { ScaleWire } from "../../src/rehearsal/scaleWire.js";
+import { PollingDaemon } from "./pollingDaemon.js";
+import { configOf, oneWayMs, zoneOf } from "./zoneDelays.js";
+import { DelayedNetwork } from "./delayedNetwork.js";
 import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
 import { Task } from "../../src/runtime/task.js";
 import { FleetStage } from "../record/fleetStage.js";
@@ -14,23 +13,23 @@
 const services = 3;
 
 interface Hollow {
-  readonly daemon: HollowDaemon;
+  readonly daemon: PollingDaemon;
   readonly gate: Gate;
-  readonly wire: ScaleWire;
+  readonly wire: DelayedNetwork;
   readonly name: string;
 }
 
 const hollows = (stage: FleetStage, count: number): Hollow[] =>
   Array.from({ length: count }, (_, at) => {
-    const zone = ScaleSpec.zone(at, spread);
+    const zone = zoneOf(at, spread);
     const gate = new Gate();
     const clock = gate.clock(stage.time.clock());
     const name = `hollow-${at}`;
-    const wire = new ScaleWire(stage.network.wire(name, gate), clock, () =>
-      ScaleSpec.oneWayMs(zone, "zone-1", spread),
+    const wire = new DelayedNetwork(stage.network.wire(name, gate), clock, () =>
+      oneWayMs(zone, "zone-1", spread),
     );
     const world = virtualWorld({ clock, wire, random: stage.random });
-    const daemon = new HollowDaemon(
+    const daemon = new PollingDaemon(
       world,
       { machine: name, zone, peer: `10.9.0.${at + 1}:7000` },
       [stage.at(0).peer],
@@ -48,7 +47,7 @@
 const sumOf = (all: readonly Hollow[], of: (one: Hollow) => number): number =>
   all.reduce((sum, one) => sum + of(one), 0);
 
-test("hollow daemons beside real recorders poll, push and take views as counted", () => {
+test("polling daemons poll, push counts and take views at the configured rates", () => {
   const stage = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
   stage.bootAll();
   stage.wait(4000);
@@ -60,14 +59,14 @@
   const before = {
     polls: sumOf(all, ({ daemon }) => daemon.view.polls),
     grants: sumOf(all, ({ daemon }) => daemon.view.grants),
-    out: sumOf(all, ({ wire }) => wire.tally.messagesOut),
-    back: sumOf(all, ({ wire }) => wire.tally.messagesIn),
+    out: sumOf(all, ({ wire }) => wire.totals.messagesOut),
+    back: sumOf(all, ({ wire }) => wire.totals.messagesIn),
   };
   stage.wait(4000);
   const polls = sumOf(all, ({ daemon }) => daemon.view.polls) - before.polls;
-  const out = sumOf(all, ({ wire }) => wire.tally.messagesOut) - before.out;
+  const out = sumOf(all, ({ wire }) => wire.totals.messagesOut) - before.out;
   const { pollMs, terms } = Bounds.of({});
-  const farMs = 2 * ScaleSpec.oneWayMs("zone-1", "zone-8", spread);
+  const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
   expect(polls).toBeGreaterThan(many * Math.floor(4000 / (pollMs + terms.holdMs + farMs + 50)));
   expect(polls).toBeLessThanOrEqual(many * Math.ceil(4000 / pollMs + 1));
   expect(
@@ -77,12 +76,12 @@
   expect(out - polls).toBeGreaterThanOrEqual(many);
   expect(out - polls).toBeLessThanOrEqual(many * 3);
   expect(
-    Math.abs(out - (sumOf(all, ({ wire }) => wire.tally.messagesIn) - before.back)),
+    Math.abs(out - (sumOf(all, ({ wire }) => wire.totals.messagesIn) - before.back)),
   ).toBeLessThanOrEqual(2 * many);
   expect(Math.max(...all.map(({ daemon }) => daemon.coverage))).toBe(many);
 });
 
-test("configs reach hollow daemons in order, and the silent are noted: machines by name, back ends by number", () => {
+test("configurations reach polling daemons in order; silent machines are logged by name, silent backends removed", () => {
   const stage = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
   stage.bootAll();
   stage.wait(4000);
@@ -91,8 +90,8 @@
 
   const backEnds = Array.from({ length: 30 }, (_, at) => ({
     address: `10.8.0.${at + 1}:80`,
-    service: ScaleSpec.service(at, { services }),
-    zone: ScaleSpec.zone(at, spread),
+    service: `service-${at % services}`,
+    zone: zoneOf(at, spread),
   }));
   const announcing = new Set(backEnds);
   const heard = { known: 0, unknown: 0 };
@@ -120,7 +119,7 @@
         first.daemon.order({
           kind: "put",
           changeId: `change-${sequence}`,
-          value: ScaleSpec.config({ services, routes: 9 }, sequence),
+          value: configOf({ services, routes: 9 }, sequence),
         }),
       );
     stage.until(() => {
@@ -147,12 +146,12 @@
   expect(heard.unknown).toBe(0);
 });
 
-test("a delayed wire keeps the order of what it carries and counts it", () => {
+test("a delayed network keeps the order of what it carries and counts it", () => {
   const stage = new FleetStage([], []);
   const clock = stage.time.clock();
   const gate = new Gate();
-  const far = new ScaleWire(stage.network.wire("far", gate), clock, () => 0);
-  const near = new ScaleWire(stage.network.wire("near", gate), clock, () => 30);
+  const far = new DelayedNetwork(stage.network.wire("far", gate), clock, () => 0);
+  const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
   const got: string[] = [];
   run(
     far.listen("10.0.0.9:1", (channel) => {
@@ -184,22 +183,5 @@
   stage.wait(2000);
   expect(got).toEqual(["a", "bb", "ccc"]);
   expect(back).toEqual(["a", "bb", "ccc"]);
-  expect(near.tally).toEqual({ bytesIn: 6, bytesOut: 6, messagesIn: 3, messagesOut: 3 });
-});
-
-test("a line through points has their slope, and the error of what lies off it", () => {
-  expect(
-    ScaleLine.fit([
-      [1, 5],
-      [2, 7],
-      [4, 11],
-    ]),
-  ).toEqual({ slope: 2, start: 3, error: 0 });
-  const { slope, error } = ScaleLine.fit([
-    [0, 0],
-    [1, 2],
-    [2, 1],
-  ]);
-  expect(slope).toBeCloseTo(0.5);
-  expect(error).toBeCloseTo(0.866, 2);
+  expect(near.totals).toEqual({ bytesIn: 6, bytesOut: 6, messagesIn: 3, messagesOut: 3 });
 });
--- a/src/rehearsal/scaleWire.ts
+++ b/test/contract/delayedNetwork.ts
@@ -1,19 +1,19 @@
-import { Clock } from "../runtime/clock.js";
-import { Queue } from "../runtime/queue.js";
-import { Task } from "../runtime/task.js";
-import type { Channel, Wire } from "../runtime/wire.js";
+import { Clock } from "../../src/runtime/clock.js";
+import { Queue } from "../../src/runtime/queue.js";
+import { Task } from "../../src/runtime/task.js";
+import type { Channel, Wire } from "../../src/runtime/wire.js";
 
-/** What went over a wire. */
-export interface WireTally {
+/** Bytes and messages that went over a network, each way. */
+export interface TrafficTotals {
   bytesIn: number;
   bytesOut: number;
   messagesIn: number;
   messagesOut: number;
 }
 
-/** A wire that counts what goes over it and takes longer by what the places are apart. */
-export class ScaleWire implements Wire {
-  readonly tally: WireTally = { bytesIn: 0, bytesOut: 0, messagesIn: 0, messagesOut: 0 };
+/** A network that counts its traffic and adds a one-way delay that depends on the remote address. */
+export class DelayedNetwork implements Wire {
+  readonly totals: TrafficTotals = { bytesIn: 0, bytesOut: 0, messagesIn: 0, messagesOut: 0 };
   private readonly inner: Wire;
   private readonly clock: Clock;
   private readonly oneWayMs: (address: string) => number;
@@ -36,7 +36,7 @@
   }
 
   private counted(channel: Channel, waitMs: number): Channel {
-    const { tally } = this;
+    const { totals } = this;
     const incoming = new Queue<Uint8Array | "closed">();
     const [away, back] = [this.inOrder(waitMs), this.inOrder(waitMs)];
     const pump = function* (): Task {
@@ -44,8 +44,8 @@
         const piece = yield* channel.incoming.take();
         back(() => incoming.put(piece));
         if (piece === "closed") return;
-        tally.bytesIn += piece.length;
-        tally.messagesIn += 1;
+        totals.bytesIn += piece.length;
+        totals.messagesIn += 1;
       }
     };
     Task.start(pump(), (error) => {
@@ -54,8 +54,8 @@
     return {
       incoming,
       send(bytes) {
-        tally.bytesOut += bytes.length;
-        tally.messagesOut += 1;
+        totals.bytesOut += bytes.length;
+        totals.messagesOut += 1;
         away(() => channel.send(bytes));
       },
       close: () => away(() => channel.close()),
--- a/test/contract/largeViews.test.ts
+++ b/test/contract/largeViews.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
 import { Bounds } from "../../src/machine/bounds.js";
 import { Gate } from "../../src/rehearsal/gate.js";
-import { HollowDaemon } from "../../src/rehearsal/scaleHollow.js";
-import { ScaleWire } from "../../src/rehearsal/scaleWire.js";
+import { PollingDaemon } from "./pollingDaemon.js";
+import { DelayedNetwork } from "./delayedNetwork.js";
 import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
 import { LargeViews } from "../../src/contract/largeViews.js";
 import type { Poll } from "../../src/contract/order.js";
@@ -74,10 +74,10 @@
   fleet.wait(4000);
   const gate = new Gate();
   const clock = gate.clock(fleet.time.clock());
-  const wire = new ScaleWire(fleet.network.wire("far", gate), clock, () => 350);
+  const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
   const world = virtualWorld({ clock, wire, random: fleet.random });
   const bounds = Bounds.of({});
-  const daemon = new HollowDaemon(
+  const daemon = new PollingDaemon(
     world,
     { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
     [fleet.at(0).peer],
--- a/test/contract/pollBytes.test.ts
+++ b/test/contract/pollBytes.test.ts
@@ -2,8 +2,8 @@
 import { Bounds } from "../../src/machine/bounds.js";
 import { Kind } from "../../src/link/kind.js";
 import { Gate } from "../../src/rehearsal/gate.js";
-import { HollowDaemon } from "../../src/rehearsal/scaleHollow.js";
-import { ScaleWire } from "../../src/rehearsal/scaleWire.js";
+import { PollingDaemon } from "./pollingDaemon.js";
+import { DelayedNetwork } from "./delayedNetwork.js";
 import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
 import { Task } from "../../src/runtime/task.js";
 import { FleetStage } from "../record/fleetStage.js";
@@ -17,9 +17,9 @@
   fleet.wait(4000);
   const gate = new Gate();
   const clock = gate.clock(fleet.time.clock());
-  const wire = new ScaleWire(fleet.network.wire("one", gate), clock, () => 1);
+  const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
   const world = virtualWorld({ clock, wire, random: fleet.random });
-  const daemon = new HollowDaemon(
+  const daemon = new PollingDaemon(
     world,
     { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
     [fleet.at(0).peer],
@@ -32,11 +32,11 @@
       throw error;
     });
   const bytesInASecond = (): { out: number; in: number } => {
-    const before = { ...wire.tally };
+    const before = { ...wire.totals };
     fleet.wait(2500);
     return {
-      out: (wire.tally.bytesOut - before.bytesOut) / 2.5,
-      in: (wire.tally.bytesIn - before.bytesIn) / 2.5,
+      out: (wire.totals.bytesOut - before.bytesOut) / 2.5,
+      in: (wire.totals.bytesIn - before.bytesIn) / 2.5,
     };
   };
   const bare = bytesInASecond();
