--- a/.dependency-cruiser.cjs
+++ b/.dependency-cruiser.cjs
@@ -1,16 +1,26 @@
 /** The layers, lowest first: each may use itself and those before it. */
 const layers = [
-  ["runtime", "^src/runtime/"],
-  ["link", "^src/link/"],
-  ["record", "^src/record/"],
-  ["contract", "^src/contract/"],
-  ["traffic", "^src/traffic/"],
-  ["door", "^src/door/"],
-  ["operator", "^src/operator/"],
-  ["daemon", "^src/machine/"],
-  ["explorer", "^src/explorer/"],
-  ["rehearsal", "^src/rehearsal/"],
-];
+  "runtime",
+  "rpc",
+  "configuration",
+  "consensus",
+  "state",
+  "replication",
+  "control-protocol",
+  "cluster-view",
+  "control-plane",
+  "sketch",
+  "retry-budget",
+  "load-balancing",
+  "proxy",
+  "admin",
+  "daemon",
+  "cli",
+  "model-checker",
+  "simulation",
+  "fleet",
+  "benchmarks",
+].map((folder) => [folder, `^src/${folder}/`]);
 
 const upward = layers.slice(0, -1).map(([name, path], at) => ({
   name: `${name}-uses-nothing-above`,
@@ -44,7 +54,7 @@
       name: "platform-uses-no-simulator",
       severity: "error",
       from: { path: "^platform/" },
-      to: { path: "^src/rehearsal/" },
+      to: { path: "^src/(simulation|fleet|benchmarks)/" },
     },
     {
       name: "source-uses-no-test",
--- a/src/operator/operators.ts
+++ b/src/admin/admin-api.ts
@@ -25,23 +25,23 @@
   namesShape,
   nameShape,
   type Fault,
-} from "../contract/config.js";
-import type { AskAttempt, Forwarder } from "../contract/forwarder.js";
-import type { ChangeOrder, Order } from "../contract/order.js";
-import { TravellingText } from "../contract/travellingText.js";
-import type { View } from "../contract/view.js";
-import type { Job } from "../door/job.js";
-import { Job as Jobs } from "../door/job.js";
-import { Return } from "../door/verdict.js";
-import type { LinkPacer } from "../runtime/linkPacer.js";
+} from "../configuration/config.js";
+import type { AskAttempt, Forwarder } from "../cluster-view/command-forwarder.js";
+import type { ChangeOrder, Order } from "../control-protocol/command.js";
+import { TravellingText } from "../control-protocol/compressed-text.js";
+import type { View } from "../cluster-view/cluster-view.js";
+import type { Job } from "../proxy/proxy-request.js";
+import { Job as Jobs } from "../proxy/proxy-request.js";
+import { Return } from "../proxy/request-outcome.js";
+import type { LinkPacer } from "../runtime/link-pacer.js";
 import type { Task } from "../runtime/task.js";
-import type { PartLog } from "../runtime/logbook.js";
-import { World } from "../runtime/world.js";
-import type { RetryRules } from "../traffic/retryRules.js";
-import type { Counts } from "../traffic/counts.js";
-import type { LoadBalancer } from "../traffic/loadBalancer.js";
-import { defaultRules } from "../traffic/retryBudget.js";
-import { Query } from "./language.js";
+import type { PartLog } from "../runtime/logger.js";
+import { World } from "../runtime/runtime.js";
+import type { RetryRules } from "../retry-budget/retry-rules.js";
+import type { Counts } from "../retry-budget/request-counts.js";
+import type { LoadBalancer } from "../load-balancing/load-balancer.js";
+import { defaultRules } from "../retry-budget/retry-budget.js";
+import { Query } from "./query-parser.js";
 
 /**
  * Within how long a call is answered: whoever calls turns to another daemon after a second of silence, so an answer
--- a/src/operator/archive.ts
+++ b/src/admin/config-archive.ts
@@ -1,8 +1,8 @@
 import { existsSync, promises as files } from "node:fs";
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
-import type { AcceptedConfig } from "../record/book.js";
-import type { PartLog } from "../runtime/logbook.js";
+import type { AcceptedConfig } from "../state/state-machine.js";
+import type { PartLog } from "../runtime/logger.js";
 import { Queue } from "../runtime/queue.js";
 import { Task } from "../runtime/task.js";
 
--- a/src/rehearsal/measureMain.ts
+++ b/src/benchmarks/main.ts
@@ -1,14 +1,14 @@
 import { cac } from "cac";
-import { Book, Deed, heldKeys } from "../record/book.js";
-import { Waits } from "../record/recorder.js";
-import { seal } from "../record/seal.js";
-import { Counts, CountsForm, retryWindowMs } from "../traffic/counts.js";
-import { EcmSketch } from "../traffic/ecmSketch.js";
-import { stampOf } from "../traffic/exponentialHistogram.js";
-import { measureBudget } from "./budgetMeasure.js";
-import { Draw } from "./draw.js";
-import { Profile } from "./profile.js";
-import { Simulation, type SimMachine } from "./simulation.js";
+import { Book, Deed, heldKeys } from "../state/state-machine.js";
+import { Waits } from "../replication/replication-node.js";
+import { seal } from "../replication/log/checksum.js";
+import { Counts, CountsForm, retryWindowMs } from "../retry-budget/request-counts.js";
+import { EcmSketch } from "../sketch/ecm-sketch.js";
+import { stampOf } from "../sketch/exponential-histogram.js";
+import { measureBudget } from "./retry-budget-benchmark.js";
+import { Draw } from "../simulation/random-draw.js";
+import { Profile } from "../simulation/profile.js";
+import { Simulation, type SimMachine } from "../simulation/simulation.js";
 
 const say = (line: string): void => {
   process.stdout.write(`${line}\n`);
--- a/src/rehearsal/budgetMeasure.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -1,7 +1,7 @@
-import { sketchRule } from "../traffic/retryBudget.js";
-import { retryWindowMs } from "../traffic/counts.js";
-import type { Profile } from "./profile.js";
-import { Simulation, type SimMachine } from "./simulation.js";
+import { sketchRule } from "../retry-budget/retry-budget.js";
+import { retryWindowMs } from "../retry-budget/request-counts.js";
+import type { Profile } from "../simulation/profile.js";
+import { Simulation, type SimMachine } from "../simulation/simulation.js";
 
 /** Where back ends break down: for all edges alike, or for one edge alone. */
 export type Where = "even" | "one";
--- a/src/machine/main.ts
+++ b/src/cli/main.ts
@@ -2,15 +2,15 @@
 import { readFile } from "node:fs/promises";
 import { cac } from "cac";
 import { request } from "undici";
-import { Settings } from "./settings.js";
+import { Settings } from "../daemon/settings.js";
 import { Disk } from "../runtime/disk.js";
-import { run } from "./run.js";
-import { SettingsError } from "./settingsError.js";
-import { SettingsFile } from "./settingsFile.js";
+import { run } from "../daemon/serve.js";
+import { SettingsError } from "../daemon/settings-error.js";
+import { SettingsFile } from "../daemon/settings-file.js";
 import { Task } from "../runtime/task.js";
-import { restore, type Restored } from "../record/restore.js";
-import { Config, type Fault } from "../contract/config.js";
-import { Query } from "../operator/language.js";
+import { restore, type Restored } from "../replication/bootstrap/restore-as-only-voter.js";
+import { Config, type Fault } from "../configuration/config.js";
+import { Query } from "../admin/query-parser.js";
 
 const exit = { well: 0, broken: 1, usage: 2, refused: 3, unreachable: 4 };
 
--- a/src/contract/mapping.ts
+++ b/src/cluster-view/active-route.ts
@@ -1,4 +1,4 @@
-import type { Config } from "./config.js";
+import type { Config } from "../configuration/config.js";
 
 type Route = Config["routes"][string];
 
--- a/src/contract/view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -1,19 +1,25 @@
-import { Kind } from "../link/kind.js";
+import { Kind } from "../rpc/rpc-method.js";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logbook.js";
-import { StepTimer } from "../runtime/stepTimer.js";
+import type { PartLog } from "../runtime/logger.js";
+import { StepTimer } from "../runtime/step-timer.js";
 import type { Task } from "../runtime/task.js";
-import type { World } from "../runtime/world.js";
-import type { Contract } from "../record/book.js";
-import { Config } from "./config.js";
-import { ConfigCopy } from "./configCopy.js";
-import { DirectoryCopy } from "./directoryCopy.js";
-import type { EdgePlace } from "./edgePlaces.js";
-import type { Forwarder } from "./forwarder.js";
-import { Mappings } from "./mappings.js";
-import { Poll, type GrantedView, type KnownMembers, type Machine, type Order } from "./order.js";
-import type { TryCapacities } from "./tryCapacities.js";
+import type { World } from "../runtime/runtime.js";
+import type { Contract } from "../state/state-machine.js";
+import { Config } from "../configuration/config.js";
+import { ConfigCopy } from "./config-replica.js";
+import { DirectoryCopy } from "./endpoint-replica.js";
+import type { EdgePlace } from "../control-protocol/edge-placement.js";
+import type { Forwarder } from "./command-forwarder.js";
+import { Mappings } from "./route-table.js";
+import {
+  Poll,
+  type GrantedView,
+  type KnownMembers,
+  type Machine,
+  type Order,
+} from "../control-protocol/command.js";
+import type { TryCapacities } from "./retry-capacities.js";
 
 /** How long a poll is waited for until it is sent again, where bounds don't say otherwise. */
 const usualPollWaitMs = 450;
--- a/src/contract/forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -1,10 +1,15 @@
-import { Kind } from "../link/kind.js";
-import type { Held, LateReturn, Link } from "../link/link.js";
+import { Kind } from "../rpc/rpc-method.js";
+import type { Held, LateReturn, Link } from "../rpc/rpc-endpoint.js";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
-import { breakdownReturn, isBreakdown, Order, overloadedReturn } from "./order.js";
+import { World } from "../runtime/runtime.js";
+import {
+  breakdownReturn,
+  isBreakdown,
+  Order,
+  overloadedReturn,
+} from "../control-protocol/command.js";
 
 type Asked = Held<typeof Kind.command.ask>;
 type Returned = Held<typeof Kind.command.return>;
--- a/src/contract/configCopy.ts
+++ b/src/cluster-view/config-replica.ts
@@ -1,9 +1,13 @@
-import { Packed } from "../runtime/packed.js";
-import { Config, ConfigReader } from "./config.js";
-import type { CopyUpdate } from "./copyUpdate.js";
-import { ConfigItems, type ConfigSection, type NumberedConfig } from "./configItems.js";
-import { Poll, type ConfigUpdate, type GrantedView } from "./order.js";
-import { SetDigest } from "./setDigest.js";
+import { Packed } from "../runtime/text-compression.js";
+import { Config, ConfigReader } from "../configuration/config.js";
+import type { CopyUpdate } from "./replica-update.js";
+import {
+  ConfigItems,
+  type ConfigSection,
+  type NumberedConfig,
+} from "../configuration/config-items.js";
+import { Poll, type ConfigUpdate, type GrantedView } from "../control-protocol/command.js";
+import { SetDigest } from "../configuration/set-digest.js";
 
 const without = <T>(section: Record<string, T>, gone: ReadonlySet<string>): Record<string, T> =>
   gone.size === 0
--- a/src/contract/directoryCopy.ts
+++ b/src/cluster-view/endpoint-replica.ts
@@ -1,7 +1,7 @@
-import type { Contract } from "../record/book.js";
-import type { CopyUpdate } from "./copyUpdate.js";
-import type { GrantedView } from "./order.js";
-import { itemHash, SetDigest } from "./setDigest.js";
+import type { Contract } from "../state/state-machine.js";
+import type { CopyUpdate } from "./replica-update.js";
+import type { GrantedView } from "../control-protocol/command.js";
+import { itemHash, SetDigest } from "../configuration/set-digest.js";
 
 /** The hash of a registration: over its number and all of its state. */
 export const registrationHash = (one: Contract): bigint =>
--- a/src/contract/pathIndex.ts
+++ b/src/cluster-view/path-index.ts
@@ -1,4 +1,4 @@
-import type { Mapping } from "./mapping.js";
+import type { Mapping } from "./active-route.js";
 
 const add = (table: Map<string, Mapping[]>, mapping: Mapping): void => {
   const known = table.get(mapping.path);
--- a/src/contract/mappings.ts
+++ b/src/cluster-view/route-table.ts
@@ -1,6 +1,6 @@
-import { Config, safeMethods, splitsOf } from "./config.js";
-import type { Mapping } from "./mapping.js";
-import { PathIndex } from "./pathIndex.js";
+import { Config, safeMethods, splitsOf } from "../configuration/config.js";
+import type { Mapping } from "./active-route.js";
+import { PathIndex } from "./path-index.js";
 
 type Route = Config["routes"][string];
 
--- a/src/contract/configItems.ts
+++ b/src/configuration/config-items.ts
@@ -1,5 +1,5 @@
 import type { Config } from "./config.js";
-import { itemHash, SetDigest } from "./setDigest.js";
+import { itemHash, SetDigest } from "./set-digest.js";
 
 /** The sections of a configuration whose items have names. */
 const sections = ["services", "routes", "goals"] as const;
--- a/src/contract/config.ts
+++ b/src/configuration/config.ts
@@ -1,5 +1,5 @@
 import { array, object, optional, record, string, validate, type Infer } from "superstruct";
-import { Guarded, isObject } from "./guarded.js";
+import { Guarded, isObject } from "./validated.js";
 
 /** The name of a service or a route. */
 export const nameShape = Guarded.text(
--- a/src/record/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -1,6 +1,6 @@
-import type { Held } from "../../link/link.js";
-import type { Entry, Kind } from "../../link/kind.js";
-import type { LogRecord } from "../store.js";
+import type { Held } from "../rpc/rpc-endpoint.js";
+import type { Entry, Kind } from "../rpc/rpc-method.js";
+import type { LogRecord } from "./log-record.js";
 import { commitUpTo } from "./commit.js";
 import { follow } from "./follow.js";
 import { rightsOf } from "./rights.js";
--- a/src/record/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,4 +1,4 @@
-import type { LogRecord } from "../store.js";
+import type { LogRecord } from "./log-record.js";
 import { rightsOf } from "./rights.js";
 import type { ConsensusState, Facts } from "./state.js";
 import type { VoteRequest } from "./vote.js";
--- a/src/record/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -1,5 +1,5 @@
-import type { Entry } from "../../link/kind.js";
-import type { LogRecord } from "../store.js";
+import type { Entry } from "../rpc/rpc-method.js";
+import type { LogRecord } from "./log-record.js";
 import { leaseUntilMs } from "./lease.js";
 import { withMembersIn, type ConsensusState, type Facts } from "./state.js";
 
--- a/src/record/consensus/membershipChange.ts
+++ b/src/consensus/membership-change.ts
@@ -1,4 +1,4 @@
-import type { Members } from "../members.js";
+import type { Members } from "./members.js";
 import { majorityOf } from "./quorum.js";
 import type { ConsensusState, Facts } from "./state.js";
 
--- a/src/record/consensus/quorum.ts
+++ b/src/consensus/quorum.ts
@@ -1,4 +1,4 @@
-import type { Members } from "../members.js";
+import type { Members } from "./members.js";
 
 /** How many voters a majority has. */
 export const majorityOf = ({ voters }: Members): number => Math.floor(voters.length / 2) + 1;
--- a/src/record/consensus/replicatedLog.ts
+++ b/src/consensus/replicated-log.ts
@@ -1,4 +1,4 @@
-import type { Entry } from "../../link/kind.js";
+import type { Entry } from "../rpc/rpc-method.js";
 
 /**
  * The log of a member: the entries after a base, which a snapshot covers. A value never changes. An addition shares the
--- a/src/record/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -1,4 +1,4 @@
-import type { Entry } from "../../link/kind.js";
+import type { Entry } from "../rpc/rpc-method.js";
 import type { AppendReply, AppendRequest } from "./append.js";
 import type { ConsensusState, ElectionWaits } from "./state.js";
 
--- a/src/record/consensus/rights.ts
+++ b/src/consensus/rights.ts
@@ -1,4 +1,4 @@
-import { memberRights, type MemberRights, type MemberState } from "../memberRights.js";
+import { memberRights, type MemberRights, type MemberState } from "./member-rights.js";
 import { hasLease } from "./lease.js";
 import type { ConsensusState, Facts } from "./state.js";
 
--- a/src/record/consensus/snapshot.ts
+++ b/src/consensus/snapshot.ts
@@ -1,8 +1,8 @@
-import type { Entry } from "../../link/kind.js";
-import type { Members } from "../members.js";
+import type { Entry } from "../rpc/rpc-method.js";
+import type { Members } from "./members.js";
 import { stillHolds, type PendingAcknowledgment } from "./append.js";
 import { follow } from "./follow.js";
-import { ReplicatedLog } from "./replicatedLog.js";
+import { ReplicatedLog } from "./replicated-log.js";
 import { rightsOf } from "./rights.js";
 import { membersAt, withMembersOfLog, type ConsensusState, type Facts } from "./state.js";
 
--- a/src/record/consensus/state.ts
+++ b/src/consensus/state.ts
@@ -1,8 +1,8 @@
-import type { Entry } from "../../link/kind.js";
-import type { MemberStage } from "../memberRights.js";
-import { Members } from "../members.js";
-import { ReplicatedLog } from "./replicatedLog.js";
-import type { SafetyRules } from "./safetyRules.js";
+import type { Entry } from "../rpc/rpc-method.js";
+import type { MemberStage } from "./member-rights.js";
+import { Members } from "./members.js";
+import { ReplicatedLog } from "./replicated-log.js";
+import type { SafetyRules } from "./safety-rules.js";
 
 /** What a member does in the agreement now. */
 export type Role = "follower" | "preCandidate" | "candidate" | "leader";
--- a/src/record/consensus/vote.ts
+++ b/src/consensus/vote.ts
@@ -1,6 +1,6 @@
-import type { Held } from "../../link/link.js";
-import type { Kind } from "../../link/kind.js";
-import type { LogRecord } from "../store.js";
+import type { Held } from "../rpc/rpc-endpoint.js";
+import type { Kind } from "../rpc/rpc-method.js";
+import type { LogRecord } from "./log-record.js";
 import { follow } from "./follow.js";
 import { isMajority } from "./quorum.js";
 import { rightsOf } from "./rights.js";
--- a/src/contract/claimAdmission.ts
+++ b/src/control-plane/claim-admission.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
-import { overloadedReturn } from "./order.js";
+import { overloadedReturn } from "../control-protocol/command.js";
 
 /**
  * For how long the oldest claim in progress may have waited when another one is taken. A first try waits for its claim for a
--- a/src/contract/commandMeter.ts
+++ b/src/control-plane/command-metrics.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logbook.js";
+import type { PartLog } from "../runtime/logger.js";
 
 /** How often a leader tells what it carried out. */
 const periodMs = 5000;
--- a/src/contract/configChanges.ts
+++ b/src/control-plane/config-change-log.ts
@@ -1,10 +1,14 @@
-import type { Book } from "../record/book.js";
-import { Packed } from "../runtime/packed.js";
-import { Config } from "./config.js";
-import { ConfigItems, type ConfigItem, type NumberedConfig } from "./configItems.js";
-import { longText, type ConfigUpdate } from "./order.js";
-import { RecentChanges } from "./recentChanges.js";
-import { SetDigest } from "./setDigest.js";
+import type { Book } from "../state/state-machine.js";
+import { Packed } from "../runtime/text-compression.js";
+import { Config } from "../configuration/config.js";
+import {
+  ConfigItems,
+  type ConfigItem,
+  type NumberedConfig,
+} from "../configuration/config-items.js";
+import { longText, type ConfigUpdate } from "../control-protocol/command.js";
+import { RecentChanges } from "./change-buffer.js";
+import { SetDigest } from "../configuration/set-digest.js";
 
 /** How many bytes the names of changed items may take; beyond that the oldest changes are forgotten. */
 const keptChangeBytes = 1024 * 1024;
--- a/src/contract/registry.ts
+++ b/src/control-plane/control-plane.ts
@@ -1,25 +1,25 @@
 import { create, literal, number, object, optional, type, union } from "superstruct";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logbook.js";
-import { StepTimer } from "../runtime/stepTimer.js";
+import type { PartLog } from "../runtime/logger.js";
+import { StepTimer } from "../runtime/step-timer.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
-import type { AcceptedConfig, Book, Contract } from "../record/book.js";
-import { Deed, heldKeys, versionOf } from "../record/book.js";
-import { Numbering, type NameChanges } from "../record/numbering.js";
-import { RecordedText } from "../record/recordedText.js";
-import type { Recorder } from "../record/recorder.js";
-import { itemHash } from "./setDigest.js";
-import type { CapacityGrants } from "./capacityGrants.js";
-import { amend, Config, ConfigReader, mergePatch } from "./config.js";
-import { ClaimAdmission } from "./claimAdmission.js";
-import { CommandMeter } from "./commandMeter.js";
-import { configText } from "./configText.js";
-import { ConfigChanges } from "./configChanges.js";
-import { edgePlacesOf, type EdgePlace } from "./edgePlaces.js";
-import { DirectoryChanges } from "./directoryChanges.js";
-import { LargeViews } from "./largeViews.js";
+import { World } from "../runtime/runtime.js";
+import type { AcceptedConfig, Book, Contract } from "../state/state-machine.js";
+import { Deed, heldKeys, versionOf } from "../state/state-machine.js";
+import { Numbering, type NameChanges } from "../state/id-allocator.js";
+import { RecordedText } from "../state/config-payload.js";
+import type { Recorder } from "../replication/replication-node.js";
+import { itemHash } from "../configuration/set-digest.js";
+import type { CapacityGrants } from "./retry-capacity-allocator.js";
+import { amend, Config, ConfigReader, mergePatch } from "../configuration/config.js";
+import { ClaimAdmission } from "./claim-admission.js";
+import { CommandMeter } from "./command-metrics.js";
+import { configText } from "../configuration/config-serializer.js";
+import { ConfigChanges } from "./config-change-log.js";
+import { edgePlacesOf, type EdgePlace } from "../control-protocol/edge-placement.js";
+import { DirectoryChanges } from "./endpoint-change-log.js";
+import { LargeViews } from "./large-view-limiter.js";
 import {
   longText,
   breakdownReturn,
@@ -30,8 +30,8 @@
   type GrantedView,
   type KnownMembers,
   type Machine,
-} from "./order.js";
-import { TravellingText } from "./travellingText.js";
+} from "../control-protocol/command.js";
+import { TravellingText } from "../control-protocol/compressed-text.js";
 
 /** The waits by which the leader keeps contracts, keys and grants. */
 export interface Terms {
--- a/src/contract/directoryChanges.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -1,9 +1,9 @@
-import type { Book, Contract } from "../record/book.js";
-import { Packed } from "../runtime/packed.js";
-import { registrationHash } from "./directoryCopy.js";
-import { longText } from "./order.js";
-import { RecentChanges } from "./recentChanges.js";
-import { SetDigest } from "./setDigest.js";
+import type { Book, Contract } from "../state/state-machine.js";
+import { Packed } from "../runtime/text-compression.js";
+import { registrationHash } from "../cluster-view/endpoint-replica.js";
+import { longText } from "../control-protocol/command.js";
+import { RecentChanges } from "./change-buffer.js";
+import { SetDigest } from "../configuration/set-digest.js";
 
 /** How many bytes the names of changed registrations may take; beyond that the oldest changes are forgotten. */
 const keptChangeBytes = 1024 * 1024;
--- a/src/contract/largeViews.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -1,4 +1,4 @@
-import type { Poll } from "./order.js";
+import type { Poll } from "../control-protocol/command.js";
 
 interface SentView {
   /** What the daemon knew when it asked. */
--- a/src/contract/order.ts
+++ b/src/control-protocol/command.ts
@@ -1,11 +1,11 @@
-import { configShape, itemsShape, namesShape, type Config } from "./config.js";
-import { edgePlaceShape } from "./edgePlaces.js";
-import { Guarded } from "./guarded.js";
-import { FrameError } from "../link/frame.js";
-import { kindOf } from "../runtime/kindOf.js";
-import { Contract } from "../record/book.js";
-import { Packed } from "../runtime/packed.js";
-import { passes, quick } from "../runtime/quick.js";
+import { configShape, itemsShape, namesShape, type Config } from "../configuration/config.js";
+import { edgePlaceShape } from "./edge-placement.js";
+import { Guarded } from "../configuration/validated.js";
+import { FrameError } from "../rpc/frame.js";
+import { kindOf } from "../runtime/kind-of.js";
+import { Contract } from "../state/state-machine.js";
+import { Packed } from "../runtime/text-compression.js";
+import { passes, quick } from "../runtime/fast-validator.js";
 import {
   array,
   boolean,
--- a/src/contract/travellingText.ts
+++ b/src/control-protocol/compressed-text.ts
@@ -1,5 +1,5 @@
-import { Packed } from "../runtime/packed.js";
-import { longText } from "./order.js";
+import { Packed } from "../runtime/text-compression.js";
+import { longText } from "./command.js";
 
 /** A text in an answer between daemons: as it is, or packed where it is long, since links of small machines are slow. */
 export interface TravellingText {
--- a/src/machine/adapter.ts
+++ b/src/daemon/adapter.ts
@@ -1,6 +1,6 @@
-import type { Dialect } from "../door/dialect.js";
-import type { Job } from "../door/job.js";
-import type { Return } from "../door/verdict.js";
+import type { Dialect } from "../proxy/header-names.js";
+import type { Job } from "../proxy/proxy-request.js";
+import type { Return } from "../proxy/request-outcome.js";
 
 /** A request in the product's own words, and the way back to those of whoever sent it. */
 export interface Translated {
--- a/src/machine/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -1,9 +1,9 @@
-import type { Fault } from "../contract/config.js";
-import { Terms } from "../contract/registry.js";
-import { Waits } from "../record/recorder.js";
-import { RetryRules } from "../traffic/retryRules.js";
-import { CountsForm } from "../traffic/counts.js";
-import type { BoundSettings } from "./boundSettings.js";
+import type { Fault } from "../configuration/config.js";
+import { Terms } from "../control-plane/control-plane.js";
+import { Waits } from "../replication/replication-node.js";
+import { RetryRules } from "../retry-budget/retry-rules.js";
+import { CountsForm } from "../retry-budget/request-counts.js";
+import type { BoundSettings } from "./bound-settings.js";
 
 type Figures = Required<{ [name in keyof NonNullable<BoundSettings["bounds"]>]: number }>;
 
--- a/src/machine/httpCaller.ts
+++ b/src/daemon/http-client-connection.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { Caller } from "../door/job.js";
-import type { Return } from "../door/verdict.js";
-import type { LinkPacer, Transfer, TransferClass } from "../runtime/linkPacer.js";
+import type { Caller } from "../proxy/proxy-request.js";
+import type { Return } from "../proxy/request-outcome.js";
+import type { LinkPacer, Transfer, TransferClass } from "../runtime/link-pacer.js";
 import { Task } from "../runtime/task.js";
 
 /** What is heard of one caller's connection. */
--- a/src/machine/httpServer.ts
+++ b/src/daemon/http-server.ts
@@ -1,12 +1,17 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import type { Caller, Job } from "../door/job.js";
-import { Return } from "../door/verdict.js";
+import type { Caller, Job } from "../proxy/proxy-request.js";
+import { Return } from "../proxy/request-outcome.js";
 import { Clock } from "../runtime/clock.js";
-import { LinkPacer, type TransferClass } from "../runtime/linkPacer.js";
-import { Address, ListenError } from "../runtime/wire.js";
+import { LinkPacer, type TransferClass } from "../runtime/link-pacer.js";
+import { Address, ListenError } from "../runtime/network.js";
 import { Task } from "../runtime/task.js";
-import { HttpCaller, newConnection, type Connection, type ResponseContext } from "./httpCaller.js";
+import {
+  HttpCaller,
+  newConnection,
+  type Connection,
+  type ResponseContext,
+} from "./http-client-connection.js";
 
 /** What callers may send, and how long they may take or rest. */
 export interface ServerLimits {
--- a/src/machine/processMonitor.ts
+++ b/src/daemon/process-monitor.ts
@@ -1,6 +1,6 @@
 import { performance } from "node:perf_hooks";
 import { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logbook.js";
+import type { PartLog } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
 
 /** How often the event loop is looked at. */
--- a/src/machine/run.ts
+++ b/src/daemon/serve.ts
@@ -1,23 +1,23 @@
-import { BackEnds } from "../door/backEnds.js";
-import { Job } from "../door/job.js";
-import { Return } from "../door/verdict.js";
-import { Wire } from "../runtime/wire.js";
-import { Archive } from "../operator/archive.js";
+import { BackEnds } from "../proxy/upstream/backend-client.js";
+import { Job } from "../proxy/proxy-request.js";
+import { Return } from "../proxy/request-outcome.js";
+import { Wire } from "../runtime/network.js";
+import { Archive } from "../admin/config-archive.js";
 import type { Adapter } from "./adapter.js";
 import { Bounds } from "./bounds.js";
 import { Clock } from "../runtime/clock.js";
 import { Daemon } from "./daemon.js";
 import { Disk } from "../runtime/disk.js";
-import { HttpServer } from "./httpServer.js";
-import { LinkPacers } from "../runtime/linkPacer.js";
-import { Logbook } from "../runtime/logbook.js";
-import { monitorProcess } from "./processMonitor.js";
+import { HttpServer } from "./http-server.js";
+import { LinkPacers } from "../runtime/link-pacer.js";
+import { Logbook } from "../runtime/logger.js";
+import { monitorProcess } from "./process-monitor.js";
 import { Settings } from "./settings.js";
-import { SettingsError } from "./settingsError.js";
-import { SettingsFile } from "./settingsFile.js";
-import { Source } from "../runtime/source.js";
+import { SettingsError } from "./settings-error.js";
+import { SettingsFile } from "./settings-file.js";
+import { Source } from "../runtime/event-stream.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
+import { World } from "../runtime/runtime.js";
 
 /** How a daemon is run besides its settings. */
 export interface ServeOptions {
--- a/src/machine/settingsError.ts
+++ b/src/daemon/settings-error.ts
@@ -1,4 +1,4 @@
-import type { Fault } from "../contract/config.js";
+import type { Fault } from "../configuration/config.js";
 
 /** Raised when settings can't be used; carries every fault. */
 export class SettingsError extends Error {
--- a/src/machine/settingsFile.ts
+++ b/src/daemon/settings-file.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
 import { Settings } from "./settings.js";
-import { SettingsError } from "./settingsError.js";
+import { SettingsError } from "./settings-error.js";
 
 const json = (text: string, path: string): unknown => {
   try {
--- a/src/machine/settings.ts
+++ b/src/daemon/settings.ts
@@ -17,10 +17,10 @@
   validate,
   type Infer,
 } from "superstruct";
-import { Address } from "../runtime/wire.js";
-import { faultsOf, type Fault } from "../contract/config.js";
+import { Address } from "../runtime/network.js";
+import { faultsOf, type Fault } from "../configuration/config.js";
 import { Bounds } from "./bounds.js";
-import { boundsShape } from "./boundSettings.js";
+import { boundsShape } from "./bound-settings.js";
 
 const word = define<string>(
   "word",
--- a/src/rehearsal/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -7,19 +7,19 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { Pool, request } from "undici";
-import type { Job } from "../door/job.js";
-import type { Return } from "../door/verdict.js";
-import { Address } from "../runtime/wire.js";
+import type { Job } from "../proxy/proxy-request.js";
+import type { Return } from "../proxy/request-outcome.js";
+import { Address } from "../runtime/network.js";
 import { Clock } from "../runtime/clock.js";
-import type { Settings } from "../machine/settings.js";
+import type { Settings } from "../daemon/settings.js";
 import { Task } from "../runtime/task.js";
-import { proofPath, serviceHeader } from "../door/backEnds.js";
-import { callerWaitMs, Day } from "./day.js";
-import type { CallerEnd, Outside } from "./outside.js";
-import { Draw } from "./draw.js";
-import { Ledger } from "./ledger.js";
-import type { Profile } from "./profile.js";
-import { StandIn } from "./standIn.js";
+import { proofPath, serviceHeader } from "../proxy/upstream/backend-client.js";
+import { callerWaitMs, Day } from "../simulation/workload.js";
+import type { CallerEnd, Outside } from "../simulation/client-transport.js";
+import { Draw } from "../simulation/random-draw.js";
+import { Ledger } from "../simulation/event-recorder.js";
+import type { Profile } from "../simulation/profile.js";
+import { StandIn } from "../simulation/test-backend.js";
 
 /** One machine of a fleet of real processes. */
 export interface FleetMachine {
@@ -34,7 +34,7 @@
 /** Exported for its test. */
 export const daemonProgram = fileURLToPath(
   new URL(
-    import.meta.url.endsWith(".ts") ? "../../dist/machine/main.js" : "../machine/main.js",
+    import.meta.url.endsWith(".ts") ? "../../dist/cli/main.js" : "../cli/main.js",
     import.meta.url,
   ),
 );
--- a/src/rehearsal/report.ts
+++ b/src/fleet/report.ts
@@ -1,9 +1,9 @@
 import { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import type { Fleet } from "./fleet.js";
-import type { CallerRecord } from "./ledger.js";
-import { judge, rules, servedPart, worstRepeats } from "./judge.js";
-import { Profile } from "./profile.js";
+import type { CallerRecord } from "../simulation/event-recorder.js";
+import { judge, rules, servedPart, worstRepeats } from "../simulation/invariant-checker.js";
+import { Profile } from "../simulation/profile.js";
 
 const upMs = 30_000;
 const lastCallsMs = 3500;
--- a/src/rehearsal/drillMain.ts
+++ b/src/fleet/zone-drill.ts
@@ -2,7 +2,7 @@
 import { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import { Fleet } from "./fleet.js";
-import { servedPart } from "./judge.js";
+import { servedPart } from "../simulation/invariant-checker.js";
 import { bringUp, configuring, profileNamed, say, windUp } from "./report.js";
 
 interface Options {
--- a/src/traffic/backendRing.ts
+++ b/src/load-balancing/backend-ring.ts
@@ -1,4 +1,4 @@
-import type { EdgePlace } from "../contract/edgePlaces.js";
+import type { EdgePlace } from "../control-protocol/edge-placement.js";
 import type { Backend } from "./backend.js";
 
 /** How many backends of its own zone a daemon uses for each one of another zone. */
--- a/src/traffic/backendStats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -1,4 +1,4 @@
-import type { TryOutcome } from "./tryOutcome.js";
+import type { TryOutcome } from "./attempt-sample.js";
 
 const paceRate = 0.2;
 const latencyRate = 0.2;
--- a/src/traffic/loadBalancer.ts
+++ b/src/load-balancing/load-balancer.ts
@@ -1,9 +1,9 @@
-import type { EdgePlace } from "../contract/edgePlaces.js";
+import type { EdgePlace } from "../control-protocol/edge-placement.js";
 import type { Backend } from "./backend.js";
-import { connectionShare, ringRanks, subsetSizeFor } from "./backendRing.js";
-import { BackendStats } from "./backendStats.js";
-import { RouteStatsTable, unseenBytes, type RouteStats } from "./routeStats.js";
-import type { TryOutcome } from "./tryOutcome.js";
+import { connectionShare, ringRanks, subsetSizeFor } from "./backend-ring.js";
+import { BackendStats } from "./backend-stats.js";
+import { RouteStatsTable, unseenBytes, type RouteStats } from "./route-stats.js";
+import type { TryOutcome } from "./attempt-sample.js";
 
 const warmUpMs = 10_000;
 const leastWarmth = 0.05;
--- a/src/traffic/routeStats.ts
+++ b/src/load-balancing/route-stats.ts
@@ -1,4 +1,4 @@
-import type { TryOutcome } from "./tryOutcome.js";
+import type { TryOutcome } from "./attempt-sample.js";
 
 /** How large a route's responses are taken to be until one was seen. */
 export const unseenBytes = 32 * 1024;
--- a/src/explorer/exhaustive.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -1,8 +1,8 @@
-import { Violation } from "./checks.js";
-import type { Alteration } from "./explore.js";
-import { Group } from "./group.js";
-import type { Counterexample } from "./run.js";
-import { GroupSettings } from "./settings.js";
+import { Violation } from "./invariant-checks.js";
+import type { Alteration } from "./random-search.js";
+import { Group } from "./member-group.js";
+import type { Counterexample } from "./search-run.js";
+import { GroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
 /** What an exhaustive exploration saw. */
--- a/src/explorer/settings.ts
+++ b/src/model-checker/group-settings.ts
@@ -1,6 +1,6 @@
-import { safetyRules, type SafetyRules } from "../record/consensus/safetyRules.js";
-import type { ElectionWaits } from "../record/consensus/state.js";
-import { Waits } from "../record/recorder.js";
+import { safetyRules, type SafetyRules } from "../consensus/safety-rules.js";
+import type { ElectionWaits } from "../consensus/state.js";
+import { Waits } from "../replication/replication-node.js";
 
 /** What an explored group is made of. */
 export interface GroupSettings {
--- a/src/explorer/checks.ts
+++ b/src/model-checker/invariant-checks.ts
@@ -1,6 +1,6 @@
-import { majoritiesMeet } from "../record/consensus/membershipChange.js";
-import { Members } from "../record/members.js";
-import type { ModelMember } from "./modelMember.js";
+import { majoritiesMeet } from "../consensus/membership-change.js";
+import { Members } from "../consensus/members.js";
+import type { ModelMember } from "./model-member.js";
 
 /** A promise of the agreement that was broken, and by what. */
 export class Violation extends Error {
--- a/src/explorer/exploreMain.ts
+++ b/src/model-checker/main.ts
@@ -1,9 +1,9 @@
 import { readFileSync, writeFileSync } from "node:fs";
 import { cac } from "cac";
-import { exploreAll } from "./exhaustive.js";
-import { exploreRandomly, settingsFor } from "./explore.js";
+import { exploreAll } from "./exhaustive-search.js";
+import { exploreRandomly, settingsFor } from "./random-search.js";
 import { mutants } from "./mutants.js";
-import { replay, type Counterexample } from "./run.js";
+import { replay, type Counterexample } from "./search-run.js";
 import { shrink } from "./shrink.js";
 import { stepsFromText } from "./step.js";
 import { traceFile, traceText } from "./trace.js";
--- a/src/explorer/group.ts
+++ b/src/model-checker/member-group.ts
@@ -1,11 +1,11 @@
-import { Members } from "../record/members.js";
-import { Checks } from "./checks.js";
-import { History } from "./history/history.js";
+import { Members } from "../consensus/members.js";
+import { Checks } from "./invariant-checks.js";
+import { History } from "./history/operation-history.js";
 import type { Message, Reply, Request } from "./message.js";
-import { ModelDisk } from "./modelDisk.js";
-import { ModelMember, type Surroundings } from "./modelMember.js";
-import { RandomSource } from "./random.js";
-import type { GroupSettings } from "./settings.js";
+import { ModelDisk } from "./model-disk.js";
+import { ModelMember, type Surroundings } from "./model-member.js";
+import { RandomSource } from "./random-source.js";
+import type { GroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
 /** How many messages are under way at most; beyond that the oldest are lost. */
--- a/src/explorer/message.ts
+++ b/src/model-checker/message.ts
@@ -1,7 +1,7 @@
-import type { AppendReply, AppendRequest } from "../record/consensus/append.js";
-import type { SnapshotOffer, SnapshotReply } from "../record/consensus/snapshot.js";
-import type { VoteReply, VoteRequest } from "../record/consensus/vote.js";
-import type { Members } from "../record/members.js";
+import type { AppendReply, AppendRequest } from "../consensus/append.js";
+import type { SnapshotOffer, SnapshotReply } from "../consensus/snapshot.js";
+import type { VoteReply, VoteRequest } from "../consensus/vote.js";
+import type { Members } from "../consensus/members.js";
 
 /** A snapshot on its way: which one, the members in it, and the register's value. */
 export interface SnapshotRequest extends SnapshotOffer {
--- a/src/explorer/modelDisk.ts
+++ b/src/model-checker/model-disk.ts
@@ -1,5 +1,5 @@
-import type { PersistedState } from "../record/consensus/state.js";
-import type { LogRecord } from "../record/store.js";
+import type { PersistedState } from "../consensus/state.js";
+import type { LogRecord } from "../consensus/log-record.js";
 
 /** What a member's disk holds: the agreement's state, and the register's value as of its snapshot. */
 export interface DiskContent extends PersistedState {
--- a/src/explorer/modelMember.ts
+++ b/src/model-checker/model-member.ts
@@ -3,8 +3,8 @@
   decideAppend,
   type AppendRequest,
   type PendingAcknowledgment,
-} from "../record/consensus/append.js";
-import { noteAcknowledgment, ownEntriesSynced } from "../record/consensus/commit.js";
+} from "../consensus/append.js";
+import { noteAcknowledgment, ownEntriesSynced } from "../consensus/commit.js";
 import {
   giveUpElection,
   onElectionWaitOver,
@@ -12,8 +12,8 @@
   startPreVote,
   stillStands,
   takeHandOver,
-} from "../record/consensus/election.js";
-import { follow } from "../record/consensus/follow.js";
+} from "../consensus/election.js";
+import { follow } from "../consensus/follow.js";
 import {
   addOwnEntries,
   beginLeading,
@@ -21,28 +21,23 @@
   isLeading,
   leadsText,
   whyStepDown,
-} from "../record/consensus/leadership.js";
-import { mayChangeMembers, membersText } from "../record/consensus/membershipChange.js";
-import {
-  endsRejoining,
-  rejoined,
-  rejoinMarkIn,
-  rejoinMarkText,
-} from "../record/consensus/rejoin.js";
+} from "../consensus/leadership.js";
+import { mayChangeMembers, membersText } from "../consensus/membership-change.js";
+import { endsRejoining, rejoined, rejoinMarkIn, rejoinMarkText } from "../consensus/rejoin.js";
 import {
   appendRequestFor,
   initialProgress,
   needsSnapshot,
   progressAfter,
   type Progress,
-} from "../record/consensus/replication.js";
-import { rightsOf } from "../record/consensus/rights.js";
+} from "../consensus/replication.js";
+import { rightsOf } from "../consensus/rights.js";
 import {
   acknowledgeSnapshot,
   compactLog,
   decideSnapshot,
   installSnapshot,
-} from "../record/consensus/snapshot.js";
+} from "../consensus/snapshot.js";
 import {
   initialState,
   membersAt,
@@ -51,18 +46,13 @@
   type ConsensusState,
   type Facts,
   type Role,
-} from "../record/consensus/state.js";
-import {
-  countVote,
-  decideVote,
-  type VoteReply,
-  type VoteRequest,
-} from "../record/consensus/vote.js";
-import type { Members } from "../record/members.js";
-import { Membership } from "../record/membership.js";
+} from "../consensus/state.js";
+import { countVote, decideVote, type VoteReply, type VoteRequest } from "../consensus/vote.js";
+import type { Members } from "../consensus/members.js";
+import { Membership } from "../replication/membership/membership-policy.js";
 import type { Reply, Request, SnapshotRequest } from "./message.js";
-import type { DiskContent, ModelDisk } from "./modelDisk.js";
-import type { GroupSettings } from "./settings.js";
+import type { DiskContent, ModelDisk } from "./model-disk.js";
+import type { GroupSettings } from "./group-settings.js";
 
 /** What a member does once a write of its own is on disk. */
 export type AfterWrite =
--- a/src/explorer/mutants.ts
+++ b/src/model-checker/mutants.ts
@@ -1,4 +1,4 @@
-import type { Alteration } from "./explore.js";
+import type { Alteration } from "./random-search.js";
 
 /** One safety rule taken out of the decisions, to see whether the explorer notices. */
 export interface Mutant {
--- a/src/explorer/phaseWalk.ts
+++ b/src/model-checker/phase-walk.ts
@@ -1,6 +1,6 @@
-import type { Group } from "./group.js";
-import type { ModelMember } from "./modelMember.js";
-import type { RandomSource } from "./random.js";
+import type { Group } from "./member-group.js";
+import type { ModelMember } from "./model-member.js";
+import type { RandomSource } from "./random-source.js";
 import type { Step } from "./step.js";
 
 /** How likely a phase ends with the next step. */
--- a/src/explorer/explore.ts
+++ b/src/model-checker/random-search.ts
@@ -1,7 +1,7 @@
-import type { SafetyRules } from "../record/consensus/safetyRules.js";
-import type { ElectionWaits } from "../record/consensus/state.js";
-import { runRandomly, type Counterexample } from "./run.js";
-import { GroupSettings } from "./settings.js";
+import type { SafetyRules } from "../consensus/safety-rules.js";
+import type { ElectionWaits } from "../consensus/state.js";
+import { runRandomly, type Counterexample } from "./search-run.js";
+import { GroupSettings } from "./group-settings.js";
 
 /** What is changed of production's rules and waits; nothing for production itself. */
 export interface Alteration {
--- a/src/explorer/randomWalk.ts
+++ b/src/model-checker/random-walk.ts
@@ -1,6 +1,6 @@
-import type { Group } from "./group.js";
-import { PhaseWalk } from "./phaseWalk.js";
-import { RandomSource } from "./random.js";
+import type { Group } from "./member-group.js";
+import { PhaseWalk } from "./phase-walk.js";
+import { RandomSource } from "./random-source.js";
 import type { Step } from "./step.js";
 
 /** How often each kind of trouble comes, by the run: some are nearly calm, so that much is committed between failures. */
--- a/src/explorer/healing.ts
+++ b/src/model-checker/recovery.ts
@@ -1,5 +1,5 @@
-import { Violation } from "./checks.js";
-import type { Group } from "./group.js";
+import { Violation } from "./invariant-checks.js";
+import type { Group } from "./member-group.js";
 import type { Step } from "./step.js";
 
 const quantumMs = 20;
--- a/src/explorer/run.ts
+++ b/src/model-checker/search-run.ts
@@ -1,9 +1,9 @@
-import { Violation } from "./checks.js";
-import { Group } from "./group.js";
-import { heal } from "./healing.js";
+import { Violation } from "./invariant-checks.js";
+import { Group } from "./member-group.js";
+import { heal } from "./recovery.js";
 import { findContradiction } from "./history/linearizability.js";
-import { RandomWalk } from "./randomWalk.js";
-import type { GroupSettings } from "./settings.js";
+import { RandomWalk } from "./random-walk.js";
+import type { GroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
 /** A run that broke a promise: the group, the steps up to the breach, and which promise. */
--- a/src/explorer/shrink.ts
+++ b/src/model-checker/shrink.ts
@@ -1,4 +1,4 @@
-import { replay, type Counterexample } from "./run.js";
+import { replay, type Counterexample } from "./search-run.js";
 import type { Step } from "./step.js";
 
 const without = (steps: readonly Step[], from: number, count: number): Step[] => [
--- a/src/explorer/trace.ts
+++ b/src/model-checker/trace.ts
@@ -1,7 +1,7 @@
-import { Group } from "./group.js";
-import { Violation } from "./checks.js";
+import { Group } from "./member-group.js";
+import { Violation } from "./invariant-checks.js";
 import type { Message } from "./message.js";
-import type { Counterexample } from "./run.js";
+import type { Counterexample } from "./search-run.js";
 import { stepsToText, type Step } from "./step.js";
 
 const contentOf = ({ body }: Message): string => {
--- a/src/door/bulkAdmission.ts
+++ b/src/proxy/bulk-admission.ts
@@ -1,4 +1,4 @@
-import type { LinkPacer } from "../runtime/linkPacer.js";
+import type { LinkPacer } from "../runtime/link-pacer.js";
 
 /** How fast the usual size of a route's responses follows those that are seen. */
 const sizeRate = 0.1;
--- a/src/door/door.ts
+++ b/src/proxy/http-proxy.ts
@@ -1,26 +1,31 @@
-import type { Forwarder } from "../contract/forwarder.js";
-import type { Mapping } from "../contract/mapping.js";
-import { poolOf, type View } from "../contract/view.js";
+import type { Forwarder } from "../cluster-view/command-forwarder.js";
+import type { Mapping } from "../cluster-view/active-route.js";
+import { poolOf, type View } from "../cluster-view/cluster-view.js";
 import { Clock } from "../runtime/clock.js";
-import type { LinkPacer } from "../runtime/linkPacer.js";
-import type { PartLog } from "../runtime/logbook.js";
+import type { LinkPacer } from "../runtime/link-pacer.js";
+import type { PartLog } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
-import type { Contract } from "../record/book.js";
-import type { RetryBudget } from "../traffic/retryBudget.js";
-import type { LoadBalancer } from "../traffic/loadBalancer.js";
-import type { EdgeCounts } from "../traffic/edgeCounts.js";
-import { safeMethods } from "../contract/config.js";
-import { bodyEnd, headFault } from "./answerCheck.js";
-import { BulkAdmission } from "./bulkAdmission.js";
-import { serviceHeader, type BackEnds, type BackReturn, type Opened } from "./backEnds.js";
-import type { Dialect } from "./dialect.js";
-import { Job, type Caller } from "./job.js";
-import { Keys, type Claim } from "./keys.js";
-import type { LapsedLease } from "./lapsedLease.js";
-import type { KeyedOutcomeKeeper } from "./keyedOutcomeKeeper.js";
-import { endingOf, maySendOn, outcomeOf, type FailureCause } from "./outcomeTable.js";
-import { Ending, Return, type Verdict } from "./verdict.js";
+import { World } from "../runtime/runtime.js";
+import type { Contract } from "../state/state-machine.js";
+import type { RetryBudget } from "../retry-budget/retry-budget.js";
+import type { LoadBalancer } from "../load-balancing/load-balancer.js";
+import type { EdgeCounts } from "../retry-budget/edge-counts.js";
+import { safeMethods } from "../configuration/config.js";
+import { bodyEnd, headFault } from "./upstream/response-validation.js";
+import { BulkAdmission } from "./bulk-admission.js";
+import {
+  serviceHeader,
+  type BackEnds,
+  type BackReturn,
+  type Opened,
+} from "./upstream/backend-client.js";
+import type { Dialect } from "./header-names.js";
+import { Job, type Caller } from "./proxy-request.js";
+import { Keys, type Claim } from "./idempotency/idempotency-claims.js";
+import type { LapsedLease } from "./expired-lease-policy.js";
+import type { KeyedOutcomeKeeper } from "./idempotency/outcome-replicator.js";
+import { endingOf, maySendOn, outcomeOf, type FailureCause } from "./outcome-rules.js";
+import { Ending, Return, type Verdict } from "./request-outcome.js";
 
 /** One request on its way through the chain. */
 interface Passage {
--- a/src/door/keys.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -1,14 +1,14 @@
 import { createHash } from "node:crypto";
-import { hostName } from "../contract/mappings.js";
-import { ClaimReturn, overloadedReturn, type Order } from "../contract/order.js";
-import type { Forwarder } from "../contract/forwarder.js";
-import { Clock } from "../runtime/clock.js";
-import type { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
-import { Job } from "./job.js";
-import type { KeyedOutcome, KeyedRequest } from "./keyedOutcome.js";
-import type { KeyedOutcomeKeeper } from "./keyedOutcomeKeeper.js";
-import { Ending } from "./verdict.js";
+import { hostName } from "../../cluster-view/route-table.js";
+import { ClaimReturn, overloadedReturn, type Order } from "../../control-protocol/command.js";
+import type { Forwarder } from "../../cluster-view/command-forwarder.js";
+import { Clock } from "../../runtime/clock.js";
+import type { Task } from "../../runtime/task.js";
+import { World } from "../../runtime/runtime.js";
+import { Job } from "../proxy-request.js";
+import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
+import type { KeyedOutcomeKeeper } from "./outcome-replicator.js";
+import { Ending } from "../request-outcome.js";
 
 /** A key that this daemon holds: it may send until a moment of its own clock. */
 export interface Claim extends KeyedRequest {
--- a/src/door/keyedOutcome.ts
+++ b/src/proxy/idempotency/keyed-outcome.ts
@@ -1,7 +1,7 @@
 import { create, record, string } from "superstruct";
-import type { Kind } from "../link/kind.js";
-import type { Held } from "../link/link.js";
-import type { Return } from "./verdict.js";
+import type { Kind } from "../../rpc/rpc-method.js";
+import type { Held } from "../../rpc/rpc-endpoint.js";
+import type { Return } from "../request-outcome.js";
 
 /** Which request is meant: the scope of its key, and the name of the one that claimed it. */
 export interface KeyedRequest {
--- a/src/door/keyedOutcomeStore.ts
+++ b/src/proxy/idempotency/outcome-cache.ts
@@ -1,5 +1,5 @@
-import type { Clock } from "../runtime/clock.js";
-import type { KeyedOutcome, KeyedRequest } from "./keyedOutcome.js";
+import type { Clock } from "../../runtime/clock.js";
+import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
 
 interface KeptOutcome {
   readonly outcome: KeyedOutcome;
--- a/src/door/keyedOutcomeKeeper.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -1,8 +1,8 @@
-import { Kind } from "../link/kind.js";
-import type { Link } from "../link/link.js";
-import type { Task } from "../runtime/task.js";
-import { KeyedOutcome, type KeyedRequest } from "./keyedOutcome.js";
-import type { KeyedOutcomeStore } from "./keyedOutcomeStore.js";
+import { Kind } from "../../rpc/rpc-method.js";
+import type { Link } from "../../rpc/rpc-endpoint.js";
+import type { Task } from "../../runtime/task.js";
+import { KeyedOutcome, type KeyedRequest } from "./keyed-outcome.js";
+import type { KeyedOutcomeStore } from "./outcome-cache.js";
 
 /** A member of the replicated log that keeps outcomes for others. */
 export interface KeepingMember {
--- a/src/door/outcomeTable.ts
+++ b/src/proxy/outcome-rules.ts
@@ -1,5 +1,5 @@
-import type { Mapping } from "../contract/mapping.js";
-import { Ending, type Verdict } from "./verdict.js";
+import type { Mapping } from "../cluster-view/active-route.js";
+import { Ending, type Verdict } from "./request-outcome.js";
 
 /**
  * How a try at a back end can end.
--- a/src/door/job.ts
+++ b/src/proxy/proxy-request.ts
@@ -1,5 +1,5 @@
 import type { Task } from "../runtime/task.js";
-import type { Return } from "./verdict.js";
+import type { Return } from "./request-outcome.js";
 
 /** A caller's request; a small body is held whole, of a large one the rest is still to come. */
 export interface Job {
--- a/src/door/backEnds.ts
+++ b/src/proxy/upstream/backend-client.ts
@@ -1,11 +1,11 @@
 import { connect as connectSocket, type Socket } from "node:net";
 import { Readable } from "node:stream";
 import { Client, errors, type Dispatcher } from "undici";
-import { Address } from "../runtime/wire.js";
-import type { Clock } from "../runtime/clock.js";
-import { LinkPacers, type LinkPacer, type Transfer } from "../runtime/linkPacer.js";
-import { Task } from "../runtime/task.js";
-import type { Dialect } from "./dialect.js";
+import { Address } from "../../runtime/network.js";
+import type { Clock } from "../../runtime/clock.js";
+import { LinkPacers, type LinkPacer, type Transfer } from "../../runtime/link-pacer.js";
+import { Task } from "../../runtime/task.js";
+import type { Dialect } from "../header-names.js";
 
 /** One request as it goes to a back end: the part of its body that is held, and what is still to come. */
 export interface BackJob {
--- a/src/door/answerCheck.ts
+++ b/src/proxy/upstream/response-validation.ts
@@ -1,5 +1,5 @@
-import type { Dialect } from "./dialect.js";
-import type { FailureCause } from "./outcomeTable.js";
+import type { Dialect } from "../header-names.js";
+import type { FailureCause } from "../outcome-rules.js";
 
 /** The head of a back end's response. */
 export interface ResponseHead {
--- a/src/record/meeting.ts
+++ b/src/replication/bootstrap/cluster-bootstrap.ts
@@ -1,11 +1,11 @@
-import { Kind } from "../link/kind.js";
-import type { Held, Link } from "../link/link.js";
-import { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logbook.js";
-import { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
-import type { Members } from "./members.js";
-import { Place } from "./place.js";
+import { Kind } from "../../rpc/rpc-method.js";
+import type { Held, Link } from "../../rpc/rpc-endpoint.js";
+import { Clock } from "../../runtime/clock.js";
+import type { PartLog } from "../../runtime/logger.js";
+import { Task } from "../../runtime/task.js";
+import { World } from "../../runtime/runtime.js";
+import type { Members } from "../../consensus/members.js";
+import { Place } from "./node-location.js";
 
 /** How a recorder stands when it is met: unborn is what was formed, but not yet by all of its voters. */
 export interface Attendance extends Members {
--- a/src/record/place.ts
+++ b/src/replication/bootstrap/node-location.ts
@@ -1,4 +1,4 @@
-import type { Members } from "./members.js";
+import type { Members } from "../../consensus/members.js";
 
 /** Where a daemon stands among its peers, and what it may do for the forming of the record. */
 export interface Place {
--- a/src/record/restore.ts
+++ b/src/replication/bootstrap/restore-as-only-voter.ts
@@ -1,7 +1,7 @@
-import type { Disk } from "../runtime/disk.js";
-import type { Task } from "../runtime/task.js";
-import { Deed } from "./book.js";
-import { Store } from "./store.js";
+import type { Disk } from "../../runtime/disk.js";
+import type { Task } from "../../runtime/task.js";
+import { Deed } from "../../state/state-machine.js";
+import { Store } from "../log/log-store.js";
 
 /** What a restore did, or why it did nothing. */
 export type Restored =
--- a/src/record/history.ts
+++ b/src/replication/history/config-history.ts
@@ -1,7 +1,7 @@
-import type { Disk } from "../runtime/disk.js";
-import type { Task } from "../runtime/task.js";
-import type { AcceptedConfig } from "./book.js";
-import { HistoryFormat, type HistoryLayout } from "./historyFormat.js";
+import type { Disk } from "../../runtime/disk.js";
+import type { Task } from "../../runtime/task.js";
+import type { AcceptedConfig } from "../../state/state-machine.js";
+import { HistoryFormat, type HistoryLayout } from "./history-format.js";
 
 /** How many configs one file holds at most: more take less room, since only the first is whole, but longer to read back. Former builds' files hold so many, save the last. */
 export const fileConfigs = 64;
--- a/src/record/historyFormat.ts
+++ b/src/replication/history/history-format.ts
@@ -1,8 +1,12 @@
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 import { create, omit, assign, object } from "superstruct";
-import { acceptedConfigShape, storedConfig, type AcceptedConfig } from "./book.js";
-import { seal, sealBytes, unseal } from "./seal.js";
-import { TextDelta, textDeltaShape } from "./textDelta.js";
+import {
+  acceptedConfigShape,
+  storedConfig,
+  type AcceptedConfig,
+} from "../../state/state-machine.js";
+import { seal, sealBytes, unseal } from "../log/checksum.js";
+import { TextDelta, textDeltaShape } from "../../state/text-delta.js";
 
 /**
  * The layout of a history file. `whole`: each record is a config by itself (files of former builds, and pieces that travel).
--- a/src/record/historyKeeper.ts
+++ b/src/replication/history/history-service.ts
@@ -1,12 +1,12 @@
-import { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logbook.js";
-import { Task } from "../runtime/task.js";
-import type { World } from "../runtime/world.js";
-import { Kind } from "../link/kind.js";
-import type { Held, Link } from "../link/link.js";
-import type { AcceptedConfig, Book } from "./book.js";
-import { fileConfigs, History, type SequenceRange } from "./history.js";
-import type { Writer } from "./writer.js";
+import { Clock } from "../../runtime/clock.js";
+import type { PartLog } from "../../runtime/logger.js";
+import { Task } from "../../runtime/task.js";
+import type { World } from "../../runtime/runtime.js";
+import { Kind } from "../../rpc/rpc-method.js";
+import type { Held, Link } from "../../rpc/rpc-endpoint.js";
+import type { AcceptedConfig, Book } from "../../state/state-machine.js";
+import { fileConfigs, History, type SequenceRange } from "./config-history.js";
+import type { Writer } from "../log/log-writer.js";
 
 const askWaitMs = 600;
 const learnMs = 200;
--- a/src/record/roomMaker.ts
+++ b/src/replication/log/disk-reclaimer.ts
@@ -1,8 +1,8 @@
-import type { Clock } from "../runtime/clock.js";
-import { DiskBreakdown } from "../runtime/disk.js";
-import type { PartLog } from "../runtime/logbook.js";
-import type { Task } from "../runtime/task.js";
-import type { History } from "./history.js";
+import type { Clock } from "../../runtime/clock.js";
+import { DiskBreakdown } from "../../runtime/disk.js";
+import type { PartLog } from "../../runtime/logger.js";
+import type { Task } from "../../runtime/task.js";
+import type { History } from "../history/config-history.js";
 
 /** How long a disk must go on refusing before a second file of the history is removed; doubled for each further one. */
 const firstWaitMs = 1000;
--- a/src/record/store.ts
+++ b/src/replication/log/log-store.ts
@@ -1,12 +1,13 @@
 import * as r from "restructure";
 import { array, create, number, object, omit, string, type Infer } from "superstruct";
-import type { Disk } from "../runtime/disk.js";
-import { Task } from "../runtime/task.js";
-import { exactly } from "../link/frame.js";
-import { Utf8Text } from "../link/utf8Text.js";
-import { History } from "./history.js";
-import { seal, sealBytes, unseal } from "./seal.js";
-import { SnapshotPartFile } from "./snapshotPartFile.js";
+import type { Disk } from "../../runtime/disk.js";
+import { Task } from "../../runtime/task.js";
+import type { LogRecord } from "../../consensus/log-record.js";
+import { exactly } from "../../rpc/frame.js";
+import { Utf8Text } from "../../rpc/utf8-text-codec.js";
+import { History } from "../history/config-history.js";
+import { seal, sealBytes, unseal } from "./checksum.js";
+import { SnapshotPartFile } from "../snapshot/snapshot-part-file.js";
 
 const entryShape = object({ index: number(), term: number(), text: string() });
 
@@ -25,12 +26,6 @@
 /** All that a recorder must still know after it has lost its memory. */
 export type Standing = Infer<typeof standingShape>;
 
-/** One change of a standing. */
-export type LogRecord =
-  | { kind: "entry"; term: number; index: number; text: string }
-  | { kind: "vote"; term: number; text: string }
-  | { kind: "cut"; index: number };
-
 /** What a recorder finds on its disk. */
 export type Loaded =
   { kind: "empty" } | { kind: "damaged"; why: string } | { kind: "whole"; standing: Standing };
--- a/src/record/writer.ts
+++ b/src/replication/log/log-writer.ts
@@ -1,10 +1,11 @@
-import { Clock } from "../runtime/clock.js";
-import { DiskBreakdown } from "../runtime/disk.js";
-import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logbook.js";
-import { Task } from "../runtime/task.js";
-import { RoomMaker } from "./roomMaker.js";
-import type { LogRecord, Standing, Store } from "./store.js";
+import { Clock } from "../../runtime/clock.js";
+import { DiskBreakdown } from "../../runtime/disk.js";
+import { Queue } from "../../runtime/queue.js";
+import type { PartLog } from "../../runtime/logger.js";
+import { Task } from "../../runtime/task.js";
+import { RoomMaker } from "./disk-reclaimer.js";
+import type { LogRecord } from "../../consensus/log-record.js";
+import type { Standing, Store } from "./log-store.js";
 
 type Order =
   | { records: LogRecord[]; done: () => void }
--- a/src/record/joining.ts
+++ b/src/replication/membership/membership-join.ts
@@ -1,9 +1,9 @@
-import { Kind } from "../link/kind.js";
-import type { Link } from "../link/link.js";
-import { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logbook.js";
-import type { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
+import { Kind } from "../../rpc/rpc-method.js";
+import type { Link } from "../../rpc/rpc-endpoint.js";
+import { Clock } from "../../runtime/clock.js";
+import type { PartLog } from "../../runtime/logger.js";
+import type { Task } from "../../runtime/task.js";
+import { World } from "../../runtime/runtime.js";
 
 /** How long an answer is waited for at most: the leader may have to commit two entries on slow disks. */
 const askMs = 2000;
--- a/src/record/leaving.ts
+++ b/src/replication/membership/membership-leave.ts
@@ -1,9 +1,9 @@
 import { create, object, boolean, type Infer } from "superstruct";
-import { Kind } from "../link/kind.js";
-import type { Link } from "../link/link.js";
-import { Clock } from "../runtime/clock.js";
-import { Task } from "../runtime/task.js";
-import type { World } from "../runtime/world.js";
+import { Kind } from "../../rpc/rpc-method.js";
+import type { Link } from "../../rpc/rpc-endpoint.js";
+import { Clock } from "../../runtime/clock.js";
+import { Task } from "../../runtime/task.js";
+import type { World } from "../../runtime/runtime.js";
 
 /** How long one answer of the leader is waited for; it needs no disk and no other member. */
 const askMs = 300;
--- a/src/record/recorder.ts
+++ b/src/replication/replication-node.ts
@@ -1,18 +1,18 @@
 import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logbook.js";
-import { StepTimer } from "../runtime/stepTimer.js";
+import type { PartLog } from "../runtime/logger.js";
+import { StepTimer } from "../runtime/step-timer.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
-import { Kind } from "../link/kind.js";
-import type { Held, Link } from "../link/link.js";
-import type { Book } from "./book.js";
+import { World } from "../runtime/runtime.js";
+import { Kind } from "../rpc/rpc-method.js";
+import type { Held, Link } from "../rpc/rpc-endpoint.js";
+import type { Book } from "../state/state-machine.js";
 import {
   acknowledgeAppend,
   decideAppend,
   type AppendReply,
   type AppendRequest,
-} from "./consensus/append.js";
-import { noteAcknowledgment, ownEntriesSynced, type Acknowledgment } from "./consensus/commit.js";
+} from "../consensus/append.js";
+import { noteAcknowledgment, ownEntriesSynced, type Acknowledgment } from "../consensus/commit.js";
 import {
   giveUpElection,
   onElectionWaitOver,
@@ -20,8 +20,8 @@
   startPreVote,
   stillStands,
   takeHandOver,
-} from "./consensus/election.js";
-import { follow } from "./consensus/follow.js";
+} from "../consensus/election.js";
+import { follow } from "../consensus/follow.js";
 import {
   addOwnEntries,
   beginLeading,
@@ -29,9 +29,9 @@
   isLeading,
   leadsText,
   whyStepDown,
-} from "./consensus/leadership.js";
-import { mayChangeMembers, membersText } from "./consensus/membershipChange.js";
-import { endsRejoining, rejoined, rejoinMarkIn } from "./consensus/rejoin.js";
+} from "../consensus/leadership.js";
+import { mayChangeMembers, membersText } from "../consensus/membership-change.js";
+import { endsRejoining, rejoined, rejoinMarkIn } from "../consensus/rejoin.js";
 import {
   appendRequestFor,
   countWithin,
@@ -39,15 +39,15 @@
   needsSnapshot,
   progressAfter,
   appendWaitMs,
-} from "./consensus/replication.js";
-import { rightsOf } from "./consensus/rights.js";
-import { safetyRules } from "./consensus/safetyRules.js";
+} from "../consensus/replication.js";
+import { rightsOf } from "../consensus/rights.js";
+import { safetyRules } from "../consensus/safety-rules.js";
 import {
   acknowledgeSnapshot,
   compactLog,
   decideSnapshot,
   installSnapshot,
-} from "./consensus/snapshot.js";
+} from "../consensus/snapshot.js";
 import {
   initialState,
   membersAt,
@@ -55,26 +55,30 @@
   restoredState,
   type ConsensusState,
   type Facts,
-} from "./consensus/state.js";
+} from "../consensus/state.js";
 import {
   countVote,
   decideVote,
   type ReceivedVote,
   type VoteReply,
   type VoteRequest,
-} from "./consensus/vote.js";
-import { HistoryKeeper, type ConfigRead } from "./historyKeeper.js";
-import { Joining } from "./joining.js";
-import { Leaving, type LeavingAnswer } from "./leaving.js";
-import { Meeting, type Attendance } from "./meeting.js";
-import type { MemberRights, MemberStage } from "./memberRights.js";
-import type { Members } from "./members.js";
-import { Membership, type MembershipView } from "./membership.js";
-import { Place } from "./place.js";
-import { SnapshotReceiver } from "./snapshotReceiver.js";
-import { SharedSnapshot, SnapshotSender, type SnapshotMessage } from "./snapshotSender.js";
-import { Store, type Standing } from "./store.js";
-import { Writer } from "./writer.js";
+} from "../consensus/vote.js";
+import { HistoryKeeper, type ConfigRead } from "./history/history-service.js";
+import { Joining } from "./membership/membership-join.js";
+import { Leaving, type LeavingAnswer } from "./membership/membership-leave.js";
+import { Meeting, type Attendance } from "./bootstrap/cluster-bootstrap.js";
+import type { MemberRights, MemberStage } from "../consensus/member-rights.js";
+import type { Members } from "../consensus/members.js";
+import { Membership, type MembershipView } from "./membership/membership-policy.js";
+import { Place } from "./bootstrap/node-location.js";
+import { SnapshotReceiver } from "./snapshot/snapshot-receiver.js";
+import {
+  SharedSnapshot,
+  SnapshotSender,
+  type SnapshotMessage,
+} from "./snapshot/snapshot-sender.js";
+import { Store, type Standing } from "./log/log-store.js";
+import { Writer } from "./log/log-writer.js";
 
 /** The waits by which recorders elect; each is a duration on a monotonic clock. */
 export interface Waits {
--- a/src/record/snapshotPartFile.ts
+++ b/src/replication/snapshot/snapshot-part-file.ts
@@ -1,9 +1,9 @@
 import * as r from "restructure";
-import { exactly } from "../link/frame.js";
-import type { Disk } from "../runtime/disk.js";
-import type { Task } from "../runtime/task.js";
-import { seal, sealBytes, unseal } from "./seal.js";
-import type { SnapshotPiece } from "./snapshotSender.js";
+import { exactly } from "../../rpc/frame.js";
+import type { Disk } from "../../runtime/disk.js";
+import type { Task } from "../../runtime/task.js";
+import { seal, sealBytes, unseal } from "../log/checksum.js";
+import type { SnapshotPiece } from "./snapshot-sender.js";
 
 const name = "snapshot-part";
 
--- a/src/record/snapshotReceiver.ts
+++ b/src/replication/snapshot/snapshot-receiver.ts
@@ -1,5 +1,9 @@
 import { crc32, inflateRawSync } from "node:zlib";
-import { snapshotPieceBytes, type SnapshotIdentity, type SnapshotPiece } from "./snapshotSender.js";
+import {
+  snapshotPieceBytes,
+  type SnapshotIdentity,
+  type SnapshotPiece,
+} from "./snapshot-sender.js";
 
 /** The largest snapshot that is taken. */
 const maxSnapshotBytes = 64 * 1024 * 1024;
--- a/src/traffic/collector.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -9,16 +9,16 @@
   union,
   type Infer,
 } from "superstruct";
-import type { Held, Link } from "../link/link.js";
-import { Kind } from "../link/kind.js";
+import type { Held, Link } from "../rpc/rpc-endpoint.js";
+import { Kind } from "../rpc/rpc-method.js";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logbook.js";
-import { quick } from "../runtime/quick.js";
+import type { PartLog } from "../runtime/logger.js";
+import { quick } from "../runtime/fast-validator.js";
 import type { Task } from "../runtime/task.js";
-import type { World } from "../runtime/world.js";
-import { Counts, type CountsForm } from "./counts.js";
-import { SketchMismatchError } from "./ecmSketch.js";
+import type { World } from "../runtime/runtime.js";
+import { Counts, type CountsForm } from "./request-counts.js";
+import { SketchMismatchError } from "../sketch/ecm-sketch.js";
 
 /** How often routes travel along with tries. */
 export const routesEveryMs = 10_000;
--- a/src/traffic/edgeCounts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -1,15 +1,15 @@
-import type { View } from "../contract/view.js";
-import type { Link } from "../link/link.js";
-import { Kind } from "../link/kind.js";
+import type { View } from "../cluster-view/cluster-view.js";
+import type { Link } from "../rpc/rpc-endpoint.js";
+import { Kind } from "../rpc/rpc-method.js";
 import { Queue } from "../runtime/queue.js";
 import { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logbook.js";
+import type { PartLog } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
-import type { World } from "../runtime/world.js";
-import { defaultRules, type SketchQuota } from "./retryBudget.js";
-import type { RetryRules } from "./retryRules.js";
-import { Down, hurriedMs, routesEveryMs, type Push } from "./collector.js";
-import { Counts, type CountsForm } from "./counts.js";
+import type { World } from "../runtime/runtime.js";
+import { defaultRules, type SketchQuota } from "./retry-budget.js";
+import type { RetryRules } from "./retry-rules.js";
+import { Down, hurriedMs, routesEveryMs, type Push } from "./count-aggregator.js";
+import { Counts, type CountsForm } from "./request-counts.js";
 
 /** Which part of what is left may be taken before the next counts come: others take theirs meanwhile, some of it not yet counted. */
 const roundPart = 0.5;
--- a/src/traffic/counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -1,9 +1,9 @@
 import * as r from "restructure";
-import { exactly } from "../link/frame.js";
-import { numberLimit } from "../record/numbering.js";
-import { DyadicSketch } from "./dyadicSketch.js";
-import { EcmSketch, SketchMismatchError, type SketchForm } from "./ecmSketch.js";
-import { stampOf } from "./exponentialHistogram.js";
+import { exactly } from "../rpc/frame.js";
+import { numberLimit } from "../state/id-allocator.js";
+import { DyadicSketch } from "../sketch/dyadic-sketch.js";
+import { EcmSketch, SketchMismatchError, type SketchForm } from "../sketch/ecm-sketch.js";
+import { stampOf } from "../sketch/exponential-histogram.js";
 
 /** The window in which a service's repeats are held against its requests. */
 export const retryWindowMs = 10_000;
--- a/src/traffic/retryBudget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -1,5 +1,5 @@
-import { RetryRules } from "./retryRules.js";
-import { retryWindowMs } from "./counts.js";
+import { RetryRules } from "./retry-rules.js";
+import { retryWindowMs } from "./request-counts.js";
 
 /** The rules unless settings say otherwise: a fifth of a service's requests and seventy more in any ten seconds. */
 export const defaultRules: RetryRules = RetryRules.of(0.2, 70, retryWindowMs);
--- a/src/traffic/retryQuotas.ts
+++ b/src/retry-budget/retry-quotas.ts
@@ -1,5 +1,5 @@
-import { defaultRules, type RetryBudget } from "./retryBudget.js";
-import type { RetryRules } from "./retryRules.js";
+import { defaultRules, type RetryBudget } from "./retry-budget.js";
+import type { RetryRules } from "./retry-rules.js";
 
 /** How much longer than a grant to serve and the window what an edge held is taken to count. */
 const marginMs = 400;
--- a/src/link/pacedChannel.ts
+++ b/src/rpc/paced-connection.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../runtime/clock.js";
 import type { Queue } from "../runtime/queue.js";
-import type { LinkPacer, Transfer, TransferRank } from "../runtime/linkPacer.js";
-import type { Channel } from "../runtime/wire.js";
+import type { LinkPacer, Transfer, TransferRank } from "../runtime/link-pacer.js";
+import type { Channel } from "../runtime/network.js";
 
 interface FrameRank extends TransferRank {
   dueMs: number;
--- a/src/link/link.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -2,14 +2,14 @@
 import { StructError } from "superstruct";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import { LinkPacers } from "../runtime/linkPacer.js";
-import type { PartLog } from "../runtime/logbook.js";
+import { LinkPacers } from "../runtime/link-pacer.js";
+import type { PartLog } from "../runtime/logger.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/world.js";
-import { PacedChannel } from "./pacedChannel.js";
+import { World } from "../runtime/runtime.js";
+import { PacedChannel } from "./paced-connection.js";
 import { exactly, Frame, FrameError, FrameReader, frameSequence } from "./frame.js";
-import type { Kind } from "./kind.js";
-import type { Channel } from "../runtime/wire.js";
+import type { Kind } from "./rpc-method.js";
+import type { Channel } from "../runtime/network.js";
 
 interface Peer {
   readonly address: string;
--- a/src/link/kind.ts
+++ b/src/rpc/rpc-method.ts
@@ -1,5 +1,5 @@
 import * as r from "restructure";
-import { Utf8Text } from "./utf8Text.js";
+import { Utf8Text } from "./utf8-text-codec.js";
 
 /** One kind of exchange between processes: what is asked and what is returned. */
 export interface Kind<A, R> {
--- a/src/runtime/world.ts
+++ b/src/runtime/runtime.ts
@@ -1,7 +1,7 @@
-import type { Wire } from "./wire.js";
+import type { Wire } from "./network.js";
 import type { Clock } from "./clock.js";
 import type { Disk } from "./disk.js";
-import type { Logbook } from "./logbook.js";
+import type { Logbook } from "./logger.js";
 import { Task } from "./task.js";
 
 /** The machine that a daemon runs on: real in a process, virtual and seeded in the simulator. */
--- a/src/runtime/stepTimer.ts
+++ b/src/runtime/step-timer.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "./clock.js";
-import type { PartLog } from "./logbook.js";
+import type { PartLog } from "./logger.js";
 
 /** From how long on a step is told of: a few of these together outlast an election wait. */
 const longMs = 80;
--- a/src/rehearsal/outside.ts
+++ b/src/simulation/client-transport.ts
@@ -1,9 +1,9 @@
-import type { Job } from "../door/job.js";
-import type { Return } from "../door/verdict.js";
-import type { Settings } from "../machine/settings.js";
+import type { Job } from "../proxy/proxy-request.js";
+import type { Return } from "../proxy/request-outcome.js";
+import type { Settings } from "../daemon/settings.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
-import type { CallerRecord } from "./ledger.js";
+import type { CallerRecord } from "./event-recorder.js";
 
 /** How a caller's request ended, as the caller saw it. */
 export interface CallerEnd {
--- a/src/rehearsal/configHistory.ts
+++ b/src/simulation/config-history-check.ts
@@ -1,4 +1,4 @@
-import type { ConfigOrderRecord, ConfigReadRecord } from "./ledger.js";
+import type { ConfigOrderRecord, ConfigReadRecord } from "./event-recorder.js";
 
 /** What an operator's call shows of the configuration register: a version that stood at some moment of the call. */
 interface Sighting {
--- a/src/rehearsal/configOrders.ts
+++ b/src/simulation/config-workload.ts
@@ -1,11 +1,11 @@
 import { create, number, optional, type, unknown } from "superstruct";
-import type { Job } from "../door/job.js";
+import type { Job } from "../proxy/proxy-request.js";
 import { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 
-import type { Ledger } from "./ledger.js";
-import { malformedConfigs } from "./malformedConfigs.js";
-import type { Outside } from "./outside.js";
+import type { Ledger } from "./event-recorder.js";
+import { malformedConfigs } from "./malformed-configs.js";
+import type { Outside } from "./client-transport.js";
 import { Profile } from "./profile.js";
 
 /** A change of the configuration as an operator has drawn it up; sent again, it keeps its bytes. */
--- a/src/rehearsal/faultDraw.ts
+++ b/src/simulation/fault-selection.ts
@@ -1,5 +1,5 @@
 import { faults } from "./faults.js";
-import { replacementFaults } from "./faults/replacementFaults.js";
+import { replacementFaults } from "./faults/replacement-faults.js";
 
 /** Failures that leave the members of the replicated log and their network alone. */
 const sparesMembers: ReadonlySet<string> = new Set([
--- a/src/rehearsal/faults/addresses.ts
+++ b/src/simulation/faults/addresses.ts
@@ -1,6 +1,6 @@
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
-import type { StandIn } from "../standIn.js";
+import type { StandIn } from "../test-backend.js";
 import { pick, rest, working } from "./targets.js";
 
 /** A back end ends without a word. */
--- a/src/rehearsal/faults/backEndFaults.ts
+++ b/src/simulation/faults/backend-faults.ts
@@ -1,5 +1,5 @@
 import { crashBackEnd, handOver } from "./addresses.js";
-import { cutting, sided, waysBetween } from "./cuts.js";
+import { cutting, sided, waysBetween } from "./partitions.js";
 import { reboot } from "./restarts.js";
 import { leaders, pick, placeOf, rest, smalls, working } from "./targets.js";
 import type { Fault } from "./fault.js";
--- a/src/rehearsal/faults/catchUpFaults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -1,10 +1,10 @@
-import { Bounds } from "../../machine/bounds.js";
+import { Bounds } from "../../daemon/bounds.js";
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
 import type { Fault } from "./fault.js";
 import { disks, pick, rest } from "./targets.js";
-import { timedOrder } from "./timedOrder.js";
+import { timedOrder } from "./timed-command.js";
 
 const changesMeanwhile = 300;
 /** The changes end after so long, however many there were: other failures may hold them up. */
--- a/src/rehearsal/faults/diskFaults.ts
+++ b/src/simulation/faults/disk-faults.ts
@@ -1,4 +1,4 @@
-import { isolate, waysBetween } from "./cuts.js";
+import { isolate, waysBetween } from "./partitions.js";
 import { emptyDisk, reboot } from "./restarts.js";
 import { allFormed, disks, leaders, pick, placeOf, rest } from "./targets.js";
 import type { Fault } from "./fault.js";
--- a/src/rehearsal/faults/garbledAnswerFaults.ts
+++ b/src/simulation/faults/garbled-response-faults.ts
@@ -1,6 +1,6 @@
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
-import type { StandIn } from "../standIn.js";
+import type { StandIn } from "../test-backend.js";
 import { handOver } from "./addresses.js";
 import type { Fault } from "./fault.js";
 import { rest, smalls, working } from "./targets.js";
--- a/src/rehearsal/faults/lostAnswerFaults.ts
+++ b/src/simulation/faults/lost-response-faults.ts
@@ -3,7 +3,7 @@
 import type { Fault } from "./fault.js";
 import { reboot } from "./restarts.js";
 import { disks, pick, rest } from "./targets.js";
-import { operatorPatienceMs } from "./timedOrder.js";
+import { operatorPatienceMs } from "./timed-command.js";
 
 const lostPart = 0.7;
 const rounds = 3;
--- a/src/rehearsal/faults/memberCutFaults.ts
+++ b/src/simulation/faults/member-partition-faults.ts
@@ -1,11 +1,11 @@
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { SimMachine, Simulation } from "../simulation.js";
-import { waysBetween, type Ways } from "./cuts.js";
+import { waysBetween, type Ways } from "./partitions.js";
 import type { Fault } from "./fault.js";
 import { reboot } from "./restarts.js";
 import { disks, leaders, pick, placeOf, rest, working } from "./targets.js";
-import { operatorPatienceMs } from "./timedOrder.js";
+import { operatorPatienceMs } from "./timed-command.js";
 
 /** How long a member stays cut off from the others. */
 const cutMs = 20_000;
--- a/src/rehearsal/faults/networkFaults.ts
+++ b/src/simulation/faults/network-faults.ts
@@ -1,5 +1,5 @@
 import { callersPlace } from "../simulation.js";
-import { bad, cutting, isolate, sided, waysBetween } from "./cuts.js";
+import { bad, cutting, isolate, sided, waysBetween } from "./partitions.js";
 import { alive, disks, leaders, pick, placeOf, rest, smalls, working } from "./targets.js";
 import type { Fault } from "./fault.js";
 
--- a/src/rehearsal/faults/replacementFaults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -1,10 +1,10 @@
-import { Bounds } from "../../machine/bounds.js";
+import { Bounds } from "../../daemon/bounds.js";
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { SimMachine, Simulation } from "../simulation.js";
 import type { Fault } from "./fault.js";
 import { allFormed, disks, leaders, rest } from "./targets.js";
-import { timedOrder } from "./timedOrder.js";
+import { timedOrder } from "./timed-command.js";
 
 /** A planned successor starts so long before the old one is told to stop, a sudden one so long after it is gone. */
 const successorMs = 1000;
--- a/src/rehearsal/faults/targets.ts
+++ b/src/simulation/faults/targets.ts
@@ -1,7 +1,7 @@
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { SimMachine, Simulation } from "../simulation.js";
-import type { StandIn } from "../standIn.js";
+import type { StandIn } from "../test-backend.js";
 
 /** One of some items, drawn by the simulation's seed. */
 export const pick = <T>(simulation: Simulation, items: readonly T[]): T | undefined =>
--- a/src/rehearsal/judge.ts
+++ b/src/simulation/invariant-checker.ts
@@ -1,7 +1,7 @@
-import { Config, safeMethods } from "../contract/config.js";
-import { Mappings } from "../contract/mappings.js";
-import { configHistoryFaults } from "./configHistory.js";
-import { Ledger, type CallerRecord, type RunRecord } from "./ledger.js";
+import { Config, safeMethods } from "../configuration/config.js";
+import { Mappings } from "../cluster-view/route-table.js";
+import { configHistoryFaults } from "./config-history-check.js";
+import { Ledger, type CallerRecord, type RunRecord } from "./event-recorder.js";
 
 /** A rule that was broken, and by what. */
 export interface Breach {
--- a/src/rehearsal/rehearseMain.ts
+++ b/src/simulation/main.ts
@@ -2,7 +2,7 @@
 import { writeFileSync } from "node:fs";
 import { faults } from "./faults.js";
 import { Profile } from "./profile.js";
-import { rehearse } from "./rehearsal.js";
+import { rehearse } from "./simulated-day.js";
 
 interface Options {
   profile: string;
--- a/src/rehearsal/malformedConfigs.ts
+++ b/src/simulation/malformed-configs.ts
@@ -1,4 +1,4 @@
-import type { Config } from "../contract/config.js";
+import type { Config } from "../configuration/config.js";
 import type { Profile } from "./profile.js";
 
 /** Texts that are no configuration, each wrong in one field; made from a good one. */
--- a/src/rehearsal/profile.ts
+++ b/src/simulation/profile.ts
@@ -1,5 +1,5 @@
-import type { Config } from "../contract/config.js";
-import type { Settings } from "../machine/settings.js";
+import type { Config } from "../configuration/config.js";
+import type { Settings } from "../daemon/settings.js";
 
 /** One kind of request that callers send. */
 export interface Traffic {
--- a/src/rehearsal/rehearsal.ts
+++ b/src/simulation/simulated-day.ts
@@ -1,10 +1,10 @@
 import { Clock } from "../runtime/clock.js";
-import type { Waits } from "../record/recorder.js";
+import type { Waits } from "../replication/replication-node.js";
 import type { Task } from "../runtime/task.js";
-import { Draw } from "./draw.js";
-import { FaultDraw } from "./faultDraw.js";
+import { Draw } from "./random-draw.js";
+import { FaultDraw } from "./fault-selection.js";
 import { faults } from "./faults.js";
-import { judge, servedPart, worstRepeats, type Breach } from "./judge.js";
+import { judge, servedPart, worstRepeats, type Breach } from "./invariant-checker.js";
 import type { Profile } from "./profile.js";
 import { Simulation } from "./simulation.js";
 
--- a/src/rehearsal/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -1,23 +1,23 @@
-import type { BackEnds } from "../door/backEnds.js";
-import type { Caller, Job } from "../door/job.js";
-import type { Return } from "../door/verdict.js";
+import type { BackEnds } from "../proxy/upstream/backend-client.js";
+import type { Caller, Job } from "../proxy/proxy-request.js";
+import type { Return } from "../proxy/request-outcome.js";
 import { Clock } from "../runtime/clock.js";
-import { Daemon } from "../machine/daemon.js";
-import type { Settings } from "../machine/settings.js";
-import type { Waits } from "../record/recorder.js";
+import { Daemon } from "../daemon/daemon.js";
+import type { Settings } from "../daemon/settings.js";
+import type { Waits } from "../replication/replication-node.js";
 import { Task } from "../runtime/task.js";
-import { callerWaitMs, Day } from "./day.js";
-import type { CallerEnd, Outside } from "./outside.js";
-import { Draw } from "./draw.js";
-import { Gate } from "./gate.js";
-import { Ledger } from "./ledger.js";
+import { callerWaitMs, Day } from "./workload.js";
+import type { CallerEnd, Outside } from "./client-transport.js";
+import { Draw } from "./random-draw.js";
+import { Gate } from "./event-gate.js";
+import { Ledger } from "./event-recorder.js";
 import type { Profile } from "./profile.js";
-import { StandIn } from "./standIn.js";
-import { virtualBackEnds } from "./virtualBackEnds.js";
-import { VirtualClock } from "./virtualClock.js";
-import { VirtualDisk } from "./virtualDisk.js";
-import { VirtualNetwork } from "./virtualNetwork.js";
-import { virtualWorld } from "./virtualWorld.js";
+import { StandIn } from "./test-backend.js";
+import { virtualBackEnds } from "./virtual-backends.js";
+import { VirtualClock } from "./virtual-clock.js";
+import { VirtualDisk } from "./virtual-disk.js";
+import { VirtualNetwork } from "./virtual-network.js";
+import { virtualWorld } from "./virtual-runtime.js";
 
 /** One machine of a simulated fleet. */
 export interface SimMachine {
--- a/src/rehearsal/standIn.ts
+++ b/src/simulation/test-backend.ts
@@ -1,5 +1,5 @@
-import type { BackJob } from "../door/backEnds.js";
-import type { Ledger } from "./ledger.js";
+import type { BackJob } from "../proxy/upstream/backend-client.js";
+import type { Ledger } from "./event-recorder.js";
 
 /** What a stand-in back end sends back, and when. */
 export interface Reply {
--- a/src/rehearsal/noBackEnds.ts
+++ b/src/simulation/unreachable-backends.ts
@@ -1,4 +1,4 @@
-import type { BackEnds } from "../door/backEnds.js";
+import type { BackEnds } from "../proxy/upstream/backend-client.js";
 
 /** Where no back end listens. */
 export const noBackEnds: BackEnds = {
--- a/src/rehearsal/virtualBackEnds.ts
+++ b/src/simulation/virtual-backends.ts
@@ -1,9 +1,14 @@
-import { connectMs, type BackEnds, type BackTry, type Opened } from "../door/backEnds.js";
+import {
+  connectMs,
+  type BackEnds,
+  type BackTry,
+  type Opened,
+} from "../proxy/upstream/backend-client.js";
 import type { Clock } from "../runtime/clock.js";
 import { Task } from "../runtime/task.js";
-import { Gate } from "./gate.js";
-import type { Reply, StandIn } from "./standIn.js";
-import type { VirtualNetwork } from "./virtualNetwork.js";
+import { Gate } from "./event-gate.js";
+import type { Reply, StandIn } from "./test-backend.js";
+import type { VirtualNetwork } from "./virtual-network.js";
 
 /** One connection of a daemon to the process that a stand-in was when it opened. */
 interface Line {
--- a/src/rehearsal/virtualNetwork.ts
+++ b/src/simulation/virtual-network.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
 import { Task } from "../runtime/task.js";
-import type { Channel, Wire } from "../runtime/wire.js";
-import type { Gate } from "./gate.js";
+import type { Channel, Wire } from "../runtime/network.js";
+import type { Gate } from "./event-gate.js";
 
 interface End {
   readonly place: string;
--- a/src/rehearsal/virtualWorld.ts
+++ b/src/simulation/virtual-runtime.ts
@@ -1,8 +1,8 @@
-import type { Wire } from "../runtime/wire.js";
+import type { Wire } from "../runtime/network.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Disk } from "../runtime/disk.js";
-import { Logbook } from "../runtime/logbook.js";
-import type { World } from "../runtime/world.js";
+import { Logbook } from "../runtime/logger.js";
+import type { World } from "../runtime/runtime.js";
 
 /** What a virtual world is made of; what isn't named is absent or silent. */
 export interface VirtualParts {
--- a/src/rehearsal/day.ts
+++ b/src/simulation/workload.ts
@@ -1,12 +1,12 @@
 import { string, type, type Struct } from "superstruct";
-import type { Job } from "../door/job.js";
+import type { Job } from "../proxy/proxy-request.js";
 import { Clock } from "../runtime/clock.js";
 import { Task } from "../runtime/task.js";
-import { ConfigOrders } from "./configOrders.js";
-import type { Outside } from "./outside.js";
-import type { CallerRecord, Ledger } from "./ledger.js";
+import { ConfigOrders } from "./config-workload.js";
+import type { Outside } from "./client-transport.js";
+import type { CallerRecord, Ledger } from "./event-recorder.js";
 import type { Profile, Traffic } from "./profile.js";
-import type { StandIn } from "./standIn.js";
+import type { StandIn } from "./test-backend.js";
 
 /** How long a patient caller waits. */
 export const callerWaitMs = 9000;
--- a/src/traffic/dyadicSketch.ts
+++ b/src/sketch/dyadic-sketch.ts
@@ -1,4 +1,4 @@
-import { EcmSketch, type AgedSketch, type SketchForm } from "./ecmSketch.js";
+import { EcmSketch, type AgedSketch, type SketchForm } from "./ecm-sketch.js";
 
 /** An item that is heavy, and how often it came. */
 export interface HeavyItem {
--- a/src/traffic/ecmSketch.ts
+++ b/src/sketch/ecm-sketch.ts
@@ -1,5 +1,5 @@
 import xxhash from "xxhash-wasm";
-import { ExponentialHistogram, type AgedHistogram } from "./exponentialHistogram.js";
+import { ExponentialHistogram, type AgedHistogram } from "./exponential-histogram.js";
 
 const { h32 } = await xxhash();
 
--- a/src/record/recordedText.ts
+++ b/src/state/config-payload.ts
@@ -1,6 +1,6 @@
 import { optional, string } from "superstruct";
-import { Packed } from "../runtime/packed.js";
-import { TextDelta, textDeltaShape } from "./textDelta.js";
+import { Packed } from "../runtime/text-compression.js";
+import { TextDelta, textDeltaShape } from "./text-delta.js";
 
 /** How long a delta or a text may be in the log and still be written as it is; longer ones are deflated. */
 const longTextLength = 4096;
--- a/src/record/book.ts
+++ b/src/state/state-machine.ts
@@ -1,4 +1,4 @@
-import { passes } from "../runtime/quick.js";
+import { passes } from "../runtime/fast-validator.js";
 import { Map as Table } from "immutable";
 import {
   array,
@@ -16,11 +16,11 @@
   union,
   type Infer,
 } from "superstruct";
-import { kindOf } from "../runtime/kindOf.js";
-import { Numbering } from "./numbering.js";
-import type { Members } from "./members.js";
-import { RecordedText, recordedTextFields } from "./recordedText.js";
-import type { TextDelta } from "./textDelta.js";
+import { kindOf } from "../runtime/kind-of.js";
+import { Numbering } from "./id-allocator.js";
+import type { Members } from "../consensus/members.js";
+import { RecordedText, recordedTextFields } from "./config-payload.js";
+import type { TextDelta } from "./text-delta.js";
 
 const contractShape = object({
   address: string(),
--- a/test/operator/archive.test.ts
+++ b/test/admin/config-archive.test.ts
@@ -4,10 +4,10 @@
 import { join } from "node:path";
 import git from "isomorphic-git";
 import { expect, test } from "vitest";
-import { Logbook } from "../../src/runtime/logbook.js";
+import { Logbook } from "../../src/runtime/logger.js";
 import { Task } from "../../src/runtime/task.js";
-import { Archive } from "../../src/operator/archive.js";
-import type { AcceptedConfig } from "../../src/record/book.js";
+import { Archive } from "../../src/admin/config-archive.js";
+import type { AcceptedConfig } from "../../src/state/state-machine.js";
 
 test("configs are kept one commit each, and once only after a restart", async () => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-archive-"));
--- a/test/operator/language.test.ts
+++ b/test/admin/query-parser.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Query } from "../../src/operator/language.js";
+import { Query } from "../../src/admin/query-parser.js";
 
 test("lines are understood, and the first word that isn't is named", () => {
   expect(Query.read("move route reads to archive")).toEqual({
--- a/test/contract/forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { FleetStage } from "../record/fleetStage.js";
+import { FleetStage } from "../replication/fleet-stage.js";
 
 const later = { bootstrap: false };
 
--- a/test/contract/mapping.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import type { Config } from "../../src/contract/config.js";
-import type { Mapping } from "../../src/contract/mapping.js";
-import { Mappings } from "../../src/contract/mappings.js";
-import { Draw } from "../../src/rehearsal/draw.js";
+import type { Config } from "../../src/configuration/config.js";
+import type { Mapping } from "../../src/cluster-view/active-route.js";
+import { Mappings } from "../../src/cluster-view/route-table.js";
+import { Draw } from "../../src/simulation/random-draw.js";
 
 const find = (
   all: readonly Mapping[],
--- a/test/contract/configText.test.ts
+++ b/test/configuration/config-serializer.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { amend, Config } from "../../src/contract/config.js";
-import { configText } from "../../src/contract/configText.js";
+import { amend, Config } from "../../src/configuration/config.js";
+import { configText } from "../../src/configuration/config-serializer.js";
 
 const name = fc.stringMatching(/^[a-z0-9._-]{1,6}$/).filter((one) => one !== "__proto__");
 const origin = fc.option(fc.jsonValue(), { nil: undefined });
--- a/test/contract/config.test.ts
+++ b/test/configuration/config.test.ts
@@ -1,7 +1,13 @@
 import { expect, test } from "vitest";
-import { amend, Config, ConfigReader, configShape, mergePatch } from "../../src/contract/config.js";
-import { Guarded } from "../../src/contract/guarded.js";
-import { Draw } from "../../src/rehearsal/draw.js";
+import {
+  amend,
+  Config,
+  ConfigReader,
+  configShape,
+  mergePatch,
+} from "../../src/configuration/config.js";
+import { Guarded } from "../../src/configuration/validated.js";
+import { Draw } from "../../src/simulation/random-draw.js";
 
 const whole = {
   services: {
--- a/test/record/memberRights.test.ts
+++ b/test/consensus/member-rights.test.ts
@@ -3,7 +3,7 @@
   memberRights,
   type MemberRights,
   type MemberState,
-} from "../../src/record/memberRights.js";
+} from "../../src/consensus/member-rights.js";
 
 /** A voter that holds all, hears no leader and may stand. */
 const wholeVoter: MemberState = {
--- a/test/record/vote.test.ts
+++ b/test/consensus/vote.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { initialState, type ConsensusState } from "../../src/record/consensus/state.js";
-import { countVote } from "../../src/record/consensus/vote.js";
+import { initialState, type ConsensusState } from "../../src/consensus/state.js";
+import { countVote } from "../../src/consensus/vote.js";
 
 const standing = (more: Partial<ConsensusState>): ConsensusState => ({
   ...initialState("own", 0),
--- a/test/contract/configChanges.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -1,14 +1,14 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { amend, Config, mergePatch } from "../../src/contract/config.js";
-import { ConfigChanges } from "../../src/contract/configChanges.js";
-import { ConfigCopy } from "../../src/contract/configCopy.js";
-import { ConfigItems } from "../../src/contract/configItems.js";
-import { Mappings } from "../../src/contract/mappings.js";
-import { Poll, type GrantedView } from "../../src/contract/order.js";
-import { Kind } from "../../src/link/kind.js";
-import { Book, Deed } from "../../src/record/book.js";
-import { stage } from "./directoryStage.js";
+import { amend, Config, mergePatch } from "../../src/configuration/config.js";
+import { ConfigChanges } from "../../src/control-plane/config-change-log.js";
+import { ConfigCopy } from "../../src/cluster-view/config-replica.js";
+import { ConfigItems } from "../../src/configuration/config-items.js";
+import { Mappings } from "../../src/cluster-view/route-table.js";
+import { Poll, type GrantedView } from "../../src/control-protocol/command.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Book, Deed } from "../../src/state/state-machine.js";
+import { stage } from "./control-plane-stage.js";
 
 /** A state machine with configurations in force, and the views that a leader makes of them. */
 class Leader {
--- a/test/contract/changes.test.ts
+++ b/test/control-plane/config-changes.test.ts
@@ -1,6 +1,6 @@
 import { beforeEach, expect, test } from "vitest";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation } from "../../src/rehearsal/simulation.js";
+import { Profile } from "../../src/simulation/profile.js";
+import { Simulation } from "../../src/simulation/simulation.js";
 
 interface Answer {
   code: number;
--- a/test/contract/directoryStage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -1,14 +1,14 @@
-import { Kind } from "../../src/link/kind.js";
-import { Link } from "../../src/link/link.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
-import { Order } from "../../src/contract/order.js";
-import { Terms } from "../../src/contract/registry.js";
-import type { Contract } from "../../src/record/book.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation, type SimMachine } from "../../src/rehearsal/simulation.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
-import { Poll } from "../../src/contract/order.js";
+import { Order } from "../../src/control-protocol/command.js";
+import { Terms } from "../../src/control-plane/control-plane.js";
+import type { Contract } from "../../src/state/state-machine.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { Profile } from "../../src/simulation/profile.js";
+import { Simulation, type SimMachine } from "../../src/simulation/simulation.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { Poll } from "../../src/control-protocol/command.js";
 
 export const address = "10.9.0.1:80";
 export const service = "issues";
--- a/test/contract/registry.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
-import { Order } from "../../src/contract/order.js";
-import { Kind } from "../../src/link/kind.js";
-import { Link } from "../../src/link/link.js";
+import { Order } from "../../src/control-protocol/command.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation } from "../../src/rehearsal/simulation.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { Profile } from "../../src/simulation/profile.js";
+import { Simulation } from "../../src/simulation/simulation.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
 
 test("an announcement that was overtaken by the back end's leave, or by another service at its address, changes nothing", () => {
   const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
--- a/test/contract/controlTraffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
-import { Bounds } from "../../src/machine/bounds.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { PollingDaemon } from "./pollingDaemon.js";
-import { configOf, oneWayMs, zoneOf } from "./zoneDelays.js";
-import { DelayedNetwork } from "./delayedNetwork.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
+import { Bounds } from "../../src/daemon/bounds.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { PollingDaemon } from "./polling-daemon.js";
+import { configOf, oneWayMs, zoneOf } from "./topology.js";
+import { DelayedNetwork } from "./delayed-network.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
 import { Task } from "../../src/runtime/task.js";
-import { FleetStage } from "../record/fleetStage.js";
+import { FleetStage } from "../replication/fleet-stage.js";
 
 const spread = { zones: 8, regions: 2 };
 const many = 24;
--- a/test/contract/delayedNetwork.ts
+++ b/test/control-plane/delayed-network.ts
@@ -1,7 +1,7 @@
 import { Clock } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
 import { Task } from "../../src/runtime/task.js";
-import type { Channel, Wire } from "../../src/runtime/wire.js";
+import type { Channel, Wire } from "../../src/runtime/network.js";
 
 /** Bytes and messages that went over a network, each way. */
 export interface TrafficTotals {
--- a/test/contract/directoryChanges.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -1,12 +1,12 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { DirectoryChanges } from "../../src/contract/directoryChanges.js";
-import { DirectoryCopy } from "../../src/contract/directoryCopy.js";
-import { Poll, type GrantedView } from "../../src/contract/order.js";
-import { RecentChanges } from "../../src/contract/recentChanges.js";
-import { Book, Deed, type Contract } from "../../src/record/book.js";
-import { Kind } from "../../src/link/kind.js";
-import { service, stage } from "./directoryStage.js";
+import { DirectoryChanges } from "../../src/control-plane/endpoint-change-log.js";
+import { DirectoryCopy } from "../../src/cluster-view/endpoint-replica.js";
+import { Poll, type GrantedView } from "../../src/control-protocol/command.js";
+import { RecentChanges } from "../../src/control-plane/change-buffer.js";
+import { Book, Deed, type Contract } from "../../src/state/state-machine.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { service, stage } from "./control-plane-stage.js";
 
 const viewOf = (changes: DirectoryChanges, known: number): GrantedView => {
   const view = Poll.readReturn(
--- a/test/contract/directory.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -1,11 +1,11 @@
 import { expect, test, vi } from "vitest";
-import { Forwarder } from "../../src/contract/forwarder.js";
-import { Registry } from "../../src/contract/registry.js";
-import { View } from "../../src/contract/view.js";
-import { Kind } from "../../src/link/kind.js";
+import { Forwarder } from "../../src/cluster-view/command-forwarder.js";
+import { Registry } from "../../src/control-plane/control-plane.js";
+import { View } from "../../src/cluster-view/cluster-view.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
 import { Task } from "../../src/runtime/task.js";
-import { RetryBudget } from "../../src/traffic/retryBudget.js";
-import { address, fail, service, stage } from "./directoryStage.js";
+import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
+import { address, fail, service, stage } from "./control-plane-stage.js";
 
 test("an instance that left, was replaced or is draining never comes back, however late its announcements are", () => {
   const { order, announce, contract } = stage();
--- a/test/contract/largeViews.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from "vitest";
-import { Bounds } from "../../src/machine/bounds.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { PollingDaemon } from "./pollingDaemon.js";
-import { DelayedNetwork } from "./delayedNetwork.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
-import { LargeViews } from "../../src/contract/largeViews.js";
-import type { Poll } from "../../src/contract/order.js";
-import { Kind } from "../../src/link/kind.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { FleetStage } from "../record/fleetStage.js";
-import { stage } from "./directoryStage.js";
+import { Bounds } from "../../src/daemon/bounds.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { PollingDaemon } from "./polling-daemon.js";
+import { DelayedNetwork } from "./delayed-network.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { LargeViews } from "../../src/control-plane/large-view-limiter.js";
+import type { Poll } from "../../src/control-protocol/command.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { FleetStage } from "../replication/fleet-stage.js";
+import { stage } from "./control-plane-stage.js";
 
 const pollOf = (incarnation: string, configSequence: number): Poll => ({
   machine: { name: "m", zone: "z", roles: [], peer: "p", incarnation, draining: false },
--- a/test/contract/pollingDaemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -1,13 +1,13 @@
-import { Forwarder } from "../../src/contract/forwarder.js";
-import type { Order } from "../../src/contract/order.js";
-import { View } from "../../src/contract/view.js";
-import { Link } from "../../src/link/link.js";
-import type { Bounds } from "../../src/machine/bounds.js";
+import { Forwarder } from "../../src/cluster-view/command-forwarder.js";
+import type { Order } from "../../src/control-protocol/command.js";
+import { View } from "../../src/cluster-view/cluster-view.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
+import type { Bounds } from "../../src/daemon/bounds.js";
 import type { Task } from "../../src/runtime/task.js";
-import { World } from "../../src/runtime/world.js";
-import { RetryBudget } from "../../src/traffic/retryBudget.js";
-import { EdgeCounts } from "../../src/traffic/edgeCounts.js";
-import { LoadBalancer } from "../../src/traffic/loadBalancer.js";
+import { World } from "../../src/runtime/runtime.js";
+import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
+import { EdgeCounts } from "../../src/retry-budget/edge-counts.js";
+import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
 /** Name, zone and peer address of a polling daemon. */
 export interface DaemonPlace {
--- a/test/contract/pollBytes.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -1,13 +1,13 @@
 import { expect, test } from "vitest";
-import { Bounds } from "../../src/machine/bounds.js";
-import { Kind } from "../../src/link/kind.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { PollingDaemon } from "./pollingDaemon.js";
-import { DelayedNetwork } from "./delayedNetwork.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
+import { Bounds } from "../../src/daemon/bounds.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { PollingDaemon } from "./polling-daemon.js";
+import { DelayedNetwork } from "./delayed-network.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
 import { Task } from "../../src/runtime/task.js";
-import { FleetStage } from "../record/fleetStage.js";
-import { stage } from "./directoryStage.js";
+import { FleetStage } from "../replication/fleet-stage.js";
+import { stage } from "./control-plane-stage.js";
 
 const servicesCount = 40;
 
--- a/test/contract/edgePlaces.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -1,12 +1,16 @@
 import { expect, test } from "vitest";
-import { edgePlacesOf, type EdgePlace, type PlacedMachine } from "../../src/contract/edgePlaces.js";
-import { Forwarder } from "../../src/contract/forwarder.js";
-import { Poll } from "../../src/contract/order.js";
-import { Kind } from "../../src/link/kind.js";
-import { Link } from "../../src/link/link.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
-import { FleetStage } from "../record/fleetStage.js";
+import {
+  edgePlacesOf,
+  type EdgePlace,
+  type PlacedMachine,
+} from "../../src/control-protocol/edge-placement.js";
+import { Forwarder } from "../../src/cluster-view/command-forwarder.js";
+import { Poll } from "../../src/control-protocol/command.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { FleetStage } from "../replication/fleet-stage.js";
 
 const edge = (name: string, zone: string, more: Partial<PlacedMachine> = {}): PlacedMachine => ({
   name,
--- a/test/machine/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { Terms } from "../../src/contract/registry.js";
-import { Bounds } from "../../src/machine/bounds.js";
-import { Settings } from "../../src/machine/settings.js";
-import { Waits } from "../../src/record/recorder.js";
-import { guardRule, repeatRule, sketchRule } from "../../src/traffic/retryBudget.js";
-import { CountsForm } from "../../src/traffic/counts.js";
+import { Terms } from "../../src/control-plane/control-plane.js";
+import { Bounds } from "../../src/daemon/bounds.js";
+import { Settings } from "../../src/daemon/settings.js";
+import { Waits } from "../../src/replication/replication-node.js";
+import { guardRule, repeatRule, sketchRule } from "../../src/retry-budget/retry-budget.js";
+import { CountsForm } from "../../src/retry-budget/request-counts.js";
 
 test("without bounds in the settings all waits are the usual ones", () => {
   const bounds = Bounds.of({});
--- a/test/machine/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { Task } from "../../src/runtime/task.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation } from "../../src/rehearsal/simulation.js";
+import { Profile } from "../../src/simulation/profile.js";
+import { Simulation } from "../../src/simulation/simulation.js";
 
 test("a stop finishes what can be finished, and gives the rest a final answer before the process ends", () => {
   const simulation = new Simulation(Profile.all.rastro, 5, 0.0001);
--- a/test/machine/httpServer.test.ts
+++ b/test/daemon/http-server.test.ts
@@ -1,7 +1,7 @@
 import { createServer } from "node:http";
 import { connect } from "node:net";
 import { expect, test } from "vitest";
-import { HttpServer } from "../../src/machine/httpServer.js";
+import { HttpServer } from "../../src/daemon/http-server.js";
 import { Task } from "../../src/runtime/task.js";
 
 test("a request that was sent over a kept connection right before the server began to part with its callers is answered", async () => {
--- a/test/machine/limits.test.ts
+++ b/test/daemon/limits.test.ts
@@ -1,7 +1,7 @@
 import { connect } from "node:net";
 import { createServer } from "node:http";
 import { afterAll, expect, test } from "vitest";
-import { HttpServer } from "../../src/machine/httpServer.js";
+import { HttpServer } from "../../src/daemon/http-server.js";
 import { Task } from "../../src/runtime/task.js";
 
 const taken: string[] = [];
--- a/test/machine/pacedResponses.test.ts
+++ b/test/daemon/paced-responses.test.ts
@@ -1,8 +1,8 @@
 import { createServer, get } from "node:http";
 import { expect, test } from "vitest";
-import { HttpServer } from "../../src/machine/httpServer.js";
+import { HttpServer } from "../../src/daemon/http-server.js";
 import { Clock } from "../../src/runtime/clock.js";
-import { LinkPacer, type Transfer, type TransferRank } from "../../src/runtime/linkPacer.js";
+import { LinkPacer, type Transfer, type TransferRank } from "../../src/runtime/link-pacer.js";
 import { Task } from "../../src/runtime/task.js";
 
 const freePort = (): Promise<number> =>
--- a/test/machine/settingsFile.test.ts
+++ b/test/daemon/settings-file.test.ts
@@ -2,8 +2,8 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { expect, test } from "vitest";
-import { SettingsError } from "../../src/machine/settingsError.js";
-import { SettingsFile } from "../../src/machine/settingsFile.js";
+import { SettingsError } from "../../src/daemon/settings-error.js";
+import { SettingsFile } from "../../src/daemon/settings-file.js";
 
 const good = {
   machine: "m1",
--- a/test/machine/settings.test.ts
+++ b/test/daemon/settings.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Settings } from "../../src/machine/settings.js";
+import { Settings } from "../../src/daemon/settings.js";
 
 const good = {
   machine: "m1",
--- a/test/rehearsal/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -1,9 +1,9 @@
 import { spawn } from "node:child_process";
 import { create, is, number, string, type } from "superstruct";
 import { expect, test } from "vitest";
-import { daemonProgram, Fleet, type FleetMachine } from "../../src/rehearsal/fleet.js";
-import { judge } from "../../src/rehearsal/judge.js";
-import type { Profile } from "../../src/rehearsal/profile.js";
+import { daemonProgram, Fleet, type FleetMachine } from "../../src/fleet/fleet.js";
+import { judge } from "../../src/simulation/invariant-checker.js";
+import type { Profile } from "../../src/simulation/profile.js";
 
 const small: Profile = {
   name: "small",
--- a/test/traffic/backendRing.test.ts
+++ b/test/load-balancing/backend-ring.test.ts
@@ -1,9 +1,13 @@
 import { expect, test } from "vitest";
-import { edgePlacesOf, type EdgePlace } from "../../src/contract/edgePlaces.js";
-import type { Backend } from "../../src/traffic/backend.js";
-import { connectionShare, ringRanks, subsetSizeFor } from "../../src/traffic/backendRing.js";
-import { LoadBalancer } from "../../src/traffic/loadBalancer.js";
-import { Draw } from "../../src/rehearsal/draw.js";
+import { edgePlacesOf, type EdgePlace } from "../../src/control-protocol/edge-placement.js";
+import type { Backend } from "../../src/load-balancing/backend.js";
+import {
+  connectionShare,
+  ringRanks,
+  subsetSizeFor,
+} from "../../src/load-balancing/backend-ring.js";
+import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
+import { Draw } from "../../src/simulation/random-draw.js";
 
 const zones = ["a", "b", "c"];
 const usualSize = 8;
--- a/test/traffic/loadBalancer.test.ts
+++ b/test/load-balancing/load-balancer.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import type { Contract } from "../../src/record/book.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { LoadBalancer } from "../../src/traffic/loadBalancer.js";
+import type { Contract } from "../../src/state/state-machine.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
 test("a slow backend, a failing one and a far one take less, and the reason is told", () => {
   const shares = new LoadBalancer("a", Draw.of(4));
--- a/test/traffic/warmth.test.ts
+++ b/test/load-balancing/warmth.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import type { Contract } from "../../src/record/book.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { LoadBalancer } from "../../src/traffic/loadBalancer.js";
+import type { Contract } from "../../src/state/state-machine.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
 test("an instance warms up for as long as it said from when it was learned; one that said nothing is warm; without an instance it takes ten seconds", () => {
   const shares = new LoadBalancer("a", Draw.of(1));
--- a/test/scale/configStorm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -1,13 +1,13 @@
 import { expect, test } from "vitest";
-import { Forwarder } from "../../src/contract/forwarder.js";
-import { Link } from "../../src/link/link.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
+import { Forwarder } from "../../src/cluster-view/command-forwarder.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
-import { itemOrder, routeTo, type OrderBytes } from "../platform/orderStage.js";
-import type { StageMachine } from "../record/fleetStage.js";
-import { LimitedStage } from "./limitedStage.js";
+import { itemOrder, routeTo, type OrderBytes } from "../platform/command-stage.js";
+import type { StageMachine } from "../replication/fleet-stage.js";
+import { LimitedStage } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
 const word = (kind: string, count: number): string[] =>
--- a/test/scale/keyedLoad.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
-import type { BackEnds } from "../../src/door/backEnds.js";
-import type { Caller } from "../../src/door/job.js";
-import type { DaemonOptions } from "../../src/machine/daemon.js";
+import type { BackEnds } from "../../src/proxy/upstream/backend-client.js";
+import type { Caller } from "../../src/proxy/proxy-request.js";
+import type { DaemonOptions } from "../../src/daemon/daemon.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
-import type { OrderBytes } from "../platform/orderStage.js";
-import type { StageMachine } from "../record/fleetStage.js";
-import { LimitedStage } from "./limitedStage.js";
+import type { OrderBytes } from "../platform/command-stage.js";
+import type { StageMachine } from "../replication/fleet-stage.js";
+import { LimitedStage } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
 const machinesOf = (kind: string, count: number): string[] =>
--- a/test/scale/limitedStage.ts
+++ b/test/load/limited-stage.ts
@@ -1,6 +1,6 @@
-import type { Settings } from "../../src/machine/settings.js";
-import { OrderStage } from "../platform/orderStage.js";
-import type { MachineLife, StageMachine } from "../record/fleetStage.js";
+import type { Settings } from "../../src/daemon/settings.js";
+import { OrderStage } from "../platform/command-stage.js";
+import type { MachineLife, StageMachine } from "../replication/fleet-stage.js";
 import {
   LimitedGate,
   limitedWire,
@@ -8,7 +8,7 @@
   Processor,
   usualCharges,
   type MachineLimits,
-} from "./machineLimits.js";
+} from "./machine-limits.js";
 
 /** Machines with a disk, and those without, as the grown deployments have them. */
 const memberLimits: MachineLimits = { cpuShare: 0.675, linkMbps: 100 };
--- a/test/scale/machineLimits.ts
+++ b/test/load/machine-limits.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
 import { Task } from "../../src/runtime/task.js";
-import type { Channel, Wire } from "../../src/runtime/wire.js";
-import { Gate } from "../../src/rehearsal/gate.js";
+import type { Channel, Wire } from "../../src/runtime/network.js";
+import { Gate } from "../../src/simulation/event-gate.js";
 
 /** What a machine of a simulated fleet may use. */
 export interface MachineLimits {
--- a/test/scale/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from "vitest";
-import { LapsedLease } from "../../src/door/lapsedLease.js";
-import { Kind } from "../../src/link/kind.js";
-import { Link } from "../../src/link/link.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
+import { LapsedLease } from "../../src/proxy/expired-lease-policy.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
-import { itemOrder, wholeOrder } from "../platform/orderStage.js";
-import type { StageMachine } from "../record/fleetStage.js";
-import { LimitedStage } from "./limitedStage.js";
+import { itemOrder, wholeOrder } from "../platform/command-stage.js";
+import type { StageMachine } from "../replication/fleet-stage.js";
+import { LimitedStage } from "./limited-stage.js";
 
 const machines = [
   ...["d:a", "d:b", "d:c", "d:a", "d:b"],
--- a/test/explorer/exhaustive.test.ts
+++ b/test/model-checker/exhaustive-search.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { exploreAll } from "../../src/explorer/exhaustive.js";
+import { exploreAll } from "../../src/model-checker/exhaustive-search.js";
 
 test("all orders of six steps after an election, with two stops or a lost disk, break no promise", () => {
   const { counterexample, depth, situations } = exploreAll(6, 100_000);
--- a/test/explorer/linearizability.test.ts
+++ b/test/model-checker/linearizability.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { findContradiction } from "../../src/explorer/history/linearizability.js";
-import type { Operation } from "../../src/explorer/history/operation.js";
+import { findContradiction } from "../../src/model-checker/history/linearizability.js";
+import type { Operation } from "../../src/model-checker/history/operation.js";
 
 const write = (value: number, beganAt: number, endedAt?: number): Operation => ({
   kind: "write",
--- a/test/explorer/mutants.test.ts
+++ b/test/model-checker/mutants.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { exploreRandomly } from "../../src/explorer/explore.js";
-import { mutants } from "../../src/explorer/mutants.js";
+import { exploreRandomly } from "../../src/model-checker/random-search.js";
+import { mutants } from "../../src/model-checker/mutants.js";
 
 const stepsPerRun = 1000;
 const oldRead = "no read older than an acknowledged change";
--- a/test/explorer/scenarios.test.ts
+++ b/test/model-checker/scenarios.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
-import { Violation } from "../../src/explorer/checks.js";
-import { Group } from "../../src/explorer/group.js";
-import type { ModelMember } from "../../src/explorer/modelMember.js";
-import { GroupSettings } from "../../src/explorer/settings.js";
-import type { SafetyRules } from "../../src/record/consensus/safetyRules.js";
+import { Violation } from "../../src/model-checker/invariant-checks.js";
+import { Group } from "../../src/model-checker/member-group.js";
+import type { ModelMember } from "../../src/model-checker/model-member.js";
+import { GroupSettings } from "../../src/model-checker/group-settings.js";
+import type { SafetyRules } from "../../src/consensus/safety-rules.js";
 
 const mostRounds = 400;
 
--- a/test/platform/clientLeaves.test.ts
+++ b/test/platform/client-leaves.test.ts
@@ -1,6 +1,6 @@
 import type { Socket } from "node:net";
 import { afterEach, beforeEach, expect, test } from "vitest";
-import { EdgeStage } from "./edgeStage.js";
+import { EdgeStage } from "./edge-stage.js";
 
 /** What became of the requests that backends were given; none is ever answered. */
 class Work {
--- a/test/platform/orderStage.ts
+++ b/test/platform/command-stage.ts
@@ -1,9 +1,9 @@
 import { control } from "../../platform/control.js";
 import { dialect } from "../../platform/dialect.js";
-import type { Job } from "../../src/door/job.js";
-import type { Return } from "../../src/door/verdict.js";
-import type { Settings } from "../../src/machine/settings.js";
-import { FleetStage, type StageMachine } from "../record/fleetStage.js";
+import type { Job } from "../../src/proxy/proxy-request.js";
+import type { Return } from "../../src/proxy/request-outcome.js";
+import type { Settings } from "../../src/daemon/settings.js";
+import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
 
 /** A call on a control address: its answer once there is one, and how long that took. */
 export interface Call {
--- a/test/platform/orders.test.ts
+++ b/test/platform/commands.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { Deed } from "../../src/record/book.js";
-import { configText, type StageMachine } from "../record/fleetStage.js";
+import { Deed } from "../../src/state/state-machine.js";
+import { configText, type StageMachine } from "../replication/fleet-stage.js";
 import {
   itemOrder,
   OrderStage,
@@ -8,7 +8,7 @@
   wholeOrder,
   type Call,
   type OrderBytes,
-} from "./orderStage.js";
+} from "./command-stage.js";
 
 const machines = ["e:a", "e:b", "d:a", "d:b", "d:c"];
 
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
 import { control } from "../../platform/control.js";
-import { Config, ConfigChecker, amend } from "../../src/contract/config.js";
-import type { Job } from "../../src/door/job.js";
-import { Return } from "../../src/door/verdict.js";
-import type { Translated } from "../../src/machine/adapter.js";
+import { Config, ConfigChecker, amend } from "../../src/configuration/config.js";
+import type { Job } from "../../src/proxy/proxy-request.js";
+import { Return } from "../../src/proxy/request-outcome.js";
+import type { Translated } from "../../src/daemon/adapter.js";
 
 const route = (name: string, more: Record<string, unknown> = {}) => ({
   type: "routes",
--- a/test/platform/cutOff.test.ts
+++ b/test/platform/cut-off-daemons.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import type { StageMachine } from "../record/fleetStage.js";
-import { itemOrder, OrderStage, wholeOrder, type Call } from "./orderStage.js";
+import type { StageMachine } from "../replication/fleet-stage.js";
+import { itemOrder, OrderStage, wholeOrder, type Call } from "./command-stage.js";
 
 /** A long cut, and one that ends while what was sent during it still waits in the network. */
 const cutsMs = [20_000, 3500];
--- a/test/platform/edgeStage.ts
+++ b/test/platform/edge-stage.ts
@@ -1,8 +1,8 @@
 import { createServer } from "node:http";
 import { connect, type Socket } from "node:net";
-import { HttpServer } from "../../src/machine/httpServer.js";
+import { HttpServer } from "../../src/daemon/http-server.js";
 import { Task } from "../../src/runtime/task.js";
-import { RawStage } from "./rawStage.js";
+import { RawStage } from "./raw-stage.js";
 
 const freePort = (): Promise<number> =>
   new Promise((done, fail) => {
--- a/test/platform/invalidOrders.test.ts
+++ b/test/platform/invalid-commands.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { OrderStage, routeTo, wholeOrder, type OrderBytes } from "./orderStage.js";
+import { OrderStage, routeTo, wholeOrder, type OrderBytes } from "./command-stage.js";
 
 const machines = ["e:a", "d:a", "d:b", "d:c"];
 type Spec = Record<string, unknown>;
--- a/test/platform/largeReads.test.ts
+++ b/test/platform/large-reads.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { OrderStage, routeTo, type OrderBytes } from "./orderStage.js";
+import { OrderStage, routeTo, type OrderBytes } from "./command-stage.js";
 
 const machines = ["d:a", "d:b", "d:c", "e:a", "e:b"];
 const thin = { limits: { linkMbps: 3.5 } };
--- a/test/platform/outcomeFuzz.test.ts
+++ b/test/platform/outcome-fuzz.test.ts
@@ -1,9 +1,9 @@
 import type { Socket } from "node:net";
 import fc from "fast-check";
 import { afterEach, beforeEach, expect, test } from "vitest";
-import type { Seen } from "./doorStage.js";
-import { RawBackEnd, type RawRequest } from "./rawBackEnd.js";
-import { RawStage } from "./rawStage.js";
+import type { Seen } from "./proxy-stage.js";
+import { RawBackEnd, type RawRequest } from "./raw-backend.js";
+import { RawStage } from "./raw-stage.js";
 
 const { response, success } = RawBackEnd;
 let stage: RawStage;
--- a/test/platform/outcomes.test.ts
+++ b/test/platform/outcomes.test.ts
@@ -1,7 +1,7 @@
 import type { Socket } from "node:net";
 import { afterEach, expect, test } from "vitest";
-import { RawBackEnd, type RawRequest } from "./rawBackEnd.js";
-import { RawStage } from "./rawStage.js";
+import { RawBackEnd, type RawRequest } from "./raw-backend.js";
+import { RawStage } from "./raw-stage.js";
 
 let staged: RawStage | undefined;
 const ready = async (count = 2): Promise<RawStage> => {
--- a/test/platform/pipelining.test.ts
+++ b/test/platform/pipelining.test.ts
@@ -1,7 +1,7 @@
 import type { Socket } from "node:net";
 import { afterEach, beforeEach, expect, test } from "vitest";
-import { EdgeStage } from "./edgeStage.js";
-import { RawBackEnd, type RawRequest } from "./rawBackEnd.js";
+import { EdgeStage } from "./edge-stage.js";
+import { RawBackEnd, type RawRequest } from "./raw-backend.js";
 
 const { success } = RawBackEnd;
 let edge: EdgeStage;
--- a/test/platform/doorStage.ts
+++ b/test/platform/proxy-stage.ts
@@ -1,17 +1,22 @@
 import { dialect } from "../../platform/dialect.js";
-import type { BackEnds, BackReturn, BackTry, Opened } from "../../src/door/backEnds.js";
-import type { Caller, Job } from "../../src/door/job.js";
-import type { Return } from "../../src/door/verdict.js";
-import { Daemon } from "../../src/machine/daemon.js";
-import type { Settings } from "../../src/machine/settings.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { VirtualDisk } from "../../src/rehearsal/virtualDisk.js";
-import { VirtualNetwork } from "../../src/rehearsal/virtualNetwork.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
+import type {
+  BackEnds,
+  BackReturn,
+  BackTry,
+  Opened,
+} from "../../src/proxy/upstream/backend-client.js";
+import type { Caller, Job } from "../../src/proxy/proxy-request.js";
+import type { Return } from "../../src/proxy/request-outcome.js";
+import { Daemon } from "../../src/daemon/daemon.js";
+import type { Settings } from "../../src/daemon/settings.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
+import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
+import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
 import { Clock } from "../../src/runtime/clock.js";
-import { LinkPacers } from "../../src/runtime/linkPacer.js";
+import { LinkPacers } from "../../src/runtime/link-pacer.js";
 import { Task } from "../../src/runtime/task.js";
 
 /** One request as it reached a back end. */
--- a/test/platform/door.test.ts
+++ b/test/platform/proxy.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { DoorStage, success, type Act, type Sent } from "./doorStage.js";
+import { DoorStage, success, type Act, type Sent } from "./proxy-stage.js";
 
 const fraction = /^\d+\.\d+$/;
 const addresses = (stage: DoorStage): string[] => stage.sent.map(({ address }) => address);
--- a/test/platform/rawStage.ts
+++ b/test/platform/raw-stage.ts
@@ -1,6 +1,6 @@
-import { BackEnds } from "../../src/door/backEnds.js";
-import { DoorStage, type Seen } from "./doorStage.js";
-import { RawBackEnd, type RawRequest } from "./rawBackEnd.js";
+import { BackEnds } from "../../src/proxy/upstream/backend-client.js";
+import { DoorStage, type Seen } from "./proxy-stage.js";
+import { RawBackEnd, type RawRequest } from "./raw-backend.js";
 
 /** How much simulated time passes for each turn of the real event loop. */
 const turnMs = 1;
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
 import { settingsOf } from "../../platform/settings.js";
-import { Bounds } from "../../src/machine/bounds.js";
-import { Settings } from "../../src/machine/settings.js";
-import { SettingsError } from "../../src/machine/settingsError.js";
+import { Bounds } from "../../src/daemon/bounds.js";
+import { Settings } from "../../src/daemon/settings.js";
+import { SettingsError } from "../../src/daemon/settings-error.js";
 
 const boot = `
 [self]
--- a/test/platform/thinLink.test.ts
+++ b/test/platform/thin-link.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { DoorStage, success } from "./doorStage.js";
+import { DoorStage, success } from "./proxy-stage.js";
 
 /** 3.2 Mbit/s: 360 bytes a millisecond are counted on. */
 const linkMbps = 3.2;
--- a/test/platform/uploads.test.ts
+++ b/test/platform/uploads.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, expect, test } from "vitest";
-import { EdgeStage } from "./edgeStage.js";
-import { RawBackEnd } from "./rawBackEnd.js";
+import { EdgeStage } from "./edge-stage.js";
+import { RawBackEnd } from "./raw-backend.js";
 
 const { response, success } = RawBackEnd;
 const wholeBytes = 1024 * 1024;
--- a/test/door/calmFleet.ts
+++ b/test/proxy/calm-fleet.ts
@@ -1,6 +1,6 @@
-import type { Job } from "../../src/door/job.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation } from "../../src/rehearsal/simulation.js";
+import type { Job } from "../../src/proxy/proxy-request.js";
+import { Profile } from "../../src/simulation/profile.js";
+import { Simulation } from "../../src/simulation/simulation.js";
 import { Task } from "../../src/runtime/task.js";
 
 /** Within which two runs of one key are a fault; the rule's, in the settings of these fleets. */
--- a/test/door/lapsedLease.test.ts
+++ b/test/proxy/expired-lease-policy.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { LapsedLease } from "../../src/door/lapsedLease.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
+import { LapsedLease } from "../../src/proxy/expired-lease-policy.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 
 const bounds = { staleMs: 5000, contactMs: 3000 };
 
--- a/test/door/keysLostDaemon.test.ts
+++ b/test/proxy/idempotency/claims-of-lost-daemons.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { calmFleet, keyWindowMs, two, type Call } from "./calmFleet.js";
+import { Draw } from "../../../src/simulation/random-draw.js";
+import { calmFleet, keyWindowMs, two, type Call } from "../calm-fleet.js";
 
 test("an edge dies with a claim that it holds, and the leader that gave it loses power at once: a repeat elsewhere gets 502, since nobody can tell, and doesn't run", () => {
   const { simulation, edges, wait, send, runs, until, leader, committed } = calmFleet();
--- a/test/door/keys.test.ts
+++ b/test/proxy/idempotency/idempotency-claims.test.ts
@@ -1,8 +1,8 @@
 import { beforeEach, expect, test } from "vitest";
-import type { Job } from "../../src/door/job.js";
-import { Task } from "../../src/runtime/task.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation } from "../../src/rehearsal/simulation.js";
+import type { Job } from "../../../src/proxy/proxy-request.js";
+import { Task } from "../../../src/runtime/task.js";
+import { Profile } from "../../../src/simulation/profile.js";
+import { Simulation } from "../../../src/simulation/simulation.js";
 
 const stage = () => {
   const simulation = new Simulation(Profile.all.rastro, 7, 0.0001);
--- a/test/door/keyedOutcomes.test.ts
+++ b/test/proxy/idempotency/keyed-outcomes.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { calmFleet, two, type Machine } from "./calmFleet.js";
+import { calmFleet, two, type Machine } from "../calm-fleet.js";
 
 const responded = 201;
 
--- a/test/door/keyedOutcomeStore.test.ts
+++ b/test/proxy/idempotency/outcome-cache.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import { KeyedOutcomeStore } from "../../src/door/keyedOutcomeStore.js";
-import type { KeyedOutcome } from "../../src/door/keyedOutcome.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
+import { KeyedOutcomeStore } from "../../../src/proxy/idempotency/outcome-cache.js";
+import type { KeyedOutcome } from "../../../src/proxy/idempotency/keyed-outcome.js";
+import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 
 const response = (bytes: number): KeyedOutcome => ({
   kind: "ran",
--- a/test/door/outcomeTable.test.ts
+++ b/test/proxy/outcome-rules.test.ts
@@ -1,8 +1,8 @@
 import { readFileSync } from "node:fs";
 import { expect, test } from "vitest";
-import { headFault } from "../../src/door/answerCheck.js";
-import { Dialect } from "../../src/door/dialect.js";
-import { endingOf, maySendOn, tryCauses } from "../../src/door/outcomeTable.js";
+import { headFault } from "../../src/proxy/upstream/response-validation.js";
+import { Dialect } from "../../src/proxy/header-names.js";
+import { endingOf, maySendOn, tryCauses } from "../../src/proxy/outcome-rules.js";
 
 test("the table of how a try can end: may it have run, did bytes leave, the connection, the client's answer", () => {
   const rows = [...tryCauses].map(
--- a/test/door/backEnds.test.ts
+++ b/test/proxy/upstream/backend-client.test.ts
@@ -1,8 +1,8 @@
 import { createServer } from "node:http";
 import { expect, test } from "vitest";
-import { BackEnds, proofPath, serviceHeader } from "../../src/door/backEnds.js";
-import { Clock } from "../../src/runtime/clock.js";
-import { Task } from "../../src/runtime/task.js";
+import { BackEnds, proofPath, serviceHeader } from "../../../src/proxy/upstream/backend-client.js";
+import { Clock } from "../../../src/runtime/clock.js";
+import { Task } from "../../../src/runtime/task.js";
 
 test("real connections: a request goes only where its service was proven, and not once it may no longer be sent", async () => {
   const seen: string[] = [];
--- a/test/door/backEndDeadline.test.ts
+++ b/test/proxy/upstream/backend-deadline.test.ts
@@ -1,10 +1,10 @@
 import { createServer, type Socket } from "node:net";
 import { afterEach, expect, test } from "vitest";
-import { BackEnds, type Opened } from "../../src/door/backEnds.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { Clock } from "../../src/runtime/clock.js";
-import { LinkPacers } from "../../src/runtime/linkPacer.js";
-import { Task } from "../../src/runtime/task.js";
+import { BackEnds, type Opened } from "../../../src/proxy/upstream/backend-client.js";
+import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
+import { Clock } from "../../../src/runtime/clock.js";
+import { LinkPacers } from "../../../src/runtime/link-pacer.js";
+import { Task } from "../../../src/runtime/task.js";
 
 const clock = Clock.real();
 const closing: Array<() => void> = [];
--- a/test/door/closingResponses.test.ts
+++ b/test/proxy/upstream/closing-responses.test.ts
@@ -1,9 +1,9 @@
 import { createServer, type Server, type Socket } from "node:net";
 import { expect, test } from "vitest";
-import { BackEnds, type BackReturn } from "../../src/door/backEnds.js";
-import { Clock } from "../../src/runtime/clock.js";
-import { LinkPacers } from "../../src/runtime/linkPacer.js";
-import { Task } from "../../src/runtime/task.js";
+import { BackEnds, type BackReturn } from "../../../src/proxy/upstream/backend-client.js";
+import { Clock } from "../../../src/runtime/clock.js";
+import { LinkPacers } from "../../../src/runtime/link-pacer.js";
+import { Task } from "../../../src/runtime/task.js";
 
 /** 2 Mbit/s: a response of this size waits for turns on the link, again and again. */
 const linkMbps = 2;
--- a/test/door/pacedBackEnds.test.ts
+++ b/test/proxy/upstream/paced-backends.test.ts
@@ -1,9 +1,9 @@
 import { createServer, type Server } from "node:http";
 import { expect, test } from "vitest";
-import { BackEnds } from "../../src/door/backEnds.js";
-import { Clock } from "../../src/runtime/clock.js";
-import { LinkPacers } from "../../src/runtime/linkPacer.js";
-import { Task } from "../../src/runtime/task.js";
+import { BackEnds } from "../../../src/proxy/upstream/backend-client.js";
+import { Clock } from "../../../src/runtime/clock.js";
+import { LinkPacers } from "../../../src/runtime/link-pacer.js";
+import { Task } from "../../../src/runtime/task.js";
 
 /** 8 Mbit/s: 1,000 bytes a millisecond, of which 900 are counted on. */
 const linkMbps = 8;
--- a/test/record/place.test.ts
+++ b/test/replication/bootstrap/node-location.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Place, type Candidate } from "../../src/record/place.js";
+import { Place, type Candidate } from "../../../src/replication/bootstrap/node-location.js";
 
 const place = (machines: number, zones: number): Place => ({
   self: "p",
--- a/test/record/restore.test.ts
+++ b/test/replication/bootstrap/restore-as-only-voter.test.ts
@@ -1,8 +1,11 @@
 import { expect, test } from "vitest";
-import { Task } from "../../src/runtime/task.js";
-import { restore, type Restored } from "../../src/record/restore.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation } from "../../src/rehearsal/simulation.js";
+import { Task } from "../../../src/runtime/task.js";
+import {
+  restore,
+  type Restored,
+} from "../../../src/replication/bootstrap/restore-as-only-voter.js";
+import { Profile } from "../../../src/simulation/profile.js";
+import { Simulation } from "../../../src/simulation/simulation.js";
 
 test("a core that lost two disks is restored from the third; emptied recorders join it and vote again", () => {
   const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
--- a/test/record/configEntries.test.ts
+++ b/test/replication/config-entries.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { itemOrder, OrderStage, routeTo, type OrderBytes } from "../platform/orderStage.js";
+import { itemOrder, OrderStage, routeTo, type OrderBytes } from "../platform/command-stage.js";
 
 const machines = ["d:a", "d:b", "d:c", "e:a"];
 const manyRoutes = 1500;
--- a/test/record/diskLimit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { Config } from "../../src/contract/config.js";
-import { type AcceptedConfig, Book, Deed } from "../../src/record/book.js";
-import { HistoryFormat } from "../../src/record/historyFormat.js";
-import { type Standing, Store } from "../../src/record/store.js";
-import { FleetStage, type StageMachine } from "./fleetStage.js";
-import { LargeConfig } from "./largeConfig.js";
+import { Config } from "../../src/configuration/config.js";
+import { type AcceptedConfig, Book, Deed } from "../../src/state/state-machine.js";
+import { HistoryFormat } from "../../src/replication/history/history-format.js";
+import { type Standing, Store } from "../../src/replication/log/log-store.js";
+import { FleetStage, type StageMachine } from "./fleet-stage.js";
+import { LargeConfig } from "./large-config.js";
 
 const diskMb = 64;
 const isLed = (stage: FleetStage) => (): boolean =>
--- a/test/record/farBehind.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import { Book, Deed } from "../../src/record/book.js";
-import { type Standing, Store } from "../../src/record/store.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { configText, FleetStage, type StageMachine } from "./fleetStage.js";
+import { Book, Deed } from "../../src/state/state-machine.js";
+import { type Standing, Store } from "../../src/replication/log/log-store.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
   stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
--- a/test/record/fleetStage.ts
+++ b/test/replication/fleet-stage.ts
@@ -1,16 +1,16 @@
-import { Daemon, type DaemonOptions } from "../../src/machine/daemon.js";
-import type { Settings } from "../../src/machine/settings.js";
+import { Daemon, type DaemonOptions } from "../../src/daemon/daemon.js";
+import type { Settings } from "../../src/daemon/settings.js";
 import type { Clock } from "../../src/runtime/clock.js";
-import type { Wire } from "../../src/runtime/wire.js";
+import type { Wire } from "../../src/runtime/network.js";
 import { Task } from "../../src/runtime/task.js";
-import { Deed } from "../../src/record/book.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { noBackEnds } from "../../src/rehearsal/noBackEnds.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { VirtualDisk } from "../../src/rehearsal/virtualDisk.js";
-import { VirtualNetwork } from "../../src/rehearsal/virtualNetwork.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
+import { Deed } from "../../src/state/state-machine.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { noBackEnds } from "../../src/simulation/unreachable-backends.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
+import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
+import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
 
 const fail = (error: unknown): void => {
   throw error;
--- a/test/record/history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from "vitest";
-import { Task } from "../../src/runtime/task.js";
-import type { AcceptedConfig } from "../../src/record/book.js";
-import { History } from "../../src/record/history.js";
-import { HistoryFormat } from "../../src/record/historyFormat.js";
-import { TextDelta } from "../../src/record/textDelta.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { judge } from "../../src/rehearsal/judge.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation } from "../../src/rehearsal/simulation.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { VirtualDisk } from "../../src/rehearsal/virtualDisk.js";
+import { Task } from "../../../src/runtime/task.js";
+import type { AcceptedConfig } from "../../../src/state/state-machine.js";
+import { History } from "../../../src/replication/history/config-history.js";
+import { HistoryFormat } from "../../../src/replication/history/history-format.js";
+import { TextDelta } from "../../../src/state/text-delta.js";
+import { Draw } from "../../../src/simulation/random-draw.js";
+import { judge } from "../../../src/simulation/invariant-checker.js";
+import { Profile } from "../../../src/simulation/profile.js";
+import { Simulation } from "../../../src/simulation/simulation.js";
+import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
+import { VirtualDisk } from "../../../src/simulation/virtual-disk.js";
 
 const config = (sequence: number, version?: number): AcceptedConfig => ({
   sequence,
--- a/test/record/largeConfig.ts
+++ b/test/replication/large-config.ts
@@ -1,4 +1,4 @@
-import { Draw } from "../../src/rehearsal/draw.js";
+import { Draw } from "../../src/simulation/random-draw.js";
 
 const random = Draw.of(17);
 const word = (letters: number): string =>
--- a/test/record/store.test.ts
+++ b/test/replication/log/log-store.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
-import { Task } from "../../src/runtime/task.js";
-import { type Standing, Store } from "../../src/record/store.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { VirtualDisk } from "../../src/rehearsal/virtualDisk.js";
+import { Task } from "../../../src/runtime/task.js";
+import { type Standing, Store } from "../../../src/replication/log/log-store.js";
+import { Draw } from "../../../src/simulation/random-draw.js";
+import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
+import { VirtualDisk } from "../../../src/simulation/virtual-disk.js";
 
 const standing: Standing = {
   fleet: "f",
--- a/test/record/leaving.test.ts
+++ b/test/replication/membership/membership-leave.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { configText, FleetStage, type StageMachine } from "./fleetStage.js";
+import { configText, FleetStage, type StageMachine } from "../fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
   stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
--- a/test/record/membership.test.ts
+++ b/test/replication/membership/membership-policy.test.ts
@@ -3,7 +3,7 @@
   type MemberProgress,
   Membership,
   type MembershipView,
-} from "../../src/record/membership.js";
+} from "../../../src/replication/membership/membership-policy.js";
 
 const waits = {
   answersWithinMs: 500,
--- a/test/record/rejoin.test.ts
+++ b/test/replication/rejoin.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { configText, FleetStage } from "./fleetStage.js";
+import { configText, FleetStage } from "./fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
   stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
--- a/test/record/replacement.test.ts
+++ b/test/replication/replacement.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { Deed } from "../../src/record/book.js";
-import { configText, FleetStage, type StageMachine } from "./fleetStage.js";
+import { Deed } from "../../src/state/state-machine.js";
+import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
   stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
--- a/test/record/snapshotPieces.test.ts
+++ b/test/replication/snapshot/snapshot-pieces.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { SnapshotReceiver } from "../../src/record/snapshotReceiver.js";
+import { Draw } from "../../../src/simulation/random-draw.js";
+import { SnapshotReceiver } from "../../../src/replication/snapshot/snapshot-receiver.js";
 import {
   SharedSnapshot,
   SnapshotSender,
   snapshotPieceBytes,
   type SnapshotMessage,
-} from "../../src/record/snapshotSender.js";
+} from "../../../src/replication/snapshot/snapshot-sender.js";
 
 const random = Draw.of(3);
 const textOf = (bytes: number): string => {
--- a/test/record/gone.test.ts
+++ b/test/replication/tombstones.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Book, Deed, keptGone } from "../../src/record/book.js";
+import { Book, Deed, keptGone } from "../../src/state/state-machine.js";
 
 const contract = (
   instance: string,
--- a/test/record/versions.test.ts
+++ b/test/replication/versions.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Book, Deed } from "../../src/record/book.js";
+import { Book, Deed } from "../../src/state/state-machine.js";
 
 const members = { voters: ["a"], learners: [] };
 const put = (
--- a/test/traffic/collector.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from "vitest";
-import { Kind } from "../../src/link/kind.js";
-import { Link } from "../../src/link/link.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
-import type { World } from "../../src/runtime/world.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { VirtualNetwork } from "../../src/rehearsal/virtualNetwork.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
-import { Collector } from "../../src/traffic/collector.js";
-import { Counts, CountsForm } from "../../src/traffic/counts.js";
+import type { World } from "../../src/runtime/runtime.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
+import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { Collector } from "../../src/retry-budget/count-aggregator.js";
+import { Counts, CountsForm } from "../../src/retry-budget/request-counts.js";
 
 test("an edge that moves to another collector, or whose collector dies, is never counted twice", () => {
   const time = new VirtualClock();
--- a/test/traffic/counts.test.ts
+++ b/test/retry-budget/request-counts.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import { FrameError } from "../../src/link/frame.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { Counts, CountsForm } from "../../src/traffic/counts.js";
+import { FrameError } from "../../src/rpc/frame.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { Counts, CountsForm } from "../../src/retry-budget/request-counts.js";
 
 test("counts travel between clocks that disagree, and cut bytes are refused", () => {
   const own = new Counts(CountsForm.usual);
--- a/test/traffic/retryBudget.test.ts
+++ b/test/retry-budget/retry-budget.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { RetryQuotas } from "../../src/traffic/retryQuotas.js";
-import { RetryBudget, repeatRule } from "../../src/traffic/retryBudget.js";
-import { retryWindowMs } from "../../src/traffic/counts.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { RetryQuotas } from "../../src/retry-budget/retry-quotas.js";
+import { RetryBudget, repeatRule } from "../../src/retry-budget/retry-budget.js";
+import { retryWindowMs } from "../../src/retry-budget/request-counts.js";
 
 test("in any window the guard alone keeps the rule, whatever edges come and die, leaders change, callers stop and reports are late", () => {
   let taken = 0;
--- a/test/traffic/retryQuotas.test.ts
+++ b/test/retry-budget/retry-quotas.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { RetryQuotas } from "../../src/traffic/retryQuotas.js";
-import { guardRule } from "../../src/traffic/retryBudget.js";
+import { RetryQuotas } from "../../src/retry-budget/retry-quotas.js";
+import { guardRule } from "../../src/retry-budget/retry-budget.js";
 
 const services = ["s"];
 const none = new Map<string, number>();
--- a/test/traffic/retryRules.test.ts
+++ b/test/retry-budget/retry-rules.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { RetryQuotas } from "../../src/traffic/retryQuotas.js";
-import { RetryBudget } from "../../src/traffic/retryBudget.js";
-import { RetryRules } from "../../src/traffic/retryRules.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { RetryQuotas } from "../../src/retry-budget/retry-quotas.js";
+import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
+import { RetryRules } from "../../src/retry-budget/retry-rules.js";
 
 test("with other figures than the usual ones the guard keeps the rule in every window", () => {
   for (const [ratio, extra, windowMs] of [
--- a/test/link/frame.test.ts
+++ b/test/rpc/frame.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import { exactly, Frame, FrameError, FrameReader, frameSequence } from "../../src/link/frame.js";
-import { Kind } from "../../src/link/kind.js";
-import { Draw } from "../../src/rehearsal/draw.js";
+import { exactly, Frame, FrameError, FrameReader, frameSequence } from "../../src/rpc/frame.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Draw } from "../../src/simulation/random-draw.js";
 
 const reader =
   (coder: { fromBuffer(bytes: Uint8Array): unknown; size(value: never): number }) =>
--- a/test/link/pacedChannel.test.ts
+++ b/test/rpc/paced-connection.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { Frame, FrameReader } from "../../src/link/frame.js";
-import { PacedChannel } from "../../src/link/pacedChannel.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
+import { Frame, FrameReader } from "../../src/rpc/frame.js";
+import { PacedChannel } from "../../src/rpc/paced-connection.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { Queue } from "../../src/runtime/queue.js";
-import { LinkPacer } from "../../src/runtime/linkPacer.js";
-import type { Channel } from "../../src/runtime/wire.js";
+import { LinkPacer } from "../../src/runtime/link-pacer.js";
+import type { Channel } from "../../src/runtime/network.js";
 
 /** 3.2 Mbit/s: 360 bytes a millisecond are counted on. */
 const linkMbps = 3.2;
--- a/test/link/link.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from "vitest";
-import { Kind } from "../../src/link/kind.js";
-import { Link } from "../../src/link/link.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
 import { Clock } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
 import { Task } from "../../src/runtime/task.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { VirtualNetwork } from "../../src/rehearsal/virtualNetwork.js";
-import { virtualWorld } from "../../src/rehearsal/virtualWorld.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
+import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
 
 const stage = () => {
   const time = new VirtualClock();
--- a/test/link/utf8Text.test.ts
+++ b/test/rpc/utf8-text-codec.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import * as r from "restructure";
 import { expect, test } from "vitest";
-import { Utf8Text } from "../../src/link/utf8Text.js";
+import { Utf8Text } from "../../src/rpc/utf8-text-codec.js";
 
 test("texts are laid out as the library lays them out, and read back, whatever is in them", () => {
   const own = new r.Struct({ before: r.uint8, text: new Utf8Text(), after: r.uint8 });
--- a/test/runtime/quick.test.ts
+++ b/test/runtime/fast-validator.test.ts
@@ -13,7 +13,7 @@
   create,
 } from "superstruct";
 import { expect, test } from "vitest";
-import { quick } from "../../src/runtime/quick.js";
+import { quick } from "../../src/runtime/fast-validator.js";
 
 const shape = object({
   kind: literal("one"),
--- a/test/runtime/linkPacer.test.ts
+++ b/test/runtime/link-pacer.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { LinkPacer, type TransferRank } from "../../src/runtime/linkPacer.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
+import { LinkPacer, type TransferRank } from "../../src/runtime/link-pacer.js";
 import { Task } from "../../src/runtime/task.js";
 
 const fail = (error: unknown): void => {
--- a/test/runtime/queue.test.ts
+++ b/test/runtime/queue.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { Queue } from "../../src/runtime/queue.js";
 import { Task } from "../../src/runtime/task.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 
 test("a command goes to the first taker still waiting", async () => {
   const virtual = new VirtualClock();
--- a/test/rehearsal/configHistory.test.ts
+++ b/test/simulation/config-history-check.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { configHistoryFaults } from "../../src/rehearsal/configHistory.js";
-import type { ConfigOrderRecord, ConfigReadRecord } from "../../src/rehearsal/ledger.js";
+import { configHistoryFaults } from "../../src/simulation/config-history-check.js";
+import type { ConfigOrderRecord, ConfigReadRecord } from "../../src/simulation/event-recorder.js";
 
 const order = (
   base: number,
--- a/test/rehearsal/controlSide.test.ts
+++ b/test/simulation/control-plane-days.test.ts
@@ -1,9 +1,13 @@
 import { expect, test } from "vitest";
-import { safetyRules } from "../../src/record/consensus/safetyRules.js";
-import type { Breach } from "../../src/rehearsal/judge.js";
-import type { ConfigOrderRecord, OrderAttempt } from "../../src/rehearsal/ledger.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { rehearse, type RehearsalOptions, type Rehearsed } from "../../src/rehearsal/rehearsal.js";
+import { safetyRules } from "../../src/consensus/safety-rules.js";
+import type { Breach } from "../../src/simulation/invariant-checker.js";
+import type { ConfigOrderRecord, OrderAttempt } from "../../src/simulation/event-recorder.js";
+import { Profile } from "../../src/simulation/profile.js";
+import {
+  rehearse,
+  type RehearsalOptions,
+  type Rehearsed,
+} from "../../src/simulation/simulated-day.js";
 
 /** Within which an operator's order is acknowledged while no more is lost than may be. */
 const ackMs = 5000;
--- a/test/rehearsal/judge.test.ts
+++ b/test/simulation/invariant-checker.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { judge, rules } from "../../src/rehearsal/judge.js";
-import { type CallerRecord, Ledger, type RunRecord } from "../../src/rehearsal/ledger.js";
+import { judge, rules } from "../../src/simulation/invariant-checker.js";
+import { type CallerRecord, Ledger, type RunRecord } from "../../src/simulation/event-recorder.js";
 
 const call = (record: Partial<CallerRecord>): CallerRecord => ({
   id: "c1",
--- a/test/rehearsal/rehearsal.test.ts
+++ b/test/simulation/simulated-day.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { rehearse } from "../../src/rehearsal/rehearsal.js";
+import { Profile } from "../../src/simulation/profile.js";
+import { rehearse } from "../../src/simulation/simulated-day.js";
 
 const days = Object.values(Profile.all).flatMap((profile) =>
   [1, 2, 3].map((seed) => ({ profile, seed, name: `${profile.name}, seed ${seed}` })),
--- a/test/rehearsal/virtualBackEnds.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from "vitest";
 import { Task } from "../../src/runtime/task.js";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { Gate } from "../../src/rehearsal/gate.js";
-import { judge } from "../../src/rehearsal/judge.js";
-import { Ledger } from "../../src/rehearsal/ledger.js";
-import { Profile } from "../../src/rehearsal/profile.js";
-import { Simulation } from "../../src/rehearsal/simulation.js";
-import { StandIn } from "../../src/rehearsal/standIn.js";
-import { virtualBackEnds } from "../../src/rehearsal/virtualBackEnds.js";
-import { VirtualClock } from "../../src/rehearsal/virtualClock.js";
-import { VirtualNetwork } from "../../src/rehearsal/virtualNetwork.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { judge } from "../../src/simulation/invariant-checker.js";
+import { Ledger } from "../../src/simulation/event-recorder.js";
+import { Profile } from "../../src/simulation/profile.js";
+import { Simulation } from "../../src/simulation/simulation.js";
+import { StandIn } from "../../src/simulation/test-backend.js";
+import { virtualBackEnds } from "../../src/simulation/virtual-backends.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
+import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 
 test("connections that take their time don't carry work to a back end past its leave, though the edge is cut off", () => {
   let withdrawn = 0;
--- a/test/traffic/dyadicSketch.test.ts
+++ b/test/sketch/dyadic-sketch.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { DyadicSketch } from "../../src/traffic/dyadicSketch.js";
-import type { SketchForm } from "../../src/traffic/ecmSketch.js";
-import { stampOf } from "../../src/traffic/exponentialHistogram.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { DyadicSketch } from "../../src/sketch/dyadic-sketch.js";
+import type { SketchForm } from "../../src/sketch/ecm-sketch.js";
+import { stampOf } from "../../src/sketch/exponential-histogram.js";
 
 test("every heavy item is found, and none that is far from heavy", () => {
   const form: SketchForm = { epsilon: 0.05, delta: 0.05, windowMs: 20_000, seed: 3 };
--- a/test/traffic/ecmSketch.test.ts
+++ b/test/sketch/ecm-sketch.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { EcmSketch, type SketchForm, SketchMismatchError } from "../../src/traffic/ecmSketch.js";
-import { stampOf } from "../../src/traffic/exponentialHistogram.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { EcmSketch, type SketchForm, SketchMismatchError } from "../../src/sketch/ecm-sketch.js";
+import { stampOf } from "../../src/sketch/exponential-histogram.js";
 
 const form: SketchForm = { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 11 };
 
--- a/test/traffic/exponentialHistogram.test.ts
+++ b/test/sketch/exponential-histogram.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/rehearsal/draw.js";
-import { ExponentialHistogram, stampOf } from "../../src/traffic/exponentialHistogram.js";
+import { Draw } from "../../src/simulation/random-draw.js";
+import { ExponentialHistogram, stampOf } from "../../src/sketch/exponential-histogram.js";
 
 const windowMs = 20_000;
 
--- a/test/record/numbering.test.ts
+++ b/test/state/id-allocator.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Numbering } from "../../src/record/numbering.js";
+import { Numbering } from "../../src/state/id-allocator.js";
 
 test("thousands of configs with thousands of routes: no number has two names within its rest, and none is used up", () => {
   const numbering = new Numbering();
--- a/test/record/book.test.ts
+++ b/test/state/state-machine.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Book, Deed } from "../../src/record/book.js";
+import { Book, Deed } from "../../src/state/state-machine.js";
 
 const members = { voters: ["a"], learners: [] };
 test("one of two racing configs loses, a repeated change id gets its first outcome, and a checkpoint keeps all", () => {
