--- /dev/null
+++ b/test/compatibility/frames.ts
@@ -0,0 +1,545 @@
+import { inflateRawSync } from "node:zlib";
+import { enums, object, string, type Infer } from "superstruct";
+import {
+  breakdownReturn,
+  ClaimReturn,
+  isBreakdown,
+  Order,
+  overloadedReturn,
+  Poll,
+} from "../../src/control-protocol/command.js";
+import { TravellingText } from "../../src/control-protocol/compressed-text.js";
+import {
+  KeyedOutcome,
+  type KeyedOutcome as Outcome,
+} from "../../src/proxy/idempotency/keyed-outcome.js";
+import { exactly, Frame, FrameReader, frameSequence } from "../../src/rpc/frame.js";
+import { Kind } from "../../src/rpc/rpc-method.js";
+import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { Gate } from "../../src/simulation/event-gate.js";
+import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import type { Task } from "../../src/runtime/task.js";
+import type { Channel, Wire } from "../../src/runtime/network.js";
+import { Down } from "../../src/retry-budget/count-aggregator.js";
+import { Counts, CountsForm } from "../../src/retry-budget/request-counts.js";
+import { FleetStage, type MachineLife, type StageMachine } from "../replication/fleet-stage.js";
+import { historyPiece, recordTexts, runOn } from "./stored-data.js";
+
+/** One sample of a message: how it is encoded now, and how a recorded frame is decoded and encoded again. */
+export interface Sample {
+  readonly name: string;
+  readonly hex: string;
+  /** Whether a recorded frame says what the sample does, and is encoded again to the same bytes. */
+  isReadFrom(hex: string): boolean;
+}
+
+/** A value as text, by which two of them are compared. */
+const shown = (value: unknown): string =>
+  JSON.stringify(value, (_, one: unknown) =>
+    one instanceof Uint8Array ? Buffer.from(one).toString("hex") : one,
+  );
+
+const sample = <T>(
+  name: string,
+  kind: number,
+  isReturn: boolean,
+  coder: Kind<T, unknown>["ask"],
+  value: T,
+): Sample => {
+  const frameOf = (body: T): string =>
+    Buffer.from(
+      Frame.encode({
+        sequence: frameSequence,
+        kind,
+        isReturn,
+        job: 0x01020304,
+        body: coder.toBuffer(body),
+      }),
+    ).toString("hex");
+  return {
+    name,
+    hex: frameOf(value),
+    isReadFrom(hex) {
+      const [frame] = new FrameReader().read(Buffer.from(hex, "hex"));
+      if (!frame || frame.kind !== kind || frame.isReturn !== isReturn) return false;
+      const body = exactly(coder, frame.body);
+      return frame.job === 0x01020304 && shown(body) === shown(value) && frameOf(body) === hex;
+    },
+  };
+};
+
+/** A request and its response of one kind, each with a value in which no two fields are equal. */
+const exchange = <A, R>(name: string, kind: Kind<A, R>, request: A, response: R): Sample[] => [
+  sample(`${name} request`, kind.number, false, kind.ask, request),
+  sample(`${name} response`, kind.number, true, kind.return, response),
+];
+
+const bytes = Buffer.from("bytes, é");
+const keyed = { scope: "scope", job: "job" };
+const entries = [
+  { index: 11, term: 5, text: "one, é" },
+  { index: 12, term: 6, text: "two" },
+];
+
+/** Every kind of message between daemons, once as a request and once as a response. */
+export const samples: readonly Sample[] = [
+  ...exchange(
+    "vote",
+    Kind.vote,
+    {
+      isPreVote: true,
+      term: 7,
+      candidate: "10.0.0.1:7000",
+      lastIndex: 8,
+      lastTerm: 6,
+      handOver: false,
+    },
+    { term: 9, granted: true },
+  ),
+  ...exchange(
+    "hand-over vote",
+    Kind.vote,
+    {
+      isPreVote: false,
+      term: 7,
+      candidate: "10.0.0.1:7000",
+      lastIndex: 8,
+      lastTerm: 6,
+      handOver: true,
+    },
+    { term: 9, granted: false },
+  ),
+  ...exchange(
+    "append",
+    Kind.append,
+    { term: 7, leader: "10.0.0.1:7000", previousIndex: 10, previousTerm: 4, committed: 3, entries },
+    { term: 9, fits: true, counts: false, matched: 12 },
+  ),
+  ...exchange(
+    "refused append",
+    Kind.append,
+    { term: 7, leader: "", previousIndex: 0, previousTerm: 0, committed: 0, entries: [] },
+    { term: 9, fits: false, counts: true, matched: 0 },
+  ),
+  ...exchange(
+    "snapshot",
+    Kind.checkpoint,
+    { term: 7, leader: "10.0.0.1:7000", lastIndex: 10, lastTerm: 4, text: "{}" },
+    { term: 9, counts: true, matched: 10 },
+  ),
+  ...exchange(
+    "meeting",
+    Kind.meet,
+    {
+      peer: "10.0.0.1:7000",
+      fleet: "fleet",
+      incarnation: "incarnation",
+      voters: ["10.0.0.2:7000", "10.0.0.3:7000"],
+      learners: ["10.0.0.4:7000"],
+      open: true,
+    },
+    {
+      machine: "machine",
+      zone: "zone",
+      state: "formed",
+      fleet: "fleet",
+      leader: "10.0.0.2:7000",
+      founds: true,
+      incarnation: "incarnation",
+      voters: ["10.0.0.2:7000"],
+      learners: ["10.0.0.4:7000"],
+      recorders: ["10.0.0.5:7000"],
+    },
+  ),
+  ...exchange("hand-over", Kind.handOver, { term: 7 }, { taken: true }),
+  ...exchange("poll", Kind.poll, { forwarded: true, text: "{}" }, { leader: "leader", text: "{}" }),
+  ...exchange(
+    "command",
+    Kind.command,
+    { forwarded: false, text: "{}" },
+    { leader: "leader", text: overloadedReturn },
+  ),
+  ...exchange(
+    "refused command",
+    Kind.command,
+    { forwarded: true, text: "{}" },
+    { leader: "", text: breakdownReturn("notLeader") },
+  ),
+  ...exchange(
+    "sketch",
+    Kind.push,
+    { text: "{}", sketches: bytes },
+    { text: "[]", sketches: bytes },
+  ),
+  ...exchange("history", Kind.history, { from: 2 }, { configs: bytes }),
+  ...exchange(
+    "snapshot piece",
+    Kind.snapshotPiece,
+    {
+      term: 7,
+      leader: "10.0.0.1:7000",
+      lastIndex: 10,
+      lastTerm: 4,
+      totalBytes: 600_000,
+      checksum: 77,
+      offset: 262_144,
+      bytes,
+    },
+    { term: 9, counts: true, matched: 10, receivedBytes: 524_288 },
+  ),
+  ...exchange(
+    "keeping an outcome",
+    Kind.keepOutcome,
+    { ...keyed, state: 3, code: 200, headers: '{"a":"b"}', body: bytes },
+    { isKept: true },
+  ),
+  ...exchange("asking for an outcome", Kind.keyedOutcome, keyed, {
+    state: 3,
+    code: 200,
+    headers: '{"a":"b"}',
+    body: bytes,
+  }),
+];
+
+/** What became of a request with a key, in every way that there is, as it travels. */
+export const outcomeMessages = (): Record<string, string> => {
+  const response = { code: 201, headers: { "content-type": "text/plain" }, body: bytes };
+  const outcomes: Array<Outcome | undefined> = [
+    undefined,
+    { kind: "inHand" },
+    { kind: "neverRan" },
+    { kind: "ran", response },
+    { kind: "ranNotKept" },
+    { kind: "mayHaveRun" },
+  ];
+  return Object.fromEntries(
+    outcomes.map((outcome) => [
+      outcome?.kind ?? "unknown",
+      Buffer.from(Kind.keyedOutcome.return.toBuffer(KeyedOutcome.message(outcome))).toString("hex"),
+    ]),
+  );
+};
+
+/** The outcome that a recorded message tells, encoded again. */
+export const rewrittenOutcome = (hex: string): string => {
+  const outcome = KeyedOutcome.read(exactly(Kind.keyedOutcome.return, Buffer.from(hex, "hex")));
+  const message = KeyedOutcome.message(outcome);
+  return Buffer.from(Kind.keyedOutcome.return.toBuffer(message)).toString("hex");
+};
+
+/** How sketches were encoded: tries of two services and requests of two routes at fixed moments. */
+export const sketch = (withRoutes: boolean): string => {
+  const counts = new Counts(CountsForm.usual);
+  for (let at = 0; at < 40; at += 1) {
+    counts.countTry(1, at % 4 === 0, 1000 + at * 50);
+    counts.countTry(2, false, 1010 + at * 40);
+    counts.countRoute(3 + (at % 2), 1020 + at * 30);
+  }
+  return Buffer.from(counts.encode(5000, withRoutes)).toString("base64");
+};
+
+/** A recorded sketch, decoded and encoded again. */
+export const rewrittenSketch = (base64: string): string =>
+  Buffer.from(
+    Counts.decode(Buffer.from(base64, "base64"), CountsForm.usual, 5000, 0).encode(5000),
+  ).toString("base64");
+
+/** What a recorded sketch says of two services and of the heaviest routes. */
+export const sketchEstimates = (base64: string) => {
+  const counts = Counts.decode(Buffer.from(base64, "base64"), CountsForm.usual, 5000, 0);
+  const { first, further } = counts.ofService(1, 5000, 10_000);
+  const routes = counts.heavyRoutes(0.1, 5000, 10_000);
+  return {
+    firstTries: first,
+    furtherTries: further,
+    routes: routes.map(({ item, estimate }) => [item, estimate]),
+  };
+};
+
+/** Reads a JSON body by the present code, and gives what the receiver holds then as JSON. */
+export const readers: Readonly<Record<string, (text: string) => string>> = {
+  command: (text) => JSON.stringify(Order.read(text)),
+  poll: (text) => JSON.stringify(Poll.read(text)),
+  view: (text) => JSON.stringify(Poll.readReturn(text)),
+  claim: (text) => JSON.stringify(ClaimReturn.read(text)),
+  sketchResponse: (text) => JSON.stringify(Down.read(text)),
+  breakdown: (text) => JSON.stringify(isBreakdown(text)),
+};
+
+/** The text of a packed answer. */
+export const unpackedText = (packedText: string): string => TravellingText.read({ packedText });
+
+/** The JSON texts of a piece of the history. */
+export const historyTexts = (): string[] => recordTexts(historyPiece());
+
+/** Words whose values are compared too, since receivers decide by them. */
+const words = new Set([
+  ...["kind", "state", "verdict", "breakdown", "tier", "roles", "configDigest"],
+]);
+
+const parsed = (text: string): unknown => {
+  const value: unknown = JSON.parse(text);
+  return value;
+};
+
+/** A text that holds JSON, deflated; undefined where it is no such text. */
+const packedJson = (text: string): unknown => {
+  try {
+    return parsed(inflateRawSync(Buffer.from(text, "base64")).toString("utf8"));
+  } catch {
+    return undefined;
+  }
+};
+
+/** Sections whose keys are names that operators chose. */
+const namedSections = new Set(["services", "routes", "goals", "numbers"]);
+
+/** The path of a key under another one. */
+const pathOf = (path: string, parent: string, key: string): string => {
+  const shownKey = namedSections.has(parent) ? "*" : key;
+  return path === "" ? shownKey : `${path}.${shownKey}`;
+};
+
+/** The paths of all keys in a JSON value, with the types of the leaves; packed parts are unpacked. */
+export const keyPaths = (value: unknown, path = ""): string[] => {
+  const name = path.replace(/\[\]$/, "").split(/[.>]/).at(-1) ?? "";
+  if (Array.isArray(value)) {
+    const items: unknown[] = value;
+    return items.length === 0
+      ? [`${path}[]`]
+      : [...new Set(items.flatMap((item) => keyPaths(item, `${path}[]`)))].sort();
+  }
+  if (typeof value === "object" && value !== null)
+    return [
+      ...new Set(
+        Object.entries(value).flatMap(([key, one]: [string, unknown]) =>
+          keyPaths(one, pathOf(path, name, key)),
+        ),
+      ),
+    ].sort();
+  if (typeof value !== "string") return [`${path}: ${value === null ? "null" : typeof value}`];
+  if (words.has(name)) return [`${path} = ${value}`];
+  const inner = name.startsWith("packed") ? packedJson(value) : undefined;
+  return inner === undefined
+    ? [`${path}: string`]
+    : [`${path}: string`, ...keyPaths(inner, `${path}>`)];
+};
+
+/** The union of the key paths of some JSON texts, by a name for each text. */
+export class KeyPathTable {
+  private readonly table = new Map<string, Set<string>>();
+
+  /** Notes the keys of one text under a name. */
+  note(name: string, text: string): void {
+    const known = this.table.get(name) ?? new Set();
+    for (const path of keyPaths(parsed(text))) known.add(path);
+    this.table.set(name, known);
+  }
+
+  /** All names and their key paths, sorted. */
+  get all(): Record<string, string[]> {
+    return Object.fromEntries(
+      [...this.table]
+        .sort(([a], [b]) => (a < b ? -1 : 1))
+        .map(([name, paths]) => [name, [...paths].sort()]),
+    );
+  }
+}
+
+const kindOfText = (text: string): string => /^\{"kind":"(\w+)"/.exec(text)?.[1] ?? "none";
+
+/** A peer that isn't a daemon: it sends what it is told, as bytes recorded before, and hears the answers. */
+class RawPeer {
+  private readonly link: Link;
+
+  constructor(private readonly stage: TappedFleet) {
+    const world = virtualWorld({
+      clock: stage.time.clock(),
+      wire: stage.network.wire("raw-peer", new Gate()),
+      random: stage.random,
+    });
+    this.link = new Link(world, "10.0.0.99:7000");
+  }
+
+  private run<T>(task: Task<T | undefined>): T {
+    const value = runOn(this.stage.time, task);
+    if (value === undefined) throw new Error("The daemon gave no answer.");
+    return value;
+  }
+
+  /** Sends a command to a daemon and gives the text of its answer. */
+  command(to: StageMachine, text: string): string {
+    return this.run(this.link.ask(to.peer, Kind.command, { forwarded: true, text }, 5000)).text;
+  }
+
+  /** Sends a poll to a daemon and gives the text of its answer. */
+  poll(to: StageMachine, text: string): string {
+    return this.run(this.link.ask(to.peer, Kind.poll, { forwarded: true, text }, 5000)).text;
+  }
+
+  /** Sends a sketch to a daemon and gives the text of its answer. */
+  push(to: StageMachine, text: string, base64: string): string {
+    const ask = { text, sketches: Buffer.from(base64, "base64") };
+    return this.run(this.link.ask(to.peer, Kind.push, ask, 5000)).text;
+  }
+
+  /** How a daemon says that it stands, when it is met. */
+  meetingState(to: StageMachine): string {
+    const ask = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
+    return this.run(this.link.ask(to.peer, Kind.meet, ask, 5000)).state;
+  }
+}
+
+/** A virtual fleet whose requests and log entries are noted by the keys of their JSON. */
+export class TappedFleet extends FleetStage {
+  /** What daemons sent one another of themselves: requests, and log entries by their kinds. */
+  readonly sent = new KeyPathTable();
+  /** How members said they stood, when they met. */
+  readonly meetingStates = new Set<string>();
+  readonly peer: RawPeer;
+
+  /** Three voters, a learner and two edges, with a fixed seed. */
+  constructor() {
+    super(["d:a", "d:b", "d:c", "d:a", "e:a", "e:b"], [0, 1, 2]);
+    this.peer = new RawPeer(this);
+  }
+
+  protected override lifeOf(machine: StageMachine): MachineLife {
+    const life = super.lifeOf(machine);
+    return { ...life, wire: this.tapped(life.wire) };
+  }
+
+  private tapped(wire: Wire): Wire {
+    const tap = (channel: Channel): Channel => this.tappedChannel(channel);
+    return {
+      *connect(address) {
+        const channel = yield* wire.connect(address);
+        return channel && tap(channel);
+      },
+      *listen(address, accept) {
+        yield* wire.listen(address, (channel) => accept(tap(channel)));
+      },
+    };
+  }
+
+  private tappedChannel(channel: Channel): Channel {
+    const reader = new FrameReader();
+    return {
+      incoming: channel.incoming,
+      send: (piece) => {
+        for (const frame of reader.read(piece)) this.note(frame);
+        channel.send(piece);
+      },
+      close: () => channel.close(),
+    };
+  }
+
+  private note({ kind, isReturn, body }: Frame): void {
+    if (kind === Kind.meet.number && isReturn)
+      this.meetingStates.add(exactly(Kind.meet.return, body).state);
+    if (isReturn) return;
+    if (kind === Kind.poll.number) this.sent.note("poll", exactly(Kind.poll.ask, body).text);
+    if (kind === Kind.push.number) this.notePush(exactly(Kind.push.ask, body).text);
+    if (kind === Kind.command.number) this.noteCommand(exactly(Kind.command.ask, body).text);
+    if (kind === Kind.append.number)
+      for (const { text } of exactly(Kind.append.ask, body).entries)
+        this.sent.note(`log entry ${kindOfText(text)}`, text);
+  }
+
+  private notePush(text: string): void {
+    this.sent.note(`sketch of ${text.includes('"tier":"edge"') ? "an edge" : "a collector"}`, text);
+  }
+
+  private noteCommand(text: string): void {
+    this.sent.note(`command ${kindOfText(text)}`, text);
+  }
+
+  /** Ends a run: a voter comes back with an empty disk, a learner that was forgotten comes back, and the leader stops. */
+  playEnd(): void {
+    const follower = this.disks.find((one) => one !== this.leader);
+    if (!follower) throw new Error("Nobody follows.");
+    this.kill(follower, true);
+    this.wait(3000);
+    this.boot(follower, { bootstrap: false });
+    this.wait(8000);
+    const learner = this.disks.find(({ peer }) => this.leader.record?.learners.includes(peer));
+    if (!learner) throw new Error("Nobody learns.");
+    this.kill(learner);
+    this.wait(130_000);
+    this.boot(learner, { bootstrap: false });
+    this.wait(8000);
+    this.drain(this.leader);
+    this.wait(2000);
+  }
+
+  /** Tells a daemon to stop, and waits until it has. */
+  drain(machine: StageMachine): void {
+    const { daemon } = machine;
+    if (!daemon) throw new Error("The daemon doesn't run.");
+    runOn(this.time, daemon.drain());
+    this.kill(machine);
+  }
+}
+
+/** One request of the raw peer, as its text was recorded; a name in capitals between braces stands for what only a run knows. */
+export const stepShape = object({
+  name: string(),
+  kind: enums(["command", "poll", "sketch"]),
+  to: enums(["leader", "follower", "edge"]),
+  text: string(),
+});
+
+export type Step = Infer<typeof stepShape>;
+
+/** Fields of answers that later requests name again. */
+const remembered = ["contract", "configSequence", "directorySequence", "grantNumber"] as const;
+
+/** Sends recorded requests to a fleet, one after another, and notes the keys of the answers. */
+export class Script {
+  readonly answers = new KeyPathTable();
+  private readonly known = new Map<string, string>();
+
+  constructor(
+    private readonly fleet: TappedFleet,
+    private readonly sketch: string,
+  ) {}
+
+  /** Sends one request. */
+  run(step: Step): void {
+    const to = this.target(step.to);
+    const text = this.filled(step.text);
+    this.fleet.wait(20);
+    const { peer } = this.fleet;
+    const answer =
+      step.kind === "command"
+        ? peer.command(to, text)
+        : step.kind === "poll"
+          ? peer.poll(to, text)
+          : peer.push(to, text, this.sketch);
+    this.answers.note(step.name, answer);
+    this.remember(answer);
+  }
+
+  private target(to: Step["to"]): StageMachine {
+    const { leader, disks } = this.fleet;
+    const follower = disks.find((one) => one !== leader);
+    const found = to === "leader" ? leader : to === "edge" ? this.fleet.at(4) : follower;
+    if (!found) throw new Error("There is no such machine.");
+    return found;
+  }
+
+  private filled(text: string): string {
+    const { fleet } = this;
+    const values = new Map(this.known)
+      .set("FLEET", fleet.fleetOf(fleet.leader))
+      .set("FOLLOWER", this.target("follower").peer);
+    return text.replace(/\{([A-Z]+)\}/g, (_, name: string) => values.get(name) ?? "0");
+  }
+
+  private remember(answer: string): void {
+    for (const field of remembered) {
+      const found = new RegExp(`"${field}":"?([^",}]+)`).exec(answer)?.[1];
+      if (found !== undefined) this.known.set(field.toUpperCase(), found);
+    }
+  }
+}
--- /dev/null
+++ b/test/compatibility/stored-data.ts
@@ -0,0 +1,342 @@
+import { createHash } from "node:crypto";
+import { inflateRawSync } from "node:zlib";
+import { ConfigReader } from "../../src/configuration/config.js";
+import type { DaemonOptions } from "../../src/daemon/daemon.js";
+import { Book, Deed, storedConfig, type AcceptedConfig } from "../../src/state/state-machine.js";
+import { History } from "../../src/replication/history/config-history.js";
+import { HistoryFormat } from "../../src/replication/history/history-format.js";
+import { Members } from "../../src/consensus/members.js";
+import { seal, sealBytes, unseal } from "../../src/replication/log/checksum.js";
+import { SharedSnapshot } from "../../src/replication/snapshot/snapshot-sender.js";
+import { Store, type Standing } from "../../src/replication/log/log-store.js";
+import { VirtualClock } from "../../src/simulation/virtual-clock.js";
+import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
+import { Task } from "../../src/runtime/task.js";
+import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
+
+/** The files of a data folder, by name. */
+export type Files = ReadonlyMap<string, Buffer>;
+
+/** A text as it is compared: a long one by its digest. */
+const brief = (text: string): string =>
+  text.length <= 200 ? text : `sha256 ${createHash("sha256").update(text).digest("hex")}`;
+
+/** A virtual disk and a clock that moves only as far as its tasks need. */
+class DiskStage {
+  readonly time = new VirtualClock();
+  readonly disk = new VirtualDisk(this.time.clock(), () => 0.5);
+
+  constructor(files: Files = new Map()) {
+    for (const [name, bytes] of files) this.disk.poke(name, bytes);
+  }
+
+  /** Runs a task to its end and gives its value. */
+  run<T>(task: Task<T>): T {
+    return runOn(this.time, task);
+  }
+
+  /** The files that the disk holds now. */
+  get files(): Files {
+    return new Map(this.run(this.disk.list()).map((name) => [name, this.disk.peek(name)]));
+  }
+}
+
+/** Runs a task on a virtual clock to its end, within 30 virtual seconds, and gives its value. */
+export const runOn = <T>(time: VirtualClock, task: Task<T>): T => {
+  const values: T[] = [];
+  Task.start(
+    task,
+    (error) => {
+      throw error;
+    },
+    (value) => values.push(value),
+  );
+  for (let rounds = 0; values.length === 0 && rounds < 6000; rounds += 1)
+    time.runUntil(time.nowMs() + 5);
+  for (const value of values) return value;
+  throw new Error("The task has not ended.");
+};
+
+/** What a stored configuration says, in the words of the expectations. */
+const configurationOf = (config: AcceptedConfig) => {
+  const { sequence, version, index, changeId, acceptedAt, text } = storedConfig(config);
+  return { sequence, version: version ?? null, index, changeId, acceptedAt, text: brief(text) };
+};
+
+/** Everything that a replica's state machine holds, in the words of the expectations. */
+const stateOf = (book: Book, changeIds: readonly string[]) => ({
+  version: book.version,
+  configurations: book.configs.map(configurationOf),
+  listing: book.recent.map(({ sequence, version, changeId, acceptedAt }) => ({
+    sequence,
+    version: version ?? null,
+    changeId,
+    acceptedAt,
+  })),
+  versionsByChange: changeIds.map((id) => [id, book.changeVersion(id) ?? null]),
+  registrations: [...book.contracts.values()]
+    .map((one) => ({
+      address: one.address,
+      service: one.service,
+      zone: one.zone,
+      warmth: one.warmth,
+      number: one.number,
+      isLeaving: one.leaving,
+      leftAt: one.leftAt,
+      isDrained: one.drained,
+      instance: one.instance,
+      capacity: one.capacity,
+      warmUpMs: one.warmMs,
+      announcement: one.order,
+    }))
+    .sort((a, b) => (a.address < b.address ? -1 : 1)),
+  registrationsIndex: book.directorySequence,
+  goneInstances: [...book.gone],
+  claims: [...book.keys].map(([key, { bodyHash, job, verdict, holders, atIndex }]) => ({
+    key,
+    bodyHash,
+    request: job,
+    outcome: verdict,
+    holders: holders ?? null,
+    index: atIndex,
+  })),
+  numbersInUse: book.numbering.state.inForce,
+  numbersResting: book.numbering.state.resting,
+  numbersFree: book.numbering.state.free,
+  nextNumber: book.numbering.state.next,
+  events: book.journal.map(({ index, text }) => ({ index, text })),
+  quotaHolders: [...book.holders],
+});
+
+/** Loads a data folder the way a restarted member does. */
+const load = (stage: DiskStage): { store: Store; standing: Standing } => {
+  const store = new Store(stage.disk);
+  const loaded = stage.run(store.load());
+  if (loaded.kind !== "whole") throw new Error(`The data folder is ${loaded.kind}.`);
+  return { store, standing: loaded.standing };
+};
+
+/** All configurations that the history files hold, up to the newest. */
+const historyOf = (stage: DiskStage, store: Store) => {
+  const kept = [];
+  for (let sequence = 1; sequence <= store.history.newest; sequence += 1) {
+    const config = stage.run(store.history.read(sequence));
+    if (config) kept.push(configurationOf(config));
+  }
+  return kept;
+};
+
+/** What a data folder says to a member that opens it, snapshot and log entries together. */
+export const readStored = (files: Files, changeIds: readonly string[] = []) => {
+  const stage = new DiskStage(files);
+  const { store, standing } = load(stage);
+  const partial = store.snapshotPart.takeLoaded().map((piece) => ({
+    lastIndex: piece.lastIndex,
+    lastTerm: piece.lastTerm,
+    totalBytes: piece.totalBytes,
+    checksum: piece.checksum,
+    offset: piece.offset,
+    text: brief(inflateRawSync(piece.bytes).toString("utf8")),
+  }));
+  const book = new Book();
+  const hasSnapshot = standing.book !== "{}";
+  const { voters, learners } = hasSnapshot
+    ? book.restore(standing.book)
+    : { voters: [], learners: [] };
+  const outcomes = hasSnapshot
+    ? standing.entries.map(({ index, text }) => `${index} ${brief(book.apply(index, text))}`)
+    : [];
+  return {
+    cluster: standing.fleet,
+    rejoinMark: standing.rejoining,
+    term: standing.term,
+    votedFor: standing.votedFor,
+    snapshotIndex: standing.lastIndex,
+    snapshotTerm: standing.lastTerm,
+    snapshotVoters: voters,
+    snapshotLearners: learners,
+    entries: standing.entries.map(({ index, term, text }) => `${index} ${term} ${brief(text)}`),
+    outcomes,
+    state: stateOf(book, changeIds),
+    history: historyOf(stage, store),
+    partialSnapshot: partial,
+  };
+};
+
+/**
+ * The snapshot's text as it is stored, and as the present code writes it after reading it. A snapshot names its members as
+ * the log entry that set them does, so that this entry is read again too.
+ */
+export const rewrittenSnapshot = (files: Files): { stored: string; rewritten: string } => {
+  const { standing } = load(new DiskStage(files));
+  const book = new Book();
+  const { voters, learners } = book.restore(standing.book);
+  const members = Members.in(Deed.text({ kind: "members", voters, learners }));
+  if (!members) throw new Error("A membership entry isn't read as one.");
+  return { stored: standing.book, rewritten: book.checkpoint(members) };
+};
+
+/** What the present code takes a stored configuration for. */
+export const readConfiguration = (text: string): unknown => new ConfigReader().read(text);
+
+/** The texts of the stored log entries, each with the text that the present code writes for what it read. */
+export const rewrittenEntries = (files: Files): Array<{ stored: string; rewritten: string }> =>
+  load(new DiskStage(files)).standing.entries.map(({ text }) => ({
+    stored: text,
+    rewritten: Deed.text(Deed.read(text)),
+  }));
+
+/** The kinds of the log entries of a data folder, by their stored texts. */
+export const entryKinds = (files: Files): string[] => {
+  const kinds = load(new DiskStage(files)).standing.entries.map(
+    ({ text }) => /^\{"kind":"(\w+)"/.exec(text)?.[1] ?? "none",
+  );
+  return [...new Set(kinds)].sort();
+};
+
+/** The JSON texts of a file of deflated, sealed records. */
+export const recordTexts = (bytes: Uint8Array): string[] => {
+  const buffer = Buffer.from(bytes);
+  const texts: string[] = [];
+  let at = 0;
+  for (let body = unseal(buffer, at); body !== undefined; body = unseal(buffer, at)) {
+    texts.push(inflateRawSync(body).toString("utf8"));
+    at += sealBytes + body.length;
+  }
+  return texts;
+};
+
+const configuration = (sequence: number): AcceptedConfig => ({
+  sequence,
+  ...(sequence < 3 ? {} : { version: sequence * 10 }),
+  index: sequence + 100,
+  changeId: `change-${sequence}`,
+  acceptedAt: "accepted",
+  text: `{"services":{"service-${sequence}":{}},"routes":{},"note":"a text that stays the same"}`,
+});
+
+const standing: Standing = {
+  fleet: "cluster-1",
+  rejoining: "mark-1",
+  term: 4,
+  votedFor: "10.0.0.2:7000",
+  lastIndex: 20,
+  lastTerm: 3,
+  book: "{}",
+  entries: [{ index: 21, term: 4, text: "entry 21" }],
+};
+
+/**
+ * Writes one of everything that a member stores, by the storage alone: slots, a log with entries, a vote and a cut, history
+ * files of both layouts and two pieces of a snapshot.
+ */
+export const writeEverything = (): Files => {
+  const stage = new DiskStage();
+  const wholes = [1, 2].map((sequence) => HistoryFormat.whole(configuration(sequence)));
+  stage.disk.poke("history-0", Buffer.concat(wholes));
+  const store = new Store(stage.disk);
+  stage.run(store.load());
+  stage.run(store.checkpoint(standing));
+  stage.run(store.checkpoint({ ...standing, lastIndex: 21, lastTerm: 4, entries: [] }));
+  stage.run(
+    store.append([
+      { kind: "entry", index: 22, term: 4, text: "entry 22, é" },
+      { kind: "entry", index: 23, term: 4, text: "entry 23" },
+      { kind: "cut", index: 23 },
+      { kind: "vote", term: 5, text: "10.0.0.3:7000" },
+    ]),
+  );
+  const history = new History(stage.disk);
+  stage.run(history.load(stage.run(stage.disk.list())));
+  stage.run(history.add([3, 4, 5].map(configuration)));
+  addSnapshotPieces(stage, store, 19);
+  return stage.files;
+};
+
+/** Adds two of three pieces of a snapshot that ends at an index. */
+const addSnapshotPieces = (stage: DiskStage, store: Store, lastIndex: number): void => {
+  const snapshot = new SharedSnapshot(lastIndex, 3, "x".repeat(600_000));
+  for (const offset of [0, 256 * 1024]) stage.run(store.snapshotPart.add(snapshot.piece(offset)));
+};
+
+/** The file of a partial snapshot that ends at an index. */
+export const partialSnapshot = (lastIndex: number): Buffer => {
+  const stage = new DiskStage();
+  addSnapshotPieces(stage, new Store(stage.disk), lastIndex);
+  return stage.disk.peek("snapshot-part");
+};
+
+/** What a member finds in a folder whose clearing began but didn't end, and the files there. */
+export const interruptedClearing = (): { found: string; names: string[] } => {
+  const stage = new DiskStage(writeEverything());
+  stage.run(new Store(stage.disk).clear());
+  const found = stage.run(new Store(stage.disk).load()).kind;
+  return { found, names: [...stage.files.keys()].sort() };
+};
+
+/** A record behind its length and checksum, as the log holds it. */
+export const sealed = (text: string): Uint8Array => seal(Buffer.from(text, "utf8"));
+
+/** A configuration of the history, as a piece of it travels. */
+export const historyPiece = (): Uint8Array => History.pack([2, 3].map(configuration));
+
+/** The configurations of a piece of the history that begins with the second. */
+export const readHistoryPiece = (bytes: Uint8Array) =>
+  History.unpack(bytes, 2).map(configurationOf);
+
+/** A fleet of one member, which leads alone. */
+export class LoneMember extends FleetStage {
+  /** Begins on a data folder, or on an empty disk; `snapshotBytes` is after how many bytes it writes a snapshot. */
+  constructor(
+    files: Files,
+    private readonly snapshotBytes?: number,
+  ) {
+    super(["d:a"], [0], { tolerate: { machines: 0, zones: 0 } });
+    for (const [name, bytes] of files) this.member.disk?.poke(name, bytes);
+    this.restart();
+  }
+
+  private get member(): StageMachine {
+    return this.at(0);
+  }
+
+  protected override daemonOptions(): DaemonOptions {
+    const { snapshotBytes } = this;
+    const waits = snapshotBytes === undefined ? {} : { checkpointBytes: snapshotBytes };
+    return { ...super.daemonOptions(), waits };
+  }
+
+  /** Kills the process and starts it again; ends once it leads. */
+  restart(): void {
+    if (this.member.daemon) this.kill(this.member);
+    this.boot(this.member);
+    this.until(() => this.member.daemon?.recorder?.hasGrant === true, 20_000);
+  }
+
+  /** Has an entry committed and gives its outcome. */
+  enter(text: string): string {
+    const { recorder } = this.member.daemon ?? {};
+    if (!recorder) throw new Error("The member doesn't run.");
+    const proposed = runOn(this.time, recorder.propose(text));
+    if (typeof proposed === "string") throw new Error(`The entry was not taken: ${proposed}.`);
+    return proposed.outcome;
+  }
+
+  /** How much of another leader's snapshot it holds. */
+  get receivedSnapshotBytes(): number {
+    return this.member.daemon?.recorder?.receivedSnapshotBytes ?? 0;
+  }
+
+  /** The text of an accepted configuration, as the member finds it. */
+  configurationText(sequence: number): string | undefined {
+    return this.config(this.member, sequence);
+  }
+
+  /** What its disk holds now. */
+  get files(): Files {
+    const { disk } = this.member;
+    if (!disk) throw new Error("The member has no disk.");
+    const names = runOn(this.time, disk.list());
+    return new Map(names.map((name) => [name, disk.peek(name)]));
+  }
+}
