--- a/src/admin/admin-api.ts
+++ b/src/admin/admin-api.ts
@@ -20,27 +20,27 @@
 } from "superstruct";
 import {
   Config,
-  faultsOf,
+  validationFaults,
   itemsShape,
   namesShape,
   nameShape,
-  type Fault,
+  type ValidationFault,
 } from "../configuration/config.js";
-import type { AskAttempt, Forwarder } from "../cluster-view/command-forwarder.js";
-import type { ChangeOrder, Order } from "../control-protocol/command.js";
-import { TravellingText } from "../control-protocol/compressed-text.js";
-import type { View } from "../cluster-view/cluster-view.js";
-import type { Job } from "../proxy/proxy-request.js";
-import { Job as Jobs } from "../proxy/proxy-request.js";
-import { Return } from "../proxy/request-outcome.js";
+import type { ForwardAttempt, CommandForwarder } from "../cluster-view/command-forwarder.js";
+import type { ConfigCommand, Command } from "../control-protocol/command.js";
+import { CompressedText } from "../control-protocol/compressed-text.js";
+import type { ClusterView } from "../cluster-view/cluster-view.js";
+import type { ProxyRequest } from "../proxy/proxy-request.js";
+import { ProxyRequest as Jobs } from "../proxy/proxy-request.js";
+import { ClientResponse } from "../proxy/request-outcome.js";
 import type { LinkPacer } from "../runtime/link-pacer.js";
 import type { Task } from "../runtime/task.js";
-import type { PartLog } from "../runtime/logger.js";
-import { World } from "../runtime/runtime.js";
+import type { Logger } from "../runtime/logger.js";
+import { Runtime } from "../runtime/runtime.js";
 import type { RetryRules } from "../retry-budget/retry-rules.js";
-import type { Counts } from "../retry-budget/request-counts.js";
+import type { RequestCounts } from "../retry-budget/request-counts.js";
 import type { LoadBalancer } from "../load-balancing/load-balancer.js";
-import { defaultRules } from "../retry-budget/retry-budget.js";
+import { defaultRetryRules } from "../retry-budget/retry-budget.js";
 import { Query } from "./query-parser.js";
 
 /**
@@ -91,7 +91,7 @@
   object({ lost: number() }),
   /** It may have been taken, so long ago that nobody keeps which change it was. */
   object({ forgottenUpTo: number() }),
-  object({ faults: define<Fault[]>("faults", Array.isArray) }),
+  object({ faults: define<ValidationFault[]>("faults", Array.isArray) }),
 ]);
 const foundShape = type({
   found: nullable(
@@ -113,16 +113,17 @@
 const readyShape = object({ ready: literal(true) });
 
 /** What the operators' port needs of its daemon. */
-export interface Desk {
+export interface DaemonStatusSource {
   status(): Record<string, unknown>;
   /** Why the daemon is not ready, or an empty word. */
   notReady(): string;
   counts():
-    { counts: Counts; ageMs: number; coverage: { edges: number; oldestMs: number } } | undefined;
+    | { counts: RequestCounts; ageMs: number; coverage: { edges: number; oldestMs: number } }
+    | undefined;
 }
 
-const unknownFate = (changeId: string): Return =>
-  Return.json(
+const unknownFate = (changeId: string): ClientResponse =>
+  ClientResponse.json(
     504,
     {
       error:
@@ -134,17 +135,18 @@
   );
 
 /** What the leader said, as it said it. */
-const asSent = (text: string): Return => ({
+const asSent = (text: string): ClientResponse => ({
   code: 200,
   headers: { "content-type": "application/json" },
   body: Buffer.from(`${text}\n`),
 });
 
 /** Nobody who may answer for the whole system was reached, so nothing is known: never a refusal. */
-const noLeader = (): Return => Return.json(503, { error: "No leader could be asked." }, retryAfter);
+const noLeader = (): ClientResponse =>
+  ClientResponse.json(503, { error: "No leader could be asked." }, retryAfter);
 
-const fault = (code: number, error: string, more: Record<string, unknown> = {}): Return =>
-  Return.json(code, { error, ...more });
+const fault = (code: number, error: string, more: Record<string, unknown> = {}): ClientResponse =>
+  ClientResponse.json(code, { error, ...more });
 
 const parse = (body: Uint8Array): { value: unknown } | undefined => {
   try {
@@ -156,30 +158,30 @@
 };
 
 /** Answers operators, back ends and the platform over HTTP. */
-export class Operators {
-  private readonly world: World;
-  private readonly forwarder: Forwarder;
-  private readonly view: View;
+export class AdminApi {
+  private readonly world: Runtime;
+  private readonly forwarder: CommandForwarder;
+  private readonly view: ClusterView;
   private readonly shares: LoadBalancer;
   private readonly egress: LinkPacer;
   /** Where this daemon serves operators. */
   private readonly ownAddress: string;
-  private readonly desk: Desk;
+  private readonly desk: DaemonStatusSource;
   private readonly orderMs: number;
   private readonly rules: RetryRules;
-  private readonly log: PartLog;
+  private readonly log: Logger;
 
   constructor(
-    world: World,
-    forwarder: Forwarder,
-    view: View,
+    world: Runtime,
+    forwarder: CommandForwarder,
+    view: ClusterView,
     shares: LoadBalancer,
     egress: LinkPacer,
     ownAddress: string,
-    desk: Desk,
+    desk: DaemonStatusSource,
     bounds: { readonly orderMs: number; readonly budget: RetryRules } = {
       orderMs: 4000,
-      budget: defaultRules,
+      budget: defaultRetryRules,
     },
   ) {
     this.world = world;
@@ -194,7 +196,7 @@
     this.log = world.logbook.part("operator");
   }
 
-  *handle(job: Job): Task<Return> {
+  *handle(job: ProxyRequest): Task<ClientResponse> {
     const path = Jobs.path(job);
     const at = `${job.method} ${path}`;
     const version = /^\/config\/(\d{1,15})$/.exec(path)?.[1];
@@ -204,11 +206,11 @@
       case "GET /ready": {
         const why = this.desk.notReady();
         return why === ""
-          ? Return.json(200, create({ ready: true }, readyShape))
-          : Return.json(503, { ready: false, why });
+          ? ClientResponse.json(200, create({ ready: true }, readyShape))
+          : ClientResponse.json(503, { ready: false, why });
       }
       case "GET /status":
-        return Return.json(200, this.desk.status());
+        return ClientResponse.json(200, this.desk.status());
       case "GET /config":
         return yield* this.readConfig(undefined);
       case "GET /config/history":
@@ -240,12 +242,12 @@
     }
   }
 
-  private *read(order: Order): Task<Return> {
+  private *read(order: Command): Task<ClientResponse> {
     const text = yield* this.forwarder.command(order, answerMs);
     return text === undefined ? noLeader() : asSent(text);
   }
 
-  private *readConfig(version: number | undefined): Task<Return> {
+  private *readConfig(version: number | undefined): Task<ClientResponse> {
     const text = yield* this.forwarder.command(
       { kind: "get", ...(version === undefined ? {} : { version }) },
       answerMs,
@@ -254,23 +256,23 @@
     const { found, noLongerKept } = create(JSON.parse(text), foundShape);
     // A first config is still to come: whoever waits for it asks again, so this is no refusal for good.
     if (!found && version === undefined)
-      return Return.json(503, { error: "No config was accepted yet." }, retryAfter);
+      return ClientResponse.json(503, { error: "No config was accepted yet." }, retryAfter);
     if (!found && noLongerKept === true)
       return fault(
         410,
         `Config ${version} is no longer kept: the oldest go first when the disk's share for them is full.`,
       );
     if (!found) return fault(404, `No config ${version} is kept.`);
-    const configText = TravellingText.read(found);
+    const configText = CompressedText.read(found);
     const elsewhere = this.elsewhereFor(configText);
     if (elsewhere !== undefined)
-      return Return.json(
+      return ClientResponse.json(
         307,
         { error: "This daemon's link is too slow for it; a member of the log has it." },
         { location: `http://${elsewhere}/config${version === undefined ? "" : `/${version}`}` },
       );
     const config: unknown = JSON.parse(configText);
-    return Return.json(
+    return ClientResponse.json(
       200,
       {
         sequence: found.version,
@@ -290,7 +292,7 @@
     return others[Math.floor(this.world.random() * others.length)];
   }
 
-  private *change(job: Job): Task<Return> {
+  private *change(job: ProxyRequest): Task<ClientResponse> {
     const parsed = parse(job.body);
     if (!parsed)
       return fault(400, "The body is not JSON.", {
@@ -308,7 +310,7 @@
       return fault(400, "Config-Version names no version.", {
         faults: [{ path: "Config-Version", expected: "a number, such as 12" }],
       });
-    const changeId = job.headers["change-id"] ?? World.nonce(this.world);
+    const changeId = job.headers["change-id"] ?? Runtime.nonce(this.world);
     if (changeId.length === 0 || changeId.length > 100)
       return fault(400, "A Change-Id has 1 to 100 characters.");
     const change = {
@@ -323,7 +325,9 @@
       );
     const [failure, items] = validate(parsed.value, amendment);
     if (failure)
-      return fault(400, "The change is refused whole.", { faults: faultsOf(failure.failures()) });
+      return fault(400, "The change is refused whole.", {
+        faults: validationFaults(failure.failures()),
+      });
     return yield* this.enter(
       {
         kind: "amend",
@@ -340,14 +344,14 @@
   }
 
   /** Has a change taken; a large one is waited for longer, as its sender does. */
-  private *enter(order: ChangeOrder, bodyBytes = 0): Task<Return> {
+  private *enter(order: ConfigCommand, bodyBytes = 0): Task<ClientResponse> {
     const waitMs = Math.min(this.orderMs, answerMs + bodyBytes / slowBytesMs);
     const text = yield* this.forwarder.command(order, waitMs);
     if (text === undefined) return unknownFate(order.changeId);
     const outcome = create(JSON.parse(text), outcomeShape);
     if ("forgottenUpTo" in outcome) return unknownFate(order.changeId);
     if ("accepted" in outcome)
-      return Return.json(
+      return ClientResponse.json(
         200,
         { sequence: outcome.accepted, version: outcome.accepted },
         { etag: `"${outcome.accepted}"` },
@@ -360,14 +364,16 @@
     return fault(400, "The config is refused whole.", { faults: outcome.faults });
   }
 
-  private *announced(job: Job): Task<Return> {
+  private *announced(job: ProxyRequest): Task<ClientResponse> {
     const [failure, told] = validate(parse(job.body)?.value, announcement);
     if (failure)
-      return fault(400, "The announcement is refused.", { faults: faultsOf(failure.failures()) });
+      return fault(400, "The announcement is refused.", {
+        faults: validationFaults(failure.failures()),
+      });
     const announced = { ...told, warmth: told.warmth ?? 1 };
     const heard = this.view.hear(announced);
-    if (heard) return Return.json(200, { ...heard });
-    const order: Order = {
+    if (heard) return ClientResponse.json(200, { ...heard });
+    const order: Command = {
       kind: "announce",
       ...announced,
       seen: Math.max(0, this.view.directorySequence),
@@ -377,26 +383,26 @@
       : yield* this.forwarder.command(order, answerMs);
     if (text === undefined) return noLeader();
     return is(JSON.parse(text), behindShape)
-      ? Return.json(503, { error: "This daemon is behind; ask another." }, retryAfter)
+      ? ClientResponse.json(503, { error: "This daemon is behind; ask another." }, retryAfter)
       : asSent(text);
   }
 
-  private *left(job: Job): Task<Return> {
+  private *left(job: ProxyRequest): Task<ClientResponse> {
     const value = parse(job.body)?.value;
     const [failure, told] =
       typeof value === "object" && value !== null && "instance" in value
         ? validate(value, leavingInstance)
         : validate(value, leaving);
     if (failure)
-      return fault(400, "The notice is refused.", { faults: faultsOf(failure.failures()) });
+      return fault(400, "The notice is refused.", { faults: validationFaults(failure.failures()) });
     const text = yield* this.leaving({ kind: "leave", ...told });
     return text === undefined ? noLeader() : asSent(text);
   }
 
   /** Has the leader told that a backend leaves; one that it doesn't acknowledge in time is logged with every ask that was made. */
-  private *leaving(order: Order): Task<string | undefined> {
+  private *leaving(order: Command): Task<string | undefined> {
     const startedMs = this.world.clock.nowMs();
-    const attempts: AskAttempt[] = [];
+    const attempts: ForwardAttempt[] = [];
     const text = yield* this.forwarder.command(order, answerMs, (attempt) =>
       attempts.push(attempt),
     );
@@ -415,7 +421,7 @@
     return text;
   }
 
-  private *ask(line: string): Task<Return> {
+  private *ask(line: string): Task<ClientResponse> {
     const read = Query.read(line);
     if ("fault" in read)
       return fault(
@@ -433,7 +439,7 @@
       case "showService":
         return this.showService(query.service);
       case "showRoutes":
-        return Return.json(200, {
+        return ClientResponse.json(200, {
           sequence: this.view.configSequence,
           routes: this.view.mappings.all.map(
             ({ name, service, goalMs, furtherTries, repeatable }) => ({
@@ -448,17 +454,17 @@
       case "showHeavyRoutes":
         return this.showHeavy();
       case "showShares":
-        return Return.json(200, { shares: this.allShares() });
+        return ClientResponse.json(200, { shares: this.allShares() });
       case "whyShare": {
         const found = this.allShares().find((share) => share.address === query.address);
         return found
-          ? Return.json(200, { ...found })
+          ? ClientResponse.json(200, { ...found })
           : fault(404, `No back end at ${query.address} is known here.`);
       }
       case "whyRoute": {
         const mapping = this.view.mappings.all.find(({ name }) => name === query.route);
         if (!mapping) return fault(404, `No route "${query.route}" is in force.`);
-        return Return.json(200, {
+        return ClientResponse.json(200, {
           route: mapping.name,
           service: mapping.service,
           why: `config ${this.view.configSequence} says so`,
@@ -492,18 +498,18 @@
     }
   }
 
-  private *patch(value: unknown, route: string): Task<Return> {
+  private *patch(value: unknown, route: string): Task<ClientResponse> {
     // This daemon may be behind, so the leader is asked, not the view in hand.
     const text = yield* this.forwarder.command({ kind: "get" }, answerMs);
     if (text === undefined) return noLeader();
     const { found } = create(JSON.parse(text), foundShape);
-    const config = found ? Config.check(JSON.parse(TravellingText.read(found))) : undefined;
+    const config = found ? Config.check(JSON.parse(CompressedText.read(found))) : undefined;
     if (!config || "faults" in config || !Object.hasOwn(config.config.routes, route))
       return fault(404, `No route "${route}" is in force.`);
-    return yield* this.enter({ kind: "patch", changeId: World.nonce(this.world), value });
+    return yield* this.enter({ kind: "patch", changeId: Runtime.nonce(this.world), value });
   }
 
-  private *showFleet(kind: "showMachines" | "showBackEnds"): Task<Return> {
+  private *showFleet(kind: "showMachines" | "showBackEnds"): Task<ClientResponse> {
     const text = yield* this.forwarder.command({ kind: "fleet" }, answerMs);
     if (text === undefined) return noLeader();
     const fleet = create(
@@ -518,25 +524,25 @@
     );
     const { leader, voters, learners, machines, backEnds } = fleet;
     return kind === "showMachines"
-      ? Return.json(200, { leader, voters, learners, machines })
-      : Return.json(200, { backEnds });
+      ? ClientResponse.json(200, { leader, voters, learners, machines })
+      : ClientResponse.json(200, { backEnds });
   }
 
-  private *explain(): Task<Return> {
+  private *explain(): Task<ClientResponse> {
     const text = yield* this.forwarder.command({ kind: "history" }, answerMs);
     if (text === undefined) return noLeader();
-    return Return.json(200, {
+    return ClientResponse.json(200, {
       journal: create(JSON.parse(text), historyShape).journal.slice(-100),
     });
   }
 
-  private showService(service: string): Return {
+  private showService(service: string): ClientResponse {
     const number = this.view.numberOf("service", service);
     if (number === undefined) return fault(404, `No service "${service}" is in force.`);
     const { sketch, windowMs } = this.rules;
     const latest = this.desk.counts();
     const tries = latest?.counts.ofService(number, this.world.clock.nowMs(), windowMs);
-    return Return.json(200, {
+    return ClientResponse.json(200, {
       service,
       windowMs,
       firstTries: tries ? Math.round(tries.first) : null,
@@ -547,7 +553,7 @@
     });
   }
 
-  private showHeavy(): Return {
+  private showHeavy(): ClientResponse {
     const latest = this.desk.counts();
     if (!latest) return fault(503, "The fleet's counts have not come yet.");
     const { windowMs } = this.rules;
@@ -556,7 +562,7 @@
       route: this.view.nameOf(item)?.replace(/^route /, "") ?? `number ${item}`,
       requests: Math.round(estimate),
     }));
-    return Return.json(200, {
+    return ClientResponse.json(200, {
       atLeastPartOfAll: heavyPhi,
       windowMs,
       routes,
--- a/src/admin/config-archive.ts
+++ b/src/admin/config-archive.ts
@@ -2,7 +2,7 @@
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
 import type { AcceptedConfig } from "../state/state-machine.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import { Queue } from "../runtime/queue.js";
 import { Task } from "../runtime/task.js";
 
@@ -15,13 +15,13 @@
   `Config ${config.sequence}\n\nChange: ${config.changeId}\nAccepted: ${config.acceptedAt}\n`;
 
 /** A Git repository in which accepted configs are also kept, one commit each; never on the path of acceptance. */
-export class Archive {
+export class ConfigArchive {
   private readonly folder: string;
-  private readonly log: PartLog;
+  private readonly log: Logger;
   private readonly queue = new Queue<AcceptedConfig>();
   private newest = 0;
 
-  constructor(folder: string, log: PartLog) {
+  constructor(folder: string, log: Logger) {
     this.folder = join(folder, "configs");
     this.log = log;
   }
--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -1,14 +1,18 @@
 import { cac } from "cac";
-import { Book, Deed, heldKeys } from "../state/state-machine.js";
-import { Waits } from "../replication/replication-node.js";
-import { seal } from "../replication/log/checksum.js";
-import { Counts, CountsForm, retryWindowMs } from "../retry-budget/request-counts.js";
+import { StateMachine, LogCommand, MAX_IDEMPOTENCY_CLAIMS } from "../state/state-machine.js";
+import { ReplicationTimeouts } from "../replication/replication-node.js";
+import { withChecksum } from "../replication/log/checksum.js";
+import {
+  RequestCounts,
+  RequestCountsFormat,
+  RETRY_WINDOW_MS,
+} from "../retry-budget/request-counts.js";
 import { EcmSketch } from "../sketch/ecm-sketch.js";
 import { stampOf } from "../sketch/exponential-histogram.js";
 import { measureBudget } from "./retry-budget-benchmark.js";
-import { Draw } from "../simulation/random-draw.js";
+import { RandomDraw } from "../simulation/random-draw.js";
 import { Profile } from "../simulation/profile.js";
-import { Simulation, type SimMachine } from "../simulation/simulation.js";
+import { Simulation, type SimulatedMachine } from "../simulation/simulation.js";
 
 const say = (line: string): void => {
   process.stdout.write(`${line}\n`);
@@ -30,9 +34,9 @@
   return simulation.time.nowMs() - startMs;
 };
 
-const leading = (simulation: Simulation): SimMachine | undefined =>
+const leading = (simulation: Simulation): SimulatedMachine | undefined =>
   simulation.machines.find(({ daemon }) => daemon?.recorder?.hasGrant);
-const edgesOf = (simulation: Simulation): SimMachine[] =>
+const edgesOf = (simulation: Simulation): SimulatedMachine[] =>
   simulation.machines.filter(
     ({ settings, daemon }) => settings.callers !== undefined && daemon !== undefined,
   );
@@ -63,7 +67,7 @@
     let lapsed = 0;
     elected.push(
       until(simulation, () => leading(simulation) !== undefined, 10_000) /
-        Waits.usual.electionMinMs,
+        ReplicationTimeouts.usual.electionMinMs,
     );
     until(
       simulation,
@@ -86,7 +90,7 @@
           (old.daemon?.recorder?.status.applied ?? -1) >=
             (leading(simulation)?.daemon?.recorder?.status.committed ?? Infinity),
         10_000,
-      ) / Waits.usual.electionMinMs,
+      ) / ReplicationTimeouts.usual.electionMinMs,
     );
   }
   say(
@@ -159,12 +163,12 @@
 const measureSketches = (): void => {
   for (const epsilon of [0.05, 0.1, 0.2]) {
     const form = {
-      ...CountsForm.usual,
-      tries: { ...CountsForm.usual.tries, epsilon },
-      routes: { ...CountsForm.usual.routes, epsilon: epsilon * 2 },
+      ...RequestCountsFormat.usual,
+      tries: { ...RequestCountsFormat.usual.tries, epsilon },
+      routes: { ...RequestCountsFormat.usual.routes, epsilon: epsilon * 2 },
     };
-    const random = Draw.of(3);
-    const leaves = Array.from({ length: 16 }, () => new Counts(form));
+    const random = RandomDraw.of(3);
+    const leaves = Array.from({ length: 16 }, () => new RequestCounts(form));
     const sketches = Array.from({ length: 16 }, () => new EcmSketch(form.tries));
     const times: number[][] = [[], [], []];
     for (let atMs = 0; atMs < 15_000; atMs += 1.8) {
@@ -180,7 +184,8 @@
     let single = 0;
     for (const fanIn of [1, 4, 16]) {
       const startMs = performance.now();
-      for (let round = 0; round < 5; round += 1) Counts.merge(leaves.slice(0, fanIn), form, 15_000);
+      for (let round = 0; round < 5; round += 1)
+        RequestCounts.merge(leaves.slice(0, fanIn), form, 15_000);
       const tookMs = performance.now() - startMs;
       if (fanIn === 1) single = tookMs;
       cost.push(tookMs / single);
@@ -193,13 +198,13 @@
       form.tries,
       stampOf(15_000),
     );
-    const total = times.flat().filter((atMs) => atMs > 15_000 - retryWindowMs).length;
+    const total = times.flat().filter((atMs) => atMs > 15_000 - RETRY_WINDOW_MS).length;
     const worst = Math.max(
       ...times.map(
         (one, service) =>
           Math.abs(
-            root.estimate(service * 2, stampOf(15_000), retryWindowMs) -
-              one.filter((atMs) => atMs > 15_000 - retryWindowMs).length,
+            root.estimate(service * 2, stampOf(15_000), RETRY_WINDOW_MS) -
+              one.filter((atMs) => atMs > 15_000 - RETRY_WINDOW_MS).length,
           ) / total,
       ),
     );
@@ -234,10 +239,10 @@
 };
 
 /** A book at its fullest: keys with their returns, routes, back ends. */
-const fullBook = (keys: number, bodyBytes: number): Book => {
-  const book = new Book();
+const fullBook = (keys: number, bodyBytes: number): StateMachine => {
+  const book = new StateMachine();
   let index = 0;
-  const apply = (deed: Deed): void => void book.apply((index += 1), Deed.text(deed));
+  const apply = (deed: LogCommand): void => void book.apply((index += 1), LogCommand.text(deed));
   const names = Array.from({ length: 5000 }, (_, at) => `route-${at}`);
   const routes = Object.fromEntries(
     names.map((name) => [name, { match: { path: `/${name}/*` }, service: "issues" }]),
@@ -278,19 +283,21 @@
   const inGrants = (run: () => unknown): number => {
     const startMs = performance.now();
     run();
-    return (performance.now() - startMs) / Waits.usual.leaderGrantMs;
+    return (performance.now() - startMs) / ReplicationTimeouts.usual.leaderGrantMs;
   };
   for (const [keys, bodyBytes] of [
     [14_400, 120],
     [14_400, 21_844],
-    [heldKeys, 120],
+    [MAX_IDEMPOTENCY_CLAIMS, 120],
   ] as const) {
     const book = fullBook(keys, bodyBytes);
     let text = "";
     const made = Array.from({ length: 5 }, () =>
-      inGrants(() => seal(Buffer.from((text = book.checkpoint(members)), "utf8"))),
+      inGrants(() => withChecksum(Buffer.from((text = book.checkpoint(members)), "utf8"))),
+    );
+    const restored = Array.from({ length: 5 }, () =>
+      inGrants(() => new StateMachine().restore(text)),
     );
-    const restored = Array.from({ length: 5 }, () => inGrants(() => new Book().restore(text)));
     say(
       `${keys} keys, returns of ${bodyBytes} bytes, 5,000 routes, 400 back ends: a checkpoint of ${(text.length / 2 ** 20).toFixed(1)} MiB, made in ${spread(made)} and restored in ${spread(restored)} of a leader's grant`,
     );
--- a/src/benchmarks/retry-budget-benchmark.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -1,7 +1,7 @@
-import { sketchRule } from "../retry-budget/retry-budget.js";
-import { retryWindowMs } from "../retry-budget/request-counts.js";
+import { defaultSketchRule } from "../retry-budget/retry-budget.js";
+import { RETRY_WINDOW_MS } from "../retry-budget/request-counts.js";
 import type { Profile } from "../simulation/profile.js";
-import { Simulation, type SimMachine } from "../simulation/simulation.js";
+import { Simulation, type SimulatedMachine } from "../simulation/simulation.js";
 
 /** Where back ends break down: for all edges alike, or for one edge alone. */
 export type Where = "even" | "one";
@@ -36,7 +36,7 @@
   simulation.start(simulation.day.putConfig());
   simulation.time.runUntil(20_000);
   const edges = simulation.machines.filter(
-    (machine): machine is SimMachine => machine.settings.callers !== undefined,
+    (machine): machine is SimulatedMachine => machine.settings.callers !== undefined,
   );
   const [only] = edges;
   const [service = ""] = Object.keys(profile.backEnds);
@@ -56,8 +56,8 @@
     coverage: [],
     worst: 0,
   };
-  const seen = new Map<SimMachine, { sketch: number; guard: number }>();
-  const tallyOf = (edge: SimMachine): { sketch: number; guard: number } =>
+  const seen = new Map<SimulatedMachine, { sketch: number; guard: number }>();
+  const tallyOf = (edge: SimulatedMachine): { sketch: number; guard: number } =>
     edge.daemon?.door.tally.furtherRefused ?? { sketch: 0, guard: 0 };
   const tried = new Set<string>();
   const further: number[] = [];
@@ -108,27 +108,28 @@
   const requests: number[] = [];
   for (let at = simulation.ledger.callers.length - 1; at >= 0; at -= 1) {
     const record = simulation.ledger.callers[at];
-    if (!record || record.endedMs < nowMs - retryWindowMs) break;
-    if (record.service === service && record.sentMs > nowMs - retryWindowMs)
+    if (!record || record.endedMs < nowMs - RETRY_WINDOW_MS) break;
+    if (record.service === service && record.sentMs > nowMs - RETRY_WINDOW_MS)
       requests.push(record.sentMs);
   }
-  const lately = further.filter((atMs) => atMs > nowMs - retryWindowMs);
+  const lately = further.filter((atMs) => atMs > nowMs - RETRY_WINDOW_MS);
   return lately.every(
     (fromMs, at) =>
       lately.length - at + 1 <=
-      sketchRule.earned * requests.filter((atMs) => atMs >= fromMs).length + sketchRule.pool,
+      defaultSketchRule.earned * requests.filter((atMs) => atMs >= fromMs).length +
+        defaultSketchRule.pool,
   );
 };
 
 const sample = (
   simulation: Simulation,
-  edges: readonly SimMachine[],
+  edges: readonly SimulatedMachine[],
   service: string,
   decided: Decided,
   nowMs: number,
 ): void => {
   const truth = simulation.ledger.runs.filter(
-    (run) => run.meant === service && run.atMs > nowMs - retryWindowMs,
+    (run) => run.meant === service && run.atMs > nowMs - RETRY_WINDOW_MS,
   ).length;
   for (const { daemon } of edges) {
     const told = daemon?.toldTries(service);
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -8,8 +8,11 @@
 import { SettingsError } from "../daemon/settings-error.js";
 import { SettingsFile } from "../daemon/settings-file.js";
 import { Task } from "../runtime/task.js";
-import { restore, type Restored } from "../replication/bootstrap/restore-as-only-voter.js";
-import { Config, type Fault } from "../configuration/config.js";
+import {
+  restoreAsOnlyVoter,
+  type RestoreResult,
+} from "../replication/bootstrap/restore-as-only-voter.js";
+import { Config, type ValidationFault } from "../configuration/config.js";
 import { Query } from "../admin/query-parser.js";
 
 const exit = { well: 0, broken: 1, usage: 2, refused: 3, unreachable: 4 };
@@ -18,7 +21,7 @@
   process.stderr.write(`daledoor: ${line}\n`);
 };
 
-const tellFaults = (faults: Fault[]): void => {
+const tellFaults = (faults: ValidationFault[]): void => {
   for (const { path, expected } of faults) complain(`${path}: ${expected}`);
 };
 
@@ -123,10 +126,10 @@
       );
       return exit.refused;
     }
-    const restored = await new Promise<Restored>((done, fail) =>
+    const restored = await new Promise<RestoreResult>((done, fail) =>
       Task.start(
         (function* () {
-          return yield* restore(yield* Disk.open(dataFolder), peers);
+          return yield* restoreAsOnlyVoter(yield* Disk.open(dataFolder), peers);
         })(),
         fail,
         done,
--- a/src/cluster-view/active-route.ts
+++ b/src/cluster-view/active-route.ts
@@ -3,7 +3,7 @@
 type Route = Config["routes"][string];
 
 /** Where one kind of request goes: a route as the daemons use it. */
-export interface Mapping {
+export interface ActiveRoute {
   readonly name: string;
   /** The host in lower case, or undefined for any. */
   readonly host: string | undefined;
--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -1,25 +1,25 @@
-import { Kind } from "../rpc/rpc-method.js";
+import { RpcMethod } from "../rpc/rpc-method.js";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import { StepTimer } from "../runtime/step-timer.js";
 import type { Task } from "../runtime/task.js";
-import type { World } from "../runtime/runtime.js";
-import type { Contract } from "../state/state-machine.js";
+import type { Runtime } from "../runtime/runtime.js";
+import type { Registration } from "../state/state-machine.js";
 import { Config } from "../configuration/config.js";
-import { ConfigCopy } from "./config-replica.js";
-import { DirectoryCopy } from "./endpoint-replica.js";
-import type { EdgePlace } from "../control-protocol/edge-placement.js";
-import type { Forwarder } from "./command-forwarder.js";
-import { Mappings } from "./route-table.js";
+import { ConfigReplica } from "./config-replica.js";
+import { EndpointReplica } from "./endpoint-replica.js";
+import type { EdgePlacement } from "../control-protocol/edge-placement.js";
+import type { CommandForwarder } from "./command-forwarder.js";
+import { RouteTable } from "./route-table.js";
 import {
-  Poll,
-  type GrantedView,
-  type KnownMembers,
-  type Machine,
-  type Order,
+  WatchRequest,
+  type LeasedView,
+  type ControlPlanePeers,
+  type DaemonInfo,
+  type Command,
 } from "../control-protocol/command.js";
-import type { TryCapacities } from "./retry-capacities.js";
+import type { RetryCapacities } from "./retry-capacities.js";
 
 /** How long a poll is waited for until it is sent again, where bounds don't say otherwise. */
 const usualPollWaitMs = 450;
@@ -31,10 +31,10 @@
 const hurriedPollMs = 40;
 
 /** What a back end says of itself in an announcement. */
-export type Announcement = Omit<Extract<Order, { kind: "announce" }>, "kind" | "seen">;
+export type BackendHeartbeat = Omit<Extract<Command, { kind: "announce" }>, "kind" | "seen">;
 
 /** What a daemon answers to an announcement that needs no leader. */
-export interface Heard {
+export interface KnownRegistration {
   contract: number;
   state: "known" | "overtaken";
   announceMs: number;
@@ -47,20 +47,20 @@
 }
 
 /** What a daemon knows of the fleet, and until when it may serve by it. */
-export class View {
-  private readonly world: World;
-  private readonly forwarder: Forwarder;
-  private readonly machine: () => Machine;
-  private readonly budget: TryCapacities;
-  private readonly log: PartLog;
+export class ClusterView {
+  private readonly world: Runtime;
+  private readonly forwarder: CommandForwarder;
+  private readonly machine: () => DaemonInfo;
+  private readonly budget: RetryCapacities;
+  private readonly log: Logger;
   private readonly steps: StepTimer;
   private untilMs = -Infinity;
   private lastSentMs = -Infinity;
   private heard = false;
-  private readonly directory = new DirectoryCopy();
-  private byService = new Map<string, Contract[]>();
-  private byAddress = new Map<string, Contract>();
-  private byInstance = new Map<string, Contract>();
+  private readonly directory = new EndpointReplica();
+  private byService = new Map<string, Registration[]>();
+  private byAddress = new Map<string, Registration>();
+  private byInstance = new Map<string, Registration>();
   /** The numbers of the contracts that stand, as far as is known here. */
   private standing = new Set<number>();
   /** What announced itself here and is yet to be told to the leader, by contract. */
@@ -69,31 +69,36 @@
   private readonly orders = new Map<string, number>();
   private announceMs = 1000;
   /** Hears of all contracts whenever the directory has changed. */
-  onDirectory: (contracts: readonly Contract[]) => void = () => undefined;
+  onDirectory: (contracts: readonly Registration[]) => void = () => undefined;
   /** Hears that there is a lease and a config to serve by, where one was missing. */
   onLease: () => void = () => undefined;
   /** Hears of this edge's place among all edges, whenever it has changed. */
-  onPlace: (place: EdgePlace) => void = () => undefined;
+  onPlace: (place: EdgePlacement) => void = () => undefined;
   /** Hears of each config that comes into force here. */
-  onConfig: (mappings: Mappings) => void = () => undefined;
-  private readonly config = new ConfigCopy();
+  onConfig: (mappings: RouteTable) => void = () => undefined;
+  private readonly config = new ConfigReplica();
   private readonly names = new Map<number, string>();
-  mappings = new Mappings(Config.empty);
-  collectors: KnownMembers["collectors"] = [];
+  mappings = new RouteTable(Config.empty);
+  collectors: ControlPlanePeers["collectors"] = [];
   /** Where members of the log that don't lead serve operators. */
   memberOperators: readonly string[] = [];
   private membersDigest = "";
-  private place: EdgePlace | undefined;
+  private place: EdgePlacement | undefined;
   /** What the grant of capacities says that `grantNumber` names. */
   private toldCapacities: ReadonlyMap<string, number> = new Map();
-  private refused: Contract[] = [];
+  private refused: Registration[] = [];
   private grantNumber = "";
   private readonly nudge = new Queue<true>();
   /** How many polls were sent, and how many brought a grant. */
   polls = 0;
   grants = 0;
 
-  constructor(world: World, forwarder: Forwarder, machine: () => Machine, budget: TryCapacities) {
+  constructor(
+    world: Runtime,
+    forwarder: CommandForwarder,
+    machine: () => DaemonInfo,
+    budget: RetryCapacities,
+  ) {
     this.world = world;
     this.forwarder = forwarder;
     this.machine = machine;
@@ -135,17 +140,17 @@
   }
 
   /** The back ends under contract for a service that aren't leaving. */
-  backEnds(service: string): readonly Contract[] {
+  backEnds(service: string): readonly Registration[] {
     return this.byService.get(service) ?? [];
   }
 
   /** Whether a contract still stands, as far as is known here. */
-  holds(contract: Contract): boolean {
+  holds(contract: Registration): boolean {
     return this.standing.has(contract.number);
   }
 
   /** The contract of an instance, which may be leaving. */
-  contractOf(instance: string): Contract | undefined {
+  contractOf(instance: string): Registration | undefined {
     return this.byInstance.get(instance);
   }
 
@@ -162,7 +167,7 @@
     capacity = 0,
     order,
     draining = false,
-  }: Announcement): Heard | undefined {
+  }: BackendHeartbeat): KnownRegistration | undefined {
     const known = this.byAddress.get(address);
     const isSame = known?.instance === instance && known.service === service;
     if (draining) return undefined;
@@ -201,7 +206,7 @@
   }
 
   /** Hears that nobody listens at a contract's address; the leader is told with the next poll. */
-  noteRefused(contract: Contract): void {
+  noteRefused(contract: Registration): void {
     if (this.refused.some(({ number }) => number === contract.number)) return;
     this.refused.push(contract);
     this.arrange();
@@ -215,8 +220,8 @@
       const told = new Map(this.announced);
       this.lastSentMs = sentMs;
       const receive = (ret: string): void => this.receive(ret, sentMs, told);
-      const ret = yield* this.forwarder.once(Kind.poll, text, waitMs, {
-        waitMs: Kind.poll.waitMs,
+      const ret = yield* this.forwarder.once(RpcMethod.poll, text, waitMs, {
+        waitMs: RpcMethod.poll.waitMs,
         take: receive,
       });
       if (ret !== undefined) receive(ret);
@@ -231,7 +236,7 @@
 
   /** Takes what a poll returned, which may come after its time: its lease counts from the poll's sending. */
   private receive(ret: string, sentMs: number, told: ReadonlyMap<number, AnnouncedHere>): void {
-    const view = Poll.readReturn(ret);
+    const view = WatchRequest.readReturn(ret);
     if (!view.granted) return;
     this.take(view, sentMs);
     for (const [number, one] of told)
@@ -248,7 +253,7 @@
     }
     for (const [number, { atMs }] of this.announced)
       if (nowMs - atMs > heardForMs) this.announced.delete(number);
-    const poll: Poll = {
+    const poll: WatchRequest = {
       machine: this.machine(),
       configSequence: this.config.knownSequence,
       directorySequence: this.directory.knownSequence,
@@ -266,7 +271,7 @@
     return JSON.stringify(poll);
   }
 
-  private take(view: GrantedView, sentMs: number): void {
+  private take(view: LeasedView, sentMs: number): void {
     if (
       view.configSequence < this.configSequence ||
       view.directorySequence < this.directorySequence
@@ -292,7 +297,7 @@
   }
 
   /** Brings the copies up to a view; tells whether they are what the leader has. */
-  private takeCopies(view: GrantedView): boolean {
+  private takeCopies(view: LeasedView): boolean {
     const directory = this.steps.run("copyDirectory", () => this.directory.take(view));
     const config = this.steps.run("copyConfig", () => this.config.take(view));
     if (directory === "changed") this.steps.run("takeDirectory", () => this.takeDirectory());
@@ -307,14 +312,14 @@
     return false;
   }
 
-  private takeMembers({ digest, collectors, recorders, operators = [] }: KnownMembers): void {
+  private takeMembers({ digest, collectors, recorders, operators = [] }: ControlPlanePeers): void {
     this.memberOperators = operators;
     this.membersDigest = digest;
     this.collectors = collectors;
     this.forwarder.know(recorders);
   }
 
-  private takePlace(place: EdgePlace): void {
+  private takePlace(place: EdgePlacement): void {
     const { count, zoneIndex, zoneCount } = this.place ?? {};
     if (count === place.count && zoneIndex === place.zoneIndex && zoneCount === place.zoneCount)
       return;
@@ -322,7 +327,7 @@
     this.onPlace(place);
   }
 
-  private takeCapacities({ capacities, grantNumber }: GrantedView): void {
+  private takeCapacities({ capacities, grantNumber }: LeasedView): void {
     if (capacities)
       this.toldCapacities = new Map(capacities.map(({ service, capacity }) => [service, capacity]));
     this.budget.setCapacities(this.toldCapacities, this.world.clock.nowMs());
@@ -330,7 +335,7 @@
   }
 
   private takeConfig(): void {
-    this.mappings = new Mappings(this.config.config, this.mappings);
+    this.mappings = new RouteTable(this.config.config, this.mappings);
     for (const [name, number] of this.config.numbers) this.names.set(number, name);
     this.onConfig(this.mappings);
   }
@@ -373,4 +378,5 @@
 }
 
 /** The name of the connections under one contract. */
-export const poolOf = (contract: Contract): string => `${contract.address} ${contract.number}`;
+export const connectionPoolKey = (contract: Registration): string =>
+  `${contract.address} ${contract.number}`;
--- a/src/cluster-view/command-forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -1,21 +1,21 @@
-import { Kind } from "../rpc/rpc-method.js";
-import type { Held, LateReturn, Link } from "../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../rpc/rpc-method.js";
+import type { DecodedMessage, LateResponse, RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/runtime.js";
+import { Runtime } from "../runtime/runtime.js";
 import {
-  breakdownReturn,
-  isBreakdown,
-  Order,
-  overloadedReturn,
+  failureResponse,
+  isFailureResponse,
+  Command,
+  overloadedResponse,
 } from "../control-protocol/command.js";
 
-type Asked = Held<typeof Kind.command.ask>;
-type Returned = Held<typeof Kind.command.return>;
+type Asked = DecodedMessage<typeof RpcMethod.command.ask>;
+type Returned = DecodedMessage<typeof RpcMethod.command.return>;
 
 /** What a recorder offers a forwarder: itself as the leader, or the way to it. */
-export interface Leadership {
+export interface LeadershipSource {
   readonly leads: boolean;
   readonly leader: string;
 }
@@ -29,25 +29,25 @@
 const silentMs = 3000;
 /** How often one that forwards on looks whether another leads by now. */
 const lookMs = 20;
-const notLeader = breakdownReturn("notLeader");
+const notLeader = failureResponse("notLeader");
 
-const endingOf = (text: string | undefined): AskAttempt["ending"] => {
+const endingOf = (text: string | undefined): ForwardAttempt["ending"] => {
   if (text === undefined) return "silent";
   if (text === notLeader) return "notLeader";
-  return isBreakdown(text) ? "failed" : "answered";
+  return isFailureResponse(text) ? "failed" : "answered";
 };
 
 /** One ask on the way of a command: whom, how it ended, and how long that took. */
-export interface AskAttempt {
+export interface ForwardAttempt {
   readonly peer: string;
   readonly ending: "answered" | "silent" | "notLeader" | "failed";
   readonly tookMs: number;
 }
 
 /** Brings commands and polls to whoever leads, through any daemon. */
-export class Forwarder {
-  private readonly world: World;
-  private readonly link: Link;
+export class CommandForwarder {
+  private readonly world: Runtime;
+  private readonly link: RpcEndpoint;
   private readonly contacts: () => readonly string[];
   private known: readonly string[] = [];
   private isRecorder = false;
@@ -59,7 +59,7 @@
   leader = "";
 
   /** Finds the leader through recorders that are known, or through any daemons that `contacts` names. */
-  constructor(world: World, link: Link, contacts: () => readonly string[]) {
+  constructor(world: Runtime, link: RpcEndpoint, contacts: () => readonly string[]) {
     this.world = world;
     this.link = link;
     this.contacts = contacts;
@@ -78,7 +78,7 @@
   /** Serves both kinds where there is no recorder: tells who leads, as far as is known here. */
   serveWay(): void {
     const way = (): Returned => ({ leader: this.leader, text: notLeader });
-    for (const kind of [Kind.command, Kind.poll])
+    for (const kind of [RpcMethod.command, RpcMethod.poll])
       this.link.serve(kind, function* () {
         return way();
       });
@@ -86,8 +86,8 @@
 
   /** Serves a kind at a recorder: here if it leads, else forwarded on once. */
   serve(
-    kind: typeof Kind.command | typeof Kind.poll,
-    leadership: Leadership,
+    kind: typeof RpcMethod.command | typeof RpcMethod.poll,
+    leadership: LeadershipSource,
     handle: (text: string) => Task<string>,
   ): void {
     const { link } = this;
@@ -109,14 +109,14 @@
 
   /** Asks the leader on another's behalf; nothing once it turns out that another one leads. */
   private *forwardOn(
-    kind: typeof Kind.command | typeof Kind.poll,
+    kind: typeof RpcMethod.command | typeof RpcMethod.poll,
     leader: string,
     text: string,
-    leadership: Leadership,
+    leadership: LeadershipSource,
   ): Task<Returned | undefined> {
     const { clock } = this.world;
     const ended = new Queue<Returned>();
-    World.start(
+    Runtime.start(
       this.world,
       "contract",
       this.link.ask(
@@ -125,7 +125,7 @@
         { forwarded: true, text },
         Math.max("waitMs" in kind ? kind.waitMs : 0, oneAskMs + text.length / slowBytesMs),
       ),
-      (ret) => ended.put(ret ?? { leader, text: breakdownReturn("unknown") }),
+      (ret) => ended.put(ret ?? { leader, text: failureResponse("unknown") }),
     );
     for (;;) {
       const ret = yield* ended.takeUntil(clock, clock.nowMs() + lookMs);
@@ -140,11 +140,11 @@
    * the leader returns after that is handed on too. `attempts` hears of each ask.
    */
   *once(
-    kind: typeof Kind.command | typeof Kind.poll,
+    kind: typeof RpcMethod.command | typeof RpcMethod.poll,
     text: string,
     waitMs: number,
-    late?: LateReturn<string>,
-    attempts?: (attempt: AskAttempt) => void,
+    late?: LateResponse<string>,
+    attempts?: (attempt: ForwardAttempt) => void,
   ): Task<string | undefined> {
     const { clock } = this.world;
     const untilMs = clock.nowMs() + waitMs;
@@ -177,7 +177,7 @@
         continue;
       }
       this.silentUntilMs.delete(target);
-      if (!isBreakdown(ret.text) || ret.text === overloadedReturn) {
+      if (!isFailureResponse(ret.text) || ret.text === overloadedResponse) {
         this.leader = ret.leader;
         this.way = ret.leader !== target && this.isSilent(ret.leader) ? target : "";
         return ret.text;
@@ -195,13 +195,13 @@
   }
 
   /** Takes what comes after its time: a return of the leader, or only who leads. */
-  private lateFrom(target: string, late: LateReturn<string>): LateReturn<Returned> {
+  private lateFrom(target: string, late: LateResponse<string>): LateResponse<Returned> {
     return {
       waitMs: late.waitMs,
       take: ({ leader, text }) => {
         this.silentUntilMs.delete(target);
         if (this.leader === "") this.leader = leader;
-        if (!isBreakdown(text)) late.take(text);
+        if (!isFailureResponse(text)) late.take(text);
       },
     };
   }
@@ -233,17 +233,17 @@
 
   /** Has a command carried out. Each is safe to repeat, so it is, until `waitMs` are over: then its fate is unknown. */
   *command(
-    order: Order,
+    order: Command,
     waitMs: number,
-    attempts?: (attempt: AskAttempt) => void,
+    attempts?: (attempt: ForwardAttempt) => void,
   ): Task<string | undefined> {
     const untilMs = this.world.clock.nowMs() + waitMs;
-    const text = Order.text(order);
+    const text = Command.text(order);
     for (;;) {
       const leftMs = untilMs - this.world.clock.nowMs();
       if (leftMs <= 0) return undefined;
       const ret = yield* this.once(
-        Kind.command,
+        RpcMethod.command,
         text,
         Math.min(oneAskMs + text.length / slowBytesMs, leftMs),
         undefined,
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -1,12 +1,12 @@
-import { Packed } from "../runtime/text-compression.js";
+import { TextCompression } from "../runtime/text-compression.js";
 import { Config, ConfigReader } from "../configuration/config.js";
-import type { CopyUpdate } from "./replica-update.js";
+import type { ReplicaUpdate } from "./replica-update.js";
 import {
   ConfigItems,
   type ConfigSection,
   type NumberedConfig,
 } from "../configuration/config-items.js";
-import { Poll, type ConfigUpdate, type GrantedView } from "../control-protocol/command.js";
+import { WatchRequest, type ConfigUpdate, type LeasedView } from "../control-protocol/command.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
 const without = <T>(section: Record<string, T>, gone: ReadonlySet<string>): Record<string, T> =>
@@ -15,7 +15,7 @@
     : Object.fromEntries(Object.entries(section).filter(([name]) => !gone.has(name)));
 
 /** A daemon's copy of the configuration in force: taken whole or kept up by items, and compared with the leader's digest. */
-export class ConfigCopy {
+export class ConfigReplica {
   private readonly reader = new ConfigReader();
   private held: NumberedConfig = { config: Config.empty, numbers: new Map() };
   private hashes = new Map<string, bigint>();
@@ -40,9 +40,10 @@
   }
 
   /** Takes what a view tells. Where the copy differs afterwards, the view must not be served by. */
-  take(view: GrantedView): CopyUpdate {
+  take(view: LeasedView): ReplicaUpdate {
     const text =
-      view.config ?? (view.packedConfig === undefined ? undefined : Packed.text(view.packedConfig));
+      view.config ??
+      (view.packedConfig === undefined ? undefined : TextCompression.text(view.packedConfig));
     if (text !== undefined) {
       this.takeWhole(this.reader.read(text), view.numbers ?? {});
       this.sequence = view.configSequence;
@@ -50,7 +51,7 @@
       return "changed";
     }
     const isNews = view.configSequence !== this.sequence;
-    const update = isNews ? Poll.configUpdate(view) : undefined;
+    const update = isNews ? WatchRequest.configUpdate(view) : undefined;
     if (isNews && this.isSound && update !== undefined && update.base < this.sequence)
       return "outdated";
     if (isNews && update?.base !== this.sequence) return this.differ();
--- a/src/cluster-view/endpoint-replica.ts
+++ b/src/cluster-view/endpoint-replica.ts
@@ -1,10 +1,10 @@
-import type { Contract } from "../state/state-machine.js";
-import type { CopyUpdate } from "./replica-update.js";
-import type { GrantedView } from "../control-protocol/command.js";
+import type { Registration } from "../state/state-machine.js";
+import type { ReplicaUpdate } from "./replica-update.js";
+import type { LeasedView } from "../control-protocol/command.js";
 import { itemHash, SetDigest } from "../configuration/set-digest.js";
 
 /** The hash of a registration: over its number and all of its state. */
-export const registrationHash = (one: Contract): bigint =>
+export const registrationHash = (one: Registration): bigint =>
   itemHash(
     JSON.stringify([
       one.address,
@@ -23,13 +23,13 @@
   );
 
 type DirectoryPart = Pick<
-  GrantedView,
+  LeasedView,
   "directory" | "directoryChanges" | "directoryDigest" | "directorySequence"
 >;
 
 /** A daemon's copy of the directory: taken whole or kept up by changes, and compared with the leader's digest. */
-export class DirectoryCopy {
-  private table = new Map<string, Contract>();
+export class EndpointReplica {
+  private table = new Map<string, Registration>();
   private setDigest = new SetDigest();
   /** The newest sequence of the directory that was taken here. */
   sequence = -1;
@@ -41,12 +41,12 @@
   }
 
   /** All registrations, also those that are leaving. */
-  get registrations(): readonly Contract[] {
+  get registrations(): readonly Registration[] {
     return [...this.table.values()];
   }
 
   /** Takes what a view tells. Where the copy differs afterwards, the view must not be served by. */
-  take(view: DirectoryPart): CopyUpdate {
+  take(view: DirectoryPart): ReplicaUpdate {
     if (view.directory) {
       this.takeWhole(view.directory);
       this.sequence = view.directorySequence;
@@ -70,13 +70,13 @@
     return "differs";
   }
 
-  private takeWhole(registrations: readonly Contract[]): void {
+  private takeWhole(registrations: readonly Registration[]): void {
     this.table = new Map(registrations.map((one) => [one.address, one]));
     this.setDigest = new SetDigest();
     for (const one of registrations) this.setDigest.add(registrationHash(one));
   }
 
-  private takeChanges(put: readonly Contract[], removed: readonly string[]): void {
+  private takeChanges(put: readonly Registration[], removed: readonly string[]): void {
     for (const address of removed) this.remove(address);
     for (const one of put) {
       this.remove(one.address);
--- a/src/cluster-view/path-index.ts
+++ b/src/cluster-view/path-index.ts
@@ -1,6 +1,6 @@
-import type { Mapping } from "./active-route.js";
+import type { ActiveRoute } from "./active-route.js";
 
-const add = (table: Map<string, Mapping[]>, mapping: Mapping): void => {
+const add = (table: Map<string, ActiveRoute[]>, mapping: ActiveRoute): void => {
   const known = table.get(mapping.path);
   if (known) known.push(mapping);
   else table.set(mapping.path, [mapping]);
@@ -8,15 +8,15 @@
 
 /** The mappings of one host by their paths, found by look-ups alone, whatever their number. */
 export class PathIndex {
-  private readonly exact = new Map<string, Mapping[]>();
+  private readonly exact = new Map<string, ActiveRoute[]>();
   /** Prefixes that end in a slash. */
-  private readonly folders = new Map<string, Mapping[]>();
+  private readonly folders = new Map<string, ActiveRoute[]>();
   private longestFolder = 0;
   /** Prefixes that end within a segment, and their lengths, the longest first. */
-  private readonly stems = new Map<string, Mapping[]>();
+  private readonly stems = new Map<string, ActiveRoute[]>();
   private stemLengths: number[] = [];
 
-  add(mapping: Mapping): void {
+  add(mapping: ActiveRoute): void {
     if (!mapping.isPrefix) return add(this.exact, mapping);
     const { length } = mapping.path;
     if (mapping.path.endsWith("/")) {
@@ -30,8 +30,8 @@
   }
 
   /** The mapping that fits a path most exactly and takes the method. */
-  find(method: string, path: string): Mapping | undefined {
-    const takes = (mapping: Mapping): boolean =>
+  find(method: string, path: string): ActiveRoute | undefined {
+    const takes = (mapping: ActiveRoute): boolean =>
       mapping.methods === undefined || mapping.methods.has(method);
     const exact = this.exact.get(path)?.find(takes);
     if (exact) return exact;
@@ -44,7 +44,7 @@
       : (folder ?? stem);
   }
 
-  private folder(path: string, takes: (mapping: Mapping) => boolean): Mapping | undefined {
+  private folder(path: string, takes: (mapping: ActiveRoute) => boolean): ActiveRoute | undefined {
     if (this.longestFolder === 0) return undefined;
     for (
       let at = path.lastIndexOf("/", this.longestFolder - 1);
@@ -57,7 +57,7 @@
     return undefined;
   }
 
-  private stem(path: string, takes: (mapping: Mapping) => boolean): Mapping | undefined {
+  private stem(path: string, takes: (mapping: ActiveRoute) => boolean): ActiveRoute | undefined {
     for (const length of this.stemLengths) {
       const found =
         length <= path.length ? this.stems.get(path.slice(0, length))?.find(takes) : undefined;
--- a/src/cluster-view/retry-capacities.ts
+++ b/src/cluster-view/retry-capacities.ts
@@ -1,5 +1,5 @@
 /** What an edge holds of each service's further tries, as its view of the fleet tells and learns it. */
-export interface TryCapacities {
+export interface RetryCapacities {
   readonly rules: { readonly windowMs: number };
   readonly capacities: ReadonlyMap<string, number>;
   /** Hears that a capacity is nearly spent. */
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -1,11 +1,11 @@
-import { Config, safeMethods, splitsOf } from "../configuration/config.js";
-import type { Mapping } from "./active-route.js";
+import { Config, safeMethods, trafficSplitOf } from "../configuration/config.js";
+import type { ActiveRoute } from "./active-route.js";
 import { PathIndex } from "./path-index.js";
 
 type Route = Config["routes"][string];
 
 /** A service as the daemons use it. */
-export type MappedService = Config["services"][string];
+export type ActiveService = Config["services"][string];
 
 const usual = {
   giveUpMs: 5000,
@@ -24,7 +24,7 @@
     ? (route.match.methods ?? ["POST"]).every((method) => safeMethods.has(method))
     : route.repeat === "safe";
 
-const chooseFrom = (splits: Mapping["splits"], draw: number): string => {
+const chooseFrom = (splits: ActiveRoute["splits"], draw: number): string => {
   const served = splits.filter(({ weight }) => weight > 0);
   let left = draw * served.reduce((sum, { weight }) => sum + weight, 0);
   return served.find(({ weight }) => (left -= weight) < 0)?.service ?? served.at(-1)?.service ?? "";
@@ -33,9 +33,9 @@
 const ofName = <T>(section: Record<string, T>, name: string): T | undefined =>
   Object.hasOwn(section, name) ? section[name] : undefined;
 
-const mappingOf = (config: Config, name: string, route: Route): Mapping => {
+const mappingOf = (config: Config, name: string, route: Route): ActiveRoute => {
   const isPrefix = route.match.path.endsWith("*");
-  const splits = splitsOf(route);
+  const splits = trafficSplitOf(route);
   const service = splits[0]?.service ?? "";
   const shape = ofName(config.services, service);
   const goal = ofName(config.goals ?? {}, name);
@@ -71,16 +71,16 @@
 };
 
 /** All mappings of one config, the most exact first. */
-export class Mappings {
+export class RouteTable {
   private readonly hosts = new Map<string, PathIndex>();
   private readonly anyHost = new PathIndex();
-  private readonly byName = new Map<string, Mapping>();
-  readonly all: readonly Mapping[];
+  private readonly byName = new Map<string, ActiveRoute>();
+  readonly all: readonly ActiveRoute[];
   readonly limits: NonNullable<Config["limits"]>;
   private readonly config: Config;
 
   /** Reads a config; what is the same as in a former one, by identity of its items, is taken over from that. */
-  constructor(config: Config, former?: Mappings) {
+  constructor(config: Config, former?: RouteTable) {
     this.limits = config.limits ?? {};
     this.config = config;
     this.all = Object.entries(config.routes).map(
@@ -95,24 +95,24 @@
   }
 
   /** The mapping of a request: one for its host before one for any, then the longest match. */
-  find(method: string, path: string, host = ""): Mapping | undefined {
+  find(method: string, path: string, host = ""): ActiveRoute | undefined {
     const ofHost =
       this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(hostName(host));
     return ofHost?.find(method, path) ?? this.anyHost.find(method, path);
   }
 
   /** The mapping of a route's name. */
-  named(name: string): Mapping | undefined {
+  named(name: string): ActiveRoute | undefined {
     return this.byName.get(name);
   }
 
   /** A service of this config by its name. */
-  service(name: string): MappedService | undefined {
+  service(name: string): ActiveService | undefined {
     return ofName(this.config.services, name);
   }
 
   /** The mapping of a route, if all that it is made of is the same in another config. */
-  private sameIn(config: Config, name: string): Mapping | undefined {
+  private sameIn(config: Config, name: string): ActiveRoute | undefined {
     const mapping = this.byName.get(name);
     const isSame =
       mapping !== undefined &&
--- a/src/configuration/config.ts
+++ b/src/configuration/config.ts
@@ -1,38 +1,38 @@
 import { array, object, optional, record, string, validate, type Infer } from "superstruct";
-import { Guarded, isObject } from "./validated.js";
+import { Validated, isObject } from "./validated.js";
 
 /** The name of a service or a route. */
-export const nameShape = Guarded.text(
+export const nameShape = Validated.text(
   "name",
   /^(?!__proto__$)[A-Za-z0-9._-]{1,100}$/,
   "a name of letters, digits, dashes, underscores and dots, 100 at most",
 );
-const header = Guarded.text("header", /^[a-z][a-z0-9-]{0,59}$/, "a header's name in lower case");
-const pathPattern = Guarded.text(
+const header = Validated.text("header", /^[a-z][a-z0-9-]{0,59}$/, "a header's name in lower case");
+const pathPattern = Validated.text(
   "path",
   /^\/[^\s?#*]{0,500}\*?$/,
   "a path that begins with / and may end with *",
 );
-const host = Guarded.text(
+const host = Validated.text(
   "host",
   /^(?:[A-Za-z0-9._-]{1,253}|\[[0-9A-Fa-f:.]{2,45}\])$/,
   "a host's name without a port",
 );
-const healthPath = Guarded.text("path", /^\/[^\s#]{0,999}$/, "a path that begins with /");
-const word = Guarded.text("word", /^[\w./-]{1,40}$/, "a word");
-const weight = Guarded.leaf<number>(
+const healthPath = Validated.text("path", /^\/[^\s#]{0,999}$/, "a path that begins with /");
+const word = Validated.text("word", /^[\w./-]{1,40}$/, "a word");
+const weight = Validated.leaf<number>(
   "weight",
   (value) => typeof value === "number" && value >= 0 && value <= 1e12,
   "a weight of 0 or more",
 );
 /** Any JSON, kept and given back as it was sent. */
-const opaque = Guarded.leaf<NonNullable<unknown> | null>(
+const opaque = Validated.leaf<NonNullable<unknown> | null>(
   "JSON",
   (value) => value !== undefined,
   "JSON",
 );
 const methods = ["GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"] as const;
-const { flag, many, maybe, one, section, whole, within } = Guarded;
+const { flag, many, maybe, one, section, whole, within } = Validated;
 
 /** What may be repeated on a route: safe requests and downloads always, unsafe ones never, idempotent ones are run once for each key. */
 const routeKinds = ["safe", "unsafe", "idempotent", "download"] as const;
@@ -122,20 +122,20 @@
 export type Config = Infer<typeof configShape>;
 
 /** One thing wrong with what was sent, and where. */
-export interface Fault {
+export interface ValidationFault {
   path: string;
   expected: string;
 }
 
 /** The faults of a value that a superstruct refused. */
-export const faultsOf = (
+export const validationFaults = (
   failures: Iterable<{
     path: Array<string | number>;
     message: string;
     type: string;
     refinement: string | undefined;
   }>,
-): Fault[] =>
+): ValidationFault[] =>
   [...failures].map((failure) => ({
     path: failure.path.join(".") || "(whole)",
     expected:
@@ -143,13 +143,17 @@
   }));
 
 /** The services that serve a route, with their weights. */
-export const splitsOf = (route: Route): ReadonlyArray<{ service: string; weight: number }> =>
+export const trafficSplitOf = (route: Route): ReadonlyArray<{ service: string; weight: number }> =>
   route.split ?? (route.service === undefined ? [] : [{ service: route.service, weight: 1 }]);
 
-const routeFaults = function* (config: Config, at: string, route: Route): Iterable<Fault> {
+const routeFaults = function* (
+  config: Config,
+  at: string,
+  route: Route,
+): Iterable<ValidationFault> {
   if ((route.service === undefined) === (route.split === undefined))
     yield { path: `${at}.service`, expected: "either a service or a split" };
-  for (const [place, { service }] of splitsOf(route).entries())
+  for (const [place, { service }] of trafficSplitOf(route).entries())
     if (!Object.hasOwn(config.services, service))
       yield {
         path: `${at}.${route.split ? `split.${place}.service` : "service"}`,
@@ -165,17 +169,17 @@
     yield { path: `${at}.repeat`, expected: `"never", or a match on safe methods alone` };
 };
 
-const shapeFaults = (value: unknown): Fault[] => {
+const shapeFaults = (value: unknown): ValidationFault[] => {
   const [error] = validate(value, configShape);
-  return error ? faultsOf(error.failures()) : [{ path: "(whole)", expected: "a config" }];
+  return error ? validationFaults(error.failures()) : [{ path: "(whole)", expected: "a config" }];
 };
 
 /** Checks configs whole. */
 export class ConfigChecker {
   /** All faults of a configuration, or none and the config. */
-  check(value: unknown): { config: Config } | { faults: Fault[] } {
-    if (!Guarded.passes(configShape, value)) return { faults: shapeFaults(value) };
-    const faults: Fault[] = [];
+  check(value: unknown): { config: Config } | { faults: ValidationFault[] } {
+    if (!Validated.passes(configShape, value)) return { faults: shapeFaults(value) };
+    const faults: ValidationFault[] = [];
     for (const [name, route] of Object.entries(value.routes))
       faults.push(...routeFaults(value, `routes.${name}`, route));
     for (const name of Object.keys(value.goals ?? {}))
@@ -187,7 +191,7 @@
 
 export const Config = {
   /** Reads and checks a configuration whole: all its faults, or none and the config. */
-  check: (value: unknown): { config: Config } | { faults: Fault[] } =>
+  check: (value: unknown): { config: Config } | { faults: ValidationFault[] } =>
     new ConfigChecker().check(value),
 
   /** Reads a configuration that was checked before it was recorded. */
@@ -206,7 +210,7 @@
 export class ConfigReader {
   read(text: string): Config {
     const value: unknown = JSON.parse(text);
-    if (Guarded.passes(configShape, value)) return value;
+    if (Validated.passes(configShape, value)) return value;
     throw new Error(`A recorded config has faults: ${JSON.stringify(shapeFaults(value))}`);
   }
 }
@@ -258,7 +262,7 @@
 };
 
 /** A config from which named items are removed and in which others are put, each whole; a removed route takes its goal along. */
-export const amend = (
+export const applyItemChanges = (
   target: unknown,
   put: Infer<typeof itemsShape>,
   remove: Infer<typeof namesShape>,
--- a/src/configuration/validated.ts
+++ b/src/configuration/validated.ts
@@ -40,7 +40,7 @@
   new Map(Object.entries(schema).map(([name, struct]) => [name, guardOf(struct)]));
 
 /** Shapes beside each of which stands a plain guard: what passes it is good, what doesn't is checked by the shape itself, which tells why. */
-export const Guarded = {
+export const Validated = {
   leaf: <T>(type: string, guard: Guard, expected: string): Struct<T, null> =>
     guarded(
       define<T>(type, (value) => guard(value) || `Expected ${expected}`),
@@ -48,7 +48,7 @@
     ),
 
   text: (type: string, pattern: RegExp, expected: string): Struct<string, null> =>
-    Guarded.leaf<string>(
+    Validated.leaf<string>(
       type,
       (value) => typeof value === "string" && pattern.test(value),
       expected,
@@ -62,7 +62,7 @@
     ),
 
   flag: () =>
-    Guarded.leaf<boolean>("boolean", (value) => typeof value === "boolean", "true or false"),
+    Validated.leaf<boolean>("boolean", (value) => typeof value === "boolean", "true or false"),
 
   one: <const T extends readonly [string, ...string[]]>(words: T) =>
     guarded(enums(words), (value) => words.some((word) => word === value)),
--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -1,16 +1,21 @@
-import type { Held } from "../rpc/rpc-endpoint.js";
-import type { Entry, Kind } from "../rpc/rpc-method.js";
+import type { DecodedMessage } from "../rpc/rpc-endpoint.js";
+import type { Entry, RpcMethod } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
 import { commitUpTo } from "./commit.js";
-import { follow } from "./follow.js";
-import { rightsOf } from "./rights.js";
-import { withMembersIn, withMembersOfLog, type ConsensusState, type Facts } from "./state.js";
+import { becomeFollower } from "./follow.js";
+import { memberRightsOf } from "./rights.js";
+import {
+  withMembersIn,
+  withMembersOfLog,
+  type ConsensusState,
+  type DecisionContext,
+} from "./state.js";
 
 /** Entries from a leader, or none as a heartbeat. */
-export type AppendRequest = Held<typeof Kind.append.ask>;
+export type AppendRequest = DecodedMessage<typeof RpcMethod.append.ask>;
 
 /** The answer to entries or a heartbeat. */
-export type AppendReply = Held<typeof Kind.append.return>;
+export type AppendReply = DecodedMessage<typeof RpcMethod.append.return>;
 
 /** What is to be acknowledged once it is on disk, and the term and log that it holds under. */
 export interface PendingAcknowledgment {
@@ -38,7 +43,7 @@
 const merge = (
   former: ConsensusState,
   entries: readonly Entry[],
-  { rules }: Facts,
+  { rules }: DecisionContext,
 ): { state: ConsensusState; records: LogRecord[] } => {
   let state = former;
   const records: LogRecord[] = [];
@@ -67,14 +72,14 @@
 export const decideAppend = (
   former: ConsensusState,
   request: AppendRequest,
-  facts: Facts,
+  facts: DecisionContext,
 ): AppendDecision => {
   const { rules } = facts;
   if (request.term < former.term && rules.refuseOldTerms)
     return { kind: "refuse", state: former, reply: refused(former.term) };
   const newTerm: LogRecord[] =
     request.term > former.term ? [{ kind: "vote", term: request.term, text: "" }] : [];
-  const following = follow(former, request.term, request.leader, facts.nowMs);
+  const following = becomeFollower(former, request.term, request.leader, facts.nowMs);
   const { term, log } = following;
   const isKnown =
     request.previousIndex < log.baseIndex ||
@@ -97,15 +102,20 @@
     state: commitUpTo(state, Math.min(request.committed, matched)),
     records: allRecords,
     mustSync: allRecords.length > 0 || state.syncedIndex < matched,
-    pending: { term, cuts: state.cuts, counts: rightsOf(following, facts).countForCommit, matched },
+    pending: {
+      term,
+      cuts: state.cuts,
+      counts: memberRightsOf(following, facts).countForCommit,
+      matched,
+    },
   };
 };
 
 /** Whether what was written under a term and a log is still true under the present ones. */
-export const stillHolds = (
+export const isStillAcknowledgeable = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
-  { rules }: Pick<Facts, "rules">,
+  { rules }: Pick<DecisionContext, "rules">,
 ): boolean =>
   !rules.acknowledgeOnlyUnderSameTerm ||
   (state.term === pending.term && state.cuts === pending.cuts);
@@ -114,10 +124,10 @@
 export const acknowledgeAppend = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
-  facts: Pick<Facts, "rules">,
+  facts: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: AppendReply } => {
   const { term, counts, matched } = pending;
-  if (!stillHolds(state, pending, facts)) return { state, reply: refused(state.term) };
+  if (!isStillAcknowledgeable(state, pending, facts)) return { state, reply: refused(state.term) };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, matched) },
     reply: { term, fits: true, counts, matched },
--- a/src/consensus/commit.ts
+++ b/src/consensus/commit.ts
@@ -1,5 +1,5 @@
 import { reachedByMajority } from "./quorum.js";
-import type { ConsensusState, Facts } from "./state.js";
+import type { ConsensusState, DecisionContext } from "./state.js";
 
 /** The state with all entries up to an index committed, as far as the log goes. */
 export const commitUpTo = (state: ConsensusState, index: number): ConsensusState => {
@@ -17,7 +17,7 @@
  */
 export const advanceCommit = (
   state: ConsensusState,
-  { rules }: Pick<Facts, "rules">,
+  { rules }: Pick<DecisionContext, "rules">,
 ): ConsensusState => {
   const { members } = state;
   const counted = rules.countOnlyVoters ? members.voters : [...members.voters, ...members.learners];
@@ -28,11 +28,11 @@
 };
 
 /** A leader's own entries are on disk up to an index. */
-export const ownEntriesSynced = (
+export const onOwnEntriesSynced = (
   state: ConsensusState,
   term: number,
   index: number,
-  facts: Pick<Facts, "rules">,
+  facts: Pick<DecisionContext, "rules">,
 ): ConsensusState => {
   if (state.role !== "leader" || state.term !== term) return state;
   const syncedIndex = Math.max(state.syncedIndex, index);
@@ -51,10 +51,10 @@
 }
 
 /** Notes an acknowledgment, for what is committed and for the lease. */
-export const noteAcknowledgment = (
+export const onAcknowledgment = (
   state: ConsensusState,
   acknowledgment: Acknowledgment,
-  { rules, nowMs }: Pick<Facts, "rules" | "nowMs">,
+  { rules, nowMs }: Pick<DecisionContext, "rules" | "nowMs">,
 ): ConsensusState => {
   const { peer, term, matched, counts } = acknowledgment;
   if (state.role !== "leader" || state.term !== term) return state;
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,13 +1,16 @@
 import type { LogRecord } from "./log-record.js";
-import { rightsOf } from "./rights.js";
-import type { ConsensusState, Facts } from "./state.js";
+import { memberRightsOf } from "./rights.js";
+import type { ConsensusState, DecisionContext } from "./state.js";
 import type { VoteRequest } from "./vote.js";
 
 /** What a member does that has heard no leader for its election wait: it stands, where it may. */
-export const onElectionWaitOver = (state: ConsensusState, facts: Facts): ConsensusState => ({
+export const onElectionTimeout = (
+  state: ConsensusState,
+  facts: DecisionContext,
+): ConsensusState => ({
   ...state,
   knownLeader: "",
-  role: rightsOf(state, facts).stand ? "preCandidate" : state.role,
+  role: memberRightsOf(state, facts).stand ? "preCandidate" : state.role,
 });
 
 const requestOf = (
@@ -33,14 +36,14 @@
 });
 
 /** A candidate's new term and vote for itself; the request goes out once the records are on disk. */
-export interface Campaign {
+export interface Election {
   readonly state: ConsensusState;
   readonly records: readonly LogRecord[];
   readonly request: VoteRequest;
 }
 
 /** Stands in a new term. */
-export const startCampaign = (former: ConsensusState): Campaign => {
+export const startElection = (former: ConsensusState): Election => {
   const term = former.term + 1;
   const state: ConsensusState = {
     ...former,
@@ -58,22 +61,25 @@
 };
 
 /** Whether a candidate whose own vote is synced by now still stands in that term. */
-export const stillStands = (state: ConsensusState, term: number): boolean =>
+export const isStillCampaigning = (state: ConsensusState, term: number): boolean =>
   state.role === "candidate" && state.term === term;
 
 /** An election that brought no majority in its time: the member waits for its next turn, and may vote at once. */
-export const giveUpElection = (state: ConsensusState, { nowMs, waits }: Facts): ConsensusState => ({
+export const abandonElection = (
+  state: ConsensusState,
+  { nowMs, waits }: DecisionContext,
+): ConsensusState => ({
   ...state,
   role: "follower",
   heardLeaderMs: nowMs - waits.electionMinMs,
 });
 
 /** Takes the lead that the leader of this term hands over, unless this member can't. */
-export const takeHandOver = (
+export const acceptLeadershipTransfer = (
   state: ConsensusState,
   term: number,
-  facts: Facts,
+  facts: DecisionContext,
 ): ConsensusState | undefined =>
-  term === state.term && state.role === "follower" && rightsOf(state, facts).stand
+  term === state.term && state.role === "follower" && memberRightsOf(state, facts).stand
     ? { ...state, role: "candidate", isHandedOver: true }
     : undefined;
--- a/src/consensus/follow.ts
+++ b/src/consensus/follow.ts
@@ -1,7 +1,7 @@
 import type { ConsensusState } from "./state.js";
 
 /** The state of a member that follows in a term, under a leader or under none that is known. */
-export const follow = (
+export const becomeFollower = (
   state: ConsensusState,
   term: number,
   leader: string,
--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -1,14 +1,14 @@
 import type { Entry } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
 import { leaseUntilMs } from "./lease.js";
-import { withMembersIn, type ConsensusState, type Facts } from "./state.js";
+import { withMembersIn, type ConsensusState, type DecisionContext } from "./state.js";
 
 /** Whether this member leads in a term. */
 export const isLeading = (state: ConsensusState, term: number): boolean =>
   state.role === "leader" && state.term === term;
 
 /** The state of a member that was just elected. */
-export const beginLeading = (state: ConsensusState): ConsensusState => ({
+export const becomeLeader = (state: ConsensusState): ConsensusState => ({
   ...state,
   knownLeader: state.self,
   matched: new Map(),
@@ -18,18 +18,18 @@
 });
 
 /** The entry with which a leader begins its term: once it is committed, all before it are. */
-export const leadsText = (state: ConsensusState): string =>
+export const leadershipEntryText = (state: ConsensusState): string =>
   JSON.stringify({ kind: "leads", machine: state.self, term: state.term });
 
 /** A leader's new entries, which are to be written and sent. */
-export interface OwnEntries {
+export interface LeaderAppend {
   readonly state: ConsensusState;
   readonly entries: readonly Entry[];
   readonly records: readonly LogRecord[];
 }
 
 /** Adds entries to a leader's own log. */
-export const addOwnEntries = (former: ConsensusState, texts: readonly string[]): OwnEntries => {
+export const appendAsLeader = (former: ConsensusState, texts: readonly string[]): LeaderAppend => {
   const { term, log } = former;
   const first = log.lastIndex + 1;
   const entries = texts.map((text, at) => ({ index: first + at, term, text }));
@@ -38,10 +38,10 @@
 };
 
 /** Why a leader must step down now, if it must. */
-export const whyStepDown = (
+export const stepDownReason = (
   state: ConsensusState,
   leadingSinceMs: number,
-  facts: Facts,
+  facts: DecisionContext,
 ): "notVoter" | "noContact" | undefined => {
   if (!state.members.voters.includes(state.self) && state.committedIndex >= state.membersIndex)
     return "notVoter";
@@ -53,7 +53,7 @@
  * To whom a leader hands over: of the voters that have acknowledged anything, one that stays before one that is about to stop,
  * then the one whose log is the furthest.
  */
-export const heirOf = (
+export const transferTargetOf = (
   state: ConsensusState,
   leaving: ReadonlySet<string> = new Set(),
 ): string | undefined => {
--- a/src/consensus/lease.ts
+++ b/src/consensus/lease.ts
@@ -1,7 +1,7 @@
 import { reachedByMajority } from "./quorum.js";
-import type { ConsensusState, Facts } from "./state.js";
+import type { ConsensusState, DecisionContext } from "./state.js";
 
-type LeaseFacts = Pick<Facts, "nowMs" | "waits" | "rules">;
+type LeaseFacts = Pick<DecisionContext, "nowMs" | "waits" | "rules">;
 
 /**
  * Until when the leader's lease lasts: a majority acknowledged heartbeats that were sent less than `leaderGrantMs`
--- a/src/consensus/quorum.ts
+++ b/src/consensus/quorum.ts
@@ -1,7 +1,7 @@
 import type { Members } from "./members.js";
 
 /** How many voters a majority has. */
-export const majorityOf = ({ voters }: Members): number => Math.floor(voters.length / 2) + 1;
+export const majoritySize = ({ voters }: Members): number => Math.floor(voters.length / 2) + 1;
 
 /** The highest value that as many as a majority have reached of those who count; undefined where they are too few. */
 export const reachedByMajority = (
@@ -10,9 +10,9 @@
   counted: readonly string[] = members.voters,
 ): number | undefined => {
   const reached = counted.map(valueOf).sort((a, b) => b - a);
-  return reached[majorityOf(members) - 1];
+  return reached[majoritySize(members) - 1];
 };
 
 /** Whether a majority of the voters is in a set. */
 export const isMajority = (members: Members, present: ReadonlySet<string>): boolean =>
-  members.voters.filter((voter) => present.has(voter)).length >= majorityOf(members);
+  members.voters.filter((voter) => present.has(voter)).length >= majoritySize(members);
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -1,6 +1,6 @@
 import type { Entry } from "../rpc/rpc-method.js";
 import type { AppendReply, AppendRequest } from "./append.js";
-import type { ConsensusState, ElectionWaits } from "./state.js";
+import type { ConsensusState, ElectionTimeouts } from "./state.js";
 
 /** What a leader knows about where another member's log meets its own. */
 export interface Progress {
@@ -27,7 +27,7 @@
 }
 
 /** How many entries from the first on stay within a limit; at least one. */
-export const countWithin = (entries: Iterable<Entry>, limit: BatchLimit): number => {
+export const countWithinLimit = (entries: Iterable<Entry>, limit: BatchLimit): number => {
   let count = 0;
   let heldBytes = 0;
   for (const { text } of entries) {
@@ -51,7 +51,7 @@
     previousIndex: next - 1,
     previousTerm: state.log.termAt(next - 1) ?? 0,
     committed: state.committedIndex,
-    entries: following.slice(0, countWithin(following, limit)),
+    entries: following.slice(0, countWithinLimit(following, limit)),
   };
 };
 
@@ -62,9 +62,9 @@
  * How long a leader waits for the answer to a request before it sends again: a heartbeat's wait, and what the entries take on
  * a slow link. A request that is given up sooner than it can arrive would be sent again and again, and never be answered.
  */
-export const appendWaitMs = (
+export const appendTimeoutMs = (
   { entries }: AppendRequest,
-  { electionMinMs }: Pick<ElectionWaits, "electionMinMs">,
+  { electionMinMs }: Pick<ElectionTimeouts, "electionMinMs">,
 ): number => {
   const sentBytes = entries.reduce((bytes, { text }) => bytes + text.length, 0);
   return electionMinMs + sentBytes / slowLinkBytesPerMs;
--- a/src/consensus/rights.ts
+++ b/src/consensus/rights.ts
@@ -1,14 +1,17 @@
 import { memberRights, type MemberRights, type MemberState } from "./member-rights.js";
 import { hasLease } from "./lease.js";
-import type { ConsensusState, Facts } from "./state.js";
+import type { ConsensusState, DecisionContext } from "./state.js";
 
 /** Whether this member leads, or heard a leader so lately that it may still answer under its lease. */
-const isBoundToLeader = (state: ConsensusState, { nowMs, waits, rules }: Facts): boolean =>
+const isBoundToLeader = (
+  state: ConsensusState,
+  { nowMs, waits, rules }: DecisionContext,
+): boolean =>
   rules.refuseVoteWhileLeaderIsHeard &&
   (state.role === "leader" || nowMs - state.heardLeaderMs < waits.electionMinMs);
 
 /** What this member may do now, by how whole it is. */
-export const rightsOf = (state: ConsensusState, facts: Facts): MemberRights => {
+export const memberRightsOf = (state: ConsensusState, facts: DecisionContext): MemberRights => {
   const { rules } = facts;
   const member: MemberState = {
     stage: facts.stage,
--- a/src/consensus/snapshot.ts
+++ b/src/consensus/snapshot.ts
@@ -1,10 +1,10 @@
 import type { Entry } from "../rpc/rpc-method.js";
 import type { Members } from "./members.js";
-import { stillHolds, type PendingAcknowledgment } from "./append.js";
-import { follow } from "./follow.js";
+import { isStillAcknowledgeable, type PendingAcknowledgment } from "./append.js";
+import { becomeFollower } from "./follow.js";
 import { ReplicatedLog } from "./replicated-log.js";
-import { rightsOf } from "./rights.js";
-import { membersAt, withMembersOfLog, type ConsensusState, type Facts } from "./state.js";
+import { memberRightsOf } from "./rights.js";
+import { membersAt, withMembersOfLog, type ConsensusState, type DecisionContext } from "./state.js";
 
 /** Which snapshot a leader offers. */
 export interface SnapshotOffer {
@@ -37,14 +37,14 @@
 export const decideSnapshot = (
   former: ConsensusState,
   offer: SnapshotOffer,
-  facts: Facts,
+  facts: DecisionContext,
 ): SnapshotDecision => {
   if (offer.term < former.term && facts.rules.refuseOldTerms) {
     const reply = { term: former.term, counts: false, matched: 0 };
     return { kind: "answer", state: former, reply };
   }
-  const state = follow(former, offer.term, offer.leader, facts.nowMs);
-  const counts = rightsOf(state, facts).countForCommit;
+  const state = becomeFollower(former, offer.term, offer.leader, facts.nowMs);
+  const counts = memberRightsOf(state, facts).countForCommit;
   if (offer.lastIndex <= state.committedIndex) {
     const reply = { term: state.term, counts, matched: state.committedIndex };
     return { kind: "answer", state, reply };
@@ -75,10 +75,10 @@
   state: ConsensusState,
   pending: PendingAcknowledgment,
   heldIndex: number,
-  facts: Pick<Facts, "rules">,
+  facts: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: SnapshotReply } => {
   const { term, counts, matched } = pending;
-  if (!stillHolds(state, pending, facts))
+  if (!isStillAcknowledgeable(state, pending, facts))
     return { state, reply: { term: state.term, counts: false, matched: 0 } };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, heldIndex) },
--- a/src/consensus/state.ts
+++ b/src/consensus/state.ts
@@ -47,7 +47,7 @@
 }
 
 /** The waits by which members elect, on a monotonic clock. */
-export interface ElectionWaits {
+export interface ElectionTimeouts {
   readonly heartbeatMs: number;
   readonly electionMinMs: number;
   readonly electionMaxMs: number;
@@ -56,9 +56,9 @@
 }
 
 /** What a decision may know beside the state. */
-export interface Facts {
+export interface DecisionContext {
   readonly nowMs: number;
-  readonly waits: ElectionWaits;
+  readonly waits: ElectionTimeouts;
   readonly rules: SafetyRules;
   /** How far this member's own storage is part of a formed log. */
   readonly stage: MemberStage;
@@ -69,7 +69,7 @@
 }
 
 /** What a member that has just started knows from its disk. */
-export interface PersistedState {
+export interface PersistedConsensusState {
   readonly term: number;
   readonly votedFor: string;
   readonly rejoinNonce: string;
@@ -136,7 +136,10 @@
 });
 
 /** The state once what the disk holds, or what was formed or is to be rejoined, is taken over. */
-export const restoredState = (state: ConsensusState, persisted: PersistedState): ConsensusState => {
+export const restoredState = (
+  state: ConsensusState,
+  persisted: PersistedConsensusState,
+): ConsensusState => {
   const log = ReplicatedLog.of(persisted.lastIndex, persisted.lastTerm, persisted.entries);
   return withMembersOfLog({
     ...state,
@@ -151,7 +154,10 @@
 };
 
 /** When a member that has just started takes its last leader to have been heard. */
-export const restartedAt = (state: ConsensusState, facts: Facts): ConsensusState => ({
+export const stateAfterRestart = (
+  state: ConsensusState,
+  facts: DecisionContext,
+): ConsensusState => ({
   ...state,
   heardAppendMs: facts.nowMs,
   heardLeaderMs: facts.rules.waitBeforeVotingAfterRestart ? facts.nowMs : Number.NEGATIVE_INFINITY,
--- a/src/consensus/vote.ts
+++ b/src/consensus/vote.ts
@@ -1,16 +1,16 @@
-import type { Held } from "../rpc/rpc-endpoint.js";
-import type { Kind } from "../rpc/rpc-method.js";
+import type { DecodedMessage } from "../rpc/rpc-endpoint.js";
+import type { RpcMethod } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
-import { follow } from "./follow.js";
+import { becomeFollower } from "./follow.js";
 import { isMajority } from "./quorum.js";
-import { rightsOf } from "./rights.js";
-import type { ConsensusState, Facts } from "./state.js";
+import { memberRightsOf } from "./rights.js";
+import type { ConsensusState, DecisionContext } from "./state.js";
 
 /** A candidate's request for a vote, or in a pre-vote the question whether it would be given. */
-export type VoteRequest = Held<typeof Kind.vote.ask>;
+export type VoteRequest = DecodedMessage<typeof RpcMethod.vote.ask>;
 
 /** The answer to a vote request. */
-export type VoteReply = Held<typeof Kind.vote.return>;
+export type VoteReply = DecodedMessage<typeof RpcMethod.vote.return>;
 
 /** What a member does on a vote request: it takes the state, writes the records, and replies once they are synced. */
 export interface VoteDecision {
@@ -21,7 +21,11 @@
   readonly reply: VoteReply;
 }
 
-const isUpToDate = (state: ConsensusState, request: VoteRequest, { rules }: Facts): boolean => {
+const isUpToDate = (
+  state: ConsensusState,
+  request: VoteRequest,
+  { rules }: DecisionContext,
+): boolean => {
   const { lastTerm, lastIndex } = state.log;
   if (!rules.voteOnlyForUpToDateLog) return true;
   return (
@@ -33,7 +37,7 @@
 export const decideVote = (
   state: ConsensusState,
   request: VoteRequest,
-  facts: Facts,
+  facts: DecisionContext,
 ): VoteDecision => {
   const answerAtOnce = (granted: boolean): VoteDecision => ({
     state,
@@ -42,12 +46,13 @@
     reply: { term: state.term, granted },
   });
   const upToDate = isUpToDate(state, request, facts);
-  const rights = rightsOf(state, facts);
+  const rights = memberRightsOf(state, facts);
   const voluntary = request.isPreVote ? rights.preVote : rights.vote;
   const mayVote = request.handOver ? rights.voteOnHandOver : voluntary;
   if (!mayVote || request.term < state.term) return answerAtOnce(false);
   if (request.isPreVote) return answerAtOnce(upToDate && request.term > state.term);
-  const heard = request.term > state.term ? follow(state, request.term, "", facts.nowMs) : state;
+  const heard =
+    request.term > state.term ? becomeFollower(state, request.term, "", facts.nowMs) : state;
   const isFree =
     heard.votedFor === "" || heard.votedFor === request.candidate || !facts.rules.oneVotePerTerm;
   const granted = upToDate && isFree;
@@ -79,7 +84,8 @@
   nowMs: number,
 ): ConsensusState => {
   const { peer, isPreVote, term, reply } = received;
-  if (!reply.granted && reply.term > state.term) return follow(state, reply.term, "", nowMs);
+  if (!reply.granted && reply.term > state.term)
+    return becomeFollower(state, reply.term, "", nowMs);
   const isCurrent = isPreVote
     ? state.role === "preCandidate" && term === state.term + 1
     : state.role === "candidate" && term === state.term;
--- a/src/control-plane/change-buffer.ts
+++ b/src/control-plane/change-buffer.ts
@@ -8,7 +8,7 @@
 }
 
 /** The names of the items that the last changes of a table touched, by the table's sequence; bounded by bytes. */
-export class RecentChanges {
+export class ChangeBuffer {
   private changes: Change[] = [];
   /** The sequence of the table before the oldest change that is kept. */
   private base: number;
--- a/src/control-plane/claim-admission.ts
+++ b/src/control-plane/claim-admission.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
-import { overloadedReturn } from "../control-protocol/command.js";
+import { overloadedResponse } from "../control-protocol/command.js";
 
 /**
  * For how long the oldest claim in progress may have waited when another one is taken. A first try waits for its claim for a
@@ -27,7 +27,7 @@
   *admit(claim: Task<string>): Task<string> {
     if (this.oldestWaitMs > mostWaitMs) {
       this.refused += 1;
-      return overloadedReturn;
+      return overloadedResponse;
     }
     const started = { atMs: this.clock.nowMs() };
     this.startedMs.add(started);
--- a/src/control-plane/command-metrics.ts
+++ b/src/control-plane/command-metrics.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 
 /** How often a leader tells what it carried out. */
 const periodMs = 5000;
@@ -11,13 +11,13 @@
 }
 
 /** Counts the commands that a leader carries out, by kind, with the time that each took until its answer; logs them now and then. */
-export class CommandMeter {
+export class CommandMetrics {
   private readonly clock: Clock;
-  private readonly log: PartLog;
+  private readonly log: Logger;
   private readonly byKind = new Map<string, Figures>();
   private sinceMs: number;
 
-  constructor(clock: Clock, log: PartLog) {
+  constructor(clock: Clock, log: Logger) {
     this.clock = clock;
     this.log = log;
     this.sinceMs = clock.nowMs();
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -1,13 +1,13 @@
-import type { Book } from "../state/state-machine.js";
-import { Packed } from "../runtime/text-compression.js";
+import type { StateMachine } from "../state/state-machine.js";
+import { TextCompression } from "../runtime/text-compression.js";
 import { Config } from "../configuration/config.js";
 import {
   ConfigItems,
   type ConfigItem,
   type NumberedConfig,
 } from "../configuration/config-items.js";
-import { longText, type ConfigUpdate } from "../control-protocol/command.js";
-import { RecentChanges } from "./change-buffer.js";
+import { COMPRESSION_THRESHOLD_CHARS, type ConfigUpdate } from "../control-protocol/command.js";
+import { ChangeBuffer } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
 /** How many bytes the names of changed items may take; beyond that the oldest changes are forgotten. */
@@ -45,21 +45,21 @@
   removed.has(ConfigItems.key("routes", name));
 
 /** What polls are told of the configuration in force: the items that changed since the sequence that a daemon knows, or all. */
-export class ConfigChanges {
-  private readonly book: Book;
+export class ConfigChangeLog {
+  private readonly book: StateMachine;
   private readonly read: () => Config;
   private current = emptyConfig;
   private currentSequence = 0;
   private items = new Map<string, Known>();
   private setDigest = new SetDigest();
-  private recent = new RecentChanges(0, keptChangeBytes);
+  private recent = new ChangeBuffer(0, keptChangeBytes);
   /** The parts of views that were made for the present sequence, by the sequence that a daemon knows. */
   private readonly parts = new Map<number, string>();
   private serviceNames: string[] = [];
   private digestText = "";
 
   /** Follows the configuration in force, which `read` gives as it was parsed. */
-  constructor(book: Book, read: () => Config) {
+  constructor(book: StateMachine, read: () => Config) {
     this.book = book;
     this.read = read;
   }
@@ -76,7 +76,7 @@
     this.currentSequence = 0;
     this.items = new Map();
     this.setDigest = new SetDigest();
-    this.recent = new RecentChanges(0, keptChangeBytes);
+    this.recent = new ChangeBuffer(0, keptChangeBytes);
     this.parts.clear();
   }
 
@@ -110,8 +110,8 @@
       if (number !== undefined) update.numbers[name] = number;
     }
     const text = JSON.stringify(update);
-    return text.length > longText
-      ? `"packedConfigChanges":"${Packed.of(text)}"`
+    return text.length > COMPRESSION_THRESHOLD_CHARS
+      ? `"packedConfigChanges":"${TextCompression.of(text)}"`
       : `"configChanges":${text}`;
   }
 
@@ -135,8 +135,8 @@
     if (whole !== undefined) return whole;
     const text = JSON.stringify(ConfigItems.wholeForEdges(this.current.config));
     const config =
-      text.length > longText
-        ? `"packedConfig":"${Packed.of(text)}"`
+      text.length > COMPRESSION_THRESHOLD_CHARS
+        ? `"packedConfig":"${TextCompression.of(text)}"`
         : `"config":${JSON.stringify(text)}`;
     const part = `${config},"numbers":${JSON.stringify(Object.fromEntries(this.current.numbers))}`;
     this.parts.set(-1, part);
@@ -161,7 +161,7 @@
     this.parts.clear();
     this.digestText = ConfigItems.digest(this.setDigest, next.config);
     this.serviceNames = Object.keys(next.config.services);
-    if (isFirst || !isInOrder) this.recent = new RecentChanges(sequence, keptChangeBytes);
+    if (isFirst || !isInOrder) this.recent = new ChangeBuffer(sequence, keptChangeBytes);
     else this.recent.note(sequence, touched);
   }
 
--- a/src/control-plane/control-plane.ts
+++ b/src/control-plane/control-plane.ts
@@ -1,40 +1,40 @@
 import { create, literal, number, object, optional, type, union } from "superstruct";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import { StepTimer } from "../runtime/step-timer.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/runtime.js";
-import type { AcceptedConfig, Book, Contract } from "../state/state-machine.js";
-import { Deed, heldKeys, versionOf } from "../state/state-machine.js";
-import { Numbering, type NameChanges } from "../state/id-allocator.js";
-import { RecordedText } from "../state/config-payload.js";
-import type { Recorder } from "../replication/replication-node.js";
+import { Runtime } from "../runtime/runtime.js";
+import type { AcceptedConfig, StateMachine, Registration } from "../state/state-machine.js";
+import { LogCommand, MAX_IDEMPOTENCY_CLAIMS, versionOf } from "../state/state-machine.js";
+import { IdAllocator, type NameChanges } from "../state/id-allocator.js";
+import { ConfigPayload } from "../state/config-payload.js";
+import type { ReplicationNode } from "../replication/replication-node.js";
 import { itemHash } from "../configuration/set-digest.js";
-import type { CapacityGrants } from "./retry-capacity-allocator.js";
-import { amend, Config, ConfigReader, mergePatch } from "../configuration/config.js";
+import type { RetryCapacityAllocator } from "./retry-capacity-allocator.js";
+import { applyItemChanges, Config, ConfigReader, mergePatch } from "../configuration/config.js";
 import { ClaimAdmission } from "./claim-admission.js";
-import { CommandMeter } from "./command-metrics.js";
+import { CommandMetrics } from "./command-metrics.js";
 import { configText } from "../configuration/config-serializer.js";
-import { ConfigChanges } from "./config-change-log.js";
-import { edgePlacesOf, type EdgePlace } from "../control-protocol/edge-placement.js";
-import { DirectoryChanges } from "./endpoint-change-log.js";
-import { LargeViews } from "./large-view-limiter.js";
+import { ConfigChangeLog } from "./config-change-log.js";
+import { edgePlacementsOf, type EdgePlacement } from "../control-protocol/edge-placement.js";
+import { EndpointChangeLog } from "./endpoint-change-log.js";
+import { LargeViewLimiter } from "./large-view-limiter.js";
 import {
-  longText,
-  breakdownReturn,
-  isBreakdown,
-  Order,
-  Poll,
-  type ChangeOrder,
-  type GrantedView,
-  type KnownMembers,
-  type Machine,
+  COMPRESSION_THRESHOLD_CHARS,
+  failureResponse,
+  isFailureResponse,
+  Command,
+  WatchRequest,
+  type ConfigCommand,
+  type LeasedView,
+  type ControlPlanePeers,
+  type DaemonInfo,
 } from "../control-protocol/command.js";
-import { TravellingText } from "../control-protocol/compressed-text.js";
+import { CompressedText } from "../control-protocol/compressed-text.js";
 
 /** The waits by which the leader keeps contracts, keys and grants. */
-export interface Terms {
+export interface ControlPlaneTimeouts {
   grantMs: number;
   announceMs: number;
   lapseMs: number;
@@ -51,7 +51,7 @@
   goneMs: number;
 }
 
-export const Terms = {
+export const ControlPlaneTimeouts = {
   usual: {
     grantMs: 1600,
     announceMs: 1000,
@@ -67,7 +67,7 @@
 };
 
 interface Heard {
-  machine: Machine;
+  machine: DaemonInfo;
   heardMs: number;
   silent: boolean;
 }
@@ -86,13 +86,13 @@
 const goneSlack = 1.1;
 
 /** What only the leader does: takes commands, keeps contracts and keys alive, and gives edges their views. */
-export class Registry {
-  private readonly world: World;
-  private readonly recorder: Recorder;
-  private readonly book: Book;
-  private readonly terms: Terms;
-  private readonly log: PartLog;
-  private readonly configs = new Queue<{ order: ChangeOrder; done: (text: string) => void }>();
+export class ControlPlane {
+  private readonly world: Runtime;
+  private readonly recorder: ReplicationNode;
+  private readonly book: StateMachine;
+  private readonly terms: ControlPlaneTimeouts;
+  private readonly log: Logger;
+  private readonly configs = new Queue<{ order: ConfigCommand; done: (text: string) => void }>();
   /** The config that was read last, beside its text. */
   private parsed: { text: string; value: Config } = { text: "", value: Config.empty };
   private readonly heardBackEnds = new Map<string, { heardMs: number; leftMs: number }>();
@@ -103,15 +103,15 @@
   /** Since when this recorder knows, or last heard, of each instance that is gone for good. */
   private readonly goneSince = new Map<string, number>();
   /** The config that was read back last, as it travels. */
-  private readBack: { sequence: number; text: TravellingText } = { sequence: -1, text: {} };
+  private readBack: { sequence: number; text: CompressedText } = { sequence: -1, text: {} };
   /** Polls that are held until there is news. */
   private readonly waitingForNews = new Set<() => void>();
   private isTelling = false;
   /** Before when no further news is told. */
   private nextNewsMs = -Infinity;
-  private readonly configChanges: ConfigChanges;
-  private readonly largeViews: LargeViews;
-  private readonly directory: DirectoryChanges;
+  private readonly configChanges: ConfigChangeLog;
+  private readonly largeViews: LargeViewLimiter;
+  private readonly directory: EndpointChangeLog;
   /** Since when this leader has seen a number rest. */
   private readonly restingSince = new Map<number, number>();
   private keyAges: Array<{ scope: string; index: number; atMs: number }> = [];
@@ -122,18 +122,18 @@
   private isNew = true;
   private leadsSinceMs = Infinity;
   /** The places of all edges, until one comes or goes. */
-  private edgePlaces: ReadonlyMap<string, EdgePlace> | undefined;
-  private readonly allowance: CapacityGrants;
-  private readonly meter: CommandMeter;
+  private edgePlaces: ReadonlyMap<string, EdgePlacement> | undefined;
+  private readonly allowance: RetryCapacityAllocator;
+  private readonly meter: CommandMetrics;
   private readonly steps: StepTimer;
   private readonly claims: ClaimAdmission;
 
   constructor(
-    world: World,
-    recorder: Recorder,
-    book: Book,
-    terms: Terms,
-    allowance: CapacityGrants,
+    world: Runtime,
+    recorder: ReplicationNode,
+    book: StateMachine,
+    terms: ControlPlaneTimeouts,
+    allowance: RetryCapacityAllocator,
   ) {
     this.world = world;
     this.recorder = recorder;
@@ -141,12 +141,12 @@
     this.terms = terms;
     this.allowance = allowance;
     this.log = world.logbook.part("contract");
-    this.meter = new CommandMeter(world.clock, this.log);
+    this.meter = new CommandMetrics(world.clock, this.log);
     this.steps = new StepTimer(world.clock, this.log);
     this.claims = new ClaimAdmission(world.clock);
-    this.directory = new DirectoryChanges(book);
-    this.largeViews = new LargeViews(terms.grantMs);
-    this.configChanges = new ConfigChanges(book, () => this.configInForce());
+    this.directory = new EndpointChangeLog(book);
+    this.largeViews = new LargeViewLimiter(terms.grantMs);
+    this.configChanges = new ConfigChangeLog(book, () => this.configInForce());
     book.onApplied((deed, index) => {
       if (deed.kind === "claim")
         this.keyAges.push({ scope: deed.scope, index, atMs: world.clock.nowMs() });
@@ -168,13 +168,13 @@
   /** Carries out one command at the leader and tells the outcome as JSON. */
   *command(text: string): Task<string> {
     const startedMs = this.world.clock.nowMs();
-    const order = this.steps.run("readOrder", () => Order.read(text));
+    const order = this.steps.run("readOrder", () => Command.read(text));
     const outcome = yield* this.carryOut(order);
     this.meter.note(order.kind, startedMs);
     return outcome;
   }
 
-  private *carryOut(order: Order): Task<string> {
+  private *carryOut(order: Command): Task<string> {
     switch (order.kind) {
       case "announce":
         return yield* this.announce(order);
@@ -205,7 +205,8 @@
         const known = this.book.keys.get(order.scope);
         const isFree = !known || known.job === order.job || known.job === order.replaces;
         if (!isFree && this.recorder.hasGrant) return JSON.stringify({ held: known });
-        if (!known && this.book.keys.size >= heldKeys) return this.granted(() => ({ full: true }));
+        if (!known && this.book.keys.size >= MAX_IDEMPOTENCY_CLAIMS)
+          return this.granted(() => ({ full: true }));
         return yield* this.claims.admit(this.enter(order));
       }
       case "release":
@@ -223,12 +224,12 @@
 
   /** Gives an edge or collector its view, if this recorder may answer now. */
   *poll(text: string): Task<string> {
-    const poll = Poll.read(text);
-    if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
+    const poll = WatchRequest.read(text);
+    if (!this.recorder.hasGrant) return failureResponse("noGrant");
     const nowMs = this.world.clock.nowMs();
     if (this.isNew) {
       this.isNew = false;
-      this.allowance.lead(nowMs, World.nonce(this.world), this.book.holders);
+      this.allowance.lead(nowMs, Runtime.nonce(this.world), this.book.holders);
     }
     const { machine } = poll;
     const known = this.machines.get(machine.name);
@@ -263,10 +264,10 @@
         : { number: "", capacities: new Map<string, number>() };
     if (this.terms.holdMs > 0 && granted.number === poll.grantNumber && !this.hasNewsFor(poll)) {
       yield* this.news(this.terms.holdMs);
-      if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
+      if (!this.recorder.hasGrant) return failureResponse("noGrant");
     }
     const members = this.knownMembers();
-    const view: GrantedView = {
+    const view: LeasedView = {
       granted: true,
       grantMs: this.terms.grantMs,
       announceMs: this.terms.announceMs,
@@ -294,7 +295,7 @@
         this.steps.run("viewOfDirectory", () => this.directory.viewPart(poll.directorySequence)),
       );
     const viewText = `${parts.join(",")}}`;
-    if (viewText.length <= longText) return viewText;
+    if (viewText.length <= COMPRESSION_THRESHOLD_CHARS) return viewText;
     const sentMs = this.world.clock.nowMs();
     if (this.largeViews.isUnderWay(poll, sentMs)) return underWay;
     this.largeViews.note(poll, sentMs);
@@ -381,24 +382,24 @@
   }
 
   private granted(read: () => unknown): string {
-    return this.recorder.hasGrant ? JSON.stringify(read()) : breakdownReturn("noGrant");
+    return this.recorder.hasGrant ? JSON.stringify(read()) : failureResponse("noGrant");
   }
 
-  private *enter(deed: Deed): Task<string> {
-    return yield* this.enterText(Deed.text(deed));
+  private *enter(deed: LogCommand): Task<string> {
+    return yield* this.enterText(LogCommand.text(deed));
   }
 
   private *enterText(text: string): Task<string> {
     const proposed = yield* this.recorder.propose(text);
-    return typeof proposed === "string" ? breakdownReturn(proposed) : proposed.outcome;
+    return typeof proposed === "string" ? failureResponse(proposed) : proposed.outcome;
   }
 
-  private tell(deed: Deed, ended: (outcome: string) => void = () => undefined): void {
-    World.start(this.world, "contract", this.enter(deed), ended);
+  private tell(deed: LogCommand, ended: (outcome: string) => void = () => undefined): void {
+    Runtime.start(this.world, "contract", this.enter(deed), ended);
   }
 
   /** Whom daemons reach of the control plane, by what is heard and agreed now. */
-  private knownMembers(): KnownMembers {
+  private knownMembers(): ControlPlanePeers {
     const collectors = [...this.machines.values()]
       .filter((one) => one.machine.roles.includes("collector") && !one.silent)
       .map(({ machine }) => ({ zone: machine.zone, peer: machine.peer }))
@@ -420,16 +421,16 @@
   }
 
   /** An edge's place, once this leader has led for as long as a lease, so that every live edge has polled it. */
-  private placeFor({ name }: Machine): Pick<GrantedView, "place"> {
+  private placeFor({ name }: DaemonInfo): Pick<LeasedView, "place"> {
     if (this.world.clock.nowMs() - this.leadsSinceMs < this.terms.grantMs) return {};
-    this.edgePlaces ??= edgePlacesOf(
+    this.edgePlaces ??= edgePlacementsOf(
       [...this.machines.values()].filter(({ silent }) => !silent).map(({ machine }) => machine),
     );
     const place = this.edgePlaces.get(name);
     return place === undefined ? {} : { place };
   }
 
-  private hasNewsFor(poll: Poll): boolean {
+  private hasNewsFor(poll: WatchRequest): boolean {
     return (
       poll.configSequence !== (this.book.inForce?.sequence ?? 0) ||
       poll.directorySequence !== this.book.directorySequence
@@ -464,7 +465,7 @@
   }
 
   /** Takes from a poll which back ends announced themselves at its daemon, and which refused it. */
-  private hearAll({ machine, heard = [], refused }: Poll, nowMs: number): void {
+  private hearAll({ machine, heard = [], refused }: WatchRequest, nowMs: number): void {
     for (const { number, order } of heard) {
       const contract = this.directory.registration(number);
       if (!contract || contract.leaving) continue;
@@ -483,7 +484,7 @@
           why: `it refused a connection from ${machine.name}, or another service is there`,
         },
         (outcome) => {
-          if (isBreakdown(outcome)) this.ending.delete(number);
+          if (isFailureResponse(outcome)) this.ending.delete(number);
         },
       );
     }
@@ -526,13 +527,13 @@
       if (!standing.has(instance)) this.orders.delete(instance);
   }
 
-  private *announce(order: Extract<Order, { kind: "announce" }>): Task<string> {
+  private *announce(order: Extract<Command, { kind: "announce" }>): Task<string> {
     const { address, service, zone, warmth, seen, instance = "", capacity = 0, warmMs = 0 } = order;
-    if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
+    if (!this.recorder.hasGrant) return failureResponse("noGrant");
     const known = this.book.contracts.get(address);
     if (order.draining) {
       const left = yield* this.leave({ address, service, instance }, false);
-      return isBreakdown(left)
+      return isFailureResponse(left)
         ? left
         : this.announced(
             known?.instance === instance ? known.number : 0,
@@ -588,7 +589,7 @@
     );
   }
 
-  private announced(contract: Contract["number"], state: string): string {
+  private announced(contract: Registration["number"], state: string): string {
     return JSON.stringify({ contract, state, announceMs: this.terms.announceMs });
   }
 
@@ -604,7 +605,7 @@
     },
     drained: boolean,
   ): Task<string> {
-    if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
+    if (!this.recorder.hasGrant) return failureResponse("noGrant");
     const known = this.book.contracts.get(address);
     const isGone =
       instance === ""
@@ -638,15 +639,15 @@
 
   /** A new leader doesn't know when one that is leaving left: it may have been just now. */
   private leftBefore(
-    known: Contract | undefined,
+    known: Registration | undefined,
     nowMs: number,
   ): { heardMs: number; leftMs: number } | undefined {
     return known?.leaving === true ? this.noteLeft(known.address, nowMs) : undefined;
   }
 
-  private *changeConfig(order: ChangeOrder): Task<string> {
+  private *changeConfig(order: ConfigCommand): Task<string> {
     for (let round = 0; round < 5; round += 1) {
-      if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
+      if (!this.recorder.hasGrant) return failureResponse("noGrant");
       const first = this.book.changeVersion(order.changeId);
       if (first !== undefined) return JSON.stringify({ accepted: first });
       const { version, forgottenUpTo } = this.book;
@@ -670,7 +671,7 @@
       yield* this.otherWork();
       const text = this.steps.run("writeConfig", () => configText(config));
       yield* this.otherWork();
-      const recorded = this.steps.run("compareTexts", () => RecordedText.of(inForce?.text, text));
+      const recorded = this.steps.run("compareTexts", () => ConfigPayload.of(inForce?.text, text));
       yield* this.otherWork();
       const outcome = yield* this.enter({
         kind: "config",
@@ -686,7 +687,7 @@
       if (!failed && "accepted" in read) this.parsed = { text, value: config };
       if (failed || "accepted" in read || order.base !== undefined) return outcome;
     }
-    return breakdownReturn("notLeader");
+    return failureResponse("notLeader");
   }
 
   /** Lets heartbeats and whatever else waits have their turn between the steps of a change, each of which can take long. */
@@ -698,8 +699,8 @@
   private nameChanges({ services, routes }: Config): NameChanges {
     const { inForce } = this.book.numbering;
     const present = new Set([
-      ...Object.keys(services).map((service) => Numbering.serviceName(service)),
-      ...Object.keys(routes).map((route) => Numbering.routeName(route)),
+      ...Object.keys(services).map((service) => IdAllocator.serviceName(service)),
+      ...Object.keys(routes).map((route) => IdAllocator.routeName(route)),
     ]);
     return {
       added: [...present].filter((name) => !inForce.has(name)),
@@ -708,12 +709,12 @@
   }
 
   /** The whole config that an order makes of the one in force. */
-  private changed(order: ChangeOrder): unknown {
+  private changed(order: ConfigCommand): unknown {
     if (order.kind === "put") return order.value;
     const current = this.configInForce();
     return order.kind === "patch"
       ? mergePatch(current, order.value)
-      : amend(current, order.put, order.remove);
+      : applyItemChanges(current, order.put, order.remove);
   }
 
   /** The config in force, parsed once for each change. */
@@ -738,13 +739,13 @@
   }
 
   private *read(version: number | undefined): Task<string> {
-    if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
+    if (!this.recorder.hasGrant) return failureResponse("noGrant");
     const newest = this.book.inForce;
     const wanted = version ?? this.book.version;
     if (!newest || wanted > this.book.version || wanted < 1) return JSON.stringify({ found: null });
     const found =
       wanted === this.book.version ? newest : yield* this.ofVersion(wanted, newest.sequence);
-    if (found === "unknown") return breakdownReturn("unknown");
+    if (found === "unknown") return failureResponse("unknown");
     if (found === "noLongerKept") return this.granted(() => ({ found: null, noLongerKept: true }));
     if (!found) return this.granted(() => ({ found: null }));
     return this.granted(() => ({
@@ -759,9 +760,9 @@
   }
 
   /** The text of a config as it is read back, packed once for all readers where it is long. */
-  private travellingText({ sequence, text }: AcceptedConfig): TravellingText {
+  private travellingText({ sequence, text }: AcceptedConfig): CompressedText {
     if (this.readBack.sequence !== sequence)
-      this.readBack = { sequence, text: TravellingText.of(text) };
+      this.readBack = { sequence, text: CompressedText.of(text) };
     return this.readBack.text;
   }
 
@@ -800,23 +801,23 @@
 
   /** Takes a member in that holds this fleet's record, and was removed while it was away. */
   private *join(machine: string, fleet: string): Task<string> {
-    if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
+    if (!this.recorder.hasGrant) return failureResponse("noGrant");
     if (fleet !== this.recorder.attendance.fleet) return JSON.stringify({ foreign: true });
     const taken = yield* this.recorder.addLearner(machine);
-    return taken ? JSON.stringify({ taken }) : breakdownReturn("busy");
+    return taken ? JSON.stringify({ taken }) : failureResponse("busy");
   }
 
   private *memberStops(machine: string, lastIndex: number): Task<string> {
-    if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
+    if (!this.recorder.hasGrant) return failureResponse("noGrant");
     const answer = yield* this.recorder.memberStops(machine, lastIndex);
-    return answer ? JSON.stringify(answer) : breakdownReturn("notLeader");
+    return answer ? JSON.stringify(answer) : failureResponse("notLeader");
   }
 
   private *rejoin(machine: string, nonce: string): Task<string> {
-    if (!this.recorder.hasGrant) return breakdownReturn("noGrant");
-    if (!(yield* this.recorder.addLearner(machine))) return breakdownReturn("busy");
+    if (!this.recorder.hasGrant) return failureResponse("noGrant");
+    if (!(yield* this.recorder.addLearner(machine))) return failureResponse("busy");
     const marked = yield* this.enter({ kind: "rejoined", machine, nonce });
-    return isBreakdown(marked) ? marked : JSON.stringify({ taken: true });
+    return isFailureResponse(marked) ? marked : JSON.stringify({ taken: true });
   }
 
   private fleetView() {
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -1,8 +1,8 @@
-import type { Book, Contract } from "../state/state-machine.js";
-import { Packed } from "../runtime/text-compression.js";
+import type { StateMachine, Registration } from "../state/state-machine.js";
+import { TextCompression } from "../runtime/text-compression.js";
 import { registrationHash } from "../cluster-view/endpoint-replica.js";
-import { longText } from "../control-protocol/command.js";
-import { RecentChanges } from "./change-buffer.js";
+import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/command.js";
+import { ChangeBuffer } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
 /** How many bytes the names of changed registrations may take; beyond that the oldest changes are forgotten. */
@@ -13,22 +13,22 @@
  * It follows the state machine on every member of the replicated log, so that a new leader knows the same changes as the one
  * before.
  */
-export class DirectoryChanges {
-  private readonly book: Book;
-  private table: Book["contracts"];
+export class EndpointChangeLog {
+  private readonly book: StateMachine;
+  private table: StateMachine["contracts"];
   private tableSequence: number;
-  private readonly recent: RecentChanges;
+  private readonly recent: ChangeBuffer;
   private readonly hashes = new Map<string, bigint>();
-  private readonly byNumber = new Map<number, Contract>();
+  private readonly byNumber = new Map<number, Registration>();
   private readonly setDigest = new SetDigest();
   /** The parts of views that were made for the present sequence, by the sequence that a daemon knows. */
   private readonly parts = new Map<number, string>();
 
-  constructor(book: Book) {
+  constructor(book: StateMachine) {
     this.book = book;
     this.table = book.contracts.clear();
     this.tableSequence = 0;
-    this.recent = new RecentChanges(0, keptChangeBytes);
+    this.recent = new ChangeBuffer(0, keptChangeBytes);
     book.onApplied(() => this.observe());
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** The registration of a number. */
-  registration(number: number): Contract | undefined {
+  registration(number: number): Registration | undefined {
     this.observe();
     return this.byNumber.get(number);
   }
@@ -65,7 +65,7 @@
   }
 
   private changesPart(base: number, touched: ReadonlySet<string>): string {
-    const put: Contract[] = [];
+    const put: Registration[] = [];
     const removed: string[] = [];
     for (const address of touched) {
       const registration = this.table.get(address);
@@ -80,7 +80,9 @@
     if (whole !== undefined) return whole;
     const text = JSON.stringify([...this.table.values()]);
     const part =
-      text.length > longText ? `"packedDirectory":"${Packed.of(text)}"` : `"directory":${text}`;
+      text.length > COMPRESSION_THRESHOLD_CHARS
+        ? `"packedDirectory":"${TextCompression.of(text)}"`
+        : `"directory":${text}`;
     this.parts.set(-1, part);
     return part;
   }
@@ -108,14 +110,14 @@
     this.recent.note(directorySequence, touched);
   }
 
-  private know(registration: Contract): void {
+  private know(registration: Registration): void {
     const hash = registrationHash(registration);
     this.hashes.set(registration.address, hash);
     this.setDigest.add(hash);
     this.byNumber.set(registration.number, registration);
   }
 
-  private forget(registration: Contract | undefined): void {
+  private forget(registration: Registration | undefined): void {
     if (!registration) return;
     this.setDigest.remove(this.hashes.get(registration.address) ?? 0n);
     this.hashes.delete(registration.address);
--- a/src/control-plane/large-view-limiter.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -1,4 +1,4 @@
-import type { Poll } from "../control-protocol/command.js";
+import type { WatchRequest } from "../control-protocol/command.js";
 
 interface SentView {
   /** What the daemon knew when it asked. */
@@ -11,14 +11,14 @@
 /** How often the wait for a view that didn't arrive is doubled at most. */
 const mostDoublings = 4;
 
-const knownOf = ({ machine, configSequence, directorySequence }: Poll): string =>
+const knownOf = ({ machine, configSequence, directorySequence }: WatchRequest): string =>
   `${machine.incarnation} ${configSequence} ${directorySequence}`;
 
 /**
  * The large views that are under way to daemons. Over a thin link one may take longer than a poll is waited for; the same view
  * isn't sent again to whoever asks again meanwhile, since each would hold up the next, for ever.
  */
-export class LargeViews {
+export class LargeViewLimiter {
   private readonly sent = new Map<string, SentView>();
   private readonly firstWaitMs: number;
 
@@ -28,13 +28,13 @@
   }
 
   /** Whether a view for what this daemon knows was sent a short while ago. */
-  isUnderWay(poll: Poll, nowMs: number): boolean {
+  isUnderWay(poll: WatchRequest, nowMs: number): boolean {
     const sent = this.sent.get(poll.machine.name);
     return sent?.known === knownOf(poll) && nowMs - sent.sentMs < sent.waitMs;
   }
 
   /** Notes that a large view is sent now. */
-  note(poll: Poll, nowMs: number): void {
+  note(poll: WatchRequest, nowMs: number): void {
     const known = knownOf(poll);
     const former = this.sent.get(poll.machine.name);
     const waitMs =
--- a/src/control-plane/retry-capacity-allocator.ts
+++ b/src/control-plane/retry-capacity-allocator.ts
@@ -1,5 +1,5 @@
 /** The leader's table of which edge holds how much of each service's further tries. */
-export interface CapacityGrants {
+export interface RetryCapacityAllocator {
   /** A new leader begins, with the edges that may hold something. */
   lead(nowMs: number, leaderName: string, expected: ReadonlySet<string>): void;
   /** The capacities of one edge, given what it holds and how many further tries it wished for lately. */
--- a/src/control-protocol/command.ts
+++ b/src/control-protocol/command.ts
@@ -1,11 +1,11 @@
 import { configShape, itemsShape, namesShape, type Config } from "../configuration/config.js";
-import { edgePlaceShape } from "./edge-placement.js";
-import { Guarded } from "../configuration/validated.js";
+import { edgePlacementShape } from "./edge-placement.js";
+import { Validated } from "../configuration/validated.js";
 import { FrameError } from "../rpc/frame.js";
-import { kindOf } from "../runtime/kind-of.js";
-import { Contract } from "../state/state-machine.js";
-import { Packed } from "../runtime/text-compression.js";
-import { passes, quick } from "../runtime/fast-validator.js";
+import { kindField } from "../runtime/kind-of.js";
+import { Registration } from "../state/state-machine.js";
+import { TextCompression } from "../runtime/text-compression.js";
+import { matchesStruct, fastValidator } from "../runtime/fast-validator.js";
 import {
   array,
   boolean,
@@ -70,16 +70,16 @@
 };
 
 /** A command for the leader, as daemons forwarder it. */
-export type Order = Infer<(typeof orderShapes)[keyof typeof orderShapes]>;
+export type Command = Infer<(typeof orderShapes)[keyof typeof orderShapes]>;
 
 /** A command that changes the config. */
-export type ChangeOrder = Extract<Order, { kind: "put" | "patch" | "amend" }>;
+export type ConfigCommand = Extract<Command, { kind: "put" | "patch" | "amend" }>;
 
 const isOrderKind = (kind: string): kind is keyof typeof orderShapes =>
   Object.hasOwn(orderShapes, kind);
 
 /** How long a text may be and still travel as it is. */
-export const longText = 4096;
+export const COMPRESSION_THRESHOLD_CHARS = 4096;
 
 const isPacked = (value: unknown): value is { packed: string } =>
   typeof value === "object" &&
@@ -89,28 +89,30 @@
 
 const unpacked = (packed: string): unknown => {
   try {
-    const value: unknown = JSON.parse(Packed.text(packed));
+    const value: unknown = JSON.parse(TextCompression.text(packed));
     return value;
   } catch (error) {
     throw new FrameError("A packed command can't be read.", { cause: error });
   }
 };
 
-const isOrder = (kind: keyof typeof orderShapes, value: unknown): value is Order =>
-  passes(orderShapes[kind], value);
+const isOrder = (kind: keyof typeof orderShapes, value: unknown): value is Command =>
+  matchesStruct(orderShapes[kind], value);
 
-export const Order = {
-  read(text: string): Order {
+export const Command = {
+  read(text: string): Command {
     const outer: unknown = JSON.parse(text);
     const value = isPacked(outer) ? unpacked(outer.packed) : outer;
-    const kind = kindOf(value);
+    const kind = kindField(value);
     if (!isOrderKind(kind)) throw new FrameError(`No command is of the kind "${kind}".`);
     return isOrder(kind, value) ? value : orderShapes[kind].create(value);
   },
   /** As it travels; a long one is packed, since links of small machines are slow. */
-  text(order: Order): string {
+  text(order: Command): string {
     const text = JSON.stringify(order);
-    return text.length > longText ? JSON.stringify({ packed: Packed.of(text) }) : text;
+    return text.length > COMPRESSION_THRESHOLD_CHARS
+      ? JSON.stringify({ packed: TextCompression.of(text) })
+      : text;
   },
 };
 
@@ -126,7 +128,7 @@
 });
 
 /** A machine as it shows itself to the fleet. */
-export type Machine = Infer<typeof machineShape>;
+export type DaemonInfo = Infer<typeof machineShape>;
 
 const pollShape = object({
   machine: machineShape,
@@ -146,7 +148,7 @@
 });
 
 /** What an edge or collector sends to get a fresh view. */
-export type Poll = Infer<typeof pollShape>;
+export type WatchRequest = Infer<typeof pollShape>;
 
 const numbersShape = define<Record<string, number>>(
   "numbers",
@@ -159,7 +161,7 @@
 /** What changed since the configuration under `base`: items that are put whole, and the keys of items that went before that. */
 const configUpdateShape = object({
   base: number(),
-  put: define<Config>("items of a config", (value) => Guarded.passes(configShape, value)),
+  put: define<Config>("items of a config", (value) => Validated.passes(configShape, value)),
   removed: array(string()),
   /** The numbers of services and routes that are new or have changed. */
   numbers: numbersShape,
@@ -168,7 +170,7 @@
 /** The changes of a configuration, by item. */
 export type ConfigUpdate = Infer<typeof configUpdateShape>;
 
-const registrationsShape = define<Contract[]>("directory", Contract.areAll);
+const registrationsShape = define<Registration[]>("directory", Registration.areAll);
 
 const membersShape = object({
   digest: string(),
@@ -179,7 +181,7 @@
 });
 
 /** Whom a daemon reaches of the control plane: collectors and members of the replicated log. */
-export type KnownMembers = Infer<typeof membersShape>;
+export type ControlPlanePeers = Infer<typeof membersShape>;
 
 const viewShape = object({
   granted: literal(true),
@@ -213,32 +215,35 @@
   /** The members of the control plane; left out where the poll named their digest. */
   members: optional(membersShape),
   /** The place of the edge that polled; left out until the leader has heard of all edges. */
-  place: optional(edgePlaceShape),
+  place: optional(edgePlacementShape),
 });
 
 /** The view that a poll returns: it is a grant to serve under it. */
-export type GrantedView = Infer<typeof viewShape>;
+export type LeasedView = Infer<typeof viewShape>;
 
 const pollReturnShape = union([viewShape, object({ granted: literal(false), why: string() })]);
 
-const readPoll = quick(pollShape);
-const readView = quick(viewShape);
-const readConfigUpdate = quick(configUpdateShape);
-const readRegistrations = quick(registrationsShape);
+const readPoll = fastValidator(pollShape);
+const readView = fastValidator(viewShape);
+const readConfigUpdate = fastValidator(configUpdateShape);
+const readRegistrations = fastValidator(registrationsShape);
 
 /** A view whose directory, where it is packed, is unpacked. */
-const unpackedView = (view: GrantedView): GrantedView =>
+const unpackedView = (view: LeasedView): LeasedView =>
   view.packedDirectory === undefined
     ? view
-    : { ...view, directory: readRegistrations(JSON.parse(Packed.text(view.packedDirectory))) };
+    : {
+        ...view,
+        directory: readRegistrations(JSON.parse(TextCompression.text(view.packedDirectory))),
+      };
 
-export const Poll = {
-  read: (text: string): Poll => readPoll(JSON.parse(text)),
+export const WatchRequest = {
+  read: (text: string): WatchRequest => readPoll(JSON.parse(text)),
   /** The changes of the configuration that a view tells, if any. */
-  configUpdate: ({ configChanges, packedConfigChanges }: GrantedView): ConfigUpdate | undefined =>
+  configUpdate: ({ configChanges, packedConfigChanges }: LeasedView): ConfigUpdate | undefined =>
     packedConfigChanges === undefined
       ? configChanges
-      : readConfigUpdate(JSON.parse(Packed.text(packedConfigChanges))),
+      : readConfigUpdate(JSON.parse(TextCompression.text(packedConfigChanges))),
   readReturn(text: string): Infer<typeof pollReturnShape> {
     const value: unknown = JSON.parse(text);
     return typeof value === "object" &&
@@ -251,7 +256,7 @@
 };
 
 const claimedShape = object({ claimed: literal(true) });
-const readClaimed = quick(claimedShape);
+const readClaimed = fastValidator(claimedShape);
 const claimReturnShape = union([
   claimedShape,
   object({ full: literal(true) }),
@@ -266,10 +271,10 @@
 ]);
 
 /** What the leader says of a key. */
-export type ClaimReturn = Infer<typeof claimReturnShape>;
+export type ClaimResponse = Infer<typeof claimReturnShape>;
 
-export const ClaimReturn = {
-  read(text: string): ClaimReturn {
+export const ClaimResponse = {
+  read(text: string): ClaimResponse {
     const value: unknown = JSON.parse(text);
     return typeof value === "object" && value !== null && "claimed" in value
       ? readClaimed(value)
@@ -278,10 +283,10 @@
 };
 
 /** A return that says that a command wasn't carried out, or perhaps wasn't, in a word. */
-export const breakdownReturn = (word: string): string => JSON.stringify({ breakdown: word });
+export const failureResponse = (word: string): string => JSON.stringify({ breakdown: word });
 
 /** Whether a return only says that the command wasn't carried out, or perhaps wasn't. */
-export const isBreakdown = (text: string): boolean => text.startsWith('{"breakdown":');
+export const isFailureResponse = (text: string): boolean => text.startsWith('{"breakdown":');
 
 /** A leader's refusal of what it can't carry out in time. It says so at once, and asking again would only add to its work. */
-export const overloadedReturn = breakdownReturn("overloaded");
+export const overloadedResponse = failureResponse("overloaded");
--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -1,8 +1,8 @@
-import type { Fault } from "../configuration/config.js";
-import { Terms } from "../control-plane/control-plane.js";
-import { Waits } from "../replication/replication-node.js";
+import type { ValidationFault } from "../configuration/config.js";
+import { ControlPlaneTimeouts } from "../control-plane/control-plane.js";
+import { ReplicationTimeouts } from "../replication/replication-node.js";
 import { RetryRules } from "../retry-budget/retry-rules.js";
-import { CountsForm } from "../retry-budget/request-counts.js";
+import { RequestCountsFormat } from "../retry-budget/request-counts.js";
 import type { BoundSettings } from "./bound-settings.js";
 
 type Figures = Required<{ [name in keyof NonNullable<BoundSettings["bounds"]>]: number }>;
@@ -60,10 +60,10 @@
   readonly pollMs: number;
   /** How long an edge waits until it asks again; longer than the leader holds a poll. */
   readonly pollWaitMs: number;
-  readonly terms: Terms;
-  readonly waits: Waits;
+  readonly terms: ControlPlaneTimeouts;
+  readonly waits: ReplicationTimeouts;
   readonly budget: RetryRules;
-  readonly counts: CountsForm;
+  readonly counts: RequestCountsFormat;
   /** How long an operator's order may take until its fate is called unknown. */
   readonly orderMs: number;
   /** How long a stopping daemon takes requests still: whoever sends it callers must first see that it isn't ready. */
@@ -85,7 +85,7 @@
 
 /** How quick elections are against the usual ones, so that they fit into each bound that waits for one. */
 const paceOf = (leaseMs: number, { contactMs, catchUpMs }: Figures): number => {
-  const usualElectionsMs = electionsInCatchUp * Waits.usual.electionMaxMs;
+  const usualElectionsMs = electionsInCatchUp * ReplicationTimeouts.usual.electionMaxMs;
   const fitting = Math.min(leaseMs / 1600, contactMs / 3000, catchUpMs / usualElectionsMs);
   return Math.min(1, Math.max(0.3, fitting));
 };
@@ -94,7 +94,7 @@
 
 export const Bounds = {
   /** The bounds that can't be kept, by their paths in the settings. */
-  faults(settings: BoundSettings): Fault[] {
+  faults(settings: BoundSettings): ValidationFault[] {
     const figures = figuresOf(settings);
     const least: Array<[name: keyof Figures, least: number, why: string]> = [
       ["applyMs", leastBoundMs, "a lease has to outlast a poll and an election"],
@@ -144,7 +144,7 @@
       pollMs,
       pollWaitMs: holdMs + Math.max(leaseMs * pollWayPart, leastPollWayMs),
       terms: {
-        ...Terms.usual,
+        ...ControlPlaneTimeouts.usual,
         grantMs: leaseMs,
         announceMs: heartbeatMs,
         // What one daemon hears reaches the leader with its polls.
@@ -156,21 +156,21 @@
         restMs: Math.max(60_000, 6 * retryWindowMs),
       },
       waits: {
-        ...Waits.usual,
-        heartbeatMs: paced(Waits.usual.heartbeatMs),
-        electionMinMs: paced(Waits.usual.electionMinMs),
-        electionMaxMs: paced(Waits.usual.electionMaxMs),
-        leaderGrantMs: paced(Waits.usual.leaderGrantMs),
-        stallMs: paced(Waits.usual.stallMs),
+        ...ReplicationTimeouts.usual,
+        heartbeatMs: paced(ReplicationTimeouts.usual.heartbeatMs),
+        electionMinMs: paced(ReplicationTimeouts.usual.electionMinMs),
+        electionMaxMs: paced(ReplicationTimeouts.usual.electionMaxMs),
+        leaderGrantMs: paced(ReplicationTimeouts.usual.leaderGrantMs),
+        stallMs: paced(ReplicationTimeouts.usual.stallMs),
         replaceAfterMs: Math.max(
-          2 * paced(Waits.usual.electionMaxMs),
+          2 * paced(ReplicationTimeouts.usual.electionMaxMs),
           Math.round(Math.min(mostReplaceMs, catchUpMs * replacePart)),
         ),
         provenAfterMs: catchUpMs,
         forgetAfterMs: forgetTimes * catchUpMs,
       },
       budget: RetryRules.of(retryRatio, retryExtra, retryWindowMs),
-      counts: CountsForm.forWindow(retryWindowMs),
+      counts: RequestCountsFormat.forWindow(retryWindowMs),
       orderMs: 0.8 * ackMs,
       serveOnMs: Math.min(2600, (graceMs * 13) / 30),
       abandonMs: graceMs - endMs,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,98 +1,98 @@
-import { Forwarder } from "../cluster-view/command-forwarder.js";
-import type { Mappings } from "../cluster-view/route-table.js";
-import type { Machine } from "../control-protocol/command.js";
-import { Registry } from "../control-plane/control-plane.js";
-import { poolOf, View } from "../cluster-view/cluster-view.js";
-import type { BackEnds } from "../proxy/upstream/backend-client.js";
-import { Dialect } from "../proxy/header-names.js";
-import { Door } from "../proxy/http-proxy.js";
-import type { Caller, Job } from "../proxy/proxy-request.js";
-import { LapsedLease } from "../proxy/expired-lease-policy.js";
-import { KeyedOutcomeKeeper } from "../proxy/idempotency/outcome-replicator.js";
-import { KeyedOutcomeStore } from "../proxy/idempotency/outcome-cache.js";
-import type { Return } from "../proxy/request-outcome.js";
-import { Kind } from "../rpc/rpc-method.js";
-import { Link } from "../rpc/rpc-endpoint.js";
-import type { Archive } from "../admin/config-archive.js";
-import { Operators } from "../admin/admin-api.js";
-import { Book } from "../state/state-machine.js";
-import { historyBytesOf } from "../replication/history/history-quota.js";
-import { Meeting } from "../replication/bootstrap/cluster-bootstrap.js";
-import type { Place } from "../replication/bootstrap/node-location.js";
-import { Recorder, type Waits } from "../replication/replication-node.js";
-import { Store } from "../replication/log/log-store.js";
+import { CommandForwarder } from "../cluster-view/command-forwarder.js";
+import type { RouteTable } from "../cluster-view/route-table.js";
+import type { DaemonInfo } from "../control-protocol/command.js";
+import { ControlPlane } from "../control-plane/control-plane.js";
+import { connectionPoolKey, ClusterView } from "../cluster-view/cluster-view.js";
+import type { BackendClient } from "../proxy/upstream/backend-client.js";
+import { HeaderNames } from "../proxy/header-names.js";
+import { HttpProxy } from "../proxy/http-proxy.js";
+import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
+import { ExpiredLeasePolicy } from "../proxy/expired-lease-policy.js";
+import { OutcomeReplicator } from "../proxy/idempotency/outcome-replicator.js";
+import { OutcomeCache } from "../proxy/idempotency/outcome-cache.js";
+import type { ClientResponse } from "../proxy/request-outcome.js";
+import { RpcMethod } from "../rpc/rpc-method.js";
+import { RpcEndpoint } from "../rpc/rpc-endpoint.js";
+import type { ConfigArchive } from "../admin/config-archive.js";
+import { AdminApi } from "../admin/admin-api.js";
+import { StateMachine } from "../state/state-machine.js";
+import { historyQuotaBytes } from "../replication/history/history-quota.js";
+import { ClusterBootstrap } from "../replication/bootstrap/cluster-bootstrap.js";
+import type { NodeLocation } from "../replication/bootstrap/node-location.js";
+import { ReplicationNode, type ReplicationTimeouts } from "../replication/replication-node.js";
+import { LogStore } from "../replication/log/log-store.js";
 import { RetryQuotas } from "../retry-budget/retry-quotas.js";
 import { RetryBudget } from "../retry-budget/retry-budget.js";
-import { Collector } from "../retry-budget/count-aggregator.js";
+import { CountAggregator } from "../retry-budget/count-aggregator.js";
 import { EdgeCounts } from "../retry-budget/edge-counts.js";
 import { LoadBalancer } from "../load-balancing/load-balancer.js";
 import { Bounds } from "./bounds.js";
 import { Clock } from "../runtime/clock.js";
 import { LinkPacers } from "../runtime/link-pacer.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import { Settings, type Role } from "./settings.js";
-import { Source } from "../runtime/event-stream.js";
+import { EventStream } from "../runtime/event-stream.js";
 import type { Task } from "../runtime/task.js";
-import { World } from "../runtime/runtime.js";
+import { Runtime } from "../runtime/runtime.js";
 
 /** A caller's request as it arrives. */
-export interface Arrival {
-  readonly job: Job;
-  readonly caller: Caller;
+export interface IncomingRequest {
+  readonly job: ProxyRequest;
+  readonly caller: ClientConnection;
 }
 
 /** An operator's or back end's request as it arrives. */
-export interface DeskArrival {
-  readonly job: Job;
-  readonly give: (ret: Return) => void;
+export interface IncomingAdminRequest {
+  readonly job: ProxyRequest;
+  readonly give: (ret: ClientResponse) => void;
 }
 
 /** What a daemon may be told besides its settings. */
 export interface DaemonOptions {
   /** The back ends as this machine reaches them. */
-  readonly backEnds: BackEnds;
+  readonly backEnds: BackendClient;
   /** Where accepted configs are also kept, on a machine with a disk. */
-  readonly archive?: Archive | undefined;
+  readonly archive?: ConfigArchive | undefined;
   /** The headers by which it speaks with callers and back ends. */
-  readonly dialect?: Dialect;
+  readonly dialect?: HeaderNames;
   /** Both directions of the machine's link, where its rate is to be kept. */
   readonly pacers?: LinkPacers;
   /** Waits of the record that differ from what the bounds make of them. */
-  readonly waits?: Partial<Waits>;
+  readonly waits?: Partial<ReplicationTimeouts>;
 }
 
 const pushMs = 2000;
 
 /** One machine's daemon: its roles, the links to its peers, and what it serves. */
 export class Daemon {
-  readonly callers = new Source<Arrival>();
-  readonly operators = new Source<DeskArrival>();
-  private readonly world: World;
+  readonly callers = new EventStream<IncomingRequest>();
+  readonly operators = new EventStream<IncomingAdminRequest>();
+  private readonly world: Runtime;
   private readonly settings: Settings;
   private readonly bounds: Bounds;
   private readonly roles: Role[];
-  private readonly log: PartLog;
-  private readonly archive: Archive | undefined;
+  private readonly log: Logger;
+  private readonly archive: ConfigArchive | undefined;
   private readonly incarnation: string;
-  private readonly link: Link;
-  private readonly forwarder: Forwarder;
-  private readonly meeting: Meeting;
+  private readonly link: RpcEndpoint;
+  private readonly forwarder: CommandForwarder;
+  private readonly meeting: ClusterBootstrap;
   private seeds: readonly string[];
   private readonly budget: RetryBudget;
-  private readonly view: View;
+  private readonly view: ClusterView;
   private readonly shares: LoadBalancer;
   private readonly edgeCounts: EdgeCounts;
-  private readonly desk: Operators;
-  readonly door: Door;
-  private readonly outcomes: KeyedOutcomeKeeper;
-  readonly recorder: Recorder | undefined;
-  private readonly registry: Registry | undefined;
-  private readonly collector: Collector | undefined;
+  private readonly desk: AdminApi;
+  readonly door: HttpProxy;
+  private readonly outcomes: OutcomeReplicator;
+  readonly recorder: ReplicationNode | undefined;
+  private readonly registry: ControlPlane | undefined;
+  private readonly collector: CountAggregator | undefined;
   private draining = false;
   /** Hears what callers may send, whenever a config says so. */
-  onLimits: (limits: Mappings["limits"]) => void = () => undefined;
+  onLimits: (limits: RouteTable["limits"]) => void = () => undefined;
 
-  constructor(world: World, settings: Settings, options: DaemonOptions) {
+  constructor(world: Runtime, settings: Settings, options: DaemonOptions) {
     const bounds = Bounds.of(settings);
     this.world = world;
     this.settings = settings;
@@ -101,15 +101,15 @@
     this.budget = new RetryBudget(bounds.budget);
     this.roles = Settings.roles(settings);
     this.log = world.logbook.part("machine");
-    this.incarnation = World.nonce(world);
+    this.incarnation = Runtime.nonce(world);
     const pacers = options.pacers ?? LinkPacers.of(world.clock, settings.limits?.linkMbps);
-    this.link = new Link(world, settings.peers, undefined, pacers);
+    this.link = new RpcEndpoint(world, settings.peers, undefined, pacers);
     this.seeds = settings.seeds;
-    this.forwarder = new Forwarder(world, this.link, () => [
+    this.forwarder = new CommandForwarder(world, this.link, () => [
       ...this.seeds,
       ...this.meeting.recorders,
     ]);
-    const place: Place = {
+    const place: NodeLocation = {
       self: settings.peers,
       machine: settings.machine,
       zone: settings.zone,
@@ -117,17 +117,17 @@
       tolerate: settings.tolerate ?? { machines: 1, zones: 0 },
       seeds: () => this.seeds,
     };
-    this.meeting = new Meeting(world, this.link, place, {
+    this.meeting = new ClusterBootstrap(world, this.link, place, {
       leader: () => this.recorder?.leader || this.forwarder.leader,
       recorders: () => this.forwarder.recorders,
     });
-    this.view = new View(world, this.forwarder, () => this.machine(), this.budget);
+    this.view = new ClusterView(world, this.forwarder, () => this.machine(), this.budget);
     this.shares = new LoadBalancer(settings.zone, () => world.random());
     this.view.onLease = () => this.door.leased();
     this.view.onPlace = (place) => this.shares.setPlace(place);
     this.view.onConfig = ({ limits }) => this.onLimits(limits);
     this.view.onDirectory = (contracts) => {
-      options.backEnds.keepOnly(new Set(contracts.map(poolOf)));
+      options.backEnds.keepOnly(new Set(contracts.map(connectionPoolKey)));
       this.shares.know(contracts, world.clock.nowMs());
     };
     const self = { machine: settings.machine, incarnation: this.incarnation, zone: settings.zone };
@@ -139,16 +139,16 @@
       self,
       bounds.budget,
     );
-    this.outcomes = new KeyedOutcomeKeeper(
+    this.outcomes = new OutcomeReplicator(
       this.link,
-      new KeyedOutcomeStore(world.clock, bounds.terms.keyMs),
+      new OutcomeCache(world.clock, bounds.terms.keyMs),
       () => ({
         members: this.view.collectors,
         leader: this.forwarder.leader,
         zone: settings.zone,
       }),
     );
-    this.door = new Door(world, {
+    this.door = new HttpProxy(world, {
       view: this.view,
       backEnds: options.backEnds,
       forwarder: this.forwarder,
@@ -156,23 +156,23 @@
       counts: this.edgeCounts,
       shares: this.shares,
       incarnation: this.incarnation,
-      dialect: options.dialect ?? Dialect.own,
+      dialect: options.dialect ?? HeaderNames.own,
       lapsedLease: this.lapsedLease(),
       outcomes: this.outcomes,
       egress: pacers.egress,
     });
     if (this.roles.includes("recorder") && world.disk) {
-      const book = new Book();
-      this.recorder = new Recorder(
+      const book = new StateMachine();
+      this.recorder = new ReplicationNode(
         world,
         this.link,
         place,
         { ...bounds.waits, ...options.waits },
         book,
-        new Store(world.disk, historyBytesOf(settings.limits?.diskMb)),
+        new LogStore(world.disk, historyQuotaBytes(settings.limits?.diskMb)),
         this.meeting,
       );
-      this.registry = new Registry(
+      this.registry = new ControlPlane(
         world,
         this.recorder,
         book,
@@ -184,7 +184,7 @@
       });
     }
     if (this.roles.includes("collector"))
-      this.collector = new Collector(
+      this.collector = new CountAggregator(
         world,
         this.link,
         bounds.counts,
@@ -192,7 +192,7 @@
         this.incarnation,
         () => this.recorder?.leader || this.forwarder.leader,
       );
-    this.desk = new Operators(
+    this.desk = new AdminApi(
       world,
       this.forwarder,
       this.view,
@@ -212,10 +212,10 @@
   *start(): Task {
     const { world, registry, recorder, collector } = this;
     this.callers.each(world.clock.scheduler, ({ job, caller }) =>
-      World.start(world, "door", this.door.handle(job, caller)),
+      Runtime.start(world, "door", this.door.handle(job, caller)),
     );
     this.operators.each(world.clock.scheduler, ({ job, give }) =>
-      World.start(world, "operator", this.desk.handle(job), give),
+      Runtime.start(world, "operator", this.desk.handle(job), give),
     );
     if (recorder && registry) {
       const leadership = {
@@ -226,8 +226,8 @@
           return recorder.leader;
         },
       };
-      this.forwarder.serve(Kind.command, leadership, (text) => registry.command(text));
-      this.forwarder.serve(Kind.poll, leadership, (text) => registry.poll(text));
+      this.forwarder.serve(RpcMethod.command, leadership, (text) => registry.command(text));
+      this.forwarder.serve(RpcMethod.poll, leadership, (text) => registry.poll(text));
     } else {
       this.forwarder.serveWay();
       this.meeting.serve();
@@ -235,15 +235,15 @@
     this.outcomes.serve();
     yield* this.link.listen();
     if (recorder && registry) {
-      World.start(world, "record", recorder.own());
-      if (this.archive) World.start(world, "operator", this.archive.own());
-      World.start(world, "contract", registry.ownConfigs());
-      World.start(world, "contract", registry.ownTime());
+      Runtime.start(world, "record", recorder.own());
+      if (this.archive) Runtime.start(world, "operator", this.archive.own());
+      Runtime.start(world, "contract", registry.ownConfigs());
+      Runtime.start(world, "contract", registry.ownTime());
     }
-    if (!recorder) World.start(world, "record", this.meeting.own());
-    World.start(world, "contract", this.view.own(this.bounds.pollMs, this.bounds.pollWaitMs));
-    if (collector) World.start(world, "zone", collector.own(pushMs));
-    if (this.roles.includes("edge")) World.start(world, "zone", this.edgeCounts.pushing(pushMs));
+    if (!recorder) Runtime.start(world, "record", this.meeting.own());
+    Runtime.start(world, "contract", this.view.own(this.bounds.pollMs, this.bounds.pollWaitMs));
+    if (collector) Runtime.start(world, "zone", collector.own(pushMs));
+    if (this.roles.includes("edge")) Runtime.start(world, "zone", this.edgeCounts.pushing(pushMs));
     this.log.say("Runs.", { roles: this.roles, zone: this.settings.zone });
   }
 
@@ -256,7 +256,7 @@
     const { recorder } = this;
     if (recorder) {
       yield* recorder.yieldLeadership();
-      World.start(this.world, "record", recorder.leave(startedMs + serveOnMs));
+      Runtime.start(this.world, "record", recorder.leave(startedMs + serveOnMs));
     }
     yield* Clock.rest(this.world.clock, startedMs + serveOnMs - this.world.clock.nowMs());
     this.door.close();
@@ -293,7 +293,7 @@
     return this.edgeCounts.ofService(service);
   }
 
-  private lapsedLease(): LapsedLease {
+  private lapsedLease(): ExpiredLeasePolicy {
     const { forwarder, link } = this;
     const core = {
       get members() {
@@ -301,10 +301,10 @@
       },
       isOutOfReach: (member: string, sinceMs: number) => link.isOutOfReach(member, sinceMs),
     };
-    return new LapsedLease(this.world.clock, core, this.bounds.figures);
+    return new ExpiredLeasePolicy(this.world.clock, core, this.bounds.figures);
   }
 
-  private machine(): Machine {
+  private machine(): DaemonInfo {
     const { machine, zone, peers, operators } = this.settings;
     return {
       name: machine,
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -1,16 +1,16 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { Caller } from "../proxy/proxy-request.js";
-import type { Return } from "../proxy/request-outcome.js";
+import type { ClientConnection } from "../proxy/proxy-request.js";
+import type { ClientResponse } from "../proxy/request-outcome.js";
 import type { LinkPacer, Transfer, TransferClass } from "../runtime/link-pacer.js";
 import { Task } from "../runtime/task.js";
 
 /** What is heard of one caller's connection. */
-export interface Connection {
+export interface HttpConnectionState {
   isOver: boolean;
   /** Hear when it is over. */
   readonly over: Set<() => void>;
   /** Its requests that are not answered yet, in the order in which they came. */
-  readonly unanswered: HttpCaller[];
+  readonly unanswered: HttpClientConnection[];
   /** An answer was given that closes it: what came behind that one counts as not read. */
   isClosing: boolean;
   /** Hear when a request is answered. */
@@ -18,7 +18,7 @@
 }
 
 /** A connection of which nothing is heard yet. */
-export const newConnection = (): Connection => ({
+export const newHttpConnectionState = (): HttpConnectionState => ({
   isOver: false,
   over: new Set(),
   unanswered: [],
@@ -41,18 +41,18 @@
 const headBytes = 300;
 
 /** The way back to the caller of one request: large bodies are written in turns with all others on the link. */
-export class HttpCaller implements Caller {
+export class HttpClientConnection implements ClientConnection {
   dueMs = Infinity;
   private readonly request: IncomingMessage;
   private readonly response: ServerResponse;
-  private readonly connection: Connection;
+  private readonly connection: HttpConnectionState;
   private readonly context: ResponseContext;
   private transfer: Transfer | undefined;
 
   constructor(
     request: IncomingMessage,
     response: ServerResponse,
-    connection: Connection,
+    connection: HttpConnectionState,
     context: ResponseContext,
   ) {
     this.request = request;
@@ -90,7 +90,7 @@
     return !connection.isOver && !connection.isClosing;
   }
 
-  whole({ code, headers, body }: Return): void {
+  whole({ code, headers, body }: ClientResponse): void {
     const { request, response, context } = this;
     const isBodiless = request.method === "HEAD" || code === 204 || code === 304;
     this.head(code, isBodiless ? headers : { ...headers, "content-length": String(body.length) });
--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -1,15 +1,15 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
-import type { Caller, Job } from "../proxy/proxy-request.js";
-import { Return } from "../proxy/request-outcome.js";
+import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
+import { ClientResponse } from "../proxy/request-outcome.js";
 import { Clock } from "../runtime/clock.js";
 import { LinkPacer, type TransferClass } from "../runtime/link-pacer.js";
 import { Address, ListenError } from "../runtime/network.js";
 import { Task } from "../runtime/task.js";
 import {
-  HttpCaller,
-  newConnection,
-  type Connection,
+  HttpClientConnection,
+  newHttpConnectionState,
+  type HttpConnectionState,
   type ResponseContext,
 } from "./http-client-connection.js";
 
@@ -41,10 +41,10 @@
 /** How often connections are looked through for headers that take too long. */
 const lookMs = 1000;
 /** A body up to this size is held whole before its request is handed on; of a larger one the rest follows as it comes. */
-export const heldBodyBytes = 256 * 1024;
+export const BUFFERED_BODY_BYTES = 256 * 1024;
 
 /** Raised where a body breaks off or grows over its limit while it is passed on. */
-export class BodyBrokenError extends Error {}
+export class RequestBodyAbortedError extends Error {}
 
 const flat = (request: IncomingMessage): Record<string, string> => {
   const headers: Record<string, string> = {};
@@ -65,12 +65,13 @@
   let sumBytes = heldBytes;
   try {
     for await (const piece of request.iterator({ destroyOnReturn: false })) {
-      if (!(piece instanceof Uint8Array)) throw new BodyBrokenError("The body is not bytes.");
+      if (!(piece instanceof Uint8Array))
+        throw new RequestBodyAbortedError("The body is not bytes.");
       sumBytes += piece.length;
-      if (sumBytes > limitBytes) throw new BodyBrokenError("The body is over its limit.");
+      if (sumBytes > limitBytes) throw new RequestBodyAbortedError("The body is over its limit.");
       yield piece;
     }
-    if (!request.complete) throw new BodyBrokenError("The body was cut short.");
+    if (!request.complete) throw new RequestBodyAbortedError("The body was cut short.");
   } finally {
     readOut(request, sumBytes, limitBytes);
   }
@@ -93,21 +94,21 @@
   return sum;
 };
 
-const refused = (caller: Caller, code: number, error: string): void =>
-  caller.whole(Return.json(code, { error, verdict: "neverRan" }, { connection: "close" }));
+const refused = (caller: ClientConnection, code: number, error: string): void =>
+  caller.whole(ClientResponse.json(code, { error, verdict: "neverRan" }, { connection: "close" }));
 
 /** An HTTP/1.1 server that hands on requests, small bodies held whole. */
 export class HttpServer {
   private readonly server: Server;
-  private readonly take: (job: Job, caller: Caller) => void;
+  private readonly take: (job: ProxyRequest, caller: ClientConnection) => void;
   private readonly wholeOnly: boolean;
-  private readonly connections = new WeakMap<Socket, Connection>();
+  private readonly connections = new WeakMap<Socket, HttpConnectionState>();
   private limits: ServerLimits = usual;
   private closing = false;
   private readonly responses: ResponseContext;
 
   constructor(
-    take: (job: Job, caller: Caller) => void,
+    take: (job: ProxyRequest, caller: ClientConnection) => void,
     {
       wholeOnly = true,
       egress = new LinkPacer(Clock.real(), undefined),
@@ -176,7 +177,7 @@
   }
 
   private connected(socket: Socket): void {
-    const connection = newConnection();
+    const connection = newHttpConnectionState();
     this.connections.set(socket, connection);
     socket.once("close", () => {
       connection.isOver = true;
@@ -185,8 +186,8 @@
   }
 
   private arrived(request: IncomingMessage, response: ServerResponse): void {
-    const connection = this.connections.get(request.socket) ?? newConnection();
-    const caller = new HttpCaller(request, response, connection, this.responses);
+    const connection = this.connections.get(request.socket) ?? newHttpConnectionState();
+    const caller = new HttpClientConnection(request, response, connection, this.responses);
     const { headerBytes, bodyBytes } = this.limits;
     request.on("error", () => undefined);
     response.on("error", () => undefined);
@@ -220,7 +221,7 @@
         return refused(caller, 413, `A body has at most ${bodyBytes} bytes.`);
       }
       pieces.push(piece);
-      if (this.wholeOnly || heldBytes <= heldBodyBytes || heldBytes === statedBytes) return;
+      if (this.wholeOnly || heldBytes <= BUFFERED_BODY_BYTES || heldBytes === statedBytes) return;
       isOver = true;
       request.off("data", hear);
       request.pause();
--- a/src/daemon/process-monitor.ts
+++ b/src/daemon/process-monitor.ts
@@ -1,6 +1,6 @@
 import { performance } from "node:perf_hooks";
 import { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
 
 /** How often the event loop is looked at. */
@@ -15,7 +15,7 @@
  * Watches this process's event loop once a second and warns where it is saturated or was held up: the part of the time in which
  * it was busy, how late the timer of this look came, and the processor time that was used since the last one.
  */
-export const monitorProcess = function* (clock: Clock, log: PartLog): Task {
+export const monitorProcess = function* (clock: Clock, log: Logger): Task {
   let loop = performance.eventLoopUtilization();
   let processor = process.cpuUsage();
   for (;;) {
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -1,8 +1,8 @@
-import { BackEnds } from "../proxy/upstream/backend-client.js";
-import { Job } from "../proxy/proxy-request.js";
-import { Return } from "../proxy/request-outcome.js";
-import { Wire } from "../runtime/network.js";
-import { Archive } from "../admin/config-archive.js";
+import { BackendClient } from "../proxy/upstream/backend-client.js";
+import { ProxyRequest } from "../proxy/proxy-request.js";
+import { ClientResponse } from "../proxy/request-outcome.js";
+import { Network } from "../runtime/network.js";
+import { ConfigArchive } from "../admin/config-archive.js";
 import type { Adapter } from "./adapter.js";
 import { Bounds } from "./bounds.js";
 import { Clock } from "../runtime/clock.js";
@@ -10,14 +10,14 @@
 import { Disk } from "../runtime/disk.js";
 import { HttpServer } from "./http-server.js";
 import { LinkPacers } from "../runtime/link-pacer.js";
-import { Logbook } from "../runtime/logger.js";
+import { LoggerFactory } from "../runtime/logger.js";
 import { monitorProcess } from "./process-monitor.js";
 import { Settings } from "./settings.js";
 import { SettingsError } from "./settings-error.js";
 import { SettingsFile } from "./settings-file.js";
-import { Source } from "../runtime/event-stream.js";
+import { EventStream } from "../runtime/event-stream.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/runtime.js";
+import { Runtime } from "../runtime/runtime.js";
 
 /** How a daemon is run besides its settings. */
 export interface ServeOptions {
@@ -37,12 +37,12 @@
   { adapter, archive: isArchived = false }: ServeOptions = {},
 ): Promise<number> => {
   let settings = file.read();
-  const logbook = Logbook.open(settings.machine, settings.logLevel ?? "info");
+  const logbook = LoggerFactory.open(settings.machine, settings.logLevel ?? "info");
   const log = logbook.part("machine");
   const clock = Clock.real();
-  const wire = Wire.tcp();
+  const wire = Network.tcp();
   const pacers = LinkPacers.of(clock, settings.limits?.linkMbps);
-  const backEnds = BackEnds.http(clock, { proof: adapter?.dialect.proof, pacers });
+  const backEnds = BackendClient.http(clock, { proof: adapter?.dialect.proof, pacers });
   return new Promise<number>((end) => {
     const fail = (error: unknown): void => {
       log.fault("The daemon can't run.", error);
@@ -57,9 +57,9 @@
       };
       const archive =
         settings.dataFolder !== undefined && isArchived
-          ? new Archive(settings.dataFolder, logbook.part("operator"))
+          ? new ConfigArchive(settings.dataFolder, logbook.part("operator"))
           : undefined;
-      const world: World = {
+      const world: Runtime = {
         clock,
         wire,
         disk,
@@ -74,14 +74,17 @@
         pacers,
         ...(adapter ? { dialect: adapter.dialect } : {}),
       });
-      const control = (takes: (job: Job) => boolean): HttpServer => {
+      const control = (takes: (job: ProxyRequest) => boolean): HttpServer => {
         const server = new HttpServer(
           (job, caller) => {
-            const read = adapter ? adapter.control.into(job) : { job, back: (ret: Return) => ret };
+            const read = adapter
+              ? adapter.control.into(job)
+              : { job, back: (ret: ClientResponse) => ret };
             if ("code" in read) caller.whole(read);
             else if (takes(read.job))
               daemon.operators.put({ job: read.job, give: (ret) => caller.whole(read.back(ret)) });
-            else caller.whole(Return.json(404, { error: "Only readiness is served here." }));
+            else
+              caller.whole(ClientResponse.json(404, { error: "Only readiness is served here." }));
           },
           { egress: pacers.egress, transferClass: "control" },
         );
@@ -93,7 +96,9 @@
         egress: pacers.egress,
       });
       const operators = control(() => true);
-      const readiness = control((job) => job.method === "GET" && Job.path(job) === "/ready");
+      const readiness = control(
+        (job) => job.method === "GET" && ProxyRequest.path(job) === "/ready",
+      );
       daemon.onLimits = (limits) => callers.bound(limits);
       yield* daemon.start();
       yield* operators.listen(settings.operators);
@@ -123,7 +128,7 @@
       };
       Task.start(looking(), fail);
       Task.start(monitorProcess(clock, log), fail);
-      const signals = new Source<"SIGTERM" | "SIGINT" | "SIGHUP">();
+      const signals = new EventStream<"SIGTERM" | "SIGINT" | "SIGHUP">();
       for (const name of ["SIGTERM", "SIGINT", "SIGHUP"] as const)
         process.on(name, () => signals.put(name));
       signals.each(clock.scheduler, (name) => {
--- a/src/daemon/settings-error.ts
+++ b/src/daemon/settings-error.ts
@@ -1,9 +1,9 @@
-import type { Fault } from "../configuration/config.js";
+import type { ValidationFault } from "../configuration/config.js";
 
 /** Raised when settings can't be used; carries every fault. */
 export class SettingsError extends Error {
-  readonly faults: Fault[];
-  constructor(faults: Fault[]) {
+  readonly faults: ValidationFault[];
+  constructor(faults: ValidationFault[]) {
     super("The settings have faults.");
     this.faults = faults;
   }
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -18,7 +18,7 @@
   type Infer,
 } from "superstruct";
 import { Address } from "../runtime/network.js";
-import { faultsOf, type Fault } from "../configuration/config.js";
+import { validationFaults, type ValidationFault } from "../configuration/config.js";
 import { Bounds } from "./bounds.js";
 import { boundsShape } from "./bound-settings.js";
 
@@ -82,10 +82,10 @@
 
 export const Settings = {
   /** Reads and checks settings whole. */
-  check(value: unknown): { settings: Settings } | { faults: Fault[] } {
+  check(value: unknown): { settings: Settings } | { faults: ValidationFault[] } {
     const [error, settings] = validate(value, shape);
-    if (error) return { faults: faultsOf(error.failures()) };
-    const faults: Fault[] = [];
+    if (error) return { faults: validationFaults(error.failures()) };
+    const faults: ValidationFault[] = [];
     const roles = Settings.roles(settings);
     if (roles.includes("recorder") && settings.dataFolder === undefined)
       faults.push({ path: "dataFolder", expected: "a folder, since this daemon is a recorder" });
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -7,19 +7,19 @@
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { Pool, request } from "undici";
-import type { Job } from "../proxy/proxy-request.js";
-import type { Return } from "../proxy/request-outcome.js";
+import type { ProxyRequest } from "../proxy/proxy-request.js";
+import type { ClientResponse } from "../proxy/request-outcome.js";
 import { Address } from "../runtime/network.js";
 import { Clock } from "../runtime/clock.js";
 import type { Settings } from "../daemon/settings.js";
 import { Task } from "../runtime/task.js";
-import { proofPath, serviceHeader } from "../proxy/upstream/backend-client.js";
-import { callerWaitMs, Day } from "../simulation/workload.js";
-import type { CallerEnd, Outside } from "../simulation/client-transport.js";
-import { Draw } from "../simulation/random-draw.js";
-import { Ledger } from "../simulation/event-recorder.js";
+import { SERVICE_PROOF_PATH, SERVICE_HEADER } from "../proxy/upstream/backend-client.js";
+import { CLIENT_TIMEOUT_MS, Workload } from "../simulation/workload.js";
+import type { ClientSide, ClientTransport } from "../simulation/client-transport.js";
+import { RandomDraw } from "../simulation/random-draw.js";
+import { EventRecorder } from "../simulation/event-recorder.js";
 import type { Profile } from "../simulation/profile.js";
-import { StandIn } from "../simulation/test-backend.js";
+import { TestBackend } from "../simulation/test-backend.js";
 
 /** One machine of a fleet of real processes. */
 export interface FleetMachine {
@@ -66,7 +66,7 @@
 const codeOf = (error: unknown): string =>
   error instanceof Error && "code" in error && typeof error.code === "string" ? error.code : "";
 
-const noEnd = (broke: CallerEnd["broke"]): CallerEnd => ({
+const noEnd = (broke: ClientSide["broke"]): ClientSide => ({
   code: 0,
   broke,
   body: Buffer.alloc(0),
@@ -80,12 +80,12 @@
 /** A whole fleet of real daemons on this machine, with callers, back ends and operators of our own. */
 export class Fleet {
   readonly clock = Clock.real();
-  readonly ledger = new Ledger();
+  readonly ledger = new EventRecorder();
   readonly profile: Profile;
   readonly folder: string;
   readonly machines: FleetMachine[];
-  readonly standIns: StandIn[];
-  readonly day: Day;
+  readonly standIns: TestBackend[];
+  readonly day: Workload;
   private readonly random: () => number;
   private readonly servers = new Map<string, Server>();
   private readonly pools = new Map<string, Pool>();
@@ -104,7 +104,7 @@
     this.profile = profile;
     this.folder = folder;
     this.machines = machines;
-    this.random = Draw.of(seed);
+    this.random = RandomDraw.of(seed);
     const bodyBytes = new Map(
       profile.traffic.map((one) => [
         `${one.method} /${one.path(0).split("/")[1] ?? ""}`,
@@ -116,7 +116,7 @@
       Array.from(
         { length: many },
         (_, at) =>
-          new StandIn(
+          new TestBackend(
             `127.0.0.1:${ports.shift() ?? 0}`,
             profile.zones[at % profile.zones.length] ?? "",
             service,
@@ -126,7 +126,7 @@
           ),
       ),
     );
-    this.day = new Day(this.outside(), profile, this.ledger, rateFactor);
+    this.day = new Workload(this.outside(), profile, this.ledger, rateFactor);
   }
 
   /** Lays a fleet out: free ports, settings files and data folders. */
@@ -253,7 +253,7 @@
   }
 
   /** A back end's process ends: its port closes and its connections break. */
-  *crash(standIn: StandIn): Task {
+  *crash(standIn: TestBackend): Task {
     standIn.end();
     const server = this.servers.get(standIn.address);
     this.servers.delete(standIn.address);
@@ -265,7 +265,7 @@
   }
 
   /** A back end's place is taken by a new process, perhaps of another service. */
-  *replace(standIn: StandIn, service: string): Task {
+  *replace(standIn: TestBackend, service: string): Task {
     standIn.replace(service);
     yield* Task.settle(this.open(standIn));
   }
@@ -328,10 +328,10 @@
     if (!keep) await rm(this.folder, { recursive: true, force: true });
   }
 
-  private async open(standIn: StandIn): Promise<void> {
+  private async open(standIn: TestBackend): Promise<void> {
     const server = createHttpServer((incoming, outgoing) => {
-      if (incoming.url === proofPath)
-        return void outgoing.writeHead(204, { [serviceHeader]: standIn.service }).end();
+      if (incoming.url === SERVICE_PROOF_PATH)
+        return void outgoing.writeHead(204, { [SERVICE_HEADER]: standIn.service }).end();
       const pieces: Buffer[] = [];
       incoming.on("data", (piece: Buffer) => pieces.push(piece));
       incoming.on("error", () => undefined);
@@ -378,7 +378,7 @@
     }
   }
 
-  private outside(): Outside {
+  private outside(): ClientTransport {
     return {
       clock: this.clock,
       random: this.random,
@@ -406,7 +406,7 @@
     return pool;
   }
 
-  private *call(daemon: string, job: Job, patienceMs: number): Task<CallerEnd> {
+  private *call(daemon: string, job: ProxyRequest, patienceMs: number): Task<ClientSide> {
     const callers = this.settingsOf(daemon)?.callers;
     if (callers === undefined) return noEnd("refused");
     const ret = yield* Task.settle(
@@ -428,7 +428,7 @@
       const isTimeout = ret.error instanceof Error && ret.error.name === "TimeoutError";
       return noEnd(
         isTimeout
-          ? patienceMs < callerWaitMs
+          ? patienceMs < CLIENT_TIMEOUT_MS
             ? "hungUp"
             : "silent"
           : codeOf(ret.error) === "ECONNREFUSED"
@@ -448,7 +448,7 @@
     };
   }
 
-  private *desk(name: string | undefined, job: Job): Task<Return | undefined> {
+  private *desk(name: string | undefined, job: ProxyRequest): Task<ClientResponse | undefined> {
     const open = this.machines.filter((one) => one.process !== undefined);
     const settings =
       name === undefined
--- a/src/fleet/main.ts
+++ b/src/fleet/main.ts
@@ -3,7 +3,7 @@
 import { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import { Fleet, type FleetMachine } from "./fleet.js";
-import { bringUp, configuring, profileNamed, say, windUp } from "./report.js";
+import { startFleet, applyConfigurations, profileNamed, say, stopFleet } from "./report.js";
 
 interface Options {
   profile: string;
@@ -150,18 +150,18 @@
     say(
       `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.smallMachines} small ones, ${fleet.standIns.length} back ends; logs under ${fleet.folder}`,
     );
-    if (!(await bringUp(fleet))) process.exit(1);
+    if (!(await startFleet(fleet))) process.exit(1);
     say("All machines are ready and a config is in force; callers come");
     const fromMs = fleet.clock.nowMs();
     fleet.beginCalls();
-    fleet.start(configuring(fleet));
+    fleet.start(applyConfigurations(fleet));
     await fleet.perform(
       options.calm
         ? Clock.rest(fleet.clock, options.seconds * 1000)
         : trouble(fleet, options.seconds * 1000),
     );
     if (!options.calm) await fleet.perform(Clock.rest(fleet.clock, settleMs));
-    const breaches = await windUp(fleet, fromMs);
+    const breaches = await stopFleet(fleet, fromMs);
     await fleet.end(options.keep ?? false);
     process.exit(breaches > 0 ? 1 : 0);
   });
--- a/src/fleet/report.ts
+++ b/src/fleet/report.ts
@@ -1,8 +1,8 @@
 import { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import type { Fleet } from "./fleet.js";
-import type { CallerRecord } from "../simulation/event-recorder.js";
-import { judge, rules, servedPart, worstRepeats } from "../simulation/invariant-checker.js";
+import type { ClientRecord } from "../simulation/event-recorder.js";
+import { checkRules, rules, servedPart, worstRepeats } from "../simulation/invariant-checker.js";
 import { Profile } from "../simulation/profile.js";
 
 const upMs = 30_000;
@@ -19,7 +19,7 @@
 /** Prints what callers, back ends and operators recorded, rule by rule; tells how often a rule was broken. */
 export const report = (fleet: Fleet, fromMs: number): number => {
   const { ledger } = fleet;
-  const tallied = (nameOf: (record: CallerRecord) => string): string => {
+  const tallied = (nameOf: (record: ClientRecord) => string): string => {
     const counts = new Map<string, number>();
     for (const record of ledger.callers)
       counts.set(nameOf(record), (counts.get(nameOf(record)) ?? 0) + 1);
@@ -61,7 +61,7 @@
     say(
       `  ${service}: worst ten seconds had ${further} repeats with ${requests} requests, ${Math.floor(allowed)} allowed`,
     );
-  const breaches = judge(ledger);
+  const breaches = checkRules(ledger);
   for (const rule of Object.keys(rules)) {
     const own = breaches.filter((breach) => breach.rule === rule);
     say(
@@ -75,7 +75,7 @@
 };
 
 /** Starts a fleet and puts a first config in force; false, and why on the error stream, when that fails. */
-export const bringUp = async (fleet: Fleet): Promise<boolean> => {
+export const startFleet = async (fleet: Fleet): Promise<boolean> => {
   await fleet.begin();
   const up = await fleet.perform(
     fleet.until(() => fleet.machines.every(({ isReady }) => isReady), upMs),
@@ -103,7 +103,7 @@
 };
 
 /** Lets callers come to their end, reads every config back, and reports. */
-export const windUp = async (fleet: Fleet, fromMs: number): Promise<number> => {
+export const stopFleet = async (fleet: Fleet, fromMs: number): Promise<number> => {
   fleet.ledger.endMs = fleet.clock.nowMs();
   fleet.day.isOver = true;
   await fleet.perform(Clock.rest(fleet.clock, lastCallsMs));
@@ -113,7 +113,7 @@
 };
 
 /** Puts a new config in force every few seconds. */
-export const configuring = function* (fleet: Fleet): Task {
+export const applyConfigurations = function* (fleet: Fleet): Task {
   while (!fleet.day.isOver) {
     yield* fleet.day.putConfig();
     yield* Clock.rest(fleet.clock, 3000);
--- a/src/fleet/zone-drill.ts
+++ b/src/fleet/zone-drill.ts
@@ -3,7 +3,7 @@
 import type { Task } from "../runtime/task.js";
 import { Fleet } from "./fleet.js";
 import { servedPart } from "../simulation/invariant-checker.js";
-import { bringUp, configuring, profileNamed, say, windUp } from "./report.js";
+import { startFleet, applyConfigurations, profileNamed, say, stopFleet } from "./report.js";
 
 interface Options {
   profile: string;
@@ -64,11 +64,11 @@
     say(
       `Drill on ${profile.name}: zone ${zone} of ${profile.zones.join(", ")} goes out for ${options.seconds} s; logs under ${fleet.folder}`,
     );
-    if (!(await bringUp(fleet))) process.exit(1);
+    if (!(await startFleet(fleet))) process.exit(1);
     const { clock, ledger } = fleet;
     const fromMs = clock.nowMs();
     fleet.beginCalls();
-    fleet.start(configuring(fleet));
+    fleet.start(applyConfigurations(fleet));
     await fleet.perform(Clock.rest(clock, hours.quietMs));
     const outMs = clock.nowMs();
     await fleet.perform(takeOut(fleet, zone));
@@ -82,7 +82,7 @@
     const readyMs = clock.nowMs() - backMs;
     await fleet.perform(Clock.rest(clock, Math.max(0, hours.recoverMs - readyMs) + hours.afterMs));
     const endMs = clock.nowMs();
-    const breaches = await windUp(fleet, fromMs);
+    const breaches = await stopFleet(fleet, fromMs);
     say(
       `Served before ${percent(servedPart(ledger, fromMs, outMs))}, in the first 5 s without the zone ${percent(servedPart(ledger, outMs, outMs + 5000))}, then ${percent(servedPart(ledger, outMs + 5000, backMs))}, after its return ${percent(servedPart(ledger, backMs, endMs))}`,
     );
--- a/src/load-balancing/attempt-sample.ts
+++ b/src/load-balancing/attempt-sample.ts
@@ -1,5 +1,5 @@
 /** One try that has ended, as the load balancer learns from it. */
-export interface TryOutcome {
+export interface AttemptSample {
   readonly tookMs: number;
   readonly isWhole: boolean;
   readonly goalMs: number;
--- a/src/load-balancing/backend-ring.ts
+++ b/src/load-balancing/backend-ring.ts
@@ -1,4 +1,4 @@
-import type { EdgePlace } from "../control-protocol/edge-placement.js";
+import type { EdgePlacement } from "../control-protocol/edge-placement.js";
 import type { Backend } from "./backend.js";
 
 /** How many backends of its own zone a daemon uses for each one of another zone. */
@@ -47,7 +47,7 @@
 export const ringRanks = (
   backends: readonly Backend[],
   ownZone: string,
-  { zoneIndex, zoneCount }: EdgePlace,
+  { zoneIndex, zoneCount }: EdgePlacement,
 ): number[] => {
   const points = backends.map(({ address, zone }, rank) => ({
     rank,
@@ -70,7 +70,7 @@
 };
 
 /** What is known of a service's backends and of those that use them. */
-export interface Sharing {
+export interface ConnectionSharing {
   /** How many connections one backend bears from all daemons together, where that is known. */
   readonly maxConnections: number | undefined;
   readonly backendCount: number;
@@ -79,7 +79,11 @@
 }
 
 /** How many backends of a service a daemon uses: fewer where all daemons together would have too many connections. */
-export const subsetSizeFor = ({ maxConnections, backendCount, daemonCount }: Sharing): number => {
+export const subsetSizeFor = ({
+  maxConnections,
+  backendCount,
+  daemonCount,
+}: ConnectionSharing): number => {
   if (maxConnections === undefined) return usualSubsetSize;
   const bearable = (maxConnections * sharedConnections * backendCount) / Math.max(1, daemonCount);
   return Math.max(leastSubsetSize, Math.min(usualSubsetSize, Math.floor(bearable)));
@@ -89,7 +93,7 @@
  * How many connections one daemon may have to one backend so that all daemons together stay below what a backend bears: the
  * daemons that use it share most of its connections.
  */
-export const connectionShare = (sharing: Sharing): number => {
+export const connectionShare = (sharing: ConnectionSharing): number => {
   const { maxConnections, backendCount, daemonCount } = sharing;
   if (maxConnections === undefined) return Infinity;
   const size = Math.min(subsetSizeFor(sharing), backendCount);
--- a/src/load-balancing/backend-stats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -1,4 +1,4 @@
-import type { TryOutcome } from "./attempt-sample.js";
+import type { AttemptSample } from "./attempt-sample.js";
 
 const paceRate = 0.2;
 const latencyRate = 0.2;
@@ -61,7 +61,7 @@
   /** Learns from one try; `usualMs` is what its route usually takes, `random` is 0 to 1. */
   learn(
     stats: BackendStats,
-    { tookMs, isWhole }: TryOutcome,
+    { tookMs, isWhole }: AttemptSample,
     usualMs: number,
     nowMs: number,
     random: () => number,
--- a/src/load-balancing/load-balancer.ts
+++ b/src/load-balancing/load-balancer.ts
@@ -1,9 +1,9 @@
-import type { EdgePlace } from "../control-protocol/edge-placement.js";
+import type { EdgePlacement } from "../control-protocol/edge-placement.js";
 import type { Backend } from "./backend.js";
 import { connectionShare, ringRanks, subsetSizeFor } from "./backend-ring.js";
 import { BackendStats } from "./backend-stats.js";
-import { RouteStatsTable, unseenBytes, type RouteStats } from "./route-stats.js";
-import type { TryOutcome } from "./attempt-sample.js";
+import { RouteStatsTable, UNSEEN_RESPONSE_BYTES, type RouteStats } from "./route-stats.js";
+import type { AttemptSample } from "./attempt-sample.js";
 
 const warmUpMs = 10_000;
 const leastWarmth = 0.05;
@@ -17,7 +17,7 @@
 const lookAgain = 0.05;
 
 /** Why a backend has its share, for operators. */
-export interface ShareExplanation {
+export interface WeightExplanation {
   readonly address: string;
   readonly zone: string;
   readonly share: number;
@@ -28,7 +28,7 @@
 }
 
 /** What bounds the choice of a backend for one request. */
-export interface PickTerms {
+export interface PickOptions {
   /** Addresses that the request was sent to already. */
   readonly tried: ReadonlySet<string>;
   /** How many requests this daemon may have in hand at one backend. */
@@ -45,7 +45,7 @@
   private readonly statsByKey = new Map<string, BackendStats>();
   private known = new WeakMap<Backend, BackendStats>();
   private readonly routes = new RouteStatsTable();
-  private place: EdgePlace | undefined;
+  private place: EdgePlacement | undefined;
   /** The ring order of lists of backends, as places in the list. */
   private orders = new WeakMap<readonly Backend[], readonly number[]>();
 
@@ -56,7 +56,7 @@
   }
 
   /** Learns this daemon's place among all; until then every backend is as good as another. */
-  setPlace(place: EdgePlace): void {
+  setPlace(place: EdgePlacement): void {
     this.place = place;
     this.orders = new WeakMap();
   }
@@ -67,7 +67,7 @@
    */
   pick<B extends Backend>(
     backends: readonly B[],
-    { tried, inHandLimit, maxConnections, route = "" }: PickTerms,
+    { tried, inHandLimit, maxConnections, route = "" }: PickOptions,
     nowMs: number,
   ): B | undefined {
     const sharing = {
@@ -107,7 +107,7 @@
   }
 
   /** Learns from how a try ended: whole within some time, or not. */
-  ended(backend: Backend, outcome: TryOutcome, nowMs: number): void {
+  ended(backend: Backend, outcome: AttemptSample, nowMs: number): void {
     const stats = this.stats(backend, nowMs);
     stats.inHand = Math.max(0, stats.inHand - 1);
     stats.quietSinceMs = nowMs;
@@ -122,7 +122,7 @@
   }
 
   /** Why each backend has its share. */
-  explain(backends: readonly Backend[], nowMs: number): ShareExplanation[] {
+  explain(backends: readonly Backend[], nowMs: number): WeightExplanation[] {
     return backends.map((backend) => {
       const stats = this.stats(backend, nowMs);
       const reasons = [stats.why];
@@ -212,7 +212,7 @@
     const stats = this.stats(backend, nowMs);
     const queued = 1 + stats.inHand / Math.max(1, backend.capacity);
     const isFar = backend.zone !== this.zone;
-    const farMs = isFar ? ((usual?.bytes ?? unseenBytes) / 1024) * farKibMs : 0;
+    const farMs = isFar ? ((usual?.bytes ?? UNSEEN_RESPONSE_BYTES) / 1024) * farKibMs : 0;
     const usualMs = usual?.tookMs ?? stats.latencyMs;
     return (usualMs * stats.pace * queued) / this.weight(backend, nowMs) + farMs;
   }
--- a/src/load-balancing/route-stats.ts
+++ b/src/load-balancing/route-stats.ts
@@ -1,7 +1,7 @@
-import type { TryOutcome } from "./attempt-sample.js";
+import type { AttemptSample } from "./attempt-sample.js";
 
 /** How large a route's responses are taken to be until one was seen. */
-export const unseenBytes = 32 * 1024;
+export const UNSEEN_RESPONSE_BYTES = 32 * 1024;
 const knownRoutes = 4096;
 const learnRate = 0.05;
 
@@ -21,12 +21,13 @@
   }
 
   /** Learns from one try on a route, and gives what its requests usually take. */
-  learn({ route = "", tookMs, isWhole, bytes }: TryOutcome): RouteStats {
+  learn({ route = "", tookMs, isWhole, bytes }: AttemptSample): RouteStats {
     const stats = this.statsOf(route, tookMs);
     if (!isWhole) return stats;
     stats.tookMs += (tookMs - stats.tookMs) * learnRate;
     if (bytes !== undefined)
-      stats.bytes += (bytes - stats.bytes) * (stats.bytes === unseenBytes ? 1 : learnRate);
+      stats.bytes +=
+        (bytes - stats.bytes) * (stats.bytes === UNSEEN_RESPONSE_BYTES ? 1 : learnRate);
     return stats;
   }
 
@@ -34,7 +35,7 @@
     const known = this.byRoute.get(route);
     if (known) return known;
     if (this.byRoute.size >= knownRoutes) this.byRoute.clear();
-    const stats = { tookMs, bytes: unseenBytes };
+    const stats = { tookMs, bytes: UNSEEN_RESPONSE_BYTES };
     this.byRoute.set(route, stats);
     return stats;
   }
--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -1,6 +1,6 @@
-import { Violation } from "./invariant-checks.js";
-import type { Alteration } from "./random-search.js";
-import { Group } from "./member-group.js";
+import { InvariantViolation } from "./invariant-checks.js";
+import type { RuleOverride } from "./random-search.js";
+import { MemberGroup } from "./member-group.js";
 import type { Counterexample } from "./search-run.js";
 import { GroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
@@ -17,7 +17,7 @@
 }
 
 interface Place {
-  readonly group: Group;
+  readonly group: MemberGroup;
   readonly steps: readonly Step[];
   /** How many members have stopped on the way here. */
   readonly stops: number;
@@ -45,7 +45,7 @@
 
 /** A group that has a leader and one committed entry, with nothing under way. */
 const settled = (settings: GroupSettings): Place => {
-  const group = new Group(settings);
+  const group = new MemberGroup(settings);
   const steps: Step[] = [];
   const take = (step: Step): void => {
     steps.push(step);
@@ -65,7 +65,7 @@
 export const exploreAll = (
   depth: number,
   mostSteps: number,
-  alteration: Alteration = {},
+  alteration: RuleOverride = {},
 ): Coverage => {
   const settings = GroupSettings.of(3, 0, 1, alteration);
   const seen = new Set<string>();
@@ -83,7 +83,7 @@
         try {
           group.take(step);
         } catch (error) {
-          if (!(error instanceof Violation)) throw error;
+          if (!(error instanceof InvariantViolation)) throw error;
           const { promise, message: how } = error;
           const counterexample = { settings, steps: taken, promise, how };
           return { steps, situations: seen.size, depth: level, counterexample };
--- a/src/model-checker/group-settings.ts
+++ b/src/model-checker/group-settings.ts
@@ -1,6 +1,6 @@
 import { safetyRules, type SafetyRules } from "../consensus/safety-rules.js";
-import type { ElectionWaits } from "../consensus/state.js";
-import { Waits } from "../replication/replication-node.js";
+import type { ElectionTimeouts } from "../consensus/state.js";
+import { ReplicationTimeouts } from "../replication/replication-node.js";
 
 /** What an explored group is made of. */
 export interface GroupSettings {
@@ -10,7 +10,7 @@
   readonly clockRates: readonly number[];
   /** Varies the election waits. */
   readonly seed: number;
-  readonly waits: ElectionWaits;
+  readonly waits: ElectionTimeouts;
   readonly replaceAfterMs: number;
   readonly provenAfterMs: number;
   readonly forgetAfterMs: number;
@@ -28,7 +28,7 @@
     voters: number,
     spares: number,
     seed: number,
-    change: { rules?: Partial<SafetyRules>; waits?: Partial<ElectionWaits> } = {},
+    change: { rules?: Partial<SafetyRules>; waits?: Partial<ElectionTimeouts> } = {},
   ): GroupSettings {
     const names = Array.from({ length: voters + spares }, (_, at) => `m${at + 1}`);
     const clockRates = names.map((_, at) => 1 + clockSpread * (((seed + at * 2) % 3) - 1));
@@ -37,10 +37,10 @@
       wantedVoters: voters,
       clockRates,
       seed,
-      waits: { ...Waits.usual, ...change.waits },
-      replaceAfterMs: Waits.usual.replaceAfterMs,
-      provenAfterMs: Waits.usual.provenAfterMs,
-      forgetAfterMs: Waits.usual.forgetAfterMs,
+      waits: { ...ReplicationTimeouts.usual, ...change.waits },
+      replaceAfterMs: ReplicationTimeouts.usual.replaceAfterMs,
+      provenAfterMs: ReplicationTimeouts.usual.provenAfterMs,
+      forgetAfterMs: ReplicationTimeouts.usual.forgetAfterMs,
       batchEntries: seed % 4 < 2 ? 1 : 8,
       rules: { ...safetyRules, ...change.rules },
     };
--- a/src/model-checker/history/operation-history.ts
+++ b/src/model-checker/history/operation-history.ts
@@ -1,7 +1,7 @@
 import type { Operation } from "./operation.js";
 
 /** Calls as they began and ended, recorded while a run goes on. */
-export class History {
+export class OperationHistory {
   private readonly recorded: Operation[] = [];
   private moment = 0;
 
@@ -24,7 +24,7 @@
     this.recorded[call] = { ...operation, value: value ?? operation.value, endedAt: this.moment };
   }
 
-  takeOver(other: History): void {
+  takeOver(other: OperationHistory): void {
     this.recorded.splice(0, this.recorded.length, ...other.recorded);
     this.moment = other.moment;
   }
--- a/src/model-checker/invariant-checks.ts
+++ b/src/model-checker/invariant-checks.ts
@@ -1,9 +1,9 @@
-import { majoritiesMeet } from "../consensus/membership-change.js";
+import { majoritiesOverlap } from "../consensus/membership-change.js";
 import { Members } from "../consensus/members.js";
 import type { ModelMember } from "./model-member.js";
 
 /** A promise of the agreement that was broken, and by what. */
-export class Violation extends Error {
+export class InvariantViolation extends Error {
   readonly promise: string;
 
   constructor(promise: string, how: string) {
@@ -20,7 +20,7 @@
 }
 
 /** What must hold at every step, whoever fails. It sees all members at once, as no member can. */
-export class Checks {
+export class InvariantChecks {
   private readonly leaders = new Map<number, string>();
   private readonly committed = new Map<number, CommittedEntry>();
   /** The newest committed members, and where they stand. */
@@ -34,8 +34,8 @@
     this.latestMembers = members;
   }
 
-  clone(): Checks {
-    const copy = new Checks(this.latestMembers);
+  clone(): InvariantChecks {
+    const copy = new InvariantChecks(this.latestMembers);
     for (const [term, leader] of this.leaders) copy.leaders.set(term, leader);
     for (const [index, entry] of this.committed) copy.committed.set(index, entry);
     copy.latestMembersIndex = this.latestMembersIndex;
@@ -48,7 +48,10 @@
   elected({ name, state }: ModelMember): void {
     const other = this.leaders.get(state.term);
     if (other !== undefined && other !== name)
-      throw new Violation("one leader a term", `${other} and ${name} lead in term ${state.term}`);
+      throw new InvariantViolation(
+        "one leader a term",
+        `${other} and ${name} lead in term ${state.term}`,
+      );
     this.leaders.set(state.term, name);
     for (const [index, entry] of this.committed)
       if (
@@ -56,7 +59,7 @@
         index > state.log.baseIndex &&
         state.log.termAt(index) !== entry.term
       )
-        throw new Violation(
+        throw new InvariantViolation(
           "what is committed stays",
           `${name} leads in term ${state.term} without the committed entry ${index}`,
         );
@@ -70,13 +73,16 @@
       this.lastCommittedIndex = Math.max(this.lastCommittedIndex, index);
       const members = Members.in(text);
       if (members !== undefined && index > this.latestMembersIndex) {
-        if (!majoritiesMeet(this.latestMembers, members))
-          throw new Violation("majorities meet", `${text} follows on other members at ${index}`);
+        if (!majoritiesOverlap(this.latestMembers, members))
+          throw new InvariantViolation(
+            "majorities meet",
+            `${text} follows on other members at ${index}`,
+          );
         this.latestMembers = members;
         this.latestMembersIndex = index;
       }
     } else if (known.term !== term || known.text !== text)
-      throw new Violation(
+      throw new InvariantViolation(
         "what is committed stays",
         `at ${index}, ${name} has ${text} of term ${term} where ${known.text} of term ${known.term} was committed`,
       );
@@ -88,7 +94,7 @@
   look(members: Iterable<ModelMember>): void {
     for (const member of members) {
       if (member.answers && member.appliedIndex < this.acknowledgedIndex)
-        throw new Violation(
+        throw new InvariantViolation(
           "no read older than an acknowledged change",
           `${member.name} answers by entry ${member.appliedIndex}, ${this.acknowledgedIndex} was acknowledged`,
         );
@@ -99,8 +105,8 @@
   /** A leader counts by the committed members, or by ones whose majorities meet theirs. */
   private lookAtMembers({ name, state }: ModelMember): void {
     if (state.membersIndex < this.latestMembersIndex) return;
-    if (!majoritiesMeet(this.latestMembers, state.members))
-      throw new Violation(
+    if (!majoritiesOverlap(this.latestMembers, state.members))
+      throw new InvariantViolation(
         "majorities meet",
         `${name} counts by ${state.members.voters.join(",")}, committed are ${this.latestMembers.voters.join(",")}`,
       );
--- a/src/model-checker/member-group.ts
+++ b/src/model-checker/member-group.ts
@@ -1,9 +1,9 @@
 import { Members } from "../consensus/members.js";
-import { Checks } from "./invariant-checks.js";
-import { History } from "./history/operation-history.js";
-import type { Message, Reply, Request } from "./message.js";
+import { InvariantChecks } from "./invariant-checks.js";
+import { OperationHistory } from "./history/operation-history.js";
+import type { Message, ModelReply, ModelRequest } from "./message.js";
 import { ModelDisk } from "./model-disk.js";
-import { ModelMember, type Surroundings } from "./model-member.js";
+import { ModelMember, type GroupEnvironment } from "./model-member.js";
 import { RandomSource } from "./random-source.js";
 import type { GroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
@@ -17,13 +17,13 @@
 const linkOf = (from: string, to: string): string => `${from}>${to}`;
 
 /** Members, the messages between them, and the checks on all of it; moved on by steps. */
-export class Group implements Surroundings {
+export class MemberGroup implements GroupEnvironment {
   readonly settings: GroupSettings;
   readonly members = new Map<string, ModelMember>();
   readonly messages = new Map<string, Message>();
   readonly cuts = new Set<string>();
-  readonly history: History;
-  checks: Checks;
+  readonly history: OperationHistory;
+  checks: InvariantChecks;
   nowMs = 1000;
   /**
    * Whether the losses so far are inside what is tolerated, so that the group must heal: no more than that at once, of
@@ -42,8 +42,8 @@
       voters: names.slice(0, wantedVoters),
       learners: names.slice(wantedVoters),
     };
-    this.checks = new Checks(members);
-    this.history = new History();
+    this.checks = new InvariantChecks(members);
+    this.history = new OperationHistory();
     names.forEach((name, at) => {
       const member = new ModelMember(name, settings.clockRates[at] ?? 1, this, new ModelDisk());
       member.disk.content = {
@@ -62,8 +62,8 @@
   }
 
   /** A copy that goes its own way. */
-  clone(): Group {
-    const copy = new Group(this.settings);
+  clone(): MemberGroup {
+    const copy = new MemberGroup(this.settings);
     copy.nowMs = this.nowMs;
     copy.isWithinTolerance = this.isWithinTolerance;
     copy.lastValue = this.lastValue;
@@ -232,13 +232,13 @@
     });
   }
 
-  send(from: string, to: string, request: Request): string {
+  send(from: string, to: string, request: ModelRequest): string {
     const id = this.nameFor(from, to, request.kind);
     this.put({ id, from, to, askId: id, body: { way: "request", request } });
     return id;
   }
 
-  reply(from: string, to: string, askId: string, reply: Reply): void {
+  reply(from: string, to: string, askId: string, reply: ModelReply): void {
     const id = this.nameFor(from, to, `${reply.kind}-reply`);
     this.put({ id, from, to, askId, body: { way: "reply", reply } });
   }
--- a/src/model-checker/message.ts
+++ b/src/model-checker/message.ts
@@ -10,7 +10,7 @@
 }
 
 /** What a member asks of another. */
-export type Request =
+export type ModelRequest =
   | { readonly kind: "vote"; readonly request: VoteRequest }
   | { readonly kind: "append"; readonly request: AppendRequest }
   | { readonly kind: "snapshot"; readonly request: SnapshotRequest }
@@ -18,7 +18,7 @@
   | { readonly kind: "rejoin"; readonly machine: string; readonly nonce: string };
 
 /** What comes back. */
-export type Reply =
+export type ModelReply =
   | { readonly kind: "vote"; readonly reply: VoteReply }
   | { readonly kind: "append"; readonly reply: AppendReply }
   | { readonly kind: "snapshot"; readonly reply: SnapshotReply };
@@ -31,6 +31,6 @@
   readonly to: string;
   readonly askId: string;
   readonly body:
-    | { readonly way: "request"; readonly request: Request }
-    | { readonly way: "reply"; readonly reply: Reply };
+    | { readonly way: "request"; readonly request: ModelRequest }
+    | { readonly way: "reply"; readonly reply: ModelReply };
 }
--- a/src/model-checker/model-disk.ts
+++ b/src/model-checker/model-disk.ts
@@ -1,8 +1,8 @@
-import type { PersistedState } from "../consensus/state.js";
+import type { PersistedConsensusState } from "../consensus/state.js";
 import type { LogRecord } from "../consensus/log-record.js";
 
 /** What a member's disk holds: the agreement's state, and the register's value as of its snapshot. */
-export interface DiskContent extends PersistedState {
+export interface DiskContent extends PersistedConsensusState {
   readonly value: number;
 }
 
