--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -4,26 +4,31 @@
   type AppendRequest,
   type PendingAcknowledgment,
 } from "../consensus/append.js";
-import { noteAcknowledgment, ownEntriesSynced } from "../consensus/commit.js";
+import { onAcknowledgment, onOwnEntriesSynced } from "../consensus/commit.js";
 import {
-  giveUpElection,
-  onElectionWaitOver,
-  startCampaign,
+  abandonElection,
+  onElectionTimeout,
+  startElection,
   startPreVote,
-  stillStands,
-  takeHandOver,
+  isStillCampaigning,
+  acceptLeadershipTransfer,
 } from "../consensus/election.js";
-import { follow } from "../consensus/follow.js";
+import { becomeFollower } from "../consensus/follow.js";
 import {
-  addOwnEntries,
-  beginLeading,
-  heirOf,
+  appendAsLeader,
+  becomeLeader,
+  transferTargetOf,
   isLeading,
-  leadsText,
-  whyStepDown,
+  leadershipEntryText,
+  stepDownReason,
 } from "../consensus/leadership.js";
-import { mayChangeMembers, membersText } from "../consensus/membership-change.js";
-import { endsRejoining, rejoined, rejoinMarkIn, rejoinMarkText } from "../consensus/rejoin.js";
+import { mayChangeMembers, membersEntryText } from "../consensus/membership-change.js";
+import {
+  completesRejoin,
+  afterRejoin,
+  rejoinMarkerIn,
+  rejoinMarkerEntryText,
+} from "../consensus/rejoin.js";
 import {
   appendRequestFor,
   initialProgress,
@@ -31,7 +36,7 @@
   progressAfter,
   type Progress,
 } from "../consensus/replication.js";
-import { rightsOf } from "../consensus/rights.js";
+import { memberRightsOf } from "../consensus/rights.js";
 import {
   acknowledgeSnapshot,
   compactLog,
@@ -41,16 +46,16 @@
 import {
   initialState,
   membersAt,
-  restartedAt,
+  stateAfterRestart,
   restoredState,
   type ConsensusState,
-  type Facts,
+  type DecisionContext,
   type Role,
 } from "../consensus/state.js";
 import { countVote, decideVote, type VoteReply, type VoteRequest } from "../consensus/vote.js";
 import type { Members } from "../consensus/members.js";
-import { Membership } from "../replication/membership/membership-policy.js";
-import type { Reply, Request, SnapshotRequest } from "./message.js";
+import { MembershipPolicy } from "../replication/membership/membership-policy.js";
+import type { ModelReply, ModelRequest, SnapshotRequest } from "./message.js";
 import type { DiskContent, ModelDisk } from "./model-disk.js";
 import type { GroupSettings } from "./group-settings.js";
 
@@ -82,13 +87,13 @@
   | { readonly kind: "nothing" };
 
 /** What a member needs of the group around it. */
-export interface Surroundings {
+export interface GroupEnvironment {
   readonly settings: GroupSettings;
   /** The global time; each member's clock runs at a rate of its own. */
   readonly nowMs: number;
   /** Sends a request; the name under which its reply comes. */
-  send(from: string, to: string, request: Request): string;
-  reply(from: string, to: string, askId: string, reply: Reply): void;
+  send(from: string, to: string, request: ModelRequest): string;
+  reply(from: string, to: string, askId: string, reply: ModelReply): void;
   /** A number from 0 up to 1 for an election wait. */
   draw(member: string): number;
   /** The entry at an index was applied by a member; whether it tells a client so. */
@@ -101,7 +106,7 @@
 
 interface OpenAsk {
   readonly peer: string;
-  readonly request: Request;
+  readonly request: ModelRequest;
   readonly sentMs: number;
   readonly untilMs: number;
 }
@@ -135,7 +140,7 @@
   state: ConsensusState;
   value = 0;
   appliedIndex = 0;
-  private around: Surroundings;
+  private around: GroupEnvironment;
   private activeRole: Role = "follower";
   private untilMs = 0;
   private waitedSinceMs = 0;
@@ -146,7 +151,12 @@
   private hasStorage = false;
   private clearsNonceAt = 0;
 
-  constructor(name: string, clockRate: number, around: Surroundings, disk: ModelDisk<AfterWrite>) {
+  constructor(
+    name: string,
+    clockRate: number,
+    around: GroupEnvironment,
+    disk: ModelDisk<AfterWrite>,
+  ) {
     this.name = name;
     this.clockRate = clockRate;
     this.around = around;
@@ -155,7 +165,7 @@
   }
 
   /** A copy that goes its own way, in other surroundings. */
-  clone(around: Surroundings): ModelMember {
+  clone(around: GroupEnvironment): ModelMember {
     const copy = new ModelMember(this.name, this.clockRate, around, this.disk.clone());
     copy.isUp = this.isUp;
     copy.state = this.state;
@@ -217,7 +227,7 @@
     return JSON.stringify(parts);
   }
 
-  get facts(): Facts {
+  get facts(): DecisionContext {
     const { settings } = this.around;
     return {
       nowMs: this.nowMs,
@@ -235,7 +245,7 @@
       this.isUp &&
       (this.appliedIndex >= this.state.leadingSinceIndex ||
         !this.around.settings.rules.answerOnlyInCommittedTerm) &&
-      rightsOf(this.state, this.facts).answer
+      memberRightsOf(this.state, this.facts).answer
     );
   }
 
@@ -254,7 +264,7 @@
     this.value = content?.value ?? 0;
     this.appliedIndex = content?.lastIndex ?? 0;
     if (content !== undefined) this.state = restoredState(this.state, content);
-    this.state = restartedAt(this.state, this.facts);
+    this.state = stateAfterRestart(this.state, this.facts);
     this.activeRole = "follower";
     this.asks.clear();
     this.replications.clear();
@@ -288,7 +298,7 @@
     if (!this.hasStorage) return this.beginRejoining();
     if (this.state.role === "follower") this.tickFollower(now);
     else if (this.state.role !== "leader" && now >= this.untilMs)
-      this.state = giveUpElection(this.state, this.facts);
+      this.state = abandonElection(this.state, this.facts);
     else if (this.state.role === "leader") this.tickLeader();
     this.askToRejoin(now);
     this.settle();
@@ -306,8 +316,8 @@
   handOver(): void {
     if (!this.isUp || this.state.role !== "leader") return;
     const { term } = this.state;
-    const heir = heirOf(this.state);
-    this.state = follow(this.state, term, "", this.nowMs);
+    const heir = transferTargetOf(this.state);
+    this.state = becomeFollower(this.state, term, "", this.nowMs);
     if (heir !== undefined) this.ask(heir, { kind: "handOver", term }, this.waits.electionMinMs);
     this.settle();
   }
@@ -315,7 +325,7 @@
   /** Has the leader change the members, where it may. */
   changeMembers(members: Members): void {
     if (!this.isUp || !mayChangeMembers(this.state, this.facts)) return;
-    this.add([membersText(members)]);
+    this.add([membersEntryText(members)]);
     this.settle();
   }
 
@@ -325,7 +335,7 @@
     this.writeWhole(this.state.rejoinNonce, { kind: "nothing" });
   }
 
-  receive(from: string, askId: string, request: Request): void {
+  receive(from: string, askId: string, request: ModelRequest): void {
     if (!this.isUp || !this.hasStorage) return;
     switch (request.kind) {
       case "vote":
@@ -338,7 +348,7 @@
         this.onSnapshot(from, askId, request.request);
         break;
       case "handOver":
-        this.state = takeHandOver(this.state, request.term, this.facts) ?? this.state;
+        this.state = acceptLeadershipTransfer(this.state, request.term, this.facts) ?? this.state;
         break;
       case "rejoin":
         this.onRejoin(request.machine, request.nonce);
@@ -347,7 +357,7 @@
     this.settle();
   }
 
-  receiveReply(askId: string, reply: Reply): void {
+  receiveReply(askId: string, reply: ModelReply): void {
     const ask = this.asks.get(askId);
     if (!this.isUp || ask === undefined || this.nowMs >= ask.untilMs) return;
     this.asks.delete(askId);
@@ -367,7 +377,7 @@
     return this.around.settings.waits;
   }
 
-  private ask(peer: string, request: Request, waitMs: number): string {
+  private ask(peer: string, request: ModelRequest, waitMs: number): string {
     const askId = this.around.send(this.name, peer, request);
     const now = this.nowMs;
     this.asks.set(askId, { peer, request, sentMs: now, untilMs: now + waitMs });
@@ -388,15 +398,15 @@
   private tickFollower(now: number): void {
     if (this.state.heardLeaderMs !== this.waitedSinceMs) this.waitForElection();
     if (now < this.untilMs) return;
-    this.state = onElectionWaitOver(this.state, this.facts);
+    this.state = onElectionTimeout(this.state, this.facts);
     if (this.state.role === "follower") this.untilMs = now + this.electionWaitMs();
   }
 
   private tickLeader(): void {
-    const why = whyStepDown(this.state, this.leadingSinceMs, this.facts);
+    const why = stepDownReason(this.state, this.leadingSinceMs, this.facts);
     if (why === "notVoter") return this.handOver();
     if (why === "noContact") {
-      this.state = follow(this.state, this.state.term, "", this.nowMs);
+      this.state = becomeFollower(this.state, this.state.term, "", this.nowMs);
       return;
     }
     this.reviewMembership();
@@ -409,7 +419,7 @@
     const { members, ackedSentMs, matched, committedIndex, syncedIndex } = this.state;
     const since = this.leadingSinceMs;
     const { settings } = this.around;
-    const change = Membership.next({
+    const change = MembershipPolicy.next({
       self: this.name,
       voters: members.voters,
       learners: members.learners,
@@ -432,7 +442,7 @@
         forgetAfterMs: settings.forgetAfterMs,
       },
     });
-    if (change !== undefined) this.add([membersText(Membership.after(members, change))]);
+    if (change !== undefined) this.add([membersEntryText(MembershipPolicy.after(members, change))]);
   }
 
   /** Does what follows from a change of role, as the recorder's own task does. */
@@ -453,7 +463,7 @@
           break;
         }
         case "candidate": {
-          const { state, records, request } = startCampaign(this.state);
+          const { state, records, request } = startElection(this.state);
           this.state = state;
           this.untilMs = this.nowMs + this.electionWaitMs();
           this.disk.pending.push({
@@ -470,10 +480,10 @@
   }
 
   private lead(): void {
-    this.state = beginLeading(this.state);
+    this.state = becomeLeader(this.state);
     this.leadingSinceMs = this.nowMs;
     this.around.elected(this);
-    this.add([leadsText(this.state)]);
+    this.add([leadershipEntryText(this.state)]);
   }
 
   private askForVotes(request: VoteRequest): void {
@@ -485,7 +495,7 @@
   }
 
   private add(texts: readonly string[]): void {
-    const { state, records } = addOwnEntries(this.state, texts);
+    const { state, records } = appendAsLeader(this.state, texts);
     this.state = state;
     const then: AfterWrite = { kind: "ownEntries", term: state.term, index: state.log.lastIndex };
     this.disk.pending.push({ content: { records }, then });
@@ -607,9 +617,9 @@
     const { voters, learners } = this.state.members;
     if (![...voters, ...learners].includes(machine)) {
       if (!mayChangeMembers(this.state, this.facts)) return;
-      this.add([membersText({ voters, learners: [...learners, machine] })]);
+      this.add([membersEntryText({ voters, learners: [...learners, machine] })]);
     }
-    if (nonce !== "") this.add([rejoinMarkText(machine, nonce)]);
+    if (nonce !== "") this.add([rejoinMarkerEntryText(machine, nonce)]);
   }
 
   private onAppendReply(
@@ -617,7 +627,7 @@
     askId: string,
     term: number,
     sentMs: number,
-    { reply }: Extract<Reply, { kind: "append" }>,
+    { reply }: Extract<ModelReply, { kind: "append" }>,
   ): void {
     if (reply.term > term) return this.outdated(reply.term);
     if (reply.term !== term || !isLeading(this.state, term)) return this.rest(peer, askId);
@@ -626,7 +636,7 @@
     if (replication !== undefined && replication.askId === askId)
       replication.progress = progressAfter(replication.progress, reply);
     const acknowledgment = { peer, term, sentMs, matched: fits ? reply.matched : 0, counts };
-    this.state = noteAcknowledgment(this.state, acknowledgment, this.facts);
+    this.state = onAcknowledgment(this.state, acknowledgment, this.facts);
     const next = replication?.progress.next ?? 0;
     this.rest(peer, askId, !fits || this.state.log.lastIndex >= next);
     this.apply();
@@ -637,15 +647,11 @@
     askId: string,
     request: SnapshotRequest,
     sentMs: number,
-    { reply }: Extract<Reply, { kind: "snapshot" }>,
+    { reply }: Extract<ModelReply, { kind: "snapshot" }>,
   ): void {
     const { matched, counts } = reply;
     const { term, lastIndex } = request;
-    this.state = noteAcknowledgment(
-      this.state,
-      { peer, term, sentMs, matched, counts },
-      this.facts,
-    );
+    this.state = onAcknowledgment(this.state, { peer, term, sentMs, matched, counts }, this.facts);
     if (reply.term > term) this.outdated(reply.term);
     const replication = this.replications.get(peer);
     if (replication !== undefined && replication.askId === askId && matched >= lastIndex)
@@ -655,7 +661,7 @@
   }
 
   private outdated(term: number): void {
-    if (term > this.state.term) this.state = follow(this.state, term, "", this.nowMs);
+    if (term > this.state.term) this.state = becomeFollower(this.state, term, "", this.nowMs);
   }
 
   private afterWrite(then: AfterWrite): void {
@@ -681,10 +687,10 @@
         return;
       }
       case "ownEntries":
-        this.state = ownEntriesSynced(this.state, then.term, then.index, this.facts);
+        this.state = onOwnEntriesSynced(this.state, then.term, then.index, this.facts);
         return this.apply();
       case "askForVotes":
-        if (stillStands(this.state, then.request.term)) this.askForVotes(then.request);
+        if (isStillCampaigning(this.state, then.request.term)) this.askForVotes(then.request);
         return;
       case "beginRejoining":
         this.state = restoredState(this.state, then.content);
@@ -692,7 +698,7 @@
         this.waitForElection();
         return;
       case "rejoined":
-        this.state = rejoined(this.state);
+        this.state = afterRejoin(this.state);
         return;
       case "nothing":
         return;
@@ -740,8 +746,8 @@
         throw new Error(`${this.name}: entry ${index} is not where it should be.`);
       this.appliedIndex = index;
       this.value = valueIn(entry.text) ?? this.value;
-      const mark = rejoinMarkIn(entry.text);
-      if (mark !== undefined && endsRejoining(this.state, mark, this.facts))
+      const mark = rejoinMarkerIn(entry.text);
+      if (mark !== undefined && completesRejoin(this.state, mark, this.facts))
         this.writeWhole("", { kind: "rejoined" });
       this.around.applied(this, index, entry.term, entry.text);
     }
--- a/src/model-checker/mutants.ts
+++ b/src/model-checker/mutants.ts
@@ -1,12 +1,12 @@
-import type { Alteration } from "./random-search.js";
+import type { RuleOverride } from "./random-search.js";
 
 /** One safety rule taken out of the decisions, to see whether the explorer notices. */
 export interface Mutant {
   readonly name: string;
-  readonly alteration: Alteration;
+  readonly alteration: RuleOverride;
 }
 
-const withoutRule = (rule: keyof NonNullable<Alteration["rules"]>, name: string): Mutant => ({
+const withoutRule = (rule: keyof NonNullable<RuleOverride["rules"]>, name: string): Mutant => ({
   name,
   alteration: { rules: { [rule]: false } },
 });
--- a/src/model-checker/phase-walk.ts
+++ b/src/model-checker/phase-walk.ts
@@ -1,4 +1,4 @@
-import type { Group } from "./member-group.js";
+import type { MemberGroup } from "./member-group.js";
 import type { ModelMember } from "./model-member.js";
 import type { RandomSource } from "./random-source.js";
 import type { Step } from "./step.js";
@@ -24,12 +24,12 @@
     this.hasChanges = random.chance(0.4);
   }
 
-  next(group: Group): Step {
+  next(group: MemberGroup): Step {
     if (this.planned.length === 0 && this.random.chance(phaseEnd)) this.plan(group);
     return this.planned.shift() ?? this.progress(group);
   }
 
-  private plan(group: Group): void {
+  private plan(group: MemberGroup): void {
     const { random } = this;
     for (const member of group.members.values()) {
       if (!member.isUp) this.planned.push({ kind: "start", member: member.name });
@@ -60,7 +60,7 @@
     else if (voter !== undefined) this.planned.push({ kind: "demote", member: name, voter });
   }
 
-  private partition(group: Group): void {
+  private partition(group: MemberGroup): void {
     const { names } = group.settings;
     const together = new Set(names.filter(() => this.random.chance(0.6)));
     for (const from of names)
@@ -73,7 +73,7 @@
       }
   }
 
-  private progress(group: Group): Step {
+  private progress(group: MemberGroup): Step {
     const { random } = this;
     const writing = [...group.members.values()].filter(({ disk }) => disk.pending.length > 0);
     const writer = random.oneOf(writing);
--- a/src/model-checker/random-search.ts
+++ b/src/model-checker/random-search.ts
@@ -1,16 +1,16 @@
 import type { SafetyRules } from "../consensus/safety-rules.js";
-import type { ElectionWaits } from "../consensus/state.js";
+import type { ElectionTimeouts } from "../consensus/state.js";
 import { runRandomly, type Counterexample } from "./search-run.js";
 import { GroupSettings } from "./group-settings.js";
 
 /** What is changed of production's rules and waits; nothing for production itself. */
-export interface Alteration {
+export interface RuleOverride {
   readonly rules?: Partial<SafetyRules>;
-  readonly waits?: Partial<ElectionWaits>;
+  readonly waits?: Partial<ElectionTimeouts>;
 }
 
 /** How far to explore at random. */
-export interface Extent {
+export interface SearchLimits {
   readonly firstSeed: number;
   readonly mostSteps: number;
   readonly stepsPerRun: number;
@@ -26,11 +26,11 @@
 }
 
 /** The group of a seed: three to five members, one or two spares. */
-export const settingsFor = (seed: number, alteration: Alteration): GroupSettings =>
+export const settingsFor = (seed: number, alteration: RuleOverride): GroupSettings =>
   GroupSettings.of(seed % 3 === 2 ? 5 : 3, 1 + (seed % 2), seed, alteration);
 
 /** Runs of fixed length, seed after seed, until one breaks a promise or the steps are used up. */
-export const exploreRandomly = (extent: Extent, alteration: Alteration = {}): Finding => {
+export const exploreRandomly = (extent: SearchLimits, alteration: RuleOverride = {}): Finding => {
   let steps = 0;
   let seed = extent.firstSeed;
   for (; steps < extent.mostSteps; seed += 1) {
--- a/src/model-checker/random-walk.ts
+++ b/src/model-checker/random-walk.ts
@@ -1,4 +1,4 @@
-import type { Group } from "./member-group.js";
+import type { MemberGroup } from "./member-group.js";
 import { PhaseWalk } from "./phase-walk.js";
 import { RandomSource } from "./random-source.js";
 import type { Step } from "./step.js";
@@ -93,28 +93,28 @@
     this.phases = this.random.chance(0.5) ? new PhaseWalk(this.random) : undefined;
   }
 
-  next(group: Group): Step {
+  next(group: MemberGroup): Step {
     if (this.phases !== undefined) return this.phases.next(group);
     const planned = this.planned.shift();
     return planned ?? this.failure(group) ?? this.call(group) ?? this.progress(group);
   }
 
-  private name(group: Group): string {
+  private name(group: MemberGroup): string {
     return this.random.oneOf(group.settings.names) ?? "";
   }
 
-  private leader(group: Group): string {
+  private leader(group: MemberGroup): string {
     const leaders = [...group.members.values()].filter(isLeader);
     return this.random.oneOf(leaders)?.name ?? this.name(group);
   }
 
   /** A voter more often than another member, since voters decide. */
-  private voter(group: Group): string {
+  private voter(group: MemberGroup): string {
     const voter = this.random.oneOf(group.checks.latestMembers.voters);
     return voter === undefined || this.random.chance(0.2) ? this.name(group) : voter;
   }
 
-  private failure(group: Group): Step | undefined {
+  private failure(group: MemberGroup): Step | undefined {
     const { random, climate } = this;
     const down = [...group.members.values()].find(({ isUp }) => !isUp);
     if (down !== undefined && random.chance(0.06)) return { kind: "start", member: down.name };
@@ -130,20 +130,20 @@
     return random.chance(climate.membership) ? this.membershipChange(group) : undefined;
   }
 
-  private crash(group: Group): Step {
+  private crash(group: MemberGroup): Step {
     const member = this.voter(group);
     if (this.random.chance(0.5)) this.planned.push({ kind: "start", member });
     return { kind: "crash", member, keptWrites: this.random.below(3) };
   }
 
-  private wipe(group: Group): Step {
+  private wipe(group: MemberGroup): Step {
     const member = this.voter(group);
     if (this.random.chance(0.7)) this.planned.push({ kind: "start", member });
     return { kind: "wipe", member };
   }
 
   /** One cut ends, or all of them. */
-  private mend(group: Group): Step {
+  private mend(group: MemberGroup): Step {
     const steps = [...group.cuts].map((cut): Step => {
       const [from = "", to = ""] = cut.split(">");
       return { kind: "mend", from, to };
@@ -154,7 +154,7 @@
   }
 
   /** A member is cut off, both ways or one way, often in place of the one that was. */
-  private isolate(group: Group): Step {
+  private isolate(group: MemberGroup): Step {
     const member = this.random.chance(0.5) ? this.leader(group) : this.voter(group);
     const ways = this.random.oneOf(["both", "out", "in"]);
     const former = this.random.chance(0.5) ? [...group.cuts] : [];
@@ -170,7 +170,7 @@
     return this.planned.shift() ?? { kind: "advance", ms: 5, paused: [] };
   }
 
-  private membershipChange(group: Group): Step | undefined {
+  private membershipChange(group: MemberGroup): Step | undefined {
     const leader = this.leader(group);
     const { voters, learners } = group.member(leader).state.members;
     const learner = this.random.oneOf(learners);
@@ -180,14 +180,14 @@
     return voter === undefined ? undefined : { kind: "demote", member: leader, voter };
   }
 
-  private call(group: Group): Step | undefined {
+  private call(group: MemberGroup): Step | undefined {
     if (this.random.chance(0.05)) return { kind: "write", member: this.leader(group) };
     if (this.random.chance(0.03)) return { kind: "read", member: this.leader(group) };
     if (this.random.chance(0.005)) return { kind: "compact", member: this.name(group) };
     return undefined;
   }
 
-  private progress(group: Group): Step {
+  private progress(group: MemberGroup): Step {
     const { random, climate } = this;
     const writing = [...group.members.values()].filter(({ disk }) => disk.pending.length > 0);
     const writer = random.oneOf(writing);
--- a/src/model-checker/recovery.ts
+++ b/src/model-checker/recovery.ts
@@ -1,5 +1,5 @@
-import { Violation } from "./invariant-checks.js";
-import type { Group } from "./member-group.js";
+import { InvariantViolation } from "./invariant-checks.js";
+import type { MemberGroup } from "./member-group.js";
 import type { Step } from "./step.js";
 
 const quantumMs = 20;
@@ -9,7 +9,7 @@
 const advance: Step = { kind: "advance", ms: quantumMs, paused: [] };
 
 /** Does all that is waiting, in order, as a network and disks without failures would. */
-const settle = (group: Group): void => {
+const settle = (group: MemberGroup): void => {
   for (const name of group.members.keys())
     while (group.member(name).isUp && group.member(name).disk.pending.length > 0)
       group.take({ kind: "sync", member: name });
@@ -17,7 +17,7 @@
     group.take({ kind: "deliver", message, twice: false });
 };
 
-const isHealed = (group: Group): boolean => {
+const isHealed = (group: MemberGroup): boolean => {
   const { voters } = group.checks.latestMembers;
   const members = [...group.members.values()];
   return (
@@ -31,7 +31,7 @@
 };
 
 /** Ends all failures and waits: a leader has to answer again, and all voters have to hold all that is committed. */
-export const heal = (group: Group): void => {
+export const recover = (group: MemberGroup): void => {
   group.cuts.clear();
   for (const name of group.members.keys()) group.take({ kind: "start", member: name });
   const untilMs = group.nowMs + healedWithinMs;
@@ -43,7 +43,7 @@
           `${name} ${state.role} term ${state.term}, log ${state.log.lastIndex}, committed ${state.committedIndex}, ` +
           `voters ${state.members.voters.join("+")}${isWhole ? "" : ", not whole"}`,
       );
-      throw new Violation("the group heals", members.join("; "));
+      throw new InvariantViolation("the group heals", members.join("; "));
     }
     settle(group);
     group.take(advance);
--- a/src/model-checker/search-run.ts
+++ b/src/model-checker/search-run.ts
@@ -1,6 +1,6 @@
-import { Violation } from "./invariant-checks.js";
-import { Group } from "./member-group.js";
-import { heal } from "./recovery.js";
+import { InvariantViolation } from "./invariant-checks.js";
+import { MemberGroup } from "./member-group.js";
+import { recover } from "./recovery.js";
 import { findContradiction } from "./history/linearizability.js";
 import { RandomWalk } from "./random-walk.js";
 import type { GroupSettings } from "./group-settings.js";
@@ -14,18 +14,18 @@
   readonly how: string;
 }
 
-const checkHistory = (group: Group): void => {
+const checkHistory = (group: MemberGroup): void => {
   const contradiction = findContradiction(group.history.operations, 0);
   if (contradiction !== undefined)
-    throw new Violation(
+    throw new InvariantViolation(
       "linearizable",
       `${contradiction.why}: ${JSON.stringify(contradiction.operations)}`,
     );
 };
 
-const finish = (group: Group): void => {
+const finish = (group: MemberGroup): void => {
   checkHistory(group);
-  heal(group);
+  recover(group);
 };
 
 const attempt = (
@@ -37,7 +37,7 @@
     work();
     return undefined;
   } catch (error) {
-    if (!(error instanceof Violation)) throw error;
+    if (!(error instanceof InvariantViolation)) throw error;
     return { settings, steps, promise: error.promise, how: error.message };
   }
 };
@@ -47,7 +47,7 @@
   settings: GroupSettings,
   steps: readonly Step[],
 ): Counterexample | undefined => {
-  const group = new Group(settings);
+  const group = new MemberGroup(settings);
   const played: Step[] = [];
   return attempt(settings, played, () => {
     for (const step of steps) {
@@ -64,7 +64,7 @@
   seed: number,
   length: number,
 ): Counterexample | undefined => {
-  const group = new Group(settings);
+  const group = new MemberGroup(settings);
   const walk = new RandomWalk(seed);
   const steps: Step[] = [];
   return attempt(settings, steps, () => {
--- a/src/model-checker/trace.ts
+++ b/src/model-checker/trace.ts
@@ -1,5 +1,5 @@
-import { Group } from "./member-group.js";
-import { Violation } from "./invariant-checks.js";
+import { MemberGroup } from "./member-group.js";
+import { InvariantViolation } from "./invariant-checks.js";
 import type { Message } from "./message.js";
 import type { Counterexample } from "./search-run.js";
 import { stepsToText, type Step } from "./step.js";
@@ -18,7 +18,7 @@
   }
 };
 
-const describe = (group: Group, step: Step): string => {
+const describe = (group: MemberGroup, step: Step): string => {
   switch (step.kind) {
     case "advance": {
       const paused = step.paused.length > 0 ? `, ${step.paused.join(" and ")} paused` : "";
@@ -59,7 +59,7 @@
   }
 };
 
-const stateOf = (group: Group): string =>
+const stateOf = (group: MemberGroup): string =>
   [...group.members.values()]
     .map(({ name, isUp, state }) => {
       const { role, term, log, committedIndex } = state;
@@ -71,14 +71,14 @@
 
 /** A counterexample for a person: what happened, step by step, and how each member stood then. */
 export const traceText = ({ settings, steps, how }: Counterexample): string => {
-  const group = new Group(settings);
+  const group = new MemberGroup(settings);
   const lines: string[] = [];
   for (const [at, step] of steps.entries()) {
     lines.push(`${at + 1}. ${describe(group, step)}`);
     try {
       group.take(step);
     } catch (error) {
-      if (!(error instanceof Violation)) throw error;
+      if (!(error instanceof InvariantViolation)) throw error;
     }
     lines.push(`     ${stateOf(group)}`);
   }
--- a/src/proxy/expired-lease-policy.ts
+++ b/src/proxy/expired-lease-policy.ts
@@ -9,7 +9,7 @@
 }
 
 /** How long a daemon may go on without a lease, and how long a failed connection says that the core is not settled. */
-export interface LapseBounds {
+export interface ExpiredLeaseBounds {
   readonly staleMs: number;
   readonly contactMs: number;
 }
@@ -20,12 +20,12 @@
  * So it takes evidence that the core is not settled, or that this machine is cut off from it: connections to half of the members
  * or more failed within `contactMs` and nothing was heard of them since. A member that answers late is not out of reach.
  */
-export class LapsedLease {
+export class ExpiredLeasePolicy {
   private readonly clock: Clock;
   private readonly core: CoreContact;
-  private readonly bounds: LapseBounds;
+  private readonly bounds: ExpiredLeaseBounds;
 
-  constructor(clock: Clock, core: CoreContact, bounds: LapseBounds) {
+  constructor(clock: Clock, core: CoreContact, bounds: ExpiredLeaseBounds) {
     this.clock = clock;
     this.core = core;
     this.bounds = bounds;
--- a/src/proxy/header-names.ts
+++ b/src/proxy/header-names.ts
@@ -1,5 +1,5 @@
 /** The headers by which the door speaks with callers and back ends; lower case. */
-export interface Dialect {
+export interface HeaderNames {
   /** In which a caller names its try; the door names it where this is undefined. */
   readonly callerId: string | undefined;
   /** In which a back end is told the try's name. */
@@ -22,7 +22,7 @@
   readonly proof: "connection" | "request";
 }
 
-const own: Dialect = {
+const own: HeaderNames = {
   callerId: undefined,
   requestId: "x-daledoor-job",
   echo: "x-daledoor-stamp",
@@ -36,4 +36,4 @@
 };
 
 /** What a daemon speaks where no adapter says otherwise. */
-export const Dialect = { own };
+export const HeaderNames = { own };
--- a/src/proxy/http-proxy.ts
+++ b/src/proxy/http-proxy.ts
@@ -1,46 +1,46 @@
-import type { Forwarder } from "../cluster-view/command-forwarder.js";
-import type { Mapping } from "../cluster-view/active-route.js";
-import { poolOf, type View } from "../cluster-view/cluster-view.js";
+import type { CommandForwarder } from "../cluster-view/command-forwarder.js";
+import type { ActiveRoute } from "../cluster-view/active-route.js";
+import { connectionPoolKey, type ClusterView } from "../cluster-view/cluster-view.js";
 import { Clock } from "../runtime/clock.js";
 import type { LinkPacer } from "../runtime/link-pacer.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
-import { World } from "../runtime/runtime.js";
-import type { Contract } from "../state/state-machine.js";
+import { Runtime } from "../runtime/runtime.js";
+import type { Registration } from "../state/state-machine.js";
 import type { RetryBudget } from "../retry-budget/retry-budget.js";
 import type { LoadBalancer } from "../load-balancing/load-balancer.js";
 import type { EdgeCounts } from "../retry-budget/edge-counts.js";
 import { safeMethods } from "../configuration/config.js";
-import { bodyEnd, headFault } from "./upstream/response-validation.js";
+import { responseBodyEnd, responseHeadFault } from "./upstream/response-validation.js";
 import { BulkAdmission } from "./bulk-admission.js";
 import {
-  serviceHeader,
-  type BackEnds,
-  type BackReturn,
-  type Opened,
+  SERVICE_HEADER,
+  type BackendClient,
+  type BackendResponse,
+  type OpenResult,
 } from "./upstream/backend-client.js";
-import type { Dialect } from "./header-names.js";
-import { Job, type Caller } from "./proxy-request.js";
-import { Keys, type Claim } from "./idempotency/idempotency-claims.js";
-import type { LapsedLease } from "./expired-lease-policy.js";
-import type { KeyedOutcomeKeeper } from "./idempotency/outcome-replicator.js";
-import { endingOf, maySendOn, outcomeOf, type FailureCause } from "./outcome-rules.js";
-import { Ending, Return, type Verdict } from "./request-outcome.js";
+import type { HeaderNames } from "./header-names.js";
+import { ProxyRequest, type ClientConnection } from "./proxy-request.js";
+import { IdempotencyClaims, type HeldClaim } from "./idempotency/idempotency-claims.js";
+import type { ExpiredLeasePolicy } from "./expired-lease-policy.js";
+import type { OutcomeReplicator } from "./idempotency/outcome-replicator.js";
+import { outcomeOfFailure, mayRetry, outcomeRuleOf, type FailureCause } from "./outcome-rules.js";
+import { RequestOutcome, ClientResponse, type ExecutionStatus } from "./request-outcome.js";
 
 /** One request on its way through the chain. */
 interface Passage {
-  readonly job: Job;
-  readonly caller: Caller;
+  readonly job: ProxyRequest;
+  readonly caller: ClientConnection;
   readonly arrivedMs: number;
   /** Its name toward back ends, where its caller gave it one. */
   readonly id: string | undefined;
   /** Decides among the services of a route that is split. */
   readonly draw: number;
-  mapping: Mapping | undefined;
+  mapping: ActiveRoute | undefined;
   service: string;
   /** When its caller or its route gives it up. */
   untilMs: number;
-  claim: Claim | undefined;
+  claim: HeldClaim | undefined;
   /** The rest of its body went to a back end and can't be sent again. */
   isSpent: boolean;
   /** A body is being passed on as it comes. */
@@ -51,11 +51,11 @@
   bulkOver: () => void;
 }
 
-type Filter = (passage: Passage, rest: () => Task<Ending>) => Task<Ending>;
+type Filter = (passage: Passage, rest: () => Task<RequestOutcome>) => Task<RequestOutcome>;
 
 /** How one try ended, and whether its back end may have heard of it. */
 interface Attempt {
-  readonly ending: Ending;
+  readonly ending: RequestOutcome;
   readonly isSent: boolean;
 }
 
@@ -120,10 +120,10 @@
 };
 
 /** What the door has done, by ending. */
-export interface Tally {
+export interface ProxyCounters {
   taken: number;
   byCode: Record<string, number>;
-  byVerdict: Record<Verdict, number>;
+  byVerdict: Record<ExecutionStatus, number>;
   firstTries: number;
   furtherTries: number;
   furtherRefused: { sketch: number; guard: number };
@@ -131,38 +131,38 @@
 }
 
 /** What a door depends on beside its world. */
-export interface DoorParts {
-  readonly view: View;
-  readonly backEnds: BackEnds;
-  readonly forwarder: Forwarder;
+export interface HttpProxyOptions {
+  readonly view: ClusterView;
+  readonly backEnds: BackendClient;
+  readonly forwarder: CommandForwarder;
   readonly budget: RetryBudget;
   readonly counts: EdgeCounts;
   readonly shares: LoadBalancer;
   readonly incarnation: string;
-  readonly dialect: Dialect;
+  readonly dialect: HeaderNames;
   /** Whether requests that may be repeated are still served by a view whose lease is over. */
-  readonly lapsedLease: LapsedLease;
+  readonly lapsedLease: ExpiredLeasePolicy;
   /** Where it is kept what became of keyed requests. */
-  readonly outcomes: KeyedOutcomeKeeper;
+  readonly outcomes: OutcomeReplicator;
   /** The link by which requests leave. */
   readonly egress: LinkPacer;
 }
 
 /** Takes callers' requests through a chain of filters, each of which may answer. */
-export class Door {
-  private readonly world: World;
-  private readonly view: View;
-  private readonly backEnds: BackEnds;
+export class HttpProxy {
+  private readonly world: Runtime;
+  private readonly view: ClusterView;
+  private readonly backEnds: BackendClient;
   private readonly budget: RetryBudget;
   private readonly counts: EdgeCounts;
   private readonly shares: LoadBalancer;
-  private readonly keys: Keys;
+  private readonly keys: IdempotencyClaims;
   private readonly incarnation: string;
-  private readonly dialect: Dialect;
-  private readonly lapsedLease: LapsedLease;
+  private readonly dialect: HeaderNames;
+  private readonly lapsedLease: ExpiredLeasePolicy;
   private readonly egress: LinkPacer;
   private readonly bulk: BulkAdmission;
-  private readonly log: PartLog;
+  private readonly log: Logger;
   private tries = 0;
   private closed = false;
   private readonly passages = new Set<Passage>();
@@ -170,7 +170,7 @@
   private awaiting: Array<() => void> = [];
   /** Requests in hand now. */
   inHand = 0;
-  readonly tally: Tally = {
+  readonly tally: ProxyCounters = {
     taken: 0,
     byCode: {},
     byVerdict: { neverRan: 0, mayHaveRun: 0, ran: 0 },
@@ -180,7 +180,7 @@
     cut: 0,
   };
 
-  constructor(world: World, parts: DoorParts) {
+  constructor(world: Runtime, parts: HttpProxyOptions) {
     const { view, backEnds, forwarder, budget, counts, shares, incarnation, dialect } = parts;
     this.world = world;
     this.view = view;
@@ -193,7 +193,7 @@
     this.lapsedLease = parts.lapsedLease;
     this.egress = parts.egress;
     this.bulk = new BulkAdmission(parts.egress, wholeBytes);
-    this.keys = new Keys(
+    this.keys = new IdempotencyClaims(
       world,
       forwarder,
       parts.outcomes,
@@ -219,7 +219,7 @@
   }
 
   /** Takes one request to its end. */
-  *handle(job: Job, caller: Caller): Task {
+  *handle(job: ProxyRequest, caller: ClientConnection): Task {
     const { callerId } = this.dialect;
     const passage: Passage = {
       job,
@@ -255,7 +255,7 @@
     } catch (error) {
       this.log.fault("A request met what nobody foresaw.", error);
       caller.whole(
-        Return.json(500, {
+        ClientResponse.json(500, {
           error: "The daemon broke down over this request.",
           verdict: "mayHaveRun",
         }),
@@ -274,7 +274,7 @@
       if (passage.isStreaming) passage.caller.cut();
       else
         passage.caller.whole(
-          Return.json(
+          ClientResponse.json(
             504,
             {
               error: "This daemon stops before the back end returned.",
@@ -288,29 +288,30 @@
   }
 
   /** A return as callers of this dialect read it. */
-  private spoken({ afterMs }: Ending, ret: Return): Return {
+  private spoken({ afterMs }: RequestOutcome, ret: ClientResponse): ClientResponse {
     if (afterMs === undefined || !this.dialect.tellsParts) return ret;
     const spreadMs = afterMs * (0.75 + 0.5 * this.world.random());
     return { ...ret, headers: { ...ret.headers, "retry-after": (spreadMs / 1000).toFixed(3) } };
   }
 
-  private pass(passage: Passage, chain: readonly Filter[]): Task<Ending> {
+  private pass(passage: Passage, chain: readonly Filter[]): Task<RequestOutcome> {
     const [filter, ...rest] = chain;
     return filter
       ? filter.call(this, passage, () => this.pass(passage, rest))
       : this.forward(passage);
   }
 
-  private *limits(passage: Passage, rest: () => Task<Ending>): Task<Ending> {
-    if (this.closed) return Ending.drop("This daemon is stopping.", after.elsewhere);
+  private *limits(passage: Passage, rest: () => Task<RequestOutcome>): Task<RequestOutcome> {
+    if (this.closed) return RequestOutcome.drop("This daemon is stopping.", after.elsewhere);
     if (this.inHand > inHandLimit)
-      return Ending.drop("This daemon has too much in hand.", after.soon);
+      return RequestOutcome.drop("This daemon has too much in hand.", after.soon);
     if (!this.hasView) yield* this.awaitView(passage);
     if (this.view.configSequence === 0)
-      return Ending.drop("No config is in force yet.", after.settled);
-    if (!this.hasView) return Ending.drop("This daemon's view is not proven fresh.", after.settled);
+      return RequestOutcome.drop("No config is in force yet.", after.settled);
+    if (!this.hasView)
+      return RequestOutcome.drop("This daemon's view is not proven fresh.", after.settled);
     if (this.dialect.callerId !== undefined && passage.id === undefined)
-      return Ending.refusal(400, "The request names no try.");
+      return RequestOutcome.refusal(400, "The request names no try.");
     return yield* rest();
   }
 
@@ -332,18 +333,18 @@
     );
   }
 
-  private *mapped(passage: Passage, rest: () => Task<Ending>): Task<Ending> {
+  private *mapped(passage: Passage, rest: () => Task<RequestOutcome>): Task<RequestOutcome> {
     const mapping = this.find(passage);
     if (!mapping)
       return this.view.isGranted
-        ? Ending.refusal(404, "No route takes this request.")
-        : Ending.drop("This daemon's view is not proven fresh.", after.settled);
+        ? RequestOutcome.refusal(404, "No route takes this request.")
+        : RequestOutcome.drop("This daemon's view is not proven fresh.", after.settled);
     passage.mapping = mapping;
     passage.service = mapping.choose(passage.draw);
     passage.untilMs = passage.arrivedMs + this.givenMs(passage, mapping);
     passage.caller.dueMs = passage.arrivedMs + mapping.goalMs;
     if (!this.canBear(passage, mapping))
-      return Ending.drop(
+      return RequestOutcome.drop(
         "This daemon's link is full for as long as there is time.",
         after.elsewhere,
       );
@@ -355,14 +356,20 @@
   }
 
   /** Holds what may run once until it is sure that its caller won't count it as not read and send it again. */
-  private *ordered({ mapping, caller }: Passage, rest: () => Task<Ending>): Task<Ending> {
+  private *ordered(
+    { mapping, caller }: Passage,
+    rest: () => Task<RequestOutcome>,
+  ): Task<RequestOutcome> {
     const isRepeatable = mapping?.repeatable === true;
     if (!isRepeatable && caller.turn && !(yield* caller.turn()))
-      return Ending.drop("The answer before this one closed the connection.", after.elsewhere);
+      return RequestOutcome.drop(
+        "The answer before this one closed the connection.",
+        after.elsewhere,
+      );
     return yield* rest();
   }
 
-  private *keyed(passage: Passage, rest: () => Task<Ending>): Task<Ending> {
+  private *keyed(passage: Passage, rest: () => Task<RequestOutcome>): Task<RequestOutcome> {
     const { job, mapping } = passage;
     const { key: header } = this.dialect;
     const key = job.headers[header];
@@ -371,12 +378,12 @@
       return yield* rest();
     if (key === undefined)
       return isKeyed
-        ? Ending.refusal(400, `This route wants the header ${header}.`)
+        ? RequestOutcome.refusal(400, `This route wants the header ${header}.`)
         : yield* rest();
     if (key.length === 0 || key.length > 200)
-      return Ending.refusal(400, "A key has 1 to 200 characters.");
+      return RequestOutcome.refusal(400, "A key has 1 to 200 characters.");
     if (!this.view.isGranted)
-      return Ending.drop("This daemon's view is not proven fresh.", after.settled);
+      return RequestOutcome.drop("This daemon's view is not proven fresh.", after.settled);
     const claim = yield* this.keys.claim(
       job,
       key,
@@ -390,12 +397,12 @@
     return ending;
   }
 
-  private find({ job }: Passage): Mapping | undefined {
-    return this.view.mappings.find(job.method, Job.path(job), job.headers["host"] ?? "");
+  private find({ job }: Passage): ActiveRoute | undefined {
+    return this.view.mappings.find(job.method, ProxyRequest.path(job), job.headers["host"] ?? "");
   }
 
   /** How long a request may be in hand: what its caller says is left, and what its route allows. */
-  private givenMs({ job }: Passage, mapping: Mapping): number {
+  private givenMs({ job }: Passage, mapping: ActiveRoute): number {
     const { deadline } = this.dialect;
     if (deadline === undefined) return mapping.giveUpMs * 2;
     const told = Number(job.headers[deadline]);
@@ -405,7 +412,7 @@
   /** How long a claim may take. A first try is refused early, so that its caller still has time to come back; one that came back waits. */
   private claimMs(
     { arrivedMs, untilMs }: Passage,
-    { giveUpMs, goalMs }: Mapping,
+    { giveUpMs, goalMs }: ActiveRoute,
   ): number | undefined {
     if (this.dialect.deadline === undefined) return undefined;
     const givenMs = untilMs - arrivedMs;
@@ -420,29 +427,32 @@
   }
 
   /** Whether this daemon's view lets a request be sent on: it must hold until the request can have left the link. */
-  private mayServe(passage: Passage, mapping: Mapping): boolean {
+  private mayServe(passage: Passage, mapping: ActiveRoute): boolean {
     const leftMs = this.view.leaseLeftMs - this.leavesInMs(passage);
     return leftMs > 0 || (mapping.repeatable && this.lapsedLease.allows(-leftMs));
   }
 
   /** Whether a response of the route's usual size can still leave in time. A first try is refused while its caller can have another. */
-  private canBear({ arrivedMs, untilMs }: Passage, { name, goalMs, giveUpMs }: Mapping): boolean {
+  private canBear(
+    { arrivedMs, untilMs }: Passage,
+    { name, goalMs, giveUpMs }: ActiveRoute,
+  ): boolean {
     const isFirst = untilMs - arrivedMs >= giveUpMs * firstTryPart;
     const dueMs = isFirst ? Math.min(untilMs, arrivedMs + goalMs) : untilMs;
     return this.bulk.admits(name, dueMs - this.world.clock.nowMs());
   }
 
-  private *forward(passage: Passage): Task<Ending> {
+  private *forward(passage: Passage): Task<RequestOutcome> {
     const tried = new Set<string>();
-    let worst: Ending | undefined;
+    let worst: RequestOutcome | undefined;
     let further = 0;
     let sends = 0;
-    const giveUp = (why: string, afterMs = after.soon): Ending =>
-      worst ?? Ending.drop(why, afterMs);
+    const giveUp = (why: string, afterMs = after.soon): RequestOutcome =>
+      worst ?? RequestOutcome.drop(why, afterMs);
     for (let attempts = 0; attempts < attemptLimit; attempts += 1) {
       const nowMs = this.world.clock.nowMs();
       const mapping = this.find(passage);
-      if (!mapping) return worst ?? Ending.refusal(404, "No route takes this request.");
+      if (!mapping) return worst ?? RequestOutcome.refusal(404, "No route takes this request.");
       if (!this.mayServe(passage, mapping))
         return giveUp("This daemon's view is not proven fresh.", after.settled);
       if (!mapping.takes(passage.service)) passage.service = mapping.choose(passage.draw);
@@ -465,7 +475,7 @@
       const isFurther = sends > 0;
       if (isFurther) {
         further += 1;
-        const mayRepeat = maySendOn(worst?.verdict ?? "neverRan", mapping);
+        const mayRepeat = mayRetry(worst?.verdict ?? "neverRan", mapping);
         if (
           !mayRepeat ||
           passage.isSpent ||
@@ -503,7 +513,7 @@
   private mayStill(
     passage: Passage,
     service: string,
-    contract: Contract,
+    contract: Registration,
     isFurther: boolean,
   ): boolean {
     const claimEnds = passage.claim?.sendUntilMs ?? Infinity;
@@ -527,7 +537,7 @@
   private headersFor(
     { job }: Passage,
     service: string,
-    contract: Contract,
+    contract: Registration,
     id: string,
     untilMs: number,
   ): Record<string, string> {
@@ -537,7 +547,7 @@
     if (job.rest && stated !== undefined) headers["content-length"] = stated;
     if (proof === "connection") {
       delete headers["host"];
-      headers[serviceHeader] = service;
+      headers[SERVICE_HEADER] = service;
     }
     headers[requestId] = id;
     if (deadline !== undefined)
@@ -548,8 +558,8 @@
 
   private *attempt(
     passage: Passage,
-    mapping: Mapping,
-    contract: Contract,
+    mapping: ActiveRoute,
+    contract: Registration,
     isFurther: boolean,
   ): Task<Attempt> {
     const { clock } = this.world;
@@ -565,7 +575,7 @@
     const opened = yield* this.backEnds.send({
       address: contract.address,
       service,
-      pool: poolOf(contract),
+      pool: connectionPoolKey(contract),
       job: {
         method,
         path: target,
@@ -584,9 +594,9 @@
     if (opened === "refused" || opened === "foreign") this.view.noteRefused(contract);
     if (opened === "withdrawn") {
       this.shares.withdrew(contract, clock.nowMs());
-      return { ending: endingOf("withdrawn", after.soon), isSent: false };
+      return { ending: outcomeOfFailure("withdrawn", after.soon), isSent: false };
     }
-    const isSent = typeof opened !== "string" || outcomeOf(opened).isSent;
+    const isSent = typeof opened !== "string" || outcomeRuleOf(opened).isSent;
     const ending = yield* this.receive(passage, mapping, contract, opened, id);
     const nowMs = clock.nowMs();
     // What a caller broke off by leaving tells nothing of the backend.
@@ -616,20 +626,20 @@
 
   private *receive(
     passage: Passage,
-    mapping: Mapping,
-    contract: Contract,
-    opened: Opened,
+    mapping: ActiveRoute,
+    contract: Registration,
+    opened: OpenResult,
     id: string,
-  ): Task<Ending> {
-    if (typeof opened === "string") return endingOf(opened, after.soon);
+  ): Task<RequestOutcome> {
+    if (typeof opened === "string") return outcomeOfFailure(opened, after.soon);
     const { code, headers } = opened;
     const { dialect } = this;
     const { echo, proof } = dialect;
     const echoHeader = proof === "connection" ? mapping.stampHeader : echo;
-    const fault = headFault(opened, { dialect, id, echoHeader });
+    const fault = responseHeadFault(opened, { dialect, id, echoHeader });
     if (headers[echoHeader] === undefined) opened.noteUnnamed?.();
     if (fault !== undefined) return yield* this.refuse(contract, opened, fault);
-    const end = bodyEnd(passage.job.method, opened);
+    const end = responseBodyEnd(passage.job.method, opened);
     if (end === "unknown") return yield* this.refuse(contract, opened, "noLength");
     const bodiless = end === "bodiless";
     const stated = headers["content-length"];
@@ -647,7 +657,7 @@
         piece === "cut" ||
         (piece === "end" && lengthBytes !== undefined && heldBytes !== lengthBytes)
       )
-        return endingOf("bodyCut", after.soon);
+        return outcomeOfFailure("bodyCut", after.soon);
       if (piece === "end") break;
       heldBytes += piece.length;
       if (lengthBytes !== undefined && heldBytes > lengthBytes)
@@ -657,7 +667,7 @@
         return yield* this.stream(passage, opened, ret, pieces, lengthBytes);
     }
     if (bodiless && stated !== undefined && code !== 204) ret["content-length"] = stated;
-    return Ending.returned({
+    return RequestOutcome.returned({
       code,
       headers: ret,
       body: pieces.length === 1 && pieces[0] ? pieces[0] : Buffer.concat(pieces),
@@ -665,20 +675,24 @@
   }
 
   /** A response that is not passed on. Its connection can be used again once the rest has come, where the outcome lets it. */
-  private *refuse(contract: Contract, opened: BackReturn, cause: FailureCause): Task<Ending> {
+  private *refuse(
+    contract: Registration,
+    opened: BackendResponse,
+    cause: FailureCause,
+  ): Task<RequestOutcome> {
     if (cause === "otherInstance") this.view.noteRefused(contract);
-    if (outcomeOf(cause).connection !== "keep") return this.discard(opened, cause);
+    if (outcomeRuleOf(cause).connection !== "keep") return this.discard(opened, cause);
     for (let piece = yield* opened.next(); typeof piece !== "string";) piece = yield* opened.next();
-    return endingOf(cause, after.soon);
+    return outcomeOfFailure(cause, after.soon);
   }
 
   private *stream(
     passage: Passage,
-    opened: BackReturn,
+    opened: BackendResponse,
     headers: Record<string, string>,
     held: readonly Uint8Array[],
     lengthBytes: number | undefined,
-  ): Task<Ending> {
+  ): Task<RequestOutcome> {
     const { caller } = passage;
     if (passage.isAbandoned) return this.discard(opened, "answered");
     passage.isStreaming = true;
@@ -694,7 +708,7 @@
       if (piece === "end" && (lengthBytes === undefined || sentBytes === lengthBytes)) {
         caller.end();
         this.bulk.learn(passage.mapping?.name ?? "", sentBytes);
-        return { verdict: outcomeOf("streamed").verdict, ret: "streamed", why: "" };
+        return { verdict: outcomeRuleOf("streamed").verdict, ret: "streamed", why: "" };
       }
       if (
         piece !== "cut" &&
@@ -710,12 +724,12 @@
       this.log.warn("A return was cut short, and the caller's connection with it.", {
         route: passage.mapping?.name,
       });
-      return { verdict: outcomeOf("streamCut").verdict, ret: "cut", why: "" };
+      return { verdict: outcomeRuleOf("streamCut").verdict, ret: "cut", why: "" };
     }
   }
 
-  private discard(opened: BackReturn, cause: FailureCause): Ending {
+  private discard(opened: BackendResponse, cause: FailureCause): RequestOutcome {
     opened.cancel();
-    return endingOf(cause, after.soon);
+    return outcomeOfFailure(cause, after.soon);
   }
 }
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -1,24 +1,24 @@
 import { createHash } from "node:crypto";
 import { hostName } from "../../cluster-view/route-table.js";
-import { ClaimReturn, overloadedReturn, type Order } from "../../control-protocol/command.js";
-import type { Forwarder } from "../../cluster-view/command-forwarder.js";
+import { ClaimResponse, overloadedResponse, type Command } from "../../control-protocol/command.js";
+import type { CommandForwarder } from "../../cluster-view/command-forwarder.js";
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
-import { World } from "../../runtime/runtime.js";
-import { Job } from "../proxy-request.js";
+import { Runtime } from "../../runtime/runtime.js";
+import { ProxyRequest } from "../proxy-request.js";
 import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
-import type { KeyedOutcomeKeeper } from "./outcome-replicator.js";
-import { Ending } from "../request-outcome.js";
+import type { OutcomeReplicator } from "./outcome-replicator.js";
+import { RequestOutcome } from "../request-outcome.js";
 
 /** A key that this daemon holds: it may send until a moment of its own clock. */
-export interface Claim extends KeyedRequest {
+export interface HeldClaim extends KeyedRequest {
   readonly sendUntilMs: number;
   /** Who is to know what becomes of it. */
   readonly holders: readonly string[];
 }
 
 /** A key that another request claimed before. */
-type Held = Extract<ClaimReturn, { held: unknown }>["held"];
+type Held = Extract<ClaimResponse, { held: unknown }>["held"];
 
 const claimWaitMs = 2500;
 /** Which part of the time that is left a claim may take. */
@@ -38,29 +38,29 @@
   return sum.digest("hex");
 };
 
-const noClaim = (afterMs: number): Ending =>
-  Ending.drop("The key could not be claimed in the record.", afterMs);
+const noClaim = (afterMs: number): RequestOutcome =>
+  RequestOutcome.drop("The key could not be claimed in the record.", afterMs);
 
 /** What a repeat is answered with once it is known what became of the first request. */
-const repeated = (outcome: KeyedOutcome): Ending | undefined => {
+const repeated = (outcome: KeyedOutcome): RequestOutcome | undefined => {
   switch (outcome.kind) {
     case "ran": {
       const { code, headers, body } = outcome.response;
-      return Ending.returned({
+      return RequestOutcome.returned({
         code,
         headers: { ...headers, "x-daledoor-repeated": "true" },
         body,
       });
     }
     case "ranNotKept":
-      return Ending.breakdown(
+      return RequestOutcome.breakdown(
         502,
         "The first request with this key ran; its response is not kept.",
         "ran",
         lostAfterMs,
       );
     case "mayHaveRun":
-      return Ending.breakdown(
+      return RequestOutcome.breakdown(
         502,
         "The first request with this key may have run; its response was lost.",
         "mayHaveRun",
@@ -73,10 +73,10 @@
 };
 
 /** Claims keys in the record before the first send, and keeps what becomes of their requests. */
-export class Keys {
-  private readonly world: World;
-  private readonly forwarder: Forwarder;
-  private readonly outcomes: KeyedOutcomeKeeper;
+export class IdempotencyClaims {
+  private readonly world: Runtime;
+  private readonly forwarder: CommandForwarder;
+  private readonly outcomes: OutcomeReplicator;
   private readonly incarnation: string;
   private readonly afterMs: number;
   private claims = 0;
@@ -84,9 +84,9 @@
   inHand = 0;
 
   constructor(
-    world: World,
-    forwarder: Forwarder,
-    outcomes: KeyedOutcomeKeeper,
+    world: Runtime,
+    forwarder: CommandForwarder,
+    outcomes: OutcomeReplicator,
     incarnation: string,
     afterMs = 2000,
   ) {
@@ -98,11 +98,21 @@
   }
 
   /** Claims a request's key; an ending where another holds it or nobody can tell. */
-  *claim(job: Job, key: string, untilMs = Infinity, mostMs = claimWaitMs): Task<Claim | Ending> {
+  *claim(
+    job: ProxyRequest,
+    key: string,
+    untilMs = Infinity,
+    mostMs = claimWaitMs,
+  ): Task<HeldClaim | RequestOutcome> {
     const { clock } = this.world;
     const startedMs = clock.nowMs();
     this.claims += 1;
-    const scope = hash(hostName(job.headers["host"] ?? ""), job.method, Job.path(job), key);
+    const scope = hash(
+      hostName(job.headers["host"] ?? ""),
+      job.method,
+      ProxyRequest.path(job),
+      key,
+    );
     const bodyHash = hash(job.target, job.body);
     const request: KeyedRequest = { scope, job: `${this.incarnation}/${this.claims}` };
     const holders = this.outcomes.holdersFor(scope);
@@ -111,7 +121,7 @@
     for (;;) {
       const askedMs = clock.nowMs();
       const waitMs = Math.min(mostMs, (untilMs - askedMs) * claimPart);
-      const order: Order = {
+      const order: Command = {
         kind: "claim",
         ...request,
         bodyHash,
@@ -119,14 +129,14 @@
         ...(replaces === undefined ? {} : { replaces }),
       };
       const text = yield* this.forwarder.command(order, waitMs);
-      if (text === undefined || text === overloadedReturn) return this.giveUp(request);
-      const ret = ClaimReturn.read(text);
+      if (text === undefined || text === overloadedResponse) return this.giveUp(request);
+      const ret = ClaimResponse.read(text);
       if ("claimed" in ret) return { ...request, holders, sendUntilMs: askedMs + sendMs };
-      if ("full" in ret) return Ending.drop("Too many keys are held.", 30_000);
+      if ("full" in ret) return RequestOutcome.drop("Too many keys are held.", 30_000);
       const { held } = ret;
       if (held.bodyHash !== bodyHash) {
         this.outcomes.note(request, { kind: "neverRan" });
-        return Ending.refusal(422, "This key came before with another body.");
+        return RequestOutcome.refusal(422, "This key came before with another body.");
       }
       const givenMs = Math.min(inHandWaitMs, (untilMs - startedMs) / 2);
       const outcome = yield* this.outcomeOf(scope, held, startedMs + givenMs);
@@ -140,7 +150,7 @@
   }
 
   /** Notes how a claimed request ended, and has the response kept. */
-  conclude(claim: Claim, ending: Ending): void {
+  conclude(claim: HeldClaim, ending: RequestOutcome): void {
     const { verdict, ret } = ending;
     if (verdict === "neverRan") {
       this.outcomes.note(claim, { kind: "neverRan" });
@@ -157,13 +167,13 @@
   }
 
   /** A request whose claim came to nothing in time is never sent: whoever asks after it may take its claim over. */
-  private giveUp(request: KeyedRequest): Ending {
+  private giveUp(request: KeyedRequest): RequestOutcome {
     this.outcomes.note(request, { kind: "neverRan" });
     return noClaim(this.afterMs);
   }
 
-  private stillInHand(): Ending {
-    return Ending.breakdown(
+  private stillInHand(): RequestOutcome {
+    return RequestOutcome.breakdown(
       409,
       "The first request with this key is still in hand.",
       "mayHaveRun",
@@ -172,8 +182,8 @@
   }
 
   /** The daemon that the first request went through can't be asked now; it may be soon. */
-  private outOfReach(): Ending {
-    return Ending.breakdown(
+  private outOfReach(): RequestOutcome {
+    return RequestOutcome.breakdown(
       502,
       "Nobody who was reached can tell whether the first request with this key ran.",
       "mayHaveRun",
@@ -206,7 +216,7 @@
 
   private start(task: Task): void {
     this.inHand += 1;
-    World.start(this.world, "door", task, () => {
+    Runtime.start(this.world, "door", task, () => {
       this.inHand -= 1;
     });
   }
--- a/src/proxy/idempotency/keyed-outcome.ts
+++ b/src/proxy/idempotency/keyed-outcome.ts
@@ -1,7 +1,7 @@
 import { create, record, string } from "superstruct";
-import type { Kind } from "../../rpc/rpc-method.js";
-import type { Held } from "../../rpc/rpc-endpoint.js";
-import type { Return } from "../request-outcome.js";
+import type { RpcMethod } from "../../rpc/rpc-method.js";
+import type { DecodedMessage } from "../../rpc/rpc-endpoint.js";
+import type { ClientResponse } from "../request-outcome.js";
 
 /** Which request is meant: the scope of its key, and the name of the one that claimed it. */
 export interface KeyedRequest {
@@ -15,16 +15,16 @@
  */
 export type KeyedOutcome =
   | { readonly kind: "inHand" | "neverRan" | "ranNotKept" | "mayHaveRun" }
-  | { readonly kind: "ran"; readonly response: Return };
+  | { readonly kind: "ran"; readonly response: ClientResponse };
 
 /** An outcome as it travels; `unknown` where the daemon that is asked knows of no such request. */
-export type OutcomeMessage = Held<typeof Kind.keyedOutcome.return>;
+export type OutcomeMessage = DecodedMessage<typeof RpcMethod.keyedOutcome.return>;
 
 const kinds = ["unknown", "inHand", "neverRan", "ran", "ranNotKept", "mayHaveRun"] as const;
 const headersShape = record(string(), string());
 const noResponse = { code: 0, headers: "{}", body: new Uint8Array() };
 
-const responseOf = ({ code, headers, body }: OutcomeMessage): Return => ({
+const responseOf = ({ code, headers, body }: OutcomeMessage): ClientResponse => ({
   code,
   headers: create(JSON.parse(headers), headersShape),
   // A copy: the frame that it came in is let go.
--- a/src/proxy/idempotency/outcome-cache.ts
+++ b/src/proxy/idempotency/outcome-cache.ts
@@ -8,7 +8,7 @@
 }
 
 /** How many bytes of responses one daemon keeps at most; beyond that the oldest go. */
-export const keptOutcomeBytes = 8 * 1024 * 1024;
+export const OUTCOME_CACHE_BYTES = 8 * 1024 * 1024;
 /** About what an entry takes beside its body and headers. */
 const entryBytes = 200;
 
@@ -21,7 +21,7 @@
 };
 
 /** Outcomes of keyed requests in memory, for as long as their keys are held, and within a bound of bytes. */
-export class KeyedOutcomeStore {
+export class OutcomeCache {
   private readonly clock: Clock;
   private readonly keepMs: number;
   private readonly mostBytes: number;
@@ -29,7 +29,7 @@
   private readonly kept = new Map<string, KeptOutcome>();
   private heldBytes = 0;
 
-  constructor(clock: Clock, keepMs: number, mostBytes = keptOutcomeBytes) {
+  constructor(clock: Clock, keepMs: number, mostBytes = OUTCOME_CACHE_BYTES) {
     this.clock = clock;
     this.keepMs = keepMs;
     this.mostBytes = mostBytes;
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -1,18 +1,18 @@
-import { Kind } from "../../rpc/rpc-method.js";
-import type { Link } from "../../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
+import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import type { Task } from "../../runtime/task.js";
 import { KeyedOutcome, type KeyedRequest } from "./keyed-outcome.js";
-import type { KeyedOutcomeStore } from "./outcome-cache.js";
+import type { OutcomeCache } from "./outcome-cache.js";
 
 /** A member of the replicated log that keeps outcomes for others. */
-export interface KeepingMember {
+export interface OutcomeReplica {
   readonly peer: string;
   readonly zone: string;
 }
 
 /** Whom a daemon may have keep outcomes beside itself. */
-export interface KeepingMembers {
-  readonly members: readonly KeepingMember[];
+export interface OutcomeReplicas {
+  readonly members: readonly OutcomeReplica[];
   /** The leader has enough to do: others are asked where there are any. */
   readonly leader: string;
   readonly zone: string;
@@ -30,12 +30,12 @@
  * the daemon that the request went through, and for its response a member of the log other than the leader, of that daemon's
  * zone where there is one.
  */
-export class KeyedOutcomeKeeper {
-  private readonly link: Link;
-  private readonly store: KeyedOutcomeStore;
-  private readonly others: () => KeepingMembers;
+export class OutcomeReplicator {
+  private readonly link: RpcEndpoint;
+  private readonly store: OutcomeCache;
+  private readonly others: () => OutcomeReplicas;
 
-  constructor(link: Link, store: KeyedOutcomeStore, others: () => KeepingMembers) {
+  constructor(link: RpcEndpoint, store: OutcomeCache, others: () => OutcomeReplicas) {
     this.link = link;
     this.store = store;
     this.others = others;
@@ -44,12 +44,12 @@
   /** Keeps responses for other daemons, and tells outcomes. */
   serve(): void {
     const { store } = this;
-    this.link.serve(Kind.keepOutcome, function* ({ scope, job, ...message }) {
+    this.link.serve(RpcMethod.keepOutcome, function* ({ scope, job, ...message }) {
       const outcome = KeyedOutcome.read(message);
       if (outcome) store.note({ scope, job }, outcome);
       return { isKept: outcome !== undefined };
     });
-    this.link.serve(Kind.keyedOutcome, function* (request) {
+    this.link.serve(RpcMethod.keyedOutcome, function* (request) {
       return KeyedOutcome.message(store.find(request));
     });
   }
@@ -71,7 +71,7 @@
       if (holder !== this.link.self)
         yield* this.link.ask(
           holder,
-          Kind.keepOutcome,
+          RpcMethod.keepOutcome,
           { scope, job, ...KeyedOutcome.message(outcome) },
           keepWaitMs,
         );
@@ -95,7 +95,12 @@
         isOwnerReached ||= isOwner;
         continue;
       }
-      const answer = yield* this.link.ask(holder, Kind.keyedOutcome, { scope, job }, findWaitMs);
+      const answer = yield* this.link.ask(
+        holder,
+        RpcMethod.keyedOutcome,
+        { scope, job },
+        findWaitMs,
+      );
       const outcome = answer && KeyedOutcome.read(answer);
       if (outcome) return outcome;
       isOwnerReached ||= isOwner && answer !== undefined;
--- a/src/proxy/outcome-rules.ts
+++ b/src/proxy/outcome-rules.ts
@@ -1,5 +1,5 @@
-import type { Mapping } from "../cluster-view/active-route.js";
-import { Ending, type Verdict } from "./request-outcome.js";
+import type { ActiveRoute } from "../cluster-view/active-route.js";
+import { RequestOutcome, type ExecutionStatus } from "./request-outcome.js";
 
 /**
  * How a try at a back end can end.
@@ -14,7 +14,7 @@
  * - The body failed: `bodyCut`, `bodyTooLong`; `streamCut` where its head had been passed on to the client already.
  * - `answered`: the client had its final answer already. `whole` and `streamed`: passed on, unchanged.
  */
-export type TryCause = FailureCause | Conclusion;
+export type AttemptResult = FailureCause | CompletedAttempt;
 
 /** Ways that leave the client without a back end's response. */
 export type FailureCause =
@@ -36,12 +36,12 @@
   | "answered";
 
 /** Ways in which the client has a back end's response, or the beginning of one. */
-export type Conclusion = "whole" | "streamed" | "streamCut";
+export type CompletedAttempt = "whole" | "streamed" | "streamCut";
 
 /** What follows from the way a try ended. */
-export interface Outcome {
+export interface OutcomeRule {
   /** Whether the request may have run there. */
-  readonly verdict: Verdict;
+  readonly verdict: ExecutionStatus;
   /** Whether bytes of it left, so that it counts as an arrival at the back end. */
   readonly isSent: boolean;
   /** What becomes of the connection: there is none, it may carry another request once the response has ended, or it ends now. */
@@ -52,11 +52,11 @@
   readonly why: string;
 }
 
-interface Failure extends Outcome {
+interface Failure extends OutcomeRule {
   readonly answer: 502 | 503 | 504;
 }
 
-const nothingLeft = (why: string, connection: Outcome["connection"] = "none"): Failure => ({
+const nothingLeft = (why: string, connection: OutcomeRule["connection"] = "none"): Failure => ({
   verdict: "neverRan",
   isSent: false,
   connection,
@@ -99,7 +99,7 @@
   answered: uncertain("The caller has its answer already."),
 };
 
-const passedOn: Outcome = {
+const passedOn: OutcomeRule = {
   verdict: "ran",
   isSent: true,
   connection: "keep",
@@ -107,7 +107,7 @@
   why: "",
 };
 
-const outcomes: Readonly<Record<TryCause, Outcome>> = {
+const outcomes: Readonly<Record<AttemptResult, OutcomeRule>> = {
   ...failures,
   whole: passedOn,
   streamed: passedOn,
@@ -121,22 +121,24 @@
 };
 
 /** What follows from the way a try ended. */
-export const outcomeOf = (cause: TryCause): Outcome => outcomes[cause];
+export const outcomeRuleOf = (cause: AttemptResult): OutcomeRule => outcomes[cause];
 
 /** All ways in which a try can end. */
-export const tryCauses: ReadonlyMap<string, Outcome> = new Map(Object.entries(outcomes));
+export const outcomeRules: ReadonlyMap<string, OutcomeRule> = new Map(Object.entries(outcomes));
 
 /** What the client is told where no other back end answers, and when to come back. */
-export const endingOf = (cause: FailureCause, afterMs: number): Ending => {
+export const outcomeOfFailure = (cause: FailureCause, afterMs: number): RequestOutcome => {
   const { verdict, answer, why } = failures[cause];
   return answer === 503
-    ? Ending.drop(why, afterMs)
-    : Ending.breakdown(answer, why, verdict, afterMs);
+    ? RequestOutcome.drop(why, afterMs)
+    : RequestOutcome.breakdown(answer, why, verdict, afterMs);
 };
 
 /**
  * Whether a request may be sent to another back end after its tries so far: where none of them can have run it, or
  * where its route lets it run more than once. `worst` is the worst of their verdicts.
  */
-export const maySendOn = (worst: Verdict, { repeatable }: Pick<Mapping, "repeatable">): boolean =>
-  worst === "neverRan" || repeatable;
+export const mayRetry = (
+  worst: ExecutionStatus,
+  { repeatable }: Pick<ActiveRoute, "repeatable">,
+): boolean => worst === "neverRan" || repeatable;
--- a/src/proxy/proxy-request.ts
+++ b/src/proxy/proxy-request.ts
@@ -1,8 +1,8 @@
 import type { Task } from "../runtime/task.js";
-import type { Return } from "./request-outcome.js";
+import type { ClientResponse } from "./request-outcome.js";
 
 /** A caller's request; a small body is held whole, of a large one the rest is still to come. */
-export interface Job {
+export interface ProxyRequest {
   readonly method: string;
   /** The path with its query, as the caller sent it. */
   readonly target: string;
@@ -13,7 +13,7 @@
 }
 
 /** The way back to a caller. */
-export interface Caller {
+export interface ClientConnection {
   readonly isGone: boolean;
   /** Calls back once the caller has left; returns a cancel function. Absent where nothing is heard of it. */
   onGone?(run: () => void): () => void;
@@ -21,7 +21,7 @@
   turn?(): Task<boolean>;
   /** When the response should have ended: of two large ones, that which is due first goes first. */
   dueMs?: number;
-  whole(ret: Return): void;
+  whole(ret: ClientResponse): void;
   begin(code: number, headers: Record<string, string>): void;
   /** Passes a piece on; false once the caller is gone. */
   piece(bytes: Uint8Array): Task<boolean>;
@@ -30,9 +30,9 @@
   cut(): void;
 }
 
-export const Job = {
+export const ProxyRequest = {
   /** The path without its query. */
-  path(job: Job): string {
+  path(job: ProxyRequest): string {
     const query = job.target.indexOf("?");
     return query < 0 ? job.target : job.target.slice(0, query);
   },
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -1,17 +1,17 @@
 /** Whether a request may have run at a back end. */
-export type Verdict = "neverRan" | "mayHaveRun" | "ran";
+export type ExecutionStatus = "neverRan" | "mayHaveRun" | "ran";
 
 /** A return that is held whole. */
-export interface Return {
+export interface ClientResponse {
   readonly code: number;
   readonly headers: Record<string, string>;
   readonly body: Uint8Array;
 }
 
 /** How a request ended: what it is told, or that a body was passed on as it came. */
-export interface Ending {
-  readonly verdict: Verdict;
-  readonly ret: Return | "streamed" | "cut";
+export interface RequestOutcome {
+  readonly verdict: ExecutionStatus;
+  readonly ret: ClientResponse | "streamed" | "cut";
   /** Why, in the daemon's own words; empty when a back end's return was passed on. */
   readonly why: string;
   /** When to come back, where that is told. */
@@ -22,18 +22,23 @@
   code: number,
   body: Record<string, unknown>,
   headers: Record<string, string> = {},
-): Return => ({
+): ClientResponse => ({
   code,
   headers: { "content-type": "application/json", ...headers },
   body: Buffer.from(`${JSON.stringify(body)}\n`),
 });
 
-export const Return = { json };
+export const ClientResponse = { json };
 
 /** How long a caller had better wait where nothing more is known. */
 const usualAfterMs = 1000;
 
-const told = (code: number, why: string, verdict: Verdict, afterMs: number): Ending => ({
+const told = (
+  code: number,
+  why: string,
+  verdict: ExecutionStatus,
+  afterMs: number,
+): RequestOutcome => ({
   verdict,
   why,
   afterMs,
@@ -44,12 +49,13 @@
   ),
 });
 
-export const Ending = {
+export const RequestOutcome = {
   /** Try later: the request has not run and won't. */
-  drop: (why: string, afterMs = usualAfterMs): Ending => told(503, why, "neverRan", afterMs),
+  drop: (why: string, afterMs = usualAfterMs): RequestOutcome =>
+    told(503, why, "neverRan", afterMs),
 
   /** Refused for what it is; coming back won't help. */
-  refusal(code: number, why: string): Ending {
+  refusal(code: number, why: string): RequestOutcome {
     return { verdict: "neverRan", why, ret: json(code, { error: why, verdict: "neverRan" }) };
   },
 
@@ -57,12 +63,12 @@
   breakdown: (
     code: 409 | 502 | 504,
     why: string,
-    verdict: Verdict,
+    verdict: ExecutionStatus,
     afterMs = usualAfterMs,
-  ): Ending => told(code, why, verdict, afterMs),
+  ): RequestOutcome => told(code, why, verdict, afterMs),
 
   /** A return that a back end gave. */
-  returned(ret: Return): Ending {
+  returned(ret: ClientResponse): RequestOutcome {
     return { verdict: "ran", ret, why: "" };
   },
 };
--- a/src/proxy/upstream/backend-client.ts
+++ b/src/proxy/upstream/backend-client.ts
@@ -5,10 +5,10 @@
 import type { Clock } from "../../runtime/clock.js";
 import { LinkPacers, type LinkPacer, type Transfer } from "../../runtime/link-pacer.js";
 import { Task } from "../../runtime/task.js";
-import type { Dialect } from "../header-names.js";
+import type { HeaderNames } from "../header-names.js";
 
 /** One request as it goes to a back end: the part of its body that is held, and what is still to come. */
-export interface BackJob {
+export interface BackendRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: Record<string, string>;
@@ -17,7 +17,7 @@
 }
 
 /** The head of a back end's return, and its body piece by piece. */
-export interface BackReturn {
+export interface BackendResponse {
   readonly code: number;
   readonly headers: Record<string, string>;
   /** The next piece, the end, or word that the body was cut short or came too late. */
@@ -32,16 +32,16 @@
  * Unreached: no connection came about in time. Withdrawn: it might no longer be sent once the connection stood.
  * In these four nothing was sent. Lost and late: it was.
  */
-export type Opened =
-  BackReturn | "refused" | "foreign" | "unreached" | "withdrawn" | "lost" | "late";
+export type OpenResult =
+  BackendResponse | "refused" | "foreign" | "unreached" | "withdrawn" | "lost" | "late";
 
 /** One try at a back end. */
-export interface BackTry {
+export interface BackendAttempt {
   readonly address: string;
   readonly service: string;
   /** The connections under one contract. */
   readonly pool: string;
-  readonly job: BackJob;
+  readonly job: BackendRequest;
   readonly untilMs: number;
   /** When its response should have ended; of two large ones, that which is due first goes first. */
   readonly dueMs?: number | undefined;
@@ -54,18 +54,18 @@
 }
 
 /** The back ends as a daemon reaches them. */
-export interface BackEnds {
-  send(one: BackTry): Task<Opened>;
+export interface BackendClient {
+  send(one: BackendAttempt): Task<OpenResult>;
   /** Closes the connections of pools that are no longer wanted. */
   keepOnly(pools: ReadonlySet<string>): void;
   close(): void;
 }
 
 /** What a back end serves its proof at: any return whose `serviceHeader` names its service. */
-export const proofPath = "/.well-known/daledoor";
-export const serviceHeader = "x-daledoor-service";
+export const SERVICE_PROOF_PATH = "/.well-known/daledoor";
+export const SERVICE_HEADER = "x-daledoor-service";
 /** How long a connection and its proof may take. */
-export const connectMs = 1000;
+export const CONNECT_TIMEOUT_MS = 1000;
 /** How long a connection may rest where the back end says nothing of it. */
 const idleMs = 4000;
 /** How long a response that is late may still end, so that its connection can be used again. */
@@ -80,7 +80,7 @@
 
 /** How back ends are reached over HTTP. */
 export interface HttpOptions {
-  readonly proof?: Dialect["proof"] | undefined;
+  readonly proof?: HeaderNames["proof"] | undefined;
   readonly connectWaitMs?: number;
   /** Both directions of the machine's link, where its rate is to be kept. */
   readonly pacers?: LinkPacers;
@@ -302,7 +302,7 @@
 
 /** A request's body as it is sent: a large one in turns with all others on the link. */
 const bodyOf = (
-  { body, rest }: BackJob,
+  { body, rest }: BackendRequest,
   egress: LinkPacer,
   dueMs: number,
 ): Uint8Array | Readable | null => {
@@ -326,14 +326,14 @@
 
 /** The headers of a request as it is sent; a body that goes in turns has its length stated. */
 const headersOf = (
-  { headers, body, rest }: BackJob,
+  { headers, body, rest }: BackendRequest,
   { smallBytes }: LinkPacer,
-): BackJob["headers"] =>
+): BackendRequest["headers"] =>
   !rest && body.length > smallBytes
     ? { ...headers, "content-length": String(body.length) }
     : headers;
 
-const headBytesOf = ({ path, headers }: BackJob): number => {
+const headBytesOf = ({ path, headers }: BackendRequest): number => {
   let bytes = requestHeadBytes + path.length;
   for (const name in headers) bytes += name.length + (headers[name]?.length ?? 0) + 4;
   return bytes;
@@ -352,16 +352,16 @@
 ]);
 const isMethod = (method: string): method is Dispatcher.HttpMethod => methods.has(method);
 
-export const BackEnds = {
+export const BackendClient = {
   /** Over HTTP/1.1, by undici, whose own pools, repeating and pipelining stay unused. */
   http(
     clock: Clock,
     {
       proof = "connection",
-      connectWaitMs = connectMs,
+      connectWaitMs = CONNECT_TIMEOUT_MS,
       pacers = LinkPacers.of(clock, undefined),
     }: HttpOptions = {},
-  ): BackEnds {
+  ): BackendClient {
     const idle = new Map<string, Line[]>();
     const lines = new Set<Line>();
     let wanted: ReadonlySet<string> | undefined;
@@ -386,7 +386,7 @@
       else idle.set(line.pool, [line]);
     };
     /** An idle connection that a request may use. */
-    const idleFor = ({ pool, isOnce = false }: BackTry): Line | undefined => {
+    const idleFor = ({ pool, isOnce = false }: BackendAttempt): Line | undefined => {
       const resting = idle.get(pool) ?? [];
       const at = resting.findLastIndex(({ hasUnnamed }) => !isOnce || !hasUnnamed);
       return at < 0 ? undefined : resting.splice(at, 1)[0];
@@ -418,7 +418,7 @@
       service,
       pool,
       untilMs,
-    }: BackTry): Task<Line | "refused" | "foreign" | "unreached"> {
+    }: BackendAttempt): Task<Line | "refused" | "foreign" | "unreached"> {
       const socket = yield* connected(
         clock,
         address,
@@ -430,8 +430,8 @@
       const cancelTimer = clock.after(connectWaitMs, () => reset(line));
       const proven = yield* Task.settle(
         line.client
-          .request({ method: "GET", path: proofPath })
-          .then(async ({ headers, body }) => body.dump().then(() => headers[serviceHeader])),
+          .request({ method: "GET", path: SERVICE_PROOF_PATH })
+          .then(async ({ headers, body }) => body.dump().then(() => headers[SERVICE_HEADER])),
       );
       cancelTimer();
       if ("value" in proven && proven.value === service && lines.has(line)) return line;
@@ -441,9 +441,9 @@
 
     const dispatched = function* (
       line: Line,
-      { job, untilMs, dueMs = untilMs, onUnwanted }: BackTry,
-    ): Task<Opened | "over"> {
-      return yield* Task.wait<Opened | "over">((done) => {
+      { job, untilMs, dueMs = untilMs, onUnwanted }: BackendAttempt,
+    ): Task<OpenResult | "over"> {
+      return yield* Task.wait<OpenResult | "over">((done) => {
         let isLate = false;
         let isOver = false;
         let cancelDrain = (): void => undefined;
--- a/src/proxy/upstream/response-validation.ts
+++ b/src/proxy/upstream/response-validation.ts
@@ -1,4 +1,4 @@
-import type { Dialect } from "../header-names.js";
+import type { HeaderNames } from "../header-names.js";
 import type { FailureCause } from "../outcome-rules.js";
 
 /** The head of a back end's response. */
@@ -8,8 +8,8 @@
 }
 
 /** What a response has to show to be this request's answer. */
-export interface Expected {
-  readonly dialect: Dialect;
+export interface ExpectedResponse {
+  readonly dialect: HeaderNames;
   /** The request's name toward the back end. */
   readonly id: string;
   /** In which header the response repeats that name. */
@@ -20,9 +20,9 @@
 const promisingCodes: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** What keeps a response from being passed on as this request's answer; undefined where nothing does. */
-export const headFault = (
+export const responseHeadFault = (
   { code, headers }: ResponseHead,
-  { dialect: { seal, notRun, expected, proof }, id, echoHeader }: Expected,
+  { dialect: { seal, notRun, expected, proof }, id, echoHeader }: ExpectedResponse,
 ): FailureCause | undefined => {
   const echoed = headers[echoHeader];
   if (echoed === undefined || echoed === id) {
@@ -38,7 +38,7 @@
 };
 
 /** How the end of a response's body is known: there is none, after so many bytes, by its chunks, or not at all. */
-export const bodyEnd = (
+export const responseBodyEnd = (
   method: string,
   { code, headers }: ResponseHead,
 ): "bodiless" | { readonly lengthBytes: number } | "chunked" | "unknown" => {
--- a/src/replication/bootstrap/cluster-bootstrap.ts
+++ b/src/replication/bootstrap/cluster-bootstrap.ts
@@ -1,21 +1,21 @@
-import { Kind } from "../../rpc/rpc-method.js";
-import type { Held, Link } from "../../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
+import type { DecodedMessage, RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { Clock } from "../../runtime/clock.js";
-import type { PartLog } from "../../runtime/logger.js";
+import type { Logger } from "../../runtime/logger.js";
 import { Task } from "../../runtime/task.js";
-import { World } from "../../runtime/runtime.js";
+import { Runtime } from "../../runtime/runtime.js";
 import type { Members } from "../../consensus/members.js";
-import { Place } from "./node-location.js";
+import { NodeLocation } from "./node-location.js";
 
 /** How a recorder stands when it is met: unborn is what was formed, but not yet by all of its voters. */
-export interface Attendance extends Members {
+export interface BootstrapStatus extends Members {
   readonly state: "loading" | "empty" | "damaged" | "unborn" | "formed";
   readonly fleet: string;
 }
 
 /** A recorder as its daemon's meeting sees it. */
-export interface Attendee {
-  readonly attendance: Attendance;
+export interface BootstrapMember {
+  readonly attendance: BootstrapStatus;
   /** Writes on an empty disk which fleet's record this is and who its members are. */
   form(fleet: string, members: Members): Task;
   /** All voters of this fleet have formed. */
@@ -25,13 +25,13 @@
 }
 
 /** What a daemon knows besides: who leads, and which recorders there are. */
-export interface Outlook {
+export interface ClusterHints {
   leader(): string;
   recorders(): readonly string[];
 }
 
-type Ask = Held<typeof Kind.meet.ask>;
-type Met = Held<typeof Kind.meet.return>;
+type Ask = DecodedMessage<typeof RpcMethod.meet.ask>;
+type Met = DecodedMessage<typeof RpcMethod.meet.return>;
 
 const askMs = 300;
 const formMs = 2000;
@@ -51,17 +51,17 @@
   one !== undefined && one.fleet === fleet && (one.state === "unborn" || one.state === "formed");
 
 /** Where the daemons of a fleet meet: tells who this one is, brings recorders together and forms their record. */
-export class Meeting {
-  private readonly world: World;
-  private readonly link: Link;
-  private readonly place: Place;
-  private readonly outlook: Outlook;
-  private readonly log: PartLog;
+export class ClusterBootstrap {
+  private readonly world: Runtime;
+  private readonly link: RpcEndpoint;
+  private readonly place: NodeLocation;
+  private readonly outlook: ClusterHints;
+  private readonly log: Logger;
   private readonly incarnation: string;
   /** Recorders that showed themselves, and when. */
   private readonly shown = new Map<string, number>();
   private named: string[] = [];
-  private attendee: Attendee | undefined;
+  private attendee: BootstrapMember | undefined;
   /** Set once a record is known to exist: then none is formed any more. */
   private recordKnown = false;
   private enoughSinceMs: number | undefined;
@@ -69,21 +69,21 @@
   private toldMs = -Infinity;
 
   constructor(
-    world: World,
-    link: Link,
-    place: Place,
-    outlook: Outlook = { leader: () => "", recorders: () => [] },
+    world: Runtime,
+    link: RpcEndpoint,
+    place: NodeLocation,
+    outlook: ClusterHints = { leader: () => "", recorders: () => [] },
   ) {
     this.world = world;
     this.link = link;
     this.place = place;
     this.outlook = outlook;
     this.log = world.logbook.part("record");
-    this.incarnation = World.nonce(world);
+    this.incarnation = Runtime.nonce(world);
   }
 
   /** Has a recorder take part; before the meeting begins. */
-  attend(attendee: Attendee): void {
+  attend(attendee: BootstrapMember): void {
     this.attendee = attendee;
   }
 
@@ -98,7 +98,7 @@
   /** Serves those who meet this daemon. */
   serve(): void {
     const answer = (ask: Ask): Task<Met> => this.answering(ask);
-    this.link.serve(Kind.meet, (ask) => answer(ask));
+    this.link.serve(RpcMethod.meet, (ask) => answer(ask));
   }
 
   /** Meets others for as long as the daemon runs. */
@@ -120,7 +120,7 @@
     }
   }
 
-  private get state(): Attendance["state"] | "none" {
+  private get state(): BootstrapStatus["state"] | "none" {
     return this.attendee?.attendance.state ?? "none";
   }
 
@@ -200,7 +200,7 @@
     this.tell("Waiting for a record to be formed or found.", { met: met.size });
   }
 
-  private *unborn(own: Attendance, met: Map<string, Met>): Task {
+  private *unborn(own: BootstrapStatus, met: Map<string, Met>): Task {
     const other = [...met.values()].find(
       (one) =>
         one.state === "formed" &&
@@ -230,19 +230,19 @@
     const candidates = [...met]
       .filter(([, one]) => one.state === "empty" && one.founds)
       .map(([peer, { machine, zone }]) => ({ peer, machine, zone }));
-    const members = damaged ? undefined : Place.choose(this.place, candidates);
+    const members = damaged ? undefined : NodeLocation.choose(this.place, candidates);
     if (!members) {
       this.enoughSinceMs = undefined;
       return this.tell("Waiting for enough recorders to form the record.", {
         candidates: candidates.map(({ machine }) => machine),
-        voters: Place.voters(this.place),
+        voters: NodeLocation.voters(this.place),
         damaged,
       });
     }
     this.enoughSinceMs ??= nowMs;
     const haveAll = seeds.every((seed) => seed === this.place.self || met.has(seed));
     if (nowMs - this.enoughSinceMs < (haveAll ? settleMs.all : settleMs.some)) return;
-    this.begun = { fleet: World.nonce(this.world), members, atMs: nowMs };
+    this.begun = { fleet: Runtime.nonce(this.world), members, atMs: nowMs };
     this.log.say("Forms the fleet's record.", {
       fleet: this.begun.fleet,
       voters: members.voters,
@@ -281,7 +281,7 @@
           );
         else if (attendee) asks.push(attendee.form(fleet, { voters, learners }));
       }
-      yield* Task.all((task) => World.start(this.world, "record", task), asks);
+      yield* Task.all((task) => Runtime.start(this.world, "record", task), asks);
       if (attendee) met.set(self, this.answer);
     }
     if (!voters.every((voter) => isIn(met.get(voter), fleet))) return;
@@ -289,7 +289,7 @@
     attendee?.open(fleet);
     const open = { ...this.hello, fleet, open: true };
     for (const peer of [...voters, ...learners])
-      if (peer !== self) World.start(this.world, "record", this.meet(peer, open, askMs, met));
+      if (peer !== self) Runtime.start(this.world, "record", this.meet(peer, open, askMs, met));
   }
 
   private get hello(): Ask {
@@ -304,7 +304,7 @@
   }
 
   private *meet(peer: string, ask: Ask, waitMs: number, met: Map<string, Met>): Task {
-    const ret = yield* this.link.ask(peer, Kind.meet, ask, waitMs);
+    const ret = yield* this.link.ask(peer, RpcMethod.meet, ask, waitMs);
     if (ret) met.set(peer, ret);
   }
 
@@ -320,7 +320,7 @@
     if (open === 0) return met;
     yield* Task.wait<boolean>((done) => {
       for (const peer of others)
-        World.start(this.world, "record", this.meet(peer, hello, askMs, met), () => {
+        Runtime.start(this.world, "record", this.meet(peer, hello, askMs, met), () => {
           open -= 1;
           const one = met.get(peer);
           if (open === 0 || (one && enough(one))) done(true);
--- a/src/replication/bootstrap/node-location.ts
+++ b/src/replication/bootstrap/node-location.ts
@@ -1,7 +1,7 @@
 import type { Members } from "../../consensus/members.js";
 
 /** Where a daemon stands among its peers, and what it may do for the forming of the record. */
-export interface Place {
+export interface NodeLocation {
   /** The address at which peers reach this daemon. */
   readonly self: string;
   readonly machine: string;
@@ -15,7 +15,7 @@
 }
 
 /** A recorder with an empty disk, as the founder knows it. */
-export interface Candidate {
+export interface BootstrapCandidate {
   readonly peer: string;
   readonly machine: string;
   readonly zone: string;
@@ -23,14 +23,15 @@
 
 const compare = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
 
-export const Place = {
+export const NodeLocation = {
   /** How many voters the record has, so that a majority is left after the losses that are tolerated. */
-  voters: ({ tolerate }: Place): number => 2 * Math.max(tolerate.machines, tolerate.zones) + 1,
+  voters: ({ tolerate }: NodeLocation): number =>
+    2 * Math.max(tolerate.machines, tolerate.zones) + 1,
 
   /** Who votes and who learns: voters in turn from the zones, by name; nothing where too few or too near to each other. */
-  choose(place: Place, candidates: readonly Candidate[]): Members | undefined {
-    const wanted = Place.voters(place);
-    const byZone = new Map<string, Candidate[]>();
+  choose(place: NodeLocation, candidates: readonly BootstrapCandidate[]): Members | undefined {
+    const wanted = NodeLocation.voters(place);
+    const byZone = new Map<string, BootstrapCandidate[]>();
     for (const one of [...candidates].sort(
       (a, b) => compare(a.zone, b.zone) || compare(a.machine, b.machine) || compare(a.peer, b.peer),
     ))
--- a/src/replication/bootstrap/restore-as-only-voter.ts
+++ b/src/replication/bootstrap/restore-as-only-voter.ts
@@ -1,18 +1,18 @@
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
-import { Deed } from "../../state/state-machine.js";
-import { Store } from "../log/log-store.js";
+import { LogCommand } from "../../state/state-machine.js";
+import { LogStore } from "../log/log-store.js";
 
 /** What a restore did, or why it did nothing. */
-export type Restored =
+export type RestoreResult =
   { kind: "restored"; entries: number; lastIndex: number } | { kind: "refused"; why: string };
 
 /**
  * Makes a recorder the only voter of the record, for a core that has lost its majority for good.
  * What only the lost voters had acknowledged is gone.
  */
-export const restore = function* (disk: Disk, self: string): Task<Restored> {
-  const store = new Store(disk);
+export const restoreAsOnlyVoter = function* (disk: Disk, self: string): Task<RestoreResult> {
+  const store = new LogStore(disk);
   const loaded = yield* store.load();
   if (loaded.kind === "empty") return { kind: "refused", why: "The data folder holds no record." };
   if (loaded.kind === "damaged")
@@ -26,8 +26,8 @@
   const term = standing.term + 1;
   const lastIndex = standing.lastIndex + standing.entries.length;
   const added = [
-    Deed.text({ kind: "members", voters: [self], learners: [] }),
-    Deed.text({
+    LogCommand.text({ kind: "members", voters: [self], learners: [] }),
+    LogCommand.text({
       kind: "note",
       text: `An operator restored the record from ${self} alone, in term ${term}.`,
     }),
--- a/src/replication/history/config-history.ts
+++ b/src/replication/history/config-history.ts
@@ -4,7 +4,7 @@
 import { HistoryFormat, type HistoryLayout } from "./history-format.js";
 
 /** How many configs one file holds at most: more take less room, since only the first is whole, but longer to read back. Former builds' files hold so many, save the last. */
-export const fileConfigs = 64;
+export const CONFIGS_PER_FILE = 64;
 /** A file is at most this part of what the history may take, unless a single config is larger. */
 const filesInLimit = 16;
 /** No file is closed because of its size before it has this many bytes. */
@@ -39,7 +39,7 @@
   const unread = { name, count: 0, bytes: undefined, isDamaged: false };
   const former = formerName.exec(name)?.[1];
   if (former !== undefined)
-    return { ...unread, layout: "whole", first: Number(former) * fileConfigs + 1 };
+    return { ...unread, layout: "whole", first: Number(former) * CONFIGS_PER_FILE + 1 };
   const first = currentName.exec(name)?.[1];
   return first === undefined ? undefined : { ...unread, layout: "changes", first: Number(first) };
 };
@@ -49,7 +49,7 @@
  * bytes: the oldest file is removed first. Sequences may be missing between files, after a snapshot or damage.
  * All methods that write are called by the owner of the disk, one at a time.
  */
-export class History {
+export class ConfigHistory {
   private readonly disk: Disk;
   /** How many bytes all files together may take; it shrinks when the disk proved full. */
   private limitBytes: number;
@@ -99,7 +99,7 @@
       .sort((a, b) => a.first - b.first);
     for (const [at, file] of this.files.entries()) {
       const next = this.files[at + 1];
-      file.count = next ? Math.min(fileConfigs, next.first - file.first) : 0;
+      file.count = next ? Math.min(CONFIGS_PER_FILE, next.first - file.first) : 0;
     }
     for (let last = this.files.at(-1); last && last.bytes === undefined; last = this.files.at(-1))
       yield* this.measure(last);
@@ -153,7 +153,7 @@
       textBytes += text.length;
       return textBytes >= pieceTextBytes;
     });
-    return History.pack(configs);
+    return ConfigHistory.pack(configs);
   }
 
   /** The newest sequences below one that are not kept here, as a range without a gap; `undefined` where none is missing. */
@@ -200,7 +200,7 @@
     let last = former;
     let bytes = file.bytes ?? 0;
     for (const config of configs) {
-      const isFull = file.count + records.length >= fileConfigs || bytes > this.fileBytes;
+      const isFull = file.count + records.length >= CONFIGS_PER_FILE || bytes > this.fileBytes;
       if (last && (isFull || config.sequence !== last.sequence + 1)) break;
       const record = HistoryFormat.following(last, config);
       records.push(record);
@@ -248,7 +248,7 @@
     return (
       file.layout === "changes" &&
       lastOf(file) + 1 === sequence &&
-      file.count < fileConfigs &&
+      file.count < CONFIGS_PER_FILE &&
       (file.bytes ?? 0) <= this.fileBytes
     );
   }
--- a/src/replication/history/history-format.ts
+++ b/src/replication/history/history-format.ts
@@ -5,7 +5,7 @@
   storedConfig,
   type AcceptedConfig,
 } from "../../state/state-machine.js";
-import { seal, sealBytes, unseal } from "../log/checksum.js";
+import { withChecksum, CHECKSUM_HEADER_BYTES, readChecksummed } from "../log/checksum.js";
 import { TextDelta, textDeltaShape } from "../../state/text-delta.js";
 
 /**
@@ -21,7 +21,9 @@
 
 const sealedJson = (value: unknown): Buffer =>
   Buffer.from(
-    seal(deflateRawSync(Buffer.from(JSON.stringify(value), "utf8"), { level: deflateLevel })),
+    withChecksum(
+      deflateRawSync(Buffer.from(JSON.stringify(value), "utf8"), { level: deflateLevel }),
+    ),
   );
 
 const jsonOf = (body: Buffer): unknown => {
@@ -55,9 +57,13 @@
   measure(bytes: Buffer): { count: number; wholeBytes: number } {
     let count = 0;
     let at = 0;
-    for (let body = unseal(bytes, at); body !== undefined; body = unseal(bytes, at)) {
+    for (
+      let body = readChecksummed(bytes, at);
+      body !== undefined;
+      body = readChecksummed(bytes, at)
+    ) {
       count += 1;
-      at += sealBytes + body.length;
+      at += CHECKSUM_HEADER_BYTES + body.length;
     }
     return { count, wholeBytes: at };
   },
@@ -67,7 +73,11 @@
     let former: AcceptedConfig | undefined;
     let sequence = first;
     let at = 0;
-    for (let body = unseal(bytes, at); body !== undefined; body = unseal(bytes, at)) {
+    for (
+      let body = readChecksummed(bytes, at);
+      body !== undefined;
+      body = readChecksummed(bytes, at)
+    ) {
       const config: AcceptedConfig =
         layout === "whole" || former === undefined
           ? create(jsonOf(body), acceptedConfigShape)
@@ -76,7 +86,7 @@
       yield config;
       former = config;
       sequence += 1;
-      at += sealBytes + body.length;
+      at += CHECKSUM_HEADER_BYTES + body.length;
     }
   },
 };
--- a/src/replication/history/history-quota.ts
+++ b/src/replication/history/history-quota.ts
@@ -5,5 +5,5 @@
 const usualBytes = 1024 * bytesInMb;
 
 /** How many bytes the history of configs may take on a disk of so many megabytes. */
-export const historyBytesOf = (diskMb: number | undefined): number =>
+export const historyQuotaBytes = (diskMb: number | undefined): number =>
   diskMb === undefined ? usualBytes : diskMb * bytesInMb * diskPart;
--- a/src/replication/history/history-service.ts
+++ b/src/replication/history/history-service.ts
@@ -1,12 +1,12 @@
 import { Clock } from "../../runtime/clock.js";
-import type { PartLog } from "../../runtime/logger.js";
+import type { Logger } from "../../runtime/logger.js";
 import { Task } from "../../runtime/task.js";
-import type { World } from "../../runtime/runtime.js";
-import { Kind } from "../../rpc/rpc-method.js";
-import type { Held, Link } from "../../rpc/rpc-endpoint.js";
-import type { AcceptedConfig, Book } from "../../state/state-machine.js";
-import { fileConfigs, History, type SequenceRange } from "./config-history.js";
-import type { Writer } from "../log/log-writer.js";
+import type { Runtime } from "../../runtime/runtime.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
+import type { DecodedMessage, RpcEndpoint } from "../../rpc/rpc-endpoint.js";
+import type { AcceptedConfig, StateMachine } from "../../state/state-machine.js";
+import { CONFIGS_PER_FILE, ConfigHistory, type SequenceRange } from "./config-history.js";
+import type { LogWriter } from "../log/log-writer.js";
 
 const askWaitMs = 600;
 const learnMs = 200;
@@ -28,7 +28,7 @@
   | { readonly kind: "unknown" };
 
 /** What the keeper of the history must know of the replicated log's member. */
-export interface HistoryTerms {
+export interface HistoryServiceOptions {
   readonly isFormed: () => boolean;
   readonly voters: () => readonly string[];
   /** Further peers that may hold configs. */
@@ -47,14 +47,14 @@
 }
 
 /** Keeps accepted configs on disk, learns those that are missing from the other members, and reads them back. */
-export class HistoryKeeper {
-  private readonly world: World;
-  private readonly link: Link;
-  private readonly book: Book;
-  private readonly history: History;
-  private readonly writer: Writer;
-  private readonly terms: HistoryTerms;
-  private readonly log: PartLog;
+export class HistoryService {
+  private readonly world: Runtime;
+  private readonly link: RpcEndpoint;
+  private readonly book: StateMachine;
+  private readonly history: ConfigHistory;
+  private readonly writer: LogWriter;
+  private readonly terms: HistoryServiceOptions;
+  private readonly log: Logger;
   /** Ranges that damage took and that aren't learned again yet. */
   private damaged: SequenceRange[] = [];
   /** Whether configs wait for the disk to take them. */
@@ -69,12 +69,12 @@
   private goneUpTo = 0;
 
   constructor(
-    world: World,
-    link: Link,
-    book: Book,
-    history: History,
-    writer: Writer,
-    terms: HistoryTerms,
+    world: Runtime,
+    link: RpcEndpoint,
+    book: StateMachine,
+    history: ConfigHistory,
+    writer: LogWriter,
+    terms: HistoryServiceOptions,
   ) {
     this.world = world;
     this.link = link;
@@ -87,7 +87,7 @@
 
   /** Returns to other members what is kept here. */
   serve(): void {
-    this.link.serve(Kind.history, ({ from }) => this.pieceFrom(from));
+    this.link.serve(RpcMethod.history, ({ from }) => this.pieceFrom(from));
   }
 
   /** The keeper's own task: measures what the disk holds, then learns what is missing, newest first. */
@@ -161,13 +161,13 @@
     return { kind: isEveryVoterHeard ? "noLongerKept" : "unknown" };
   }
 
-  private *pieceFrom(from: number): Task<Held<typeof Kind.history.return>> {
+  private *pieceFrom(from: number): Task<DecodedMessage<typeof RpcMethod.history.return>> {
     if (!this.terms.isFormed()) return { configs: new Uint8Array() };
     const kept = yield* this.history.piece(from);
     if (kept.length > 0) return { configs: kept };
     const { configs } = this.book;
     const at = configs.findIndex(({ sequence }) => sequence === from);
-    return { configs: at < 0 ? new Uint8Array() : History.pack(configs.slice(at)) };
+    return { configs: at < 0 ? new Uint8Array() : ConfigHistory.pack(configs.slice(at)) };
   }
 
   /** Configs from one on, as another member holds them; followers are asked before the leader. */
@@ -179,10 +179,10 @@
       if (asked.has(peer)) continue;
       asked.add(peer);
       if (this.isGone(peer)) continue;
-      const ret = yield* this.link.ask(peer, Kind.history, { from }, askWaitMs);
+      const ret = yield* this.link.ask(peer, RpcMethod.history, { from }, askWaitMs);
       if (!ret) continue;
       heard.add(peer);
-      const configs = History.unpack(ret.configs, from);
+      const configs = ConfigHistory.unpack(ret.configs, from);
       if (configs.length > 0) return { configs, isEveryVoterHeard: false };
     }
     return { configs: [], isEveryVoterHeard: voters.every((voter) => heard.has(voter)) };
@@ -211,7 +211,7 @@
 
   /** Configs of a range: those of its last file from their first on, or from later on where others keep no older ones. */
   private *fetchOf({ from, to }: SequenceRange): Task<Fetched> {
-    let first = Math.max(from, to - fileConfigs + 1);
+    let first = Math.max(from, to - CONFIGS_PER_FILE + 1);
     for (;;) {
       const fetched = yield* this.fetch(first);
       if (fetched.configs.length > 0 || first === to) return fetched;
--- a/src/replication/log/disk-reclaimer.ts
+++ b/src/replication/log/disk-reclaimer.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "../../runtime/clock.js";
-import { DiskBreakdown } from "../../runtime/disk.js";
-import type { PartLog } from "../../runtime/logger.js";
+import { DiskError } from "../../runtime/disk.js";
+import type { Logger } from "../../runtime/logger.js";
 import type { Task } from "../../runtime/task.js";
-import type { History } from "../history/config-history.js";
+import type { ConfigHistory } from "../history/config-history.js";
 
 /** How long a disk must go on refusing before a second file of the history is removed; doubled for each further one. */
 const firstWaitMs = 1000;
@@ -11,14 +11,14 @@
  * Gives a full disk room by removing old configs, so that the history never stands in the way of what must be written.
  * A disk may also refuse everything for a while without being full: files go one at a time, at growing intervals.
  */
-export class RoomMaker {
+export class DiskReclaimer {
   private readonly clock: Clock;
-  private readonly history: History;
-  private readonly log: PartLog;
+  private readonly history: ConfigHistory;
+  private readonly log: Logger;
   private waitMs = firstWaitMs;
   private nextMs = -Infinity;
 
-  constructor(clock: Clock, history: History, log: PartLog) {
+  constructor(clock: Clock, history: ConfigHistory, log: Logger) {
     this.clock = clock;
     this.history = history;
     this.log = log;
@@ -38,7 +38,7 @@
       });
       return true;
     } catch (error) {
-      if (!(error instanceof DiskBreakdown)) throw error;
+      if (!(error instanceof DiskError)) throw error;
       return false;
     }
   }
--- a/src/replication/log/log-store.ts
+++ b/src/replication/log/log-store.ts
@@ -3,10 +3,10 @@
 import type { Disk } from "../../runtime/disk.js";
 import { Task } from "../../runtime/task.js";
 import type { LogRecord } from "../../consensus/log-record.js";
-import { exactly } from "../../rpc/frame.js";
-import { Utf8Text } from "../../rpc/utf8-text-codec.js";
-import { History } from "../history/config-history.js";
-import { seal, sealBytes, unseal } from "./checksum.js";
+import { decodeExactly } from "../../rpc/frame.js";
+import { Utf8TextCodec } from "../../rpc/utf8-text-codec.js";
+import { ConfigHistory } from "../history/config-history.js";
+import { withChecksum, CHECKSUM_HEADER_BYTES, readChecksummed } from "./checksum.js";
 import { SnapshotPartFile } from "../snapshot/snapshot-part-file.js";
 
 const entryShape = object({ index: number(), term: number(), text: string() });
@@ -24,34 +24,36 @@
 });
 
 /** All that a recorder must still know after it has lost its memory. */
-export type Standing = Infer<typeof standingShape>;
+export type DurableState = Infer<typeof standingShape>;
 
 /** What a recorder finds on its disk. */
-export type Loaded =
-  { kind: "empty" } | { kind: "damaged"; why: string } | { kind: "whole"; standing: Standing };
+export type LoadResult =
+  { kind: "empty" } | { kind: "damaged"; why: string } | { kind: "whole"; standing: DurableState };
 
 const payload = new r.Struct({
   kind: r.uint8,
   term: r.uint32,
   index: r.uint32,
-  text: new Utf8Text(),
+  text: new Utf8TextCodec(),
 });
 const encode = (record: LogRecord): Uint8Array => {
   switch (record.kind) {
     case "entry":
-      return seal(
+      return withChecksum(
         payload.toBuffer({ kind: 1, term: record.term, index: record.index, text: record.text }),
       );
     case "vote":
-      return seal(payload.toBuffer({ kind: 2, term: record.term, index: 0, text: record.text }));
+      return withChecksum(
+        payload.toBuffer({ kind: 2, term: record.term, index: 0, text: record.text }),
+      );
     case "cut":
-      return seal(payload.toBuffer({ kind: 3, term: 0, index: record.index, text: "" }));
+      return withChecksum(payload.toBuffer({ kind: 3, term: 0, index: record.index, text: "" }));
   }
 };
 
 /** Applies one change; false where it doesn't follow on what came before. */
-const replay = (standing: Standing, body: Buffer): boolean => {
-  const { kind, term, index, text } = exactly(payload, body);
+const replay = (standing: DurableState, body: Buffer): boolean => {
+  const { kind, term, index, text } = decodeExactly(payload, body);
   if (kind === 1) {
     if (index > standing.lastIndex + standing.entries.length + 1) return false;
     if (index > standing.lastIndex) {
@@ -73,10 +75,10 @@
 const slotShape = object({ sequence: number(), standing: omit(standingShape, ["book"]) });
 
 /** Two checkpoint slots written in turn, and a short log after the newer one. */
-export class Store {
+export class LogStore {
   private readonly disk: Disk;
   /** Accepted configs, beside the slots, as far back as there is room. */
-  readonly history: History;
+  readonly history: ConfigHistory;
   /** What has been received of a leader's snapshot. */
   readonly snapshotPart: SnapshotPartFile;
   private sequence = 0;
@@ -86,7 +88,7 @@
 
   constructor(disk: Disk, historyBytes = Infinity) {
     this.disk = disk;
-    this.history = new History(disk, historyBytes);
+    this.history = new ConfigHistory(disk, historyBytes);
     this.snapshotPart = new SnapshotPartFile(disk);
   }
 
@@ -96,17 +98,17 @@
   }
 
   /** Reads what the disk holds; a torn tail is cut, damage before it is told. */
-  *load(): Task<Loaded> {
+  *load(): Task<LoadResult> {
     const names = yield* this.disk.list();
     yield* this.snapshotPart.load(names);
     if (names.includes(clearing)) return { kind: "damaged", why: "The disk was being cleared." };
-    let best: { sequence: number; standing: Standing } | undefined;
+    let best: { sequence: number; standing: DurableState } | undefined;
     let broken = 0;
     for (const name of slots) {
       const bytes = yield* this.disk.read(name);
       if (bytes === undefined) continue;
-      const body = unseal(Buffer.from(bytes), 0);
-      const book = body && unseal(Buffer.from(bytes), sealBytes + body.length);
+      const body = readChecksummed(Buffer.from(bytes), 0);
+      const book = body && readChecksummed(Buffer.from(bytes), CHECKSUM_HEADER_BYTES + body.length);
       if (body === undefined || book === undefined) {
         broken += 1;
         continue;
@@ -116,7 +118,7 @@
         best = { sequence, standing: { ...standing, book: book.toString("utf8") } };
     }
     if (!best) {
-      const logged = names.some((name) => name.startsWith("log-") || History.isName(name));
+      const logged = names.some((name) => name.startsWith("log-") || ConfigHistory.isName(name));
       return logged || broken > 1
         ? { kind: "damaged", why: "No slot can be read." }
         : { kind: "empty" };
@@ -126,14 +128,18 @@
       return { kind: "damaged", why: "The newer slot can't be read though its log was begun." };
     const bytes = Buffer.from((yield* this.disk.read(logName(best.sequence))) ?? Buffer.alloc(0));
     let at = 0;
-    for (let body = unseal(bytes, at); body !== undefined; body = unseal(bytes, at)) {
+    for (
+      let body = readChecksummed(bytes, at);
+      body !== undefined;
+      body = readChecksummed(bytes, at)
+    ) {
       if (!replay(best.standing, body))
         return { kind: "damaged", why: `The log has a gap at byte ${at}.` };
-      at += sealBytes + body.length;
+      at += CHECKSUM_HEADER_BYTES + body.length;
     }
     if (at < bytes.length) {
-      for (let later = at + 1; later + sealBytes < bytes.length; later += 1)
-        if (unseal(bytes, later) !== undefined)
+      for (let later = at + 1; later + CHECKSUM_HEADER_BYTES < bytes.length; later += 1)
+        if (readChecksummed(bytes, later) !== undefined)
           return { kind: "damaged", why: `The log is damaged at byte ${at}, before its tail.` };
       yield* this.disk.truncate(logName(best.sequence), at);
     }
@@ -148,7 +154,7 @@
   *clear(): Task {
     yield* this.disk.write(clearing, Buffer.alloc(0));
     for (const name of yield* this.disk.list())
-      if (slots.includes(name) || name.startsWith("log-") || History.isName(name))
+      if (slots.includes(name) || name.startsWith("log-") || ConfigHistory.isName(name))
         yield* this.disk.remove(name);
     yield* this.history.load([]);
     this.sequence = 0;
@@ -167,12 +173,12 @@
   }
 
   /** Writes a standing whole into the other slot and begins a new log. */
-  *checkpoint(standing: Standing): Task {
+  *checkpoint(standing: DurableState): Task {
     const sequence = this.sequence + 1;
     const name = slots[sequence % slots.length] ?? "slot-a";
     const { book, ...rest } = standing;
-    const head = seal(Buffer.from(JSON.stringify({ sequence, standing: rest }), "utf8"));
-    yield* this.disk.write(name, Buffer.concat([head, seal(Buffer.from(book, "utf8"))]));
+    const head = withChecksum(Buffer.from(JSON.stringify({ sequence, standing: rest }), "utf8"));
+    yield* this.disk.write(name, Buffer.concat([head, withChecksum(Buffer.from(book, "utf8"))]));
     yield* this.disk.write(logName(sequence), Buffer.alloc(0));
     const former = this.sequence;
     this.sequence = sequence;
--- a/src/replication/log/log-writer.ts
+++ b/src/replication/log/log-writer.ts
@@ -1,26 +1,26 @@
 import { Clock } from "../../runtime/clock.js";
-import { DiskBreakdown } from "../../runtime/disk.js";
+import { DiskError } from "../../runtime/disk.js";
 import { Queue } from "../../runtime/queue.js";
-import type { PartLog } from "../../runtime/logger.js";
+import type { Logger } from "../../runtime/logger.js";
 import { Task } from "../../runtime/task.js";
-import { RoomMaker } from "./disk-reclaimer.js";
+import { DiskReclaimer } from "./disk-reclaimer.js";
 import type { LogRecord } from "../../consensus/log-record.js";
-import type { Standing, Store } from "./log-store.js";
+import type { DurableState, LogStore } from "./log-store.js";
 
 type Order =
   | { records: LogRecord[]; done: () => void }
-  | { standing: Standing; done: () => void }
+  | { standing: DurableState; done: () => void }
   | { attempt: () => Task; done: (succeeded: boolean) => void };
 
 const retryMs = 200;
 
 /** The owner of a recorder's disk: writes in order, many changes in one sync, and tries again after a breakdown. */
-export class Writer {
+export class LogWriter {
   private readonly clock: Clock;
-  private readonly store: Store;
-  private readonly log: PartLog;
+  private readonly store: LogStore;
+  private readonly log: Logger;
   private readonly queue = new Queue<Order>();
-  private readonly roomMaker: RoomMaker;
+  private readonly roomMaker: DiskReclaimer;
   private sinceMs: number | undefined;
   /** Why the disk takes nothing now, or nothing. */
   breakdown: string | undefined;
@@ -28,11 +28,11 @@
   syncs = 0;
   written = 0;
 
-  constructor(clock: Clock, store: Store, log: PartLog) {
+  constructor(clock: Clock, store: LogStore, log: Logger) {
     this.clock = clock;
     this.store = store;
     this.log = log;
-    this.roomMaker = new RoomMaker(clock, store.history, log);
+    this.roomMaker = new DiskReclaimer(clock, store.history, log);
   }
 
   /** How long the oldest write has been waiting. */
@@ -48,7 +48,7 @@
     this.queue.put({ records, done });
   }
 
-  checkpoint(standing: Standing, done: () => void): void {
+  checkpoint(standing: DurableState, done: () => void): void {
     this.queue.put({ standing, done });
   }
 
@@ -85,7 +85,7 @@
       yield* write();
       return true;
     } catch (error) {
-      if (!(error instanceof DiskBreakdown)) throw error;
+      if (!(error instanceof DiskError)) throw error;
       yield* this.roomMaker.refused();
       return false;
     }
@@ -109,7 +109,7 @@
         this.roomMaker.accepted();
         return;
       } catch (error) {
-        if (!(error instanceof DiskBreakdown)) throw error;
+        if (!(error instanceof DiskError)) throw error;
         if (yield* this.roomMaker.refused()) continue;
         const why = error.cause instanceof Error ? error.cause.message : error.message;
         if (this.breakdown === undefined)
--- a/src/replication/membership/membership-join.ts
+++ b/src/replication/membership/membership-join.ts
@@ -1,9 +1,9 @@
-import { Kind } from "../../rpc/rpc-method.js";
-import type { Link } from "../../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
+import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { Clock } from "../../runtime/clock.js";
-import type { PartLog } from "../../runtime/logger.js";
+import type { Logger } from "../../runtime/logger.js";
 import type { Task } from "../../runtime/task.js";
-import { World } from "../../runtime/runtime.js";
+import { Runtime } from "../../runtime/runtime.js";
 
 /** How long an answer is waited for at most: the leader may have to commit two entries on slow disks. */
 const askMs = 2000;
@@ -21,7 +21,7 @@
 const isTaken = (answer: string): boolean => answer.includes('"taken"');
 
 /** A member of the replicated log that may have to ask the leader to be taken in. */
-export interface Applicant {
+export interface JoiningMember {
   readonly self: string;
   /** The command that the leader must carry out for this member, or nothing while the member belongs. */
   readonly request: string | undefined;
@@ -32,11 +32,11 @@
 }
 
 /** Asks the leader to take this member in, whenever it has to be, over contacts of which many may be gone. */
-export class Joining {
-  private readonly world: World;
-  private readonly link: Link;
-  private readonly applicant: Applicant;
-  private readonly log: PartLog;
+export class MembershipJoin {
+  private readonly world: Runtime;
+  private readonly link: RpcEndpoint;
+  private readonly applicant: JoiningMember;
+  private readonly log: Logger;
   /** Contacts whose answer is still waited for. */
   private readonly pending = new Set<string>();
   /** Contacts asked in this round; two that name each other as the leader must not be asked over and over. */
@@ -46,7 +46,7 @@
   /** The request that the leader has carried out. */
   private taken = "";
 
-  constructor(world: World, link: Link, applicant: Applicant) {
+  constructor(world: Runtime, link: RpcEndpoint, applicant: JoiningMember) {
     this.world = world;
     this.link = link;
     this.applicant = applicant;
@@ -99,8 +99,8 @@
     if (peer === "" || peer === this.applicant.self || this.pending.has(peer)) return;
     this.pending.add(peer);
     this.asked.add(peer);
-    const asking = this.link.ask(peer, Kind.command, { forwarded, text: request }, askMs);
-    World.start(this.world, "record", asking, (ret) => {
+    const asking = this.link.ask(peer, RpcMethod.command, { forwarded, text: request }, askMs);
+    Runtime.start(this.world, "record", asking, (ret) => {
       this.pending.delete(peer);
       if (!ret) return;
       if (isTaken(ret.text)) this.taken = request;
--- a/src/replication/membership/membership-leave.ts
+++ b/src/replication/membership/membership-leave.ts
@@ -1,9 +1,9 @@
 import { create, object, boolean, type Infer } from "superstruct";
-import { Kind } from "../../rpc/rpc-method.js";
-import type { Link } from "../../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
+import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { Clock } from "../../runtime/clock.js";
 import { Task } from "../../runtime/task.js";
-import type { World } from "../../runtime/runtime.js";
+import type { Runtime } from "../../runtime/runtime.js";
 
 /** How long one answer of the leader is waited for; it needs no disk and no other member. */
 const askMs = 300;
@@ -18,10 +18,10 @@
 });
 
 /** What the leader tells a member that is about to stop. */
-export type LeavingAnswer = Infer<typeof answerShape>;
+export type LeaveStatus = Infer<typeof answerShape>;
 
 /** A member of the replicated log that is told to stop. */
-export interface Leaver {
+export interface LeavingMember {
   readonly self: string;
   /** Who leads as far as is known here; an empty word where nobody does, its own address where it does. */
   readonly leader: string;
@@ -30,19 +30,19 @@
 }
 
 /** Tells the leader that this member is about to stop, and learns when it may. */
-export class Leaving {
-  private readonly world: World;
-  private readonly link: Link;
-  private readonly leaver: Leaver;
+export class MembershipLeave {
+  private readonly world: Runtime;
+  private readonly link: RpcEndpoint;
+  private readonly leaver: LeavingMember;
 
-  constructor(world: World, link: Link, leaver: Leaver) {
+  constructor(world: Runtime, link: RpcEndpoint, leaver: LeavingMember) {
     this.world = world;
     this.link = link;
     this.leaver = leaver;
   }
 
   /** Repeats that this member leaves until the answer satisfies, or a moment of the clock has come; tells which. */
-  *until(satisfies: (answer: LeavingAnswer) => boolean, untilMs: number): Task<boolean> {
+  *until(satisfies: (answer: LeaveStatus) => boolean, untilMs: number): Task<boolean> {
     const { clock } = this.world;
     while (clock.nowMs() < untilMs) {
       const answer = yield* this.telling();
@@ -52,11 +52,11 @@
     return false;
   }
 
-  private *telling(): Task<LeavingAnswer | undefined> {
+  private *telling(): Task<LeaveStatus | undefined> {
     const { leader, self, lastIndex } = this.leaver;
     if (leader === "" || leader === self) return undefined;
     const text = JSON.stringify({ kind: "stopping", machine: self, lastIndex });
-    const ret = yield* this.link.ask(leader, Kind.command, { forwarded: true, text }, askMs);
+    const ret = yield* this.link.ask(leader, RpcMethod.command, { forwarded: true, text }, askMs);
     return ret?.text.includes('"isHeld"') === true
       ? create(JSON.parse(ret.text), answerShape)
       : undefined;
--- a/src/replication/membership/membership-policy.ts
+++ b/src/replication/membership/membership-policy.ts
@@ -21,7 +21,7 @@
 }
 
 /** The waits that decide when a member counts as lost. */
-export interface MembershipWaits {
+export interface MembershipTimeouts {
   /** How long a member may be silent and still be taken for one that answers. */
   readonly answersWithinMs: number;
   /** How long a voter is silent until it is replaced. */
@@ -42,7 +42,7 @@
   readonly wantedVoters: number;
   readonly committedIndex: number;
   progressOf(member: string): MemberProgress;
-  readonly waits: MembershipWaits;
+  readonly waits: MembershipTimeouts;
 }
 
 /** One change of the membership, and why it is made. */
@@ -124,7 +124,7 @@
     : { kind: "remove", member, why: "it has been silent for long" };
 };
 
-export const Membership = {
+export const MembershipPolicy = {
   /** The next change of the membership, or none. */
   next(view: MembershipView): MembershipChange | undefined {
     const { voters, learners, wantedVoters } = view;
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -1,46 +1,46 @@
 import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import { StepTimer } from "../runtime/step-timer.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/runtime.js";
-import { Kind } from "../rpc/rpc-method.js";
-import type { Held, Link } from "../rpc/rpc-endpoint.js";
-import type { Book } from "../state/state-machine.js";
+import { Runtime } from "../runtime/runtime.js";
+import { RpcMethod } from "../rpc/rpc-method.js";
+import type { DecodedMessage, RpcEndpoint } from "../rpc/rpc-endpoint.js";
+import type { StateMachine } from "../state/state-machine.js";
 import {
   acknowledgeAppend,
   decideAppend,
   type AppendReply,
   type AppendRequest,
 } from "../consensus/append.js";
-import { noteAcknowledgment, ownEntriesSynced, type Acknowledgment } from "../consensus/commit.js";
+import { onAcknowledgment, onOwnEntriesSynced, type Acknowledgment } from "../consensus/commit.js";
 import {
-  giveUpElection,
-  onElectionWaitOver,
-  startCampaign,
+  abandonElection,
+  onElectionTimeout,
+  startElection,
   startPreVote,
-  stillStands,
-  takeHandOver,
+  isStillCampaigning,
+  acceptLeadershipTransfer,
 } from "../consensus/election.js";
-import { follow } from "../consensus/follow.js";
+import { becomeFollower } from "../consensus/follow.js";
 import {
-  addOwnEntries,
-  beginLeading,
-  heirOf,
+  appendAsLeader,
+  becomeLeader,
+  transferTargetOf,
   isLeading,
-  leadsText,
-  whyStepDown,
+  leadershipEntryText,
+  stepDownReason,
 } from "../consensus/leadership.js";
-import { mayChangeMembers, membersText } from "../consensus/membership-change.js";
-import { endsRejoining, rejoined, rejoinMarkIn } from "../consensus/rejoin.js";
+import { mayChangeMembers, membersEntryText } from "../consensus/membership-change.js";
+import { completesRejoin, afterRejoin, rejoinMarkerIn } from "../consensus/rejoin.js";
 import {
   appendRequestFor,
-  countWithin,
+  countWithinLimit,
   initialProgress,
   needsSnapshot,
   progressAfter,
-  appendWaitMs,
+  appendTimeoutMs,
 } from "../consensus/replication.js";
-import { rightsOf } from "../consensus/rights.js";
+import { memberRightsOf } from "../consensus/rights.js";
 import { safetyRules } from "../consensus/safety-rules.js";
 import {
   acknowledgeSnapshot,
@@ -51,10 +51,10 @@
 import {
   initialState,
   membersAt,
-  restartedAt,
+  stateAfterRestart,
   restoredState,
   type ConsensusState,
-  type Facts,
+  type DecisionContext,
 } from "../consensus/state.js";
 import {
   countVote,
@@ -63,25 +63,25 @@
   type VoteReply,
   type VoteRequest,
 } from "../consensus/vote.js";
-import { HistoryKeeper, type ConfigRead } from "./history/history-service.js";
-import { Joining } from "./membership/membership-join.js";
-import { Leaving, type LeavingAnswer } from "./membership/membership-leave.js";
-import { Meeting, type Attendance } from "./bootstrap/cluster-bootstrap.js";
+import { HistoryService, type ConfigRead } from "./history/history-service.js";
+import { MembershipJoin } from "./membership/membership-join.js";
+import { MembershipLeave, type LeaveStatus } from "./membership/membership-leave.js";
+import { ClusterBootstrap, type BootstrapStatus } from "./bootstrap/cluster-bootstrap.js";
 import type { MemberRights, MemberStage } from "../consensus/member-rights.js";
 import type { Members } from "../consensus/members.js";
-import { Membership, type MembershipView } from "./membership/membership-policy.js";
-import { Place } from "./bootstrap/node-location.js";
+import { MembershipPolicy, type MembershipView } from "./membership/membership-policy.js";
+import { NodeLocation } from "./bootstrap/node-location.js";
 import { SnapshotReceiver } from "./snapshot/snapshot-receiver.js";
 import {
   SharedSnapshot,
   SnapshotSender,
   type SnapshotMessage,
 } from "./snapshot/snapshot-sender.js";
-import { Store, type Standing } from "./log/log-store.js";
-import { Writer } from "./log/log-writer.js";
+import { LogStore, type DurableState } from "./log/log-store.js";
+import { LogWriter } from "./log/log-writer.js";
 
 /** The waits by which recorders elect; each is a duration on a monotonic clock. */
-export interface Waits {
+export interface ReplicationTimeouts {
   heartbeatMs: number;
   electionMinMs: number;
   electionMaxMs: number;
@@ -98,7 +98,7 @@
   checkpointBytes: number;
 }
 
-export const Waits = {
+export const ReplicationTimeouts = {
   usual: {
     heartbeatMs: 60,
     electionMinMs: 300,
@@ -113,13 +113,13 @@
 };
 
 /** What became of a proposal: committed and applied here, or its fate is unknown. */
-export type Proposed = { index: number; outcome: string } | "notLeader" | "unknown";
+export type ProposalResult = { index: number; outcome: string } | "notLeader" | "unknown";
 
-type CheckpointAsk = Held<typeof Kind.checkpoint.ask>;
-type CheckpointReturn = Held<typeof Kind.checkpoint.return>;
+type CheckpointAsk = DecodedMessage<typeof RpcMethod.checkpoint.ask>;
+type CheckpointReturn = DecodedMessage<typeof RpcMethod.checkpoint.return>;
 
-type PieceAsk = Held<typeof Kind.snapshotPiece.ask>;
-type PieceReturn = Held<typeof Kind.snapshotPiece.return>;
+type PieceAsk = DecodedMessage<typeof RpcMethod.snapshotPiece.ask>;
+type PieceReturn = DecodedMessage<typeof RpcMethod.snapshotPiece.return>;
 
 type Command =
   | { kind: "vote"; ask: VoteRequest; done: (ret: VoteReply) => void }
@@ -127,7 +127,7 @@
   | { kind: "checkpoint"; ask: CheckpointAsk; done: (ret: CheckpointReturn) => void }
   | { kind: "snapshotPiece"; ask: PieceAsk; done: (ret: PieceReturn) => void }
   | { kind: "handOver"; term: number; done: (taken: boolean) => void }
-  | { kind: "propose"; text: string; done: (proposed: Proposed) => void }
+  | { kind: "propose"; text: string; done: (proposed: ProposalResult) => void }
   | { kind: "addProposals" }
   | { kind: "acked"; acknowledgment: Acknowledgment }
   | { kind: "voted"; received: ReceivedVote }
@@ -139,16 +139,16 @@
       kind: "stopping";
       machine: string;
       lastIndex: number;
-      done: (answer: LeavingAnswer | undefined) => void;
+      done: (answer: LeaveStatus | undefined) => void;
     }
   | { kind: "rejoined" }
   | { kind: "kept"; upTo: number };
 
 /** Raised when the record in memory contradicts itself; the daemon must not go on. */
-export class RecordError extends Error {}
+export class LogInvariantError extends Error {}
 
 /** What one frame of entries carries at most, unless a single entry is larger. Exported for its test. */
-export const batch = { entries: 1024, bytes: 256 * 1024 };
+export const appendBatchLimit = { entries: 1024, bytes: 256 * 1024 };
 /** By which part the bytes after which members write their snapshots differ. */
 const snapshotSpread = 0.4;
 /** For how long proposals are gathered after the last ones were added: one write and one round to the others carry many. */
@@ -161,20 +161,20 @@
 const snapshotWaitMs = 5000;
 
 /** A recorder: it replicates the record under a leader that a majority elected, and applies it to its book. */
-export class Recorder {
+export class ReplicationNode {
   readonly self: string;
-  private readonly world: World;
-  private readonly link: Link;
-  private readonly place: Place;
-  private readonly meeting: Meeting;
-  private readonly waits: Waits;
-  private readonly log: PartLog;
+  private readonly world: Runtime;
+  private readonly link: RpcEndpoint;
+  private readonly place: NodeLocation;
+  private readonly meeting: ClusterBootstrap;
+  private readonly waits: ReplicationTimeouts;
+  private readonly log: Logger;
   private readonly steps: StepTimer;
-  private readonly book: Book;
-  private readonly store: Store;
-  private readonly writer: Writer;
+  private readonly book: StateMachine;
+  private readonly store: LogStore;
+  private readonly writer: LogWriter;
   private readonly queue = new Queue<Command>();
-  private readonly historyKeeper: HistoryKeeper;
+  private readonly historyKeeper: HistoryService;
   private readonly snapshotReceiver = new SnapshotReceiver();
   private snapshotSender = new SnapshotSender();
 
@@ -191,9 +191,10 @@
   private nudges = new Map<string, Queue<true>>();
   /** Machines that asked to learn, until a change of membership may be made. */
   private readonly newLearners: Array<{ machine: string; done: (known: boolean) => void }> = [];
-  private promises = new Map<number, { term: number; done: (proposed: Proposed) => void }>();
+  private promises = new Map<number, { term: number; done: (proposed: ProposalResult) => void }>();
   /** What was proposed and is yet to be added to the log. */
-  private readonly proposals: Array<{ text: string; done: (proposed: Proposed) => void }> = [];
+  private readonly proposals: Array<{ text: string; done: (proposed: ProposalResult) => void }> =
+    [];
   private addedProposalsMs = -Infinity;
   private willAddProposals = false;
   /** At which part of the bytes that members may add to the log this one writes its snapshot, so that not all do so at once. */
@@ -207,13 +208,13 @@
   private leaderHooks: Array<(leads: boolean) => void> = [];
 
   constructor(
-    world: World,
-    link: Link,
-    place: Place,
-    waits: Waits,
-    book: Book,
-    store: Store,
-    meeting = new Meeting(world, link, place),
+    world: Runtime,
+    link: RpcEndpoint,
+    place: NodeLocation,
+    waits: ReplicationTimeouts,
+    book: StateMachine,
+    store: LogStore,
+    meeting = new ClusterBootstrap(world, link, place),
   ) {
     this.world = world;
     this.link = link;
@@ -226,8 +227,8 @@
     this.store = store;
     this.log = world.logbook.part("record");
     this.steps = new StepTimer(world.clock, this.log);
-    this.writer = new Writer(world.clock, store, this.log);
-    this.historyKeeper = new HistoryKeeper(world, link, book, store.history, this.writer, {
+    this.writer = new LogWriter(world.clock, store, this.log);
+    this.historyKeeper = new HistoryService(world, link, book, store.history, this.writer, {
       isFormed: () => this.state === "formed",
       voters: () => this.agreed.members.voters,
       others: () => [
@@ -257,7 +258,7 @@
 
   /** What this recorder may do now, by how whole it is. */
   get rights(): MemberRights {
-    return rightsOf(this.agreed, this.facts);
+    return memberRightsOf(this.agreed, this.facts);
   }
 
   /** How this recorder stands, for status and tests. */
@@ -293,7 +294,7 @@
   }
 
   /** How this recorder stands when others meet it. */
-  get attendance(): Attendance {
+  get attendance(): BootstrapStatus {
     return {
       state: this.isUnborn ? "unborn" : this.state,
       fleet: this.fleet,
@@ -313,7 +314,7 @@
   }
 
   /** What decisions know beside the state. */
-  private get facts(): Facts {
+  private get facts(): DecisionContext {
     return {
       nowMs: this.world.clock.nowMs(),
       waits: this.waits,
@@ -331,8 +332,10 @@
   }
 
   /** Asks the record to take an entry; ends once its fate is known, or known to be unknown. */
-  *propose(text: string): Task<Proposed> {
-    return yield* Task.wait<Proposed>((done) => this.queue.put({ kind: "propose", text, done }));
+  *propose(text: string): Task<ProposalResult> {
+    return yield* Task.wait<ProposalResult>((done) =>
+      this.queue.put({ kind: "propose", text, done }),
+    );
   }
 
   /** Has a recorder learn the record, unless it already does or votes; false where this one ceases to lead. */
@@ -347,8 +350,8 @@
   }
 
   /** Hears, as the leader, that a member is about to stop; tells how it stands, or nothing where this one doesn't lead. */
-  *memberStops(machine: string, lastIndex: number): Task<LeavingAnswer | undefined> {
-    return yield* Task.wait<LeavingAnswer | undefined>((done) =>
+  *memberStops(machine: string, lastIndex: number): Task<LeaveStatus | undefined> {
+    return yield* Task.wait<LeaveStatus | undefined>((done) =>
       this.queue.put({ kind: "stopping", machine, lastIndex, done }),
     );
   }
@@ -376,7 +379,7 @@
   /** The recorder's own task: loads, forms or rejoins, then follows, stands and leads. */
   *own(): Task {
     this.serve();
-    World.start(this.world, "record", this.writer.own());
+    Runtime.start(this.world, "record", this.writer.own());
     const loaded = yield* this.store.load();
     for (const piece of this.store.snapshotPart.takeLoaded()) this.snapshotReceiver.take(piece);
     if (loaded.kind === "whole") this.adopt(loaded.standing);
@@ -387,11 +390,11 @@
       }
       this.state = loaded.kind;
     }
-    World.start(this.world, "record", this.meeting.own());
+    Runtime.start(this.world, "record", this.meeting.own());
     if (this.state !== "formed" || this.isUnborn) yield* this.opening.take();
-    this.agreed = restartedAt(this.agreed, this.facts);
-    World.start(this.world, "record", this.joining().own());
-    World.start(this.world, "record", this.historyKeeper.own());
+    this.agreed = stateAfterRestart(this.agreed, this.facts);
+    Runtime.start(this.world, "record", this.joining().own());
+    Runtime.start(this.world, "record", this.historyKeeper.own());
     for (;;) {
       switch (this.agreed.role) {
         case "follower":
@@ -414,27 +417,27 @@
     const { queue } = this;
     this.meeting.serve();
     const closed = (): boolean => !this.rights.takePart;
-    this.link.serve(Kind.vote, function* (ask) {
+    this.link.serve(RpcMethod.vote, function* (ask) {
       if (closed()) return { term: 0, granted: false };
       return yield* Task.wait<VoteReply>((done) => queue.put({ kind: "vote", ask, done }));
     });
-    this.link.serve(Kind.append, function* (ask) {
+    this.link.serve(RpcMethod.append, function* (ask) {
       if (closed()) return { term: 0, fits: false, counts: false, matched: 0 };
       return yield* Task.wait<AppendReply>((done) => queue.put({ kind: "append", ask, done }));
     });
-    this.link.serve(Kind.checkpoint, function* (ask) {
+    this.link.serve(RpcMethod.checkpoint, function* (ask) {
       if (closed()) return { term: 0, counts: false, matched: 0 };
       return yield* Task.wait<CheckpointReturn>((done) =>
         queue.put({ kind: "checkpoint", ask, done }),
       );
     });
-    this.link.serve(Kind.snapshotPiece, function* (ask) {
+    this.link.serve(RpcMethod.snapshotPiece, function* (ask) {
       if (closed()) return { term: 0, counts: false, matched: 0, receivedBytes: 0 };
       return yield* Task.wait<PieceReturn>((done) =>
         queue.put({ kind: "snapshotPiece", ask, done }),
       );
     });
-    this.link.serve(Kind.handOver, function* ({ term }) {
+    this.link.serve(RpcMethod.handOver, function* ({ term }) {
       if (closed()) return { taken: false };
       return {
         taken: yield* Task.wait<boolean>((done) => queue.put({ kind: "handOver", term, done })),
@@ -447,7 +450,7 @@
   *form(fleet: string, { voters, learners }: Members): Task {
     if (!this.rights.form || this.isTurning) return;
     this.isTurning = true;
-    const standing: Standing = {
+    const standing: DurableState = {
       fleet,
       rejoining: "",
       term: 0,
@@ -479,9 +482,9 @@
   *rejoin(fleet: string, { voters, learners }: Members): Task {
     if (this.isTurning || (this.state === "formed" && !this.isUnborn)) return;
     this.isTurning = true;
-    const standing: Standing = {
+    const standing: DurableState = {
       fleet,
-      rejoining: World.nonce(this.world),
+      rejoining: Runtime.nonce(this.world),
       term: 0,
       votedFor: "",
       lastIndex: 0,
@@ -506,7 +509,7 @@
     return JSON.stringify({ kind: "join", machine: this.self, fleet: this.fleet });
   }
 
-  private joining(): Joining {
+  private joining(): MembershipJoin {
     const contacts = (): string[] => [
       this.agreed.knownLeader,
       ...this.meeting.recorders,
@@ -514,7 +517,7 @@
     ];
     const request = (): string | undefined => this.membershipRequest;
     const snapshots = (): number => this.snapshotsTaken;
-    return new Joining(this.world, this.link, {
+    return new MembershipJoin(this.world, this.link, {
       self: this.self,
       get request() {
         return request();
@@ -528,10 +531,10 @@
     });
   }
 
-  private leaving(): Leaving {
+  private leaving(): MembershipLeave {
     const leader = (): string => this.leader;
     const lastIndex = (): number => this.agreed.log.lastIndex;
-    return new Leaving(this.world, this.link, {
+    return new MembershipLeave(this.world, this.link, {
       self: this.self,
       get leader() {
         return leader();
@@ -542,7 +545,7 @@
     });
   }
 
-  private adopt(standing: Standing): void {
+  private adopt(standing: DurableState): void {
     this.fleet = standing.fleet;
     const { term, votedFor, lastIndex, lastTerm, entries } = standing;
     this.agreed = restoredState(this.agreed, {
@@ -573,7 +576,7 @@
         untilMs = this.agreed.heardLeaderMs + this.electionWaitMs();
       else if (this.world.clock.nowMs() >= untilMs) {
         const { knownLeader } = this.agreed;
-        this.agreed = onElectionWaitOver(this.agreed, this.facts);
+        this.agreed = onElectionTimeout(this.agreed, this.facts);
         if (this.agreed.role === "follower")
           untilMs = this.world.clock.nowMs() + this.electionWaitMs();
         else
@@ -594,7 +597,7 @@
       const command = yield* this.queue.takeUntil(this.world.clock, untilMs);
       if (command) this.handle(command);
       if (this.agreed.role === role && this.world.clock.nowMs() >= untilMs)
-        this.agreed = giveUpElection(this.agreed, this.facts);
+        this.agreed = abandonElection(this.agreed, this.facts);
     }
   }
 
@@ -605,10 +608,10 @@
   }
 
   private campaign(): void {
-    const { state, records, request } = startCampaign(this.agreed);
+    const { state, records, request } = startElection(this.agreed);
     this.agreed = state;
     this.writer.append([...records], () => {
-      if (stillStands(this.agreed, request.term)) this.askForVotes(request);
+      if (isStillCampaigning(this.agreed, request.term)) this.askForVotes(request);
     });
   }
 
@@ -617,11 +620,11 @@
     const reply: VoteReply = { term, granted: true };
     this.queue.put({ kind: "voted", received: { peer: this.self, isPreVote, term, reply } });
     for (const peer of this.agreed.members.voters.filter((voter) => voter !== this.self))
-      World.start(this.world, "record", this.asking(peer, request));
+      Runtime.start(this.world, "record", this.asking(peer, request));
   }
 
   private *asking(peer: string, ask: VoteRequest): Task {
-    const ret = yield* this.link.ask(peer, Kind.vote, ask, this.waits.electionMinMs);
+    const ret = yield* this.link.ask(peer, RpcMethod.vote, ask, this.waits.electionMinMs);
     if (!ret) return;
     const { isPreVote, term } = ask;
     this.queue.put({ kind: "voted", received: { peer, isPreVote, term, reply: ret } });
@@ -642,13 +645,13 @@
   }
 
   private *leading(): Task {
-    this.agreed = beginLeading(this.agreed);
+    this.agreed = becomeLeader(this.agreed);
     const { term } = this.agreed;
     this.nudges = new Map();
     this.promises = new Map();
     this.snapshotSender = new SnapshotSender();
     this.log.say("Leads the record.", { term });
-    this.add([leadsText(this.agreed)]);
+    this.add([leadershipEntryText(this.agreed)]);
     for (const hook of this.leaderHooks) hook(true);
     const startedMs = this.world.clock.nowMs();
     while (this.isLeading(term)) {
@@ -659,7 +662,7 @@
       );
       if (command) this.handle(command);
       if (!this.isLeading(term)) break;
-      const why = whyStepDown(this.agreed, startedMs, this.facts);
+      const why = stepDownReason(this.agreed, startedMs, this.facts);
       if (!this.rights.lead) this.handOver("The disk doesn't keep up.");
       else if (why === "notVoter") this.handOver("No longer a voter.");
       else if (why === "noContact") this.follow(term, "");
@@ -684,16 +687,16 @@
 
   private handOver(why: string): void {
     const { term } = this.agreed;
-    const heir = heirOf(this.agreed, this.leavingMembers());
+    const heir = transferTargetOf(this.agreed, this.leavingMembers());
     this.log.warn("Hands over the lead.", { why, to: heir ?? "nobody" });
     this.follow(term, "");
     const link = this.link;
     if (heir !== undefined)
-      World.start(
+      Runtime.start(
         this.world,
         "record",
         (function* () {
-          yield* link.ask(heir, Kind.handOver, { term }, 300);
+          yield* link.ask(heir, RpcMethod.handOver, { term }, 300);
         })(),
       );
   }
@@ -713,7 +716,7 @@
       voters,
       learners,
       leaving: this.leavingMembers(),
-      wantedVoters: Place.voters(this.place),
+      wantedVoters: NodeLocation.voters(this.place),
       committedIndex: this.agreed.committedIndex,
       progressOf: (member) =>
         member === this.self
@@ -737,15 +740,15 @@
   /** Makes the next change of membership, once the one before and an entry of this term are committed. */
   private reviewMembership(startedMs: number): void {
     if (!mayChangeMembers(this.agreed, this.facts)) return;
-    const change = Membership.next(this.membershipView(startedMs));
+    const change = MembershipPolicy.next(this.membershipView(startedMs));
     if (!change) return;
     const { kind, member, why } = change;
     this.log.warn("Changes the members of the record.", { change: kind, member, why });
-    this.changeMembers(Membership.after(this.agreed.members, change));
+    this.changeMembers(MembershipPolicy.after(this.agreed.members, change));
   }
 
   private changeMembers(members: Members): void {
-    this.add([membersText(members)]);
+    this.add([membersEntryText(members)]);
   }
 
   private keepReplicating(term: number): void {
@@ -753,7 +756,7 @@
       if (peer === this.self || this.nudges.has(peer)) continue;
       const nudge = new Queue<true>();
       this.nudges.set(peer, nudge);
-      World.start(this.world, "record", this.replicating(peer, term, nudge));
+      Runtime.start(this.world, "record", this.replicating(peer, term, nudge));
     }
   }
 
@@ -772,8 +775,13 @@
         const sentMs = this.world.clock.nowMs();
         const { baseIndex } = this.agreed.log;
         const asked = { ...progress, next: Math.max(progress.next, baseIndex + 1) };
-        const ask = appendRequestFor(this.agreed, asked, batch);
-        const ret = yield* this.link.ask(peer, Kind.append, ask, appendWaitMs(ask, this.waits));
+        const ask = appendRequestFor(this.agreed, asked, appendBatchLimit);
+        const ret = yield* this.link.ask(
+          peer,
+          RpcMethod.append,
+          ask,
+          appendTimeoutMs(ask, this.waits),
+        );
         if (ret && ret.term > term) this.queue.put({ kind: "outdated", term: ret.term });
         else if (ret && ret.term === term) {
           const { fits, counts } = ret;
@@ -829,13 +837,13 @@
     if (message.kind === "piece")
       return yield* this.link.ask(
         peer,
-        Kind.snapshotPiece,
+        RpcMethod.snapshotPiece,
         { term, leader, ...message.piece },
         snapshotWaitMs,
       );
     const { lastIndex, lastTerm } = message.snapshot.identity;
     const whole = { term, leader, lastIndex, lastTerm, text: message.snapshot.text };
-    const ret = yield* this.link.ask(peer, Kind.checkpoint, whole, snapshotWaitMs);
+    const ret = yield* this.link.ask(peer, RpcMethod.checkpoint, whole, snapshotWaitMs);
     return ret && { ...ret, receivedBytes: 0 };
   }
 
@@ -877,9 +885,9 @@
   /** Adds entries to the own log as its leader; `hear` tells each of them, by its place, what became of it. */
   private add(
     texts: readonly string[],
-    hear: ReadonlyArray<(proposed: Proposed) => void> = [],
+    hear: ReadonlyArray<(proposed: ProposalResult) => void> = [],
   ): void {
-    const { state, entries, records } = addOwnEntries(this.agreed, texts);
+    const { state, entries, records } = appendAsLeader(this.agreed, texts);
     this.agreed = state;
     const { term, log } = state;
     for (const [at, { index }] of entries.entries()) {
@@ -903,7 +911,7 @@
       case "snapshotPiece":
         return this.handleSnapshotPiece(command.ask, command.done);
       case "handOver": {
-        const state = takeHandOver(this.agreed, command.term, this.facts);
+        const state = acceptLeadershipTransfer(this.agreed, command.term, this.facts);
         const taken = state !== undefined;
         if (state !== undefined) this.agreed = state;
         return command.done(taken);
@@ -915,12 +923,12 @@
       case "addProposals":
         return this.addProposals();
       case "acked":
-        return this.take(noteAcknowledgment(this.agreed, command.acknowledgment, this.facts));
+        return this.take(onAcknowledgment(this.agreed, command.acknowledgment, this.facts));
       case "voted":
         this.agreed = countVote(this.agreed, command.received, this.world.clock.nowMs());
         return;
       case "written":
-        return this.take(ownEntriesSynced(this.agreed, command.term, command.index, this.facts));
+        return this.take(onOwnEntriesSynced(this.agreed, command.term, command.index, this.facts));
       case "outdated":
         if (command.term > this.agreed.term) this.follow(command.term, "");
         return;
@@ -938,13 +946,13 @@
         this.book.letGo(command.upTo);
         return;
       case "rejoined":
-        this.agreed = rejoined(this.agreed);
+        this.agreed = afterRejoin(this.agreed);
         this.log.say("Rejoined: votes and acknowledges again.");
         return;
     }
   }
 
-  private noteStopping(machine: string, lastIndex: number): LeavingAnswer | undefined {
+  private noteStopping(machine: string, lastIndex: number): LeaveStatus | undefined {
     const { role, members, membersIndex, committedIndex, log } = this.agreed;
     if (role !== "leader") return undefined;
     const nowMs = this.world.clock.nowMs();
@@ -952,12 +960,12 @@
     const view = this.membershipView(nowMs);
     return {
       isVoter: members.voters.includes(machine) || membersIndex > committedIndex,
-      isHeld: Membership.isHeldWithout(view, machine, Math.min(lastIndex, log.lastIndex)),
+      isHeld: MembershipPolicy.isHeldWithout(view, machine, Math.min(lastIndex, log.lastIndex)),
     };
   }
 
   private follow(term: number, leader: string): void {
-    this.agreed = follow(this.agreed, term, leader, this.world.clock.nowMs());
+    this.agreed = becomeFollower(this.agreed, term, leader, this.world.clock.nowMs());
   }
 
   private handleVote(request: VoteRequest, done: (reply: VoteReply) => void): void {
@@ -1021,7 +1029,7 @@
     const { counts, entries } = decision;
     const { term, votedFor, rejoinNonce } = this.agreed;
     const { lastIndex, lastTerm } = ask;
-    const standing: Standing = {
+    const standing: DurableState = {
       fleet: this.fleet,
       rejoining: rejoinNonce,
       term,
@@ -1049,7 +1057,7 @@
     while (this.applied < this.agreed.committedIndex) {
       const entry = this.agreed.log.entryAt(this.applied + 1);
       if (entry?.index !== this.applied + 1)
-        throw new RecordError(`Entry ${this.applied + 1} is not where it should be.`);
+        throw new LogInvariantError(`Entry ${this.applied + 1} is not where it should be.`);
       this.applied = entry.index;
       this.noteRejoined(entry.text);
       const outcome = this.steps.run("applyEntry", () => this.book.apply(entry.index, entry.text));
@@ -1066,8 +1074,8 @@
   }
 
   private noteRejoined(text: string): void {
-    const mark = rejoinMarkIn(text);
-    if (mark !== undefined && endsRejoining(this.agreed, mark, this.facts))
+    const mark = rejoinMarkerIn(text);
+    if (mark !== undefined && completesRejoin(this.agreed, mark, this.facts))
       this.writeCheckpoint("rejoined");
   }
 
@@ -1077,7 +1085,7 @@
     const { term, votedFor, rejoinNonce, log } = this.agreed;
     const members = membersAt(this.agreed, lastIndex);
     const startedMs = this.world.clock.nowMs();
-    const standing: Standing = {
+    const standing: DurableState = {
       fleet: this.fleet,
       rejoining: then === "rejoined" ? "" : rejoinNonce,
       term,
@@ -1090,9 +1098,9 @@
       entries: log.entriesFrom(lastIndex + 1),
     };
     const applied = log.entriesFrom(log.baseIndex + 1, lastIndex - log.baseIndex).reverse();
-    const keptCount = applied.length > 0 ? countWithin(applied, kept) : 0;
+    const keptCount = applied.length > 0 ? countWithinLimit(applied, kept) : 0;
     const heldIndex = this.snapshotSender.heldIndex(this.world.clock.nowMs()) ?? lastIndex;
-    const heldCount = applied.length > 0 ? countWithin(applied, heldForTransfers) : 0;
+    const heldCount = applied.length > 0 ? countWithinLimit(applied, heldForTransfers) : 0;
     const neededCount = Math.min(lastIndex - heldIndex, heldCount);
     this.agreed = compactLog(this.agreed, lastIndex - Math.max(keptCount, neededCount));
     const madeMs = this.world.clock.nowMs();
--- a/src/replication/snapshot/snapshot-part-file.ts
+++ b/src/replication/snapshot/snapshot-part-file.ts
@@ -1,8 +1,8 @@
 import * as r from "restructure";
-import { exactly } from "../../rpc/frame.js";
+import { decodeExactly } from "../../rpc/frame.js";
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
-import { seal, sealBytes, unseal } from "../log/checksum.js";
+import { withChecksum, CHECKSUM_HEADER_BYTES, readChecksummed } from "../log/checksum.js";
 import type { SnapshotPiece } from "./snapshot-sender.js";
 
 const name = "snapshot-part";
@@ -31,7 +31,7 @@
   /** Adds a piece; the first one of a snapshot replaces what is there. */
   *add(piece: SnapshotPiece): Task {
     const { lastIndex, lastTerm, totalBytes, checksum, offset, bytes } = piece;
-    const record = seal(
+    const record = withChecksum(
       pieceLayout.toBuffer({ lastIndex, lastTerm, totalBytes, checksum, offset, bytes }),
     );
     if (offset === 0) yield* this.disk.write(name, record);
@@ -44,9 +44,13 @@
     if (!names.includes(name)) return;
     const bytes = Buffer.from((yield* this.disk.read(name)) ?? Buffer.alloc(0));
     let at = 0;
-    for (let body = unseal(bytes, at); body !== undefined; body = unseal(bytes, at)) {
-      this.loaded.push(exactly(pieceLayout, body));
-      at += sealBytes + body.length;
+    for (
+      let body = readChecksummed(bytes, at);
+      body !== undefined;
+      body = readChecksummed(bytes, at)
+    ) {
+      this.loaded.push(decodeExactly(pieceLayout, body));
+      at += CHECKSUM_HEADER_BYTES + body.length;
     }
   }
 
--- a/src/replication/snapshot/snapshot-receiver.ts
+++ b/src/replication/snapshot/snapshot-receiver.ts
@@ -1,6 +1,6 @@
 import { crc32, inflateRawSync } from "node:zlib";
 import {
-  snapshotPieceBytes,
+  SNAPSHOT_PIECE_BYTES,
   type SnapshotIdentity,
   type SnapshotPiece,
 } from "./snapshot-sender.js";
@@ -34,7 +34,7 @@
 /** The text of a piece, or nothing where its bytes are no piece that fits. */
 const inflated = (bytes: Uint8Array, wantedBytes: number): Buffer | undefined => {
   try {
-    const text = inflateRawSync(bytes, { maxOutputLength: snapshotPieceBytes });
+    const text = inflateRawSync(bytes, { maxOutputLength: SNAPSHOT_PIECE_BYTES });
     return text.length === wantedBytes ? text : undefined;
   } catch {
     return undefined;
@@ -61,7 +61,7 @@
         receivedBytes: 0,
       };
     const { assembly } = this;
-    const wantedBytes = Math.min(snapshotPieceBytes, totalBytes - assembly.receivedBytes);
+    const wantedBytes = Math.min(SNAPSHOT_PIECE_BYTES, totalBytes - assembly.receivedBytes);
     const follows = piece.bytes.length > 0 && piece.offset === assembly.receivedBytes;
     const isAdded = follows && inflated(piece.bytes, wantedBytes) !== undefined;
     if (isAdded) {
--- a/src/replication/snapshot/snapshot-sender.ts
+++ b/src/replication/snapshot/snapshot-sender.ts
@@ -1,7 +1,7 @@
 import { crc32, deflateRawSync } from "node:zlib";
 
 /** How much of a snapshot's text one piece carries. */
-export const snapshotPieceBytes = 256 * 1024;
+export const SNAPSHOT_PIECE_BYTES = 256 * 1024;
 /** How long a snapshot and the log after it are held for transfers that come no further. */
 const idleMs = 10_000;
 /** After so many pieces without an answer, from a member that never answered one, the whole goes as one message once. */
@@ -47,7 +47,8 @@
   /** The piece that begins at an offset. */
   piece(offset: number): SnapshotPiece {
     const known = this.deflated.get(offset);
-    const bytes = known ?? deflateRawSync(this.bytes.subarray(offset, offset + snapshotPieceBytes));
+    const bytes =
+      known ?? deflateRawSync(this.bytes.subarray(offset, offset + SNAPSHOT_PIECE_BYTES));
     this.deflated.set(offset, bytes);
     return { ...this.identity, offset, bytes };
   }
@@ -99,7 +100,7 @@
     this.unanswered.set(peer, count + 1);
     if (!this.answeredOnce.has(peer) && count % (unansweredPieces + 1) === unansweredPieces)
       return { kind: "whole", snapshot };
-    const isOnePiece = snapshot.identity.totalBytes <= snapshotPieceBytes;
+    const isOnePiece = snapshot.identity.totalBytes <= SNAPSHOT_PIECE_BYTES;
     const receivedBytes = transfer.receivedBytes ?? (isOnePiece ? 0 : undefined);
     const piece = receivedBytes === undefined ? snapshot.question : snapshot.piece(receivedBytes);
     return { kind: "piece", snapshot, piece };
@@ -112,7 +113,7 @@
     const transfer = this.transfers.get(peer);
     if (!transfer) return false;
     const { totalBytes } = transfer.snapshot.identity;
-    const isWithin = receivedBytes < totalBytes && receivedBytes % snapshotPieceBytes === 0;
+    const isWithin = receivedBytes < totalBytes && receivedBytes % SNAPSHOT_PIECE_BYTES === 0;
     const nextBytes = isWithin ? receivedBytes : 0;
     const isFurther = nextBytes > (transfer.receivedBytes ?? -1);
     const answeredMs = isFurther ? nowMs : transfer.answeredMs;
--- a/src/retry-budget/count-aggregator.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -9,27 +9,27 @@
   union,
   type Infer,
 } from "superstruct";
-import type { Held, Link } from "../rpc/rpc-endpoint.js";
-import { Kind } from "../rpc/rpc-method.js";
+import type { DecodedMessage, RpcEndpoint } from "../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../rpc/rpc-method.js";
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import type { PartLog } from "../runtime/logger.js";
-import { quick } from "../runtime/fast-validator.js";
+import type { Logger } from "../runtime/logger.js";
+import { fastValidator } from "../runtime/fast-validator.js";
 import type { Task } from "../runtime/task.js";
-import type { World } from "../runtime/runtime.js";
-import { Counts, type CountsForm } from "./request-counts.js";
+import type { Runtime } from "../runtime/runtime.js";
+import { RequestCounts, type RequestCountsFormat } from "./request-counts.js";
 import { SketchMismatchError } from "../sketch/ecm-sketch.js";
 
 /** How often routes travel along with tries. */
-export const routesEveryMs = 10_000;
+export const ROUTE_COUNTS_INTERVAL_MS = 10_000;
 
 /** How long a hurried push waits after the last one. */
-export const hurriedMs = 250;
+export const EXPEDITED_PUSH_MS = 250;
 
 const childShape = object({ machine: string(), incarnation: string(), parentSequence: number() });
 
 /** An edge as the tree counts it: a process, and how often it has changed its parent. */
-export type Child = Infer<typeof childShape>;
+export type ChildReport = Infer<typeof childShape>;
 
 const pushShape = object({
   from: string(),
@@ -46,7 +46,7 @@
 });
 
 /** What goes up with a sketch. */
-export type Push = Infer<typeof pushShape>;
+export type CountPush = Infer<typeof pushShape>;
 
 const downShape = object({
   taken: string(),
@@ -60,63 +60,67 @@
 });
 
 /** What comes down with the fleet's sketch. */
-export type Down = Infer<typeof downShape>;
+export type AggregatedCounts = Infer<typeof downShape>;
 
-const readDown = quick(downShape);
-const readPush = quick(pushShape);
+const readDown = fastValidator(downShape);
+const readPush = fastValidator(pushShape);
 
-export const Down = {
-  read: (text: string): Down => readDown(JSON.parse(text)),
+export const AggregatedCounts = {
+  read: (text: string): AggregatedCounts => readDown(JSON.parse(text)),
 };
 
 interface Kept {
-  push: Push;
-  counts: Counts;
+  push: CountPush;
+  counts: RequestCounts;
   atMs: number;
 }
 
 interface FleetCounts {
-  counts: Counts;
+  counts: RequestCounts;
   atMs: number;
-  coverage: Down["coverage"];
+  coverage: AggregatedCounts["coverage"];
   included: Map<string, number>;
 }
 
-const sameChild = (a: Child, b: Child): boolean =>
+const sameChild = (a: ChildReport, b: ChildReport): boolean =>
   a.machine === b.machine &&
   a.incarnation === b.incarnation &&
   a.parentSequence === b.parentSequence;
 
 /** Merges the sketches of its children; at the leader it is the root, elsewhere it pushes to the root. */
-export class Collector {
-  private readonly world: World;
-  private readonly link: Link;
-  private readonly form: CountsForm;
+export class CountAggregator {
+  private readonly world: Runtime;
+  private readonly link: RpcEndpoint;
+  private readonly form: RequestCountsFormat;
   private readonly self: string;
   private readonly incarnation: string;
   private readonly leader: () => string;
-  private readonly log: PartLog;
+  private readonly log: Logger;
   /** Edges that push here, by machine and process. */
   private readonly children = new Map<string, Kept>();
-  private granted: Child[] = [];
+  private granted: ChildReport[] = [];
   /** At the root: what collectors pushed, and which collector counts which edge. */
   private readonly collectors = new Map<string, Kept>();
-  private readonly countedBy = new Map<string, { child: Child; collector: string; atMs: number }>();
+  private readonly countedBy = new Map<
+    string,
+    { child: ChildReport; collector: string; atMs: number }
+  >();
   private fleet: FleetCounts | undefined;
   private pushes = 0;
   private routesMs = -Infinity;
   /** The fleet's counts as they go down to edges, made once for all of them. */
   private packed:
-    { of: Counts | undefined; withRoutes: boolean; bytes: Uint8Array; atMs: number } | undefined;
+    | { of: RequestCounts | undefined; withRoutes: boolean; bytes: Uint8Array; atMs: number }
+    | undefined;
   private halfTripMs = 0;
   private readonly nudge = new Queue<true>();
   /** Children refused for what they sent. */
   refused = 0;
 
   constructor(
-    world: World,
-    link: Link,
-    form: CountsForm,
+    world: Runtime,
+    link: RpcEndpoint,
+    form: RequestCountsFormat,
     self: string,
     incarnation: string,
     leader: () => string,
@@ -128,11 +132,12 @@
     this.incarnation = incarnation;
     this.leader = leader;
     this.log = world.logbook.part("traffic");
-    link.serve(Kind.push, (ask) => this.taking(ask));
+    link.serve(RpcMethod.push, (ask) => this.taking(ask));
   }
 
   /** The fleet's counts as last heard, and what they cover. */
-  get latest(): { counts: Counts; ageMs: number; coverage: Down["coverage"] } | undefined {
+  get latest():
+    { counts: RequestCounts; ageMs: number; coverage: AggregatedCounts["coverage"] } | undefined {
     return (
       this.fleet && {
         counts: this.fleet.counts,
@@ -146,20 +151,20 @@
   *own(pushMs: number): Task {
     for (;;) {
       const startedMs = this.world.clock.nowMs();
-      yield* Clock.rest(this.world.clock, hurriedMs);
+      yield* Clock.rest(this.world.clock, EXPEDITED_PUSH_MS);
       const isHurried =
         (yield* this.nudge.takeUntil(this.world.clock, startedMs + pushMs)) !== undefined;
       this.forget();
-      const children = [...this.children.values()].map(({ push }) => Collector.childOf(push));
-      const isGranted = (child: Child): boolean =>
+      const children = [...this.children.values()].map(({ push }) => CountAggregator.childOf(push));
+      const isGranted = (child: ChildReport): boolean =>
         this.granted.some((one) => sameChild(one, child));
       const nowMs = this.world.clock.nowMs();
       const held = [...this.children.values()].filter(({ push }) =>
-        isGranted(Collector.childOf(push)),
+        isGranted(CountAggregator.childOf(push)),
       );
-      const withRoutes = nowMs - this.routesMs >= routesEveryMs;
+      const withRoutes = nowMs - this.routesMs >= ROUTE_COUNTS_INTERVAL_MS;
       if (withRoutes) this.routesMs = nowMs;
-      const merged = Counts.merge(
+      const merged = RequestCounts.merge(
         held.map(({ counts }) => counts),
         this.form,
         nowMs,
@@ -169,7 +174,7 @@
         held.map(({ push }) => [`${push.from} ${push.incarnation}`, push.push]),
       );
       this.pushes += 1;
-      const push: Push = {
+      const push: CountPush = {
         from: this.self,
         incarnation: this.incarnation,
         tier: "collector",
@@ -186,14 +191,14 @@
       const ret =
         leader === this.self
           ? this.take(ask)
-          : yield* this.link.ask(leader, Kind.push, ask, pushMs);
+          : yield* this.link.ask(leader, RpcMethod.push, ask, pushMs);
       if (!ret) continue;
       this.halfTripMs = leader === this.self ? 0 : (this.world.clock.nowMs() - nowMs) / 2;
-      const down = Down.read(ret.text);
+      const down = AggregatedCounts.read(ret.text);
       if (down.taken !== "") continue;
       this.granted = down.granted;
       this.fleet = {
-        counts: Counts.decode(
+        counts: RequestCounts.decode(
           ret.sketches,
           this.form,
           this.world.clock.nowMs(),
@@ -206,15 +211,19 @@
     }
   }
 
-  private static childOf({ from, incarnation, parentSequence }: Push): Child {
+  private static childOf({ from, incarnation, parentSequence }: CountPush): ChildReport {
     return { machine: from, incarnation, parentSequence };
   }
 
-  private *taking(ask: Held<typeof Kind.push.ask>): Task<Held<typeof Kind.push.return>> {
+  private *taking(
+    ask: DecodedMessage<typeof RpcMethod.push.ask>,
+  ): Task<DecodedMessage<typeof RpcMethod.push.return>> {
     return this.take(ask);
   }
 
-  private take(ask: Held<typeof Kind.push.ask>): Held<typeof Kind.push.return> {
+  private take(
+    ask: DecodedMessage<typeof RpcMethod.push.ask>,
+  ): DecodedMessage<typeof RpcMethod.push.return> {
     const nothing = { edges: 0, oldestMs: 0 };
     const nowMs = this.world.clock.nowMs();
     let kept: Kept;
@@ -223,19 +232,19 @@
       kept = {
         push,
         atMs: nowMs,
-        counts: Counts.decode(ask.sketches, this.form, nowMs, push.halfTripMs),
+        counts: RequestCounts.decode(ask.sketches, this.form, nowMs, push.halfTripMs),
       };
     } catch (error) {
       if (!(error instanceof SketchMismatchError)) throw error;
       this.refused += 1;
       this.log.warn("A child's sketch was refused.", { why: error.message });
-      const down: Down = { taken: error.message, granted: [], coverage: nothing };
+      const down: AggregatedCounts = { taken: error.message, granted: [], coverage: nothing };
       return { text: JSON.stringify(down), sketches: new Uint8Array() };
     }
     return kept.push.tier === "edge" ? this.takeEdge(kept) : this.takeCollector(kept);
   }
 
-  private takeEdge(kept: Kept): Held<typeof Kind.push.return> {
+  private takeEdge(kept: Kept): DecodedMessage<typeof RpcMethod.push.return> {
     const { push } = kept;
     const name = `${push.from} ${push.incarnation}`;
     const known = this.children.get(name);
@@ -244,7 +253,7 @@
     if (push.isHurried) this.nudge.putOnce(true);
     const fleet = this.fleet;
     const includedPush = fleet?.included.get(name);
-    const down: Down = {
+    const down: AggregatedCounts = {
       taken: "",
       granted: [],
       ...(includedPush === undefined ? {} : { includedPush }),
@@ -257,7 +266,10 @@
     };
   }
 
-  private pack(of: Counts | undefined, withRoutes: boolean): { bytes: Uint8Array; atMs: number } {
+  private pack(
+    of: RequestCounts | undefined,
+    withRoutes: boolean,
+  ): { bytes: Uint8Array; atMs: number } {
     if (this.packed && this.packed.of === of && this.packed.withRoutes === withRoutes)
       return this.packed;
     const atMs = this.world.clock.nowMs();
@@ -265,16 +277,16 @@
       of,
       withRoutes,
       atMs,
-      bytes: (of ?? new Counts(this.form)).encode(atMs, withRoutes),
+      bytes: (of ?? new RequestCounts(this.form)).encode(atMs, withRoutes),
     };
     return this.packed;
   }
 
-  private takeCollector(kept: Kept): Held<typeof Kind.push.return> {
+  private takeCollector(kept: Kept): DecodedMessage<typeof RpcMethod.push.return> {
     const { push } = kept;
     const nowMs = this.world.clock.nowMs();
     this.forget();
-    const granted: Child[] = [];
+    const granted: ChildReport[] = [];
     for (const child of [...push.includes, ...push.wants]) {
       const name = `${child.machine} ${child.incarnation}`;
       const counted = this.countedBy.get(name);
@@ -301,7 +313,7 @@
     const { hasRoutes } = kept.counts;
     if (revoked.length === 0)
       this.collectors.set(push.from, { ...kept, counts: kept.counts.withRoutesOf(former?.counts) });
-    const merged = Counts.merge(
+    const merged = RequestCounts.merge(
       [...this.collectors.values()].map(({ counts }) => counts),
       this.form,
       nowMs,
@@ -312,7 +324,7 @@
       0,
     );
     const oldestMs = Math.max(0, ...[...this.collectors.values()].map(({ atMs }) => nowMs - atMs));
-    const down: Down = {
+    const down: AggregatedCounts = {
       taken: "",
       granted: granted.filter((child) => !revoked.some((one) => sameChild(one, child))),
       coverage: { edges, oldestMs },
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -1,15 +1,20 @@
-import type { View } from "../cluster-view/cluster-view.js";
-import type { Link } from "../rpc/rpc-endpoint.js";
-import { Kind } from "../rpc/rpc-method.js";
+import type { ClusterView } from "../cluster-view/cluster-view.js";
+import type { RpcEndpoint } from "../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../rpc/rpc-method.js";
 import { Queue } from "../runtime/queue.js";
 import { Clock } from "../runtime/clock.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
-import type { World } from "../runtime/runtime.js";
-import { defaultRules, type SketchQuota } from "./retry-budget.js";
+import type { Runtime } from "../runtime/runtime.js";
+import { defaultRetryRules, type SketchQuota } from "./retry-budget.js";
 import type { RetryRules } from "./retry-rules.js";
-import { Down, hurriedMs, routesEveryMs, type Push } from "./count-aggregator.js";
-import { Counts, type CountsForm } from "./request-counts.js";
+import {
+  AggregatedCounts,
+  EXPEDITED_PUSH_MS,
+  ROUTE_COUNTS_INTERVAL_MS,
+  type CountPush,
+} from "./count-aggregator.js";
+import { RequestCounts, type RequestCountsFormat } from "./request-counts.js";
 
 /** Which part of what is left may be taken before the next counts come: others take theirs meanwhile, some of it not yet counted. */
 const roundPart = 0.5;
@@ -19,15 +24,16 @@
 const evenTries = 1;
 /** An edge's own counts, and the fleet's as they last came down the tree. */
 export class EdgeCounts {
-  private readonly world: World;
-  private readonly link: Link;
-  private readonly form: CountsForm;
-  private readonly view: View;
+  private readonly world: Runtime;
+  private readonly link: RpcEndpoint;
+  private readonly form: RequestCountsFormat;
+  private readonly view: ClusterView;
   private readonly self: { machine: string; incarnation: string; zone: string };
   private readonly rules: RetryRules;
-  private readonly log: PartLog;
-  private readonly own: Counts;
-  private fleet: { counts: Counts; atMs: number; coverage: Down["coverage"] } | undefined;
+  private readonly log: Logger;
+  private readonly own: RequestCounts;
+  private fleet:
+    { counts: RequestCounts; atMs: number; coverage: AggregatedCounts["coverage"] } | undefined;
   private parent = "";
   private parentSequence = 0;
   private pushes: Array<{ push: number; atMs: number }> = [];
@@ -38,12 +44,12 @@
   private routesMs = -Infinity;
 
   constructor(
-    world: World,
-    link: Link,
-    form: CountsForm,
-    view: View,
+    world: Runtime,
+    link: RpcEndpoint,
+    form: RequestCountsFormat,
+    view: ClusterView,
     self: { machine: string; incarnation: string; zone: string },
-    rules: RetryRules = defaultRules,
+    rules: RetryRules = defaultRetryRules,
   ) {
     this.world = world;
     this.link = link;
@@ -52,11 +58,12 @@
     this.self = self;
     this.rules = rules;
     this.log = world.logbook.part("traffic");
-    this.own = new Counts(form);
+    this.own = new RequestCounts(form);
   }
 
   /** The fleet's counts as last heard. */
-  get latest(): { counts: Counts; ageMs: number; coverage: Down["coverage"] } | undefined {
+  get latest():
+    { counts: RequestCounts; ageMs: number; coverage: AggregatedCounts["coverage"] } | undefined {
     return (
       this.fleet && {
         counts: this.fleet.counts,
@@ -128,7 +135,7 @@
   *pushing(pushMs: number): Task {
     for (;;) {
       const startedMs = this.world.clock.nowMs();
-      yield* Clock.rest(this.world.clock, hurriedMs);
+      yield* Clock.rest(this.world.clock, EXPEDITED_PUSH_MS);
       const isHurried =
         (yield* this.nudge.takeUntil(
           this.world.clock,
@@ -136,11 +143,11 @@
         )) !== undefined;
       const nowMs = this.world.clock.nowMs();
       this.own.expire(nowMs);
-      const withRoutes = nowMs - this.routesMs >= routesEveryMs;
+      const withRoutes = nowMs - this.routesMs >= ROUTE_COUNTS_INTERVAL_MS;
       const parent = this.chooseParent();
       if (!parent) continue;
       this.lastPush += 1;
-      const push: Push = {
+      const push: CountPush = {
         from: this.self.machine,
         incarnation: this.self.incarnation,
         tier: "edge",
@@ -155,7 +162,7 @@
       this.pushes = this.pushes.filter(({ atMs }) => atMs > nowMs - this.form.tries.windowMs);
       const ret = yield* this.link.ask(
         parent,
-        Kind.push,
+        RpcMethod.push,
         { text: JSON.stringify(push), sketches: this.own.encode(nowMs, withRoutes) },
         pushMs,
       );
@@ -166,7 +173,7 @@
       }
       this.halfTripMs = (heardMs - nowMs) / 2;
       if (withRoutes) this.routesMs = nowMs;
-      const down = Down.read(ret.text);
+      const down = AggregatedCounts.read(ret.text);
       if (down.taken !== "") {
         this.log.warn("The collector refused this daemon's sketch.", { why: down.taken });
         continue;
@@ -175,7 +182,7 @@
         this.includedMs =
           this.pushes.find(({ push: number }) => number === down.includedPush)?.atMs ?? -Infinity;
       this.fleet = {
-        counts: Counts.decode(
+        counts: RequestCounts.decode(
           ret.sketches,
           this.form,
           heardMs,
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -1,34 +1,34 @@
 import * as r from "restructure";
-import { exactly } from "../rpc/frame.js";
-import { numberLimit } from "../state/id-allocator.js";
+import { decodeExactly } from "../rpc/frame.js";
+import { ID_LIMIT } from "../state/id-allocator.js";
 import { DyadicSketch } from "../sketch/dyadic-sketch.js";
-import { EcmSketch, SketchMismatchError, type SketchForm } from "../sketch/ecm-sketch.js";
+import { EcmSketch, SketchMismatchError, type SketchFormat } from "../sketch/ecm-sketch.js";
 import { stampOf } from "../sketch/exponential-histogram.js";
 
 /** The window in which a service's repeats are held against its requests. */
-export const retryWindowMs = 10_000;
+export const RETRY_WINDOW_MS = 10_000;
 
 /** The longest window of a sketch: stamps wrap around. */
 const longestWindowMs = 32_000;
 
 /** What every sketch of the fleet has in common. */
-export interface CountsForm {
-  readonly tries: SketchForm;
-  readonly routes: SketchForm;
+export interface RequestCountsFormat {
+  readonly tries: SketchFormat;
+  readonly routes: SketchFormat;
   readonly routeBits: number;
 }
 
-export const CountsForm = {
+export const RequestCountsFormat = {
   /** Ours: a window twice the budget's, so that late counts still fall inside; as many routes as can have a number. */
   usual: {
     tries: { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 1 },
     routes: { epsilon: 0.2, delta: 0.1, windowMs: 20_000, seed: 101 },
-    routeBits: Math.log2(numberLimit),
+    routeBits: Math.log2(ID_LIMIT),
   },
 
   /** The usual form, for another window of the budget; as long as the stamps allow. */
-  forWindow(retryMs: number): CountsForm {
-    const { tries, routes, routeBits } = CountsForm.usual;
+  forWindow(retryMs: number): RequestCountsFormat {
+    const { tries, routes, routeBits } = RequestCountsFormat.usual;
     const windowMs = Math.min(2 * retryMs, longestWindowMs);
     return { tries: { ...tries, windowMs }, routes: { ...routes, windowMs }, routeBits };
   },
@@ -51,14 +51,19 @@
 const counts = new r.Struct({ tries: sketch, routes: new r.Array(sketch, r.uint8) });
 
 /** First and further tries by service and requests by route, in a sliding window. */
-export class Counts {
-  readonly form: CountsForm;
+export class RequestCounts {
+  readonly form: RequestCountsFormat;
   private readonly tries: EcmSketch;
   private readonly routes: DyadicSketch;
   /** Whether requests by route are among them: they travel less often than tries do. */
   readonly hasRoutes: boolean;
 
-  constructor(form: CountsForm, tries?: EcmSketch, routes?: DyadicSketch, hasRoutes = true) {
+  constructor(
+    form: RequestCountsFormat,
+    tries?: EcmSketch,
+    routes?: DyadicSketch,
+    hasRoutes = true,
+  ) {
     this.form = form;
     this.tries = tries ?? new EcmSketch(form.tries);
     this.routes = routes ?? new DyadicSketch(form.routes, form.routeBits);
@@ -66,10 +71,10 @@
   }
 
   /** These tries with the routes of counts that came before, where these came without. */
-  withRoutesOf(former: Counts | undefined): Counts {
+  withRoutesOf(former: RequestCounts | undefined): RequestCounts {
     return this.hasRoutes || !former
       ? this
-      : new Counts(this.form, this.tries, former.routes, former.hasRoutes);
+      : new RequestCounts(this.form, this.tries, former.routes, former.hasRoutes);
   }
 
   /** Counts a try sent to a backend of a service. */
@@ -115,21 +120,31 @@
   }
 
   /** Reads counts that were on their way for `olderMs`; those of another form are refused. */
-  static decode(bytes: Uint8Array, form: CountsForm, nowMs: number, olderMs: number): Counts {
-    const held = exactly(counts, bytes);
+  static decode(
+    bytes: Uint8Array,
+    form: RequestCountsFormat,
+    nowMs: number,
+    olderMs: number,
+  ): RequestCounts {
+    const held = decodeExactly(counts, bytes);
     const now = stampOf(nowMs);
     const tries = EcmSketch.ofAged(held.tries, form.tries, now, olderMs);
-    if (held.routes.length === 0) return new Counts(form, tries, undefined, false);
+    if (held.routes.length === 0) return new RequestCounts(form, tries, undefined, false);
     if (held.routes.length !== form.routeBits)
       throw new SketchMismatchError("The sketch has another number of levels.");
-    return new Counts(
+    return new RequestCounts(
       form,
       tries,
       DyadicSketch.ofAged(held.routes, form.routes, form.routeBits, now, olderMs),
     );
   }
 
-  static merge(inputs: Counts[], form: CountsForm, nowMs: number, withRoutes = true): Counts {
+  static merge(
+    inputs: RequestCounts[],
+    form: RequestCountsFormat,
+    nowMs: number,
+    withRoutes = true,
+  ): RequestCounts {
     const now = stampOf(nowMs);
     const tries = (): EcmSketch =>
       EcmSketch.merge(
@@ -137,8 +152,8 @@
         form.tries,
         now,
       );
-    if (!withRoutes) return new Counts(form, tries(), undefined, false);
-    return new Counts(
+    if (!withRoutes) return new RequestCounts(form, tries(), undefined, false);
+    return new RequestCounts(
       form,
       tries(),
       DyadicSketch.merge(
--- a/src/retry-budget/retry-budget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -1,10 +1,14 @@
 import { RetryRules } from "./retry-rules.js";
-import { retryWindowMs } from "./request-counts.js";
+import { RETRY_WINDOW_MS } from "./request-counts.js";
 
 /** The rules unless settings say otherwise: a fifth of a service's requests and seventy more in any ten seconds. */
-export const defaultRules: RetryRules = RetryRules.of(0.2, 70, retryWindowMs);
+export const defaultRetryRules: RetryRules = RetryRules.of(0.2, 70, RETRY_WINDOW_MS);
 
-export const { rule: repeatRule, sketch: sketchRule, guard: guardRule } = defaultRules;
+export const {
+  rule: defaultRetryRule,
+  sketch: defaultSketchRule,
+  guard: defaultStrictRule,
+} = defaultRetryRules;
 
 const slotMs = 100;
 
@@ -38,7 +42,7 @@
   /** Hears that a capacity is nearly spent. */
   onShort: () => void = () => undefined;
 
-  constructor(rules: RetryRules = defaultRules) {
+  constructor(rules: RetryRules = defaultRetryRules) {
     this.rules = rules;
     this.heldSlots = Math.ceil((rules.windowMs + 1000) / slotMs);
   }
--- a/src/retry-budget/retry-quotas.ts
+++ b/src/retry-budget/retry-quotas.ts
@@ -1,4 +1,4 @@
-import { defaultRules, type RetryBudget } from "./retry-budget.js";
+import { defaultRetryRules, type RetryBudget } from "./retry-budget.js";
 import type { RetryRules } from "./retry-rules.js";
 
 /** How much longer than a grant to serve and the window what an edge held is taken to count. */
@@ -34,7 +34,7 @@
   private expected = new Set<string>();
   private settledMs = 0;
 
-  constructor(rules: RetryRules = defaultRules, leaseMs = 1600) {
+  constructor(rules: RetryRules = defaultRetryRules, leaseMs = 1600) {
     this.pool = rules.guard.pool;
     this.keepMs = leaseMs + rules.windowMs + marginMs;
   }
--- a/src/retry-budget/retry-rules.ts
+++ b/src/retry-budget/retry-rules.ts
@@ -1,16 +1,16 @@
 /** How many further tries a service may take: a part for each request, and a pool besides. */
-export interface RepeatRule {
+export interface RetryRule {
   readonly earned: number;
   readonly pool: number;
 }
 
 /** The rule for further tries, and the stricter ones by which it is kept. */
 export interface RetryRules {
-  readonly rule: RepeatRule;
+  readonly rule: RetryRule;
   /** What the sketch decides by on the ordinary path. */
-  readonly sketch: RepeatRule;
+  readonly sketch: RetryRule;
   /** What the exact guard allows at most, between the sketch's limits and the rule's. */
-  readonly guard: RepeatRule;
+  readonly guard: RetryRule;
   /** The window in which a service's further tries are held against its requests. */
   readonly windowMs: number;
 }
--- a/src/rpc/frame.ts
+++ b/src/rpc/frame.ts
@@ -1,7 +1,7 @@
 import * as r from "restructure";
 
 /** The newest layout of frames that this build speaks; it also reads the one before. */
-export const frameSequence = 3;
+export const FRAME_VERSION = 3;
 
 /** What one process says to another: an ask of some kind, or the return of one. */
 export interface Frame {
@@ -27,7 +27,7 @@
 const headBytes = 11;
 
 /** Reads a value exactly: bytes that are short, left over or out of range raise an error. */
-export const exactly = <T>(coder: r.Coder<T>, bytes: Uint8Array): T => {
+export const decodeExactly = <T>(coder: r.Coder<T>, bytes: Uint8Array): T => {
   let value: T;
   try {
     value = coder.fromBuffer(bytes);
@@ -50,7 +50,7 @@
   private readonly newest: number;
 
   /** Takes frames of the newest sequence that is spoken here, and of the one before. */
-  constructor(newest = frameSequence) {
+  constructor(newest = FRAME_VERSION) {
     this.newest = newest;
   }
 
@@ -66,7 +66,7 @@
         throw new FrameError(`A frame of ${bodyBytes} bytes is too large.`);
       const wholeBytes = headBytes + bodyBytes;
       if (bytes.length >= wholeBytes) {
-        const one = exactly(frame, bytes.subarray(0, wholeBytes));
+        const one = decodeExactly(frame, bytes.subarray(0, wholeBytes));
         if (one.sequence !== this.newest && one.sequence !== this.newest - 1)
           throw new FrameError(`Frames of sequence ${one.sequence} aren't spoken here.`);
         frames.push(one);
--- a/src/rpc/paced-connection.ts
+++ b/src/rpc/paced-connection.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../runtime/clock.js";
 import type { Queue } from "../runtime/queue.js";
 import type { LinkPacer, Transfer, TransferRank } from "../runtime/link-pacer.js";
-import type { Channel } from "../runtime/network.js";
+import type { Connection } from "../runtime/network.js";
 
 interface FrameRank extends TransferRank {
   dueMs: number;
@@ -25,9 +25,9 @@
  * A channel on which large frames are written in turns with all other bulk on the machine's link. Small frames are written at
  * once: before large ones that wait, and after the one that has begun.
  */
-export class PacedChannel implements Channel {
+export class PacedConnection implements Connection {
   readonly incoming: Queue<Uint8Array | "closed">;
-  private readonly channel: Channel;
+  private readonly channel: Connection;
   private readonly egress: LinkPacer;
   private readonly clock: Clock;
   private readonly patienceMs: number;
@@ -37,7 +37,7 @@
   private isClosed = false;
 
   /** `patienceMs`: for how long frames may give way to those of other channels. */
-  constructor(channel: Channel, egress: LinkPacer, clock: Clock, patienceMs = 0) {
+  constructor(channel: Connection, egress: LinkPacer, clock: Clock, patienceMs = 0) {
     this.channel = channel;
     this.incoming = channel.incoming;
     this.egress = egress;
--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -3,13 +3,13 @@
 import { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
 import { LinkPacers } from "../runtime/link-pacer.js";
-import type { PartLog } from "../runtime/logger.js";
+import type { Logger } from "../runtime/logger.js";
 import { Task } from "../runtime/task.js";
-import { World } from "../runtime/runtime.js";
-import { PacedChannel } from "./paced-connection.js";
-import { exactly, Frame, FrameError, FrameReader, frameSequence } from "./frame.js";
-import type { Kind } from "./rpc-method.js";
-import type { Channel } from "../runtime/network.js";
+import { Runtime } from "../runtime/runtime.js";
+import { PacedConnection } from "./paced-connection.js";
+import { decodeExactly, Frame, FrameError, FrameReader, FRAME_VERSION } from "./frame.js";
+import type { RpcMethod } from "./rpc-method.js";
+import type { Connection } from "../runtime/network.js";
 
 interface Peer {
   readonly address: string;
@@ -22,11 +22,11 @@
   failedMs: number;
   /** The frames that are tried on this peer: the newest, until it turns them down. */
   sequence: number;
-  channel: Channel | undefined;
+  channel: Connection | undefined;
 }
 
 /** How a return that comes after its time is taken, and for how long it is waited for. */
-export interface LateReturn<R> {
+export interface LateResponse<R> {
   readonly waitMs: number;
   take(ret: R): void;
 }
@@ -43,9 +43,9 @@
 const returnPatienceMs = 1000;
 
 /** The links of one daemon to its peers: asks, and the returns that come back. */
-export class Link {
-  private readonly world: World;
-  private readonly log: PartLog;
+export class RpcEndpoint {
+  private readonly world: Runtime;
+  private readonly log: Logger;
   private readonly peers = new Map<string, Peer>();
   private readonly servers = new Map<number, Server>();
   private readonly newest: number;
@@ -58,9 +58,9 @@
   readonly self: string;
 
   constructor(
-    world: World,
+    world: Runtime,
     self: string,
-    newest = frameSequence,
+    newest = FRAME_VERSION,
     pacers = LinkPacers.of(world.clock, undefined),
   ) {
     this.newest = newest;
@@ -71,10 +71,10 @@
   }
 
   /** Takes asks of one kind. */
-  serve<A, R>(kind: Kind<A, R>, handle: (ask: A) => Task<R>): void {
+  serve<A, R>(kind: RpcMethod<A, R>, handle: (ask: A) => Task<R>): void {
     this.servers.set(kind.number, {
       *handle(body) {
-        return kind.return.toBuffer(yield* handle(exactly(kind.ask, body)));
+        return kind.return.toBuffer(yield* handle(decodeExactly(kind.ask, body)));
       },
       waitMs: kind.waitMs ?? Infinity,
     });
@@ -83,11 +83,11 @@
   /** Listens for peers. */
   *listen(): Task {
     yield* this.world.wire.listen(this.self, (channel) =>
-      World.start(
+      Runtime.start(
         this.world,
         "link",
         this.serving(
-          new PacedChannel(channel, this.pacers.egress, this.world.clock, returnPatienceMs),
+          new PacedConnection(channel, this.pacers.egress, this.world.clock, returnPatienceMs),
         ),
       ),
     );
@@ -99,10 +99,10 @@
    */
   *ask<A, R>(
     address: string,
-    kind: Kind<A, R>,
+    kind: RpcMethod<A, R>,
     ask: A,
     waitMs: number,
-    late?: LateReturn<R>,
+    late?: LateResponse<R>,
   ): Task<R | undefined> {
     const peer = this.peer(address);
     const job = this.nextJob;
@@ -123,11 +123,11 @@
     peer.waiting.delete(job);
     if (body === undefined) {
       this.closeIfSilent(peer);
-      if (late) this.takeLate(peer, job, late, (found) => exactly(kind.return, found));
+      if (late) this.takeLate(peer, job, late, (found) => decodeExactly(kind.return, found));
       return undefined;
     }
     try {
-      return exactly(kind.return, body);
+      return decodeExactly(kind.return, body);
     } catch (error) {
       this.refuse(peer.channel, error);
       return undefined;
@@ -164,7 +164,7 @@
   private takeLate<R>(
     peer: Peer,
     job: number,
-    late: LateReturn<R>,
+    late: LateResponse<R>,
     read: (body: Uint8Array) => R,
   ): void {
     const forget = (): void => {
@@ -191,7 +191,7 @@
       channel: undefined,
     };
     this.peers.set(address, peer);
-    World.start(this.world, "link", this.keeping(peer));
+    Runtime.start(this.world, "link", this.keeping(peer));
     return peer;
   }
 
@@ -200,7 +200,7 @@
       const first = yield* peer.outgoing.take();
       const connected = yield* this.world.wire.connect(peer.address);
       if (connected) {
-        const channel = new PacedChannel(connected, this.pacers.egress, this.world.clock);
+        const channel = new PacedConnection(connected, this.pacers.egress, this.world.clock);
         this.noteHeard(peer);
         peer.unansweredSinceMs = peer.heardMs;
         peer.channel = channel;
@@ -220,7 +220,7 @@
   }
 
   /** Hears a peer until its link ends; tells whether it said anything that is understood. */
-  private *hearing(peer: Peer, channel: Channel): Task<boolean> {
+  private *hearing(peer: Peer, channel: Connection): Task<boolean> {
     const reader = new FrameReader(this.newest);
     let heard = false;
     for (;;) {
@@ -240,7 +240,7 @@
     }
   }
 
-  private *serving(channel: PacedChannel): Task {
+  private *serving(channel: PacedConnection): Task {
     const reader = new FrameReader(this.newest);
     for (;;) {
       const piece = yield* channel.incoming.take();
@@ -251,7 +251,7 @@
           const server = this.servers.get(frame.kind);
           if (!server || frame.isReturn)
             throw new FrameError(`Nothing here serves kind ${frame.kind}.`);
-          World.start(this.world, "link", this.answering(channel, frame, server));
+          Runtime.start(this.world, "link", this.answering(channel, frame, server));
         }
       } catch (error) {
         this.refuse(channel, error);
@@ -260,7 +260,7 @@
     }
   }
 
-  private *answering(channel: PacedChannel, frame: Frame, server: Server): Task {
+  private *answering(channel: PacedConnection, frame: Frame, server: Server): Task {
     const expiresMs = this.world.clock.nowMs() + server.waitMs;
     try {
       const body = yield* server.handle(frame.body);
@@ -270,7 +270,7 @@
     }
   }
 
-  private refuse(channel: Channel | undefined, error: unknown): void {
+  private refuse(channel: Connection | undefined, error: unknown): void {
     if (!(
       error instanceof FrameError ||
       error instanceof StructError ||
@@ -284,4 +284,4 @@
 }
 
 /** What a coder of asks or returns holds. */
-export type Held<C> = r.Held<C>;
+export type DecodedMessage<C> = r.Held<C>;
--- a/src/rpc/rpc-method.ts
+++ b/src/rpc/rpc-method.ts
@@ -1,8 +1,8 @@
 import * as r from "restructure";
-import { Utf8Text } from "./utf8-text-codec.js";
+import { Utf8TextCodec } from "./utf8-text-codec.js";
 
 /** One kind of exchange between processes: what is asked and what is returned. */
-export interface Kind<A, R> {
+export interface RpcMethod<A, R> {
   readonly number: number;
   readonly ask: r.Coder<A>;
   readonly return: r.Coder<R>;
@@ -10,7 +10,7 @@
   readonly waitMs?: number;
 }
 
-const text = new Utf8Text();
+const text = new Utf8TextCodec();
 const flag = new r.Boolean(r.uint8);
 const texts = new r.Array(text, r.uint32);
 /** A keyed request is named by the scope of its key and by its own name. */
@@ -27,7 +27,7 @@
 /** One entry of the record as it travels and as it lies on disk. */
 export type Entry = r.Held<typeof entry>;
 
-export const Kind = {
+export const RpcMethod = {
   /** A voter is asked for its vote, or in a pre-vote whether it would give it. */
   vote: {
     number: 1,
--- a/src/rpc/utf8-text-codec.ts
+++ b/src/rpc/utf8-text-codec.ts
@@ -6,7 +6,7 @@
  * A text in UTF-8 behind its length in bytes, laid out as the library's own strings are. The library counts a text's bytes one
  * character after another, which is most of the work of a frame; the runtime does it in one step.
  */
-export class Utf8Text extends r.String {
+export class Utf8TextCodec extends r.String {
   constructor() {
     super(r.uint32, "utf8");
   }
--- a/src/runtime/disk.ts
+++ b/src/runtime/disk.ts
@@ -3,7 +3,7 @@
 import { Task } from "./task.js";
 
 /** A breakdown of the disk: full, stalled or failing. */
-export class DiskBreakdown extends Error {}
+export class DiskError extends Error {}
 
 /** Files under one data folder. Nothing lasts until its wish has ended: both synced it. */
 export interface Disk {
@@ -34,7 +34,7 @@
 const awaitDisk = function* <T>(promise: Promise<T>): Task<T> {
   const outcome = yield* Task.settle(promise);
   if ("value" in outcome) return outcome.value;
-  throw new DiskBreakdown("The disk broke down.", { cause: outcome.error });
+  throw new DiskError("The disk broke down.", { cause: outcome.error });
 };
 
 export const Disk = {
--- a/src/runtime/event-stream.ts
+++ b/src/runtime/event-stream.ts
@@ -2,7 +2,7 @@
 import type { Scheduler, Sink, Stream } from "@most/types";
 
 /** A stream of what arrives from outside: requests, signals, settings that changed. */
-export class Source<T> {
+export class EventStream<T> {
   private readonly sinks = new Map<Sink<T>, Scheduler>();
 
   /** The stream, for whoever wants to hear it. */
--- a/src/runtime/fast-validator.ts
+++ b/src/runtime/fast-validator.ts
@@ -66,11 +66,11 @@
 };
 
 /** Whether a value is of a shape, looked at by plain code. */
-export const passes = (struct: object, value: unknown): boolean =>
+export const matchesStruct = (struct: object, value: unknown): boolean =>
   isStruct(struct) && guardOf(struct)(value);
 
 /** A reader of values from outside that looks at them by plain code; one that is refused is told of by its shape. For shapes without refinements. */
-export const quick = <T, S>(struct: Struct<T, S>): ((value: unknown) => T) => {
-  const isOne = (value: unknown): value is T => passes(struct, value);
+export const fastValidator = <T, S>(struct: Struct<T, S>): ((value: unknown) => T) => {
+  const isOne = (value: unknown): value is T => matchesStruct(struct, value);
   return (value) => (isOne(value) ? value : create(value, struct));
 };
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,23 +1,23 @@
 import bunyan from "bunyan";
 
 /** The log of one part: short sentences behind a fixed prefix. */
-export interface PartLog {
+export interface Logger {
   say(sentence: string, fields?: Record<string, unknown>): void;
   warn(sentence: string, fields?: Record<string, unknown>): void;
   fault(sentence: string, error: unknown): void;
 }
 
 /** A daemon's log, by part. */
-export interface Logbook {
-  part(name: string): PartLog;
+export interface LoggerFactory {
+  part(name: string): Logger;
 }
 
 /** From which weight on lines are written. */
-export type Level = "debug" | "info" | "warn" | "error";
+export type LogLevel = "debug" | "info" | "warn" | "error";
 
-export const Logbook = {
+export const LoggerFactory = {
   /** Writes through bunyan to the standard error stream. */
-  open(machine: string, level: Level): Logbook & { setLevel(level: Level): void } {
+  open(machine: string, level: LogLevel): LoggerFactory & { setLevel(level: LogLevel): void } {
     const log = bunyan.createLogger({ name: "daledoor", machine, level, stream: process.stderr });
     return {
       setLevel: (changed) => log.level(changed),
@@ -30,7 +30,7 @@
   },
 
   /** Hands lines on and raises what is at fault, for tests and the simulator. */
-  into(lines: (line: string) => void): Logbook {
+  into(lines: (line: string) => void): LoggerFactory {
     return {
       part: (name) => ({
         say: (sentence, fields) =>
--- a/src/runtime/network.ts
+++ b/src/runtime/network.ts
@@ -3,7 +3,7 @@
 import { Task } from "./task.js";
 
 /** A two-way flow of bytes between two processes. */
-export interface Channel {
+export interface Connection {
   /** What arrives, in order; `undefined` once the channel has closed. */
   readonly incoming: Queue<Uint8Array | "closed">;
   send(bytes: Uint8Array): void;
@@ -11,15 +11,15 @@
 }
 
 /** How processes reach one another, by IP number and port. */
-export interface Wire {
-  connect(address: string): Task<Channel | undefined>;
-  listen(address: string, accept: (channel: Channel) => void): Task;
+export interface Network {
+  connect(address: string): Task<Connection | undefined>;
+  listen(address: string, accept: (channel: Connection) => void): Task;
 }
 
 /** Raised when an address can't be listened on. */
 export class ListenError extends Error {}
 
-const channelOf = (socket: Socket): Channel => {
+const channelOf = (socket: Socket): Connection => {
   const incoming = new Queue<Uint8Array | "closed">();
   socket.setNoDelay(true);
   socket.on("data", (bytes: Buffer) => incoming.put(bytes));
@@ -45,9 +45,9 @@
   },
 };
 
-export const Wire = {
+export const Network = {
   /** TCP. */
-  tcp(): Wire & { close(): void } {
+  tcp(): Network & { close(): void } {
     const servers: Server[] = [];
     const sockets = new Set<Socket>();
     const hold = (socket: Socket): Socket => {
@@ -57,7 +57,7 @@
     };
     return {
       *connect(address) {
-        return yield* Task.wait<Channel | undefined>((done) => {
+        return yield* Task.wait<Connection | undefined>((done) => {
           const socket = hold(connectSocket({ ...Address.parts(address), timeout: 1000 }));
           const give = (): void => {
             socket.destroy();
