--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -1,15 +1,15 @@
-import type { Wire } from "./network.js";
+import type { Network } from "./network.js";
 import type { Clock } from "./clock.js";
 import type { Disk } from "./disk.js";
-import type { Logbook } from "./logger.js";
+import type { LoggerFactory } from "./logger.js";
 import { Task } from "./task.js";
 
 /** The machine that a daemon runs on: real in a process, virtual and seeded in the simulator. */
-export interface World {
+export interface Runtime {
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly wire: Network;
   readonly disk: Disk | undefined;
-  readonly logbook: Logbook;
+  readonly logbook: LoggerFactory;
   /** Hears that a task broke off on what nobody foresaw: the daemon must not go on half alive. */
   broken(part: string, error: unknown): void;
   /** A number from 0 up to 1. */
@@ -18,14 +18,14 @@
   wallTime(): Date;
 }
 
-export const World = {
+export const Runtime = {
   /** Starts a task of a part; should it break off, the daemon ends rather than go on without it. */
-  start<T>(world: World, part: string, task: Task<T>, ended?: (value: T) => void): void {
+  start<T>(world: Runtime, part: string, task: Task<T>, ended?: (value: T) => void): void {
     Task.start(task, (error) => world.broken(part, error), ended);
   },
 
   /** A word no other draw gives again. */
-  nonce(world: World): string {
+  nonce(world: Runtime): string {
     return Array.from({ length: 3 }, () => Math.floor(world.random() * 2 ** 32).toString(36)).join(
       "-",
     );
--- a/src/runtime/step-timer.ts
+++ b/src/runtime/step-timer.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "./clock.js";
-import type { PartLog } from "./logger.js";
+import type { Logger } from "./logger.js";
 
 /** From how long on a step is told of: a few of these together outlast an election wait. */
 const longMs = 80;
@@ -7,9 +7,9 @@
 /** Warns of steps of work that hold up the event loop for long, by name. */
 export class StepTimer {
   private readonly clock: Clock;
-  private readonly log: PartLog;
+  private readonly log: Logger;
 
-  constructor(clock: Clock, log: PartLog) {
+  constructor(clock: Clock, log: Logger) {
     this.clock = clock;
     this.log = log;
   }
--- a/src/runtime/task.ts
+++ b/src/runtime/task.ts
@@ -1,11 +1,11 @@
 /** What a task yields: it is handed the way to resume the task, and calls it once when the wish is fulfilled. */
-export type Wish = (resume: () => void) => void;
+export type Suspension = (resume: () => void) => void;
 
 /** A state machine written straight down: one for each connection, each peer and each table's owner. */
-export type Task<T = void> = Generator<Wish, T, void>;
+export type Task<T = void> = Generator<Suspension, T, void>;
 
 /** Raised when a wish resumes its task without saying what happened. */
-export class EmptyWishError extends Error {}
+export class MissingOutcomeError extends Error {}
 
 export const Task = {
   /** Waits for one outcome of something started now. */
@@ -18,7 +18,7 @@
         resume();
       });
     for (const outcome of outcomes) return outcome;
-    throw new EmptyWishError("A wish ended without an outcome.");
+    throw new MissingOutcomeError("A wish ended without an outcome.");
   },
 
   /** Runs a task to its end; `ended` hears its value, `failed` what it threw. */
--- a/src/simulation/client-transport.ts
+++ b/src/simulation/client-transport.ts
@@ -1,34 +1,34 @@
-import type { Job } from "../proxy/proxy-request.js";
-import type { Return } from "../proxy/request-outcome.js";
+import type { ProxyRequest } from "../proxy/proxy-request.js";
+import type { ClientResponse } from "../proxy/request-outcome.js";
 import type { Settings } from "../daemon/settings.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
-import type { CallerRecord } from "./event-recorder.js";
+import type { ClientRecord } from "./event-recorder.js";
 
 /** How a caller's request ended, as the caller saw it. */
-export interface CallerEnd {
+export interface ClientSide {
   readonly code: number;
-  readonly broke: CallerRecord["broke"];
+  readonly broke: ClientRecord["broke"];
   readonly body: Buffer;
   readonly statedBytes: number | undefined;
   readonly retryAfterS: number | undefined;
 }
 
 /** The way from callers, back ends and operators to daemons: virtual or real. */
-export interface Outside {
+export interface ClientTransport {
   readonly clock: Clock;
   random(): number;
   /** The edges that the platform sends new connections to. */
   ready(): Array<Pick<Settings, "machine" | "zone">>;
   /** Whether a daemon's process runs, so that a kept connection to it may be used though it takes no new ones. */
   isUp(daemon: string): boolean;
-  call(daemon: string, job: Job, patienceMs: number): Task<CallerEnd>;
+  call(daemon: string, job: ProxyRequest, patienceMs: number): Task<ClientSide>;
   /** Asks the operators' port of a daemon, any daemon where none is named, from a back end's place or the operators'. */
   desk(
     daemon: string | undefined,
-    job: Job,
+    job: ProxyRequest,
     from?: string,
     patienceMs?: number,
-  ): Task<Return | undefined>;
+  ): Task<ClientResponse | undefined>;
   start(task: Task<unknown>): void;
 }
--- a/src/simulation/config-history-check.ts
+++ b/src/simulation/config-history-check.ts
@@ -1,4 +1,4 @@
-import type { ConfigOrderRecord, ConfigReadRecord } from "./event-recorder.js";
+import type { ConfigCommandRecord, ConfigReadRecord } from "./event-recorder.js";
 
 /** What an operator's call shows of the configuration register: a version that stood at some moment of the call. */
 interface Sighting {
@@ -11,7 +11,7 @@
   readonly what: string;
 }
 
-const sightingOf = (order: ConfigOrderRecord): Sighting | undefined => {
+const sightingOf = (order: ConfigCommandRecord): Sighting | undefined => {
   const { startMs, endMs, base, probe, outcome, version } = order;
   const own = { startMs, endMs, leaves: version };
   if (outcome === "accepted")
@@ -21,7 +21,7 @@
 };
 
 const sightingsOf = (
-  orders: readonly ConfigOrderRecord[],
+  orders: readonly ConfigCommandRecord[],
   reads: readonly ConfigReadRecord[],
 ): Sighting[] => [
   ...orders.flatMap((order) => sightingOf(order) ?? []),
@@ -50,7 +50,7 @@
 };
 
 /** Accepted orders that do not form one chain, each built on the one before. */
-const brokenChain = function* (accepted: readonly ConfigOrderRecord[]): Iterable<string> {
+const brokenChain = function* (accepted: readonly ConfigCommandRecord[]): Iterable<string> {
   const chain = [...accepted].sort((a, b) => a.version - b.version);
   for (const [at, { base, version, probe }] of chain.entries()) {
     const before = chain[at - 1];
@@ -63,7 +63,7 @@
 
 /** Versions that were shown before any order that could have made them was sent. */
 const unmadeVersions = function* (
-  orders: readonly ConfigOrderRecord[],
+  orders: readonly ConfigCommandRecord[],
   sightings: readonly Sighting[],
 ): Iterable<string> {
   const accepted = new Map(
@@ -85,7 +85,7 @@
  * accepted orders form a chain and no call shows less than a call that ended before it began.
  */
 export const configHistoryFaults = function* (
-  orders: readonly ConfigOrderRecord[],
+  orders: readonly ConfigCommandRecord[],
   reads: readonly ConfigReadRecord[],
 ): Iterable<string> {
   for (const { outcome, probe } of orders)
--- a/src/simulation/config-workload.ts
+++ b/src/simulation/config-workload.ts
@@ -1,11 +1,11 @@
 import { create, number, optional, type, unknown } from "superstruct";
-import type { Job } from "../proxy/proxy-request.js";
+import type { ProxyRequest } from "../proxy/proxy-request.js";
 import { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 
-import type { Ledger } from "./event-recorder.js";
+import type { EventRecorder } from "./event-recorder.js";
 import { malformedConfigs } from "./malformed-configs.js";
-import type { Outside } from "./client-transport.js";
+import type { ClientTransport } from "./client-transport.js";
 import { Profile } from "./profile.js";
 
 /** A change of the configuration as an operator has drawn it up; sent again, it keeps its bytes. */
@@ -21,7 +21,7 @@
 }
 
 /** How an order is sent. */
-export interface OrderSending {
+export interface CommandSender {
   /** The daemon that the next attempt is sent to; any daemon where it names none. */
   readonly via?: () => string | undefined;
   /** How long one attempt may stay without an answer. */
@@ -37,14 +37,14 @@
 
 const jsonIn = (body: Uint8Array): unknown => JSON.parse(Buffer.from(body).toString());
 
-const readJob = (target: string): Job => ({
+const readJob = (target: string): ProxyRequest => ({
   method: "GET",
   target,
   headers: { "content-type": "application/json" },
   body: Buffer.alloc(0),
 });
 
-const orderJob = ({ base, version, text, changeId }: ConfigChange): Job => ({
+const orderJob = ({ base, version, text, changeId }: ConfigChange): ProxyRequest => ({
   method: "PUT",
   target: "/config",
   headers: {
@@ -57,10 +57,10 @@
 });
 
 /** What operators do in a day: they change the configuration, and read it back; all of it is recorded. */
-export class ConfigOrders {
-  private readonly outside: Outside;
+export class ConfigWorkload {
+  private readonly outside: ClientTransport;
   private readonly profile: Profile;
-  private readonly ledger: Ledger;
+  private readonly ledger: EventRecorder;
   private readonly isOver: () => boolean;
   private changes = 0;
   private extraRoutes = 0;
@@ -68,7 +68,12 @@
   /** The newest version that an operator knows to be accepted. */
   sequence = 0;
 
-  constructor(outside: Outside, profile: Profile, ledger: Ledger, isOver: () => boolean) {
+  constructor(
+    outside: ClientTransport,
+    profile: Profile,
+    ledger: EventRecorder,
+    isOver: () => boolean,
+  ) {
     this.outside = outside;
     this.profile = profile;
     this.ledger = ledger;
@@ -99,12 +104,12 @@
   }
 
   /** Draws up a change upon the newest version known, sends it, and tells whether it was acknowledged. */
-  *put(sending: OrderSending = {}): Task<boolean> {
+  *put(sending: CommandSender = {}): Task<boolean> {
     return yield* this.submit(this.prepare(), sending);
   }
 
   /** Sends a change, and the same again after each attempt without a clear answer. */
-  *submit(change: ConfigChange, { via, patienceMs }: OrderSending = {}): Task<boolean> {
+  *submit(change: ConfigChange, { via, patienceMs }: CommandSender = {}): Task<boolean> {
     const { base, probe, text } = change;
     const { clock } = this.outside;
     const record = this.ledger.order({ base, probe, startMs: clock.nowMs() });
--- a/src/simulation/event-gate.ts
+++ b/src/simulation/event-gate.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../runtime/clock.js";
 
 /** What every event of one machine passes: nothing while it is dead, all later while it is frozen. */
-export class Gate {
+export class EventGate {
   private readonly late: Array<() => void> = [];
   private frozen = false;
   isAlive = true;
--- a/src/simulation/event-recorder.ts
+++ b/src/simulation/event-recorder.ts
@@ -1,5 +1,5 @@
 /** What a caller recorded of one request that it sent. */
-export interface CallerRecord {
+export interface ClientRecord {
   readonly id: string;
   readonly daemon: string;
   readonly service: string;
@@ -39,7 +39,7 @@
 }
 
 /** One attempt at an order, at one daemon. */
-export interface OrderAttempt {
+export interface CommandAttempt {
   /** The daemon it was sent to; any where none was named. */
   readonly daemon: string | undefined;
   readonly startMs: number;
@@ -49,7 +49,7 @@
 }
 
 /** One operator's change of the configuration, with all attempts at it. */
-export interface ConfigOrderRecord {
+export interface ConfigCommandRecord {
   readonly startMs: number;
   /** When its clear answer came; never, where none did. */
   endMs: number;
@@ -59,7 +59,7 @@
   outcome: "accepted" | "lost" | "refused" | "unknown";
   /** Its own version where accepted, the current one where lost. */
   version: number;
-  readonly attempts: OrderAttempt[];
+  readonly attempts: CommandAttempt[];
 }
 
 /** One answered read of the newest configuration. */
@@ -70,7 +70,7 @@
 }
 
 /** What operators and the world recorded. */
-export type WorldRecord =
+export type EnvironmentRecord =
   | { kind: "sent"; atMs: number; probe: number; text: string }
   | { kind: "accepted"; atMs: number; sequence: number; probe: number; text: string }
   | { kind: "rejected"; atMs: number; probe: number }
@@ -87,24 +87,24 @@
       kind: "orderedDuring";
       atMs: number;
       during: string;
-      outcome: ConfigOrderRecord["outcome"];
+      outcome: ConfigCommandRecord["outcome"];
       waitedMs: number;
     }
   | { kind: "fault"; atMs: number; what: string }
   | { kind: "recovered"; atMs: number };
 
 /** All that callers, back ends and operators recorded of one run, on one clock. */
-export class Ledger {
-  readonly callers: CallerRecord[] = [];
+export class EventRecorder {
+  readonly callers: ClientRecord[] = [];
   readonly runs: RunRecord[] = [];
-  readonly world: WorldRecord[] = [];
-  readonly configOrders: ConfigOrderRecord[] = [];
+  readonly world: EnvironmentRecord[] = [];
+  readonly configOrders: ConfigCommandRecord[] = [];
   readonly configReads: ConfigReadRecord[] = [];
   endMs = 0;
 
   /** Begins the record of an order, whose outcome is unknown until it is told. */
-  order(begun: Pick<ConfigOrderRecord, "startMs" | "base" | "probe">): ConfigOrderRecord {
-    const record: ConfigOrderRecord = {
+  order(begun: Pick<ConfigCommandRecord, "startMs" | "base" | "probe">): ConfigCommandRecord {
+    const record: ConfigCommandRecord = {
       ...begun,
       endMs: Infinity,
       outcome: "unknown",
@@ -116,8 +116,8 @@
   }
 
   /** The records of one kind. */
-  of<K extends WorldRecord["kind"]>(kind: K): Array<Extract<WorldRecord, { kind: K }>> {
-    const isKind = (record: WorldRecord): record is Extract<WorldRecord, { kind: K }> =>
+  of<K extends EnvironmentRecord["kind"]>(kind: K): Array<Extract<EnvironmentRecord, { kind: K }>> {
+    const isKind = (record: EnvironmentRecord): record is Extract<EnvironmentRecord, { kind: K }> =>
       record.kind === kind;
     return this.world.filter(isKind);
   }
--- a/src/simulation/fault-selection.ts
+++ b/src/simulation/fault-selection.ts
@@ -28,7 +28,7 @@
 const losesMembers = (name: string): boolean => name in replacementFaults;
 
 /** Draws the failures of a day, and keeps those apart that together would lose more than may be lost. */
-export class FaultDraw {
+export class FaultSelection {
   private readonly names: readonly string[];
   private readonly random: () => number;
   private readonly underWay: string[] = [];
--- a/src/simulation/faults/addresses.ts
+++ b/src/simulation/faults/addresses.ts
@@ -1,20 +1,20 @@
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
-import type { StandIn } from "../test-backend.js";
-import { pick, rest, working } from "./targets.js";
+import type { TestBackend } from "../test-backend.js";
+import { pick, rest, workingBackends } from "./targets.js";
 
 /** A back end ends without a word. */
-export const crashBackEnd = function* (simulation: Simulation): Task<StandIn | undefined> {
-  const one = pick(simulation, working(simulation));
+export const crashBackend = function* (simulation: Simulation): Task<TestBackend | undefined> {
+  const one = pick(simulation, workingBackends(simulation));
   one?.end();
   yield* rest(simulation, 500, 6000);
   return one;
 };
 
 /** A back end of another service comes up at the address of one that ended. */
-export const handOver = function* (
+export const reassignAddress = function* (
   simulation: Simulation,
-  one: StandIn,
+  one: TestBackend,
   services: readonly string[],
 ): Task {
   yield* rest(simulation, 0, 3000);
--- a/src/simulation/faults/backend-faults.ts
+++ b/src/simulation/faults/backend-faults.ts
@@ -1,35 +1,42 @@
-import { crashBackEnd, handOver } from "./addresses.js";
-import { cutting, sided, waysBetween } from "./partitions.js";
+import { crashBackend, reassignAddress } from "./addresses.js";
+import { partition, oneWayOf, routesBetween } from "./partitions.js";
 import { reboot } from "./restarts.js";
-import { leaders, pick, placeOf, rest, smalls, working } from "./targets.js";
-import type { Fault } from "./fault.js";
+import {
+  leaders,
+  pick,
+  machineNameOf,
+  rest,
+  disklessMachines,
+  workingBackends,
+} from "./targets.js";
+import type { FaultScenario } from "./fault.js";
 
 /** Failures of back ends, each of which ends by itself. */
-export const backEndFaults: Record<string, Fault> = {
+export const backendFaults: Record<string, FaultScenario> = {
   *crashBackEnd(simulation) {
-    const one = yield* crashBackEnd(simulation);
+    const one = yield* crashBackend(simulation);
     one?.replace(one.service);
   },
   *loseAnswers(simulation) {
-    const some = working(simulation).filter(() => simulation.random() < 0.5);
+    const some = workingBackends(simulation).filter(() => simulation.random() < 0.5);
     for (const one of some) one.behave({ losesPart: 0.5 });
     yield* rest(simulation, 2000, 8000);
     for (const one of some) one.behave({});
   },
   *sendGarbage(simulation) {
-    const some = working(simulation).filter(() => simulation.random() < 0.3);
+    const some = workingBackends(simulation).filter(() => simulation.random() < 0.3);
     for (const one of some) one.behave({ garbagePart: 0.4, cutPart: 0.4 });
     yield* rest(simulation, 2000, 6000);
     for (const one of some) one.behave({});
   },
   *slowBackEnds(simulation) {
-    const some = working(simulation).filter(() => simulation.random() < 0.3);
+    const some = workingBackends(simulation).filter(() => simulation.random() < 0.3);
     for (const one of some) one.behave({ slowFactor: 30 + simulation.random() * 300 });
     yield* rest(simulation, 2000, 8000);
     for (const one of some) one.behave({});
   },
   *replaceBackEnds(simulation) {
-    for (const one of working(simulation).filter(() => simulation.random() < 0.2)) {
+    for (const one of workingBackends(simulation).filter(() => simulation.random() < 0.2)) {
       if (yield* simulation.day.leave(one)) yield* rest(simulation, 2600, 3200);
       one.end();
       yield* rest(simulation, 200, 900);
@@ -37,7 +44,7 @@
     }
   },
   *leaveDuringLeaderChange(simulation) {
-    const one = pick(simulation, working(simulation));
+    const one = pick(simulation, workingBackends(simulation));
     const [leader] = leaders(simulation);
     if (!one || !leader) return;
     simulation.start(reboot(simulation, [leader]));
@@ -46,12 +53,13 @@
     one.replace(one.service);
   },
   *reuseAddress(simulation) {
-    const one = yield* crashBackEnd(simulation);
+    const one = yield* crashBackend(simulation);
     if (!one) return;
     const services = Object.keys(simulation.profile.backEnds).filter(
       (service) => service !== one.service,
     );
-    const few = working(simulation).filter(({ service }) => service === one.service).length < 5;
+    const few =
+      workingBackends(simulation).filter(({ service }) => service === one.service).length < 5;
     const service = few ? one.service : (pick(simulation, services) ?? one.service);
     one.replace(service);
     simulation.ledger.world.push({
@@ -63,16 +71,16 @@
   },
   *reuseManyAddresses(simulation) {
     const services = Object.keys(simulation.profile.backEnds);
-    const some = working(simulation).filter(() => simulation.random() < 0.35);
+    const some = workingBackends(simulation).filter(() => simulation.random() < 0.35);
     if (simulation.random() < 0.5) simulation.start(reboot(simulation, leaders(simulation)));
     else
       simulation.start(
-        cutting(
+        partition(
           simulation,
-          sided(
+          oneWayOf(
             simulation,
-            waysBetween(
-              smalls(simulation).slice(0, 3).map(placeOf),
+            routesBetween(
+              disklessMachines(simulation).slice(0, 3).map(machineNameOf),
               some.map(({ address }) => address),
             ),
           ),
@@ -84,7 +92,7 @@
     for (const one of some) {
       one.end();
       simulation.start(
-        handOver(
+        reassignAddress(
           simulation,
           one,
           services.filter((service) => service !== one.service),
@@ -96,7 +104,7 @@
   },
   *emptyService(simulation) {
     const service = pick(simulation, Object.keys(simulation.profile.backEnds));
-    const all = working(simulation).filter((one) => one.service === service);
+    const all = workingBackends(simulation).filter((one) => one.service === service);
     const leaves = simulation.random() < 0.5;
     if (leaves) {
       for (const one of all) simulation.start(simulation.day.leave(one));
@@ -107,14 +115,14 @@
     for (const one of all) one.replace(one.service);
   },
   *crashMostBackEnds(simulation) {
-    const some = working(simulation).filter(() => simulation.random() < 0.75);
+    const some = workingBackends(simulation).filter(() => simulation.random() < 0.75);
     for (const one of some) one.end();
     yield* rest(simulation, 500, 5000);
     for (const one of some) one.replace(one.service);
   },
   *breakDownService(simulation) {
     const service = pick(simulation, Object.keys(simulation.profile.backEnds));
-    const all = working(simulation).filter((one) => one.service === service);
+    const all = workingBackends(simulation).filter((one) => one.service === service);
     const manners =
       pick(simulation, [
         { losesPart: 1 },
@@ -131,9 +139,9 @@
     for (const one of all) one.behave({});
   },
   *restartEdgesInBreakdown(simulation) {
-    const all = working(simulation);
+    const all = workingBackends(simulation);
     for (const one of all) one.behave({ losesPart: 0.6 });
-    const some = smalls(simulation).slice(0, 3);
+    const some = disklessMachines(simulation).slice(0, 3);
     for (let round = 0; round < 4; round += 1) {
       for (const machine of some) simulation.kill(machine);
       yield* rest(simulation, 50, 400);
@@ -145,7 +153,7 @@
   *stopCallersAfterPeak(simulation) {
     simulation.day.crowd = 3;
     yield* rest(simulation, 2000, 3000);
-    const all = working(simulation);
+    const all = workingBackends(simulation);
     for (const one of all) one.behave({ losesPart: 0.9, slowFactor: 20 });
     yield* rest(simulation, 100, 1500);
     simulation.day.crowd = 0;
--- a/src/simulation/faults/catch-up-faults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -2,9 +2,9 @@
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
-import type { Fault } from "./fault.js";
-import { disks, pick, rest } from "./targets.js";
-import { timedOrder } from "./timed-command.js";
+import type { FaultScenario } from "./fault.js";
+import { diskMachines, pick, rest } from "./targets.js";
+import { timedCommand } from "./timed-command.js";
 
 const changesMeanwhile = 300;
 /** The changes end after so long, however many there were: other failures may hold them up. */
@@ -23,19 +23,19 @@
 };
 
 /** A member is behind by hundreds of changes when the others are lost in turn. */
-export const catchUpFaults: Record<string, Fault> = {
+export const catchUpFaults: Record<string, FaultScenario> = {
   *changeWhileMemberIsAway(simulation) {
     const { catchUpMs } = Bounds.of(simulation.profile).figures;
-    const away = pick(simulation, disks(simulation));
+    const away = pick(simulation, diskMachines(simulation));
     if (!away) return;
     simulation.kill(away, true);
     yield* changeManyTimes(simulation, changesMeanwhile);
     simulation.boot(away);
     yield* Clock.rest(simulation.clock, catchUpMs);
-    for (const other of disks(simulation).filter((one) => one !== away)) {
+    for (const other of diskMachines(simulation).filter((one) => one !== away)) {
       simulation.kill(other, true);
       yield* Clock.rest(simulation.clock, orderAfterMs);
-      simulation.start(timedOrder(simulation, "one lost after many changes"));
+      simulation.start(timedCommand(simulation, "one lost after many changes"));
       yield* Clock.rest(simulation.clock, downMs);
       simulation.boot(other);
       yield* Clock.rest(simulation.clock, catchUpMs);
@@ -43,16 +43,16 @@
     yield* rest(simulation, 200, 500);
   },
   *restartAllWithMemberBehind(simulation) {
-    const away = pick(simulation, disks(simulation));
+    const away = pick(simulation, diskMachines(simulation));
     if (!away) return;
     simulation.kill(away, true);
     yield* changeManyTimes(simulation, changesBeforeRestart);
-    const others = disks(simulation);
+    const others = diskMachines(simulation);
     for (const other of others) simulation.kill(other);
     simulation.boot(away);
     yield* rest(simulation, 300, mostRestartMs);
     for (const other of others) simulation.boot(other);
-    simulation.start(timedOrder(simulation, "all restarted, one of them behind"));
+    simulation.start(timedCommand(simulation, "all restarted, one of them behind"));
     yield* rest(simulation, 3000, 4000);
   },
 };
--- a/src/simulation/faults/command-faults.ts
+++ b/src/simulation/faults/command-faults.ts
@@ -1,8 +1,8 @@
 import { rest } from "./targets.js";
-import type { Fault } from "./fault.js";
+import type { FaultScenario } from "./fault.js";
 
 /** Failures of operators' orders, each of which ends by itself. */
-export const orderFaults: Record<string, Fault> = {
+export const commandFaults: Record<string, FaultScenario> = {
   *stormConfigs(simulation) {
     for (let count = 0; count < 12; count += 1) {
       simulation.start(simulation.day.putConfig());
--- a/src/simulation/faults/disk-faults.ts
+++ b/src/simulation/faults/disk-faults.ts
@@ -1,48 +1,51 @@
-import { isolate, waysBetween } from "./partitions.js";
+import { isolate, routesBetween } from "./partitions.js";
 import { emptyDisk, reboot } from "./restarts.js";
-import { allFormed, disks, leaders, pick, placeOf, rest } from "./targets.js";
-import type { Fault } from "./fault.js";
+import { allFormed, diskMachines, leaders, pick, machineNameOf, rest } from "./targets.js";
+import type { FaultScenario } from "./fault.js";
 
 /** Failures of disks, each of which ends by itself. */
-export const diskFaults: Record<string, Fault> = {
+export const diskFaults: Record<string, FaultScenario> = {
   *losePowerBeforeSync(simulation) {
-    const core = disks(simulation);
+    const core = diskMachines(simulation);
     for (const { disk } of core) disk?.stall(1500);
     simulation.start(simulation.day.putConfig());
     yield* rest(simulation, 100, 600);
     yield* reboot(simulation, core, true);
   },
   *loseDisk(simulation) {
-    const one = allFormed(simulation) ? pick(simulation, disks(simulation)) : undefined;
+    const one = allFormed(simulation) ? pick(simulation, diskMachines(simulation)) : undefined;
     if (one) yield* emptyDisk(simulation, one);
   },
   *fillDisk(simulation) {
-    const { disk } = pick(simulation, [...leaders(simulation), ...disks(simulation)]) ?? {};
+    const { disk } = pick(simulation, [...leaders(simulation), ...diskMachines(simulation)]) ?? {};
     if (!disk) return;
     disk.full = true;
     yield* rest(simulation, 1000, 6000);
     disk.full = false;
   },
   *stallDisk(simulation) {
-    const one = pick(simulation, [...leaders(simulation), ...disks(simulation)]);
+    const one = pick(simulation, [...leaders(simulation), ...diskMachines(simulation)]);
     one?.disk?.stall(500 + simulation.random() * 5000);
     yield* rest(simulation, 3000, 6000);
   },
   *loseDiskWhileAnotherLags(simulation) {
     const [leader] = leaders(simulation);
     const voters = leader?.daemon?.recorder?.currentMembers.voters ?? [];
-    const [lagging, emptied, more] = disks(simulation).filter(
+    const [lagging, emptied, more] = diskMachines(simulation).filter(
       (one) => one !== leader && voters.includes(one.settings.peers),
     );
-    const whole = disks(simulation).every(
+    const whole = diskMachines(simulation).every(
       ({ daemon }) => daemon?.recorder?.status.state === "formed",
     );
     if (!leader || !lagging || !emptied || more || !whole) return;
-    const ways = waysBetween([placeOf(lagging)], disks(simulation).map(placeOf));
+    const ways = routesBetween(
+      [machineNameOf(lagging)],
+      diskMachines(simulation).map(machineNameOf),
+    );
     for (const [from, to] of ways) simulation.network.cut(from, to);
     yield* simulation.day.putConfig();
     const still =
-      disks(simulation).every(({ daemon }) => daemon?.recorder?.status.state === "formed") &&
+      diskMachines(simulation).every(({ daemon }) => daemon?.recorder?.status.state === "formed") &&
       emptied.gate.isAlive &&
       leader.gate.isAlive;
     if (still) {
@@ -64,7 +67,7 @@
     if (one) yield* emptyDisk(simulation, one);
   },
   *fillAndStallDisk(simulation) {
-    const one = pick(simulation, [...leaders(simulation), ...disks(simulation)]);
+    const one = pick(simulation, [...leaders(simulation), ...diskMachines(simulation)]);
     if (!one?.disk) return;
     one.disk.full = true;
     one.disk.stall(500 + simulation.random() * 4000);
@@ -74,7 +77,7 @@
     one.disk.full = false;
   },
   *killWhileRejoining(simulation) {
-    const one = allFormed(simulation) ? pick(simulation, disks(simulation)) : undefined;
+    const one = allFormed(simulation) ? pick(simulation, diskMachines(simulation)) : undefined;
     if (!one) return;
     simulation.kill(one, true);
     one.disk?.wipe();
--- a/src/simulation/faults/fault.ts
+++ b/src/simulation/faults/fault.ts
@@ -2,4 +2,4 @@
 import type { Simulation } from "../simulation.js";
 
 /** One kind of failure: it strikes a simulated fleet, and ends by itself. */
-export type Fault = (simulation: Simulation) => Task;
+export type FaultScenario = (simulation: Simulation) => Task;
--- a/src/simulation/faults/garbled-response-faults.ts
+++ b/src/simulation/faults/garbled-response-faults.ts
@@ -1,9 +1,9 @@
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
-import type { StandIn } from "../test-backend.js";
-import { handOver } from "./addresses.js";
-import type { Fault } from "./fault.js";
-import { rest, smalls, working } from "./targets.js";
+import type { TestBackend } from "../test-backend.js";
+import { reassignAddress } from "./addresses.js";
+import type { FaultScenario } from "./fault.js";
+import { rest, disklessMachines, workingBackends } from "./targets.js";
 
 /** How back ends answer meanwhile: wrong bytes, answers twice over, connections that are reset. */
 const badManners = { garbagePart: 0.15, doubledPart: 0.3, losesPart: 0.1 };
@@ -12,14 +12,14 @@
 const handedOver = 2;
 
 const stopInTurn = function* (simulation: Simulation): Task {
-  for (const machine of smalls(simulation).slice(0, stoppedEdges)) {
+  for (const machine of disklessMachines(simulation).slice(0, stoppedEdges)) {
     yield* simulation.stop(machine);
     yield* rest(simulation, 100, 300);
     simulation.boot(machine);
   }
 };
 
-const release = function* (simulation: Simulation, some: readonly StandIn[]): Task {
+const release = function* (simulation: Simulation, some: readonly TestBackend[]): Task {
   for (const one of some) {
     if (yield* simulation.day.leave(one)) yield* rest(simulation, 2600, 3200);
     one.end();
@@ -29,20 +29,20 @@
   }
 };
 
-const reuse = function* (simulation: Simulation, one: StandIn): Task {
+const reuse = function* (simulation: Simulation, one: TestBackend): Task {
   const { service } = one;
   const others = Object.keys(simulation.profile.backEnds).filter((name) => name !== service);
   one.end();
-  yield* handOver(simulation, one, others);
+  yield* reassignAddress(simulation, one, others);
   one.behave(badManners);
   yield* rest(simulation, 3000, 5000);
   one.replace(service);
 };
 
 /** Answers go wrong while edges stop, back ends are replaced and addresses change hands. */
-export const garbledAnswerFaults: Record<string, Fault> = {
+export const garbledResponseFaults: Record<string, FaultScenario> = {
   *garbleDuringStops(simulation) {
-    const all = working(simulation);
+    const all = workingBackends(simulation);
     for (const one of all) one.behave(badManners);
     const drawn = [...all].sort(() => simulation.random() - 0.5);
     simulation.start(stopInTurn(simulation));
--- a/src/simulation/faults/lost-response-faults.ts
+++ b/src/simulation/faults/lost-response-faults.ts
@@ -1,9 +1,9 @@
 import type { Task } from "../../runtime/task.js";
-import type { SimMachine, Simulation } from "../simulation.js";
-import type { Fault } from "./fault.js";
+import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { FaultScenario } from "./fault.js";
 import { reboot } from "./restarts.js";
-import { disks, pick, rest } from "./targets.js";
-import { operatorPatienceMs } from "./timed-command.js";
+import { diskMachines, pick, rest } from "./targets.js";
+import { OPERATOR_PATIENCE_MS } from "./timed-command.js";
 
 const lostPart = 0.7;
 const rounds = 3;
@@ -13,7 +13,7 @@
 /** Within so long of its acknowledgement the member that gave it loses power. */
 const mostStrikeMs = 4;
 
-const strike = function* (simulation: Simulation, machine: SimMachine): Task {
+const strike = function* (simulation: Simulation, machine: SimulatedMachine): Task {
   yield* rest(simulation, 0, mostStrikeMs);
   yield* reboot(simulation, [machine], true);
 };
@@ -28,15 +28,16 @@
     simulation.start(strike(simulation, machine));
   };
   const version = operators.sequence + 1 + Math.floor(simulation.random() * mostStep);
-  const via = (): string | undefined => pick(simulation, disks(simulation))?.settings.machine;
+  const via = (): string | undefined =>
+    pick(simulation, diskMachines(simulation))?.settings.machine;
   for (let order = 0; order < ordersAtOnce; order += 1)
     simulation.start(
-      operators.submit(operators.prepare(version), { via, patienceMs: operatorPatienceMs }),
+      operators.submit(operators.prepare(version), { via, patienceMs: OPERATOR_PATIENCE_MS }),
     );
 };
 
 /** Answers to operators are lost, and with them the member that gave one. */
-export const lostAnswerFaults: Record<string, Fault> = {
+export const lostResponseFaults: Record<string, FaultScenario> = {
   *loseOperatorAnswers(simulation) {
     simulation.lostAnswerPart = lostPart;
     for (let round = 0; round < rounds; round += 1) {
--- a/src/simulation/faults/member-partition-faults.ts
+++ b/src/simulation/faults/member-partition-faults.ts
@@ -1,11 +1,11 @@
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
-import type { SimMachine, Simulation } from "../simulation.js";
-import { waysBetween, type Ways } from "./partitions.js";
-import type { Fault } from "./fault.js";
+import type { SimulatedMachine, Simulation } from "../simulation.js";
+import { routesBetween, type PartitionedRoutes } from "./partitions.js";
+import type { FaultScenario } from "./fault.js";
 import { reboot } from "./restarts.js";
-import { disks, leaders, pick, placeOf, rest, working } from "./targets.js";
-import { operatorPatienceMs } from "./timed-command.js";
+import { diskMachines, leaders, pick, machineNameOf, rest, workingBackends } from "./targets.js";
+import { OPERATOR_PATIENCE_MS } from "./timed-command.js";
 
 /** How long a member stays cut off from the others. */
 const cutMs = 20_000;
@@ -18,18 +18,22 @@
 /** Which ways of a cut member are cut. */
 type Direction = "both" | "outward" | "inward";
 
-const cutWays = (member: SimMachine, others: readonly SimMachine[], direction: Direction): Ways => {
-  const own = [placeOf(member)];
-  const rest = others.map(placeOf);
-  if (direction === "both") return waysBetween(own, rest);
-  return direction === "outward" ? waysBetween(own, rest, true) : waysBetween(rest, own, true);
+const cutWays = (
+  member: SimulatedMachine,
+  others: readonly SimulatedMachine[],
+  direction: Direction,
+): PartitionedRoutes => {
+  const own = [machineNameOf(member)];
+  const rest = others.map(machineNameOf);
+  if (direction === "both") return routesBetween(own, rest);
+  return direction === "outward" ? routesBetween(own, rest, true) : routesBetween(rest, own, true);
 };
 
 /** Two operators change the same version under one number, one of them by way of the cut member. */
 const raceAcross = (
   simulation: Simulation,
-  member: SimMachine,
-  others: readonly SimMachine[],
+  member: SimulatedMachine,
+  others: readonly SimulatedMachine[],
 ): void => {
   const { operators } = simulation.day;
   const version = operators.sequence + 1 + Math.floor(simulation.random() * mostStep);
@@ -41,14 +45,14 @@
   };
   for (const via of [inside, outside])
     simulation.start(
-      operators.submit(operators.prepare(version), { via, patienceMs: operatorPatienceMs }),
+      operators.submit(operators.prepare(version), { via, patienceMs: OPERATOR_PATIENCE_MS }),
     );
   simulation.start(operators.read(member.settings.machine));
 };
 
 /** A back end leaves in order while the cut lasts, whichever side hears it. */
 const leaveMeanwhile = function* (simulation: Simulation): Task {
-  const one = pick(simulation, working(simulation));
+  const one = pick(simulation, workingBackends(simulation));
   if (!one) return;
   if (yield* simulation.day.leave(one)) yield* rest(simulation, 2600, 3200);
   one.end();
@@ -58,9 +62,9 @@
 
 const cutMember = function* (simulation: Simulation, direction: Direction): Task {
   const led = simulation.random() < leaderPart ? leaders(simulation)[0] : undefined;
-  const member = led ?? pick(simulation, disks(simulation));
+  const member = led ?? pick(simulation, diskMachines(simulation));
   if (!member) return;
-  const others = disks(simulation).filter((other) => other !== member);
+  const others = diskMachines(simulation).filter((other) => other !== member);
   const ways = cutWays(member, others, direction);
   for (const [from, to] of ways) simulation.network.cut(from, to);
   const atMs = simulation.time.nowMs();
@@ -87,7 +91,7 @@
 };
 
 /** A member of the replicated log is cut off from the others for twenty seconds, and restarted before them. */
-export const memberCutFaults: Record<string, Fault> = {
+export const memberPartitionFaults: Record<string, FaultScenario> = {
   *cutMemberForLong(simulation) {
     yield* cutMember(simulation, "both");
   },
--- a/src/simulation/faults/network-faults.ts
+++ b/src/simulation/faults/network-faults.ts
@@ -1,10 +1,19 @@
-import { callersPlace } from "../simulation.js";
-import { bad, cutting, isolate, sided, waysBetween } from "./partitions.js";
-import { alive, disks, leaders, pick, placeOf, rest, smalls, working } from "./targets.js";
-import type { Fault } from "./fault.js";
+import { CLIENTS_LOCATION } from "../simulation.js";
+import { degrade, partition, isolate, oneWayOf, routesBetween } from "./partitions.js";
+import {
+  runningMachines,
+  diskMachines,
+  leaders,
+  pick,
+  machineNameOf,
+  rest,
+  disklessMachines,
+  workingBackends,
+} from "./targets.js";
+import type { FaultScenario } from "./fault.js";
 
 /** Failures of the network, each of which ends by itself. */
-export const networkFaults: Record<string, Fault> = {
+export const networkFaults: Record<string, FaultScenario> = {
   *cutOffLeader(simulation) {
     yield* isolate(simulation, leaders(simulation), false);
   },
@@ -12,16 +21,16 @@
     yield* isolate(simulation, leaders(simulation), true);
   },
   *cutOffMachine(simulation) {
-    const one = pick(simulation, alive(simulation));
+    const one = pick(simulation, runningMachines(simulation));
     if (one) yield* isolate(simulation, [one], simulation.random() < 0.4);
   },
   *cutLeaderFromCore(simulation) {
     const [leader] = leaders(simulation);
     if (!leader) return;
     simulation.start(
-      cutting(
+      partition(
         simulation,
-        waysBetween([placeOf(leader)], disks(simulation).map(placeOf)),
+        routesBetween([machineNameOf(leader)], diskMachines(simulation).map(machineNameOf)),
         4000,
         6000,
       ),
@@ -31,8 +40,8 @@
     yield* rest(simulation, 3300, 5300);
   },
   *splitCore(simulation) {
-    const core = disks(simulation).map(placeOf);
-    yield* cutting(simulation, waysBetween(core, core, true), 500, 6000);
+    const core = diskMachines(simulation).map(machineNameOf);
+    yield* partition(simulation, routesBetween(core, core, true), 500, 6000);
   },
   *loseZone(simulation) {
     const zone = pick(simulation, simulation.profile.zones);
@@ -43,35 +52,35 @@
     );
   },
   *cutFromBackEnds(simulation) {
-    const some = smalls(simulation).slice(0, 1 + Math.floor(simulation.random() * 4));
+    const some = disklessMachines(simulation).slice(0, 1 + Math.floor(simulation.random() * 4));
     const most = simulation.random() < 0.3 ? 1 : simulation.random();
     const addresses = simulation.standIns
       .filter(() => simulation.random() < most)
       .map(({ address }) => address);
-    yield* cutting(
+    yield* partition(
       simulation,
-      sided(simulation, waysBetween(some.map(placeOf), addresses)),
+      oneWayOf(simulation, routesBetween(some.map(machineNameOf), addresses)),
       300,
       5000,
     );
   },
   *cutFromCallers(simulation) {
-    const some = smalls(simulation).filter(() => simulation.random() < 0.3);
-    yield* cutting(
+    const some = disklessMachines(simulation).filter(() => simulation.random() < 0.3);
+    yield* partition(
       simulation,
-      sided(simulation, waysBetween(some.map(placeOf), [callersPlace])),
+      oneWayOf(simulation, routesBetween(some.map(machineNameOf), [CLIENTS_LOCATION])),
       300,
       5000,
     );
   },
   *cutBackEndsOff(simulation) {
-    const some = working(simulation).filter(() => simulation.random() < 0.3);
-    yield* cutting(
+    const some = workingBackends(simulation).filter(() => simulation.random() < 0.3);
+    yield* partition(
       simulation,
-      sided(
+      oneWayOf(
         simulation,
-        waysBetween(
-          simulation.machines.map(placeOf),
+        routesBetween(
+          simulation.machines.map(machineNameOf),
           some.map(({ address }) => address),
         ),
       ),
@@ -80,12 +89,12 @@
     );
   },
   *slowNetwork(simulation) {
-    yield* bad(simulation, { slowMs: 10 + simulation.random() * 120 });
+    yield* degrade(simulation, { slowMs: 10 + simulation.random() * 120 });
   },
   *slowConnects(simulation) {
-    yield* bad(simulation, { slowConnectMs: 300 + simulation.random() * 1500 });
+    yield* degrade(simulation, { slowConnectMs: 300 + simulation.random() * 1500 });
   },
   *lossySeconds(simulation) {
-    yield* bad(simulation, { lossPart: 0.02 + simulation.random() * 0.25 });
+    yield* degrade(simulation, { lossPart: 0.02 + simulation.random() * 0.25 });
   },
 };
--- a/src/simulation/faults/partitions.ts
+++ b/src/simulation/faults/partitions.ts
@@ -1,14 +1,14 @@
 import type { Task } from "../../runtime/task.js";
-import type { SimMachine, Simulation } from "../simulation.js";
-import { placeOf, rest } from "./targets.js";
+import type { SimulatedMachine, Simulation } from "../simulation.js";
+import { machineNameOf, rest } from "./targets.js";
 
 /** Ways of the network, each from one place to another. */
-export type Ways = ReadonlyArray<readonly [from: string, to: string]>;
+export type PartitionedRoutes = ReadonlyArray<readonly [from: string, to: string]>;
 
 /** Cuts ways for a while, each of which may be one way only. */
-export const cutting = function* (
+export const partition = function* (
   simulation: Simulation,
-  ways: Ways,
+  ways: PartitionedRoutes,
   leastMs: number,
   mostMs: number,
 ): Task {
@@ -18,15 +18,15 @@
 };
 
 /** The ways between places of two kinds; where one way only, only the ways there. */
-export const waysBetween = (
+export const routesBetween = (
   some: readonly string[],
   others: readonly string[],
   oneWay = false,
-): Ways =>
+): PartitionedRoutes =>
   some.flatMap((one) =>
     others
       .filter((other) => other !== one)
-      .flatMap((other): Ways =>
+      .flatMap((other): PartitionedRoutes =>
         oneWay
           ? [[one, other]]
           : [
@@ -39,26 +39,26 @@
 /** Cuts machines off from all others for some seconds. */
 export const isolate = function* (
   simulation: Simulation,
-  machines: SimMachine[],
+  machines: SimulatedMachine[],
   oneWay: boolean,
 ): Task {
   const others = simulation.machines.filter((other) => !machines.includes(other));
-  yield* cutting(
+  yield* partition(
     simulation,
-    waysBetween(machines.map(placeOf), others.map(placeOf), oneWay),
+    routesBetween(machines.map(machineNameOf), others.map(machineNameOf), oneWay),
     500,
     7000,
   );
 };
 
 /** Some of the ways there, the ways back, or both. */
-export const sided = (simulation: Simulation, ways: Ways): Ways => {
+export const oneWayOf = (simulation: Simulation, ways: PartitionedRoutes): PartitionedRoutes => {
   const drawn = simulation.random();
   return ways.filter((_, at) => drawn < 0.34 || (drawn < 0.67 ? at % 2 === 0 : at % 2 === 1));
 };
 
 /** Bad weather for the whole network, for some seconds. */
-export const bad = function* (
+export const degrade = function* (
   simulation: Simulation,
   weather: Partial<Simulation["network"]["weather"]>,
 ): Task {
--- a/src/simulation/faults/process-faults.ts
+++ b/src/simulation/faults/process-faults.ts
@@ -1,30 +1,41 @@
 import { reboot } from "./restarts.js";
-import { alive, disks, leaders, pick, rest, smalls, working } from "./targets.js";
-import type { Fault } from "./fault.js";
+import {
+  runningMachines,
+  diskMachines,
+  leaders,
+  pick,
+  rest,
+  disklessMachines,
+  workingBackends,
+} from "./targets.js";
+import type { FaultScenario } from "./fault.js";
 
 /** Failures of processes and machines, each of which ends by itself. */
-export const processFaults: Record<string, Fault> = {
+export const processFaults: Record<string, FaultScenario> = {
   *killEdge(simulation) {
-    yield* reboot(simulation, smalls(simulation).slice(0, 1 + Math.floor(simulation.random() * 3)));
+    yield* reboot(
+      simulation,
+      disklessMachines(simulation).slice(0, 1 + Math.floor(simulation.random() * 3)),
+    );
   },
   *killManyAtOnce(simulation) {
     yield* reboot(
       simulation,
-      alive(simulation).filter(() => simulation.random() < 0.4),
+      runningMachines(simulation).filter(() => simulation.random() < 0.4),
     );
   },
   *killRecorder(simulation) {
-    const one = pick(simulation, disks(simulation));
+    const one = pick(simulation, diskMachines(simulation));
     if (one) yield* reboot(simulation, [one], simulation.random() < 0.5);
   },
   *killLeader(simulation) {
     yield* reboot(simulation, leaders(simulation), simulation.random() < 0.5);
   },
   *allRecordersLosePower(simulation) {
-    yield* reboot(simulation, disks(simulation), true);
+    yield* reboot(simulation, diskMachines(simulation), true);
   },
   *freeze(simulation) {
-    const one = pick(simulation, [...leaders(simulation), ...alive(simulation)]);
+    const one = pick(simulation, [...leaders(simulation), ...runningMachines(simulation)]);
     if (!one) return;
     const { gate } = one;
     gate.freeze();
@@ -32,7 +43,7 @@
     gate.thaw();
   },
   *rollMachines(simulation) {
-    for (const machine of alive(simulation).filter(() => simulation.random() < 0.4)) {
+    for (const machine of runningMachines(simulation).filter(() => simulation.random() < 0.4)) {
       yield* simulation.stop(machine);
       yield* rest(simulation, 100, 500);
       simulation.boot(machine);
@@ -40,7 +51,7 @@
     }
   },
   *rollFleet(simulation) {
-    for (const machine of [...smalls(simulation), ...disks(simulation)]) {
+    for (const machine of [...disklessMachines(simulation), ...diskMachines(simulation)]) {
       yield* simulation.stop(machine);
       yield* rest(simulation, 50, 200);
       simulation.boot(machine);
@@ -53,15 +64,15 @@
     yield* reboot(simulation, leaders(simulation), true);
   },
   *killAll(simulation) {
-    yield* reboot(simulation, alive(simulation), simulation.random() < 0.5);
+    yield* reboot(simulation, runningMachines(simulation), simulation.random() < 0.5);
   },
   *loseZoneWithLeader(simulation) {
     const zone = leaders(simulation)[0]?.settings.zone;
-    const some = working(simulation).filter((one) => one.zone === zone);
+    const some = workingBackends(simulation).filter((one) => one.zone === zone);
     for (const one of some) one.end();
     yield* reboot(
       simulation,
-      alive(simulation).filter(({ settings }) => settings.zone === zone),
+      runningMachines(simulation).filter(({ settings }) => settings.zone === zone),
       true,
     );
     for (const one of some) one.replace(one.service);
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -1,10 +1,10 @@
 import { Bounds } from "../../daemon/bounds.js";
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
-import type { SimMachine, Simulation } from "../simulation.js";
-import type { Fault } from "./fault.js";
-import { allFormed, disks, leaders, rest } from "./targets.js";
-import { timedOrder } from "./timed-command.js";
+import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { FaultScenario } from "./fault.js";
+import { allFormed, diskMachines, leaders, rest } from "./targets.js";
+import { timedCommand } from "./timed-command.js";
 
 /** A planned successor starts so long before the old one is told to stop, a sudden one so long after it is gone. */
 const successorMs = 1000;
@@ -14,7 +14,7 @@
 const watchMs = 50;
 
 /** One way to lose a member; it tells from when on the member no longer counts as lost. */
-type Loss = (simulation: Simulation, member: SimMachine) => Task<number>;
+type Loss = (simulation: Simulation, member: SimulatedMachine) => Task<number>;
 
 const syncMs = (simulation: Simulation): number => Bounds.of(simulation.profile).figures.catchUpMs;
 
@@ -51,9 +51,9 @@
 };
 
 /** The members to lose next: the leader first, then those that have been there longest. */
-const nextLost = (simulation: Simulation, count: number): SimMachine[] => {
+const nextLost = (simulation: Simulation, count: number): SimulatedMachine[] => {
   const led = leaders(simulation);
-  const others = disks(simulation).filter((one) => !led.includes(one));
+  const others = diskMachines(simulation).filter((one) => !led.includes(one));
   return [...led, ...others].slice(0, count);
 };
 
@@ -74,7 +74,7 @@
       })(),
     );
   yield* Clock.rest(simulation.clock, orderAfterMs);
-  simulation.start(timedOrder(simulation, name));
+  simulation.start(timedCommand(simulation, name));
   while (wholeMs.length < members.length) yield* Clock.rest(simulation.clock, watchMs);
   const untilMs = Math.max(...wholeMs);
   yield* Clock.rest(simulation.clock, Math.max(0, untilMs - simulation.time.nowMs()));
@@ -95,7 +95,7 @@
 };
 
 /** Members are replaced by empty machines, and the next are lost as soon as that is allowed. */
-export const replacementFaults: Record<string, Fault> = {
+export const replacementFaults: Record<string, FaultScenario> = {
   *replaceMembersSuddenly(simulation) {
     yield* loseInTurn(simulation, [
       ["replaced", replacedSuddenly],
--- a/src/simulation/faults/restarts.ts
+++ b/src/simulation/faults/restarts.ts
@@ -1,11 +1,11 @@
 import type { Task } from "../../runtime/task.js";
-import type { SimMachine, Simulation } from "../simulation.js";
+import type { SimulatedMachine, Simulation } from "../simulation.js";
 import { rest } from "./targets.js";
 
 /** Ends the processes of some machines at once, with their power where told, and starts them again together. */
 export const reboot = function* (
   simulation: Simulation,
-  machines: SimMachine[],
+  machines: SimulatedMachine[],
   power = false,
 ): Task {
   for (const machine of machines) simulation.kill(machine, power);
@@ -14,7 +14,7 @@
 };
 
 /** A recorder loses its disk and comes back with an empty one; only while all others hold the record. */
-export const emptyDisk = function* (simulation: Simulation, one: SimMachine): Task {
+export const emptyDisk = function* (simulation: Simulation, one: SimulatedMachine): Task {
   simulation.kill(one, true);
   one.disk?.wipe();
   yield* rest(simulation, 300, 3000);
--- a/src/simulation/faults/targets.ts
+++ b/src/simulation/faults/targets.ts
@@ -1,7 +1,7 @@
 import { Clock } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
-import type { SimMachine, Simulation } from "../simulation.js";
-import type { StandIn } from "../test-backend.js";
+import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { TestBackend } from "../test-backend.js";
 
 /** One of some items, drawn by the simulation's seed. */
 export const pick = <T>(simulation: Simulation, items: readonly T[]): T | undefined =>
@@ -12,37 +12,37 @@
   Clock.rest(simulation.clock, leastMs + simulation.random() * (mostMs - leastMs));
 
 /** The machines whose process runs and was not told to stop. */
-export const alive = (simulation: Simulation): SimMachine[] =>
+export const runningMachines = (simulation: Simulation): SimulatedMachine[] =>
   simulation.machines.filter(({ gate, isStopping }) => gate.isAlive && !isStopping);
 
 /** Those of them that have a disk. */
-export const disks = (simulation: Simulation): SimMachine[] =>
-  alive(simulation).filter(({ disk }) => disk);
+export const diskMachines = (simulation: Simulation): SimulatedMachine[] =>
+  runningMachines(simulation).filter(({ disk }) => disk);
 
 /** Those of them that have none. */
-export const smalls = (simulation: Simulation): SimMachine[] =>
-  alive(simulation).filter(({ disk }) => !disk);
+export const disklessMachines = (simulation: Simulation): SimulatedMachine[] =>
+  runningMachines(simulation).filter(({ disk }) => !disk);
 
 /** The back ends that run and announce themselves. */
-export const working = (simulation: Simulation): StandIn[] =>
+export const workingBackends = (simulation: Simulation): TestBackend[] =>
   simulation.standIns.filter(({ isUp, isAnnouncing }) => isUp && isAnnouncing);
 
 /** The replicated-log members that take themselves for the leader. */
-export const leaders = (simulation: Simulation): SimMachine[] =>
-  disks(simulation).filter(({ daemon }) => daemon?.recorder?.status.role === "leader");
+export const leaders = (simulation: Simulation): SimulatedMachine[] =>
+  diskMachines(simulation).filter(({ daemon }) => daemon?.recorder?.status.role === "leader");
 
 /** Where a machine is, as the network names it. */
-export const placeOf = ({ settings }: SimMachine): string => settings.machine;
+export const machineNameOf = ({ settings }: SimulatedMachine): string => settings.machine;
 
 /** Whether any way between two members of the replicated log is cut. */
 const areMembersCut = (simulation: Simulation): boolean => {
-  const places = disks(simulation).map(placeOf);
+  const places = diskMachines(simulation).map(machineNameOf);
   return places.some((from) => places.some((to) => simulation.network.isCut(from, to)));
 };
 
 /** Whether all machines with a disk are whole members of the log, none is cut off, replaced or emptied, and one leads. */
 export const allFormed = (simulation: Simulation): boolean => {
-  const whole = disks(simulation);
+  const whole = diskMachines(simulation);
   return (
     !simulation.isLosingDisk &&
     whole.length === simulation.profile.diskMachines &&
--- a/src/simulation/faults/timed-command.ts
+++ b/src/simulation/faults/timed-command.ts
@@ -2,11 +2,11 @@
 import type { Simulation } from "../simulation.js";
 
 /** An operator changes the configuration; how long that took goes into the ledger. */
-export const timedOrder = function* (simulation: Simulation, during: string): Task {
+export const timedCommand = function* (simulation: Simulation, during: string): Task {
   const { ledger, time, day } = simulation;
   const atMs = time.nowMs();
   const change = day.operators.prepare();
-  yield* day.operators.submit(change, { patienceMs: operatorPatienceMs });
+  yield* day.operators.submit(change, { patienceMs: OPERATOR_PATIENCE_MS });
   const order = ledger.configOrders.find(({ probe }) => probe === change.probe);
   ledger.world.push({
     kind: "orderedDuring",
@@ -18,4 +18,4 @@
 };
 
 /** After so long without an answer an operator turns to another daemon. */
-export const operatorPatienceMs = 1000;
+export const OPERATOR_PATIENCE_MS = 1000;
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -1,15 +1,15 @@
 import { Config, safeMethods } from "../configuration/config.js";
-import { Mappings } from "../cluster-view/route-table.js";
+import { RouteTable } from "../cluster-view/route-table.js";
 import { configHistoryFaults } from "./config-history-check.js";
-import { Ledger, type CallerRecord, type RunRecord } from "./event-recorder.js";
+import { EventRecorder, type ClientRecord, type RunRecord } from "./event-recorder.js";
 
 /** A rule that was broken, and by what. */
-export interface Breach {
+export interface RuleViolation {
   rule: string;
   what: string;
 }
 
-type Rule = (ledger: Ledger) => Iterable<string>;
+type Rule = (ledger: EventRecorder) => Iterable<string>;
 
 const keyMs = 60_000;
 const leftMs = 2000;
@@ -35,7 +35,7 @@
   return groups;
 };
 
-const succeeded = (record: CallerRecord): boolean => record.code >= 200 && record.code < 300;
+const succeeded = (record: ClientRecord): boolean => record.code >= 200 && record.code < 300;
 
 const keyRanOnce: Rule = function* (ledger) {
   const byKey = groupBy(ledger.runs, (run) =>
@@ -79,7 +79,7 @@
 
 /** The most further tries that any window held, against what it might. */
 export const worstRepeats = (
-  ledger: Ledger,
+  ledger: EventRecorder,
 ): Map<string, { further: number; requests: number; allowed: number }> => {
   const worst = new Map<string, { further: number; requests: number; allowed: number }>();
   const seen = new Set<string>();
@@ -121,7 +121,7 @@
         yield `${left.address} got work ${Math.round(run.atMs - left.atMs)} ms after its leave was heard`;
 };
 
-const probed = (record: CallerRecord): number | undefined => {
+const probed = (record: ClientRecord): number | undefined => {
   const number = probe.exec(record.path)?.[1];
   return number === undefined ? undefined : Number(number);
 };
@@ -172,7 +172,7 @@
   const configs = ledger
     .of("sent")
     .filter((record) => !rejected.has(record.probe))
-    .map(({ text }) => new Mappings(Config.parse(text)));
+    .map(({ text }) => new RouteTable(Config.parse(text)));
   const known = new Map<string, Set<string>>();
   for (const run of ledger.runs) {
     const name = `${run.method} ${run.path}`;
@@ -238,7 +238,7 @@
 };
 
 /** The part of requests sent in a time that were served. */
-export const servedPart = (ledger: Ledger, fromMs: number, untilMs: number): number => {
+export const servedPart = (ledger: EventRecorder, fromMs: number, untilMs: number): number => {
   const sent = ledger.callers.filter(
     ({ sentMs, path }) => sentMs >= fromMs && sentMs < untilMs && !probe.test(path),
   );
@@ -278,7 +278,7 @@
 };
 
 /** Judges a run by all rules. */
-export const judge = (ledger: Ledger): Breach[] =>
+export const checkRules = (ledger: EventRecorder): RuleViolation[] =>
   Object.entries(rules).flatMap(([rule, find]) =>
     [...find(ledger)].map((what) => ({ rule, what })),
   );
--- a/src/simulation/main.ts
+++ b/src/simulation/main.ts
@@ -2,7 +2,7 @@
 import { writeFileSync } from "node:fs";
 import { faults } from "./faults.js";
 import { Profile } from "./profile.js";
-import { rehearse } from "./simulated-day.js";
+import { simulateDay } from "./simulated-day.js";
 
 interface Options {
   profile: string;
@@ -37,7 +37,7 @@
     const startedMs = performance.now();
     for (const profile of profiles) {
       for (let seed = from; seed <= to; seed += 1) {
-        const day = rehearse({
+        const day = simulateDay({
           profile,
           seed,
           dayMs: options.seconds * 1000,
--- a/src/simulation/random-draw.ts
+++ b/src/simulation/random-draw.ts
@@ -1,5 +1,5 @@
 /** A seeded source of numbers. */
-export const Draw = {
+export const RandomDraw = {
   /** Numbers from 0 up to 1, the same ones for the same seed. */
   of(seed: number): () => number {
     let state = (seed * 2654435761) >>> 0 || 1;
--- a/src/simulation/simulated-day.ts
+++ b/src/simulation/simulated-day.ts
@@ -1,18 +1,18 @@
 import { Clock } from "../runtime/clock.js";
-import type { Waits } from "../replication/replication-node.js";
+import type { ReplicationTimeouts } from "../replication/replication-node.js";
 import type { Task } from "../runtime/task.js";
-import { Draw } from "./random-draw.js";
-import { FaultDraw } from "./fault-selection.js";
+import { RandomDraw } from "./random-draw.js";
+import { FaultSelection } from "./fault-selection.js";
 import { faults } from "./faults.js";
-import { judge, servedPart, worstRepeats, type Breach } from "./invariant-checker.js";
+import { checkRules, servedPart, worstRepeats, type RuleViolation } from "./invariant-checker.js";
 import type { Profile } from "./profile.js";
 import { Simulation } from "./simulation.js";
 
 /** What one rehearsed day came to. */
-export interface Rehearsed {
+export interface SimulatedDay {
   readonly simulation: Simulation;
   readonly faults: string[];
-  readonly breaches: Breach[];
+  readonly breaches: RuleViolation[];
   readonly served: number;
   readonly requests: number;
   readonly configs: number;
@@ -21,7 +21,7 @@
 }
 
 /** How a day is rehearsed. */
-export interface RehearsalOptions {
+export interface SimulationOptions {
   readonly profile: Profile;
   readonly seed: number;
   /** How long failures go on. */
@@ -33,7 +33,7 @@
   /** How many failures may strike at once; two where it isn't set. */
   readonly atOnce?: number;
   /** Waits of the replicated log that differ from what the bounds make of them. */
-  readonly waits?: Partial<Waits>;
+  readonly waits?: Partial<ReplicationTimeouts>;
 }
 
 const settleMs = 8000;
@@ -41,7 +41,7 @@
 const nothingDrawnMs = 1000;
 
 /** Rehearses one day: a fleet comes up, failures strike by seed, one last fault, then recovery; and judges it. */
-export const rehearse = ({
+export const simulateDay = ({
   profile,
   seed,
   dayMs,
@@ -49,11 +49,11 @@
   only,
   atOnce = 2,
   waits = {},
-}: RehearsalOptions): Rehearsed => {
+}: SimulationOptions): SimulatedDay => {
   const simulation = new Simulation(profile, seed, rateFactor, waits);
-  const random = Draw.of(seed + 7919);
+  const random = RandomDraw.of(seed + 7919);
   const struck: string[] = [];
-  const draw = new FaultDraw(only ?? [], random);
+  const draw = new FaultSelection(only ?? [], random);
 
   const strike = function* (): Task {
     const name = draw.begin();
@@ -118,7 +118,7 @@
   return {
     simulation,
     faults: struck,
-    breaches: judge(ledger),
+    breaches: checkRules(ledger),
     served: servedPart(ledger, settleMs, ledger.endMs),
     requests: ledger.callers.length,
     configs: ledger.of("accepted").length,
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -1,33 +1,33 @@
-import type { BackEnds } from "../proxy/upstream/backend-client.js";
-import type { Caller, Job } from "../proxy/proxy-request.js";
-import type { Return } from "../proxy/request-outcome.js";
+import type { BackendClient } from "../proxy/upstream/backend-client.js";
+import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
+import type { ClientResponse } from "../proxy/request-outcome.js";
 import { Clock } from "../runtime/clock.js";
 import { Daemon } from "../daemon/daemon.js";
 import type { Settings } from "../daemon/settings.js";
-import type { Waits } from "../replication/replication-node.js";
+import type { ReplicationTimeouts } from "../replication/replication-node.js";
 import { Task } from "../runtime/task.js";
-import { callerWaitMs, Day } from "./workload.js";
-import type { CallerEnd, Outside } from "./client-transport.js";
-import { Draw } from "./random-draw.js";
-import { Gate } from "./event-gate.js";
-import { Ledger } from "./event-recorder.js";
+import { CLIENT_TIMEOUT_MS, Workload } from "./workload.js";
+import type { ClientSide, ClientTransport } from "./client-transport.js";
+import { RandomDraw } from "./random-draw.js";
+import { EventGate } from "./event-gate.js";
+import { EventRecorder } from "./event-recorder.js";
 import type { Profile } from "./profile.js";
-import { StandIn } from "./test-backend.js";
-import { virtualBackEnds } from "./virtual-backends.js";
+import { TestBackend } from "./test-backend.js";
+import { virtualBackends } from "./virtual-backends.js";
 import { VirtualClock } from "./virtual-clock.js";
 import { VirtualDisk } from "./virtual-disk.js";
 import { VirtualNetwork } from "./virtual-network.js";
-import { virtualWorld } from "./virtual-runtime.js";
+import { virtualRuntime } from "./virtual-runtime.js";
 
 /** One machine of a simulated fleet. */
-export interface SimMachine {
+export interface SimulatedMachine {
   readonly settings: Settings;
   readonly disk: VirtualDisk | undefined;
   readonly offsetMs: number;
   readonly rate: number;
   /** How far its wall clock has jumped. */
   wallJumpMs: number;
-  gate: Gate;
+  gate: EventGate;
   daemon: Daemon | undefined;
   isStopping: boolean;
   /** Whether it is gone for good, so that it never starts again. */
@@ -47,15 +47,15 @@
 }
 
 /** Where callers are, as the network names it. */
-export const callersPlace = "callers";
+export const CLIENTS_LOCATION = "callers";
 /** Where operators are. */
-export const operatorsPlace = "operators";
+export const OPERATORS_LOCATION = "operators";
 /** How long a call of an operator or a back end waits for its answer where it says nothing else. */
 const deskWaitMs = 5000;
 /** How often an operator reads the configuration. */
 const readEveryMs = 300;
 const peerPort = 7000;
-const outsideGate = new Gate();
+const outsideGate = new EventGate();
 /** Small, so that a day sees many checkpoints. */
 const simCheckpointBytes = 60_000;
 
@@ -65,25 +65,30 @@
   readonly clock: Clock;
   readonly random: () => number;
   readonly network: VirtualNetwork;
-  readonly ledger = new Ledger();
-  readonly machines: SimMachine[];
-  readonly standIns: StandIn[] = [];
-  readonly day: Day;
+  readonly ledger = new EventRecorder();
+  readonly machines: SimulatedMachine[];
+  readonly standIns: TestBackend[] = [];
+  readonly day: Workload;
   readonly profile: Profile;
   readonly lines: string[] = [];
   /** The part of answers to operators that is lost on the way. */
   lostAnswerPart = 0;
   /** Hears which machine has just sent an operator a 200 to an order. */
-  onAcknowledged: (machine: SimMachine) => void = () => undefined;
+  onAcknowledged: (machine: SimulatedMachine) => void = () => undefined;
   /** Whether a failure that takes a member's disk away is under way; only one may be at once. */
   isLosingDisk = false;
-  private readonly waits: Partial<Waits>;
+  private readonly waits: Partial<ReplicationTimeouts>;
 
-  constructor(profile: Profile, seed: number, rateFactor: number, waits: Partial<Waits> = {}) {
+  constructor(
+    profile: Profile,
+    seed: number,
+    rateFactor: number,
+    waits: Partial<ReplicationTimeouts> = {},
+  ) {
     this.profile = profile;
     this.waits = { checkpointBytes: simCheckpointBytes, ...waits };
     this.clock = this.time.clock();
-    this.random = Draw.of(seed);
+    this.random = RandomDraw.of(seed);
     this.network = new VirtualNetwork(this.clock, this.random);
     const count = profile.diskMachines + profile.smallMachines;
     this.machines = Array.from({ length: count }, (_, at) => {
@@ -100,7 +105,7 @@
     for (const [service, many] of Object.entries(profile.backEnds))
       for (let at = 0; at < many; at += 1)
         this.standIns.push(
-          new StandIn(
+          new TestBackend(
             `10.1.0.1:${(port += 1)}`,
             profile.zones[at % profile.zones.length] ?? "",
             service,
@@ -109,11 +114,11 @@
             bodyBytes,
           ),
         );
-    this.day = new Day(this.outside(), profile, this.ledger, rateFactor);
+    this.day = new Workload(this.outside(), profile, this.ledger, rateFactor);
   }
 
   /** A machine as it is before its first start, at the address that its number gives it. */
-  private laid({ at, zone, hasDisk, isSpare = false }: Laying): SimMachine {
+  private laid({ at, zone, hasDisk, isSpare = false }: Laying): SimulatedMachine {
     const address = (port: number): string => `10.0.0.${at + 1}:${port}`;
     const { tolerate, bounds } = this.profile;
     const settings: Settings = {
@@ -127,7 +132,7 @@
       ...(tolerate === undefined ? {} : { tolerate }),
       ...(bounds === undefined ? {} : { bounds }),
     };
-    const gate = new Gate();
+    const gate = new EventGate();
     const offsetMs = this.random() * 1e7;
     const rate = 1 + (this.random() - 0.5) * 0.002;
     const disk = hasDisk
@@ -157,7 +162,7 @@
   }
 
   /** A new machine comes up in a zone, with an empty disk, at an address that none had before. */
-  addSpare(zone: string): SimMachine {
+  addSpare(zone: string): SimulatedMachine {
     const machine = this.laid({ at: this.machines.length, zone, hasDisk: true, isSpare: true });
     this.machines.push(machine);
     this.boot(machine);
@@ -165,7 +170,7 @@
   }
 
   /** A machine is gone for good, and its disk with it. */
-  remove(machine: SimMachine): void {
+  remove(machine: SimulatedMachine): void {
     this.kill(machine, true);
     machine.disk?.wipe();
     machine.isRemoved = true;
@@ -187,14 +192,14 @@
   }
 
   /** Starts a machine's process, unless it runs. */
-  boot(machine: SimMachine): void {
+  boot(machine: SimulatedMachine): void {
     if (machine.daemon || machine.isRemoved) return;
-    const gate = new Gate();
+    const gate = new EventGate();
     machine.gate = gate;
     machine.isStopping = false;
     const clock = this.machineClock(gate, machine.offsetMs, machine.rate);
     machine.disk?.restart(clock);
-    const world = virtualWorld({
+    const world = virtualRuntime({
       clock,
       wire: this.network.wire(machine.settings.machine, gate),
       disk: machine.disk,
@@ -219,7 +224,7 @@
   }
 
   /** The process dies at once; with `power`, what was not synced is lost or torn. */
-  kill(machine: SimMachine, power = false): void {
+  kill(machine: SimulatedMachine, power = false): void {
     if (!machine.gate.isAlive) return;
     machine.gate.kill();
     machine.daemon = undefined;
@@ -236,7 +241,7 @@
   }
 
   /** The machine is told to stop, and its process ends once drained. */
-  *stop(machine: SimMachine): Task {
+  *stop(machine: SimulatedMachine): Task {
     const { daemon, gate } = machine;
     if (!daemon || machine.isStopping) return;
     const atMs = this.time.nowMs();
@@ -260,15 +265,15 @@
     throw error;
   };
 
-  private machineClock(gate: Gate, offsetMs: number, rate: number): Clock {
+  private machineClock(gate: EventGate, offsetMs: number, rate: number): Clock {
     return gate.clock(this.time.clock(offsetMs, rate));
   }
 
-  private machine(name: string): SimMachine | undefined {
+  private machine(name: string): SimulatedMachine | undefined {
     return this.machines.find(({ settings }) => settings.machine === name);
   }
 
-  private outside(): Outside {
+  private outside(): ClientTransport {
     return {
       clock: this.clock,
       random: this.random,
@@ -287,10 +292,10 @@
   }
 
   /** Sends one request to a daemon as a caller does, who hangs up after a while. */
-  *call(name: string, job: Job, patienceMs: number): Task<CallerEnd> {
+  *call(name: string, job: ProxyRequest, patienceMs: number): Task<ClientSide> {
     const machine = this.machine(name);
     const { network, clock, random } = this;
-    const broken = (broke: CallerEnd["broke"]): CallerEnd => ({
+    const broken = (broke: ClientSide["broke"]): ClientSide => ({
       code: 0,
       broke,
       body: Buffer.alloc(0),
@@ -298,11 +303,11 @@
       retryAfterS: undefined,
     });
     let hangUp = (): void => undefined;
-    const end = yield* Clock.within<CallerEnd>(clock, patienceMs, (done) => {
-      const back = (outcome: CallerEnd): void =>
+    const end = yield* Clock.within<ClientSide>(clock, patienceMs, (done) => {
+      const back = (outcome: ClientSide): void =>
         network.deliver(
           name,
-          callersPlace,
+          CLIENTS_LOCATION,
           outsideGate,
           () => done(outcome),
           () => done(broken("silent")),
@@ -312,7 +317,7 @@
         const { daemon, gate } = machine;
         let isGone = false;
         let open: { code: number; headers: Record<string, string>; pieces: Buffer[] } | undefined;
-        const finish = (outcome: CallerEnd): void => {
+        const finish = (outcome: ClientSide): void => {
           isGone = true;
           machine.gone.delete(gone);
           back(outcome);
@@ -321,7 +326,7 @@
         machine.gone.add(gone);
         hangUp = () =>
           network.deliver(
-            callersPlace,
+            CLIENTS_LOCATION,
             name,
             gate,
             () => {
@@ -330,7 +335,11 @@
             },
             () => undefined,
           );
-        const ended = (code: number, headers: Record<string, string>, body: Buffer): CallerEnd => ({
+        const ended = (
+          code: number,
+          headers: Record<string, string>,
+          body: Buffer,
+        ): ClientSide => ({
           code,
           broke: "",
           body,
@@ -338,7 +347,7 @@
           retryAfterS:
             headers["retry-after"] === undefined ? undefined : Number(headers["retry-after"]),
         });
-        const caller: Caller = {
+        const caller: ClientConnection = {
           get isGone() {
             return isGone;
           },
@@ -366,29 +375,29 @@
         gate.pass(() => daemon.callers.put({ job, caller }));
       };
       clock.after(network.connectMs(), () =>
-        network.deliver(callersPlace, name, outsideGate, arrive, () => done(broken("silent"))),
+        network.deliver(CLIENTS_LOCATION, name, outsideGate, arrive, () => done(broken("silent"))),
       );
     });
     if (end) return end;
     hangUp();
-    return broken(patienceMs < callerWaitMs ? "hungUp" : "silent");
+    return broken(patienceMs < CLIENT_TIMEOUT_MS ? "hungUp" : "silent");
   }
 
   private *desk(
     name: string | undefined,
-    job: Job,
-    from = operatorsPlace,
+    job: ProxyRequest,
+    from = OPERATORS_LOCATION,
     patienceMs = deskWaitMs,
-  ): Task<Return | undefined> {
+  ): Task<ClientResponse | undefined> {
     const open = this.machines.filter((one) => one.daemon !== undefined);
     const machine =
       name === undefined ? open[Math.floor(this.random() * open.length)] : this.machine(name);
     if (!machine) return undefined;
     const { network } = this;
     const place = machine.settings.machine;
-    return yield* Clock.within<Return | undefined>(this.clock, patienceMs, (done) => {
-      const back = (ret: Return | undefined): void => {
-        if (from === operatorsPlace && ret && this.random() < this.lostAnswerPart) return;
+    return yield* Clock.within<ClientResponse | undefined>(this.clock, patienceMs, (done) => {
+      const back = (ret: ClientResponse | undefined): void => {
+        if (from === OPERATORS_LOCATION && ret && this.random() < this.lostAnswerPart) return;
         network.deliver(
           place,
           from,
@@ -397,7 +406,7 @@
           () => done(undefined),
         );
       };
-      const give = (ret: Return): void => {
+      const give = (ret: ClientResponse): void => {
         back(ret);
         if (ret.code === 200 && job.method === "PUT") this.onAcknowledged(machine);
       };
@@ -411,8 +420,8 @@
     });
   }
 
-  private backEnds(machine: SimMachine, gate: Gate, own: Clock): BackEnds {
-    return virtualBackEnds({
+  private backEnds(machine: SimulatedMachine, gate: EventGate, own: Clock): BackendClient {
+    return virtualBackends({
       place: machine.settings.machine,
       gate,
       own,
--- a/src/simulation/test-backend.ts
+++ b/src/simulation/test-backend.ts
@@ -1,5 +1,5 @@
-import type { BackJob } from "../proxy/upstream/backend-client.js";
-import type { Ledger } from "./event-recorder.js";
+import type { BackendRequest } from "../proxy/upstream/backend-client.js";
+import type { EventRecorder } from "./event-recorder.js";
 
 /** What a stand-in back end sends back, and when. */
 export interface Reply {
@@ -16,7 +16,7 @@
 }
 
 /** How a stand-in misbehaves, each a part of its requests. */
-export interface Manners {
+export interface InjectedBehavior {
   slowFactor: number;
   losesPart: number;
   garbagePart: number;
@@ -27,7 +27,7 @@
   onlyFrom: string;
 }
 
-const honest: Manners = {
+const honest: InjectedBehavior = {
   slowFactor: 1,
   losesPart: 0,
   garbagePart: 0,
@@ -39,16 +39,16 @@
 const mostAgainMs = 60;
 
 /** A back end of our own: it runs requests, records each, and misbehaves when told to. */
-export class StandIn {
+export class TestBackend {
   readonly address: string;
   readonly zone: string;
   service: string;
   incarnation = 1;
-  manners: Manners = { ...honest };
+  manners: InjectedBehavior = { ...honest };
   isAnnouncing = true;
   private up = true;
   private readonly ends = new Set<() => void>();
-  private readonly ledger: Ledger;
+  private readonly ledger: EventRecorder;
   private readonly random: () => number;
   private readonly bodyBytes: ReadonlyMap<string, number>;
 
@@ -56,7 +56,7 @@
     address: string,
     zone: string,
     service: string,
-    ledger: Ledger,
+    ledger: EventRecorder,
     random: () => number,
     bodyBytes: ReadonlyMap<string, number>,
   ) {
@@ -94,12 +94,12 @@
     this.isAnnouncing = true;
   }
 
-  behave(manners: Partial<Manners>): void {
+  behave(manners: Partial<InjectedBehavior>): void {
     this.manners = { ...honest, ...manners };
   }
 
   /** Runs one request, which the network may have kept back for a while. */
-  run(job: BackJob, nowMs: number, heldMs = 0): Reply {
+  run(job: BackendRequest, nowMs: number, heldMs = 0): Reply {
     const caller = job.headers["x-caller"] ?? "";
     const path = job.path.split("?")[0] ?? "";
     const meant = job.headers["x-daledoor-service"] ?? "";
--- a/src/simulation/unreachable-backends.ts
+++ b/src/simulation/unreachable-backends.ts
@@ -1,7 +1,7 @@
-import type { BackEnds } from "../proxy/upstream/backend-client.js";
+import type { BackendClient } from "../proxy/upstream/backend-client.js";
 
 /** Where no back end listens. */
-export const noBackEnds: BackEnds = {
+export const unreachableBackends: BackendClient = {
   *send() {
     return "refused";
   },
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -1,18 +1,18 @@
 import {
-  connectMs,
-  type BackEnds,
-  type BackTry,
-  type Opened,
+  CONNECT_TIMEOUT_MS,
+  type BackendClient,
+  type BackendAttempt,
+  type OpenResult,
 } from "../proxy/upstream/backend-client.js";
 import type { Clock } from "../runtime/clock.js";
 import { Task } from "../runtime/task.js";
-import { Gate } from "./event-gate.js";
-import type { Reply, StandIn } from "./test-backend.js";
+import { EventGate } from "./event-gate.js";
+import type { Reply, TestBackend } from "./test-backend.js";
 import type { VirtualNetwork } from "./virtual-network.js";
 
 /** One connection of a daemon to the process that a stand-in was when it opened. */
 interface Line {
-  readonly standIn: StandIn;
+  readonly standIn: TestBackend;
   readonly incarnation: number;
   /** Whether the daemon has heard that it broke. */
   isOver: boolean;
@@ -21,21 +21,21 @@
 }
 
 /** What the virtual back ends of one machine are made of. */
-export interface BackEndParts {
+export interface VirtualBackendOptions {
   readonly place: string;
-  readonly gate: Gate;
+  readonly gate: EventGate;
   /** The machine's clock, by which a try's time is over. */
   readonly own: Clock;
   readonly clock: Clock;
   readonly network: VirtualNetwork;
   readonly random: () => number;
-  readonly standInAt: (address: string) => StandIn | undefined;
+  readonly standInAt: (address: string) => TestBackend | undefined;
 }
 
-const outside = new Gate();
+const outside = new EventGate();
 
 /** The back ends as one machine of a simulated fleet reaches them: over connections that are slow, cut and broken like real ones. */
-export const virtualBackEnds = ({
+export const virtualBackends = ({
   place,
   gate,
   own,
@@ -43,12 +43,12 @@
   network,
   random,
   standInAt,
-}: BackEndParts): BackEnds => {
+}: VirtualBackendOptions): BackendClient => {
   const idle = new Map<string, Line[]>();
 
   const isWhole = ({ standIn, incarnation }: Line): boolean =>
     standIn.isUp && standIn.incarnation === incarnation;
-  const lineTo = (standIn: StandIn): Line => {
+  const lineTo = (standIn: TestBackend): Line => {
     const line: Line = {
       standIn,
       incarnation: standIn.incarnation,
@@ -72,7 +72,7 @@
   const proven = function* ({
     address,
     service,
-  }: BackTry): Task<Line | "refused" | "foreign" | "unreached"> {
+  }: BackendAttempt): Task<Line | "refused" | "foreign" | "unreached"> {
     return yield* Task.wait<Line | "refused" | "foreign" | "unreached">((done) => {
       let isOver = false;
       const give = (outcome: Line | "refused" | "foreign" | "unreached"): void => {
@@ -81,7 +81,7 @@
         cancel();
         gate.pass(() => done(outcome));
       };
-      const cancel = clock.after(connectMs, () => give("unreached"));
+      const cancel = clock.after(CONNECT_TIMEOUT_MS, () => give("unreached"));
       const back = (outcome: Line | "refused" | "foreign" | "unreached"): void =>
         network.deliver(
           address,
@@ -110,19 +110,19 @@
     });
   };
 
-  const sent = function* (line: Line, { job, untilMs, pool }: BackTry): Task<Opened> {
+  const sent = function* (line: Line, { job, untilMs, pool }: BackendAttempt): Task<OpenResult> {
     const { standIn } = line;
     const { address } = standIn;
-    return yield* Task.wait<Opened>((done) => {
+    return yield* Task.wait<OpenResult>((done) => {
       let isOver = false;
-      const give = (opened: Opened): void => {
+      const give = (opened: OpenResult): void => {
         if (isOver) return;
         isOver = true;
         cancel();
         gate.pass(() => done(opened));
       };
       const cancel = clock.after(untilMs - own.nowMs(), () => give("late"));
-      const back = (opened: Opened): void =>
+      const back = (opened: OpenResult): void =>
         network.deliver(
           address,
           place,
@@ -164,7 +164,7 @@
       clock.after(againMs, () => answer(line, { ...reply, againMs: undefined }, () => undefined));
   };
 
-  const replied = (line: Line, reply: Reply, pool: string): Opened => {
+  const replied = (line: Line, reply: Reply, pool: string): OpenResult => {
     const { address } = line.standIn;
     const body = reply.body.subarray(0, reply.cutAt ?? reply.body.length);
     let at = 0;
--- a/src/simulation/virtual-disk.ts
+++ b/src/simulation/virtual-disk.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../runtime/clock.js";
 import { Clock as Clocks } from "../runtime/clock.js";
-import { DiskBreakdown, type Disk } from "../runtime/disk.js";
+import { DiskError, type Disk } from "../runtime/disk.js";
 import { Task } from "../runtime/task.js";
 
 /** A disk in memory: what was not synced when the power went is gone, or half there. */
@@ -100,7 +100,7 @@
   private *lasting(name: string, bytes: Buffer, keptBytes: number): Task {
     const addedBytes = bytes.length - this.peek(name).length;
     if (addedBytes > 0 && (this.full || this.heldBytes + addedBytes > this.capacityBytes))
-      throw new DiskBreakdown("The disk is full.");
+      throw new DiskError("The disk is full.");
     this.writing = { name, bytes, keptBytes };
     yield* this.rest();
     this.writing = undefined;
--- a/src/simulation/virtual-network.ts
+++ b/src/simulation/virtual-network.ts
@@ -1,12 +1,12 @@
 import type { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
 import { Task } from "../runtime/task.js";
-import type { Channel, Wire } from "../runtime/network.js";
-import type { Gate } from "./event-gate.js";
+import type { Connection, Network } from "../runtime/network.js";
+import type { EventGate } from "./event-gate.js";
 
 interface End {
   readonly place: string;
-  readonly gate: Gate;
+  readonly gate: EventGate;
   readonly incoming: Queue<Uint8Array | "closed">;
   isOpen: boolean;
   /** When the last piece on its way to this end arrives, so that pieces keep their order. */
@@ -22,7 +22,7 @@
   private readonly random: () => number;
   private readonly listeners = new Map<
     string,
-    { place: string; gate: Gate; accept: (channel: Channel) => void }
+    { place: string; gate: EventGate; accept: (channel: Connection) => void }
   >();
   private readonly ends = new Set<End>();
   private readonly cuts = new Map<string, number>();
@@ -89,7 +89,7 @@
   deliver(
     from: string,
     to: string,
-    gate: Gate,
+    gate: EventGate,
     run: () => void,
     failed: () => void,
     waitMs = this.tripMs(),
@@ -103,28 +103,28 @@
   }
 
   /** The wire of one machine. */
-  wire(place: string, gate: Gate): Wire {
-    const listen = (address: string, accept: (channel: Channel) => void): unknown =>
+  wire(place: string, gate: EventGate): Network {
+    const listen = (address: string, accept: (channel: Connection) => void): unknown =>
       this.listeners.set(address, { place, gate, accept });
-    const connect = (address: string, done: (channel: Channel | undefined) => void): void =>
+    const connect = (address: string, done: (channel: Connection | undefined) => void): void =>
       this.connect(place, gate, address, done);
     return {
       *listen(address, accept) {
         listen(address, accept);
       },
       *connect(address) {
-        return yield* Task.wait<Channel | undefined>((done) => connect(address, done));
+        return yield* Task.wait<Connection | undefined>((done) => connect(address, done));
       },
     };
   }
 
   private connect(
     place: string,
-    gate: Gate,
+    gate: EventGate,
     address: string,
-    done: (channel: Channel | undefined) => void,
+    done: (channel: Connection | undefined) => void,
   ): void {
-    const give = (channel: Channel | undefined, waitMs: number): unknown =>
+    const give = (channel: Connection | undefined, waitMs: number): unknown =>
       this.clock.after(waitMs, () => gate.pass(() => done(channel)));
     const listener = this.listeners.get(address);
     if (!listener?.gate.isAlive) return void give(undefined, 2 * this.tripMs());
@@ -149,7 +149,7 @@
     give(this.channel(near, far), 2 * this.tripMs() + 0.5 + this.connectMs());
   }
 
-  private channel(own: End, other: End): Channel {
+  private channel(own: End, other: End): Connection {
     return {
       incoming: own.incoming,
       send: (bytes) => {
--- a/src/simulation/virtual-runtime.ts
+++ b/src/simulation/virtual-runtime.ts
@@ -1,13 +1,13 @@
-import type { Wire } from "../runtime/network.js";
+import type { Network } from "../runtime/network.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Disk } from "../runtime/disk.js";
-import { Logbook } from "../runtime/logger.js";
-import type { World } from "../runtime/runtime.js";
+import { LoggerFactory } from "../runtime/logger.js";
+import type { Runtime } from "../runtime/runtime.js";
 
 /** What a virtual world is made of; what isn't named is absent or silent. */
-export interface VirtualParts {
+export interface VirtualRuntimeOptions {
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly wire: Network;
   readonly random: () => number;
   readonly disk?: Disk | undefined;
   readonly lines?: (line: string) => void;
@@ -15,18 +15,18 @@
 }
 
 /** A world on virtual parts, in which a task that breaks off ends the run. */
-export const virtualWorld = ({
+export const virtualRuntime = ({
   clock,
   wire,
   random,
   disk,
   lines = () => undefined,
   wallTime = () => new Date(0),
-}: VirtualParts): World => ({
+}: VirtualRuntimeOptions): Runtime => ({
   clock,
   wire,
   disk,
-  logbook: Logbook.into(lines),
+  logbook: LoggerFactory.into(lines),
   broken: (_part, error) => {
     throw error;
   },
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -1,15 +1,15 @@
 import { string, type, type Struct } from "superstruct";
-import type { Job } from "../proxy/proxy-request.js";
+import type { ProxyRequest } from "../proxy/proxy-request.js";
 import { Clock } from "../runtime/clock.js";
 import { Task } from "../runtime/task.js";
-import { ConfigOrders } from "./config-workload.js";
-import type { Outside } from "./client-transport.js";
-import type { CallerRecord, Ledger } from "./event-recorder.js";
+import { ConfigWorkload } from "./config-workload.js";
+import type { ClientTransport } from "./client-transport.js";
+import type { ClientRecord, EventRecorder } from "./event-recorder.js";
 import type { Profile, Traffic } from "./profile.js";
-import type { StandIn } from "./test-backend.js";
+import type { TestBackend } from "./test-backend.js";
 
 /** How long a patient caller waits. */
-export const callerWaitMs = 9000;
+export const CLIENT_TIMEOUT_MS = 9000;
 /** Which part of requests is sent over a connection that was kept, to whatever daemon it leads to. */
 const keptPart = 0.3;
 /** Which part of callers hangs up before long. */
@@ -32,25 +32,30 @@
 };
 
 /** What happens around the fleet in a day: callers, back ends and operators at their work. */
-export class Day {
-  private readonly outside: Outside;
+export class Workload {
+  private readonly outside: ClientTransport;
   private readonly profile: Profile;
-  private readonly ledger: Ledger;
+  private readonly ledger: EventRecorder;
   private readonly rateFactor: number;
   private calls = 0;
   private kept: string[] = [];
   /** The operators of the fleet. */
-  readonly operators: ConfigOrders;
+  readonly operators: ConfigWorkload;
   isOver = false;
   /** How many times the usual number of callers come now. */
   crowd = 1;
 
-  constructor(outside: Outside, profile: Profile, ledger: Ledger, rateFactor: number) {
+  constructor(
+    outside: ClientTransport,
+    profile: Profile,
+    ledger: EventRecorder,
+    rateFactor: number,
+  ) {
     this.outside = outside;
     this.profile = profile;
     this.ledger = ledger;
     this.rateFactor = rateFactor;
-    this.operators = new ConfigOrders(outside, profile, ledger, () => this.isOver);
+    this.operators = new ConfigWorkload(outside, profile, ledger, () => this.isOver);
   }
 
   /** Callers of one kind, each request at a time of its own. */
@@ -85,7 +90,7 @@
   }
 
   /** A back end's announcements, for as long as it makes any. */
-  *announcing(standIn: StandIn, everyMs: number): Task {
+  *announcing(standIn: TestBackend, everyMs: number): Task {
     while (!this.isOver) {
       if (standIn.isAnnouncing && standIn.isUp) {
         const { service, address, zone, incarnation } = standIn;
@@ -112,7 +117,7 @@
   }
 
   /** A back end says that it is leaving until it is heard. */
-  *leave(standIn: StandIn): Task<boolean> {
+  *leave(standIn: TestBackend): Task<boolean> {
     standIn.isAnnouncing = false;
     const { service, address, incarnation } = standIn;
     for (let round = 0; round < 40 && !this.isOver; round += 1) {
@@ -188,7 +193,7 @@
     path: string,
     key: string | undefined,
     body: Buffer,
-  ): Task<CallerRecord> {
+  ): Task<ClientRecord> {
     const { clock } = this.outside;
     this.calls += 1;
     const zone =
@@ -205,9 +210,9 @@
         ? keeps
         : (open[Math.floor(this.outside.random() * open.length)]?.machine ?? "");
     const patienceMs =
-      this.outside.random() < hangUpPart ? 2 + this.outside.random() ** 3 * 600 : callerWaitMs;
+      this.outside.random() < hangUpPart ? 2 + this.outside.random() ** 3 * 600 : CLIENT_TIMEOUT_MS;
     const sentMs = clock.nowMs();
-    const record: CallerRecord = {
+    const record: ClientRecord = {
       id: `c${this.calls}`,
       daemon,
       service,
@@ -257,7 +262,7 @@
     return record;
   }
 
-  private deskJob(method: string, target: string, body?: unknown): Job {
+  private deskJob(method: string, target: string, body?: unknown): ProxyRequest {
     return {
       method,
       target,
--- a/src/sketch/dyadic-sketch.ts
+++ b/src/sketch/dyadic-sketch.ts
@@ -1,4 +1,4 @@
-import { EcmSketch, type AgedSketch, type SketchForm } from "./ecm-sketch.js";
+import { EcmSketch, type AgedSketch, type SketchFormat } from "./ecm-sketch.js";
 
 /** An item that is heavy, and how often it came. */
 export interface HeavyItem {
@@ -8,11 +8,11 @@
 
 /** One sketch for each power of two: finds the items that make up a given part of a window. */
 export class DyadicSketch {
-  readonly form: SketchForm;
+  readonly form: SketchFormat;
   readonly bits: number;
   private readonly levels: EcmSketch[];
 
-  constructor(form: SketchForm, bits: number, levels?: EcmSketch[]) {
+  constructor(form: SketchFormat, bits: number, levels?: EcmSketch[]) {
     this.form = form;
     this.bits = bits;
     this.levels = levels ?? Array.from({ length: bits }, () => new EcmSketch(form));
@@ -60,7 +60,7 @@
 
   static ofAged(
     aged: AgedSketch[],
-    form: SketchForm,
+    form: SketchFormat,
     bits: number,
     now: number,
     olderMs: number,
@@ -72,7 +72,12 @@
     );
   }
 
-  static merge(inputs: DyadicSketch[], form: SketchForm, bits: number, now: number): DyadicSketch {
+  static merge(
+    inputs: DyadicSketch[],
+    form: SketchFormat,
+    bits: number,
+    now: number,
+  ): DyadicSketch {
     const levels = Array.from({ length: bits }, (_, level) =>
       EcmSketch.merge(
         inputs.flatMap((input) => input.levels.slice(level, level + 1)),
--- a/src/sketch/ecm-sketch.ts
+++ b/src/sketch/ecm-sketch.ts
@@ -8,7 +8,7 @@
 const knownCells = new Map<string, Map<number, readonly number[]>>();
 
 /** What two sketches must share to be merged. */
-export interface SketchForm {
+export interface SketchFormat {
   readonly epsilon: number;
   readonly delta: number;
   readonly windowMs: number;
@@ -17,15 +17,15 @@
 
 /** A sketch as it travels. */
 export interface AgedSketch {
-  form: SketchForm;
+  form: SketchFormat;
   cells: Array<{ cell: number; histogram: AgedHistogram }>;
 }
 
 /** Raised when sketches of other dimensions or hash functions meet. */
 export class SketchMismatchError extends Error {}
 
-export const SketchForm = {
-  same: (a: SketchForm, b: SketchForm): boolean =>
+export const SketchFormat = {
+  same: (a: SketchFormat, b: SketchFormat): boolean =>
     a.epsilon === b.epsilon &&
     a.delta === b.delta &&
     a.windowMs === b.windowMs &&
@@ -34,7 +34,7 @@
 
 /** A Count-Min array whose cells are exponential histograms: frequencies of items in a sliding window. */
 export class EcmSketch {
-  readonly form: SketchForm;
+  readonly form: SketchFormat;
   readonly width: number;
   readonly depth: number;
   readonly cellEpsilon: number;
@@ -42,7 +42,7 @@
   /** The cells of items seen before, for all sketches of a form. */
   private readonly known: Map<number, readonly number[]>;
 
-  constructor(form: SketchForm) {
+  constructor(form: SketchFormat) {
     this.form = form;
     this.cellEpsilon = Math.sqrt(form.epsilon + 1) - 1;
     this.width = Math.ceil(Math.E / this.cellEpsilon);
@@ -99,8 +99,8 @@
   }
 
   /** A sketch from its aged form; `olderMs` is how long it has been on its way. */
-  static ofAged(aged: AgedSketch, form: SketchForm, now: number, olderMs: number): EcmSketch {
-    if (!SketchForm.same(aged.form, form))
+  static ofAged(aged: AgedSketch, form: SketchFormat, now: number, olderMs: number): EcmSketch {
+    if (!SketchFormat.same(aged.form, form))
       throw new SketchMismatchError("The sketch has other dimensions.");
     const sketch = new EcmSketch(form);
     for (const { cell, histogram } of aged.cells) {
@@ -115,11 +115,11 @@
   }
 
   /** Merges cell by cell. */
-  static merge(inputs: EcmSketch[], form: SketchForm, now: number): EcmSketch {
+  static merge(inputs: EcmSketch[], form: SketchFormat, now: number): EcmSketch {
     const merged = new EcmSketch(form);
     const byCell = new Map<number, ExponentialHistogram[]>();
     for (const input of inputs) {
-      if (!SketchForm.same(input.form, form))
+      if (!SketchFormat.same(input.form, form))
         throw new SketchMismatchError("The sketch has other dimensions.");
       for (const [cell, histogram] of input.cells) {
         const held = byCell.get(cell);
--- a/src/sketch/exponential-histogram.ts
+++ b/src/sketch/exponential-histogram.ts
@@ -1,12 +1,13 @@
 /** Stamps wrap around at this many milliseconds; windows are less than half of it. */
-export const wrapMs = 65_536;
+export const STAMP_WRAP_MS = 65_536;
 
 /** The age of a stamp at a moment, both on a counter that wraps around. */
 export const ageOf = (now: number, stamp: number): number =>
-  (((now - stamp) % wrapMs) + wrapMs) % wrapMs;
+  (((now - stamp) % STAMP_WRAP_MS) + STAMP_WRAP_MS) % STAMP_WRAP_MS;
 
 /** A stamp of a clock's reading. */
-export const stampOf = (nowMs: number): number => ((Math.floor(nowMs) % wrapMs) + wrapMs) % wrapMs;
+export const stampOf = (nowMs: number): number =>
+  ((Math.floor(nowMs) % STAMP_WRAP_MS) + STAMP_WRAP_MS) % STAMP_WRAP_MS;
 
 /** A histogram as it travels: ages in place of stamps, so that clocks need not agree. */
 export interface AgedHistogram {
@@ -16,7 +17,7 @@
 }
 
 /** The age that stands for "older than any window". */
-export const beforeWindow = wrapMs - 1;
+export const BEFORE_WINDOW = STAMP_WRAP_MS - 1;
 
 /** One bucket: how many arrivals, after `startAge` and up to `endAge`. */
 interface Bucket {
@@ -37,7 +38,8 @@
   private floor: number | "before" | undefined;
 
   constructor(epsilon: number, windowMs: number) {
-    if (windowMs * 2 >= wrapMs) throw new RangeError("The window is too long for the stamps.");
+    if (windowMs * 2 >= STAMP_WRAP_MS)
+      throw new RangeError("The window is too long for the stamps.");
     const k = Math.ceil(1 / epsilon);
     this.epsilon = epsilon;
     this.windowMs = windowMs;
@@ -55,7 +57,7 @@
       this.floor = stamp;
       this.newest = stamp;
     }
-    if (ageOf(stamp, this.newest) < wrapMs / 2) this.newest = stamp;
+    if (ageOf(stamp, this.newest) < STAMP_WRAP_MS / 2) this.newest = stamp;
     this.expire(this.newest);
     this.carry(this.newest, count);
   }
@@ -114,8 +116,8 @@
     this.expire(now);
     const floorAge =
       typeof this.floor === "number"
-        ? Math.min(ageOf(now, this.floor), beforeWindow)
-        : beforeWindow;
+        ? Math.min(ageOf(now, this.floor), BEFORE_WINDOW)
+        : BEFORE_WINDOW;
     return { floorAge, levels: this.levels.map((level) => level.map((end) => ageOf(now, end))) };
   }
 
@@ -128,7 +130,8 @@
     olderMs: number,
   ): ExponentialHistogram {
     const histogram = new ExponentialHistogram(epsilon, windowMs);
-    const rebased = (age: number): number => stampOf(now - Math.min(age + olderMs, wrapMs / 2 - 1));
+    const rebased = (age: number): number =>
+      stampOf(now - Math.min(age + olderMs, STAMP_WRAP_MS / 2 - 1));
     aged.levels.forEach((level, at) => histogram.level(at).push(...level.map(rebased)));
     histogram.floor = aged.floorAge >= windowMs ? "before" : rebased(aged.floorAge);
     const [first] = histogram.buckets(now);
@@ -200,7 +203,7 @@
 
   /** Where the oldest bucket starts. */
   private oldestStartAge(now: number, size: number, endAge: number): number {
-    const floorAge = typeof this.floor === "number" ? ageOf(now, this.floor) : beforeWindow;
+    const floorAge = typeof this.floor === "number" ? ageOf(now, this.floor) : BEFORE_WINDOW;
     return size === 1 ? endAge : Math.max(floorAge, endAge);
   }
 }
--- a/src/state/config-payload.ts
+++ b/src/state/config-payload.ts
@@ -1,12 +1,12 @@
 import { optional, string } from "superstruct";
-import { Packed } from "../runtime/text-compression.js";
+import { TextCompression } from "../runtime/text-compression.js";
 import { TextDelta, textDeltaShape } from "./text-delta.js";
 
 /** How long a delta or a text may be in the log and still be written as it is; longer ones are deflated. */
 const longTextLength = 4096;
 
 /** The fields by which an entry of the log carries the text of a configuration; exactly one of them is set. */
-export const recordedTextFields = {
+export const configPayloadFields = {
   text: optional(string()),
   /** The whole text, deflated, in base 64. */
   packedText: optional(string()),
@@ -17,7 +17,7 @@
 };
 
 /** The text of a configuration as an entry of the log carries it. */
-export interface RecordedText {
+export interface ConfigPayload {
   readonly text?: string | undefined;
   readonly packedText?: string | undefined;
   readonly delta?: TextDelta | undefined;
@@ -25,42 +25,45 @@
 }
 
 /** A configuration's text, and the delta that made it where that is known. */
-export interface ReadText {
+export interface DecodedConfigText {
   readonly text: string;
   readonly delta?: TextDelta;
 }
 
 /** Raised when an entry's text can't be put together; a member that meets one must not go on. */
-export class RecordedTextError extends Error {}
+export class ConfigPayloadError extends Error {}
 
-const wholeText = (text: string): RecordedText =>
-  text.length > longTextLength ? { packedText: Packed.of(text) } : { text };
+const wholeText = (text: string): ConfigPayload =>
+  text.length > longTextLength ? { packedText: TextCompression.of(text) } : { text };
 
-const deltaIn = ({ delta, packedDelta }: RecordedText): TextDelta | undefined =>
-  packedDelta === undefined ? delta : textDeltaShape.create(JSON.parse(Packed.text(packedDelta)));
+const deltaIn = ({ delta, packedDelta }: ConfigPayload): TextDelta | undefined =>
+  packedDelta === undefined
+    ? delta
+    : textDeltaShape.create(JSON.parse(TextCompression.text(packedDelta)));
 
-const lengthOf = ({ text, packedText, packedDelta }: RecordedText): number =>
+const lengthOf = ({ text, packedText, packedDelta }: ConfigPayload): number =>
   (text ?? packedText ?? packedDelta ?? "").length;
 
-export const RecordedText = {
+export const ConfigPayload = {
   /** The shorter of a text itself and its change since the former one, deflated where it is long. */
-  of(former: string | undefined, text: string): RecordedText {
+  of(former: string | undefined, text: string): ConfigPayload {
     if (former === undefined) return wholeText(text);
     const delta = TextDelta.between(former, text);
     const json = JSON.stringify(delta);
     if (json.length <= longTextLength) return { delta };
-    const packed = { packedDelta: Packed.of(json) };
+    const packed = { packedDelta: TextCompression.of(json) };
     const whole = wholeText(text);
     return lengthOf(packed) < lengthOf(whole) ? packed : whole;
   },
 
   /** The text again; `former` is the one that the entry builds on. */
-  read(recorded: RecordedText, former: string | undefined): ReadText {
+  read(recorded: ConfigPayload, former: string | undefined): DecodedConfigText {
     if (recorded.text !== undefined) return { text: recorded.text };
-    if (recorded.packedText !== undefined) return { text: Packed.text(recorded.packedText) };
+    if (recorded.packedText !== undefined)
+      return { text: TextCompression.text(recorded.packedText) };
     const delta = deltaIn(recorded);
     if (delta === undefined || former === undefined)
-      throw new RecordedTextError("An entry holds no text of a configuration, or no base for it.");
+      throw new ConfigPayloadError("An entry holds no text of a configuration, or no base for it.");
     return { text: TextDelta.apply(former, delta), delta };
   },
 };
--- a/src/state/id-allocator.ts
+++ b/src/state/id-allocator.ts
@@ -1,8 +1,8 @@
 /** How many names can have a number at a time: as many as the sketch of routes tells apart. */
-export const numberLimit = 2 ** 16;
+export const ID_LIMIT = 2 ** 16;
 
 /** How names of services and routes stand: in force, lately out of force, and numbers that are free again. */
-export interface NumberingState {
+export interface IdAllocatorState {
   inForce: Array<[name: string, number: number]>;
   resting: Array<[name: string, number: number]>;
   free: number[];
@@ -19,7 +19,7 @@
  * Gives each name in force a number of its own. A number whose name is out of force rests until the leader says that no window
  * holds it any more; only then may another name have it.
  */
-export class Numbering {
+export class IdAllocator {
   private names = new Map<string, number>();
   private rests = new Map<string, number>();
   private free: number[] = [];
@@ -35,11 +35,11 @@
     return new Set(this.rests.values());
   }
 
-  get state(): NumberingState {
+  get state(): IdAllocatorState {
     return { inForce: [...this.names], resting: [...this.rests], free: this.free, next: this.next };
   }
 
-  restore({ inForce, resting, free, next }: NumberingState): void {
+  restore({ inForce, resting, free, next }: IdAllocatorState): void {
     this.names = new Map(inForce);
     this.rests = new Map(resting);
     this.free = [...free];
@@ -90,9 +90,7 @@
   private number(name: string): void {
     if (this.names.has(name)) return;
     const number =
-      this.rests.get(name) ??
-      this.free.pop() ??
-      (this.next < numberLimit ? this.next++ : undefined);
+      this.rests.get(name) ?? this.free.pop() ?? (this.next < ID_LIMIT ? this.next++ : undefined);
     if (number === undefined) return;
     this.rests.delete(name);
     this.names.set(name, number);
--- a/src/state/state-machine.ts
+++ b/src/state/state-machine.ts
@@ -1,4 +1,4 @@
-import { passes } from "../runtime/fast-validator.js";
+import { matchesStruct } from "../runtime/fast-validator.js";
 import { Map as Table } from "immutable";
 import {
   array,
@@ -16,10 +16,10 @@
   union,
   type Infer,
 } from "superstruct";
-import { kindOf } from "../runtime/kind-of.js";
-import { Numbering } from "./id-allocator.js";
+import { kindField } from "../runtime/kind-of.js";
+import { IdAllocator } from "./id-allocator.js";
 import type { Members } from "../consensus/members.js";
-import { RecordedText, recordedTextFields } from "./config-payload.js";
+import { ConfigPayload, configPayloadFields } from "./config-payload.js";
 import type { TextDelta } from "./text-delta.js";
 
 const contractShape = object({
@@ -46,9 +46,9 @@
 });
 
 /** What the record holds about one back end. */
-export type Contract = Infer<typeof contractShape>;
+export type Registration = Infer<typeof contractShape>;
 
-const isContract = (value: unknown): value is Contract =>
+const isContract = (value: unknown): value is Registration =>
   typeof value === "object" &&
   value !== null &&
   "address" in value &&
@@ -76,9 +76,10 @@
   "order" in value &&
   typeof value.order === "number";
 
-export const Contract = {
+export const Registration = {
   /** Whether a value is a whole list of contracts; it travels often, so that it is checked in one go. */
-  areAll: (value: unknown): value is Contract[] => Array.isArray(value) && value.every(isContract),
+  areAll: (value: unknown): value is Registration[] =>
+    Array.isArray(value) && value.every(isContract),
 };
 
 const goneShape = define<Array<[string, number]>>(
@@ -95,10 +96,10 @@
 );
 
 /** How many instances that are gone for good are kept at most; beyond that the oldest go. */
-export const keptGone = 20_000;
+export const MAX_TOMBSTONES = 20_000;
 
 /** A key that is claimed, and who knows what became of its request. */
-export interface KeyClaim {
+export interface IdempotencyClaim {
   bodyHash: string;
   job: string;
   /** How the request ended where a former build noted it here; else in hand. */
@@ -155,7 +156,7 @@
 
 const holdersShape = array(string());
 
-const isKeyClaim = (value: unknown): value is KeyClaim =>
+const isKeyClaim = (value: unknown): value is IdempotencyClaim =>
   typeof value === "object" &&
   value !== null &&
   "bodyHash" in value &&
@@ -169,7 +170,13 @@
   (!("holders" in value) || holdersShape.is(value.holders));
 
 /** A claim without what a former build put beside it. */
-const storedClaim = ({ bodyHash, job, verdict, holders, atIndex }: KeyClaim): KeyClaim => ({
+const storedClaim = ({
+  bodyHash,
+  job,
+  verdict,
+  holders,
+  atIndex,
+}: IdempotencyClaim): IdempotencyClaim => ({
   bodyHash,
   job,
   verdict,
@@ -178,7 +185,7 @@
 });
 
 /** The table of keys is large, so that it is checked in one go. */
-const keysShape = define<Array<{ scope: string; claim: KeyClaim }>>(
+const keysShape = define<Array<{ scope: string; claim: IdempotencyClaim }>>(
   "keys",
   (value) =>
     Array.isArray(value) &&
@@ -194,7 +201,7 @@
 );
 
 /** How many keys are held at most; then claims are dropped, so that a checkpoint fits a frame and is made within a leader's grant. */
-export const heldKeys = 40_000;
+export const MAX_IDEMPOTENCY_CLAIMS = 40_000;
 
 const deedShapes = {
   leads: object({ kind: literal("leads"), machine: string(), term: number() }),
@@ -206,7 +213,7 @@
     version: optional(number()),
     changeId: string(),
     acceptedAt: string(),
-    ...recordedTextFields,
+    ...configPayloadFields,
     /** All names in force; entries that name only changes leave them out. */
     services: optional(array(string())),
     routes: optional(array(string())),
@@ -260,23 +267,23 @@
 };
 
 /** One entry of the record, as it is written. */
-export type Deed = Infer<(typeof deedShapes)[keyof typeof deedShapes]>;
+export type LogCommand = Infer<(typeof deedShapes)[keyof typeof deedShapes]>;
 
-type ConfigDeed = Extract<Deed, { kind: "config" }>;
+type ConfigDeed = Extract<LogCommand, { kind: "config" }>;
 
 const isDeedKind = (kind: string): kind is keyof typeof deedShapes =>
   Object.hasOwn(deedShapes, kind);
 
-const isDeed = (kind: keyof typeof deedShapes, value: unknown): value is Deed =>
-  passes(deedShapes[kind], value);
+const isDeed = (kind: keyof typeof deedShapes, value: unknown): value is LogCommand =>
+  matchesStruct(deedShapes[kind], value);
 
-export const Deed = {
-  text: (deed: Deed): string => JSON.stringify(deed),
+export const LogCommand = {
+  text: (deed: LogCommand): string => JSON.stringify(deed),
 
   /** Reads an entry's text; one of an unknown kind can't be applied, so it stops this recorder. */
-  read(text: string): Deed {
+  read(text: string): LogCommand {
     const value: unknown = JSON.parse(text);
-    const kind = kindOf(value);
+    const kind = kindField(value);
     if (!isDeedKind(kind))
       throw new Error(`The record holds an entry of the unknown kind "${kind}".`);
     return isDeed(kind, value) ? value : deedShapes[kind].create(value);
@@ -318,23 +325,23 @@
 const keptJournal = 1000;
 
 /** The tables that the record keeps, the same on every recorder that has applied the same entries. */
-export class Book {
+export class StateMachine {
   /** The config in force last, and before it those that this recorder's history may not yet hold. */
   configs: AcceptedConfig[] = [];
   /** What is told of the last configs. */
   recent: Array<Omit<AcceptedConfig, "text" | "index">> = [];
-  contracts = Table<string, Contract>();
+  contracts = Table<string, Registration>();
   /** The instances that left, were drained or were replaced, by the entry that says so: they never come back. */
   gone = new Map<string, number>();
   directorySequence = 0;
-  keys = new Map<string, KeyClaim>();
+  keys = new Map<string, IdempotencyClaim>();
   /** The numbers of services and routes, by which sketches count them. */
-  readonly numbering = new Numbering();
+  readonly numbering = new IdAllocator();
   journal: Array<{ index: number; text: string }> = [];
   /** The edges that may hold a part of a pool of further tries, so that a new leader knows whom to wait for. */
   holders = new Set<string>();
   private changes = new Map<string, Pick<AcceptedConfig, "sequence" | "version">>();
-  private applied = new Set<(deed: Deed, index: number) => void>();
+  private applied = new Set<(deed: LogCommand, index: number) => void>();
 
   /** The config in force. */
   get inForce(): AcceptedConfig | undefined {
@@ -342,7 +349,7 @@
   }
 
   /** The contracts of an instance: one that stands, and others that it left behind. */
-  contractsOf(instance: string): Contract[] {
+  contractsOf(instance: string): Registration[] {
     return instance === ""
       ? []
       : [...this.contracts.values()].filter((contract) => contract.instance === instance);
@@ -367,13 +374,13 @@
   }
 
   /** Hears of each entry once it is applied. */
-  onApplied(hook: (deed: Deed, index: number) => void): void {
+  onApplied(hook: (deed: LogCommand, index: number) => void): void {
     this.applied.add(hook);
   }
 
   /** Applies one entry and tells its outcome, as JSON. */
   apply(index: number, text: string): string {
-    const deed = Deed.read(text);
+    const deed = LogCommand.read(text);
     const outcome = this.take(index, deed);
     for (const hook of this.applied) hook(deed, index);
     return JSON.stringify(outcome);
@@ -434,7 +441,7 @@
     );
   }
 
-  private take(index: number, deed: Deed): Record<string, unknown> {
+  private take(index: number, deed: LogCommand): Record<string, unknown> {
     switch (deed.kind) {
       case "leads":
         return this.note(index, `${deed.machine} leads the record in term ${deed.term}.`);
@@ -459,7 +466,7 @@
           index,
           changeId: deed.changeId,
           acceptedAt: deed.acceptedAt,
-          ...RecordedText.read(deed, this.inForce?.text),
+          ...ConfigPayload.read(deed, this.inForce?.text),
         });
         this.recent = [
           ...this.recent.slice(1 - keptRecent),
@@ -545,8 +552,8 @@
     if (names) return this.numbering.change(names, rested);
     this.numbering.adopt(
       [
-        ...services.map((service) => Numbering.serviceName(service)),
-        ...routes.map((route) => Numbering.routeName(route)),
+        ...services.map((service) => IdAllocator.serviceName(service)),
+        ...routes.map((route) => IdAllocator.routeName(route)),
       ],
       rested,
     );
@@ -554,7 +561,7 @@
 
   private enterContract(
     index: number,
-    deed: Extract<Deed, { kind: "contract" }>,
+    deed: Extract<LogCommand, { kind: "contract" }>,
   ): Record<string, unknown> {
     const {
       address,
@@ -601,7 +608,7 @@
 
   private leaveAddress(
     index: number,
-    { address, service, drained }: Extract<Deed, { kind: "leave" }>,
+    { address, service, drained }: Extract<LogCommand, { kind: "leave" }>,
   ): Record<string, unknown> {
     const contract = this.contracts.get(address) ?? {
       address,
@@ -652,7 +659,7 @@
     if (instance === "" || this.gone.has(instance)) return;
     this.gone.set(instance, index);
     for (const oldest of this.gone.keys()) {
-      if (this.gone.size <= keptGone) return;
+      if (this.gone.size <= MAX_TOMBSTONES) return;
       this.gone.delete(oldest);
     }
   }
--- a/test/admin/config-archive.test.ts
+++ b/test/admin/config-archive.test.ts
@@ -4,14 +4,14 @@
 import { join } from "node:path";
 import git from "isomorphic-git";
 import { expect, test } from "vitest";
-import { Logbook } from "../../src/runtime/logger.js";
+import { LoggerFactory } from "../../src/runtime/logger.js";
 import { Task } from "../../src/runtime/task.js";
-import { Archive } from "../../src/admin/config-archive.js";
+import { ConfigArchive } from "../../src/admin/config-archive.js";
 import type { AcceptedConfig } from "../../src/state/state-machine.js";
 
 test("configs are kept one commit each, and once only after a restart", async () => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-archive-"));
-  const log = Logbook.into(() => undefined).part("operator");
+  const log = LoggerFactory.into(() => undefined).part("operator");
   const config = (sequence: number): AcceptedConfig => ({
     sequence,
     index: sequence,
@@ -24,7 +24,7 @@
       ({ commit }) => commit.message.split("\n")[0] ?? "",
     );
   const run = async (sequences: number[], expected: number): Promise<void> => {
-    const archive = new Archive(folder, log);
+    const archive = new ConfigArchive(folder, log);
     for (const sequence of sequences) archive.keep(config(sequence));
     Task.start(archive.own(), (error) => {
       throw error;
--- a/test/cluster-view/route-table.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -1,17 +1,17 @@
 import { expect, test } from "vitest";
 import type { Config } from "../../src/configuration/config.js";
-import type { Mapping } from "../../src/cluster-view/active-route.js";
-import { Mappings } from "../../src/cluster-view/route-table.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import type { ActiveRoute } from "../../src/cluster-view/active-route.js";
+import { RouteTable } from "../../src/cluster-view/route-table.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 
 const find = (
-  all: readonly Mapping[],
+  all: readonly ActiveRoute[],
   method: string,
   path: string,
   host: string,
-): Mapping | undefined => {
+): ActiveRoute | undefined => {
   const own = host.toLowerCase().split(":")[0];
-  const rank = (mapping: Mapping): number =>
+  const rank = (mapping: ActiveRoute): number =>
     (mapping.host === undefined ? 0 : 1e6) + (mapping.isPrefix ? mapping.path.length : 1e5);
   return all
     .filter(
@@ -24,7 +24,7 @@
 };
 
 test("3,000 routes over hosts: each request finds the same one as a search through all of them", () => {
-  const random = Draw.of(7);
+  const random = RandomDraw.of(7);
   const pick = <T>(from: readonly T[]): T | undefined => from[Math.floor(random() * from.length)];
   const words = ["a", "ab", "b", "c1", "lepu270", "d.e"];
   const path = (): string =>
@@ -46,7 +46,7 @@
       service: "s",
     };
   }
-  const mappings = new Mappings({ services: { s: {} }, routes });
+  const mappings = new RouteTable({ services: { s: {} }, routes });
   let found = 0;
   for (let round = 0; round < 3000; round += 1) {
     const asked = [
@@ -72,7 +72,7 @@
 });
 
 test("a host goes before none, a longer prefix before a shorter one, and a host's own prefix must match", () => {
-  const mappings = new Mappings({
+  const mappings = new RouteTable({
     services: { s: {} },
     routes: {
       any: { match: { path: "/x/y/*" }, service: "s" },
@@ -101,9 +101,10 @@
     { service: "last", weight: 0 },
   ];
   const services = Object.fromEntries(split.map(({ service }) => [service, {}]));
-  const mapping = new Mappings({ services, routes: { r: { match: { path: "/*" }, split } } }).named(
-    "r",
-  );
+  const mapping = new RouteTable({
+    services,
+    routes: { r: { match: { path: "/*" }, split } },
+  }).named("r");
   const counts = new Map<string, number>();
   for (let at = 0; at < 10_000; at += 1) {
     const service = mapping?.choose(at / 10_000) ?? "";
@@ -127,7 +128,7 @@
     service: "s",
     ...more,
   });
-  const { all } = new Mappings({
+  const { all } = new RouteTable({
     services: { s: {} },
     routes: {
       safe: route({ kind: "safe", repeat: "never", keyed: true }),
@@ -149,7 +150,7 @@
 });
 
 test("attempts count the first try too, and limits and services are at hand", () => {
-  const mappings = new Mappings({
+  const mappings = new RouteTable({
     services: { s: { keepsKeys: true } },
     routes: {
       given: { match: { path: "/a" }, service: "s", attempts: 4, priority: 0 },
@@ -180,7 +181,7 @@
 });
 
 test("the most exact mapping that takes the method is found", () => {
-  const mappings = new Mappings({
+  const mappings = new RouteTable({
     services: { a: {}, b: {} },
     routes: {
       all: { match: { path: "/x/*" }, service: "a" },
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -1,27 +1,27 @@
 import { inflateRawSync } from "node:zlib";
 import { enums, object, string, type Infer } from "superstruct";
 import {
-  breakdownReturn,
-  ClaimReturn,
-  isBreakdown,
-  Order,
-  overloadedReturn,
-  Poll,
+  failureResponse,
+  ClaimResponse,
+  isFailureResponse,
+  Command,
+  overloadedResponse,
+  WatchRequest,
 } from "../../src/control-protocol/command.js";
-import { TravellingText } from "../../src/control-protocol/compressed-text.js";
+import { CompressedText } from "../../src/control-protocol/compressed-text.js";
 import {
   KeyedOutcome,
   type KeyedOutcome as Outcome,
 } from "../../src/proxy/idempotency/keyed-outcome.js";
-import { exactly, Frame, FrameReader, frameSequence } from "../../src/rpc/frame.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
-import { Gate } from "../../src/simulation/event-gate.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { decodeExactly, Frame, FrameReader, FRAME_VERSION } from "../../src/rpc/frame.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import type { Task } from "../../src/runtime/task.js";
-import type { Channel, Wire } from "../../src/runtime/network.js";
-import { Down } from "../../src/retry-budget/count-aggregator.js";
-import { Counts, CountsForm } from "../../src/retry-budget/request-counts.js";
+import type { Connection, Network } from "../../src/runtime/network.js";
+import { AggregatedCounts } from "../../src/retry-budget/count-aggregator.js";
+import { RequestCounts, RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
 import { FleetStage, type MachineLife, type StageMachine } from "../replication/fleet-stage.js";
 import { historyPiece, recordTexts, runOn } from "./stored-data.js";
 
@@ -43,13 +43,13 @@
   name: string,
   kind: number,
   isReturn: boolean,
-  coder: Kind<T, unknown>["ask"],
+  coder: RpcMethod<T, unknown>["ask"],
   value: T,
 ): Sample => {
   const frameOf = (body: T): string =>
     Buffer.from(
       Frame.encode({
-        sequence: frameSequence,
+        sequence: FRAME_VERSION,
         kind,
         isReturn,
         job: 0x01020304,
@@ -62,14 +62,14 @@
     isReadFrom(hex) {
       const [frame] = new FrameReader().read(Buffer.from(hex, "hex"));
       if (!frame || frame.kind !== kind || frame.isReturn !== isReturn) return false;
-      const body = exactly(coder, frame.body);
+      const body = decodeExactly(coder, frame.body);
       return frame.job === 0x01020304 && shown(body) === shown(value) && frameOf(body) === hex;
     },
   };
 };
 
 /** A request and its response of one kind, each with a value in which no two fields are equal. */
-const exchange = <A, R>(name: string, kind: Kind<A, R>, request: A, response: R): Sample[] => [
+const exchange = <A, R>(name: string, kind: RpcMethod<A, R>, request: A, response: R): Sample[] => [
   sample(`${name} request`, kind.number, false, kind.ask, request),
   sample(`${name} response`, kind.number, true, kind.return, response),
 ];
@@ -85,7 +85,7 @@
 export const samples: readonly Sample[] = [
   ...exchange(
     "vote",
-    Kind.vote,
+    RpcMethod.vote,
     {
       isPreVote: true,
       term: 7,
@@ -98,7 +98,7 @@
   ),
   ...exchange(
     "hand-over vote",
-    Kind.vote,
+    RpcMethod.vote,
     {
       isPreVote: false,
       term: 7,
@@ -111,25 +111,25 @@
   ),
   ...exchange(
     "append",
-    Kind.append,
+    RpcMethod.append,
     { term: 7, leader: "10.0.0.1:7000", previousIndex: 10, previousTerm: 4, committed: 3, entries },
     { term: 9, fits: true, counts: false, matched: 12 },
   ),
   ...exchange(
     "refused append",
-    Kind.append,
+    RpcMethod.append,
     { term: 7, leader: "", previousIndex: 0, previousTerm: 0, committed: 0, entries: [] },
     { term: 9, fits: false, counts: true, matched: 0 },
   ),
   ...exchange(
     "snapshot",
-    Kind.checkpoint,
+    RpcMethod.checkpoint,
     { term: 7, leader: "10.0.0.1:7000", lastIndex: 10, lastTerm: 4, text: "{}" },
     { term: 9, counts: true, matched: 10 },
   ),
   ...exchange(
     "meeting",
-    Kind.meet,
+    RpcMethod.meet,
     {
       peer: "10.0.0.1:7000",
       fleet: "fleet",
@@ -151,30 +151,35 @@
       recorders: ["10.0.0.5:7000"],
     },
   ),
-  ...exchange("hand-over", Kind.handOver, { term: 7 }, { taken: true }),
-  ...exchange("poll", Kind.poll, { forwarded: true, text: "{}" }, { leader: "leader", text: "{}" }),
+  ...exchange("hand-over", RpcMethod.handOver, { term: 7 }, { taken: true }),
+  ...exchange(
+    "poll",
+    RpcMethod.poll,
+    { forwarded: true, text: "{}" },
+    { leader: "leader", text: "{}" },
+  ),
   ...exchange(
     "command",
-    Kind.command,
+    RpcMethod.command,
     { forwarded: false, text: "{}" },
-    { leader: "leader", text: overloadedReturn },
+    { leader: "leader", text: overloadedResponse },
   ),
   ...exchange(
     "refused command",
-    Kind.command,
+    RpcMethod.command,
     { forwarded: true, text: "{}" },
-    { leader: "", text: breakdownReturn("notLeader") },
+    { leader: "", text: failureResponse("notLeader") },
   ),
   ...exchange(
     "sketch",
-    Kind.push,
+    RpcMethod.push,
     { text: "{}", sketches: bytes },
     { text: "[]", sketches: bytes },
   ),
-  ...exchange("history", Kind.history, { from: 2 }, { configs: bytes }),
+  ...exchange("history", RpcMethod.history, { from: 2 }, { configs: bytes }),
   ...exchange(
     "snapshot piece",
-    Kind.snapshotPiece,
+    RpcMethod.snapshotPiece,
     {
       term: 7,
       leader: "10.0.0.1:7000",
@@ -189,11 +194,11 @@
   ),
   ...exchange(
     "keeping an outcome",
-    Kind.keepOutcome,
+    RpcMethod.keepOutcome,
     { ...keyed, state: 3, code: 200, headers: '{"a":"b"}', body: bytes },
     { isKept: true },
   ),
-  ...exchange("asking for an outcome", Kind.keyedOutcome, keyed, {
+  ...exchange("asking for an outcome", RpcMethod.keyedOutcome, keyed, {
     state: 3,
     code: 200,
     headers: '{"a":"b"}',
@@ -215,21 +220,25 @@
   return Object.fromEntries(
     outcomes.map((outcome) => [
       outcome?.kind ?? "unknown",
-      Buffer.from(Kind.keyedOutcome.return.toBuffer(KeyedOutcome.message(outcome))).toString("hex"),
+      Buffer.from(RpcMethod.keyedOutcome.return.toBuffer(KeyedOutcome.message(outcome))).toString(
+        "hex",
+      ),
     ]),
   );
 };
 
 /** The outcome that a recorded message tells, encoded again. */
 export const rewrittenOutcome = (hex: string): string => {
-  const outcome = KeyedOutcome.read(exactly(Kind.keyedOutcome.return, Buffer.from(hex, "hex")));
+  const outcome = KeyedOutcome.read(
+    decodeExactly(RpcMethod.keyedOutcome.return, Buffer.from(hex, "hex")),
+  );
   const message = KeyedOutcome.message(outcome);
-  return Buffer.from(Kind.keyedOutcome.return.toBuffer(message)).toString("hex");
+  return Buffer.from(RpcMethod.keyedOutcome.return.toBuffer(message)).toString("hex");
 };
 
 /** How sketches were encoded: tries of two services and requests of two routes at fixed moments. */
 export const sketch = (withRoutes: boolean): string => {
-  const counts = new Counts(CountsForm.usual);
+  const counts = new RequestCounts(RequestCountsFormat.usual);
   for (let at = 0; at < 40; at += 1) {
     counts.countTry(1, at % 4 === 0, 1000 + at * 50);
     counts.countTry(2, false, 1010 + at * 40);
@@ -241,12 +250,19 @@
 /** A recorded sketch, decoded and encoded again. */
 export const rewrittenSketch = (base64: string): string =>
   Buffer.from(
-    Counts.decode(Buffer.from(base64, "base64"), CountsForm.usual, 5000, 0).encode(5000),
+    RequestCounts.decode(Buffer.from(base64, "base64"), RequestCountsFormat.usual, 5000, 0).encode(
+      5000,
+    ),
   ).toString("base64");
 
 /** What a recorded sketch says of two services and of the heaviest routes. */
 export const sketchEstimates = (base64: string) => {
-  const counts = Counts.decode(Buffer.from(base64, "base64"), CountsForm.usual, 5000, 0);
+  const counts = RequestCounts.decode(
+    Buffer.from(base64, "base64"),
+    RequestCountsFormat.usual,
+    5000,
+    0,
+  );
   const { first, further } = counts.ofService(1, 5000, 10_000);
   const routes = counts.heavyRoutes(0.1, 5000, 10_000);
   return {
@@ -258,16 +274,16 @@
 
 /** Reads a JSON body by the present code, and gives what the receiver holds then as JSON. */
 export const readers: Readonly<Record<string, (text: string) => string>> = {
-  command: (text) => JSON.stringify(Order.read(text)),
-  poll: (text) => JSON.stringify(Poll.read(text)),
-  view: (text) => JSON.stringify(Poll.readReturn(text)),
-  claim: (text) => JSON.stringify(ClaimReturn.read(text)),
-  sketchResponse: (text) => JSON.stringify(Down.read(text)),
-  breakdown: (text) => JSON.stringify(isBreakdown(text)),
+  command: (text) => JSON.stringify(Command.read(text)),
+  poll: (text) => JSON.stringify(WatchRequest.read(text)),
+  view: (text) => JSON.stringify(WatchRequest.readReturn(text)),
+  claim: (text) => JSON.stringify(ClaimResponse.read(text)),
+  sketchResponse: (text) => JSON.stringify(AggregatedCounts.read(text)),
+  breakdown: (text) => JSON.stringify(isFailureResponse(text)),
 };
 
 /** The text of a packed answer. */
-export const unpackedText = (packedText: string): string => TravellingText.read({ packedText });
+export const unpackedText = (packedText: string): string => CompressedText.read({ packedText });
 
 /** The JSON texts of a piece of the history. */
 export const historyTexts = (): string[] => recordTexts(historyPiece());
@@ -350,15 +366,15 @@
 
 /** A peer that isn't a daemon: it sends what it is told, as bytes recorded before, and hears the answers. */
 class RawPeer {
-  private readonly link: Link;
+  private readonly link: RpcEndpoint;
 
   constructor(private readonly stage: TappedFleet) {
-    const world = virtualWorld({
+    const world = virtualRuntime({
       clock: stage.time.clock(),
-      wire: stage.network.wire("raw-peer", new Gate()),
+      wire: stage.network.wire("raw-peer", new EventGate()),
       random: stage.random,
     });
-    this.link = new Link(world, "10.0.0.99:7000");
+    this.link = new RpcEndpoint(world, "10.0.0.99:7000");
   }
 
   private run<T>(task: Task<T | undefined>): T {
@@ -369,24 +385,25 @@
 
   /** Sends a command to a daemon and gives the text of its answer. */
   command(to: StageMachine, text: string): string {
-    return this.run(this.link.ask(to.peer, Kind.command, { forwarded: true, text }, 5000)).text;
+    return this.run(this.link.ask(to.peer, RpcMethod.command, { forwarded: true, text }, 5000))
+      .text;
   }
 
   /** Sends a poll to a daemon and gives the text of its answer. */
   poll(to: StageMachine, text: string): string {
-    return this.run(this.link.ask(to.peer, Kind.poll, { forwarded: true, text }, 5000)).text;
+    return this.run(this.link.ask(to.peer, RpcMethod.poll, { forwarded: true, text }, 5000)).text;
   }
 
   /** Sends a sketch to a daemon and gives the text of its answer. */
   push(to: StageMachine, text: string, base64: string): string {
     const ask = { text, sketches: Buffer.from(base64, "base64") };
-    return this.run(this.link.ask(to.peer, Kind.push, ask, 5000)).text;
+    return this.run(this.link.ask(to.peer, RpcMethod.push, ask, 5000)).text;
   }
 
   /** How a daemon says that it stands, when it is met. */
   meetingState(to: StageMachine): string {
     const ask = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
-    return this.run(this.link.ask(to.peer, Kind.meet, ask, 5000)).state;
+    return this.run(this.link.ask(to.peer, RpcMethod.meet, ask, 5000)).state;
   }
 }
 
@@ -409,8 +426,8 @@
     return { ...life, wire: this.tapped(life.wire) };
   }
 
-  private tapped(wire: Wire): Wire {
-    const tap = (channel: Channel): Channel => this.tappedChannel(channel);
+  private tapped(wire: Network): Network {
+    const tap = (channel: Connection): Connection => this.tappedChannel(channel);
     return {
       *connect(address) {
         const channel = yield* wire.connect(address);
@@ -422,7 +439,7 @@
     };
   }
 
-  private tappedChannel(channel: Channel): Channel {
+  private tappedChannel(channel: Connection): Connection {
     const reader = new FrameReader();
     return {
       incoming: channel.incoming,
@@ -435,14 +452,16 @@
   }
 
   private note({ kind, isReturn, body }: Frame): void {
-    if (kind === Kind.meet.number && isReturn)
-      this.meetingStates.add(exactly(Kind.meet.return, body).state);
+    if (kind === RpcMethod.meet.number && isReturn)
+      this.meetingStates.add(decodeExactly(RpcMethod.meet.return, body).state);
     if (isReturn) return;
-    if (kind === Kind.poll.number) this.sent.note("poll", exactly(Kind.poll.ask, body).text);
-    if (kind === Kind.push.number) this.notePush(exactly(Kind.push.ask, body).text);
-    if (kind === Kind.command.number) this.noteCommand(exactly(Kind.command.ask, body).text);
-    if (kind === Kind.append.number)
-      for (const { text } of exactly(Kind.append.ask, body).entries)
+    if (kind === RpcMethod.poll.number)
+      this.sent.note("poll", decodeExactly(RpcMethod.poll.ask, body).text);
+    if (kind === RpcMethod.push.number) this.notePush(decodeExactly(RpcMethod.push.ask, body).text);
+    if (kind === RpcMethod.command.number)
+      this.noteCommand(decodeExactly(RpcMethod.command.ask, body).text);
+    if (kind === RpcMethod.append.number)
+      for (const { text } of decodeExactly(RpcMethod.append.ask, body).entries)
         this.sent.note(`log entry ${kindOfText(text)}`, text);
   }
 
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -2,13 +2,22 @@
 import { inflateRawSync } from "node:zlib";
 import { ConfigReader } from "../../src/configuration/config.js";
 import type { DaemonOptions } from "../../src/daemon/daemon.js";
-import { Book, Deed, storedConfig, type AcceptedConfig } from "../../src/state/state-machine.js";
-import { History } from "../../src/replication/history/config-history.js";
+import {
+  StateMachine,
+  LogCommand,
+  storedConfig,
+  type AcceptedConfig,
+} from "../../src/state/state-machine.js";
+import { ConfigHistory } from "../../src/replication/history/config-history.js";
 import { HistoryFormat } from "../../src/replication/history/history-format.js";
 import { Members } from "../../src/consensus/members.js";
-import { seal, sealBytes, unseal } from "../../src/replication/log/checksum.js";
+import {
+  withChecksum,
+  CHECKSUM_HEADER_BYTES,
+  readChecksummed,
+} from "../../src/replication/log/checksum.js";
 import { SharedSnapshot } from "../../src/replication/snapshot/snapshot-sender.js";
-import { Store, type Standing } from "../../src/replication/log/log-store.js";
+import { LogStore, type DurableState } from "../../src/replication/log/log-store.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
 import { Task } from "../../src/runtime/task.js";
@@ -64,7 +73,7 @@
 };
 
 /** Everything that a replica's state machine holds, in the words of the expectations. */
-const stateOf = (book: Book, changeIds: readonly string[]) => ({
+const stateOf = (book: StateMachine, changeIds: readonly string[]) => ({
   version: book.version,
   configurations: book.configs.map(configurationOf),
   listing: book.recent.map(({ sequence, version, changeId, acceptedAt }) => ({
@@ -109,15 +118,15 @@
 });
 
 /** Loads a data folder the way a restarted member does. */
-const load = (stage: DiskStage): { store: Store; standing: Standing } => {
-  const store = new Store(stage.disk);
+const load = (stage: DiskStage): { store: LogStore; standing: DurableState } => {
+  const store = new LogStore(stage.disk);
   const loaded = stage.run(store.load());
   if (loaded.kind !== "whole") throw new Error(`The data folder is ${loaded.kind}.`);
   return { store, standing: loaded.standing };
 };
 
 /** All configurations that the history files hold, up to the newest. */
-const historyOf = (stage: DiskStage, store: Store) => {
+const historyOf = (stage: DiskStage, store: LogStore) => {
   const kept = [];
   for (let sequence = 1; sequence <= store.history.newest; sequence += 1) {
     const config = stage.run(store.history.read(sequence));
@@ -138,7 +147,7 @@
     offset: piece.offset,
     text: brief(inflateRawSync(piece.bytes).toString("utf8")),
   }));
-  const book = new Book();
+  const book = new StateMachine();
   const hasSnapshot = standing.book !== "{}";
   const { voters, learners } = hasSnapshot
     ? book.restore(standing.book)
@@ -169,9 +178,9 @@
  */
 export const rewrittenSnapshot = (files: Files): { stored: string; rewritten: string } => {
   const { standing } = load(new DiskStage(files));
-  const book = new Book();
+  const book = new StateMachine();
   const { voters, learners } = book.restore(standing.book);
-  const members = Members.in(Deed.text({ kind: "members", voters, learners }));
+  const members = Members.in(LogCommand.text({ kind: "members", voters, learners }));
   if (!members) throw new Error("A membership entry isn't read as one.");
   return { stored: standing.book, rewritten: book.checkpoint(members) };
 };
@@ -183,7 +192,7 @@
 export const rewrittenEntries = (files: Files): Array<{ stored: string; rewritten: string }> =>
   load(new DiskStage(files)).standing.entries.map(({ text }) => ({
     stored: text,
-    rewritten: Deed.text(Deed.read(text)),
+    rewritten: LogCommand.text(LogCommand.read(text)),
   }));
 
 /** The kinds of the log entries of a data folder, by their stored texts. */
@@ -199,9 +208,13 @@
   const buffer = Buffer.from(bytes);
   const texts: string[] = [];
   let at = 0;
-  for (let body = unseal(buffer, at); body !== undefined; body = unseal(buffer, at)) {
+  for (
+    let body = readChecksummed(buffer, at);
+    body !== undefined;
+    body = readChecksummed(buffer, at)
+  ) {
     texts.push(inflateRawSync(body).toString("utf8"));
-    at += sealBytes + body.length;
+    at += CHECKSUM_HEADER_BYTES + body.length;
   }
   return texts;
 };
@@ -215,7 +228,7 @@
   text: `{"services":{"service-${sequence}":{}},"routes":{},"note":"a text that stays the same"}`,
 });
 
-const standing: Standing = {
+const standing: DurableState = {
   fleet: "cluster-1",
   rejoining: "mark-1",
   term: 4,
@@ -234,7 +247,7 @@
   const stage = new DiskStage();
   const wholes = [1, 2].map((sequence) => HistoryFormat.whole(configuration(sequence)));
   stage.disk.poke("history-0", Buffer.concat(wholes));
-  const store = new Store(stage.disk);
+  const store = new LogStore(stage.disk);
   stage.run(store.load());
   stage.run(store.checkpoint(standing));
   stage.run(store.checkpoint({ ...standing, lastIndex: 21, lastTerm: 4, entries: [] }));
@@ -246,7 +259,7 @@
       { kind: "vote", term: 5, text: "10.0.0.3:7000" },
     ]),
   );
-  const history = new History(stage.disk);
+  const history = new ConfigHistory(stage.disk);
   stage.run(history.load(stage.run(stage.disk.list())));
   stage.run(history.add([3, 4, 5].map(configuration)));
   addSnapshotPieces(stage, store, 19);
@@ -254,7 +267,7 @@
 };
 
 /** Adds two of three pieces of a snapshot that ends at an index. */
-const addSnapshotPieces = (stage: DiskStage, store: Store, lastIndex: number): void => {
+const addSnapshotPieces = (stage: DiskStage, store: LogStore, lastIndex: number): void => {
   const snapshot = new SharedSnapshot(lastIndex, 3, "x".repeat(600_000));
   for (const offset of [0, 256 * 1024]) stage.run(store.snapshotPart.add(snapshot.piece(offset)));
 };
@@ -262,27 +275,27 @@
 /** The file of a partial snapshot that ends at an index. */
 export const partialSnapshot = (lastIndex: number): Buffer => {
   const stage = new DiskStage();
-  addSnapshotPieces(stage, new Store(stage.disk), lastIndex);
+  addSnapshotPieces(stage, new LogStore(stage.disk), lastIndex);
   return stage.disk.peek("snapshot-part");
 };
 
 /** What a member finds in a folder whose clearing began but didn't end, and the files there. */
 export const interruptedClearing = (): { found: string; names: string[] } => {
   const stage = new DiskStage(writeEverything());
-  stage.run(new Store(stage.disk).clear());
-  const found = stage.run(new Store(stage.disk).load()).kind;
+  stage.run(new LogStore(stage.disk).clear());
+  const found = stage.run(new LogStore(stage.disk).load()).kind;
   return { found, names: [...stage.files.keys()].sort() };
 };
 
 /** A record behind its length and checksum, as the log holds it. */
-export const sealed = (text: string): Uint8Array => seal(Buffer.from(text, "utf8"));
+export const sealed = (text: string): Uint8Array => withChecksum(Buffer.from(text, "utf8"));
 
 /** A configuration of the history, as a piece of it travels. */
-export const historyPiece = (): Uint8Array => History.pack([2, 3].map(configuration));
+export const historyPiece = (): Uint8Array => ConfigHistory.pack([2, 3].map(configuration));
 
 /** The configurations of a piece of the history that begins with the second. */
 export const readHistoryPiece = (bytes: Uint8Array) =>
-  History.unpack(bytes, 2).map(configurationOf);
+  ConfigHistory.unpack(bytes, 2).map(configurationOf);
 
 /** A fleet of one member, which leads alone. */
 export class LoneMember extends FleetStage {
--- a/test/configuration/config-serializer.test.ts
+++ b/test/configuration/config-serializer.test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { amend, Config } from "../../src/configuration/config.js";
+import { applyItemChanges, Config } from "../../src/configuration/config.js";
 import { configText } from "../../src/configuration/config-serializer.js";
 
 const name = fc.stringMatching(/^[a-z0-9._-]{1,6}$/).filter((one) => one !== "__proto__");
@@ -33,7 +33,7 @@
     fc.property(fc.array(put, { maxLength: 5 }), fc.array(name, { maxLength: 4 }), (puts, gone) => {
       let config: Record<string, unknown> = { services: { one: {} }, routes: {} };
       for (const one of puts) {
-        config = amend(config, asRead(one), { services: [], routes: gone, goals: gone });
+        config = applyItemChanges(config, asRead(one), { services: [], routes: gone, goals: gone });
         const checked = Config.check(config);
         if ("faults" in checked) continue;
         expect(configText(checked.config)).toBe(JSON.stringify(checked.config));
--- a/test/configuration/config.test.ts
+++ b/test/configuration/config.test.ts
@@ -1,13 +1,13 @@
 import { expect, test } from "vitest";
 import {
-  amend,
+  applyItemChanges,
   Config,
   ConfigReader,
   configShape,
   mergePatch,
 } from "../../src/configuration/config.js";
-import { Guarded } from "../../src/configuration/validated.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import { Validated } from "../../src/configuration/validated.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 
 const whole = {
   services: {
@@ -125,7 +125,7 @@
 
 test("items are put whole or removed, and a removed route takes its goal along", () => {
   const none = { services: [], routes: [], goals: [] };
-  const put = amend(
+  const put = applyItemChanges(
     whole,
     { routes: { plain: { match: { path: "/z" }, service: "b", origin: { text: "new" } } } },
     none,
@@ -137,25 +137,25 @@
       plain: { match: { path: "/z" }, service: "b", origin: { text: "new" } },
     },
   });
-  const removed = amend(whole, {}, { ...none, routes: ["plain", "not there"] });
+  const removed = applyItemChanges(whole, {}, { ...none, routes: ["plain", "not there"] });
   expect(removed).toEqual({ ...whole, routes: { "R-1.a_B": whole.routes["R-1.a_B"] }, goals: {} });
-  expect(amend(whole, { goals: { plain: null }, limits: { idleMs: 5 } }, none)).toEqual({
+  expect(applyItemChanges(whole, { goals: { plain: null }, limits: { idleMs: 5 } }, none)).toEqual({
     ...whole,
     goals: {},
     limits: { idleMs: 5 },
   });
-  expect(amend(whole, { limits: null }, none)).not.toHaveProperty("limits");
-  expect(pathsOf(amend(whole, {}, { ...none, services: ["b"] }))).toEqual([
+  expect(applyItemChanges(whole, { limits: null }, none)).not.toHaveProperty("limits");
+  expect(pathsOf(applyItemChanges(whole, {}, { ...none, services: ["b"] }))).toEqual([
     "routes.R-1.a_B.split.1.service",
     "routes.plain.service",
   ]);
-  expect(pathsOf(amend(whole, { services: { ["__proto__"]: {} } }, none))).toEqual([
+  expect(pathsOf(applyItemChanges(whole, { services: { ["__proto__"]: {} } }, none))).toEqual([
     "services.__proto__",
   ]);
 });
 
 test("whatever part of a config is bent, the quick guard passes just what the shapes take", () => {
-  const random = Draw.of(3);
+  const random = RandomDraw.of(3);
   const junk = [
     null,
     -1,
@@ -188,7 +188,7 @@
   for (let round = 0; round < 4000; round += 1) {
     const value = bend(whole, 1 + Math.floor(random() * 5));
     const slow = configShape.is(value);
-    expect(Guarded.passes(configShape, value), JSON.stringify(value)).toBe(slow);
+    expect(Validated.passes(configShape, value), JSON.stringify(value)).toBe(slow);
     refused += slow ? 0 : 1;
   }
   expect(refused).toBeGreaterThan(1000);
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -1,21 +1,21 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { amend, Config, mergePatch } from "../../src/configuration/config.js";
-import { ConfigChanges } from "../../src/control-plane/config-change-log.js";
-import { ConfigCopy } from "../../src/cluster-view/config-replica.js";
+import { applyItemChanges, Config, mergePatch } from "../../src/configuration/config.js";
+import { ConfigChangeLog } from "../../src/control-plane/config-change-log.js";
+import { ConfigReplica } from "../../src/cluster-view/config-replica.js";
 import { ConfigItems } from "../../src/configuration/config-items.js";
-import { Mappings } from "../../src/cluster-view/route-table.js";
-import { Poll, type GrantedView } from "../../src/control-protocol/command.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Book, Deed } from "../../src/state/state-machine.js";
+import { RouteTable } from "../../src/cluster-view/route-table.js";
+import { WatchRequest, type LeasedView } from "../../src/control-protocol/command.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { StateMachine, LogCommand } from "../../src/state/state-machine.js";
 import { stage } from "./control-plane-stage.js";
 
 /** A state machine with configurations in force, and the views that a leader makes of them. */
 class Leader {
-  readonly book = new Book();
+  readonly book = new StateMachine();
   private value: unknown = Config.empty;
   private parsed = { text: "", value: Config.parse(JSON.stringify(Config.empty)) };
-  readonly changes = new ConfigChanges(this.book, () => this.parsed.value);
+  readonly changes = new ConfigChangeLog(this.book, () => this.parsed.value);
   private index = 0;
 
   get config(): Config {
@@ -30,7 +30,7 @@
     this.index += 1;
     const text = JSON.stringify(checked.config);
     this.parsed = { text, value: checked.config };
-    const one: Deed = {
+    const one: LogCommand = {
       kind: "config",
       expected: this.book.inForce?.sequence ?? 0,
       changeId: `change-${this.index}`,
@@ -40,21 +40,26 @@
       routes: Object.keys(checked.config.routes),
       rested: [...this.book.numbering.resting],
     };
-    this.book.apply(this.index, Deed.text(one));
+    this.book.apply(this.index, LogCommand.text(one));
   }
 
   patch(value: unknown): void {
     this.enter(mergePatch(this.value, value));
   }
 
-  amend(put: Parameters<typeof amend>[1], remove: Partial<Parameters<typeof amend>[2]>): void {
-    this.enter(amend(this.value, put, { services: [], routes: [], goals: [], ...remove }));
+  amend(
+    put: Parameters<typeof applyItemChanges>[1],
+    remove: Partial<Parameters<typeof applyItemChanges>[2]>,
+  ): void {
+    this.enter(
+      applyItemChanges(this.value, put, { services: [], routes: [], goals: [], ...remove }),
+    );
   }
 
-  view(known: number): GrantedView {
+  view(known: number): LeasedView {
     const sequence = this.book.inForce?.sequence ?? 0;
     const part = known === sequence ? "" : `,${this.changes.viewPart(known)}`;
-    const view = Poll.readReturn(
+    const view = WatchRequest.readReturn(
       `{"granted":true,"grantMs":1,"configSequence":${sequence},"directorySequence":0,"grantNumber":"","capacities":[]${part}}`,
     );
     if (!view.granted) throw new Error("The view grants nothing.");
@@ -68,7 +73,7 @@
   return value;
 };
 
-const expectSame = (copy: ConfigCopy, leader: Leader): void => {
+const expectSame = (copy: ConfigReplica, leader: Leader): void => {
   expect(plain(copy.config)).toEqual(plain(leader.config));
   expect(Object.keys(copy.config.routes)).toEqual(Object.keys(leader.config.routes));
   expect(Object.fromEntries(copy.numbers)).toEqual(
@@ -110,7 +115,7 @@
     fc.property(fc.array(fc.tuple(step, fc.nat(7)), { maxLength: 30 }), (steps) => {
       const leader = new Leader();
       leader.enter({ services: { a: {}, b: {}, 7: {} }, routes: {}, goals: {} });
-      const copies = [0, 1, 2].map(() => new ConfigCopy());
+      const copies = [0, 1, 2].map(() => new ConfigReplica());
       for (const [change, polling] of steps) {
         change(leader);
         for (const [bit, copy] of copies.entries()) {
@@ -145,9 +150,9 @@
 test("one changed route of 1,400 travels in some hundred bytes, and what didn't change stays the same objects", () => {
   const leader = new Leader();
   leader.enter(large(1400));
-  const copy = new ConfigCopy();
+  const copy = new ConfigReplica();
   expect(copy.take(leader.view(copy.knownSequence))).toBe("changed");
-  const former = new Mappings(copy.config);
+  const former = new RouteTable(copy.config);
   const untouched = copy.config.routes["route-8"];
   leader.patch({ routes: { "route-7": { service: "two" } } });
   leader.patch({ routes: { late: { match: { path: "/late" }, service: "one" }, "route-9": null } });
@@ -156,7 +161,7 @@
   expect(copy.take(view)).toBe("changed");
   expectSame(copy, leader);
   expect(copy.config.routes["route-8"]).toBe(untouched);
-  const mappings = new Mappings(copy.config, former);
+  const mappings = new RouteTable(copy.config, former);
   expect(mappings.named("route-8")).toBe(former.named("route-8"));
   expect(mappings.named("route-7")?.service).toBe("two");
   expect(mappings.find("GET", "/late")?.name).toBe("late");
@@ -166,7 +171,7 @@
 test("a copy that differs grants nothing, keeps its sequence and asks for the whole, which mends it", () => {
   const leader = new Leader();
   leader.enter(large(20));
-  const copy = new ConfigCopy();
+  const copy = new ConfigReplica();
   copy.take(leader.view(copy.knownSequence));
   leader.patch({ routes: { "route-7": { service: "two" } } });
   const view = leader.view(copy.knownSequence);
@@ -185,7 +190,7 @@
 test("changes since a state that the copy has left behind grant nothing, and don't have the whole asked for", () => {
   const leader = new Leader();
   leader.enter(large(20));
-  const copy = new ConfigCopy();
+  const copy = new ConfigReplica();
   copy.take(leader.view(copy.knownSequence));
   const former = copy.knownSequence;
   leader.patch({ routes: { "route-7": { service: "two" } } });
@@ -201,12 +206,12 @@
   const leader = new Leader();
   const alike = { match: { path: "/x" }, service: "one" };
   leader.enter({ services: { one: {} }, routes: { a: alike, b: alike, c: alike, d: alike } });
-  const copy = new ConfigCopy();
+  const copy = new ConfigReplica();
   copy.take(leader.view(copy.knownSequence));
   leader.enter({ services: { one: {} }, routes: { b: alike, a: alike, c: alike, d: alike } });
   expect(leader.view(copy.knownSequence).config).toBeDefined();
   expect(copy.take(leader.view(copy.knownSequence))).toBe("changed");
-  expect(new Mappings(copy.config).find("GET", "/x")?.name).toBe("b");
+  expect(new RouteTable(copy.config).find("GET", "/x")?.name).toBe("b");
 });
 
 test("edges of a fleet follow a storm of patches by items, also over a change of leader", () => {
@@ -224,7 +229,8 @@
   const { directorySequence, configSequence } = poll();
   expect(configSequence).toBeGreaterThan(0);
   send("PATCH", "/config", { routes: { "route-3": { service: "three" } } });
-  const text = exchange(Kind.poll, pollText({ directorySequence, configSequence }))[0]?.text ?? "";
+  const text =
+    exchange(RpcMethod.poll, pollText({ directorySequence, configSequence }))[0]?.text ?? "";
   expect(text).toContain('"configChanges"');
   expect(text).toContain('"route-3"');
   expect(text).not.toContain('"route-4"');
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -1,14 +1,14 @@
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
-import { Order } from "../../src/control-protocol/command.js";
-import { Terms } from "../../src/control-plane/control-plane.js";
-import type { Contract } from "../../src/state/state-machine.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import { Command } from "../../src/control-protocol/command.js";
+import { ControlPlaneTimeouts } from "../../src/control-plane/control-plane.js";
+import type { Registration } from "../../src/state/state-machine.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { Profile } from "../../src/simulation/profile.js";
-import { Simulation, type SimMachine } from "../../src/simulation/simulation.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
-import { Poll } from "../../src/control-protocol/command.js";
+import { Simulation, type SimulatedMachine } from "../../src/simulation/simulation.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
+import { WatchRequest } from "../../src/control-protocol/command.js";
 
 export const address = "10.9.0.1:80";
 export const service = "issues";
@@ -19,32 +19,36 @@
   text: string;
 }
 
-const usual = { ...Terms.usual };
+const usual = { ...ControlPlaneTimeouts.usual };
 
 export const fail = (error: unknown): void => {
   throw error;
 };
 
 /** A simulated fleet whose own back ends are still, and a stranger's link to it. */
-export const stage = (terms: Partial<Terms> = {}, seed = 1) => {
-  Object.assign(Terms.usual, usual, terms);
+export const stage = (terms: Partial<ControlPlaneTimeouts> = {}, seed = 1) => {
+  Object.assign(ControlPlaneTimeouts.usual, usual, terms);
   const simulation = new Simulation(Profile.all.rastro, seed, 0.0001);
   for (const standIn of simulation.standIns) standIn.isAnnouncing = false;
   simulation.begin();
   simulation.time.runUntil(5000);
-  const world = virtualWorld({
+  const world = virtualRuntime({
     clock: simulation.clock,
-    wire: simulation.network.wire("stranger", new Gate()),
+    wire: simulation.network.wire("stranger", new EventGate()),
     random: simulation.random,
   });
-  const link = new Link(world, "stranger");
+  const link = new RpcEndpoint(world, "stranger");
   const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
-  const leader = (): SimMachine => {
+  const leader = (): SimulatedMachine => {
     const found = simulation.machines.find(({ daemon }) => daemon?.recorder?.hasGrant);
     if (!found) throw new Error("Nobody leads.");
     return found;
   };
-  const exchange = (kind: typeof Kind.command | typeof Kind.poll, text: string, within = 300) => {
+  const exchange = (
+    kind: typeof RpcMethod.command | typeof RpcMethod.poll,
+    text: string,
+    within = 300,
+  ) => {
     const returns: Array<{ text: string; atMs: number }> = [];
     Task.start(
       link.ask(leader().settings.peers, kind, { forwarded: true, text }, 2000),
@@ -54,10 +58,11 @@
     wait(within);
     return returns;
   };
-  const order = (sent: Order): string => exchange(Kind.command, Order.text(sent))[0]?.text ?? "";
+  const order = (sent: Command): string =>
+    exchange(RpcMethod.command, Command.text(sent))[0]?.text ?? "";
   const announce = (
     instance: string,
-    more: Partial<Extract<Order, { kind: "announce" }>> = {},
+    more: Partial<Extract<Command, { kind: "announce" }>> = {},
   ): string =>
     order({
       kind: "announce",
@@ -69,7 +74,7 @@
       instance,
       ...more,
     });
-  const pollText = (more: Partial<Poll> = {}): string =>
+  const pollText = (more: Partial<WatchRequest> = {}): string =>
     JSON.stringify({
       machine: {
         name: "stranger",
@@ -87,17 +92,17 @@
       refused: [],
       ...more,
     });
-  const poll = (more: Partial<Poll> = {}) => {
-    const view = Poll.readReturn(exchange(Kind.poll, pollText(more))[0]?.text ?? "");
+  const poll = (more: Partial<WatchRequest> = {}) => {
+    const view = WatchRequest.readReturn(exchange(RpcMethod.poll, pollText(more))[0]?.text ?? "");
     if (!view.granted) throw new Error(view.why);
     return view;
   };
-  const contract = (at = address): Contract | undefined =>
+  const contract = (at = address): Registration | undefined =>
     poll().directory?.find((one) => one.address === at);
-  const daemons = (count: number): SimMachine[] =>
+  const daemons = (count: number): SimulatedMachine[] =>
     simulation.machines.filter(({ settings }) => settings.callers !== undefined).slice(0, count);
   const post = (
-    machine: SimMachine | undefined,
+    machine: SimulatedMachine | undefined,
     path: string,
     body: unknown,
     within = 300,
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
-import { Order } from "../../src/control-protocol/command.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { Command } from "../../src/control-protocol/command.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { Profile } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
 test("an announcement that was overtaken by the back end's leave, or by another service at its address, changes nothing", () => {
   const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
@@ -15,18 +15,18 @@
   const fail = (error: unknown): void => {
     throw error;
   };
-  const world = virtualWorld({
+  const world = virtualRuntime({
     clock: simulation.clock,
-    wire: simulation.network.wire("late", new Gate()),
+    wire: simulation.network.wire("late", new EventGate()),
     random: simulation.random,
   });
-  const link = new Link(world, "late");
+  const link = new RpcEndpoint(world, "late");
   const leader =
     simulation.machines.find(({ daemon }) => daemon?.recorder?.hasGrant)?.settings.peers ?? "";
-  const order = (sent: Order): string => {
+  const order = (sent: Command): string => {
     const returns: string[] = [];
     Task.start(
-      link.ask(leader, Kind.command, { forwarded: true, text: Order.text(sent) }, 2000),
+      link.ask(leader, RpcMethod.command, { forwarded: true, text: Command.text(sent) }, 2000),
       fail,
       (ret) => returns.push(ret?.text ?? ""),
     );
@@ -37,7 +37,7 @@
   if (!one) throw new Error("There is no back end.");
   one.isAnnouncing = false;
   const { address, service, zone } = one;
-  const late: Order = {
+  const late: Command = {
     kind: "announce",
     address,
     service,
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
 import { Bounds } from "../../src/daemon/bounds.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { configOf, oneWayMs, zoneOf } from "./topology.js";
 import { DelayedNetwork } from "./delayed-network.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { Task } from "../../src/runtime/task.js";
 import { FleetStage } from "../replication/fleet-stage.js";
 
@@ -14,7 +14,7 @@
 
 interface Hollow {
   readonly daemon: PollingDaemon;
-  readonly gate: Gate;
+  readonly gate: EventGate;
   readonly wire: DelayedNetwork;
   readonly name: string;
 }
@@ -22,13 +22,13 @@
 const hollows = (stage: FleetStage, count: number): Hollow[] =>
   Array.from({ length: count }, (_, at) => {
     const zone = zoneOf(at, spread);
-    const gate = new Gate();
+    const gate = new EventGate();
     const clock = gate.clock(stage.time.clock());
     const name = `hollow-${at}`;
     const wire = new DelayedNetwork(stage.network.wire(name, gate), clock, () =>
       oneWayMs(zone, "zone-1", spread),
     );
-    const world = virtualWorld({ clock, wire, random: stage.random });
+    const world = virtualRuntime({ clock, wire, random: stage.random });
     const daemon = new PollingDaemon(
       world,
       { machine: name, zone, peer: `10.9.0.${at + 1}:7000` },
@@ -149,7 +149,7 @@
 test("a delayed network keeps the order of what it carries and counts it", () => {
   const stage = new FleetStage([], []);
   const clock = stage.time.clock();
-  const gate = new Gate();
+  const gate = new EventGate();
   const far = new DelayedNetwork(stage.network.wire("far", gate), clock, () => 0);
   const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
   const got: string[] = [];
--- a/test/control-plane/delayed-network.ts
+++ b/test/control-plane/delayed-network.ts
@@ -1,7 +1,7 @@
 import { Clock } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
 import { Task } from "../../src/runtime/task.js";
-import type { Channel, Wire } from "../../src/runtime/network.js";
+import type { Connection, Network } from "../../src/runtime/network.js";
 
 /** Bytes and messages that went over a network, each way. */
 export interface TrafficTotals {
@@ -12,30 +12,30 @@
 }
 
 /** A network that counts its traffic and adds a one-way delay that depends on the remote address. */
-export class DelayedNetwork implements Wire {
+export class DelayedNetwork implements Network {
   readonly totals: TrafficTotals = { bytesIn: 0, bytesOut: 0, messagesIn: 0, messagesOut: 0 };
-  private readonly inner: Wire;
+  private readonly inner: Network;
   private readonly clock: Clock;
   private readonly oneWayMs: (address: string) => number;
 
-  constructor(inner: Wire, clock: Clock, oneWayMs: (address: string) => number) {
+  constructor(inner: Network, clock: Clock, oneWayMs: (address: string) => number) {
     this.inner = inner;
     this.clock = clock;
     this.oneWayMs = oneWayMs;
   }
 
-  *connect(address: string): Task<Channel | undefined> {
+  *connect(address: string): Task<Connection | undefined> {
     const waitMs = this.oneWayMs(address);
     if (waitMs > 0) yield* Clock.rest(this.clock, 2 * waitMs);
     const channel = yield* this.inner.connect(address);
     return channel && this.counted(channel, waitMs);
   }
 
-  *listen(address: string, accept: (channel: Channel) => void): Task {
+  *listen(address: string, accept: (channel: Connection) => void): Task {
     yield* this.inner.listen(address, (channel) => accept(this.counted(channel, 0)));
   }
 
-  private counted(channel: Channel, waitMs: number): Channel {
+  private counted(channel: Connection, waitMs: number): Connection {
     const { totals } = this;
     const incoming = new Queue<Uint8Array | "closed">();
     const [away, back] = [this.inOrder(waitMs), this.inOrder(waitMs)];
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -1,15 +1,15 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { DirectoryChanges } from "../../src/control-plane/endpoint-change-log.js";
-import { DirectoryCopy } from "../../src/cluster-view/endpoint-replica.js";
-import { Poll, type GrantedView } from "../../src/control-protocol/command.js";
-import { RecentChanges } from "../../src/control-plane/change-buffer.js";
-import { Book, Deed, type Contract } from "../../src/state/state-machine.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
+import { EndpointChangeLog } from "../../src/control-plane/endpoint-change-log.js";
+import { EndpointReplica } from "../../src/cluster-view/endpoint-replica.js";
+import { WatchRequest, type LeasedView } from "../../src/control-protocol/command.js";
+import { ChangeBuffer } from "../../src/control-plane/change-buffer.js";
+import { StateMachine, LogCommand, type Registration } from "../../src/state/state-machine.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { service, stage } from "./control-plane-stage.js";
 
-const viewOf = (changes: DirectoryChanges, known: number): GrantedView => {
-  const view = Poll.readReturn(
+const viewOf = (changes: EndpointChangeLog, known: number): LeasedView => {
+  const view = WatchRequest.readReturn(
     `{"granted":true,"grantMs":1,"configSequence":0,"grantNumber":"","capacities":[],${[
       `"directorySequence":${changes.sequence}`,
       `"directoryDigest":"${changes.digest}"`,
@@ -20,7 +20,7 @@
   return view;
 };
 
-const sorted = (registrations: Iterable<Contract>): Contract[] =>
+const sorted = (registrations: Iterable<Registration>): Registration[] =>
   [...registrations].sort((a, b) => (a.address < b.address ? -1 : 1));
 
 const address = fc.integer({ min: 1, max: 6 }).map((at) => `10.0.0.${at}:80`);
@@ -31,9 +31,9 @@
   instance,
   capacity: fc.integer({ min: 0, max: 3 }),
 });
-const deed: fc.Arbitrary<Deed> = fc.oneof(
-  backend.map((one): Deed => ({ kind: "contract", zone: "z", warmth: 1, ...one })),
-  backend.map(({ address: at, service: of, instance: life }): Deed => ({
+const deed: fc.Arbitrary<LogCommand> = fc.oneof(
+  backend.map((one): LogCommand => ({ kind: "contract", zone: "z", warmth: 1, ...one })),
+  backend.map(({ address: at, service: of, instance: life }): LogCommand => ({
     kind: "leave",
     address: at,
     service: of,
@@ -42,20 +42,20 @@
   })),
   fc
     .record({ address, number: fc.integer({ min: 1, max: 40 }) })
-    .map((one): Deed => ({ kind: "purge", ...one })),
+    .map((one): LogCommand => ({ kind: "purge", ...one })),
   fc
     .record({ address, number: fc.integer({ min: 1, max: 40 }) })
-    .map((one): Deed => ({ kind: "end", why: "test", ...one })),
+    .map((one): LogCommand => ({ kind: "end", why: "test", ...one })),
 );
 
 test("copies that follow by changes, now and then, are what the state machine holds, by digest too", () => {
   fc.assert(
     fc.property(fc.array(fc.tuple(deed, fc.nat(7)), { maxLength: 40 }), (steps) => {
-      const book = new Book();
-      const changes = new DirectoryChanges(book);
-      const copies = [0, 1, 2].map(() => new DirectoryCopy());
+      const book = new StateMachine();
+      const changes = new EndpointChangeLog(book);
+      const copies = [0, 1, 2].map(() => new EndpointReplica());
       for (const [at, [one, polling]] of steps.entries()) {
-        book.apply(at + 1, Deed.text(one));
+        book.apply(at + 1, LogCommand.text(one));
         for (const [bit, copy] of copies.entries()) {
           if ((polling >> bit) % 2 === 0) continue;
           expect(copy.take(viewOf(changes, copy.knownSequence))).not.toBe("differs");
@@ -69,14 +69,21 @@
 });
 
 test("a copy that differs is found by the digest, grants nothing and asks for the whole, which mends it", () => {
-  const book = new Book();
-  const changes = new DirectoryChanges(book);
+  const book = new StateMachine();
+  const changes = new EndpointChangeLog(book);
   const announce = (index: number, at: string, capacity: number): void => {
-    const one: Deed = { kind: "contract", address: at, service, zone: "z", warmth: 1, capacity };
-    book.apply(index, Deed.text(one));
+    const one: LogCommand = {
+      kind: "contract",
+      address: at,
+      service,
+      zone: "z",
+      warmth: 1,
+      capacity,
+    };
+    book.apply(index, LogCommand.text(one));
   };
   for (let index = 1; index <= 8; index += 1) announce(index, `10.0.0.${index}:80`, 1);
-  const copy = new DirectoryCopy();
+  const copy = new EndpointReplica();
   copy.take(viewOf(changes, -1));
   announce(9, "10.0.0.2:80", 4);
   const view = viewOf(changes, copy.knownSequence);
@@ -99,7 +106,7 @@
 });
 
 test("the last changes are bounded by bytes: what is older than those is answered as unknown", () => {
-  const recent = new RecentChanges(5, 400);
+  const recent = new ChangeBuffer(5, 400);
   for (let sequence = 6; sequence < 16; sequence += 1) recent.note(sequence, [`item-${sequence}`]);
   expect(recent.since(15)).toEqual(new Set());
   expect(recent.since(13)).toEqual(new Set(["item-14", "item-15"]));
@@ -122,7 +129,7 @@
   const { directorySequence, configSequence } = known;
   const bytesOf = (sequence: number): number => {
     const text = exchange(
-      Kind.poll,
+      RpcMethod.poll,
       pollText({ directorySequence: sequence, configSequence }),
       600,
     )[0]?.text;
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -1,8 +1,8 @@
 import { expect, test, vi } from "vitest";
-import { Forwarder } from "../../src/cluster-view/command-forwarder.js";
-import { Registry } from "../../src/control-plane/control-plane.js";
-import { View } from "../../src/cluster-view/cluster-view.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
+import { CommandForwarder } from "../../src/cluster-view/command-forwarder.js";
+import { ControlPlane } from "../../src/control-plane/control-plane.js";
+import { ClusterView } from "../../src/cluster-view/cluster-view.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { Task } from "../../src/runtime/task.js";
 import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
 import { address, fail, service, stage } from "./control-plane-stage.js";
@@ -106,7 +106,7 @@
   post(one, "/backends/announce", { ...said, order: 1 });
   wait(700);
   const number = contract()?.number;
-  const asked = vi.spyOn(Registry.prototype, "command");
+  const asked = vi.spyOn(ControlPlane.prototype, "command");
   for (let order = 2; order < 22; order += 1)
     expect(
       post(order % 2 === 0 ? one : two, "/backends/announce", { ...said, order }, 1000).text,
@@ -161,11 +161,11 @@
   const { directorySequence, configSequence } = poll();
   const held = pollText({ directorySequence, configSequence });
   const beganMs = simulation.time.nowMs();
-  const quiet = exchange(Kind.poll, held, 600)[0]?.atMs ?? Infinity;
+  const quiet = exchange(RpcMethod.poll, held, 600)[0]?.atMs ?? Infinity;
   expect(quiet - beganMs).toBeGreaterThan(240);
   expect(quiet - beganMs).toBeLessThan(350);
   const sentMs = simulation.time.nowMs();
-  const returns = exchange(Kind.poll, held, 60);
+  const returns = exchange(RpcMethod.poll, held, 60);
   expect(returns).toEqual([]);
   const before = simulation.time.nowMs();
   announce("two");
@@ -179,7 +179,7 @@
   const { simulation, leader, exchange, poll, pollText } = stage({ holdMs: 900 });
   const { directorySequence, configSequence } = poll();
   const name = leader().settings.machine;
-  const returns = exchange(Kind.poll, pollText({ directorySequence, configSequence }), 50);
+  const returns = exchange(RpcMethod.poll, pollText({ directorySequence, configSequence }), 50);
   for (const { settings } of simulation.machines) {
     simulation.network.cut(name, settings.machine);
     simulation.network.cut(settings.machine, name);
@@ -204,8 +204,8 @@
   const { world, link, leader, announce, wait, simulation } = stage();
   announce("one");
   announce("two", { address: "10.9.0.2:80" });
-  const forwarder = new Forwarder(world, link, () => [leader().settings.peers]);
-  const view = new View(
+  const forwarder = new CommandForwarder(world, link, () => [leader().settings.peers]);
+  const view = new ClusterView(
     world,
     forwarder,
     () => ({
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -1,17 +1,17 @@
 import { expect, test } from "vitest";
 import { Bounds } from "../../src/daemon/bounds.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { DelayedNetwork } from "./delayed-network.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
-import { LargeViews } from "../../src/control-plane/large-view-limiter.js";
-import type { Poll } from "../../src/control-protocol/command.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
+import { LargeViewLimiter } from "../../src/control-plane/large-view-limiter.js";
+import type { WatchRequest } from "../../src/control-protocol/command.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { FleetStage } from "../replication/fleet-stage.js";
 import { stage } from "./control-plane-stage.js";
 
-const pollOf = (incarnation: string, configSequence: number): Poll => ({
+const pollOf = (incarnation: string, configSequence: number): WatchRequest => ({
   machine: { name: "m", zone: "z", roles: [], peer: "p", incarnation, draining: false },
   configSequence,
   directorySequence: 1,
@@ -22,7 +22,7 @@
 });
 
 test("a large view is under way for a while, for twice that the next time, and not for another process or state", () => {
-  const views = new LargeViews(1000);
+  const views = new LargeViewLimiter(1000);
   expect(views.isUnderWay(pollOf("one", 0), 0)).toBe(false);
   views.note(pollOf("one", 0), 0);
   expect(views.isUnderWay(pollOf("one", 0), 999)).toBe(true);
@@ -42,7 +42,7 @@
 test("the leader sends a large view once to whoever asks again at once", () => {
   const { exchange, pollText, poll, daemons, wait } = stage({ holdMs: 50 });
   const [one] = daemons(1);
-  const draw = Draw.of(7);
+  const draw = RandomDraw.of(7);
   const routes = Object.fromEntries(
     Array.from({ length: 600 }, () => [
       `route-${draw()}`,
@@ -59,23 +59,23 @@
     give: () => undefined,
   });
   wait(600);
-  const first = exchange(Kind.poll, pollText())[0]?.text ?? "";
+  const first = exchange(RpcMethod.poll, pollText())[0]?.text ?? "";
   expect(first).toContain('"packedConfig"');
   for (let round = 0; round < 3; round += 1)
-    expect(exchange(Kind.poll, pollText())[0]?.text).toContain("under way");
+    expect(exchange(RpcMethod.poll, pollText())[0]?.text).toContain("under way");
   expect(poll({ configSequence: 1 }).configSequence).toBe(1);
   wait(1600);
-  expect(exchange(Kind.poll, pollText())[0]?.text).toContain('"packedConfig"');
+  expect(exchange(RpcMethod.poll, pollText())[0]?.text).toContain('"packedConfig"');
 });
 
 test("a daemon whose views take longer than a poll is waited for has its lease from the poll's sending", () => {
   const fleet = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
   fleet.bootAll();
   fleet.wait(4000);
-  const gate = new Gate();
+  const gate = new EventGate();
   const clock = gate.clock(fleet.time.clock());
   const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
-  const world = virtualWorld({ clock, wire, random: fleet.random });
+  const world = virtualRuntime({ clock, wire, random: fleet.random });
   const bounds = Bounds.of({});
   const daemon = new PollingDaemon(
     world,
--- a/test/control-plane/polling-daemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -1,10 +1,10 @@
-import { Forwarder } from "../../src/cluster-view/command-forwarder.js";
-import type { Order } from "../../src/control-protocol/command.js";
-import { View } from "../../src/cluster-view/cluster-view.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { CommandForwarder } from "../../src/cluster-view/command-forwarder.js";
+import type { Command } from "../../src/control-protocol/command.js";
+import { ClusterView } from "../../src/cluster-view/cluster-view.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import type { Bounds } from "../../src/daemon/bounds.js";
 import type { Task } from "../../src/runtime/task.js";
-import { World } from "../../src/runtime/runtime.js";
+import { Runtime } from "../../src/runtime/runtime.js";
 import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
 import { EdgeCounts } from "../../src/retry-budget/edge-counts.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
@@ -28,25 +28,25 @@
 
 /** The control half of an edge: it polls the leader for views and pushes its request counts, and serves no requests. */
 export class PollingDaemon {
-  readonly view: View;
-  private readonly world: World;
-  private readonly forwarder: Forwarder;
+  readonly view: ClusterView;
+  private readonly world: Runtime;
+  private readonly forwarder: CommandForwarder;
   private readonly edgeCounts: EdgeCounts;
   private readonly pollMs: number;
   private readonly pollWaitMs: number;
   /** When the directory last changed here. */
   directoryChanges = 0;
 
-  constructor(world: World, place: DaemonPlace, seeds: readonly string[], bounds: Bounds) {
-    const incarnation = World.nonce(world);
-    const link = new Link(world, place.peer);
+  constructor(world: Runtime, place: DaemonPlace, seeds: readonly string[], bounds: Bounds) {
+    const incarnation = Runtime.nonce(world);
+    const link = new RpcEndpoint(world, place.peer);
     const budget = new RetryBudget(bounds.budget);
     const shares = new LoadBalancer(place.zone, () => world.random());
     this.world = world;
     this.pollMs = bounds.pollMs;
     this.pollWaitMs = bounds.pollWaitMs;
-    this.forwarder = new Forwarder(world, link, () => seeds);
-    this.view = new View(
+    this.forwarder = new CommandForwarder(world, link, () => seeds);
+    this.view = new ClusterView(
       world,
       this.forwarder,
       () => ({
@@ -75,8 +75,8 @@
 
   /** Begins to poll and to push. */
   start(): void {
-    World.start(this.world, "contract", this.view.own(this.pollMs, this.pollWaitMs));
-    World.start(this.world, "zone", this.edgeCounts.pushing(pushMs));
+    Runtime.start(this.world, "contract", this.view.own(this.pollMs, this.pollWaitMs));
+    Runtime.start(this.world, "zone", this.edgeCounts.pushing(pushMs));
   }
 
   /** Which part of the fleet its counts cover. */
@@ -85,7 +85,7 @@
   }
 
   /** Has the leader carry out an order. */
-  *order(order: Order): Task<string | undefined> {
+  *order(order: Command): Task<string | undefined> {
     return yield* this.forwarder.command(order, noticeWaitMs);
   }
 
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
 import { Bounds } from "../../src/daemon/bounds.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { DelayedNetwork } from "./delayed-network.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { Task } from "../../src/runtime/task.js";
 import { FleetStage } from "../replication/fleet-stage.js";
 import { stage } from "./control-plane-stage.js";
@@ -15,10 +15,10 @@
   const fleet = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
   fleet.bootAll();
   fleet.wait(4000);
-  const gate = new Gate();
+  const gate = new EventGate();
   const clock = gate.clock(fleet.time.clock());
   const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
-  const world = virtualWorld({ clock, wire, random: fleet.random });
+  const world = virtualRuntime({ clock, wire, random: fleet.random });
   const daemon = new PollingDaemon(
     world,
     { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
@@ -62,11 +62,15 @@
   expect(members?.recorders.length).toBeGreaterThan(2);
   expect(members?.collectors.length).toBeGreaterThan(2);
   const known = { configSequence, directorySequence, grantNumber };
-  const text = exchange(Kind.poll, pollText({ ...known, membersDigest: members?.digest }), 600)[0]
-    ?.text;
+  const text = exchange(
+    RpcMethod.poll,
+    pollText({ ...known, membersDigest: members?.digest }),
+    600,
+  )[0]?.text;
   expect(text).toContain('"granted":true');
   expect(text).not.toMatch(/"members"|"capacities"/);
   expect(text?.length).toBeLessThan(260);
-  const other = exchange(Kind.poll, pollText({ ...known, membersDigest: "another" }), 600)[0]?.text;
+  const other = exchange(RpcMethod.poll, pollText({ ...known, membersDigest: "another" }), 600)[0]
+    ?.text;
   expect(other).toContain('"members"');
 });
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -1,18 +1,18 @@
 import { expect, test } from "vitest";
 import {
-  edgePlacesOf,
-  type EdgePlace,
-  type PlacedMachine,
+  edgePlacementsOf,
+  type EdgePlacement,
+  type PlacedDaemon,
 } from "../../src/control-protocol/edge-placement.js";
-import { Forwarder } from "../../src/cluster-view/command-forwarder.js";
-import { Poll } from "../../src/control-protocol/command.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
-import { Gate } from "../../src/simulation/event-gate.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { CommandForwarder } from "../../src/cluster-view/command-forwarder.js";
+import { WatchRequest } from "../../src/control-protocol/command.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { FleetStage } from "../replication/fleet-stage.js";
 
-const edge = (name: string, zone: string, more: Partial<PlacedMachine> = {}): PlacedMachine => ({
+const edge = (name: string, zone: string, more: Partial<PlacedDaemon> = {}): PlacedDaemon => ({
   name,
   zone,
   roles: ["edge"],
@@ -21,7 +21,7 @@
 });
 
 test("edges have places by name within their zone; members without the role and those that drain have none", () => {
-  const places = edgePlacesOf([
+  const places = edgePlacementsOf([
     edge("c", "z"),
     edge("a", "z"),
     edge("b", "y"),
@@ -36,17 +36,19 @@
 });
 
 /** What the leader tells an edge of its place, if anything. */
-const toldPlace = (stage: FleetStage, name: string, zone: string): EdgePlace | undefined => {
-  const told: Array<EdgePlace | undefined> = [];
+const toldPlace = (stage: FleetStage, name: string, zone: string): EdgePlacement | undefined => {
+  const told: Array<EdgePlacement | undefined> = [];
   const peer = "10.0.9.7:7000";
-  const world = virtualWorld({
+  const world = virtualRuntime({
     clock: stage.time.clock(),
-    wire: stage.network.wire(`poll-${stage.time.nowMs()}`, new Gate()),
+    wire: stage.network.wire(`poll-${stage.time.nowMs()}`, new EventGate()),
     random: stage.random,
   });
-  const link = new Link(world, peer);
-  const forwarder = new Forwarder(world, link, () => stage.disks.map((machine) => machine.peer));
-  const poll: Poll = {
+  const link = new RpcEndpoint(world, peer);
+  const forwarder = new CommandForwarder(world, link, () =>
+    stage.disks.map((machine) => machine.peer),
+  );
+  const poll: WatchRequest = {
     machine: { name, zone, roles: ["edge"], peer, incarnation: "1", draining: false },
     configSequence: -1,
     directorySequence: -2,
@@ -57,8 +59,8 @@
   };
   stage.start(
     (function* () {
-      const text = yield* forwarder.once(Kind.poll, JSON.stringify(poll), 450);
-      const view = text === undefined ? undefined : Poll.readReturn(text);
+      const text = yield* forwarder.once(RpcMethod.poll, JSON.stringify(poll), 450);
+      const view = text === undefined ? undefined : WatchRequest.readReturn(text);
       told.push(view?.granted === true ? view.place : undefined);
     })(),
   );
--- a/test/daemon/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -1,21 +1,25 @@
 import { expect, test } from "vitest";
-import { Terms } from "../../src/control-plane/control-plane.js";
+import { ControlPlaneTimeouts } from "../../src/control-plane/control-plane.js";
 import { Bounds } from "../../src/daemon/bounds.js";
 import { Settings } from "../../src/daemon/settings.js";
-import { Waits } from "../../src/replication/replication-node.js";
-import { guardRule, repeatRule, sketchRule } from "../../src/retry-budget/retry-budget.js";
-import { CountsForm } from "../../src/retry-budget/request-counts.js";
+import { ReplicationTimeouts } from "../../src/replication/replication-node.js";
+import {
+  defaultStrictRule,
+  defaultRetryRule,
+  defaultSketchRule,
+} from "../../src/retry-budget/retry-budget.js";
+import { RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
 
 test("without bounds in the settings all waits are the usual ones", () => {
   const bounds = Bounds.of({});
-  expect(bounds.terms).toEqual(Terms.usual);
-  expect(bounds.waits).toEqual(Waits.usual);
-  expect(bounds.counts).toEqual(CountsForm.usual);
+  expect(bounds.terms).toEqual(ControlPlaneTimeouts.usual);
+  expect(bounds.waits).toEqual(ReplicationTimeouts.usual);
+  expect(bounds.counts).toEqual(RequestCountsFormat.usual);
   expect([bounds.leaseMs, bounds.pollMs, bounds.orderMs]).toEqual([1600, 400, 4000]);
   expect([bounds.budget.rule, bounds.budget.sketch, bounds.budget.guard]).toEqual([
-    repeatRule,
-    sketchRule,
-    guardRule,
+    defaultRetryRule,
+    defaultSketchRule,
+    defaultStrictRule,
   ]);
 });
 
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -2,7 +2,7 @@
 import { create, is, number, string, type } from "superstruct";
 import { expect, test } from "vitest";
 import { daemonProgram, Fleet, type FleetMachine } from "../../src/fleet/fleet.js";
-import { judge } from "../../src/simulation/invariant-checker.js";
+import { checkRules } from "../../src/simulation/invariant-checker.js";
 import type { Profile } from "../../src/simulation/profile.js";
 
 const small: Profile = {
@@ -76,7 +76,7 @@
     fleet.ledger.endMs = fleet.clock.nowMs();
     await fleet.perform(fleet.day.readBack());
     expect(fleet.ledger.of("readBack")).toHaveLength(2);
-    expect(judge(fleet.ledger)).toEqual([]);
+    expect(checkRules(fleet.ledger)).toEqual([]);
     expect(fleet.failures).toEqual([]);
     const statuses = [];
     for (const machine of recorders)
@@ -122,7 +122,7 @@
     expect(await fleet.perform(fleet.day.putConfig())).toBe(true);
     await fleet.perform(fleet.day.readBack());
     expect(fleet.ledger.of("readBack")).toHaveLength(7);
-    expect(judge(fleet.ledger)).toEqual([]);
+    expect(checkRules(fleet.ledger)).toEqual([]);
     expect(fleet.failures).toEqual([]);
   } finally {
     await fleet.end(false);
--- a/test/load-balancing/backend-ring.test.ts
+++ b/test/load-balancing/backend-ring.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { edgePlacesOf, type EdgePlace } from "../../src/control-protocol/edge-placement.js";
+import { edgePlacementsOf, type EdgePlacement } from "../../src/control-protocol/edge-placement.js";
 import type { Backend } from "../../src/load-balancing/backend.js";
 import {
   connectionShare,
@@ -7,7 +7,7 @@
   subsetSizeFor,
 } from "../../src/load-balancing/backend-ring.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 
 const zones = ["a", "b", "c"];
 const usualSize = 8;
@@ -24,21 +24,21 @@
 const backendsOf = (count: number): Backend[] =>
   Array.from({ length: count }, (_, at) => backend(at));
 
-const placesOf = (count: number): Array<{ zone: string; place: EdgePlace }> => {
+const placesOf = (count: number): Array<{ zone: string; place: EdgePlacement }> => {
   const machines = Array.from({ length: count }, (_, at) => ({
     name: `edge-${String(at).padStart(3, "0")}`,
     zone: zones[at % 3] ?? "",
     roles: ["edge"],
     draining: false,
   }));
-  const places = edgePlacesOf(machines);
+  const places = edgePlacementsOf(machines);
   return machines.flatMap(({ name, zone }) => {
     const place = places.get(name);
     return place ? [{ zone, place }] : [];
   });
 };
 
-const subset = (backends: Backend[], zone: string, place: EdgePlace): string[] =>
+const subset = (backends: Backend[], zone: string, place: EdgePlacement): string[] =>
   ringRanks(backends, zone, place)
     .slice(0, usualSize)
     .map((rank) => backends[rank]?.address ?? "");
@@ -92,7 +92,7 @@
   const backends = backendsOf(66);
   const [one] = placesOf(87);
   if (!one) throw new Error("There is no daemon.");
-  const balancer = new LoadBalancer(one.zone, Draw.of(5));
+  const balancer = new LoadBalancer(one.zone, RandomDraw.of(5));
   balancer.setPlace(one.place);
   const own = subset(backends, one.zone, one.place);
   const picked = new Set<string>();
@@ -128,7 +128,7 @@
     const sharing = { maxConnections, backendCount, daemonCount };
     const taken = new Map<string, number>();
     for (const { zone, place } of placesOf(daemonCount)) {
-      const balancer = new LoadBalancer(zone, Draw.of(6));
+      const balancer = new LoadBalancer(zone, RandomDraw.of(6));
       balancer.setPlace(place);
       const size = subsetSizeFor(sharing);
       for (let at = 0; at < size * connectionShare(sharing); at += 1) {
--- a/test/load-balancing/load-balancer.test.ts
+++ b/test/load-balancing/load-balancer.test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from "vitest";
-import type { Contract } from "../../src/state/state-machine.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import type { Registration } from "../../src/state/state-machine.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
 test("a slow backend, a failing one and a far one take less, and the reason is told", () => {
-  const shares = new LoadBalancer("a", Draw.of(4));
-  const backend = (address: string, zone = "a"): Contract => ({
+  const shares = new LoadBalancer("a", RandomDraw.of(4));
+  const backend = (address: string, zone = "a"): Registration => ({
     address,
     service: "s",
     zone,
--- a/test/load-balancing/silence.test.ts
+++ b/test/load-balancing/silence.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
-import type { Contract } from "../../src/state/state-machine.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import type { Registration } from "../../src/state/state-machine.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
-const backend = (address: string, number: number, zone = "a"): Contract => ({
+const backend = (address: string, number: number, zone = "a"): Registration => ({
   address,
   service: "s",
   zone,
@@ -19,7 +19,7 @@
 });
 
 test("a backend that is silent with work in hand gets no more, until something ends there", () => {
-  const shares = new LoadBalancer("a", Draw.of(3));
+  const shares = new LoadBalancer("a", RandomDraw.of(3));
   const [dark, well] = [backend("dark", 1), backend("well", 2)];
   const ended = { tookMs: 50, isWhole: true, goalMs: 100, route: "r" };
   for (const one of [dark, well]) {
@@ -43,7 +43,7 @@
 });
 
 test("what comes from another zone is dear where responses are large, and nearly free where they are small", () => {
-  const shares = new LoadBalancer("a", Draw.of(5));
+  const shares = new LoadBalancer("a", RandomDraw.of(5));
   const [near, far] = [backend("near", 1), backend("far", 2, "b")];
   for (let at = 0; at < 40; at += 1)
     for (const one of [near, far])
--- a/test/load-balancing/warmth.test.ts
+++ b/test/load-balancing/warmth.test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from "vitest";
-import type { Contract } from "../../src/state/state-machine.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import type { Registration } from "../../src/state/state-machine.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
 test("an instance warms up for as long as it said from when it was learned; one that said nothing is warm; without an instance it takes ten seconds", () => {
-  const shares = new LoadBalancer("a", Draw.of(1));
-  const backend = (address: string, more: Partial<Contract>): Contract => ({
+  const shares = new LoadBalancer("a", RandomDraw.of(1));
+  const backend = (address: string, more: Partial<Registration>): Registration => ({
     address,
     service: "s",
     zone: "a",
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import { Forwarder } from "../../src/cluster-view/command-forwarder.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
-import { Gate } from "../../src/simulation/event-gate.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { CommandForwarder } from "../../src/cluster-view/command-forwarder.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import { itemOrder, routeTo, type OrderBytes } from "../platform/command-stage.js";
@@ -40,14 +40,14 @@
 };
 
 /** A daemon's way to the leader, on a machine of its own that is never short of anything. */
-const forwarderOf = (stage: LimitedStage): Forwarder => {
-  const world = virtualWorld({
+const forwarderOf = (stage: LimitedStage): CommandForwarder => {
+  const world = virtualRuntime({
     clock: stage.time.clock(),
-    wire: stage.network.wire("caller", new Gate()),
+    wire: stage.network.wire("caller", new EventGate()),
     random: stage.random,
   });
-  const link = new Link(world, "10.0.9.9:7000");
-  return new Forwarder(world, link, () => stage.disks.map(({ peer }) => peer));
+  const link = new RpcEndpoint(world, "10.0.9.9:7000");
+  return new CommandForwarder(world, link, () => stage.disks.map(({ peer }) => peer));
 };
 
 /** Claims one key after another, for as long as the stage runs; how long each claim took. */
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import type { BackEnds } from "../../src/proxy/upstream/backend-client.js";
-import type { Caller } from "../../src/proxy/proxy-request.js";
+import type { BackendClient } from "../../src/proxy/upstream/backend-client.js";
+import type { ClientConnection } from "../../src/proxy/proxy-request.js";
 import type { DaemonOptions } from "../../src/daemon/daemon.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
@@ -51,7 +51,7 @@
 };
 
 /** Backends that answer each request after some work with a body of usual size. */
-const answering = (clock: Clock): BackEnds => ({
+const answering = (clock: Clock): BackendClient => ({
   *send({ job, mayStill }) {
     if (!mayStill()) return "withdrawn";
     yield* Clock.rest(clock, workMs);
@@ -116,7 +116,7 @@
     const sentMs = this.time.nowMs();
     const written: Written = { code: undefined, tookMs: Infinity };
     this.written.push(written);
-    const caller: Caller = {
+    const caller: ClientConnection = {
       isGone: false,
       whole: ({ code }) => {
         written.code = code;
