--- a/test/load/machine-limits.ts
+++ b/test/load/machine-limits.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
 import { Task } from "../../src/runtime/task.js";
-import type { Channel, Wire } from "../../src/runtime/network.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import type { Connection, Network } from "../../src/runtime/network.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 
 /** What a machine of a simulated fleet may use. */
 export interface MachineLimits {
@@ -59,7 +59,7 @@
 }
 
 /** A gate whose events wait for the processor. */
-export class LimitedGate extends Gate {
+export class LimitedGate extends EventGate {
   private readonly queue: Array<() => void> = [];
   private isWaiting = false;
   private readonly processor: Processor;
@@ -133,7 +133,7 @@
   throw error;
 };
 
-const limitedChannel = (inner: Channel, parts: MachineParts): Channel => {
+const limitedChannel = (inner: Connection, parts: MachineParts): Connection => {
   const { clock, processor, egress, ingress, charges } = parts;
   const incoming = new Queue<Uint8Array | "closed">();
   const chargeFor = (bytes: number): void =>
@@ -164,7 +164,7 @@
 };
 
 /** A wire whose bytes take processor time at this machine, and time on its link. */
-export const limitedWire = (inner: Wire, parts: MachineParts): Wire => ({
+export const limitedWire = (inner: Network, parts: MachineParts): Network => ({
   *connect(address) {
     parts.processor.charge(parts.charges.connectionMs);
     const channel = yield* inner.connect(address);
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
-import { LapsedLease } from "../../src/proxy/expired-lease-policy.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
-import { Gate } from "../../src/simulation/event-gate.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { ExpiredLeasePolicy } from "../../src/proxy/expired-lease-policy.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import { itemOrder, wholeOrder } from "../platform/command-stage.js";
@@ -42,17 +42,17 @@
 };
 
 /** An edge's link to the members: it asks one after another, as one does whose leader answers late. */
-const askingAll = (stage: LimitedStage): Link => {
-  const world = virtualWorld({
+const askingAll = (stage: LimitedStage): RpcEndpoint => {
+  const world = virtualRuntime({
     clock: stage.time.clock(),
-    wire: stage.network.wire("asking", new Gate()),
+    wire: stage.network.wire("asking", new EventGate()),
     random: stage.random,
   });
-  const link = new Link(world, "10.0.9.8:7000");
+  const link = new RpcEndpoint(world, "10.0.9.8:7000");
   const asking = function* (): Task {
     for (;;)
       for (const { peer } of stage.disks) {
-        yield* link.ask(peer, Kind.handOver, { term: 0 }, 200);
+        yield* link.ask(peer, RpcMethod.handOver, { term: 0 }, 200);
         yield* Clock.rest(world.clock, 350);
       }
   };
@@ -63,7 +63,7 @@
 test("members whose processors are overloaded are never taken for a core that is out of reach", () => {
   const stage = begun();
   const link = askingAll(stage);
-  const lease = new LapsedLease(
+  const lease = new ExpiredLeasePolicy(
     stage.time.clock(),
     {
       members: stage.disks.map(({ peer }) => peer),
--- a/test/model-checker/scenarios.test.ts
+++ b/test/model-checker/scenarios.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
-import { Violation } from "../../src/model-checker/invariant-checks.js";
-import { Group } from "../../src/model-checker/member-group.js";
+import { InvariantViolation } from "../../src/model-checker/invariant-checks.js";
+import { MemberGroup } from "../../src/model-checker/member-group.js";
 import type { ModelMember } from "../../src/model-checker/model-member.js";
 import { GroupSettings } from "../../src/model-checker/group-settings.js";
 import type { SafetyRules } from "../../src/consensus/safety-rules.js";
@@ -9,11 +9,11 @@
 
 /** A group led through a history that is rare at random, and which promise it breaks, if any. */
 class Director {
-  readonly group: Group;
+  readonly group: MemberGroup;
 
   constructor(voters: number, spares: number, rules: Partial<SafetyRules>) {
     const settings = GroupSettings.of(voters, spares, 1, { rules });
-    this.group = new Group({
+    this.group = new MemberGroup({
       ...settings,
       clockRates: settings.names.map(() => 1),
       batchEntries: 1,
@@ -194,7 +194,7 @@
     play();
     return "kept";
   } catch (error) {
-    if (error instanceof Violation) return error.promise;
+    if (error instanceof InvariantViolation) return error.promise;
     throw error;
   }
 };
--- a/test/platform/command-stage.ts
+++ b/test/platform/command-stage.ts
@@ -1,7 +1,7 @@
 import { control } from "../../platform/control.js";
 import { dialect } from "../../platform/dialect.js";
-import type { Job } from "../../src/proxy/proxy-request.js";
-import type { Return } from "../../src/proxy/request-outcome.js";
+import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
+import type { ClientResponse } from "../../src/proxy/request-outcome.js";
 import type { Settings } from "../../src/daemon/settings.js";
 import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
 
@@ -112,13 +112,18 @@
       headers: {},
       body: "",
     };
-    const give = (ret: Return): void => {
+    const give = (ret: ClientResponse): void => {
       call.code = ret.code;
       call.headers = ret.headers;
       call.body = Buffer.from(ret.body).toString();
       call.answeredMs = this.time.nowMs();
     };
-    const job: Job = { method, target: `/daledoor/${target}`, headers, body: Buffer.from(body) };
+    const job: ProxyRequest = {
+      method,
+      target: `/daledoor/${target}`,
+      headers,
+      body: Buffer.from(body),
+    };
     const read = control.into(job);
     if ("code" in read) give(read);
     else machine.daemon?.operators.put({ job: read.job, give: (ret) => give(read.back(ret)) });
--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Deed } from "../../src/state/state-machine.js";
+import { LogCommand } from "../../src/state/state-machine.js";
 import { configText, type StageMachine } from "../replication/fleet-stage.js";
 import {
   itemOrder,
@@ -67,7 +67,7 @@
     if (!recorder) throw new Error("Nobody leads.");
     stage.start(
       recorder.propose(
-        Deed.text({
+        LogCommand.text({
           kind: "config",
           expected: sequence - 1,
           version: sequence + 100,
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
 import { control } from "../../platform/control.js";
-import { Config, ConfigChecker, amend } from "../../src/configuration/config.js";
-import type { Job } from "../../src/proxy/proxy-request.js";
-import { Return } from "../../src/proxy/request-outcome.js";
-import type { Translated } from "../../src/daemon/adapter.js";
+import { Config, ConfigChecker, applyItemChanges } from "../../src/configuration/config.js";
+import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
+import { ClientResponse } from "../../src/proxy/request-outcome.js";
+import type { TranslatedRequest } from "../../src/daemon/adapter.js";
 
 const route = (name: string, more: Record<string, unknown> = {}) => ({
   type: "routes",
@@ -54,19 +54,19 @@
   target: string,
   body?: unknown,
   headers: Record<string, string> = {},
-): Job => ({
+): ProxyRequest => ({
   method,
   target: `/daledoor/${target}`,
   headers,
   body: Buffer.from(typeof body === "string" ? body : JSON.stringify(body ?? {})),
 });
 
-const into = (sent: Job): Translated => {
+const into = (sent: ProxyRequest): TranslatedRequest => {
   const read = control.into(sent);
   if ("code" in read) throw new Error(`${read.code} ${Buffer.from(read.body).toString()}`);
   return read;
 };
-const codeOf = (sent: Job): number | undefined => {
+const codeOf = (sent: ProxyRequest): number | undefined => {
   const read = control.into(sent);
   return "code" in read ? read.code : undefined;
 };
@@ -104,8 +104,10 @@
     draining: true,
     warmMs: 1500,
   });
-  expect(bodyOf(beat.back(Return.json(200, { contract: 9, state: "taken" })))).toEqual({});
-  expect(beat.back(Return.json(503, { error: "No leader could be asked." })).code).toBe(503);
+  expect(bodyOf(beat.back(ClientResponse.json(200, { contract: 9, state: "taken" })))).toEqual({});
+  expect(beat.back(ClientResponse.json(503, { error: "No leader could be asked." })).code).toBe(
+    503,
+  );
   const leave = into(job("POST", "backends/i-7/deregister", ""));
   expect([leave.job.method, leave.job.target, bodyOf(leave.job)]).toEqual([
     "POST",
@@ -118,7 +120,12 @@
   expect(codeOf(job("POST", "backends/i-7/heartbeat", "{"))).toBe(400);
   expect(codeOf(job("POST", "backends/i-7/heartbeat", { svc: "one" }))).toBe(400);
   expect(codeOf(job("GET", "nothing"))).toBe(404);
-  const own: Job = { method: "GET", target: "/status", headers: {}, body: new Uint8Array() };
+  const own: ProxyRequest = {
+    method: "GET",
+    target: "/status",
+    headers: {},
+    body: new Uint8Array(),
+  };
   expect(into(own).job).toBe(own);
 });
 
@@ -157,14 +164,14 @@
     idleMs: 15_000,
   });
   const got = into(job("GET", "config/get"));
-  expect(bodyOf(got.back(Return.json(200, { version: 7, sequence: 7, config })))).toEqual(
+  expect(bodyOf(got.back(ClientResponse.json(200, { version: 7, sequence: 7, config })))).toEqual(
     JSON.parse(JSON.stringify(whole)),
   );
-  expect(got.back(Return.json(503, {})).code).toBe(503);
+  expect(got.back(ClientResponse.json(503, {})).code).toBe(503);
 });
 
 test("the same change sent again has the same name, another one has another", () => {
-  const idOf = (sent: Job): string | undefined => into(sent).job.headers["change-id"];
+  const idOf = (sent: ProxyRequest): string | undefined => into(sent).job.headers["change-id"];
   const id = idOf(job("POST", "config/put", whole, { "base-version": "r5" }));
   expect(idOf(job("POST", "config/put", whole, { "base-version": "r5" }))).toBe(id);
   expect(idOf(job("POST", "config/put", whole, { "base-version": "r6" }))).not.toBe(id);
@@ -201,16 +208,16 @@
     put: { goals: { x: null, z: { latencyMs: 250 } } },
     remove: { routes: ["y"], services: ["two"] },
   });
-  const items: Parameters<typeof amend>[1] = {
+  const items: Parameters<typeof applyItemChanges>[1] = {
     routes: { x: productRoute(body, "x"), z: productRoute(body, "z") },
     goals: { x: null, z: { latencyMs: 250 } },
   };
   const after = new ConfigChecker().check(
-    amend(before, items, { routes: ["y"], services: ["two"], goals: [] }),
+    applyItemChanges(before, items, { routes: ["y"], services: ["two"], goals: [] }),
   );
   if ("faults" in after) throw new Error(JSON.stringify(after.faults));
   const got = into(job("GET", "config/get")).back(
-    Return.json(200, { version: 9, config: after.config }),
+    ClientResponse.json(200, { version: 9, config: after.config }),
   );
   expect(bodyOf(got)).toEqual(
     JSON.parse(JSON.stringify({ ver: "r9", objs: [replaced, route("z"), service("one"), limits] })),
@@ -246,7 +253,7 @@
     },
     goals: { x: { latencyMs: 90 } },
   });
-  const got = into(job("GET", "config/get")).back(Return.json(200, { version: 3, config }));
+  const got = into(job("GET", "config/get")).back(ClientResponse.json(200, { version: 3, config }));
   expect(bodyOf(got)).toEqual({
     ver: "r3",
     objs: [
--- a/test/platform/proxy-stage.ts
+++ b/test/platform/proxy-stage.ts
@@ -1,20 +1,20 @@
 import { dialect } from "../../platform/dialect.js";
 import type {
-  BackEnds,
-  BackReturn,
-  BackTry,
-  Opened,
+  BackendClient,
+  BackendResponse,
+  BackendAttempt,
+  OpenResult,
 } from "../../src/proxy/upstream/backend-client.js";
-import type { Caller, Job } from "../../src/proxy/proxy-request.js";
-import type { Return } from "../../src/proxy/request-outcome.js";
+import type { ClientConnection, ProxyRequest } from "../../src/proxy/proxy-request.js";
+import type { ClientResponse } from "../../src/proxy/request-outcome.js";
 import { Daemon } from "../../src/daemon/daemon.js";
 import type { Settings } from "../../src/daemon/settings.js";
-import { Draw } from "../../src/simulation/random-draw.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { Clock } from "../../src/runtime/clock.js";
 import { LinkPacers } from "../../src/runtime/link-pacer.js";
 import { Task } from "../../src/runtime/task.js";
@@ -68,7 +68,7 @@
 };
 
 /** What a caller saw of its response. */
-export class Seen implements Caller {
+export class Seen implements ClientConnection {
   isGone = false;
   code = 0;
   headers: Record<string, string> = {};
@@ -95,7 +95,7 @@
     return this.endMs - this.sinceMs;
   }
 
-  whole({ code, headers, body }: Return): void {
+  whole({ code, headers, body }: ClientResponse): void {
     this.head(code, headers);
     this.bytes.push(body);
     this.close("whole");
@@ -135,7 +135,7 @@
 
 /** How a stage differs from the usual one. */
 export interface StageOptions {
-  readonly backEnds?: (clock: Clock) => BackEnds;
+  readonly backEnds?: (clock: Clock) => BackendClient;
   readonly linkMbps?: number;
 }
 
@@ -160,7 +160,7 @@
   constructor({ backEnds, linkMbps }: StageOptions = {}) {
     this.clock = this.time.clock();
     this.pacers = LinkPacers.of(this.clock, linkMbps);
-    const random = Draw.of(11);
+    const random = RandomDraw.of(11);
     const network = new VirtualNetwork(this.clock, random);
     this.disk = new VirtualDisk(this.clock, random);
     const settings: Settings = {
@@ -174,9 +174,9 @@
       dataFolder: "data",
       tolerate: { machines: 0, zones: 0 },
     };
-    const world = virtualWorld({
+    const world = virtualRuntime({
       clock: this.clock,
-      wire: network.wire("disk-1", new Gate()),
+      wire: network.wire("disk-1", new EventGate()),
       disk: this.disk,
       random,
       lines: (line) => this.lines.push(`${this.time.nowMs().toFixed(0)} ${line}`),
@@ -224,8 +224,8 @@
   }
 
   /** Has the operators' port answer. */
-  order(method: string, target: string, body: unknown): Return {
-    const told: Return[] = [];
+  order(method: string, target: string, body: unknown): ClientResponse {
+    const told: ClientResponse[] = [];
     this.daemon.operators.put({
       job: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
       give: (ret) => told.push(ret),
@@ -251,7 +251,7 @@
       ...headers,
     }))
       if (value !== undefined) held[name] = value;
-    const job: Job = { method, target, headers: held, body };
+    const job: ProxyRequest = { method, target, headers: held, body };
     const caller = new Seen(() => this.time.nowMs());
     this.daemon.callers.put({ job, caller });
     return caller;
@@ -308,7 +308,7 @@
     this.clock.after(500, () => this.announceOn());
   }
 
-  private backEnds(): BackEnds {
+  private backEnds(): BackendClient {
     return {
       send: (one) => this.tried(one),
       keepOnly: () => undefined,
@@ -316,7 +316,7 @@
     };
   }
 
-  private *tried({ address, job, untilMs, mayStill }: BackTry): Task<Opened> {
+  private *tried({ address, job, untilMs, mayStill }: BackendAttempt): Task<OpenResult> {
     const { clock } = this;
     yield* Clock.rest(clock, 1);
     const why = this.before(address);
@@ -342,7 +342,7 @@
     const left = [...act.pieces];
     const { code, headers, pieceMs = 0 } = act;
     let isCancelled = false;
-    const ret: BackReturn = {
+    const ret: BackendResponse = {
       code,
       headers,
       *next() {
--- a/test/platform/raw-stage.ts
+++ b/test/platform/raw-stage.ts
@@ -1,4 +1,4 @@
-import { BackEnds } from "../../src/proxy/upstream/backend-client.js";
+import { BackendClient } from "../../src/proxy/upstream/backend-client.js";
 import { DoorStage, type Seen } from "./proxy-stage.js";
 import { RawBackEnd, type RawRequest } from "./raw-backend.js";
 
@@ -9,9 +9,13 @@
 export class RawStage {
   readonly stage: DoorStage;
   readonly backEnds: readonly RawBackEnd[];
-  readonly connections: BackEnds;
+  readonly connections: BackendClient;
 
-  private constructor(stage: DoorStage, backEnds: readonly RawBackEnd[], connections: BackEnds) {
+  private constructor(
+    stage: DoorStage,
+    backEnds: readonly RawBackEnd[],
+    connections: BackendClient,
+  ) {
     this.stage = stage;
     this.backEnds = backEnds;
     this.connections = connections;
@@ -19,10 +23,10 @@
 
   /** A door before so many back ends. */
   static async ready(count = 2): Promise<RawStage> {
-    const opened: BackEnds[] = [];
+    const opened: BackendClient[] = [];
     const stage = DoorStage.ready(0, {
       backEnds: (clock) => {
-        const connections = BackEnds.http(clock, { proof: "request" });
+        const connections = BackendClient.http(clock, { proof: "request" });
         opened.push(connections);
         return connections;
       },
--- a/test/proxy/calm-fleet.ts
+++ b/test/proxy/calm-fleet.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../src/proxy/proxy-request.js";
+import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
 import { Profile } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
 import { Task } from "../../src/runtime/task.js";
@@ -25,7 +25,7 @@
   const core = simulation.machines.filter(({ settings }) => settings.dataFolder !== undefined);
   const send = (through: Machine, key: string, patienceMs = 9000): Call => {
     const seen: Call = { code: undefined, text: "" };
-    const job: Job = {
+    const job: ProxyRequest = {
       method: "POST",
       target: "/issues/5/resolve",
       headers: { "idempotency-key": key, "x-caller": `${through.settings.machine} ${key}` },
--- a/test/proxy/expired-lease-policy.test.ts
+++ b/test/proxy/expired-lease-policy.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { LapsedLease } from "../../src/proxy/expired-lease-policy.js";
+import { ExpiredLeasePolicy } from "../../src/proxy/expired-lease-policy.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 
 const bounds = { staleMs: 5000, contactMs: 3000 };
@@ -7,7 +7,7 @@
 const stage = (members: readonly string[]) => {
   const time = new VirtualClock();
   const failedMs = new Map<string, number>();
-  const lease = new LapsedLease(
+  const lease = new ExpiredLeasePolicy(
     time.clock(),
     {
       members,
--- a/test/proxy/idempotency/claims-of-lost-daemons.test.ts
+++ b/test/proxy/idempotency/claims-of-lost-daemons.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../../src/simulation/random-draw.js";
+import { RandomDraw } from "../../../src/simulation/random-draw.js";
 import { calmFleet, keyWindowMs, two, type Call } from "../calm-fleet.js";
 
 test("an edge dies with a claim that it holds, and the leader that gave it loses power at once: a repeat elsewhere gets 502, since nobody can tell, and doesn't run", () => {
@@ -69,7 +69,7 @@
   "edges and leaders that die at any moment of keyed requests, with repeats through all edges: none runs twice within the window, and equal successes (seed %i)",
   (seed) => {
     const { simulation, edges, core, wait, send, runs, leader } = calmFleet(seed);
-    const draw = Draw.of(seed * 101);
+    const draw = RandomDraw.of(seed * 101);
     const pick = <T>(from: readonly T[]): T | undefined => from[Math.floor(draw() * from.length)];
     const calls = new Map<string, Call[]>();
     for (let round = 0; round < 14; round += 1) {
--- a/test/proxy/idempotency/idempotency-claims.test.ts
+++ b/test/proxy/idempotency/idempotency-claims.test.ts
@@ -1,5 +1,5 @@
 import { beforeEach, expect, test } from "vitest";
-import type { Job } from "../../../src/proxy/proxy-request.js";
+import type { ProxyRequest } from "../../../src/proxy/proxy-request.js";
 import { Task } from "../../../src/runtime/task.js";
 import { Profile } from "../../../src/simulation/profile.js";
 import { Simulation } from "../../../src/simulation/simulation.js";
@@ -20,7 +20,7 @@
     body = "{}",
   ): { code: number | undefined; text: string } => {
     const seen: { code: number | undefined; text: string } = { code: undefined, text: "" };
-    const job: Job = {
+    const job: ProxyRequest = {
       method: "POST",
       target: "/issues/5/resolve",
       headers: { "idempotency-key": key, "x-caller": `${through.settings.machine} ${key}` },
--- a/test/proxy/idempotency/outcome-cache.test.ts
+++ b/test/proxy/idempotency/outcome-cache.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { KeyedOutcomeStore } from "../../../src/proxy/idempotency/outcome-cache.js";
+import { OutcomeCache } from "../../../src/proxy/idempotency/outcome-cache.js";
 import type { KeyedOutcome } from "../../../src/proxy/idempotency/keyed-outcome.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 
@@ -9,7 +9,7 @@
 });
 
 test("a response is found by its scope and the request that ran, and by no other", () => {
-  const store = new KeyedOutcomeStore(new VirtualClock().clock(), 1000);
+  const store = new OutcomeCache(new VirtualClock().clock(), 1000);
   store.note({ scope: "s", job: "one" }, response(10));
   expect(store.find({ scope: "s", job: "one" })).toEqual(response(10));
   expect(store.find({ scope: "s", job: "other" })).toBeUndefined();
@@ -18,7 +18,7 @@
 
 test("responses are bounded all together: the oldest go first", () => {
   const mostBytes = 100_000;
-  const store = new KeyedOutcomeStore(new VirtualClock().clock(), 1000, mostBytes);
+  const store = new OutcomeCache(new VirtualClock().clock(), 1000, mostBytes);
   for (let at = 0; at < 200; at += 1) {
     store.note({ scope: `s${at}`, job: "j" }, response(9_800));
     expect(store.bytes).toBeLessThanOrEqual(mostBytes);
@@ -31,7 +31,7 @@
 
 test("what is older than a key is kept goes with the next one, and what replaces a response counts once", () => {
   const time = new VirtualClock();
-  const store = new KeyedOutcomeStore(time.clock(), 1000);
+  const store = new OutcomeCache(time.clock(), 1000);
   store.note({ scope: "old", job: "j" }, response(500));
   time.runUntil(1500);
   store.note({ scope: "new", job: "j" }, response(500));
--- a/test/proxy/outcome-rules.test.ts
+++ b/test/proxy/outcome-rules.test.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from "node:fs";
 import { expect, test } from "vitest";
-import { headFault } from "../../src/proxy/upstream/response-validation.js";
-import { Dialect } from "../../src/proxy/header-names.js";
-import { endingOf, maySendOn, tryCauses } from "../../src/proxy/outcome-rules.js";
+import { responseHeadFault } from "../../src/proxy/upstream/response-validation.js";
+import { HeaderNames } from "../../src/proxy/header-names.js";
+import { outcomeOfFailure, mayRetry, outcomeRules } from "../../src/proxy/outcome-rules.js";
 
 test("the table of how a try can end: may it have run, did bytes leave, the connection, the client's answer", () => {
-  const rows = [...tryCauses].map(
+  const rows = [...outcomeRules].map(
     ([cause, { verdict, isSent, connection, answer }]) =>
       `${cause} ${verdict} ${isSent ? "sent" : "unsent"} ${connection} ${answer}`,
   );
@@ -33,21 +33,27 @@
 });
 
 test("only a request that never ran is told a status that promises so, and only that may be sent on whatever its route", () => {
-  for (const [cause, { verdict, isSent, answer }] of tryCauses) {
+  for (const [cause, { verdict, isSent, answer }] of outcomeRules) {
     expect([cause, answer === 503]).toEqual([cause, verdict === "neverRan"]);
     if (!isSent) expect([cause, verdict]).toEqual([cause, "neverRan"]);
   }
   for (const repeatable of [true, false]) {
-    expect(maySendOn("neverRan", { repeatable })).toBe(true);
-    expect(maySendOn("mayHaveRun", { repeatable })).toBe(repeatable);
-    expect(maySendOn("ran", { repeatable })).toBe(repeatable);
+    expect(mayRetry("neverRan", { repeatable })).toBe(true);
+    expect(mayRetry("mayHaveRun", { repeatable })).toBe(repeatable);
+    expect(mayRetry("ran", { repeatable })).toBe(repeatable);
   }
-  expect(endingOf("late", 100)).toMatchObject({ verdict: "mayHaveRun", ret: { code: 504 } });
-  expect(endingOf("notRun", 100)).toMatchObject({ verdict: "neverRan", ret: { code: 503 } });
+  expect(outcomeOfFailure("late", 100)).toMatchObject({
+    verdict: "mayHaveRun",
+    ret: { code: 504 },
+  });
+  expect(outcomeOfFailure("notRun", 100)).toMatchObject({
+    verdict: "neverRan",
+    ret: { code: 503 },
+  });
 });
 
-const strict: Dialect = {
-  ...Dialect.own,
+const strict: HeaderNames = {
+  ...HeaderNames.own,
   requestId: "name",
   echo: "name",
   seal: "stamp",
@@ -72,12 +78,12 @@
   ["an encoded body", 200, { name: "me", stamp: "s", "content-encoding": "br" }, "encoded"],
 ] as const)("a response's head: %s", (_what, code, headers, fault) => {
   const expected = { dialect: strict, id: "me", echoHeader: "name" };
-  expect(headFault({ code, headers }, expected)).toBe(fault);
+  expect(responseHeadFault({ code, headers }, expected)).toBe(fault);
 });
 
 test("docs/control.md has a row for each way in which a try can end", () => {
   const page = readFileSync(new URL("../../docs/control.md", import.meta.url), "utf8");
-  const missing = [...tryCauses.keys()].filter(
+  const missing = [...outcomeRules.keys()].filter(
     (cause) =>
       !page.split("\n").some((line) => line.startsWith("|") && line.includes(`\`${cause}\``)),
   );
--- a/test/proxy/upstream/backend-client.test.ts
+++ b/test/proxy/upstream/backend-client.test.ts
@@ -1,6 +1,10 @@
 import { createServer } from "node:http";
 import { expect, test } from "vitest";
-import { BackEnds, proofPath, serviceHeader } from "../../../src/proxy/upstream/backend-client.js";
+import {
+  BackendClient,
+  SERVICE_PROOF_PATH,
+  SERVICE_HEADER,
+} from "../../../src/proxy/upstream/backend-client.js";
 import { Clock } from "../../../src/runtime/clock.js";
 import { Task } from "../../../src/runtime/task.js";
 
@@ -10,8 +14,8 @@
   let proofWaits: Array<() => void> | undefined;
   const open = async (port: number) => {
     const server = createServer((incoming, outgoing) => {
-      if (incoming.url === proofPath) {
-        const prove = (): unknown => outgoing.writeHead(204, { [serviceHeader]: service }).end();
+      if (incoming.url === SERVICE_PROOF_PATH) {
+        const prove = (): unknown => outgoing.writeHead(204, { [SERVICE_HEADER]: service }).end();
         if (proofWaits) proofWaits.push(prove);
         else prove();
         return;
@@ -32,7 +36,7 @@
       server.closeAllConnections();
     });
   const clock = Clock.real();
-  const backEnds = BackEnds.http(clock);
+  const backEnds = BackendClient.http(clock);
   const first = await open(0);
   const address = `127.0.0.1:${first.port}`;
   const sending = (path: string, mayStill = (): boolean => true): Promise<string> =>
--- a/test/proxy/upstream/backend-deadline.test.ts
+++ b/test/proxy/upstream/backend-deadline.test.ts
@@ -1,6 +1,6 @@
 import { createServer, type Socket } from "node:net";
 import { afterEach, expect, test } from "vitest";
-import { BackEnds, type Opened } from "../../../src/proxy/upstream/backend-client.js";
+import { BackendClient, type OpenResult } from "../../../src/proxy/upstream/backend-client.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { Clock } from "../../../src/runtime/clock.js";
 import { LinkPacers } from "../../../src/runtime/link-pacer.js";
@@ -33,9 +33,9 @@
 const deadlineMs = 150;
 
 /** Sends one request over a real connection, its deadline on a clock that only the test moves on. */
-const send = (address: string, time: VirtualClock): Promise<Opened> => {
+const send = (address: string, time: VirtualClock): Promise<OpenResult> => {
   const virtual = time.clock();
-  const backEnds = BackEnds.http(virtual, { proof: "request" });
+  const backEnds = BackendClient.http(virtual, { proof: "request" });
   closing.push(() => backEnds.close());
   return run(
     backEnds.send({
@@ -50,7 +50,7 @@
 };
 
 /** Reads a response to its end. */
-const read = function* (opened: Opened): Task<string> {
+const read = function* (opened: OpenResult): Task<string> {
   if (typeof opened === "string") return opened;
   let text = "";
   for (;;) {
@@ -96,7 +96,7 @@
     socket.write(answer.repeat(2));
   });
   const pacers = LinkPacers.of(clock, 100);
-  const backEnds = BackEnds.http(clock, { proof: "request", pacers });
+  const backEnds = BackendClient.http(clock, { proof: "request", pacers });
   closing.push(() => backEnds.close());
   const one = (method: string, body: Uint8Array) => ({
     address,
--- a/test/proxy/upstream/closing-responses.test.ts
+++ b/test/proxy/upstream/closing-responses.test.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server, type Socket } from "node:net";
 import { expect, test } from "vitest";
-import { BackEnds, type BackReturn } from "../../../src/proxy/upstream/backend-client.js";
+import { BackendClient, type BackendResponse } from "../../../src/proxy/upstream/backend-client.js";
 import { Clock } from "../../../src/runtime/clock.js";
 import { LinkPacers } from "../../../src/runtime/link-pacer.js";
 import { Task } from "../../../src/runtime/task.js";
@@ -29,7 +29,10 @@
 };
 
 /** Reads a response, slowly, until it is over or `most` pieces have come, and then gives it up. */
-const read = function* (opened: BackReturn, most: number): Task<{ bytes: number; last: string }> {
+const read = function* (
+  opened: BackendResponse,
+  most: number,
+): Task<{ bytes: number; last: string }> {
   let bytes = 0;
   for (let pieces = 0; pieces < most; pieces += 1) {
     const piece = yield* opened.next();
@@ -42,7 +45,7 @@
 };
 
 const received = (server: Server, most = Infinity): Promise<{ bytes: number; last: string }> => {
-  const backEnds = BackEnds.http(clock, {
+  const backEnds = BackendClient.http(clock, {
     proof: "request",
     pacers: LinkPacers.of(clock, linkMbps),
   });
--- a/test/proxy/upstream/paced-backends.test.ts
+++ b/test/proxy/upstream/paced-backends.test.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server } from "node:http";
 import { expect, test } from "vitest";
-import { BackEnds } from "../../../src/proxy/upstream/backend-client.js";
+import { BackendClient } from "../../../src/proxy/upstream/backend-client.js";
 import { Clock } from "../../../src/runtime/clock.js";
 import { LinkPacers } from "../../../src/runtime/link-pacer.js";
 import { Task } from "../../../src/runtime/task.js";
@@ -23,7 +23,7 @@
   readonly tookMs: number;
 }
 
-const sent = (backEnds: BackEnds, port: number, path: string, body = new Uint8Array()) =>
+const sent = (backEnds: BackendClient, port: number, path: string, body = new Uint8Array()) =>
   new Promise<Outcome>((done, fail) =>
     Task.start(
       (function* () {
@@ -59,7 +59,7 @@
   );
   const port = await serving(server);
   const pacers = LinkPacers.of(clock, linkMbps);
-  const backEnds = BackEnds.http(clock, { proof: "request", pacers });
+  const backEnds = BackendClient.http(clock, { proof: "request", pacers });
   const ended: string[] = [];
   const noted = async (path: string): Promise<Outcome> => {
     const outcome = await sent(backEnds, port, path);
@@ -95,7 +95,7 @@
   });
   const port = await serving(server);
   const pacers = LinkPacers.of(clock, linkMbps);
-  const backEnds = BackEnds.http(clock, { proof: "request", pacers });
+  const backEnds = BackendClient.http(clock, { proof: "request", pacers });
   const outcome = sent(backEnds, port, "/", body);
   await new Promise((done) => setTimeout(done, 50));
   expect(pacers.egress.queueMs).toBeLessThanOrEqual(30);
@@ -110,7 +110,10 @@
   const largeBytes = 300_000;
   const server = createServer((_incoming, outgoing) => outgoing.end(Buffer.alloc(largeBytes, "x")));
   const port = await serving(server);
-  const backEnds = BackEnds.http(clock, { proof: "request", pacers: LinkPacers.of(clock, 100) });
+  const backEnds = BackendClient.http(clock, {
+    proof: "request",
+    pacers: LinkPacers.of(clock, 100),
+  });
   const all = Array.from({ length: 40 }, (_none, place) => sent(backEnds, port, `/${place}`));
   for (const { text, bytes } of await Promise.all(all))
     expect({ text, bytes }).toEqual({ text: "end", bytes: largeBytes });
--- a/test/replication/bootstrap/node-location.test.ts
+++ b/test/replication/bootstrap/node-location.test.ts
@@ -1,7 +1,10 @@
 import { expect, test } from "vitest";
-import { Place, type Candidate } from "../../../src/replication/bootstrap/node-location.js";
+import {
+  NodeLocation,
+  type BootstrapCandidate,
+} from "../../../src/replication/bootstrap/node-location.js";
 
-const place = (machines: number, zones: number): Place => ({
+const place = (machines: number, zones: number): NodeLocation => ({
   self: "p",
   machine: "m",
   zone: "a",
@@ -9,28 +12,30 @@
   tolerate: { machines, zones },
   seeds: () => [],
 });
-const inZones = (zones: string): Candidate[] =>
+const inZones = (zones: string): BootstrapCandidate[] =>
   [...zones].map((zone, at) => ({ peer: `${zone}${at}`, machine: `m${at}`, zone }));
 
 test("voters are spread over the zones in turn, whatever the order in which candidates were met", () => {
   const all = inZones("aabbcc");
-  expect(Place.choose(place(2, 0), all)).toEqual({
+  expect(NodeLocation.choose(place(2, 0), all)).toEqual({
     voters: ["a0", "b2", "c4", "a1", "b3"],
     learners: ["c5"],
   });
-  expect(Place.choose(place(2, 0), [...all].reverse())).toEqual(Place.choose(place(2, 0), all));
-  expect(Place.choose(place(1, 0), inZones("abcd"))).toEqual({
+  expect(NodeLocation.choose(place(2, 0), [...all].reverse())).toEqual(
+    NodeLocation.choose(place(2, 0), all),
+  );
+  expect(NodeLocation.choose(place(1, 0), inZones("abcd"))).toEqual({
     voters: ["a0", "b1", "c2"],
     learners: ["d3"],
   });
 });
 
 test("too few candidates form nothing, nor those of too few zones where losses of zones are tolerated", () => {
-  expect(Place.choose(place(1, 0), inZones("ab"))).toBeUndefined();
-  expect(Place.choose(place(1, 0), inZones("aaa"))?.voters).toHaveLength(3);
-  expect(Place.choose(place(1, 1), inZones("aab"))).toBeUndefined();
-  expect(Place.choose(place(1, 1), inZones("aabc"))?.voters).toEqual(["a0", "b2", "c3"]);
-  expect(Place.choose(place(2, 1), inZones("aaabb"))).toBeUndefined();
-  expect(Place.choose(place(2, 1), inZones("aaabbc"))?.voters).toHaveLength(5);
-  expect(Place.voters(place(0, 1))).toBe(3);
+  expect(NodeLocation.choose(place(1, 0), inZones("ab"))).toBeUndefined();
+  expect(NodeLocation.choose(place(1, 0), inZones("aaa"))?.voters).toHaveLength(3);
+  expect(NodeLocation.choose(place(1, 1), inZones("aab"))).toBeUndefined();
+  expect(NodeLocation.choose(place(1, 1), inZones("aabc"))?.voters).toEqual(["a0", "b2", "c3"]);
+  expect(NodeLocation.choose(place(2, 1), inZones("aaabb"))).toBeUndefined();
+  expect(NodeLocation.choose(place(2, 1), inZones("aaabbc"))?.voters).toHaveLength(5);
+  expect(NodeLocation.voters(place(0, 1))).toBe(3);
 });
--- a/test/replication/bootstrap/restore-as-only-voter.test.ts
+++ b/test/replication/bootstrap/restore-as-only-voter.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
 import { Task } from "../../../src/runtime/task.js";
 import {
-  restore,
-  type Restored,
+  restoreAsOnlyVoter,
+  type RestoreResult,
 } from "../../../src/replication/bootstrap/restore-as-only-voter.js";
 import { Profile } from "../../../src/simulation/profile.js";
 import { Simulation } from "../../../src/simulation/simulation.js";
@@ -21,8 +21,10 @@
   const [kept, ...lost] = core;
   if (!kept?.disk) throw new Error("No disk is left.");
   kept.disk.restart(simulation.clock);
-  const outcomes: Restored[] = [];
-  Task.start(restore(kept.disk, kept.settings.peers), fail, (outcome) => outcomes.push(outcome));
+  const outcomes: RestoreResult[] = [];
+  Task.start(restoreAsOnlyVoter(kept.disk, kept.settings.peers), fail, (outcome) =>
+    outcomes.push(outcome),
+  );
   wait(100);
   expect(outcomes[0]?.kind).toBe("restored");
   for (const machine of lost) machine.disk?.wipe();
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
 import { Config } from "../../src/configuration/config.js";
-import { type AcceptedConfig, Book, Deed } from "../../src/state/state-machine.js";
+import { type AcceptedConfig, StateMachine, LogCommand } from "../../src/state/state-machine.js";
 import { HistoryFormat } from "../../src/replication/history/history-format.js";
-import { type Standing, Store } from "../../src/replication/log/log-store.js";
+import { type DurableState, LogStore } from "../../src/replication/log/log-store.js";
 import { FleetStage, type StageMachine } from "./fleet-stage.js";
 import { LargeConfig } from "./large-config.js";
 
@@ -32,7 +32,7 @@
     const recorder = this.stage.leader.daemon?.recorder;
     if (!recorder) return "no leader";
     const text = this.config.next();
-    const deed = Deed.text({
+    const deed = LogCommand.text({
       kind: "config",
       expected: this.newest,
       changeId: `c${this.newest + 1}`,
@@ -201,14 +201,14 @@
     disk.poke(`history-${file}`, Buffer.concat(records));
   }
   const newest = files * 64 + 1;
-  const book = new Book();
+  const book = new StateMachine();
   book.configs = [accepted(newest, config.next())];
   book.recent = book.configs.map(({ sequence, changeId, acceptedAt }) => ({
     sequence,
     changeId,
     acceptedAt,
   }));
-  const standing: Standing = {
+  const standing: DurableState = {
     fleet: "f",
     rejoining: "",
     term: 1,
@@ -218,7 +218,7 @@
     book: book.checkpoint({ voters: [peer], learners: [] }),
     entries: [],
   };
-  stage.start(new Store(disk).checkpoint(standing));
+  stage.start(new LogStore(disk).checkpoint(standing));
   stage.wait(200);
   return newest;
 };
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -1,18 +1,18 @@
 import { expect, test } from "vitest";
-import { Book, Deed } from "../../src/state/state-machine.js";
-import { type Standing, Store } from "../../src/replication/log/log-store.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import { StateMachine, LogCommand } from "../../src/state/state-machine.js";
+import { type DurableState, LogStore } from "../../src/replication/log/log-store.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
   stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
 
 /** The state machine with as many keys as are kept at most and names that deflate badly: 20 MB of text. */
-const fullestBook = (): { book: Book; lastIndex: number } => {
-  const random = Draw.of(21);
-  const book = new Book();
+const fullestBook = (): { book: StateMachine; lastIndex: number } => {
+  const random = RandomDraw.of(21);
+  const book = new StateMachine();
   let index = 0;
-  const apply = (deed: Deed): unknown => book.apply((index += 1), Deed.text(deed));
+  const apply = (deed: LogCommand): unknown => book.apply((index += 1), LogCommand.text(deed));
   apply({
     kind: "config",
     expected: 0,
@@ -39,19 +39,19 @@
   const voters = stage.disks.map(({ peer }) => peer);
   const members = { voters, learners: [] };
   const standing = { fleet: "f", rejoining: "", term: 1, votedFor: "", lastTerm: 1, entries: [] };
-  const first = new Book();
+  const first = new StateMachine();
   first.configs = fullest.book.configs;
-  const whole: Standing = {
+  const whole: DurableState = {
     ...standing,
     lastIndex: fullest.lastIndex,
     book: fullest.book.checkpoint(members),
   };
-  const old: Standing = { ...standing, lastIndex: 1, book: first.checkpoint(members) };
+  const old: DurableState = { ...standing, lastIndex: 1, book: first.checkpoint(members) };
   const [one, two, behind] = stage.disks;
   if (!one || !two || !behind) throw new Error("A machine is missing.");
   for (const machine of stage.disks)
     if (machine.disk)
-      stage.start(new Store(machine.disk).checkpoint(machine === behind ? old : whole));
+      stage.start(new LogStore(machine.disk).checkpoint(machine === behind ? old : whole));
   stage.wait(500);
   const others = [one, two];
   return { stage, others, behind, totalBytes: Buffer.byteLength(whole.book) };
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -1,16 +1,16 @@
 import { Daemon, type DaemonOptions } from "../../src/daemon/daemon.js";
 import type { Settings } from "../../src/daemon/settings.js";
 import type { Clock } from "../../src/runtime/clock.js";
-import type { Wire } from "../../src/runtime/network.js";
+import type { Network } from "../../src/runtime/network.js";
 import { Task } from "../../src/runtime/task.js";
-import { Deed } from "../../src/state/state-machine.js";
-import { Draw } from "../../src/simulation/random-draw.js";
-import { Gate } from "../../src/simulation/event-gate.js";
-import { noBackEnds } from "../../src/simulation/unreachable-backends.js";
+import { LogCommand } from "../../src/state/state-machine.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
+import { unreachableBackends } from "../../src/simulation/unreachable-backends.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
 const fail = (error: unknown): void => {
   throw error;
@@ -24,7 +24,7 @@
 export class StageMachine {
   settings: Settings;
   readonly disk: VirtualDisk | undefined;
-  gate = new Gate();
+  gate = new EventGate();
   daemon: Daemon | undefined;
 
   constructor(settings: Settings, disk: VirtualDisk | undefined) {
@@ -43,15 +43,15 @@
 
 /** What the process of a staged machine runs on. */
 export interface MachineLife {
-  readonly gate: Gate;
+  readonly gate: EventGate;
   readonly clock: Clock;
-  readonly wire: Wire;
+  readonly wire: Network;
 }
 
 /** Daemons on a virtual network: `d` is a machine with a disk, `e` one without; each letter pair names kind and zone. */
 export class FleetStage {
   readonly time = new VirtualClock();
-  readonly random = Draw.of(7);
+  readonly random = RandomDraw.of(7);
   readonly network = new VirtualNetwork(this.time.clock(), this.random);
   readonly lines: string[] = [];
   readonly machines: StageMachine[];
@@ -106,7 +106,7 @@
     machine.gate = gate;
     machine.disk?.restart(clock);
     const name = machine.settings.machine;
-    const world = virtualWorld({
+    const world = virtualRuntime({
       clock,
       wire,
       disk: machine.disk,
@@ -119,12 +119,12 @@
 
   /** What its daemons are told besides their settings. */
   protected daemonOptions(): DaemonOptions {
-    return { backEnds: noBackEnds };
+    return { backEnds: unreachableBackends };
   }
 
   /** What a machine's next life runs on. */
   protected lifeOf({ settings }: StageMachine): MachineLife {
-    const gate = new Gate();
+    const gate = new EventGate();
     const clock = gate.clock(this.time.clock());
     return { gate, clock, wire: this.network.wire(settings.machine, gate) };
   }
@@ -175,7 +175,7 @@
     const outcomes: boolean[] = [];
     const recorder = this.leader.daemon?.recorder;
     if (!recorder) return false;
-    const text = Deed.text({
+    const text = LogCommand.text({
       kind: "config",
       expected: sequence - 1,
       changeId: `c${sequence}`,
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from "vitest";
 import { Task } from "../../../src/runtime/task.js";
 import type { AcceptedConfig } from "../../../src/state/state-machine.js";
-import { History } from "../../../src/replication/history/config-history.js";
+import { ConfigHistory } from "../../../src/replication/history/config-history.js";
 import { HistoryFormat } from "../../../src/replication/history/history-format.js";
 import { TextDelta } from "../../../src/state/text-delta.js";
-import { Draw } from "../../../src/simulation/random-draw.js";
-import { judge } from "../../../src/simulation/invariant-checker.js";
+import { RandomDraw } from "../../../src/simulation/random-draw.js";
+import { checkRules } from "../../../src/simulation/invariant-checker.js";
 import { Profile } from "../../../src/simulation/profile.js";
 import { Simulation } from "../../../src/simulation/simulation.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
@@ -34,7 +34,7 @@
     time.runUntil(time.nowMs() + 5000);
     return values[0];
   };
-  const history = new History(disk);
+  const history = new ConfigHistory(disk);
   run(history.load([]));
   run(history.add([config(1), config(2, 9)]));
   const whole = Buffer.from(disk.peek("configs-1"));
@@ -44,7 +44,7 @@
   disk.full = false;
   disk.poke("configs-1", Buffer.concat([whole, whole.subarray(0, 20)]));
   run(history.add([config(3, 12), config(4, 13)]));
-  const again = new History(disk);
+  const again = new ConfigHistory(disk);
   run(again.load(["configs-1"]));
   expect(again.newest).toBe(4);
   expect([1, 2, 3, 4].map((sequence) => run(again.read(sequence)))).toEqual([
@@ -69,8 +69,8 @@
     for (const value of values) return value;
     throw new Error("The task has not ended.");
   };
-  const reopened = (): History => {
-    const history = new History(disk);
+  const reopened = (): ConfigHistory => {
+    const history = new ConfigHistory(disk);
     run(history.load(run(disk.list())));
     return history;
   };
@@ -110,7 +110,7 @@
   simulation.start(simulation.day.readBack());
   wait(60_000);
   expect(simulation.ledger.of("readBack")).toHaveLength(230);
-  expect(judge(simulation.ledger).filter(({ rule }) => rule.includes("accepted"))).toEqual([]);
+  expect(checkRules(simulation.ledger).filter(({ rule }) => rule.includes("accepted"))).toEqual([]);
   const slots = ["slot-a", "slot-b"].map((name) => two.disk?.peek(name).length ?? 0);
   expect(Math.max(...slots)).toBeLessThan(150_000);
 });
@@ -129,7 +129,7 @@
   for (const sequence of [1, 64, 65, 128, 129, 152])
     expect(run(reopened().read(sequence))).toEqual(config(sequence));
   expect(run(again.read(153))).toBeUndefined();
-  expect(History.unpack(run(again.piece(100)), 100).map(({ sequence }) => sequence)).toEqual(
+  expect(ConfigHistory.unpack(run(again.piece(100)), 100).map(({ sequence }) => sequence)).toEqual(
     Array.from({ length: 29 }, (_, at) => at + 100),
   );
   expect(run(disk.list()).sort()).toEqual(["configs-1", "configs-129", "configs-65"]);
@@ -189,12 +189,12 @@
 
 test("the oldest files go beyond the limit, and on a full disk, never the newest", () => {
   const { disk, run } = setUp();
-  const random = Draw.of(5);
+  const random = RandomDraw.of(5);
   const large = (sequence: number): AcceptedConfig => ({
     ...config(sequence),
     text: Array.from({ length: 4000 }, () => random().toString(36)).join(" "),
   });
-  const history = new History(disk, 1_000_000);
+  const history = new ConfigHistory(disk, 1_000_000);
   run(history.load([]));
   for (let sequence = 1; sequence <= 60; sequence += 1) run(history.add([large(sequence)]));
   const filled = history.bytes;
@@ -212,7 +212,7 @@
 });
 
 test("a delta gives back any text, also one that shares nothing or only moves parts", () => {
-  const random = Draw.of(9);
+  const random = RandomDraw.of(9);
   const word = (): string => `"${random().toString(36)}":{"a":${Math.floor(random() * 9)}},`;
   const items = Array.from({ length: 300 }, word);
   const base = items.join("");
@@ -237,7 +237,7 @@
 });
 
 test("whatever bytes stand in its files, a history returns a config as it was kept or none, and takes more", () => {
-  const random = Draw.of(11);
+  const random = RandomDraw.of(11);
   let missing = 0;
   for (let round = 0; round < 60; round += 1) {
     const { disk, run, reopened } = setUp();
@@ -265,6 +265,9 @@
   }
   expect(missing).toBeGreaterThan(20);
   expect(
-    History.unpack(Buffer.from(Array.from({ length: 300 }, () => Math.floor(random() * 256))), 1),
+    ConfigHistory.unpack(
+      Buffer.from(Array.from({ length: 300 }, () => Math.floor(random() * 256))),
+      1,
+    ),
   ).toEqual([]);
 });
--- a/test/replication/large-config.ts
+++ b/test/replication/large-config.ts
@@ -1,6 +1,6 @@
-import { Draw } from "../../src/simulation/random-draw.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 
-const random = Draw.of(17);
+const random = RandomDraw.of(17);
 const word = (letters: number): string =>
   Array.from({ length: letters }, () => String.fromCharCode(97 + Math.floor(random() * 26))).join(
     "",
--- a/test/replication/log/log-store.test.ts
+++ b/test/replication/log/log-store.test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from "vitest";
 import { Task } from "../../../src/runtime/task.js";
-import { type Standing, Store } from "../../../src/replication/log/log-store.js";
-import { Draw } from "../../../src/simulation/random-draw.js";
+import { type DurableState, LogStore } from "../../../src/replication/log/log-store.js";
+import { RandomDraw } from "../../../src/simulation/random-draw.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../../src/simulation/virtual-disk.js";
 
-const standing: Standing = {
+const standing: DurableState = {
   fleet: "f",
   rejoining: "",
   term: 1,
@@ -36,7 +36,7 @@
 
 test("a torn tail is cut, damage before it is told, and nothing synced is lost", () => {
   const { disk, run } = setUp();
-  const store = new Store(disk);
+  const store = new LogStore(disk);
   expect(run(store.load())).toEqual({ kind: "empty" });
   run(store.checkpoint(standing));
   for (let index = 1; index <= 3; index += 1)
@@ -51,7 +51,7 @@
   const bytes = disk.peek(name);
   for (let size = bytes.length; size >= 0; size -= 1) {
     disk.poke(name, bytes.subarray(0, size));
-    const loaded = run(new Store(disk).load());
+    const loaded = run(new LogStore(disk).load());
     expect(loaded.kind).toBe("whole");
     if (loaded.kind === "whole" && size === bytes.length)
       expect([loaded.standing.entries.map((entry) => entry.text), loaded.standing.term]).toEqual([
@@ -62,12 +62,12 @@
   const bent = Buffer.from(bytes);
   bent[12] = (bent[12] ?? 0) ^ 255;
   disk.poke(name, bent);
-  expect(run(new Store(disk).load()).kind).toBe("damaged");
+  expect(run(new LogStore(disk).load()).kind).toBe("damaged");
 });
 
 test("an entry that stands in the slot's tail and again in the log counts once; a gap is told", () => {
   const { disk, run } = setUp();
-  const store = new Store(disk);
+  const store = new LogStore(disk);
   run(store.load());
   const entries = [1, 2].map((index) => ({ index, term: 1, text: `e${index}` }));
   run(store.checkpoint({ ...standing, entries }));
@@ -77,20 +77,20 @@
       { kind: "entry", index: 3, term: 1, text: "e3" },
     ]),
   );
-  const loaded = run(new Store(disk).load());
+  const loaded = run(new LogStore(disk).load());
   expect(loaded.kind === "whole" && loaded.standing.entries.map((entry) => entry.index)).toEqual([
     1, 2, 3,
   ]);
   run(store.append([{ kind: "entry", index: 5, term: 1, text: "e5" }]));
-  expect(run(new Store(disk).load()).kind).toBe("damaged");
+  expect(run(new LogStore(disk).load()).kind).toBe("damaged");
 });
 
 test("whatever bytes stand in its files, a disk is read as damaged or whole, and then takes writes", async () => {
-  const random = Draw.of(6);
+  const random = RandomDraw.of(6);
   const seen = new Set<string>();
   for (let round = 0; round < 200; round += 1) {
     const { disk, run } = setUp();
-    const store = new Store(disk);
+    const store = new LogStore(disk);
     run(store.load());
     run(store.checkpoint(standing));
     run(store.append([{ kind: "entry", index: 1, term: 1, text: "a" }]));
@@ -111,27 +111,30 @@
           ]),
         );
     }
-    const again = new Store(disk);
+    const again = new LogStore(disk);
     const loaded = run(again.load());
     seen.add(loaded.kind);
     if (loaded.kind === "damaged") {
       run(again.clear());
-      expect(run(new Store(disk).load()).kind).toBe("damaged");
+      expect(run(new LogStore(disk).load()).kind).toBe("damaged");
     }
     run(again.checkpoint(standing));
-    expect(run(new Store(disk).load())).toMatchObject({ kind: "whole", standing: { entries: [] } });
+    expect(run(new LogStore(disk).load())).toMatchObject({
+      kind: "whole",
+      standing: { entries: [] },
+    });
   }
   expect([...seen].sort()).toEqual(["damaged", "whole"]);
 });
 
 test("a checkpoint cut midway leaves the older slot and its log in force", () => {
   const { disk, run } = setUp();
-  const store = new Store(disk);
+  const store = new LogStore(disk);
   run(store.load());
   run(store.checkpoint(standing));
   run(store.append([{ kind: "entry", index: 1, term: 1, text: "kept" }]));
   disk.poke("slot-a", Buffer.from("half a slo"));
-  const loaded = run(new Store(disk).load());
+  const loaded = run(new LogStore(disk).load());
   expect(loaded.kind === "whole" && loaded.standing.entries.map((entry) => entry.text)).toEqual([
     "kept",
   ]);
--- a/test/replication/membership/membership-policy.test.ts
+++ b/test/replication/membership/membership-policy.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import {
   type MemberProgress,
-  Membership,
+  MembershipPolicy,
   type MembershipView,
 } from "../../../src/replication/membership/membership-policy.js";
 
@@ -32,7 +32,7 @@
   ...more,
 });
 const next = (view: MembershipView): string => {
-  const change = Membership.next(view);
+  const change = MembershipPolicy.next(view);
   return change ? `${change.kind} ${change.member}` : "none";
 };
 
@@ -96,14 +96,16 @@
 });
 
 test("what a leaving voter holds is held without it once a majority of the voters is", () => {
-  expect(Membership.isHeldWithout(viewOf("abc", ""), "c", 100)).toBe(true);
-  expect(Membership.isHeldWithout(viewOf("abc", "", { b: { matchedIndex: 99 } }), "c", 0)).toBe(
+  expect(MembershipPolicy.isHeldWithout(viewOf("abc", ""), "c", 100)).toBe(true);
+  expect(
+    MembershipPolicy.isHeldWithout(viewOf("abc", "", { b: { matchedIndex: 99 } }), "c", 0),
+  ).toBe(false);
+  expect(MembershipPolicy.isHeldWithout(viewOf("abd", "c", { b: lost }), "c", 0)).toBe(true);
+  expect(MembershipPolicy.isHeldWithout(viewOf("abc", ""), "c", 101)).toBe(false);
+  // What is silent may have lost what it acknowledged before.
+  expect(MembershipPolicy.isHeldWithout(viewOf("abc", "", { b: { silentMs: 600 } }), "c", 0)).toBe(
     false,
   );
-  expect(Membership.isHeldWithout(viewOf("abd", "c", { b: lost }), "c", 0)).toBe(true);
-  expect(Membership.isHeldWithout(viewOf("abc", ""), "c", 101)).toBe(false);
-  // What is silent may have lost what it acknowledged before.
-  expect(Membership.isHeldWithout(viewOf("abc", "", { b: { silentMs: 600 } }), "c", 0)).toBe(false);
 });
 
 test("from any state of members and losses, each step keeps a majority that answers and ends in the wanted group", () => {
@@ -118,8 +120,8 @@
       let view = viewOf(voters, learners, Object.fromEntries(gone.map((voter) => [voter, lost])), {
         wantedVoters,
       });
-      for (let change = Membership.next(view); change; change = Membership.next(view)) {
-        const after = Membership.after(view, change);
+      for (let change = MembershipPolicy.next(view); change; change = MembershipPolicy.next(view)) {
+        const after = MembershipPolicy.after(view, change);
         const alive = after.voters.filter((voter) => !gone.includes(voter));
         expect(2 * alive.length).toBeGreaterThan(after.voters.length);
         expect(Math.abs(after.voters.length - view.voters.length)).toBe(1);
--- a/test/replication/replacement.test.ts
+++ b/test/replication/replacement.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Deed } from "../../src/state/state-machine.js";
+import { LogCommand } from "../../src/state/state-machine.js";
 import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
@@ -138,7 +138,7 @@
   for (const beforeMs of [0, 10, 30]) {
     const stage = fleetOf(4, 3, 1);
     const { daemon } = stage.leader;
-    const text = Deed.text({ kind: "note", text: "n".repeat(3000) });
+    const text = LogCommand.text({ kind: "note", text: "n".repeat(3000) });
     const outcomes: unknown[] = [];
     for (let count = 0; count < 2500; count += 1)
       stage.start(
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -1,21 +1,25 @@
 import { expect, test } from "vitest";
-import { type Entry, Kind } from "../../src/rpc/rpc-method.js";
-import { type Held, Link } from "../../src/rpc/rpc-endpoint.js";
+import { type Entry, RpcMethod } from "../../src/rpc/rpc-method.js";
+import { type DecodedMessage, RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
-import type { World } from "../../src/runtime/runtime.js";
-import { Book } from "../../src/state/state-machine.js";
-import { appendWaitMs, countWithin } from "../../src/consensus/replication.js";
-import { batch, Recorder, Waits } from "../../src/replication/replication-node.js";
-import { type Standing, Store } from "../../src/replication/log/log-store.js";
-import { Draw } from "../../src/simulation/random-draw.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import type { Runtime } from "../../src/runtime/runtime.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { appendTimeoutMs, countWithinLimit } from "../../src/consensus/replication.js";
+import {
+  appendBatchLimit,
+  ReplicationNode,
+  ReplicationTimeouts,
+} from "../../src/replication/replication-node.js";
+import { type DurableState, LogStore } from "../../src/replication/log/log-store.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-type AppendAsk = Held<typeof Kind.append.ask>;
-type VoteAsk = Held<typeof Kind.vote.ask>;
+type AppendAsk = DecodedMessage<typeof RpcMethod.append.ask>;
+type VoteAsk = DecodedMessage<typeof RpcMethod.vote.ask>;
 
 const [own, second, third] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
 const note = (index: number, term: number): Entry => ({
@@ -27,17 +31,17 @@
 /** One recorder under test, and the wire by which a recorded trace is played to it. */
 const stage = (formed: boolean) => {
   const time = new VirtualClock();
-  const network = new VirtualNetwork(time.clock(), Draw.of(1));
+  const network = new VirtualNetwork(time.clock(), RandomDraw.of(1));
   const disk = new VirtualDisk(time.clock(), () => 0.5);
   const fail = (error: unknown): void => {
     throw error;
   };
-  const worldOf = (place: string): World =>
-    virtualWorld({
+  const worldOf = (place: string): Runtime =>
+    virtualRuntime({
       clock: time.clock(),
-      wire: network.wire(place, new Gate()),
+      wire: network.wire(place, new EventGate()),
       disk,
-      random: Draw.of(2),
+      random: RandomDraw.of(2),
     });
   const seeds = [own, second, third];
   const place = {
@@ -48,16 +52,23 @@
     tolerate: { machines: 1, zones: 0 },
     seeds: () => seeds,
   };
-  const begin = (): Recorder => {
+  const begin = (): ReplicationNode => {
     const world = worldOf("own");
-    const link = new Link(world, own);
-    const recorder = new Recorder(world, link, place, Waits.usual, new Book(), new Store(disk));
+    const link = new RpcEndpoint(world, own);
+    const recorder = new ReplicationNode(
+      world,
+      link,
+      place,
+      ReplicationTimeouts.usual,
+      new StateMachine(),
+      new LogStore(disk),
+    );
     Task.start(link.listen(), fail);
     Task.start(recorder.own(), fail);
     return recorder;
   };
-  const player = new Link(worldOf("player"), second);
-  player.serve(Kind.meet, function* () {
+  const player = new RpcEndpoint(worldOf("player"), second);
+  player.serve(RpcMethod.meet, function* () {
     return {
       machine: second,
       zone: "b",
@@ -72,24 +83,24 @@
     };
   });
   Task.start(player.listen(), fail);
-  const ask = <A, R>(kind: Kind<A, R>, asked: A, waitMs = 200): R | undefined => {
+  const ask = <A, R>(kind: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
     const returns: Array<R | undefined> = [];
     Task.start(player.ask(own, kind, asked, waitMs), fail, (ret) => returns.push(ret));
     time.runUntil(time.nowMs() + waitMs);
     return returns[0];
   };
   if (formed) {
-    const standing: Standing = {
+    const standing: DurableState = {
       fleet: "f",
       rejoining: "",
       term: 1,
       votedFor: "",
       lastIndex: 0,
       lastTerm: 0,
-      book: new Book().checkpoint({ voters: seeds, learners: [] }),
+      book: new StateMachine().checkpoint({ voters: seeds, learners: [] }),
       entries: [note(1, 1)],
     };
-    Task.start(new Store(disk).checkpoint(standing), fail);
+    Task.start(new LogStore(disk).checkpoint(standing), fail);
     time.runUntil(100);
   }
   return { time, disk, begin, ask };
@@ -114,20 +125,20 @@
   const { time, begin, ask } = stage(true);
   begin();
   time.runUntil(150);
-  expect(ask(Kind.vote, vote(2, 9, 9))?.granted).toBe(false);
-  expect(ask(Kind.append, append(2, 1, 1, []))).toMatchObject({
+  expect(ask(RpcMethod.vote, vote(2, 9, 9))?.granted).toBe(false);
+  expect(ask(RpcMethod.append, append(2, 1, 1, []))).toMatchObject({
     fits: true,
     counts: true,
     matched: 1,
   });
-  expect(ask(Kind.vote, vote(3, 9, 9, true))?.granted).toBe(false);
+  expect(ask(RpcMethod.vote, vote(3, 9, 9, true))?.granted).toBe(false);
   time.runUntil(time.nowMs() + 450);
-  expect(ask(Kind.vote, vote(9, 0, 0))?.granted).toBe(false);
-  expect(ask(Kind.vote, vote(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
+  expect(ask(RpcMethod.vote, vote(9, 0, 0))?.granted).toBe(false);
+  expect(ask(RpcMethod.vote, vote(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
   begin();
   time.runUntil(time.nowMs() + 10);
   time.runUntil(time.nowMs() + 500);
-  expect(ask(Kind.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
+  expect(ask(RpcMethod.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
 });
 
 test("trace: an entry is acknowledged once synced, and not under a term that has moved on", () => {
@@ -135,13 +146,16 @@
   begin();
   time.runUntil(150);
   disk.stall(600);
-  expect(ask(Kind.append, append(2, 1, 1, [note(2, 2)]), 100)).toBeUndefined();
-  expect(ask(Kind.append, append(3, 1, 1, [note(2, 3)]), 1500)).toMatchObject({
+  expect(ask(RpcMethod.append, append(2, 1, 1, [note(2, 2)]), 100)).toBeUndefined();
+  expect(ask(RpcMethod.append, append(3, 1, 1, [note(2, 3)]), 1500)).toMatchObject({
     term: 3,
     fits: true,
     matched: 2,
   });
-  expect(ask(Kind.append, append(2, 2, 2, [note(3, 2)]))).toMatchObject({ term: 3, fits: false });
+  expect(ask(RpcMethod.append, append(2, 2, 2, [note(3, 2)]))).toMatchObject({
+    term: 3,
+    fits: false,
+  });
 });
 
 test("trace: an emptied recorder neither votes nor counts until its own mark is committed", () => {
@@ -149,8 +163,8 @@
   const recorder = begin();
   time.runUntil(400);
   expect(recorder.status.state).toBe("rejoining");
-  expect(ask(Kind.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
-  expect(ask(Kind.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
+  expect(ask(RpcMethod.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
+  expect(ask(RpcMethod.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
     fits: true,
     counts: false,
     matched: 2,
@@ -160,32 +174,36 @@
     term: 5,
     text: JSON.stringify({ kind: "rejoined", machine: own, nonce: "another" }),
   };
-  expect(ask(Kind.append, append(5, 2, 5, [foreign], 3))).toMatchObject({ counts: false });
-  expect(ask(Kind.append, append(5, 3, 5, []))).toMatchObject({ counts: false });
+  expect(ask(RpcMethod.append, append(5, 2, 5, [foreign], 3))).toMatchObject({ counts: false });
+  expect(ask(RpcMethod.append, append(5, 3, 5, []))).toMatchObject({ counts: false });
   const mark = {
     index: 4,
     term: 5,
     text: JSON.stringify({ kind: "rejoined", machine: own, nonce: recorder.nonce }),
   };
-  ask(Kind.append, append(5, 3, 5, [mark], 4));
-  expect(ask(Kind.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
+  ask(RpcMethod.append, append(5, 3, 5, [mark], 4));
+  expect(ask(RpcMethod.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
 });
 
 test("entries go and stay in bounded numbers and bytes, a large one alone", () => {
   const entries = (bytes: number, count: number): Entry[] =>
     Array.from({ length: count }, (_, at) => ({ index: at + 1, term: 1, text: "x".repeat(bytes) }));
   expect([
-    countWithin(entries(10, 2000), batch),
-    countWithin(entries(64 * 1024, 300), batch),
-    countWithin(entries(9 * 1024 * 1024, 3), batch),
-    countWithin([], batch),
+    countWithinLimit(entries(10, 2000), appendBatchLimit),
+    countWithinLimit(entries(64 * 1024, 300), appendBatchLimit),
+    countWithinLimit(entries(9 * 1024 * 1024, 3), appendBatchLimit),
+    countWithinLimit([], appendBatchLimit),
   ]).toEqual([1024, 4, 1, 0]);
 });
 
 test("a request of entries is waited for as long as a slow link takes for it", () => {
   const entries = [{ index: 1, term: 1, text: "x".repeat(4 * 1024 * 1024) }];
   const ask = append(1, 0, 0, entries);
-  expect(appendWaitMs({ ...ask, entries: [] }, Waits.usual)).toBe(Waits.usual.electionMinMs);
+  expect(appendTimeoutMs({ ...ask, entries: [] }, ReplicationTimeouts.usual)).toBe(
+    ReplicationTimeouts.usual.electionMinMs,
+  );
   // A link of 5 Mbit/s takes 625 bytes in a millisecond.
-  expect(appendWaitMs(ask, Waits.usual)).toBeGreaterThan((4 * 1024 * 1024) / 625 + 300);
+  expect(appendTimeoutMs(ask, ReplicationTimeouts.usual)).toBeGreaterThan(
+    (4 * 1024 * 1024) / 625 + 300,
+  );
 });
--- a/test/replication/snapshot/snapshot-pieces.test.ts
+++ b/test/replication/snapshot/snapshot-pieces.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../../src/simulation/random-draw.js";
+import { RandomDraw } from "../../../src/simulation/random-draw.js";
 import { SnapshotReceiver } from "../../../src/replication/snapshot/snapshot-receiver.js";
 import {
   SharedSnapshot,
   SnapshotSender,
-  snapshotPieceBytes,
+  SNAPSHOT_PIECE_BYTES,
   type SnapshotMessage,
 } from "../../../src/replication/snapshot/snapshot-sender.js";
 
-const random = Draw.of(3);
+const random = RandomDraw.of(3);
 const textOf = (bytes: number): string => {
   let text = "";
   while (text.length < bytes) text += random().toString(36).slice(2);
@@ -39,7 +39,7 @@
     else sender.answered("a", received.receivedBytes, round);
   }
   expect(text === snapshot.text).toBe(true);
-  expect(sent).toBeLessThan(2 * Math.ceil(2_000_000 / snapshotPieceBytes));
+  expect(sent).toBeLessThan(2 * Math.ceil(2_000_000 / SNAPSHOT_PIECE_BYTES));
 });
 
 test("two transfers share one snapshot; a new one is made only once the log has moved past it", () => {
@@ -66,21 +66,21 @@
   const other = new SharedSnapshot(11, 2, textOf(700_000));
   expect(receiver.take(one.piece(0))).toMatchObject({
     kind: "partial",
-    receivedBytes: snapshotPieceBytes,
+    receivedBytes: SNAPSHOT_PIECE_BYTES,
   });
   expect(
-    receiver.take({ ...one.piece(snapshotPieceBytes), bytes: Buffer.from("no deflate") }),
+    receiver.take({ ...one.piece(SNAPSHOT_PIECE_BYTES), bytes: Buffer.from("no deflate") }),
   ).toMatchObject({
     kind: "partial",
-    receivedBytes: snapshotPieceBytes,
+    receivedBytes: SNAPSHOT_PIECE_BYTES,
   });
-  expect(receiver.take(one.piece(2 * snapshotPieceBytes))).toMatchObject({
+  expect(receiver.take(one.piece(2 * SNAPSHOT_PIECE_BYTES))).toMatchObject({
     kind: "partial",
-    receivedBytes: snapshotPieceBytes,
+    receivedBytes: SNAPSHOT_PIECE_BYTES,
   });
   expect(receiver.take(other.question)).toMatchObject({ kind: "partial", receivedBytes: 0 });
-  for (const offset of [0, snapshotPieceBytes]) receiver.take(other.piece(offset));
-  expect(receiver.take(other.piece(2 * snapshotPieceBytes))).toEqual({
+  for (const offset of [0, SNAPSHOT_PIECE_BYTES]) receiver.take(other.piece(offset));
+  expect(receiver.take(other.piece(2 * SNAPSHOT_PIECE_BYTES))).toEqual({
     kind: "whole",
     text: other.text,
   });
--- a/test/replication/tombstones.test.ts
+++ b/test/replication/tombstones.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { Book, Deed, keptGone } from "../../src/state/state-machine.js";
+import { StateMachine, LogCommand, MAX_TOMBSTONES } from "../../src/state/state-machine.js";
 
 const contract = (
   instance: string,
-  more: Partial<Extract<Deed, { kind: "contract" }>> = {},
-): Deed => ({
+  more: Partial<Extract<LogCommand, { kind: "contract" }>> = {},
+): LogCommand => ({
   kind: "contract",
   address: "a:1",
   service: "s",
@@ -13,7 +13,7 @@
   instance,
   ...more,
 });
-const leave = (instance: string): Deed => ({
+const leave = (instance: string): LogCommand => ({
   kind: "leave",
   address: "",
   service: "",
@@ -23,13 +23,13 @@
 const members = { voters: ["a"], learners: [] };
 
 test("a contract that is entered after its instance's leave changes nothing, on a restored copy too", () => {
-  const book = new Book();
-  const apply = (on: Book, index: number, deed: Deed): unknown =>
-    JSON.parse(on.apply(index, Deed.text(deed)));
+  const book = new StateMachine();
+  const apply = (on: StateMachine, index: number, deed: LogCommand): unknown =>
+    JSON.parse(on.apply(index, LogCommand.text(deed)));
   expect(apply(book, 1, contract("one"))).toEqual({ number: 1 });
   expect(apply(book, 2, leave("one"))).toEqual({ known: true });
   expect(apply(book, 3, leave("never-seen"))).toEqual({ known: false });
-  const copy = new Book();
+  const copy = new StateMachine();
   copy.restore(book.checkpoint(members));
   for (const on of [book, copy]) {
     expect(apply(on, 4, contract("one"))).toEqual({ gone: true });
@@ -45,9 +45,9 @@
 });
 
 test("a drain by address takes its instance away for good; a record of before reads as one without instances", () => {
-  const book = new Book();
-  book.apply(1, Deed.text(contract("one")));
-  book.apply(2, Deed.text({ kind: "leave", address: "a:1", service: "s", drained: true }));
+  const book = new StateMachine();
+  book.apply(1, LogCommand.text(contract("one")));
+  book.apply(2, LogCommand.text({ kind: "leave", address: "a:1", service: "s", drained: true }));
   expect(book.gone.has("one")).toBe(true);
   const before = {
     address: "a:1",
@@ -59,12 +59,12 @@
     leftAt: 0,
     drained: false,
   };
-  const text = new Book()
+  const text = new StateMachine()
     .checkpoint(members)
     .replace('"gone":[],', "")
     .replace('"contracts":[]', `"contracts":${JSON.stringify([before])}`);
   expect(text).not.toContain("gone");
-  const copy = new Book();
+  const copy = new StateMachine();
   copy.restore(text);
   expect(copy.contracts.get("a:1")).toEqual({
     ...before,
@@ -76,8 +76,9 @@
 });
 
 test("instances that are gone are bounded: the oldest are forgotten", () => {
-  const book = new Book();
-  for (let at = 1; at <= keptGone + 5; at += 1) book.apply(at, Deed.text(leave(`i${at}`)));
-  expect(book.gone.size).toBe(keptGone);
+  const book = new StateMachine();
+  for (let at = 1; at <= MAX_TOMBSTONES + 5; at += 1)
+    book.apply(at, LogCommand.text(leave(`i${at}`)));
+  expect(book.gone.size).toBe(MAX_TOMBSTONES);
   expect([book.gone.has("i5"), book.gone.has("i6")]).toEqual([false, true]);
 });
--- a/test/replication/versions.test.ts
+++ b/test/replication/versions.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
-import { Book, Deed } from "../../src/state/state-machine.js";
+import { StateMachine, LogCommand } from "../../src/state/state-machine.js";
 
 const members = { voters: ["a"], learners: [] };
 const put = (
-  book: Book,
+  book: StateMachine,
   index: number,
   expected: number,
   changeId: string,
@@ -12,7 +12,7 @@
   JSON.parse(
     book.apply(
       index,
-      Deed.text({
+      LogCommand.text({
         kind: "config",
         expected,
         changeId,
@@ -26,7 +26,7 @@
   );
 
 test("versions rise by whatever steps are chosen, beside sequences without a gap", () => {
-  const book = new Book();
+  const book = new StateMachine();
   expect([
     put(book, 1, 0, "a", 7),
     put(book, 2, 1, "b"),
@@ -47,7 +47,7 @@
     [2, 8],
     [3, 30],
   ]);
-  const copy = new Book();
+  const copy = new StateMachine();
   copy.restore(book.checkpoint(members));
   expect(copy.checkpoint(members)).toBe(book.checkpoint(members));
   expect([
@@ -59,12 +59,12 @@
 });
 
 test("a checkpoint from before there were versions reads with the sequences as versions", () => {
-  const book = new Book();
+  const book = new StateMachine();
   put(book, 1, 0, "a");
   put(book, 2, 1, "b");
   const text = book.checkpoint(members);
   expect(text).not.toContain('"version"');
-  const copy = new Book();
+  const copy = new StateMachine();
   copy.restore(text);
   expect([copy.version, copy.changeVersion("a"), put(copy, 3, 2, "c", 9)]).toEqual([
     2,
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -1,41 +1,41 @@
 import { expect, test } from "vitest";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
-import type { World } from "../../src/runtime/runtime.js";
-import { Draw } from "../../src/simulation/random-draw.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import type { Runtime } from "../../src/runtime/runtime.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
-import { Collector } from "../../src/retry-budget/count-aggregator.js";
-import { Counts, CountsForm } from "../../src/retry-budget/request-counts.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
+import { CountAggregator } from "../../src/retry-budget/count-aggregator.js";
+import { RequestCounts, RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
 
 test("an edge that moves to another collector, or whose collector dies, is never counted twice", () => {
   const time = new VirtualClock();
-  const network = new VirtualNetwork(time.clock(), Draw.of(3));
+  const network = new VirtualNetwork(time.clock(), RandomDraw.of(3));
   const fail = (error: unknown): void => {
     throw error;
   };
-  const gates = new Map<string, InstanceType<typeof Gate>>();
-  const linkAt = (address: string): { world: World; link: Link } => {
-    const gate = new Gate();
+  const gates = new Map<string, InstanceType<typeof EventGate>>();
+  const linkAt = (address: string): { world: Runtime; link: RpcEndpoint } => {
+    const gate = new EventGate();
     gates.set(address, gate);
-    const world = virtualWorld({
+    const world = virtualRuntime({
       clock: gate.clock(time.clock()),
       wire: network.wire(address, gate),
-      random: Draw.of(4),
+      random: RandomDraw.of(4),
     });
-    const link = new Link(world, address);
+    const link = new RpcEndpoint(world, address);
     Task.start(link.listen(), fail);
     return { world, link };
   };
   const [root, ...others] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map((address) => {
     const { world, link } = linkAt(address);
-    const collector = new Collector(
+    const collector = new CountAggregator(
       world,
       link,
-      CountsForm.usual,
+      RequestCountsFormat.usual,
       address,
       `i-${address}`,
       () => "10.0.0.1:1",
@@ -44,7 +44,7 @@
     return { address, collector };
   });
   const { world, link } = linkAt("10.0.0.9:1");
-  const counts = new Counts(CountsForm.usual);
+  const counts = new RequestCounts(RequestCountsFormat.usual);
   const [left, right] = others;
   if (!root || !left || !right) throw new Error("A collector is missing.");
   let parent = left.address;
@@ -78,7 +78,12 @@
         isHurried: false,
       });
       Task.start(
-        link.ask(parent, Kind.push, { text, sketches: counts.encode(world.clock.nowMs()) }, 1500),
+        link.ask(
+          parent,
+          RpcMethod.push,
+          { text, sketches: counts.encode(world.clock.nowMs()) },
+          1500,
+        ),
         fail,
       );
     }
--- a/test/retry-budget/retry-budget.test.ts
+++ b/test/retry-budget/retry-budget.test.ts
@@ -1,13 +1,13 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/simulation/random-draw.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { RetryQuotas } from "../../src/retry-budget/retry-quotas.js";
-import { RetryBudget, repeatRule } from "../../src/retry-budget/retry-budget.js";
-import { retryWindowMs } from "../../src/retry-budget/request-counts.js";
+import { RetryBudget, defaultRetryRule } from "../../src/retry-budget/retry-budget.js";
+import { RETRY_WINDOW_MS } from "../../src/retry-budget/request-counts.js";
 
 test("in any window the guard alone keeps the rule, whatever edges come and die, leaders change, callers stop and reports are late", () => {
   let taken = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
-    const random = Draw.of(seed);
+    const random = RandomDraw.of(seed);
     const allowance = new RetryQuotas();
     const holders = new Set<string>();
     allowance.lead(0, `l${seed}`, holders);
@@ -67,9 +67,9 @@
     }
     for (let from = 0; from < 50_000; from += 100) {
       const inWindow = (times: number[]): number =>
-        times.filter((atMs) => atMs >= from && atMs < from + retryWindowMs).length;
+        times.filter((atMs) => atMs >= from && atMs < from + RETRY_WINDOW_MS).length;
       expect(inWindow(furthers)).toBeLessThanOrEqual(
-        repeatRule.earned * inWindow(requests) + repeatRule.pool,
+        defaultRetryRule.earned * inWindow(requests) + defaultRetryRule.pool,
       );
     }
     taken += furthers.length;
--- a/test/retry-budget/retry-quotas.test.ts
+++ b/test/retry-budget/retry-quotas.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
 import { RetryQuotas } from "../../src/retry-budget/retry-quotas.js";
-import { guardRule } from "../../src/retry-budget/retry-budget.js";
+import { defaultStrictRule } from "../../src/retry-budget/retry-budget.js";
 
 const services = ["s"];
 const none = new Map<string, number>();
@@ -17,7 +17,7 @@
       nowMs,
     );
   const one = ask("one", "", 0, 30, 0);
-  expect(one.capacities.get("s")).toBeGreaterThan(guardRule.pool * 0.95);
+  expect(one.capacities.get("s")).toBeGreaterThan(defaultStrictRule.pool * 0.95);
   const two = ask("two", "", 0, 90, 10);
   expect(two.capacities.get("s")).toBeLessThan(4);
   const asked = ask("one", one.number, one.capacities.get("s") ?? 0, 0, 20);
--- a/test/retry-budget/retry-rules.test.ts
+++ b/test/retry-budget/retry-rules.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/simulation/random-draw.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { RetryQuotas } from "../../src/retry-budget/retry-quotas.js";
 import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
 import { RetryRules } from "../../src/retry-budget/retry-rules.js";
@@ -12,7 +12,7 @@
     [0.3, 100, 20_000],
   ] as const) {
     const rules = RetryRules.of(ratio, extra, windowMs);
-    const random = Draw.of(extra + 1);
+    const random = RandomDraw.of(extra + 1);
     const allowance = new RetryQuotas(rules, 800);
     allowance.lead(0, "l", new Set());
     const edges = [1, 2, 3].map((at) => ({
--- a/test/rpc/frame.test.ts
+++ b/test/rpc/frame.test.ts
@@ -1,12 +1,18 @@
 import { expect, test } from "vitest";
-import { exactly, Frame, FrameError, FrameReader, frameSequence } from "../../src/rpc/frame.js";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Draw } from "../../src/simulation/random-draw.js";
+import {
+  decodeExactly,
+  Frame,
+  FrameError,
+  FrameReader,
+  FRAME_VERSION,
+} from "../../src/rpc/frame.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 
 const reader =
   (coder: { fromBuffer(bytes: Uint8Array): unknown; size(value: never): number }) =>
   (bytes: Uint8Array) =>
-    exactly(
+    decodeExactly(
       {
         fromBuffer: (read) => coder.fromBuffer(read),
         size: () => bytes.length,
@@ -15,7 +21,7 @@
       bytes,
     );
 const sample: Frame = {
-  sequence: frameSequence - 1,
+  sequence: FRAME_VERSION - 1,
   kind: 3,
   isReturn: true,
   job: 70000,
@@ -33,8 +39,11 @@
   }
 });
 test("random and truncated bytes are refused as such, by frames and by every kind", async () => {
-  const random = Draw.of(9);
-  const coders = Object.values(Kind).flatMap((kind) => [reader(kind.ask), reader(kind.return)]);
+  const random = RandomDraw.of(9);
+  const coders = Object.values(RpcMethod).flatMap((kind) => [
+    reader(kind.ask),
+    reader(kind.return),
+  ]);
   let refused = 0;
   for (let round = 0; round < 3000; round += 1) {
     const bytes = Buffer.from(
--- a/test/rpc/paced-connection.test.ts
+++ b/test/rpc/paced-connection.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
 import { Frame, FrameReader } from "../../src/rpc/frame.js";
-import { PacedChannel } from "../../src/rpc/paced-connection.js";
+import { PacedConnection } from "../../src/rpc/paced-connection.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { Queue } from "../../src/runtime/queue.js";
 import { LinkPacer } from "../../src/runtime/link-pacer.js";
-import type { Channel } from "../../src/runtime/network.js";
+import type { Connection } from "../../src/runtime/network.js";
 
 /** 3.2 Mbit/s: 360 bytes a millisecond are counted on. */
 const linkMbps = 3.2;
@@ -20,7 +20,7 @@
     const written: Array<{ atMs: number; bytes: number }> = [];
     const heard: Array<{ job: number; atMs: number }> = [];
     const reader = new FrameReader();
-    const wire: Channel = {
+    const wire: Connection = {
       incoming: new Queue(),
       send(bytes) {
         written.push({ atMs: time.nowMs(), bytes: bytes.length });
@@ -28,7 +28,7 @@
       },
       close: () => undefined,
     };
-    return { paced: new PacedChannel(wire, egress, clock, patienceMs), written, heard };
+    return { paced: new PacedConnection(wire, egress, clock, patienceMs), written, heard };
   };
   return { time, egress, channelOf };
 };
--- a/test/rpc/rpc-endpoint.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -1,40 +1,44 @@
 import { expect, test } from "vitest";
-import { Kind } from "../../src/rpc/rpc-method.js";
-import { Link } from "../../src/rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { Clock } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
 import { Task } from "../../src/runtime/task.js";
-import { Draw } from "../../src/simulation/random-draw.js";
-import { Gate } from "../../src/simulation/event-gate.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
-import { virtualWorld } from "../../src/simulation/virtual-runtime.js";
+import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
 const stage = () => {
   const time = new VirtualClock();
-  const network = new VirtualNetwork(time.clock(), Draw.of(1));
+  const network = new VirtualNetwork(time.clock(), RandomDraw.of(1));
   const fail = (error: unknown): void => {
     throw error;
   };
-  const linkAt = (address: string, newest: number): Link => {
-    const link = new Link(
-      virtualWorld({
+  const linkAt = (address: string, newest: number): RpcEndpoint => {
+    const link = new RpcEndpoint(
+      virtualRuntime({
         clock: time.clock(),
-        wire: network.wire(address, new Gate()),
-        random: Draw.of(2),
+        wire: network.wire(address, new EventGate()),
+        random: RandomDraw.of(2),
       }),
       address,
       newest,
     );
-    link.serve(Kind.handOver, function* ({ term }) {
+    link.serve(RpcMethod.handOver, function* ({ term }) {
       return { taken: term === 7 };
     });
     Task.start(link.listen(), fail);
     return link;
   };
-  const ask = (from: Link, to: { readonly self: string }, waitMs = 500): boolean | undefined => {
+  const ask = (
+    from: RpcEndpoint,
+    to: { readonly self: string },
+    waitMs = 500,
+  ): boolean | undefined => {
     const returns: Array<boolean | undefined> = [];
-    Task.start(from.ask(to.self, Kind.handOver, { term: 7 }, waitMs), fail, (ret) =>
+    Task.start(from.ask(to.self, RpcMethod.handOver, { term: 7 }, waitMs), fail, (ret) =>
       returns.push(ret?.taken),
     );
     time.runUntil(time.nowMs() + waitMs + 100);
@@ -64,7 +68,7 @@
   const heard: string[] = [];
   Task.start(
     (function* () {
-      const channel = yield* network.wire("stranger", new Gate()).connect(one.self);
+      const channel = yield* network.wire("stranger", new EventGate()).connect(one.self);
       channel?.send(Buffer.from("GET / HTTP/1.1\r\n\r\n"));
       const word = yield* (channel?.incoming ?? new Queue<Uint8Array | "closed">()).take();
       heard.push(word === "closed" ? "closed" : "bytes");
@@ -83,7 +87,7 @@
   const { time, linkAt, ask } = stage();
   const asking = linkAt("10.0.0.1:1", 3);
   const slow = linkAt("10.0.0.2:1", 3);
-  slow.serve(Kind.handOver, function* () {
+  slow.serve(RpcMethod.handOver, function* () {
     yield* Clock.rest(time.clock(), 700);
     return { taken: true };
   });
@@ -102,7 +106,7 @@
   const asking = linkAt("10.0.0.1:1", 3);
   const slow = linkAt("10.0.0.2:1", 3);
   expect(ask(asking, slow)).toBe(true);
-  slow.serve(Kind.handOver, function* () {
+  slow.serve(RpcMethod.handOver, function* () {
     yield* Clock.rest(time.clock(), 600);
     return { taken: true };
   });
--- a/test/rpc/utf8-text-codec.test.ts
+++ b/test/rpc/utf8-text-codec.test.ts
@@ -1,10 +1,10 @@
 import fc from "fast-check";
 import * as r from "restructure";
 import { expect, test } from "vitest";
-import { Utf8Text } from "../../src/rpc/utf8-text-codec.js";
+import { Utf8TextCodec } from "../../src/rpc/utf8-text-codec.js";
 
 test("texts are laid out as the library lays them out, and read back, whatever is in them", () => {
-  const own = new r.Struct({ before: r.uint8, text: new Utf8Text(), after: r.uint8 });
+  const own = new r.Struct({ before: r.uint8, text: new Utf8TextCodec(), after: r.uint8 });
   const librarys = new r.Struct({
     before: r.uint8,
     text: new r.String(r.uint32, "utf8"),
--- a/test/runtime/fast-validator.test.ts
+++ b/test/runtime/fast-validator.test.ts
@@ -13,7 +13,7 @@
   create,
 } from "superstruct";
 import { expect, test } from "vitest";
-import { quick } from "../../src/runtime/fast-validator.js";
+import { fastValidator } from "../../src/runtime/fast-validator.js";
 
 const shape = object({
   kind: literal("one"),
@@ -35,7 +35,7 @@
 };
 
 test("what the shape takes, the quick reader takes as it is; what it refuses, both refuse with the same words", () => {
-  const read = quick(shape);
+  const read = fastValidator(shape);
   expect(read(good)).toBe(good);
   expect(read({ ...good, flag: true, either: { no: "x" } })).toMatchObject({ flag: true });
   const bad: unknown[] = [
--- a/test/simulation/config-history-check.test.ts
+++ b/test/simulation/config-history-check.test.ts
@@ -1,20 +1,28 @@
 import { expect, test } from "vitest";
 import { configHistoryFaults } from "../../src/simulation/config-history-check.js";
-import type { ConfigOrderRecord, ConfigReadRecord } from "../../src/simulation/event-recorder.js";
+import type { ConfigCommandRecord, ConfigReadRecord } from "../../src/simulation/event-recorder.js";
 
 const order = (
   base: number,
-  outcome: ConfigOrderRecord["outcome"],
+  outcome: ConfigCommandRecord["outcome"],
   version: number,
   startMs: number,
   endMs: number,
-): ConfigOrderRecord => ({ base, outcome, version, startMs, endMs, probe: startMs, attempts: [] });
+): ConfigCommandRecord => ({
+  base,
+  outcome,
+  version,
+  startMs,
+  endMs,
+  probe: startMs,
+  attempts: [],
+});
 const read = (version: number, startMs: number, endMs: number): ConfigReadRecord => ({
   version,
   startMs,
   endMs,
 });
-const faultsOf = (orders: ConfigOrderRecord[], reads: ConfigReadRecord[] = []): string[] => [
+const faultsOf = (orders: ConfigCommandRecord[], reads: ConfigReadRecord[] = []): string[] => [
   ...configHistoryFaults(orders, reads),
 ];
 const first = order(0, "accepted", 5, 0, 100);
--- a/test/simulation/control-plane-days.test.ts
+++ b/test/simulation/control-plane-days.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
 import { safetyRules } from "../../src/consensus/safety-rules.js";
-import type { Breach } from "../../src/simulation/invariant-checker.js";
-import type { ConfigOrderRecord, OrderAttempt } from "../../src/simulation/event-recorder.js";
+import type { RuleViolation } from "../../src/simulation/invariant-checker.js";
+import type { ConfigCommandRecord, CommandAttempt } from "../../src/simulation/event-recorder.js";
 import { Profile } from "../../src/simulation/profile.js";
 import {
-  rehearse,
-  type RehearsalOptions,
-  type Rehearsed,
+  simulateDay,
+  type SimulationOptions,
+  type SimulatedDay,
 } from "../../src/simulation/simulated-day.js";
 
 /** Within which an operator's order is acknowledged while no more is lost than may be. */
@@ -17,9 +17,9 @@
 
 const dayOf = (
   fault: string,
-  { profile = Profile.all.rastro, ...options }: Partial<RehearsalOptions> = {},
-): Rehearsed =>
-  rehearse({
+  { profile = Profile.all.rastro, ...options }: Partial<SimulationOptions> = {},
+): SimulatedDay =>
+  simulateDay({
     profile,
     seed: 17,
     dayMs: 2000,
@@ -28,11 +28,11 @@
     atOnce: 1,
     ...options,
   });
-const brokenRules = (day: Rehearsed): string[] => [
-  ...new Set(day.breaches.map(({ rule }: Breach) => rule)),
+const brokenRules = (day: SimulatedDay): string[] => [
+  ...new Set(day.breaches.map(({ rule }: RuleViolation) => rule)),
 ];
 const acceptedIn = (
-  orders: readonly ConfigOrderRecord[],
+  orders: readonly ConfigCommandRecord[],
   fromMs: number,
   untilMs: number,
 ): number =>
@@ -50,7 +50,7 @@
   for (const { atMs, endMs, daemon } of cuts) {
     for (let fromMs = atMs; fromMs < endMs; fromMs += ackMs)
       expect(acceptedIn(ledger.configOrders, fromMs, fromMs + ackMs)).toBeGreaterThan(0);
-    const inside: OrderAttempt[] = ledger.configOrders
+    const inside: CommandAttempt[] = ledger.configOrders
       .flatMap(({ attempts }) => attempts)
       .filter((one) => one.daemon === daemon && one.startMs >= atMs && one.endMs < endMs);
     expect(inside.length).toBeGreaterThan(5);
--- a/test/simulation/invariant-checker.test.ts
+++ b/test/simulation/invariant-checker.test.ts
@@ -1,8 +1,12 @@
 import { expect, test } from "vitest";
-import { judge, rules } from "../../src/simulation/invariant-checker.js";
-import { type CallerRecord, Ledger, type RunRecord } from "../../src/simulation/event-recorder.js";
+import { checkRules, rules } from "../../src/simulation/invariant-checker.js";
+import {
+  type ClientRecord,
+  EventRecorder,
+  type RunRecord,
+} from "../../src/simulation/event-recorder.js";
 
-const call = (record: Partial<CallerRecord>): CallerRecord => ({
+const call = (record: Partial<ClientRecord>): ClientRecord => ({
   id: "c1",
   daemon: "e1",
   service: "s",
@@ -41,8 +45,8 @@
       [`probe-${number}`]: { match: { path: `/probe/${number}` }, service: "s" },
     },
   });
-const clean = (): Ledger => {
-  const ledger = new Ledger();
+const clean = (): EventRecorder => {
+  const ledger = new EventRecorder();
   for (const number of [1, 2]) {
     const [atMs, text] = [(number - 1) * 1000, configText(number)];
     ledger.world.push(
@@ -61,7 +65,7 @@
   ledger.endMs = 60_000;
   return ledger;
 };
-const planted: Record<string, (ledger: Ledger) => void> = {
+const planted: Record<string, (ledger: EventRecorder) => void> = {
   "a key runs once in a minute": (ledger) =>
     ledger.runs.push(
       ran({ caller: "a", method: "POST", key: "k" }),
@@ -105,9 +109,9 @@
 test.each(Object.keys(rules))(
   "the judge of '%s' catches a planted breach and passes a clean run",
   (rule) => {
-    expect(judge(clean())).toEqual([]);
+    expect(checkRules(clean())).toEqual([]);
     const ledger = clean();
     planted[rule]?.(ledger);
-    expect(judge(ledger).map((breach) => breach.rule)).toEqual([rule]);
+    expect(checkRules(ledger).map((breach) => breach.rule)).toEqual([rule]);
   },
 );
--- a/test/simulation/simulated-day.test.ts
+++ b/test/simulation/simulated-day.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
 import { Profile } from "../../src/simulation/profile.js";
-import { rehearse } from "../../src/simulation/simulated-day.js";
+import { simulateDay } from "../../src/simulation/simulated-day.js";
 
 const days = Object.values(Profile.all).flatMap((profile) =>
   [1, 2, 3].map((seed) => ({ profile, seed, name: `${profile.name}, seed ${seed}` })),
 );
 test.each(days)("a day of all kinds of failures breaks no rule: $name", ({ profile, seed }) => {
-  const day = rehearse({
+  const day = simulateDay({
     profile,
     seed,
     dayMs: 12_000,
@@ -46,7 +46,7 @@
   ],
 };
 test.each(Object.keys(points))("a day of one point breaks no rule: %s", (point) => {
-  const day = rehearse({
+  const day = simulateDay({
     profile: Profile.all.rastro,
     seed: 11,
     dayMs: 9000,
@@ -57,7 +57,7 @@
   expect(day.faults.length).toBeGreaterThan(1);
 });
 test("edges leave a leader that is cut from its core, and go on serving", () => {
-  const day = rehearse({
+  const day = simulateDay({
     profile: Profile.all.kovacic,
     seed: 1,
     dayMs: 10_000,
@@ -78,7 +78,7 @@
 });
 test("the same seed makes the same day", () => {
   const lines = (): string[] =>
-    rehearse({
+    simulateDay({
       profile: Profile.all.kovacic,
       seed: 5,
       dayMs: 3000,
--- a/test/simulation/virtual-backends.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -1,13 +1,13 @@
 import { expect, test } from "vitest";
 import { Task } from "../../src/runtime/task.js";
-import { Draw } from "../../src/simulation/random-draw.js";
-import { Gate } from "../../src/simulation/event-gate.js";
-import { judge } from "../../src/simulation/invariant-checker.js";
-import { Ledger } from "../../src/simulation/event-recorder.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
+import { EventGate } from "../../src/simulation/event-gate.js";
+import { checkRules } from "../../src/simulation/invariant-checker.js";
+import { EventRecorder } from "../../src/simulation/event-recorder.js";
 import { Profile } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
-import { StandIn } from "../../src/simulation/test-backend.js";
-import { virtualBackEnds } from "../../src/simulation/virtual-backends.js";
+import { TestBackend } from "../../src/simulation/test-backend.js";
+import { virtualBackends } from "../../src/simulation/virtual-backends.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 
@@ -50,7 +50,7 @@
     expect(
       simulation.ledger.runs.filter(({ caller }) => caller.startsWith("late-")).length,
     ).toBeGreaterThan(50);
-    expect(judge(simulation.ledger)).toEqual([]);
+    expect(checkRules(simulation.ledger)).toEqual([]);
     withdrawn +=
       simulation.machines.find(({ settings }) => settings.machine === edge)?.daemon?.door.tally
         .byCode[503] ?? 0;
@@ -61,16 +61,16 @@
 test("a request sent before a cut may arrive late, and is marked as kept back; its return may be lost though it ran", () => {
   const time = new VirtualClock();
   const clock = time.clock();
-  const network = new VirtualNetwork(clock, Draw.of(1));
-  const ledger = new Ledger();
-  const standIn = new StandIn("b:1", "a", "s", ledger, Draw.of(2), new Map());
-  const backEnds = virtualBackEnds({
+  const network = new VirtualNetwork(clock, RandomDraw.of(1));
+  const ledger = new EventRecorder();
+  const standIn = new TestBackend("b:1", "a", "s", ledger, RandomDraw.of(2), new Map());
+  const backEnds = virtualBackends({
     place: "edge",
-    gate: new Gate(),
+    gate: new EventGate(),
     own: clock,
     clock,
     network,
-    random: Draw.of(3),
+    random: RandomDraw.of(3),
     standInAt: () => standIn,
   });
   const ends: string[] = [];
--- a/test/sketch/dyadic-sketch.test.ts
+++ b/test/sketch/dyadic-sketch.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/simulation/random-draw.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { DyadicSketch } from "../../src/sketch/dyadic-sketch.js";
-import type { SketchForm } from "../../src/sketch/ecm-sketch.js";
+import type { SketchFormat } from "../../src/sketch/ecm-sketch.js";
 import { stampOf } from "../../src/sketch/exponential-histogram.js";
 
 test("every heavy item is found, and none that is far from heavy", () => {
-  const form: SketchForm = { epsilon: 0.05, delta: 0.05, windowMs: 20_000, seed: 3 };
-  const random = Draw.of(5);
+  const form: SketchFormat = { epsilon: 0.05, delta: 0.05, windowMs: 20_000, seed: 3 };
+  const random = RandomDraw.of(5);
   const sketch = new DyadicSketch(form, 10);
   const counts = new Map<number, number>();
   for (let at = 0; at < 9000; at += 2) {
--- a/test/sketch/ecm-sketch.test.ts
+++ b/test/sketch/ecm-sketch.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/simulation/random-draw.js";
-import { EcmSketch, type SketchForm, SketchMismatchError } from "../../src/sketch/ecm-sketch.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
+import { EcmSketch, type SketchFormat, SketchMismatchError } from "../../src/sketch/ecm-sketch.js";
 import { stampOf } from "../../src/sketch/exponential-histogram.js";
 
-const form: SketchForm = { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 11 };
+const form: SketchFormat = { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 11 };
 
 test("point queries, single and merged over two levels, miss their bounds no more often than delta", () => {
   const misses = { single: 0, merged: 0, asked: 0 };
   for (let seed = 1; seed <= 6; seed += 1) {
-    const random = Draw.of(seed);
+    const random = RandomDraw.of(seed);
     const leaves = Array.from({ length: 4 }, () => new EcmSketch(form));
     const arrivals: Array<{ leaf: number; item: number; at: number }> = [];
     for (let at = 0; at < 30_000; at += random() * 8)
--- a/test/sketch/exponential-histogram.test.ts
+++ b/test/sketch/exponential-histogram.test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from "vitest";
-import { Draw } from "../../src/simulation/random-draw.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { ExponentialHistogram, stampOf } from "../../src/sketch/exponential-histogram.js";
 
 const windowMs = 20_000;
 
 const stream = (seed: number, count: number): number[] => {
-  const random = Draw.of(seed);
+  const random = RandomDraw.of(seed);
   const times: number[] = [];
   for (let at = 0; times.length < count; at += random() < 0.1 ? random() * 400 : random() * 6)
     times.push(Math.floor(at));
--- a/test/state/id-allocator.test.ts
+++ b/test/state/id-allocator.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import { Numbering } from "../../src/state/id-allocator.js";
+import { IdAllocator } from "../../src/state/id-allocator.js";
 
 test("thousands of configs with thousands of routes: no number has two names within its rest, and none is used up", () => {
-  const numbering = new Numbering();
+  const numbering = new IdAllocator();
   const lastOf = new Map<number, { name: string; at: number }>();
   const restingSince = new Map<number, number>();
   const rest = 60;
@@ -19,7 +19,7 @@
       if (!restingSince.has(number)) restingSince.set(number, at);
     expect(numbering.inForce.size).toBe(names.length);
     if (at % 100 === 0) {
-      const copy = new Numbering();
+      const copy = new IdAllocator();
       copy.restore(numbering.state);
       expect(copy.state).toEqual(numbering.state);
       expect(new Set(numbering.inForce.values()).size).toBe(names.length);
