--- a/src/admin/admin-api.ts
+++ b/src/admin/admin-api.ts
@@ -159,10 +159,10 @@
 
 /** Answers operators, back ends and the platform over HTTP. */
 export class AdminApi {
-  private readonly world: Runtime;
+  private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
-  private readonly view: ClusterView;
-  private readonly shares: LoadBalancer;
+  private readonly clusterView: ClusterView;
+  private readonly loadBalancer: LoadBalancer;
   private readonly egress: LinkPacer;
   /** Where this daemon serves operators. */
   private readonly ownAddress: string;
@@ -172,10 +172,10 @@
   private readonly log: Logger;
 
   constructor(
-    world: Runtime,
+    runtime: Runtime,
     forwarder: CommandForwarder,
-    view: ClusterView,
-    shares: LoadBalancer,
+    clusterView: ClusterView,
+    loadBalancer: LoadBalancer,
     egress: LinkPacer,
     ownAddress: string,
     desk: DaemonStatusSource,
@@ -184,23 +184,23 @@
       budget: defaultRetryRules,
     },
   ) {
-    this.world = world;
+    this.runtime = runtime;
     this.forwarder = forwarder;
-    this.view = view;
-    this.shares = shares;
+    this.clusterView = clusterView;
+    this.loadBalancer = loadBalancer;
     this.egress = egress;
     this.ownAddress = ownAddress;
     this.desk = desk;
     this.orderMs = bounds.orderMs;
     this.rules = bounds.budget;
-    this.log = world.logbook.part("operator");
+    this.log = runtime.loggers.component("operator");
   }
 
-  *handle(job: ProxyRequest): Task<ClientResponse> {
-    const path = Jobs.path(job);
-    const at = `${job.method} ${path}`;
+  *handle(clientRequest: ProxyRequest): Task<ClientResponse> {
+    const path = Jobs.path(clientRequest);
+    const at = `${clientRequest.method} ${path}`;
     const version = /^\/config\/(\d{1,15})$/.exec(path)?.[1];
-    if (job.method === "GET" && version !== undefined)
+    if (clientRequest.method === "GET" && version !== undefined)
       return yield* this.readConfig(Number(version));
     switch (at) {
       case "GET /ready": {
@@ -218,13 +218,13 @@
       case "PUT /config":
       case "PATCH /config":
       case "POST /config/items":
-        return yield* this.change(job);
+        return yield* this.change(clientRequest);
       case "POST /backends/announce":
-        return yield* this.announced(job);
+        return yield* this.announced(clientRequest);
       case "POST /backends/leave":
-        return yield* this.left(job);
+        return yield* this.left(clientRequest);
       case "POST /ask":
-        return yield* this.ask(Buffer.from(job.body).toString("utf8"));
+        return yield* this.ask(Buffer.from(clientRequest.body).toString("utf8"));
       default:
         return fault(404, "Nothing is served at this path.", {
           served: [
@@ -242,8 +242,8 @@
     }
   }
 
-  private *read(order: Command): Task<ClientResponse> {
-    const text = yield* this.forwarder.command(order, answerMs);
+  private *read(command: Command): Task<ClientResponse> {
+    const text = yield* this.forwarder.command(command, answerMs);
     return text === undefined ? noLeader() : asSent(text);
   }
 
@@ -288,29 +288,31 @@
   /** Where a text is better read that this daemon's own link would take too long for: the machines of members are the stronger ones. */
   private elsewhereFor(text: string): string | undefined {
     if (this.egress.waitMs(text.length) <= slowAnswerMs) return undefined;
-    const others = this.view.memberOperators.filter((address) => address !== this.ownAddress);
-    return others[Math.floor(this.world.random() * others.length)];
+    const others = this.clusterView.memberOperators.filter(
+      (address) => address !== this.ownAddress,
+    );
+    return others[Math.floor(this.runtime.random() * others.length)];
   }
 
-  private *change(job: ProxyRequest): Task<ClientResponse> {
-    const parsed = parse(job.body);
+  private *change(clientRequest: ProxyRequest): Task<ClientResponse> {
+    const parsed = parse(clientRequest.body);
     if (!parsed)
       return fault(400, "The body is not JSON.", {
         faults: [{ path: "(whole)", expected: "JSON" }],
       });
-    const match = job.headers["if-match"];
+    const match = clientRequest.headers["if-match"];
     const base = match === undefined ? undefined : /^(?:W\/)?"?(\d{1,15})"?$/.exec(match)?.[1];
     if (match !== undefined && base === undefined)
       return fault(400, "If-Match names no version.", {
         faults: [{ path: "If-Match", expected: 'the version of a config, such as "12"' }],
       });
-    const chosen = job.headers["config-version"];
+    const chosen = clientRequest.headers["config-version"];
     const version = chosen === undefined ? undefined : /^\d{1,15}$/.exec(chosen)?.[0];
     if (chosen !== undefined && version === undefined)
       return fault(400, "Config-Version names no version.", {
         faults: [{ path: "Config-Version", expected: "a number, such as 12" }],
       });
-    const changeId = job.headers["change-id"] ?? Runtime.nonce(this.world);
+    const changeId = clientRequest.headers["change-id"] ?? Runtime.nonce(this.runtime);
     if (changeId.length === 0 || changeId.length > 100)
       return fault(400, "A Change-Id has 1 to 100 characters.");
     const change = {
@@ -318,10 +320,10 @@
       ...(base === undefined ? {} : { base: Number(base) }),
       ...(version === undefined ? {} : { version: Number(version) }),
     };
-    if (job.method !== "POST")
+    if (clientRequest.method !== "POST")
       return yield* this.enter(
-        { kind: job.method === "PUT" ? "put" : "patch", ...change, value: parsed.value },
-        job.body.length,
+        { kind: clientRequest.method === "PUT" ? "put" : "patch", ...change, value: parsed.value },
+        clientRequest.body.length,
       );
     const [failure, items] = validate(parsed.value, amendment);
     if (failure)
@@ -339,17 +341,17 @@
           goals: items.remove?.goals ?? [],
         },
       },
-      job.body.length,
+      clientRequest.body.length,
     );
   }
 
   /** Has a change taken; a large one is waited for longer, as its sender does. */
-  private *enter(order: ConfigCommand, bodyBytes = 0): Task<ClientResponse> {
+  private *enter(command: ConfigCommand, bodyBytes = 0): Task<ClientResponse> {
     const waitMs = Math.min(this.orderMs, answerMs + bodyBytes / slowBytesMs);
-    const text = yield* this.forwarder.command(order, waitMs);
-    if (text === undefined) return unknownFate(order.changeId);
+    const text = yield* this.forwarder.command(command, waitMs);
+    if (text === undefined) return unknownFate(command.changeId);
     const outcome = create(JSON.parse(text), outcomeShape);
-    if ("forgottenUpTo" in outcome) return unknownFate(order.changeId);
+    if ("forgottenUpTo" in outcome) return unknownFate(command.changeId);
     if ("accepted" in outcome)
       return ClientResponse.json(
         200,
@@ -364,31 +366,31 @@
     return fault(400, "The config is refused whole.", { faults: outcome.faults });
   }
 
-  private *announced(job: ProxyRequest): Task<ClientResponse> {
-    const [failure, told] = validate(parse(job.body)?.value, announcement);
+  private *announced(clientRequest: ProxyRequest): Task<ClientResponse> {
+    const [failure, told] = validate(parse(clientRequest.body)?.value, announcement);
     if (failure)
       return fault(400, "The announcement is refused.", {
         faults: validationFaults(failure.failures()),
       });
     const announced = { ...told, warmth: told.warmth ?? 1 };
-    const heard = this.view.hear(announced);
+    const heard = this.clusterView.acceptHeartbeat(announced);
     if (heard) return ClientResponse.json(200, { ...heard });
-    const order: Command = {
+    const command: Command = {
       kind: "announce",
       ...announced,
-      seen: Math.max(0, this.view.directorySequence),
+      seen: Math.max(0, this.clusterView.directorySequence),
     };
     const text = announced.draining
-      ? yield* this.leaving(order)
-      : yield* this.forwarder.command(order, answerMs);
+      ? yield* this.leaving(command)
+      : yield* this.forwarder.command(command, answerMs);
     if (text === undefined) return noLeader();
     return is(JSON.parse(text), behindShape)
       ? ClientResponse.json(503, { error: "This daemon is behind; ask another." }, retryAfter)
       : asSent(text);
   }
 
-  private *left(job: ProxyRequest): Task<ClientResponse> {
-    const value = parse(job.body)?.value;
+  private *left(clientRequest: ProxyRequest): Task<ClientResponse> {
+    const value = parse(clientRequest.body)?.value;
     const [failure, told] =
       typeof value === "object" && value !== null && "instance" in value
         ? validate(value, leavingInstance)
@@ -400,20 +402,20 @@
   }
 
   /** Has the leader told that a backend leaves; one that it doesn't acknowledge in time is logged with every ask that was made. */
-  private *leaving(order: Command): Task<string | undefined> {
-    const startedMs = this.world.clock.nowMs();
+  private *leaving(command: Command): Task<string | undefined> {
+    const startedMs = this.runtime.clock.nowMs();
     const attempts: ForwardAttempt[] = [];
-    const text = yield* this.forwarder.command(order, answerMs, (attempt) =>
+    const text = yield* this.forwarder.command(command, answerMs, (attempt) =>
       attempts.push(attempt),
     );
-    const tookMs = Math.round(this.world.clock.nowMs() - startedMs);
+    const tookMs = Math.round(this.runtime.clock.nowMs() - startedMs);
     if (text === undefined || tookMs > slowLeaveMs)
       this.log.warn(
         text === undefined
           ? "A backend's leave is not acknowledged."
           : "A backend's leave is acknowledged late.",
         {
-          instance: "instance" in order ? order.instance : undefined,
+          instance: "instance" in command ? command.instance : undefined,
           tookMs,
           attempts,
         },
@@ -440,8 +442,8 @@
         return this.showService(query.service);
       case "showRoutes":
         return ClientResponse.json(200, {
-          sequence: this.view.configSequence,
-          routes: this.view.mappings.all.map(
+          sequence: this.clusterView.configSequence,
+          routes: this.clusterView.routeTable.all.map(
             ({ name, service, goalMs, furtherTries, repeatable }) => ({
               route: name,
               service,
@@ -462,15 +464,15 @@
           : fault(404, `No back end at ${query.address} is known here.`);
       }
       case "whyRoute": {
-        const mapping = this.view.mappings.all.find(({ name }) => name === query.route);
-        if (!mapping) return fault(404, `No route "${query.route}" is in force.`);
+        const route = this.clusterView.routeTable.all.find(({ name }) => name === query.route);
+        if (!route) return fault(404, `No route "${query.route}" is in force.`);
         return ClientResponse.json(200, {
-          route: mapping.name,
-          service: mapping.service,
-          why: `config ${this.view.configSequence} says so`,
-          backEnds: this.shares.explain(
-            this.view.backEnds(mapping.service),
-            this.world.clock.nowMs(),
+          route: route.name,
+          service: route.service,
+          why: `config ${this.clusterView.configSequence} says so`,
+          backEnds: this.loadBalancer.explain(
+            this.clusterView.backendsOf(route.service),
+            this.runtime.clock.nowMs(),
           ),
         });
       }
@@ -506,7 +508,7 @@
     const config = found ? Config.check(JSON.parse(CompressedText.read(found))) : undefined;
     if (!config || "faults" in config || !Object.hasOwn(config.config.routes, route))
       return fault(404, `No route "${route}" is in force.`);
-    return yield* this.enter({ kind: "patch", changeId: Runtime.nonce(this.world), value });
+    return yield* this.enter({ kind: "patch", changeId: Runtime.nonce(this.runtime), value });
   }
 
   private *showFleet(kind: "showMachines" | "showBackEnds"): Task<ClientResponse> {
@@ -537,11 +539,11 @@
   }
 
   private showService(service: string): ClientResponse {
-    const number = this.view.numberOf("service", service);
+    const number = this.clusterView.idOf("service", service);
     if (number === undefined) return fault(404, `No service "${service}" is in force.`);
     const { sketch, windowMs } = this.rules;
     const latest = this.desk.counts();
-    const tries = latest?.counts.ofService(number, this.world.clock.nowMs(), windowMs);
+    const tries = latest?.counts.ofService(number, this.runtime.clock.nowMs(), windowMs);
     return ClientResponse.json(200, {
       service,
       windowMs,
@@ -549,7 +551,10 @@
       furtherTries: tries ? Math.round(tries.further) : null,
       furtherTriesAllowed: tries ? Math.floor(sketch.earned * tries.first + sketch.pool) : null,
       coverage: latest ? { ...latest.coverage, ageMs: Math.round(latest.ageMs) } : null,
-      backEnds: this.shares.explain(this.view.backEnds(service), this.world.clock.nowMs()),
+      backEnds: this.loadBalancer.explain(
+        this.clusterView.backendsOf(service),
+        this.runtime.clock.nowMs(),
+      ),
     });
   }
 
@@ -557,9 +562,9 @@
     const latest = this.desk.counts();
     if (!latest) return fault(503, "The fleet's counts have not come yet.");
     const { windowMs } = this.rules;
-    const heavy = latest.counts.heavyRoutes(heavyPhi, this.world.clock.nowMs(), windowMs);
+    const heavy = latest.counts.heavyRoutes(heavyPhi, this.runtime.clock.nowMs(), windowMs);
     const routes = heavy.map(({ item, estimate }) => ({
-      route: this.view.nameOf(item)?.replace(/^route /, "") ?? `number ${item}`,
+      route: this.clusterView.nameOf(item)?.replace(/^route /, "") ?? `number ${item}`,
       requests: Math.round(estimate),
     }));
     return ClientResponse.json(200, {
@@ -571,10 +576,10 @@
   }
 
   private allShares() {
-    const nowMs = this.world.clock.nowMs();
-    return this.view.services.flatMap((service) =>
-      this.shares
-        .explain(this.view.backEnds(service), nowMs)
+    const nowMs = this.runtime.clock.nowMs();
+    return this.clusterView.services.flatMap((service) =>
+      this.loadBalancer
+        .explain(this.clusterView.backendsOf(service), nowMs)
         .map((share) => ({ service, ...share })),
     );
   }
--- a/src/admin/config-archive.ts
+++ b/src/admin/config-archive.ts
@@ -32,8 +32,8 @@
   }
 
   /** Keeps configs one after another; what can't be kept is told and left out. */
-  *own(): Task {
-    const begun = yield* Task.settle(this.begin());
+  *run(): Task {
+    const begun = yield* Task.fromPromise(this.begin());
     if ("error" in begun)
       return this.log.warn("The archive of configs can't be opened; none are kept in it.", {
         why: String(begun.error),
@@ -41,7 +41,7 @@
     for (;;) {
       const config = yield* this.queue.take();
       if (config.sequence <= this.newest) continue;
-      const kept = yield* Task.settle(this.commit(config));
+      const kept = yield* Task.fromPromise(this.commit(config));
       if ("error" in kept)
         this.log.warn("A config could not be kept in the archive.", {
           sequence: config.sequence,
--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -35,7 +35,7 @@
 };
 
 const leading = (simulation: Simulation): SimulatedMachine | undefined =>
-  simulation.machines.find(({ daemon }) => daemon?.recorder?.hasGrant);
+  simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease);
 const edgesOf = (simulation: Simulation): SimulatedMachine[] =>
   simulation.machines.filter(
     ({ settings, daemon }) => settings.callers !== undefined && daemon !== undefined,
@@ -67,7 +67,7 @@
     let lapsed = 0;
     elected.push(
       until(simulation, () => leading(simulation) !== undefined, 10_000) /
-        ReplicationTimeouts.usual.electionMinMs,
+        ReplicationTimeouts.defaults.electionMinMs,
     );
     until(
       simulation,
@@ -86,11 +86,11 @@
       until(
         simulation,
         () =>
-          old.daemon?.recorder?.status.role === "follower" &&
-          (old.daemon?.recorder?.status.applied ?? -1) >=
-            (leading(simulation)?.daemon?.recorder?.status.committed ?? Infinity),
+          old.daemon?.replicationNode?.status.role === "follower" &&
+          (old.daemon?.replicationNode?.status.applied ?? -1) >=
+            (leading(simulation)?.daemon?.replicationNode?.status.committed ?? Infinity),
         10_000,
-      ) / ReplicationTimeouts.usual.electionMinMs,
+      ) / ReplicationTimeouts.defaults.electionMinMs,
     );
   }
   say(
@@ -114,7 +114,7 @@
       simulation.start(simulation.day.putConfig());
       until(
         simulation,
-        () => simulation.ledger.of("accepted").some(({ sequence }) => sequence === wanted),
+        () => simulation.recorder.of("accepted").some(({ sequence }) => sequence === wanted),
         10_000,
       );
       const startMs = simulation.time.nowMs();
@@ -142,16 +142,16 @@
   const simulation = fleetUp(profile, 1, rate);
   simulation.start(simulation.day.putConfig());
   simulation.time.runUntil(simulation.time.nowMs() + 3000);
-  const status = () => leading(simulation)?.daemon?.recorder?.status;
+  const status = () => leading(simulation)?.daemon?.replicationNode?.status;
   const [before, fromMs, keyed] = [
     status(),
     simulation.time.nowMs(),
-    simulation.ledger.callers.length,
+    simulation.recorder.callers.length,
   ];
   simulation.time.runUntil(fromMs + 10_000);
   const after = status();
   if (!before || !after) return;
-  const writes = simulation.ledger.callers
+  const writes = simulation.recorder.callers
     .slice(keyed)
     .filter(({ key }) => key !== undefined).length;
   const entries = after.written - before.written;
@@ -174,7 +174,7 @@
     for (let atMs = 0; atMs < 15_000; atMs += 1.8) {
       const leaf = Math.floor(random() * 16);
       const service = random() < 0.75 ? 0 : random() < 0.85 ? 1 : 2;
-      leaves[leaf]?.countTry(service, false, atMs);
+      leaves[leaf]?.countAttempt(service, false, atMs);
       leaves[leaf]?.countRoute(Math.floor(200 * random() ** 4), atMs);
       sketches[leaf]?.add(service * 2, stampOf(atMs));
       times[service]?.push(atMs);
@@ -240,9 +240,10 @@
 
 /** A book at its fullest: keys with their returns, routes, back ends. */
 const fullBook = (keys: number, bodyBytes: number): StateMachine => {
-  const book = new StateMachine();
+  const stateMachine = new StateMachine();
   let index = 0;
-  const apply = (deed: LogCommand): void => void book.apply((index += 1), LogCommand.text(deed));
+  const apply = (command: LogCommand): void =>
+    void stateMachine.apply((index += 1), LogCommand.text(command));
   const names = Array.from({ length: 5000 }, (_, at) => `route-${at}`);
   const routes = Object.fromEntries(
     names.map((name) => [name, { match: { path: `/${name}/*` }, service: "issues" }]),
@@ -275,7 +276,7 @@
       holders: ["x".repeat(bodyBytes)],
     });
   }
-  return book;
+  return stateMachine;
 };
 
 const measureBounds = (): void => {
@@ -283,17 +284,17 @@
   const inGrants = (run: () => unknown): number => {
     const startMs = performance.now();
     run();
-    return (performance.now() - startMs) / ReplicationTimeouts.usual.leaderGrantMs;
+    return (performance.now() - startMs) / ReplicationTimeouts.defaults.leaderLeaseMs;
   };
   for (const [keys, bodyBytes] of [
     [14_400, 120],
     [14_400, 21_844],
     [MAX_IDEMPOTENCY_CLAIMS, 120],
   ] as const) {
-    const book = fullBook(keys, bodyBytes);
+    const stateMachine = fullBook(keys, bodyBytes);
     let text = "";
     const made = Array.from({ length: 5 }, () =>
-      inGrants(() => withChecksum(Buffer.from((text = book.checkpoint(members)), "utf8"))),
+      inGrants(() => withChecksum(Buffer.from((text = stateMachine.snapshot(members)), "utf8"))),
     );
     const restored = Array.from({ length: 5 }, () =>
       inGrants(() => new StateMachine().restore(text)),
--- a/src/benchmarks/retry-budget-benchmark.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -40,9 +40,9 @@
   );
   const [only] = edges;
   const [service = ""] = Object.keys(profile.backEnds);
-  for (const standIn of simulation.standIns)
-    if (standIn.service === service)
-      standIn.behave({
+  for (const testBackend of simulation.testBackends)
+    if (testBackend.service === service)
+      testBackend.behave({
         losesPart,
         ...(where === "one" && only ? { onlyFrom: only.daemon?.name ?? "" } : {}),
       });
@@ -58,21 +58,21 @@
   };
   const seen = new Map<SimulatedMachine, { sketch: number; guard: number }>();
   const tallyOf = (edge: SimulatedMachine): { sketch: number; guard: number } =>
-    edge.daemon?.door.tally.furtherRefused ?? { sketch: 0, guard: 0 };
+    edge.daemon?.proxy.tally.furtherRefused ?? { sketch: 0, guard: 0 };
   const tried = new Set<string>();
   const further: number[] = [];
   let readRuns = 0;
   for (const edge of edges) seen.set(edge, { ...tallyOf(edge) });
   const grantedBefore = edges.reduce(
-    (sum, { daemon }) => sum + (daemon?.door.tally.furtherTries ?? 0),
+    (sum, { daemon }) => sum + (daemon?.proxy.tally.furtherTries ?? 0),
     0,
   );
   const untilMs = simulation.time.nowMs() + forMs;
   while (simulation.time.nowMs() < untilMs) {
     simulation.time.runUntil(simulation.time.nowMs() + stepMs);
     const nowMs = simulation.time.nowMs();
-    for (; readRuns < simulation.ledger.runs.length; readRuns += 1) {
-      const run = simulation.ledger.runs[readRuns];
+    for (; readRuns < simulation.recorder.runs.length; readRuns += 1) {
+      const run = simulation.recorder.runs[readRuns];
       if (!run || run.meant !== service) continue;
       if (tried.has(run.caller)) further.push(run.atMs);
       tried.add(run.caller);
@@ -93,7 +93,7 @@
     if (nowMs % 500 < stepMs) sample(simulation, edges, service, decided, nowMs);
   }
   decided.granted =
-    edges.reduce((sum, { daemon }) => sum + (daemon?.door.tally.furtherTries ?? 0), 0) -
+    edges.reduce((sum, { daemon }) => sum + (daemon?.proxy.tally.furtherTries ?? 0), 0) -
     grantedBefore;
   return decided;
 };
@@ -106,8 +106,8 @@
   nowMs: number,
 ): boolean => {
   const requests: number[] = [];
-  for (let at = simulation.ledger.callers.length - 1; at >= 0; at -= 1) {
-    const record = simulation.ledger.callers[at];
+  for (let at = simulation.recorder.callers.length - 1; at >= 0; at -= 1) {
+    const record = simulation.recorder.callers[at];
     if (!record || record.endedMs < nowMs - RETRY_WINDOW_MS) break;
     if (record.service === service && record.sentMs > nowMs - RETRY_WINDOW_MS)
       requests.push(record.sentMs);
@@ -128,7 +128,7 @@
   decided: Decided,
   nowMs: number,
 ): void => {
-  const truth = simulation.ledger.runs.filter(
+  const truth = simulation.recorder.runs.filter(
     (run) => run.meant === service && run.atMs > nowMs - RETRY_WINDOW_MS,
   ).length;
   for (const { daemon } of edges) {
--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -48,7 +48,7 @@
 
 /** What a daemon knows of the fleet, and until when it may serve by it. */
 export class ClusterView {
-  private readonly world: Runtime;
+  private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
   private readonly machine: () => DaemonInfo;
   private readonly budget: RetryCapacities;
@@ -62,23 +62,23 @@
   private byAddress = new Map<string, Registration>();
   private byInstance = new Map<string, Registration>();
   /** The numbers of the contracts that stand, as far as is known here. */
-  private standing = new Set<number>();
+  private durableState = new Set<number>();
   /** What announced itself here and is yet to be told to the leader, by contract. */
   private readonly announced = new Map<number, AnnouncedHere>();
   /** The newest order heard here of each instance. */
-  private readonly orders = new Map<string, number>();
+  private readonly commands = new Map<string, number>();
   private announceMs = 1000;
   /** Hears of all contracts whenever the directory has changed. */
-  onDirectory: (contracts: readonly Registration[]) => void = () => undefined;
+  onEndpoints: (registrations: readonly Registration[]) => void = () => undefined;
   /** Hears that there is a lease and a config to serve by, where one was missing. */
   onLease: () => void = () => undefined;
   /** Hears of this edge's place among all edges, whenever it has changed. */
   onPlace: (place: EdgePlacement) => void = () => undefined;
   /** Hears of each config that comes into force here. */
-  onConfig: (mappings: RouteTable) => void = () => undefined;
+  onConfig: (routeTable: RouteTable) => void = () => undefined;
   private readonly config = new ConfigReplica();
   private readonly names = new Map<number, string>();
-  mappings = new RouteTable(Config.empty);
+  routeTable = new RouteTable(Config.empty);
   collectors: ControlPlanePeers["collectors"] = [];
   /** Where members of the log that don't lead serve operators. */
   memberOperators: readonly string[] = [];
@@ -94,25 +94,25 @@
   grants = 0;
 
   constructor(
-    world: Runtime,
+    runtime: Runtime,
     forwarder: CommandForwarder,
     machine: () => DaemonInfo,
     budget: RetryCapacities,
   ) {
-    this.world = world;
+    this.runtime = runtime;
     this.forwarder = forwarder;
     this.machine = machine;
     this.budget = budget;
-    this.log = world.logbook.part("contract");
-    this.steps = new StepTimer(world.clock, this.log);
+    this.log = runtime.loggers.component("contract");
+    this.steps = new StepTimer(runtime.clock, this.log);
     budget.onShort = () => {
       this.nudge.putOnce(true);
     };
   }
 
   /** Whether this daemon may serve now: its view is proven fresh. */
-  get isGranted(): boolean {
-    return this.world.clock.nowMs() < this.untilMs;
+  get holdsLease(): boolean {
+    return this.runtime.clock.nowMs() < this.untilMs;
   }
 
   /** The newest change of the directory that is known here. */
@@ -126,31 +126,31 @@
   }
 
   private get canServe(): boolean {
-    return this.isGranted && this.configSequence > 0;
+    return this.holdsLease && this.configSequence > 0;
   }
 
   /** For how long the lease to serve has been over; 0 while it holds. */
-  get lapsedMs(): number {
-    return Math.max(0, this.world.clock.nowMs() - this.untilMs);
+  get expiredForMs(): number {
+    return Math.max(0, this.runtime.clock.nowMs() - this.untilMs);
   }
 
   /** For how long the lease to serve still holds; negative once it is over. */
   get leaseLeftMs(): number {
-    return this.untilMs - this.world.clock.nowMs();
+    return this.untilMs - this.runtime.clock.nowMs();
   }
 
   /** The back ends under contract for a service that aren't leaving. */
-  backEnds(service: string): readonly Registration[] {
+  backendsOf(service: string): readonly Registration[] {
     return this.byService.get(service) ?? [];
   }
 
   /** Whether a contract still stands, as far as is known here. */
-  holds(contract: Registration): boolean {
-    return this.standing.has(contract.number);
+  isRegistered(registration: Registration): boolean {
+    return this.durableState.has(registration.number);
   }
 
   /** The contract of an instance, which may be leaving. */
-  contractOf(instance: string): Registration | undefined {
+  registrationOf(instance: string): Registration | undefined {
     return this.byInstance.get(instance);
   }
 
@@ -159,7 +159,7 @@
   }
 
   /** Answers an announcement that changes nothing; the leader hears of it with the next poll. `undefined` where the leader must be asked. */
-  hear({
+  acceptHeartbeat({
     address,
     service,
     zone,
@@ -172,7 +172,7 @@
     const isSame = known?.instance === instance && known.service === service;
     if (draining) return undefined;
     if (instance !== "" && order !== undefined) {
-      if (order < (this.orders.get(instance) ?? 0))
+      if (order < (this.commands.get(instance) ?? 0))
         return {
           contract: isSame ? known.number : 0,
           state: "overtaken",
@@ -181,22 +181,22 @@
       this.noteOrder(instance, order);
     }
     if (
-      !this.isGranted ||
+      !this.holdsLease ||
       !isSame ||
       known.zone !== zone ||
       known.capacity !== capacity ||
-      !this.standing.has(known.number)
+      !this.durableState.has(known.number)
     )
       return undefined;
     this.announced.set(known.number, {
       order: Math.max(order ?? 0, this.announced.get(known.number)?.order ?? 0),
-      atMs: this.world.clock.nowMs(),
+      atMs: this.runtime.clock.nowMs(),
     });
     return { contract: known.number, state: "known", announceMs: this.announceMs };
   }
 
   /** The number that the record gave to a service or a route. */
-  numberOf(kind: "service" | "route", name: string): number | undefined {
+  idOf(kind: "service" | "route", name: string): number | undefined {
     return this.config.numbers.get(`${kind} ${name}`);
   }
 
@@ -206,16 +206,16 @@
   }
 
   /** Hears that nobody listens at a contract's address; the leader is told with the next poll. */
-  noteRefused(contract: Registration): void {
-    if (this.refused.some(({ number }) => number === contract.number)) return;
-    this.refused.push(contract);
+  noteRefused(registration: Registration): void {
+    if (this.refused.some(({ number }) => number === registration.number)) return;
+    this.refused.push(registration);
     this.arrange();
   }
 
   /** Polls for as long as the daemon runs; one that isn't answered within `waitMs` is sent again. */
-  *own(pollMs: number, waitMs = usualPollWaitMs): Task {
+  *run(pollMs: number, waitMs = usualPollWaitMs): Task {
     for (;;) {
-      const sentMs = this.world.clock.nowMs();
+      const sentMs = this.runtime.clock.nowMs();
       const text = this.poll(sentMs);
       const told = new Map(this.announced);
       this.lastSentMs = sentMs;
@@ -225,12 +225,12 @@
         take: receive,
       });
       if (ret !== undefined) receive(ret);
-      if (this.heard && !this.isGranted) {
+      if (this.heard && !this.holdsLease) {
         this.heard = false;
         this.log.warn("The grant is over; requests are dropped until a new one comes.");
       }
-      yield* Clock.rest(this.world.clock, ret === undefined ? 50 : hurriedPollMs);
-      if (ret !== undefined) yield* this.nudge.takeUntil(this.world.clock, sentMs + pollMs);
+      yield* Clock.sleep(this.runtime.clock, ret === undefined ? 50 : hurriedPollMs);
+      if (ret !== undefined) yield* this.nudge.takeUntil(this.runtime.clock, sentMs + pollMs);
     }
   }
 
@@ -241,7 +241,7 @@
     this.take(view, sentMs);
     for (const [number, one] of told)
       if (this.announced.get(number) === one) this.announced.delete(number);
-    if (!this.isGranted) this.nudge.putOnce(true);
+    if (!this.holdsLease) this.nudge.putOnce(true);
   }
 
   private poll(nowMs: number): string {
@@ -253,7 +253,7 @@
     }
     for (const [number, { atMs }] of this.announced)
       if (nowMs - atMs > heardForMs) this.announced.delete(number);
-    const poll: WatchRequest = {
+    const watchRequest: WatchRequest = {
       machine: this.machine(),
       configSequence: this.config.knownSequence,
       directorySequence: this.directory.knownSequence,
@@ -262,13 +262,13 @@
         .filter(([, capacity]) => capacity > 0)
         .map(([service, capacity]) => ({ service, capacity })),
       wished: this.services
-        .map((service) => ({ service, count: this.budget.wished(service, nowMs) }))
+        .map((service) => ({ service, count: this.budget.requested(service, nowMs) }))
         .filter(({ count }) => count > 0),
       membersDigest: this.membersDigest,
       refused: this.refused.map(({ address, number }) => ({ address, number })),
       heard: [...this.announced].map(([number, { order }]) => ({ number, order })),
     };
-    return JSON.stringify(poll);
+    return JSON.stringify(watchRequest);
   }
 
   private take(view: LeasedView, sentMs: number): void {
@@ -289,10 +289,10 @@
     // The leader takes a later poll as proof that the capacities of the ones before weren't taken.
     if (sentMs === this.lastSentMs) this.takeCapacities(view);
     this.untilMs = Math.max(this.untilMs, sentMs + view.grantMs);
-    if (!this.isGranted) return;
+    if (!this.holdsLease) return;
     if (!couldServe && this.canServe) this.onLease();
     this.grants += 1;
-    if (!this.heard) this.log.say("Granted.", { sequence: view.configSequence });
+    if (!this.heard) this.log.info("Granted.", { sequence: view.configSequence });
     this.heard = true;
   }
 
@@ -316,7 +316,7 @@
     this.memberOperators = operators;
     this.membersDigest = digest;
     this.collectors = collectors;
-    this.forwarder.know(recorders);
+    this.forwarder.setMembers(recorders);
   }
 
   private takePlace(place: EdgePlacement): void {
@@ -330,14 +330,14 @@
   private takeCapacities({ capacities, grantNumber }: LeasedView): void {
     if (capacities)
       this.toldCapacities = new Map(capacities.map(({ service, capacity }) => [service, capacity]));
-    this.budget.setCapacities(this.toldCapacities, this.world.clock.nowMs());
+    this.budget.setCapacities(this.toldCapacities, this.runtime.clock.nowMs());
     this.grantNumber = grantNumber;
   }
 
   private takeConfig(): void {
-    this.mappings = new RouteTable(this.config.config, this.mappings);
+    this.routeTable = new RouteTable(this.config.config, this.routeTable);
     for (const [name, number] of this.config.numbers) this.names.set(number, name);
-    this.onConfig(this.mappings);
+    this.onConfig(this.routeTable);
   }
 
   private takeDirectory(): void {
@@ -345,7 +345,7 @@
     const numbers = new Set(registrations.map(({ number }) => number));
     this.refused = this.refused.filter(({ number }) => numbers.has(number));
     this.arrange();
-    this.onDirectory(registrations);
+    this.onEndpoints(registrations);
   }
 
   /** Arranges the directory in the ways in which it is looked up. */
@@ -354,29 +354,29 @@
     this.byService = new Map();
     this.byAddress = new Map();
     this.byInstance = new Map();
-    this.standing = new Set();
+    this.durableState = new Set();
     const { registrations } = this.directory;
-    for (const contract of registrations) {
-      const { address, service, instance, number, leaving } = contract;
-      this.byAddress.set(address, contract);
+    for (const registration of registrations) {
+      const { address, service, instance, number, leaving } = registration;
+      this.byAddress.set(address, registration);
       if (instance !== "" && (!leaving || !this.byInstance.has(instance)))
-        this.byInstance.set(instance, contract);
+        this.byInstance.set(instance, registration);
       if (leaving || refused.has(number)) continue;
-      this.standing.add(number);
+      this.durableState.add(number);
       const known = this.byService.get(service);
-      if (known) known.push(contract);
-      else this.byService.set(service, [contract]);
+      if (known) known.push(registration);
+      else this.byService.set(service, [registration]);
     }
-    if (this.orders.size <= registrations.length + spareOrders) return;
-    for (const instance of this.orders.keys())
-      if (!this.byInstance.has(instance)) this.orders.delete(instance);
+    if (this.commands.size <= registrations.length + spareOrders) return;
+    for (const instance of this.commands.keys())
+      if (!this.byInstance.has(instance)) this.commands.delete(instance);
   }
 
   private noteOrder(instance: string, order: number): void {
-    this.orders.set(instance, Math.max(order, this.orders.get(instance) ?? 0));
+    this.commands.set(instance, Math.max(order, this.commands.get(instance) ?? 0));
   }
 }
 
 /** The name of the connections under one contract. */
-export const connectionPoolKey = (contract: Registration): string =>
-  `${contract.address} ${contract.number}`;
+export const connectionPoolKey = (registration: Registration): string =>
+  `${registration.address} ${registration.number}`;
--- a/src/cluster-view/command-forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -11,8 +11,8 @@
   overloadedResponse,
 } from "../control-protocol/command.js";
 
-type Asked = DecodedMessage<typeof RpcMethod.command.ask>;
-type Returned = DecodedMessage<typeof RpcMethod.command.return>;
+type Asked = DecodedMessage<typeof RpcMethod.command.request>;
+type Returned = DecodedMessage<typeof RpcMethod.command.response>;
 
 /** What a recorder offers a forwarder: itself as the leader, or the way to it. */
 export interface LeadershipSource {
@@ -46,8 +46,8 @@
 
 /** Brings commands and polls to whoever leads, through any daemon. */
 export class CommandForwarder {
-  private readonly world: Runtime;
-  private readonly link: RpcEndpoint;
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
   private readonly contacts: () => readonly string[];
   private known: readonly string[] = [];
   private isRecorder = false;
@@ -59,19 +59,19 @@
   leader = "";
 
   /** Finds the leader through recorders that are known, or through any daemons that `contacts` names. */
-  constructor(world: Runtime, link: RpcEndpoint, contacts: () => readonly string[]) {
-    this.world = world;
-    this.link = link;
+  constructor(runtime: Runtime, rpc: RpcEndpoint, contacts: () => readonly string[]) {
+    this.runtime = runtime;
+    this.rpc = rpc;
     this.contacts = contacts;
   }
 
   /** Learns which recorders there are. */
-  know(recorders: readonly string[]): void {
+  setMembers(recorders: readonly string[]): void {
     this.known = recorders;
   }
 
   /** The recorders as last heard of. */
-  get recorders(): readonly string[] {
+  get members(): readonly string[] {
     return this.known;
   }
 
@@ -79,7 +79,7 @@
   serveWay(): void {
     const way = (): Returned => ({ leader: this.leader, text: notLeader });
     for (const kind of [RpcMethod.command, RpcMethod.poll])
-      this.link.serve(kind, function* () {
+      this.rpc.serve(kind, function* () {
         return way();
       });
   }
@@ -90,17 +90,17 @@
     leadership: LeadershipSource,
     handle: (text: string) => Task<string>,
   ): void {
-    const { link } = this;
+    const { rpc } = this;
     this.isRecorder = true;
     const forward = (leader: string, text: string): Task<Returned | undefined> =>
       this.forwardOn(kind, leader, text, leadership);
-    link.serve(kind, function* (ask: Asked): Task<Returned> {
+    rpc.serve(kind, function* (ask: Asked): Task<Returned> {
       const { leader } = leadership;
       if (leadership.leads) return { leader, text: yield* handle(ask.text) };
-      if (!ask.forwarded && leader && leader !== link.self) {
+      if (!ask.forwarded && leader && leader !== rpc.self) {
         const ret = yield* forward(leader, ask.text);
         if (ret) return ret;
-        if (leadership.leads) return { leader: link.self, text: yield* handle(ask.text) };
+        if (leadership.leads) return { leader: rpc.self, text: yield* handle(ask.text) };
         return { leader: leadership.leader, text: notLeader };
       }
       return { leader, text: notLeader };
@@ -114,12 +114,12 @@
     text: string,
     leadership: LeadershipSource,
   ): Task<Returned | undefined> {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     const ended = new Queue<Returned>();
     Runtime.start(
-      this.world,
+      this.runtime,
       "contract",
-      this.link.ask(
+      this.rpc.call(
         leader,
         kind,
         { forwarded: true, text },
@@ -146,7 +146,7 @@
     late?: LateResponse<string>,
     attempts?: (attempt: ForwardAttempt) => void,
   ): Task<string | undefined> {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     const untilMs = clock.nowMs() + waitMs;
     const asked = new Set<string>();
     let forwards = this.way !== "";
@@ -155,7 +155,7 @@
       asked.add(target);
       const leads = target === this.leader;
       const sentMs = clock.nowMs();
-      const ret = yield* this.link.ask(
+      const ret = yield* this.rpc.call(
         target,
         kind,
         { forwarded: !forwards, text },
@@ -168,7 +168,7 @@
         tookMs: Math.round(clock.nowMs() - sentMs),
       });
       if (ret === undefined) {
-        if (leads && this.link.hasHeard(target, sentMs)) return undefined;
+        if (leads && this.rpc.hasHeardFrom(target, sentMs)) return undefined;
         if (leads || forwards) this.leader = "";
         if (!forwards) this.noteSilent(target);
         this.way = "";
@@ -207,17 +207,17 @@
   }
 
   private noteSilent(target: string): void {
-    this.silentUntilMs.set(target, this.world.clock.nowMs() + silentMs);
+    this.silentUntilMs.set(target, this.runtime.clock.nowMs() + silentMs);
   }
 
   private isSilent(target: string): boolean {
-    return (this.silentUntilMs.get(target) ?? -Infinity) > this.world.clock.nowMs();
+    return (this.silentUntilMs.get(target) ?? -Infinity) > this.runtime.clock.nowMs();
   }
 
   /** Whom to ask where the leader isn't known: recorders before others, those that were silent last. */
   private next(asked: ReadonlySet<string>): string {
     const isOpen = (peer: string): boolean =>
-      !asked.has(peer) && (this.isRecorder || peer !== this.link.self);
+      !asked.has(peer) && (this.isRecorder || peer !== this.rpc.self);
     const known = this.known.filter(isOpen);
     const all = [...new Set([...known, ...this.contacts().filter(isOpen)])];
     for (const peer of this.silentUntilMs.keys())
@@ -228,19 +228,19 @@
       all,
     ];
     const pool = pools.find((one) => one.length > 0) ?? [];
-    return pool[Math.floor(this.world.random() * pool.length)] ?? "";
+    return pool[Math.floor(this.runtime.random() * pool.length)] ?? "";
   }
 
   /** Has a command carried out. Each is safe to repeat, so it is, until `waitMs` are over: then its fate is unknown. */
   *command(
-    order: Command,
+    command: Command,
     waitMs: number,
     attempts?: (attempt: ForwardAttempt) => void,
   ): Task<string | undefined> {
-    const untilMs = this.world.clock.nowMs() + waitMs;
-    const text = Command.text(order);
+    const untilMs = this.runtime.clock.nowMs() + waitMs;
+    const text = Command.text(command);
     for (;;) {
-      const leftMs = untilMs - this.world.clock.nowMs();
+      const leftMs = untilMs - this.runtime.clock.nowMs();
       if (leftMs <= 0) return undefined;
       const ret = yield* this.once(
         RpcMethod.command,
@@ -250,9 +250,9 @@
         attempts,
       );
       if (ret !== undefined) return ret;
-      yield* Clock.rest(
-        this.world.clock,
-        Math.min(40, Math.max(0, untilMs - this.world.clock.nowMs())),
+      yield* Clock.sleep(
+        this.runtime.clock,
+        Math.min(40, Math.max(0, untilMs - this.runtime.clock.nowMs())),
       );
     }
   }
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -43,7 +43,7 @@
   take(view: LeasedView): ReplicaUpdate {
     const text =
       view.config ??
-      (view.packedConfig === undefined ? undefined : TextCompression.text(view.packedConfig));
+      (view.packedConfig === undefined ? undefined : TextCompression.decompress(view.packedConfig));
     if (text !== undefined) {
       this.takeWhole(this.reader.read(text), view.numbers ?? {});
       this.sequence = view.configSequence;
--- a/src/cluster-view/path-index.ts
+++ b/src/cluster-view/path-index.ts
@@ -1,9 +1,9 @@
 import type { ActiveRoute } from "./active-route.js";
 
-const add = (table: Map<string, ActiveRoute[]>, mapping: ActiveRoute): void => {
-  const known = table.get(mapping.path);
-  if (known) known.push(mapping);
-  else table.set(mapping.path, [mapping]);
+const add = (table: Map<string, ActiveRoute[]>, route: ActiveRoute): void => {
+  const known = table.get(route.path);
+  if (known) known.push(route);
+  else table.set(route.path, [route]);
 };
 
 /** The mappings of one host by their paths, found by look-ups alone, whatever their number. */
@@ -16,23 +16,23 @@
   private readonly stems = new Map<string, ActiveRoute[]>();
   private stemLengths: number[] = [];
 
-  add(mapping: ActiveRoute): void {
-    if (!mapping.isPrefix) return add(this.exact, mapping);
-    const { length } = mapping.path;
-    if (mapping.path.endsWith("/")) {
-      add(this.folders, mapping);
+  add(route: ActiveRoute): void {
+    if (!route.isPrefix) return add(this.exact, route);
+    const { length } = route.path;
+    if (route.path.endsWith("/")) {
+      add(this.folders, route);
       this.longestFolder = Math.max(this.longestFolder, length);
       return;
     }
-    add(this.stems, mapping);
+    add(this.stems, route);
     if (!this.stemLengths.includes(length))
       this.stemLengths = [...this.stemLengths, length].sort((a, b) => b - a);
   }
 
   /** The mapping that fits a path most exactly and takes the method. */
   find(method: string, path: string): ActiveRoute | undefined {
-    const takes = (mapping: ActiveRoute): boolean =>
-      mapping.methods === undefined || mapping.methods.has(method);
+    const takes = (route: ActiveRoute): boolean =>
+      route.methods === undefined || route.methods.has(method);
     const exact = this.exact.get(path)?.find(takes);
     if (exact) return exact;
     const folder = this.folder(path, takes);
@@ -44,7 +44,7 @@
       : (folder ?? stem);
   }
 
-  private folder(path: string, takes: (mapping: ActiveRoute) => boolean): ActiveRoute | undefined {
+  private folder(path: string, takes: (route: ActiveRoute) => boolean): ActiveRoute | undefined {
     if (this.longestFolder === 0) return undefined;
     for (
       let at = path.lastIndexOf("/", this.longestFolder - 1);
@@ -57,7 +57,7 @@
     return undefined;
   }
 
-  private stem(path: string, takes: (mapping: ActiveRoute) => boolean): ActiveRoute | undefined {
+  private stem(path: string, takes: (route: ActiveRoute) => boolean): ActiveRoute | undefined {
     for (const length of this.stemLengths) {
       const found =
         length <= path.length ? this.stems.get(path.slice(0, length))?.find(takes) : undefined;
--- a/src/cluster-view/retry-capacities.ts
+++ b/src/cluster-view/retry-capacities.ts
@@ -5,7 +5,7 @@
   /** Hears that a capacity is nearly spent. */
   onShort: () => void;
   /** How many further tries were wished for in the last window. */
-  wished(service: string, nowMs: number): number;
+  requested(service: string, nowMs: number): number;
   /** Takes what the leader granted; a service that isn't named has none. */
   setCapacities(capacities: ReadonlyMap<string, number>, nowMs: number): void;
 }
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -86,12 +86,12 @@
     this.all = Object.entries(config.routes).map(
       ([name, route]) => former?.sameIn(config, name) ?? mappingOf(config, name, route),
     );
-    for (const mapping of this.all) this.byName.set(mapping.name, mapping);
-    for (const mapping of this.all) if (!mapping.isPrefix) this.index(mapping.host).add(mapping);
-    for (const mapping of this.all
+    for (const route of this.all) this.byName.set(route.name, route);
+    for (const route of this.all) if (!route.isPrefix) this.index(route.host).add(route);
+    for (const route of this.all
       .filter(({ isPrefix }) => isPrefix)
       .sort((a, b) => (a.name < b.name ? -1 : 1)))
-      this.index(mapping.host).add(mapping);
+      this.index(route.host).add(route);
   }
 
   /** The mapping of a request: one for its host before one for any, then the longest match. */
@@ -113,13 +113,13 @@
 
   /** The mapping of a route, if all that it is made of is the same in another config. */
   private sameIn(config: Config, name: string): ActiveRoute | undefined {
-    const mapping = this.byName.get(name);
+    const route = this.byName.get(name);
     const isSame =
-      mapping !== undefined &&
+      route !== undefined &&
       config.routes[name] === this.config.routes[name] &&
       ofName(config.goals ?? {}, name) === ofName(this.config.goals ?? {}, name) &&
-      ofName(config.services, mapping.service) === this.service(mapping.service);
-    return isSame ? mapping : undefined;
+      ofName(config.services, route.service) === this.service(route.service);
+    return isSame ? route : undefined;
   }
 
   private index(host: string | undefined): PathIndex {
--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -12,10 +12,10 @@
 } from "./state.js";
 
 /** Entries from a leader, or none as a heartbeat. */
-export type AppendRequest = DecodedMessage<typeof RpcMethod.append.ask>;
+export type AppendRequest = DecodedMessage<typeof RpcMethod.append.request>;
 
 /** The answer to entries or a heartbeat. */
-export type AppendReply = DecodedMessage<typeof RpcMethod.append.return>;
+export type AppendReply = DecodedMessage<typeof RpcMethod.append.response>;
 
 /** What is to be acknowledged once it is on disk, and the term and log that it holds under. */
 export interface PendingAcknowledgment {
@@ -58,7 +58,7 @@
         ...state,
         log,
         syncedIndex: Math.min(state.syncedIndex, log.lastIndex),
-        cuts: state.cuts + 1,
+        truncations: state.truncations + 1,
       });
       records.push({ kind: "cut", index: entry.index });
     }
@@ -72,14 +72,14 @@
 export const decideAppend = (
   former: ConsensusState,
   request: AppendRequest,
-  facts: DecisionContext,
+  context: DecisionContext,
 ): AppendDecision => {
-  const { rules } = facts;
+  const { rules } = context;
   if (request.term < former.term && rules.refuseOldTerms)
     return { kind: "refuse", state: former, reply: refused(former.term) };
   const newTerm: LogRecord[] =
     request.term > former.term ? [{ kind: "vote", term: request.term, text: "" }] : [];
-  const following = becomeFollower(former, request.term, request.leader, facts.nowMs);
+  const following = becomeFollower(former, request.term, request.leader, context.nowMs);
   const { term, log } = following;
   const isKnown =
     request.previousIndex < log.baseIndex ||
@@ -90,7 +90,7 @@
     const matched = Math.min(log.lastIndex, request.previousIndex - 1);
     return { kind: "refuse", state: following, reply: { ...refused(term), matched } };
   }
-  const { state, records } = merge(following, request.entries, facts);
+  const { state, records } = merge(following, request.entries, context);
   const matched = Math.max(
     request.previousIndex,
     state.log.baseIndex,
@@ -104,8 +104,8 @@
     mustSync: allRecords.length > 0 || state.syncedIndex < matched,
     pending: {
       term,
-      cuts: state.cuts,
-      counts: memberRightsOf(following, facts).countForCommit,
+      cuts: state.truncations,
+      counts: memberRightsOf(following, context).countForCommit,
       matched,
     },
   };
@@ -118,7 +118,7 @@
   { rules }: Pick<DecisionContext, "rules">,
 ): boolean =>
   !rules.acknowledgeOnlyUnderSameTerm ||
-  (state.term === pending.term && state.cuts === pending.cuts);
+  (state.term === pending.term && state.truncations === pending.cuts);
 
 /** Acknowledges entries that are on disk, unless the term or the log moved on meanwhile. */
 export const acknowledgeAppend = (
--- a/src/consensus/commit.ts
+++ b/src/consensus/commit.ts
@@ -58,21 +58,21 @@
 ): ConsensusState => {
   const { peer, term, matched, counts } = acknowledgment;
   if (state.role !== "leader" || state.term !== term) return state;
-  const provenSinceMs = new Map(state.provenSinceMs);
+  const provenSinceMs = new Map(state.responsiveSinceMs);
   if (!counts) {
     provenSinceMs.delete(peer);
-    return advanceCommit({ ...state, provenSinceMs }, { rules });
+    return advanceCommit({ ...state, responsiveSinceMs: provenSinceMs }, { rules });
   }
   if (!provenSinceMs.has(peer)) provenSinceMs.set(peer, nowMs);
   const sentMs = rules.leaseFromSending ? acknowledgment.sentMs : nowMs;
   const matchedSoFar = state.matched.get(peer) ?? 0;
-  const sentSoFar = state.ackedSentMs.get(peer) ?? Number.NEGATIVE_INFINITY;
+  const sentSoFar = state.acknowledgedSentMs.get(peer) ?? Number.NEGATIVE_INFINITY;
   return advanceCommit(
     {
       ...state,
-      provenSinceMs,
+      responsiveSinceMs: provenSinceMs,
       matched: new Map(state.matched).set(peer, Math.max(matchedSoFar, matched)),
-      ackedSentMs: new Map(state.ackedSentMs).set(peer, Math.max(sentSoFar, sentMs)),
+      acknowledgedSentMs: new Map(state.acknowledgedSentMs).set(peer, Math.max(sentSoFar, sentMs)),
     },
     { rules },
   );
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -6,11 +6,11 @@
 /** What a member does that has heard no leader for its election wait: it stands, where it may. */
 export const onElectionTimeout = (
   state: ConsensusState,
-  facts: DecisionContext,
+  context: DecisionContext,
 ): ConsensusState => ({
   ...state,
   knownLeader: "",
-  role: memberRightsOf(state, facts).stand ? "preCandidate" : state.role,
+  role: memberRightsOf(state, context).stand ? "preCandidate" : state.role,
 });
 
 const requestOf = (
@@ -31,7 +31,7 @@
 export const startPreVote = (
   state: ConsensusState,
 ): { readonly state: ConsensusState; readonly request: VoteRequest } => ({
-  state: { ...state, votes: new Set(), isHandedOver: false },
+  state: { ...state, votes: new Set(), isLeadershipTransfer: false },
   request: requestOf(state, state.term + 1, true, false),
 });
 
@@ -51,12 +51,12 @@
     votedFor: former.self,
     votes: new Set(),
     knownLeader: "",
-    isHandedOver: false,
+    isLeadershipTransfer: false,
   };
   return {
     state,
     records: [{ kind: "vote", term, text: state.self }],
-    request: requestOf(state, term, false, former.isHandedOver),
+    request: requestOf(state, term, false, former.isLeadershipTransfer),
   };
 };
 
@@ -67,19 +67,19 @@
 /** An election that brought no majority in its time: the member waits for its next turn, and may vote at once. */
 export const abandonElection = (
   state: ConsensusState,
-  { nowMs, waits }: DecisionContext,
+  { nowMs, timeouts: waits }: DecisionContext,
 ): ConsensusState => ({
   ...state,
   role: "follower",
-  heardLeaderMs: nowMs - waits.electionMinMs,
+  lastLeaderContactMs: nowMs - waits.electionMinMs,
 });
 
 /** Takes the lead that the leader of this term hands over, unless this member can't. */
 export const acceptLeadershipTransfer = (
   state: ConsensusState,
   term: number,
-  facts: DecisionContext,
+  context: DecisionContext,
 ): ConsensusState | undefined =>
-  term === state.term && state.role === "follower" && memberRightsOf(state, facts).stand
-    ? { ...state, role: "candidate", isHandedOver: true }
+  term === state.term && state.role === "follower" && memberRightsOf(state, context).stand
+    ? { ...state, role: "candidate", isLeadershipTransfer: true }
     : undefined;
--- a/src/consensus/follow.ts
+++ b/src/consensus/follow.ts
@@ -14,7 +14,7 @@
     votedFor: term > state.term ? "" : state.votedFor,
     role: "follower",
     knownLeader: leader,
-    heardLeaderMs: hears ? nowMs : state.heardLeaderMs,
-    heardAppendMs: hears ? nowMs : state.heardAppendMs,
+    lastLeaderContactMs: hears ? nowMs : state.lastLeaderContactMs,
+    lastAppendMs: hears ? nowMs : state.lastAppendMs,
   };
 };
--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -12,8 +12,8 @@
   ...state,
   knownLeader: state.self,
   matched: new Map(),
-  ackedSentMs: new Map(),
-  provenSinceMs: new Map(),
+  acknowledgedSentMs: new Map(),
+  responsiveSinceMs: new Map(),
   leadingSinceIndex: state.log.lastIndex + 1,
 });
 
@@ -41,12 +41,12 @@
 export const stepDownReason = (
   state: ConsensusState,
   leadingSinceMs: number,
-  facts: DecisionContext,
+  context: DecisionContext,
 ): "notVoter" | "noContact" | undefined => {
   if (!state.members.voters.includes(state.self) && state.committedIndex >= state.membersIndex)
     return "notVoter";
-  const contactMs = Math.max(leaseUntilMs(state, facts), leadingSinceMs);
-  return facts.nowMs > contactMs + 2 * facts.waits.electionMaxMs ? "noContact" : undefined;
+  const contactMs = Math.max(leaseUntilMs(state, context), leadingSinceMs);
+  return context.nowMs > contactMs + 2 * context.timeouts.electionMaxMs ? "noContact" : undefined;
 };
 
 /**
@@ -60,6 +60,6 @@
   const lag = (voter: string): number =>
     leaving.has(voter) ? Infinity : state.log.lastIndex - (state.matched.get(voter) ?? 0);
   return state.members.voters
-    .filter((voter) => voter !== state.self && state.ackedSentMs.has(voter))
+    .filter((voter) => voter !== state.self && state.acknowledgedSentMs.has(voter))
     .sort((a, b) => (lag(a) < lag(b) ? -1 : 1))[0];
 };
--- a/src/consensus/rights.ts
+++ b/src/consensus/rights.ts
@@ -5,23 +5,23 @@
 /** Whether this member leads, or heard a leader so lately that it may still answer under its lease. */
 const isBoundToLeader = (
   state: ConsensusState,
-  { nowMs, waits, rules }: DecisionContext,
+  { nowMs, timeouts: waits, rules }: DecisionContext,
 ): boolean =>
   rules.refuseVoteWhileLeaderIsHeard &&
-  (state.role === "leader" || nowMs - state.heardLeaderMs < waits.electionMinMs);
+  (state.role === "leader" || nowMs - state.lastLeaderContactMs < waits.electionMinMs);
 
 /** What this member may do now, by how whole it is. */
-export const memberRightsOf = (state: ConsensusState, facts: DecisionContext): MemberRights => {
-  const { rules } = facts;
+export const memberRightsOf = (state: ConsensusState, context: DecisionContext): MemberRights => {
+  const { rules } = context;
   const member: MemberState = {
-    stage: facts.stage,
+    stage: context.stage,
     isRejoining: state.rejoinNonce !== "",
     isNamedVoter: state.members.voters.includes(state.self),
     isLeader: state.role === "leader",
-    isRetired: facts.isRetired,
-    isDiskWell: facts.isDiskWell,
-    isBoundToLeader: isBoundToLeader(state, facts),
-    hasLease: hasLease(state, facts),
+    isRetired: context.isRetired,
+    isDiskWell: context.isDiskWell,
+    isBoundToLeader: isBoundToLeader(state, context),
+    hasLease: hasLease(state, context),
   };
   const rights = memberRights(member);
   if (rules.voteOnlyWhenWhole && rules.countOnlyWhenWhole) return rights;
--- a/src/consensus/snapshot.ts
+++ b/src/consensus/snapshot.ts
@@ -37,14 +37,14 @@
 export const decideSnapshot = (
   former: ConsensusState,
   offer: SnapshotOffer,
-  facts: DecisionContext,
+  context: DecisionContext,
 ): SnapshotDecision => {
-  if (offer.term < former.term && facts.rules.refuseOldTerms) {
+  if (offer.term < former.term && context.rules.refuseOldTerms) {
     const reply = { term: former.term, counts: false, matched: 0 };
     return { kind: "answer", state: former, reply };
   }
-  const state = becomeFollower(former, offer.term, offer.leader, facts.nowMs);
-  const counts = memberRightsOf(state, facts).countForCommit;
+  const state = becomeFollower(former, offer.term, offer.leader, context.nowMs);
+  const counts = memberRightsOf(state, context).countForCommit;
   if (offer.lastIndex <= state.committedIndex) {
     const reply = { term: state.term, counts, matched: state.committedIndex };
     return { kind: "answer", state, reply };
@@ -67,7 +67,7 @@
     baseMembers: members,
     committedIndex: lastIndex,
     syncedIndex: 0,
-    cuts: state.cuts + 1,
+    truncations: state.truncations + 1,
   });
 
 /** Acknowledges a snapshot that is on disk, unless the term or the log moved on meanwhile. */
--- a/src/consensus/state.ts
+++ b/src/consensus/state.ts
@@ -24,26 +24,26 @@
   /** Up to where the log is known to be on disk. */
   readonly syncedIndex: number;
   /** How often the log was cut or replaced; tells writes apart that began before from those after. */
-  readonly cuts: number;
+  readonly truncations: number;
   /** The mark that must be committed before this member counts again after its disk was lost, or an empty text. */
   readonly rejoinNonce: string;
   readonly knownLeader: string;
   /** When this member last heard a leader, gave a vote or started. */
-  readonly heardLeaderMs: number;
+  readonly lastLeaderContactMs: number;
   /** When a leader last sent this member entries, a heartbeat or a snapshot, or this one led. */
-  readonly heardAppendMs: number;
+  readonly lastAppendMs: number;
   /** Who gave its vote in the election under way. */
   readonly votes: ReadonlySet<string>;
   /** Whether the election under way was asked for by the former leader. */
-  readonly isHandedOver: boolean;
+  readonly isLeadershipTransfer: boolean;
   /** The first entry of this leader's own term. */
   readonly leadingSinceIndex: number;
   /** Up to where each other member has acknowledged this leader's log. */
   readonly matched: ReadonlyMap<string, number>;
   /** When the newest heartbeat that each other member acknowledged was sent. */
-  readonly ackedSentMs: ReadonlyMap<string, number>;
+  readonly acknowledgedSentMs: ReadonlyMap<string, number>;
   /** Since when each other member has acknowledged this leader's requests, without having lost its disk meanwhile. */
-  readonly provenSinceMs: ReadonlyMap<string, number>;
+  readonly responsiveSinceMs: ReadonlyMap<string, number>;
 }
 
 /** The waits by which members elect, on a monotonic clock. */
@@ -52,13 +52,13 @@
   readonly electionMinMs: number;
   readonly electionMaxMs: number;
   /** How long a majority's acknowledgment lets the leader answer; shorter than the shortest election wait. */
-  readonly leaderGrantMs: number;
+  readonly leaderLeaseMs: number;
 }
 
 /** What a decision may know beside the state. */
 export interface DecisionContext {
   readonly nowMs: number;
-  readonly waits: ElectionTimeouts;
+  readonly timeouts: ElectionTimeouts;
   readonly rules: SafetyRules;
   /** How far this member's own storage is part of a formed log. */
   readonly stage: MemberStage;
@@ -122,17 +122,17 @@
   membersIndex: 0,
   committedIndex: 0,
   syncedIndex: 0,
-  cuts: 0,
+  truncations: 0,
   rejoinNonce: "",
   knownLeader: "",
-  heardLeaderMs: nowMs,
-  heardAppendMs: nowMs,
+  lastLeaderContactMs: nowMs,
+  lastAppendMs: nowMs,
   votes: new Set(),
-  isHandedOver: false,
+  isLeadershipTransfer: false,
   leadingSinceIndex: 0,
   matched: new Map(),
-  ackedSentMs: new Map(),
-  provenSinceMs: new Map(),
+  acknowledgedSentMs: new Map(),
+  responsiveSinceMs: new Map(),
 });
 
 /** The state once what the disk holds, or what was formed or is to be rejoined, is taken over. */
@@ -156,9 +156,11 @@
 /** When a member that has just started takes its last leader to have been heard. */
 export const stateAfterRestart = (
   state: ConsensusState,
-  facts: DecisionContext,
+  context: DecisionContext,
 ): ConsensusState => ({
   ...state,
-  heardAppendMs: facts.nowMs,
-  heardLeaderMs: facts.rules.waitBeforeVotingAfterRestart ? facts.nowMs : Number.NEGATIVE_INFINITY,
+  lastAppendMs: context.nowMs,
+  lastLeaderContactMs: context.rules.waitBeforeVotingAfterRestart
+    ? context.nowMs
+    : Number.NEGATIVE_INFINITY,
 });
--- a/src/consensus/vote.ts
+++ b/src/consensus/vote.ts
@@ -7,10 +7,10 @@
 import type { ConsensusState, DecisionContext } from "./state.js";
 
 /** A candidate's request for a vote, or in a pre-vote the question whether it would be given. */
-export type VoteRequest = DecodedMessage<typeof RpcMethod.vote.ask>;
+export type VoteRequest = DecodedMessage<typeof RpcMethod.vote.request>;
 
 /** The answer to a vote request. */
-export type VoteReply = DecodedMessage<typeof RpcMethod.vote.return>;
+export type VoteReply = DecodedMessage<typeof RpcMethod.vote.response>;
 
 /** What a member does on a vote request: it takes the state, writes the records, and replies once they are synced. */
 export interface VoteDecision {
@@ -37,7 +37,7 @@
 export const decideVote = (
   state: ConsensusState,
   request: VoteRequest,
-  facts: DecisionContext,
+  context: DecisionContext,
 ): VoteDecision => {
   const answerAtOnce = (granted: boolean): VoteDecision => ({
     state,
@@ -45,25 +45,25 @@
     replyAfterSync: false,
     reply: { term: state.term, granted },
   });
-  const upToDate = isUpToDate(state, request, facts);
-  const rights = memberRightsOf(state, facts);
+  const upToDate = isUpToDate(state, request, context);
+  const rights = memberRightsOf(state, context);
   const voluntary = request.isPreVote ? rights.preVote : rights.vote;
   const mayVote = request.handOver ? rights.voteOnHandOver : voluntary;
   if (!mayVote || request.term < state.term) return answerAtOnce(false);
   if (request.isPreVote) return answerAtOnce(upToDate && request.term > state.term);
   const heard =
-    request.term > state.term ? becomeFollower(state, request.term, "", facts.nowMs) : state;
+    request.term > state.term ? becomeFollower(state, request.term, "", context.nowMs) : state;
   const isFree =
-    heard.votedFor === "" || heard.votedFor === request.candidate || !facts.rules.oneVotePerTerm;
+    heard.votedFor === "" || heard.votedFor === request.candidate || !context.rules.oneVotePerTerm;
   const granted = upToDate && isFree;
   const { term } = heard;
   const next = granted
-    ? { ...heard, votedFor: request.candidate, heardLeaderMs: facts.nowMs }
+    ? { ...heard, votedFor: request.candidate, lastLeaderContactMs: context.nowMs }
     : heard;
   return {
     state: next,
     records: [{ kind: "vote", term, text: next.votedFor }],
-    replyAfterSync: facts.rules.syncVoteBeforeReply,
+    replyAfterSync: context.rules.syncVoteBeforeReply,
     reply: { term, granted },
   };
 };
--- a/src/control-plane/command-metrics.ts
+++ b/src/control-plane/command-metrics.ts
@@ -43,7 +43,7 @@
       meanMs: Math.round(sumMs / count),
       mostMs: Math.round(mostMs),
     }));
-    this.log.say("Commands carried out as the leader.", {
+    this.log.info("Commands carried out as the leader.", {
       forMs: Math.round(nowMs - this.sinceMs),
       kinds,
     });
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -46,7 +46,7 @@
 
 /** What polls are told of the configuration in force: the items that changed since the sequence that a daemon knows, or all. */
 export class ConfigChangeLog {
-  private readonly book: StateMachine;
+  private readonly stateMachine: StateMachine;
   private readonly read: () => Config;
   private current = emptyConfig;
   private currentSequence = 0;
@@ -59,8 +59,8 @@
   private digestText = "";
 
   /** Follows the configuration in force, which `read` gives as it was parsed. */
-  constructor(book: StateMachine, read: () => Config) {
-    this.book = book;
+  constructor(stateMachine: StateMachine, read: () => Config) {
+    this.stateMachine = stateMachine;
     this.read = read;
   }
 
@@ -111,7 +111,7 @@
     }
     const text = JSON.stringify(update);
     return text.length > COMPRESSION_THRESHOLD_CHARS
-      ? `"packedConfigChanges":"${TextCompression.of(text)}"`
+      ? `"packedConfigChanges":"${TextCompression.compress(text)}"`
       : `"configChanges":${text}`;
   }
 
@@ -136,7 +136,7 @@
     const text = JSON.stringify(ConfigItems.wholeForEdges(this.current.config));
     const config =
       text.length > COMPRESSION_THRESHOLD_CHARS
-        ? `"packedConfig":"${TextCompression.of(text)}"`
+        ? `"packedConfig":"${TextCompression.compress(text)}"`
         : `"config":${JSON.stringify(text)}`;
     const part = `${config},"numbers":${JSON.stringify(Object.fromEntries(this.current.numbers))}`;
     this.parts.set(-1, part);
@@ -145,9 +145,9 @@
 
   /** Takes notice of the configuration in force: what differs from the last look has changed since. */
   private observe(): void {
-    const sequence = this.book.inForce?.sequence ?? 0;
+    const sequence = this.stateMachine.activeConfig?.sequence ?? 0;
     if (sequence === this.currentSequence) return;
-    const next = { config: this.read(), numbers: new Map(this.book.numbering.inForce) };
+    const next = { config: this.read(), numbers: new Map(this.stateMachine.idAllocator.inForce) };
     const isFirst = this.currentSequence === 0;
     const touched = this.takeItems(next);
     const removed = new Set(
--- a/src/control-plane/control-plane.ts
+++ b/src/control-plane/control-plane.ts
@@ -35,34 +35,34 @@
 
 /** The waits by which the leader keeps contracts, keys and grants. */
 export interface ControlPlaneTimeouts {
-  grantMs: number;
-  announceMs: number;
-  lapseMs: number;
+  leaseMs: number;
+  heartbeatMs: number;
+  expiryMs: number;
   leaveHoldMs: number;
   /** How long what is known of a back end that left is kept. */
   purgeMs: number;
   keyMs: number;
   silentMs: number;
   /** How long a number rests before another name may have it: three windows. */
-  restMs: number;
+  idRestMs: number;
   /** How long a poll is held at most while there is no news for it; well under the grant. */
   holdMs: number;
   /** How long an instance that is gone for good is kept in mind at least. */
-  goneMs: number;
+  tombstoneMs: number;
 }
 
 export const ControlPlaneTimeouts = {
-  usual: {
-    grantMs: 1600,
-    announceMs: 1000,
-    lapseMs: 4300,
+  defaults: {
+    leaseMs: 1600,
+    heartbeatMs: 1000,
+    expiryMs: 4300,
     leaveHoldMs: 2500,
     purgeMs: 30_000,
     keyMs: 120_000,
     silentMs: 2500,
-    restMs: 60_000,
+    idRestMs: 60_000,
     holdMs: 320,
-    goneMs: 600_000,
+    tombstoneMs: 600_000,
   },
 };
 
@@ -87,10 +87,10 @@
 
 /** What only the leader does: takes commands, keeps contracts and keys alive, and gives edges their views. */
 export class ControlPlane {
-  private readonly world: Runtime;
-  private readonly recorder: ReplicationNode;
-  private readonly book: StateMachine;
-  private readonly terms: ControlPlaneTimeouts;
+  private readonly runtime: Runtime;
+  private readonly replicationNode: ReplicationNode;
+  private readonly stateMachine: StateMachine;
+  private readonly controlPlaneTimeouts: ControlPlaneTimeouts;
   private readonly log: Logger;
   private readonly configs = new Queue<{ order: ConfigCommand; done: (text: string) => void }>();
   /** The config that was read last, beside its text. */
@@ -99,7 +99,7 @@
   private readonly machines = new Map<string, Heard>();
   private readonly ending = new Set<number>();
   /** The newest order that is known of each instance. */
-  private readonly orders = new Map<string, number>();
+  private readonly commands = new Map<string, number>();
   /** Since when this recorder knows, or last heard, of each instance that is gone for good. */
   private readonly goneSince = new Map<string, number>();
   /** The config that was read back last, as it travels. */
@@ -129,37 +129,38 @@
   private readonly claims: ClaimAdmission;
 
   constructor(
-    world: Runtime,
-    recorder: ReplicationNode,
-    book: StateMachine,
-    terms: ControlPlaneTimeouts,
+    runtime: Runtime,
+    replicationNode: ReplicationNode,
+    stateMachine: StateMachine,
+    controlPlaneTimeouts: ControlPlaneTimeouts,
     allowance: RetryCapacityAllocator,
   ) {
-    this.world = world;
-    this.recorder = recorder;
-    this.book = book;
-    this.terms = terms;
+    this.runtime = runtime;
+    this.replicationNode = replicationNode;
+    this.stateMachine = stateMachine;
+    this.controlPlaneTimeouts = controlPlaneTimeouts;
     this.allowance = allowance;
-    this.log = world.logbook.part("contract");
-    this.meter = new CommandMetrics(world.clock, this.log);
-    this.steps = new StepTimer(world.clock, this.log);
-    this.claims = new ClaimAdmission(world.clock);
-    this.directory = new EndpointChangeLog(book);
-    this.largeViews = new LargeViewLimiter(terms.grantMs);
-    this.configChanges = new ConfigChangeLog(book, () => this.configInForce());
-    book.onApplied((deed, index) => {
-      if (deed.kind === "claim")
-        this.keyAges.push({ scope: deed.scope, index, atMs: world.clock.nowMs() });
-      if (deed.kind === "leave" || deed.kind === "contract") this.noteGone();
-      if (deed.kind === "forgetGone")
-        for (const instance of deed.instances) this.goneSince.delete(instance);
-      if (newsKinds.has(deed.kind)) this.tellNews();
-      if (deed.kind === "holder") this.entering.delete(deed.edge);
-      if (deed.kind === "holdersPast") for (const edge of deed.edges) this.parting.delete(edge);
-      if (deed.kind === "forget")
-        this.keyAges = this.keyAges.filter((age) => age.index > deed.upTo);
+    this.log = runtime.loggers.component("contract");
+    this.meter = new CommandMetrics(runtime.clock, this.log);
+    this.steps = new StepTimer(runtime.clock, this.log);
+    this.claims = new ClaimAdmission(runtime.clock);
+    this.directory = new EndpointChangeLog(stateMachine);
+    this.largeViews = new LargeViewLimiter(controlPlaneTimeouts.leaseMs);
+    this.configChanges = new ConfigChangeLog(stateMachine, () => this.configInForce());
+    stateMachine.onApplied((command, index) => {
+      if (command.kind === "claim")
+        this.keyAges.push({ scope: command.scope, index, atMs: runtime.clock.nowMs() });
+      if (command.kind === "leave" || command.kind === "contract") this.noteGone();
+      if (command.kind === "forgetGone")
+        for (const instance of command.instances) this.goneSince.delete(instance);
+      if (newsKinds.has(command.kind)) this.tellNews();
+      if (command.kind === "holder") this.entering.delete(command.edge);
+      if (command.kind === "holdersPast")
+        for (const edge of command.edges) this.parting.delete(edge);
+      if (command.kind === "forget")
+        this.keyAges = this.keyAges.filter((age) => age.index > command.upTo);
     });
-    recorder.onLeading((leads) => {
+    replicationNode.onLeadershipChange((leads) => {
       if (leads) this.lead();
       this.tellNews();
     });
@@ -167,82 +168,85 @@
 
   /** Carries out one command at the leader and tells the outcome as JSON. */
   *command(text: string): Task<string> {
-    const startedMs = this.world.clock.nowMs();
-    const order = this.steps.run("readOrder", () => Command.read(text));
-    const outcome = yield* this.carryOut(order);
-    this.meter.note(order.kind, startedMs);
+    const startedMs = this.runtime.clock.nowMs();
+    const command = this.steps.run("readOrder", () => Command.read(text));
+    const outcome = yield* this.carryOut(command);
+    this.meter.note(command.kind, startedMs);
     return outcome;
   }
 
-  private *carryOut(order: Command): Task<string> {
-    switch (order.kind) {
+  private *carryOut(command: Command): Task<string> {
+    switch (command.kind) {
       case "announce":
-        return yield* this.announce(order);
+        return yield* this.announce(command);
       case "leave":
-        return yield* this.leave(order, false);
+        return yield* this.leave(command, false);
       case "drainBackEnd": {
-        const contract = this.book.contracts.get(order.address);
-        return contract
-          ? yield* this.leave({ address: contract.address, service: contract.service }, true)
+        const registration = this.stateMachine.registrations.get(command.address);
+        return registration
+          ? yield* this.leave(
+              { address: registration.address, service: registration.service },
+              true,
+            )
           : JSON.stringify({ known: false });
       }
       case "put":
       case "patch":
       case "amend":
-        return yield* Task.wait<string>((done) => this.configs.put({ order, done }));
+        return yield* Task.wait<string>((done) => this.configs.put({ order: command, done }));
       case "get":
-        return yield* this.read(order.version);
+        return yield* this.read(command.version);
       case "history":
         return this.granted(() => ({
-          configs: this.book.recent.map((one) => ({
+          configs: this.stateMachine.recent.map((one) => ({
             ...one,
             sequence: versionOf(one),
             version: versionOf(one),
           })),
-          journal: this.book.journal,
+          journal: this.stateMachine.journal,
         }));
       case "claim": {
-        const known = this.book.keys.get(order.scope);
-        const isFree = !known || known.job === order.job || known.job === order.replaces;
-        if (!isFree && this.recorder.hasGrant) return JSON.stringify({ held: known });
-        if (!known && this.book.keys.size >= MAX_IDEMPOTENCY_CLAIMS)
+        const known = this.stateMachine.claims.get(command.scope);
+        const isFree = !known || known.job === command.job || known.job === command.replaces;
+        if (!isFree && this.replicationNode.holdsLease) return JSON.stringify({ held: known });
+        if (!known && this.stateMachine.claims.size >= MAX_IDEMPOTENCY_CLAIMS)
           return this.granted(() => ({ full: true }));
-        return yield* this.claims.admit(this.enter(order));
+        return yield* this.claims.admit(this.enter(command));
       }
       case "release":
-        return yield* this.enterText(JSON.stringify(order));
+        return yield* this.enterText(JSON.stringify(command));
       case "rejoin":
-        return yield* this.rejoin(order.machine, order.nonce);
+        return yield* this.rejoin(command.machine, command.nonce);
       case "join":
-        return yield* this.join(order.machine, order.fleet);
+        return yield* this.join(command.machine, command.fleet);
       case "stopping":
-        return yield* this.memberStops(order.machine, order.lastIndex);
+        return yield* this.memberStops(command.machine, command.lastIndex);
       case "fleet":
         return this.granted(() => this.fleetView());
     }
   }
 
   /** Gives an edge or collector its view, if this recorder may answer now. */
-  *poll(text: string): Task<string> {
-    const poll = WatchRequest.read(text);
-    if (!this.recorder.hasGrant) return failureResponse("noGrant");
-    const nowMs = this.world.clock.nowMs();
+  *watch(text: string): Task<string> {
+    const watchRequest = WatchRequest.read(text);
+    if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
+    const nowMs = this.runtime.clock.nowMs();
     if (this.isNew) {
       this.isNew = false;
-      this.allowance.lead(nowMs, Runtime.nonce(this.world), this.book.holders);
+      this.allowance.lead(nowMs, Runtime.nonce(this.runtime), this.stateMachine.holders);
     }
-    const { machine } = poll;
+    const { machine } = watchRequest;
     const known = this.machines.get(machine.name);
     if (!known || known.silent || known.machine.draining !== machine.draining)
       this.edgePlaces = undefined;
     if (!known || known.silent || known.machine.incarnation !== machine.incarnation)
-      this.log.say("A machine shows itself.", { machine: machine.name, zone: machine.zone });
+      this.log.info("A machine shows itself.", { machine: machine.name, zone: machine.zone });
     this.machines.set(machine.name, { machine, heardMs: nowMs, silent: false });
-    this.hearAll(poll, nowMs);
+    this.hearAll(watchRequest, nowMs);
     const services = this.steps.run("observeConfig", () => this.configChanges.services);
     const isEdge = machine.roles.includes("edge") && !machine.draining;
     const edge = `${machine.name} ${machine.incarnation}`;
-    const holds = this.book.holders.has(edge);
+    const holds = this.stateMachine.holders.has(edge);
     if (isEdge && !holds && !this.entering.has(edge)) {
       this.entering.add(edge);
       this.tell({ kind: "holder", edge });
@@ -252,86 +256,100 @@
         ? this.allowance.grant(
             edge,
             {
-              number: poll.grantNumber,
+              number: watchRequest.grantNumber,
               capacities: new Map(
-                poll.capacities.map(({ service, capacity }) => [service, capacity]),
+                watchRequest.capacities.map(({ service, capacity }) => [service, capacity]),
               ),
             },
-            new Map(poll.wished.map(({ service, count }) => [service, count])),
+            new Map(watchRequest.wished.map(({ service, count }) => [service, count])),
             services,
             nowMs,
           )
         : { number: "", capacities: new Map<string, number>() };
-    if (this.terms.holdMs > 0 && granted.number === poll.grantNumber && !this.hasNewsFor(poll)) {
-      yield* this.news(this.terms.holdMs);
-      if (!this.recorder.hasGrant) return failureResponse("noGrant");
+    if (
+      this.controlPlaneTimeouts.holdMs > 0 &&
+      granted.number === watchRequest.grantNumber &&
+      !this.hasNewsFor(watchRequest)
+    ) {
+      yield* this.news(this.controlPlaneTimeouts.holdMs);
+      if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
     }
     const members = this.knownMembers();
     const view: LeasedView = {
       granted: true,
-      grantMs: this.terms.grantMs,
-      announceMs: this.terms.announceMs,
-      configSequence: this.book.inForce?.sequence ?? 0,
-      directorySequence: this.book.directorySequence,
+      grantMs: this.controlPlaneTimeouts.leaseMs,
+      announceMs: this.controlPlaneTimeouts.heartbeatMs,
+      configSequence: this.stateMachine.activeConfig?.sequence ?? 0,
+      directorySequence: this.stateMachine.endpointSequence,
       directoryDigest: this.directory.digest,
       grantNumber: granted.number,
-      ...(granted.number === poll.grantNumber
+      ...(granted.number === watchRequest.grantNumber
         ? {}
         : {
             capacities: [...granted.capacities]
               .filter(([, capacity]) => capacity > 0)
               .map(([service, capacity]) => ({ service, capacity })),
           }),
-      ...(members.digest === poll.membersDigest ? {} : { members }),
+      ...(members.digest === watchRequest.membersDigest ? {} : { members }),
       ...this.placeFor(machine),
     };
     const parts = [JSON.stringify(view).slice(0, -1)];
-    if (this.book.inForce && poll.configSequence !== this.book.inForce.sequence)
+    if (
+      this.stateMachine.activeConfig &&
+      watchRequest.configSequence !== this.stateMachine.activeConfig.sequence
+    )
       parts.push(
-        this.steps.run("viewOfConfig", () => this.configChanges.viewPart(poll.configSequence)),
+        this.steps.run("viewOfConfig", () =>
+          this.configChanges.viewPart(watchRequest.configSequence),
+        ),
       );
-    if (poll.directorySequence !== this.book.directorySequence)
+    if (watchRequest.directorySequence !== this.stateMachine.endpointSequence)
       parts.push(
-        this.steps.run("viewOfDirectory", () => this.directory.viewPart(poll.directorySequence)),
+        this.steps.run("viewOfDirectory", () =>
+          this.directory.viewPart(watchRequest.directorySequence),
+        ),
       );
     const viewText = `${parts.join(",")}}`;
     if (viewText.length <= COMPRESSION_THRESHOLD_CHARS) return viewText;
-    const sentMs = this.world.clock.nowMs();
-    if (this.largeViews.isUnderWay(poll, sentMs)) return underWay;
-    this.largeViews.note(poll, sentMs);
+    const sentMs = this.runtime.clock.nowMs();
+    if (this.largeViews.isUnderWay(watchRequest, sentMs)) return underWay;
+    this.largeViews.note(watchRequest, sentMs);
     return viewText;
   }
 
   /** The owner of configs: one change after another. */
-  *ownConfigs(): Task {
+  *runConfigChanges(): Task {
     for (;;) {
-      const { order, done } = yield* this.configs.take();
-      done(yield* this.changeConfig(order));
+      const { order: command, done } = yield* this.configs.take();
+      done(yield* this.changeConfig(command));
     }
   }
 
   /** Ends contracts that fell silent, forgets keys that are old, and notes machines that are gone. */
-  *ownTime(): Task {
+  *runMaintenance(): Task {
     for (;;) {
-      yield* Clock.rest(this.world.clock, 500);
-      if (!this.recorder.hasGrant) continue;
-      const nowMs = this.world.clock.nowMs();
-      for (const contract of this.book.contracts.values()) {
-        const heard = this.heardBackEnds.get(contract.address);
-        const { address, number, leaving } = contract;
+      yield* Clock.sleep(this.runtime.clock, 500);
+      if (!this.replicationNode.holdsLease) continue;
+      const nowMs = this.runtime.clock.nowMs();
+      for (const registration of this.stateMachine.registrations.values()) {
+        const heard = this.heardBackEnds.get(registration.address);
+        const { address, number, leaving } = registration;
         if (!heard)
           this.heardBackEnds.set(address, { heardMs: nowMs, leftMs: leaving ? nowMs : -Infinity });
-        else if (leaving && nowMs - Math.max(heard.heardMs, heard.leftMs) > this.terms.purgeMs) {
+        else if (
+          leaving &&
+          nowMs - Math.max(heard.heardMs, heard.leftMs) > this.controlPlaneTimeouts.purgeMs
+        ) {
           this.tell({ kind: "purge", address, number });
           this.heardBackEnds.delete(address);
-        } else if (!leaving && nowMs - heard.heardMs > this.terms.lapseMs) {
+        } else if (!leaving && nowMs - heard.heardMs > this.controlPlaneTimeouts.expiryMs) {
           this.tell({ kind: "end", address, number, why: "no announcement came" });
           heard.heardMs = nowMs;
         }
       }
       this.forgetInstances(nowMs);
       for (const heard of this.machines.values()) {
-        if (heard.silent || nowMs - heard.heardMs < this.terms.silentMs) continue;
+        if (heard.silent || nowMs - heard.heardMs < this.controlPlaneTimeouts.silentMs) continue;
         heard.silent = true;
         this.edgePlaces = undefined;
         this.log.warn("A machine fell silent.", { machine: heard.machine.name });
@@ -342,12 +360,14 @@
       }
       const past = this.isNew
         ? []
-        : this.allowance.past(nowMs, this.book.holders).filter((edge) => !this.parting.has(edge));
+        : this.allowance
+            .past(nowMs, this.stateMachine.holders)
+            .filter((edge) => !this.parting.has(edge));
       if (past.length > 0) {
         this.tell({ kind: "holdersPast", edges: past });
         for (const edge of past) this.parting.add(edge);
       }
-      const old = this.keyAges.filter(({ atMs }) => nowMs - atMs > this.terms.keyMs);
+      const old = this.keyAges.filter(({ atMs }) => nowMs - atMs > this.controlPlaneTimeouts.keyMs);
       if (old.length > 0) {
         this.tell({
           kind: "forget",
@@ -359,7 +379,7 @@
   }
 
   private lead(): void {
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     this.isNew = true;
     this.leadsSinceMs = nowMs;
     this.edgePlaces = undefined;
@@ -369,12 +389,12 @@
     this.machines.clear();
     this.ending.clear();
     this.heardBackEnds.clear();
-    this.orders.clear();
+    this.commands.clear();
     this.goneSince.clear();
-    for (const instance of this.book.gone.keys()) this.goneSince.set(instance, nowMs);
+    for (const instance of this.stateMachine.tombstones.keys()) this.goneSince.set(instance, nowMs);
     this.configChanges.reset();
     this.largeViews.reset();
-    this.keyAges = [...this.book.keys].map(([scope, { atIndex }]) => ({
+    this.keyAges = [...this.stateMachine.claims].map(([scope, { atIndex }]) => ({
       scope,
       index: atIndex,
       atMs: nowMs,
@@ -382,20 +402,20 @@
   }
 
   private granted(read: () => unknown): string {
-    return this.recorder.hasGrant ? JSON.stringify(read()) : failureResponse("noGrant");
+    return this.replicationNode.holdsLease ? JSON.stringify(read()) : failureResponse("noGrant");
   }
 
-  private *enter(deed: LogCommand): Task<string> {
-    return yield* this.enterText(LogCommand.text(deed));
+  private *enter(command: LogCommand): Task<string> {
+    return yield* this.enterText(LogCommand.text(command));
   }
 
   private *enterText(text: string): Task<string> {
-    const proposed = yield* this.recorder.propose(text);
+    const proposed = yield* this.replicationNode.propose(text);
     return typeof proposed === "string" ? failureResponse(proposed) : proposed.outcome;
   }
 
-  private tell(deed: LogCommand, ended: (outcome: string) => void = () => undefined): void {
-    Runtime.start(this.world, "contract", this.enter(deed), ended);
+  private tell(command: LogCommand, ended: (outcome: string) => void = () => undefined): void {
+    Runtime.start(this.runtime, "contract", this.enter(command), ended);
   }
 
   /** Whom daemons reach of the control plane, by what is heard and agreed now. */
@@ -404,7 +424,7 @@
       .filter((one) => one.machine.roles.includes("collector") && !one.silent)
       .map(({ machine }) => ({ zone: machine.zone, peer: machine.peer }))
       .sort((a, b) => (a.peer < b.peer ? -1 : 1));
-    const { voters, learners } = this.recorder.currentMembers;
+    const { voters, learners } = this.replicationNode.currentMembers;
     const recorders = [...voters, ...learners];
     const operators = this.followerOperators(new Set(recorders));
     const digest = itemHash(JSON.stringify([collectors, recorders, operators])).toString(36);
@@ -415,14 +435,15 @@
   private followerOperators(recorders: ReadonlySet<string>): string[] {
     return [...this.machines.values()]
       .filter(({ silent, machine }) => !silent && !machine.draining && recorders.has(machine.peer))
-      .filter(({ machine }) => machine.peer !== this.recorder.self)
+      .filter(({ machine }) => machine.peer !== this.replicationNode.self)
       .flatMap(({ machine }) => machine.operators ?? [])
       .sort();
   }
 
   /** An edge's place, once this leader has led for as long as a lease, so that every live edge has polled it. */
   private placeFor({ name }: DaemonInfo): Pick<LeasedView, "place"> {
-    if (this.world.clock.nowMs() - this.leadsSinceMs < this.terms.grantMs) return {};
+    if (this.runtime.clock.nowMs() - this.leadsSinceMs < this.controlPlaneTimeouts.leaseMs)
+      return {};
     this.edgePlaces ??= edgePlacementsOf(
       [...this.machines.values()].filter(({ silent }) => !silent).map(({ machine }) => machine),
     );
@@ -430,17 +451,17 @@
     return place === undefined ? {} : { place };
   }
 
-  private hasNewsFor(poll: WatchRequest): boolean {
+  private hasNewsFor(watchRequest: WatchRequest): boolean {
     return (
-      poll.configSequence !== (this.book.inForce?.sequence ?? 0) ||
-      poll.directorySequence !== this.book.directorySequence
+      watchRequest.configSequence !== (this.stateMachine.activeConfig?.sequence ?? 0) ||
+      watchRequest.directorySequence !== this.stateMachine.endpointSequence
     );
   }
 
   /** Waits until the directory or the config changes, at most for a while. */
   private *news(waitMs: number): Task {
     let hear = (): void => undefined;
-    yield* Clock.within<boolean>(this.world.clock, waitMs, (done) => {
+    yield* Clock.withTimeout<boolean>(this.runtime.clock, waitMs, (done) => {
       hear = () => done(true);
       this.waitingForNews.add(hear);
     });
@@ -454,12 +475,12 @@
   private tellNews(): void {
     if (this.waitingForNews.size === 0 || this.isTelling) return;
     this.isTelling = true;
-    const quietMs = this.nextNewsMs - this.world.clock.nowMs();
-    this.world.clock.after(Math.max(gatherNewsMs, quietMs), () => {
+    const quietMs = this.nextNewsMs - this.runtime.clock.nowMs();
+    this.runtime.clock.after(Math.max(gatherNewsMs, quietMs), () => {
       this.isTelling = false;
       this.nextNewsMs =
-        this.world.clock.nowMs() +
-        Math.min(this.waitingForNews.size * newsMsPerPoll, this.terms.holdMs / 2);
+        this.runtime.clock.nowMs() +
+        Math.min(this.waitingForNews.size * newsMsPerPoll, this.controlPlaneTimeouts.holdMs / 2);
       for (const hear of [...this.waitingForNews]) hear();
     });
   }
@@ -467,10 +488,10 @@
   /** Takes from a poll which back ends announced themselves at its daemon, and which refused it. */
   private hearAll({ machine, heard = [], refused }: WatchRequest, nowMs: number): void {
     for (const { number, order } of heard) {
-      const contract = this.directory.registration(number);
-      if (!contract || contract.leaving) continue;
-      this.hear(contract.address, nowMs);
-      this.noteOrder(contract.instance, order);
+      const registration = this.directory.registration(number);
+      if (!registration || registration.leaving) continue;
+      this.hear(registration.address, nowMs);
+      this.noteOrder(registration.instance, order);
     }
     for (const { address, number } of refused) {
       const known = this.directory.registration(number);
@@ -498,40 +519,52 @@
   }
 
   private noteOrder(instance: string, order: number): void {
-    if (instance !== "") this.orders.set(instance, Math.max(order, this.orders.get(instance) ?? 0));
+    if (instance !== "")
+      this.commands.set(instance, Math.max(order, this.commands.get(instance) ?? 0));
   }
 
   private noteGone(): void {
-    if (this.goneSince.size === this.book.gone.size) return;
-    const nowMs = this.world.clock.nowMs();
-    for (const instance of this.book.gone.keys())
+    if (this.goneSince.size === this.stateMachine.tombstones.size) return;
+    const nowMs = this.runtime.clock.nowMs();
+    for (const instance of this.stateMachine.tombstones.keys())
       if (!this.goneSince.has(instance)) this.goneSince.set(instance, nowMs);
   }
 
   /** Forgets instances that have been gone for long, and orders that nobody needs any more. */
   private forgetInstances(nowMs: number): void {
     for (const instance of this.goneSince.keys())
-      if (!this.book.gone.has(instance)) this.goneSince.delete(instance);
+      if (!this.stateMachine.tombstones.has(instance)) this.goneSince.delete(instance);
     let oldestMs = nowMs;
     for (const sinceMs of this.goneSince.values()) oldestMs = Math.min(oldestMs, sinceMs);
-    if (nowMs - oldestMs > this.terms.goneMs * goneSlack)
+    if (nowMs - oldestMs > this.controlPlaneTimeouts.tombstoneMs * goneSlack)
       this.tell({
         kind: "forgetGone",
         instances: [...this.goneSince]
-          .filter(([, sinceMs]) => nowMs - sinceMs > this.terms.goneMs)
+          .filter(([, sinceMs]) => nowMs - sinceMs > this.controlPlaneTimeouts.tombstoneMs)
           .map(([instance]) => instance),
       });
-    if (this.orders.size <= this.book.contracts.size) return;
-    const standing = new Set([...this.book.contracts.values()].map(({ instance }) => instance));
-    for (const instance of this.orders.keys())
-      if (!standing.has(instance)) this.orders.delete(instance);
+    if (this.commands.size <= this.stateMachine.registrations.size) return;
+    const durableState = new Set(
+      [...this.stateMachine.registrations.values()].map(({ instance }) => instance),
+    );
+    for (const instance of this.commands.keys())
+      if (!durableState.has(instance)) this.commands.delete(instance);
   }
 
-  private *announce(order: Extract<Command, { kind: "announce" }>): Task<string> {
-    const { address, service, zone, warmth, seen, instance = "", capacity = 0, warmMs = 0 } = order;
-    if (!this.recorder.hasGrant) return failureResponse("noGrant");
-    const known = this.book.contracts.get(address);
-    if (order.draining) {
+  private *announce(command: Extract<Command, { kind: "announce" }>): Task<string> {
+    const {
+      address,
+      service,
+      zone,
+      warmth,
+      seen,
+      instance = "",
+      capacity = 0,
+      warmMs = 0,
+    } = command;
+    if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
+    const known = this.stateMachine.registrations.get(address);
+    if (command.draining) {
       const left = yield* this.leave({ address, service, instance }, false);
       return isFailureResponse(left)
         ? left
@@ -540,31 +573,33 @@
             instance === "" ? "leaving" : "gone",
           );
     }
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     const same = known?.service === service && known.instance === instance;
-    if (this.book.gone.has(instance)) {
+    if (this.stateMachine.tombstones.has(instance)) {
       this.goneSince.set(instance, nowMs);
       return this.announced(0, "gone");
     }
-    if (order.order !== undefined && order.order < this.newestOrder(instance))
+    if (command.order !== undefined && command.order < this.newestOrder(instance))
       return this.announced(same ? known.number : 0, "overtaken");
     const heard = this.heardBackEnds.get(address) ?? this.leftBefore(known, nowMs);
     const justLeft =
-      instance === "" && heard !== undefined && nowMs - heard.leftMs < this.terms.leaveHoldMs;
+      instance === "" &&
+      heard !== undefined &&
+      nowMs - heard.leftMs < this.controlPlaneTimeouts.leaveHoldMs;
     if (same && known.leaving && !known.drained && justLeft)
       return this.announced(known.number, "leaving");
     if (same) {
       this.hear(address, nowMs);
-      this.noteOrder(instance, order.order ?? 0);
+      this.noteOrder(instance, command.order ?? 0);
       if (known.drained) return this.announced(known.number, "drained");
       if (!known.leaving && known.zone === zone && known.capacity === capacity)
         return this.announced(known.number, "known");
     }
     // One that counts its announcements is not told that it was heard: another daemon knows more and may enter it.
     if (known && seen < Math.max(known.number, known.leftAt))
-      return this.announced(known.number, order.order === undefined ? "overtaken" : "behind");
+      return this.announced(known.number, command.order === undefined ? "overtaken" : "behind");
     this.hear(address, nowMs);
-    this.noteOrder(instance, order.order ?? 0);
+    this.noteOrder(instance, command.order ?? 0);
     const outcome = yield* this.enter({
       kind: "contract",
       address,
@@ -574,7 +609,7 @@
       instance,
       capacity,
       warmMs,
-      order: order.order ?? 0,
+      order: command.order ?? 0,
     });
     const entered = create(JSON.parse(outcome), numbered);
     if (entered.gone) return this.announced(0, "gone");
@@ -584,13 +619,13 @@
   private newestOrder(instance: string): number {
     if (instance === "") return 0;
     return Math.max(
-      this.orders.get(instance) ?? 0,
-      ...this.book.contractsOf(instance).map(({ order }) => order),
+      this.commands.get(instance) ?? 0,
+      ...this.stateMachine.registrationsOf(instance).map(({ order }) => order),
     );
   }
 
   private announced(contract: Registration["number"], state: string): string {
-    return JSON.stringify({ contract, state, announceMs: this.terms.announceMs });
+    return JSON.stringify({ contract, state, announceMs: this.controlPlaneTimeouts.heartbeatMs });
   }
 
   private *leave(
@@ -605,14 +640,14 @@
     },
     drained: boolean,
   ): Task<string> {
-    if (!this.recorder.hasGrant) return failureResponse("noGrant");
-    const known = this.book.contracts.get(address);
+    if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
+    const known = this.stateMachine.registrations.get(address);
     const isGone =
       instance === ""
         ? known?.service === service && known.leaving && known.drained >= drained
-        : this.book.gone.has(instance);
+        : this.stateMachine.tombstones.has(instance);
     if (isGone) {
-      if (instance === "") this.noteLeft(address, this.world.clock.nowMs());
+      if (instance === "") this.noteLeft(address, this.runtime.clock.nowMs());
       return JSON.stringify({ known: true });
     }
     const outcome = yield* this.enter({
@@ -622,11 +657,11 @@
       drained,
       ...(instance === "" ? {} : { instance }),
     });
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     const left =
       instance === ""
         ? [address]
-        : this.book.contractsOf(instance).map((contract) => contract.address);
+        : this.stateMachine.registrationsOf(instance).map((registration) => registration.address);
     for (const one of left) this.noteLeft(one, nowMs);
     return outcome;
   }
@@ -645,25 +680,25 @@
     return known?.leaving === true ? this.noteLeft(known.address, nowMs) : undefined;
   }
 
-  private *changeConfig(order: ConfigCommand): Task<string> {
+  private *changeConfig(command: ConfigCommand): Task<string> {
     for (let round = 0; round < 5; round += 1) {
-      if (!this.recorder.hasGrant) return failureResponse("noGrant");
-      const first = this.book.changeVersion(order.changeId);
+      if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
+      const first = this.stateMachine.changeVersion(command.changeId);
       if (first !== undefined) return JSON.stringify({ accepted: first });
-      const { version, forgottenUpTo } = this.book;
-      const wanted = order.version ?? (order.base === undefined ? Infinity : order.base + 1);
+      const { version, forgottenUpTo } = this.stateMachine;
+      const wanted = command.version ?? (command.base === undefined ? Infinity : command.base + 1);
       if (wanted <= forgottenUpTo) return JSON.stringify({ forgottenUpTo });
-      if (order.base !== undefined && order.base !== version)
+      if (command.base !== undefined && command.base !== version)
         return JSON.stringify({ lost: version });
       if (
-        order.version !== undefined &&
-        !(Number.isSafeInteger(order.version) && order.version > version)
+        command.version !== undefined &&
+        !(Number.isSafeInteger(command.version) && command.version > version)
       )
         return JSON.stringify({
           faults: [{ path: "version", expected: `a version above ${version}` }],
         });
-      const { inForce } = this.book;
-      const changed = this.steps.run("changeItems", () => this.changed(order));
+      const { activeConfig: inForce } = this.stateMachine;
+      const changed = this.steps.run("changeItems", () => this.changed(command));
       yield* this.otherWork();
       const checked = this.steps.run("checkConfig", () => Config.check(changed));
       if ("faults" in checked) return JSON.stringify({ faults: checked.faults });
@@ -676,28 +711,28 @@
       const outcome = yield* this.enter({
         kind: "config",
         expected: inForce?.sequence ?? 0,
-        ...(order.version === undefined ? {} : { version: order.version }),
-        changeId: order.changeId,
-        acceptedAt: this.world.wallTime().toISOString(),
+        ...(command.version === undefined ? {} : { version: command.version }),
+        changeId: command.changeId,
+        acceptedAt: this.runtime.wallTime().toISOString(),
         ...recorded,
         names: this.nameChanges(config),
         rested: this.rested(),
       });
       const [failed, read] = configOutcome.validate(JSON.parse(outcome));
       if (!failed && "accepted" in read) this.parsed = { text, value: config };
-      if (failed || "accepted" in read || order.base !== undefined) return outcome;
+      if (failed || "accepted" in read || command.base !== undefined) return outcome;
     }
     return failureResponse("notLeader");
   }
 
   /** Lets heartbeats and whatever else waits have their turn between the steps of a change, each of which can take long. */
   private *otherWork(): Task {
-    yield* Clock.rest(this.world.clock, 0);
+    yield* Clock.sleep(this.runtime.clock, 0);
   }
 
   /** What a configuration changes of the names that have numbers; one that could get none before is tried again. */
   private nameChanges({ services, routes }: Config): NameChanges {
-    const { inForce } = this.book.numbering;
+    const { inForce } = this.stateMachine.idAllocator;
     const present = new Set([
       ...Object.keys(services).map((service) => IdAllocator.serviceName(service)),
       ...Object.keys(routes).map((route) => IdAllocator.routeName(route)),
@@ -709,17 +744,17 @@
   }
 
   /** The whole config that an order makes of the one in force. */
-  private changed(order: ConfigCommand): unknown {
-    if (order.kind === "put") return order.value;
+  private changed(command: ConfigCommand): unknown {
+    if (command.kind === "put") return command.value;
     const current = this.configInForce();
-    return order.kind === "patch"
-      ? mergePatch(current, order.value)
-      : applyItemChanges(current, order.put, order.remove);
+    return command.kind === "patch"
+      ? mergePatch(current, command.value)
+      : applyItemChanges(current, command.put, command.remove);
   }
 
   /** The config in force, parsed once for each change. */
   private configInForce(): Config {
-    const text = this.book.inForce?.text;
+    const text = this.stateMachine.activeConfig?.text;
     if (text === undefined) return Config.empty;
     if (this.parsed.text !== text) this.parsed = { text, value: new ConfigReader().read(text) };
     return this.parsed.value;
@@ -727,24 +762,27 @@
 
   /** Numbers that have been out of force for so long that no window holds them. */
   private rested(): number[] {
-    const nowMs = this.world.clock.nowMs();
-    const { resting } = this.book.numbering;
+    const nowMs = this.runtime.clock.nowMs();
+    const { resting } = this.stateMachine.idAllocator;
     for (const number of this.restingSince.keys())
       if (!resting.has(number)) this.restingSince.delete(number);
     for (const number of resting)
       if (!this.restingSince.has(number)) this.restingSince.set(number, nowMs);
     return [...this.restingSince]
-      .filter(([, sinceMs]) => nowMs - sinceMs > this.terms.restMs)
+      .filter(([, sinceMs]) => nowMs - sinceMs > this.controlPlaneTimeouts.idRestMs)
       .map(([number]) => number);
   }
 
   private *read(version: number | undefined): Task<string> {
-    if (!this.recorder.hasGrant) return failureResponse("noGrant");
-    const newest = this.book.inForce;
-    const wanted = version ?? this.book.version;
-    if (!newest || wanted > this.book.version || wanted < 1) return JSON.stringify({ found: null });
+    if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
+    const newest = this.stateMachine.activeConfig;
+    const wanted = version ?? this.stateMachine.version;
+    if (!newest || wanted > this.stateMachine.version || wanted < 1)
+      return JSON.stringify({ found: null });
     const found =
-      wanted === this.book.version ? newest : yield* this.ofVersion(wanted, newest.sequence);
+      wanted === this.stateMachine.version
+        ? newest
+        : yield* this.ofVersion(wanted, newest.sequence);
     if (found === "unknown") return failureResponse("unknown");
     if (found === "noLongerKept") return this.granted(() => ({ found: null, noLongerKept: true }));
     if (!found) return this.granted(() => ({ found: null }));
@@ -771,7 +809,7 @@
     version: number,
     newest: number,
   ): Task<AcceptedConfig | "noLongerKept" | "unknown" | undefined> {
-    const { recent } = this.book;
+    const { recent } = this.stateMachine;
     const at = recent.findIndex((one) => versionOf(one) >= version);
     const known =
       at > 0 || (at === 0 && recent[0] && versionOf(recent[0]) === version)
@@ -779,7 +817,7 @@
         : undefined;
     if (known && versionOf(known) !== version) return undefined;
     if (known) {
-      const read = yield* this.recorder.config(known.sequence);
+      const read = yield* this.replicationNode.readConfig(known.sequence);
       return read.kind === "found" ? read.config : read.kind;
     }
     let low = 1;
@@ -787,7 +825,7 @@
     let high = Math.min(version, recent[0]?.sequence ?? newest);
     while (low <= high) {
       const middle = version === high ? high : Math.floor((low + high) / 2);
-      const read = yield* this.recorder.config(middle);
+      const read = yield* this.replicationNode.readConfig(middle);
       if (read.kind === "unknown") return "unknown";
       if (read.kind === "found" && versionOf(read.config) === version) return read.config;
       const isBelow = read.kind === "noLongerKept" || versionOf(read.config) < version;
@@ -801,31 +839,32 @@
 
   /** Takes a member in that holds this fleet's record, and was removed while it was away. */
   private *join(machine: string, fleet: string): Task<string> {
-    if (!this.recorder.hasGrant) return failureResponse("noGrant");
-    if (fleet !== this.recorder.attendance.fleet) return JSON.stringify({ foreign: true });
-    const taken = yield* this.recorder.addLearner(machine);
+    if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
+    if (fleet !== this.replicationNode.bootstrapStatus.fleet)
+      return JSON.stringify({ foreign: true });
+    const taken = yield* this.replicationNode.addLearner(machine);
     return taken ? JSON.stringify({ taken }) : failureResponse("busy");
   }
 
   private *memberStops(machine: string, lastIndex: number): Task<string> {
-    if (!this.recorder.hasGrant) return failureResponse("noGrant");
-    const answer = yield* this.recorder.memberStops(machine, lastIndex);
+    if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
+    const answer = yield* this.replicationNode.onMemberStopping(machine, lastIndex);
     return answer ? JSON.stringify(answer) : failureResponse("notLeader");
   }
 
   private *rejoin(machine: string, nonce: string): Task<string> {
-    if (!this.recorder.hasGrant) return failureResponse("noGrant");
-    if (!(yield* this.recorder.addLearner(machine))) return failureResponse("busy");
+    if (!this.replicationNode.holdsLease) return failureResponse("noGrant");
+    if (!(yield* this.replicationNode.addLearner(machine))) return failureResponse("busy");
     const marked = yield* this.enter({ kind: "rejoined", machine, nonce });
     return isFailureResponse(marked) ? marked : JSON.stringify({ taken: true });
   }
 
   private fleetView() {
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     return {
-      leader: this.recorder.self,
-      voters: this.recorder.currentMembers.voters,
-      learners: this.recorder.currentMembers.learners,
+      leader: this.replicationNode.self,
+      voters: this.replicationNode.currentMembers.voters,
+      learners: this.replicationNode.currentMembers.learners,
       machines: [...this.machines.values()].map(({ machine, heardMs, silent }) => ({
         name: machine.name,
         zone: machine.zone,
@@ -835,16 +874,18 @@
         silent,
         heardMsAgo: Math.round(nowMs - heardMs),
       })),
-      backEnds: [...this.book.contracts.values()].map(({ address, service, zone, leaving }) => ({
-        address,
-        service,
-        zone,
-        leaving,
-        heardMsAgo: Math.round(nowMs - (this.heardBackEnds.get(address)?.heardMs ?? nowMs)),
-      })),
-      directorySequence: this.book.directorySequence,
-      keys: this.book.keys.size,
-      configs: this.book.version,
+      backEnds: [...this.stateMachine.registrations.values()].map(
+        ({ address, service, zone, leaving }) => ({
+          address,
+          service,
+          zone,
+          leaving,
+          heardMsAgo: Math.round(nowMs - (this.heardBackEnds.get(address)?.heardMs ?? nowMs)),
+        }),
+      ),
+      directorySequence: this.stateMachine.endpointSequence,
+      keys: this.stateMachine.claims.size,
+      configs: this.stateMachine.version,
     };
   }
 }
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -14,8 +14,8 @@
  * before.
  */
 export class EndpointChangeLog {
-  private readonly book: StateMachine;
-  private table: StateMachine["contracts"];
+  private readonly stateMachine: StateMachine;
+  private table: StateMachine["registrations"];
   private tableSequence: number;
   private readonly recent: ChangeBuffer;
   private readonly hashes = new Map<string, bigint>();
@@ -24,12 +24,12 @@
   /** The parts of views that were made for the present sequence, by the sequence that a daemon knows. */
   private readonly parts = new Map<number, string>();
 
-  constructor(book: StateMachine) {
-    this.book = book;
-    this.table = book.contracts.clear();
+  constructor(stateMachine: StateMachine) {
+    this.stateMachine = stateMachine;
+    this.table = stateMachine.registrations.clear();
     this.tableSequence = 0;
     this.recent = new ChangeBuffer(0, keptChangeBytes);
-    book.onApplied(() => this.observe());
+    stateMachine.onApplied(() => this.observe());
   }
 
   /** The directory's newest sequence. */
@@ -81,7 +81,7 @@
     const text = JSON.stringify([...this.table.values()]);
     const part =
       text.length > COMPRESSION_THRESHOLD_CHARS
-        ? `"packedDirectory":"${TextCompression.of(text)}"`
+        ? `"packedDirectory":"${TextCompression.compress(text)}"`
         : `"directory":${text}`;
     this.parts.set(-1, part);
     return part;
@@ -89,10 +89,10 @@
 
   /** Takes notice of the tables as they are now: what differs from the last time has changed since. */
   private observe(): void {
-    const { contracts, directorySequence } = this.book;
-    if (contracts === this.table && directorySequence === this.tableSequence) return;
+    const { registrations, endpointSequence: directorySequence } = this.stateMachine;
+    if (registrations === this.table && directorySequence === this.tableSequence) return;
     const touched: string[] = [];
-    for (const [address, registration] of contracts) {
+    for (const [address, registration] of registrations) {
       const former = this.table.get(address);
       if (former === registration) continue;
       touched.push(address);
@@ -100,11 +100,11 @@
       this.know(registration);
     }
     for (const [address, former] of this.table) {
-      if (contracts.has(address)) continue;
+      if (registrations.has(address)) continue;
       touched.push(address);
       this.forget(former);
     }
-    this.table = contracts;
+    this.table = registrations;
     this.tableSequence = directorySequence;
     this.parts.clear();
     this.recent.note(directorySequence, touched);
--- a/src/control-plane/large-view-limiter.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -28,20 +28,20 @@
   }
 
   /** Whether a view for what this daemon knows was sent a short while ago. */
-  isUnderWay(poll: WatchRequest, nowMs: number): boolean {
-    const sent = this.sent.get(poll.machine.name);
-    return sent?.known === knownOf(poll) && nowMs - sent.sentMs < sent.waitMs;
+  isUnderWay(watchRequest: WatchRequest, nowMs: number): boolean {
+    const sent = this.sent.get(watchRequest.machine.name);
+    return sent?.known === knownOf(watchRequest) && nowMs - sent.sentMs < sent.waitMs;
   }
 
   /** Notes that a large view is sent now. */
-  note(poll: WatchRequest, nowMs: number): void {
-    const known = knownOf(poll);
-    const former = this.sent.get(poll.machine.name);
+  note(watchRequest: WatchRequest, nowMs: number): void {
+    const known = knownOf(watchRequest);
+    const former = this.sent.get(watchRequest.machine.name);
     const waitMs =
       former?.known === known
         ? Math.min(2 * former.waitMs, this.firstWaitMs * 2 ** mostDoublings)
         : this.firstWaitMs;
-    this.sent.set(poll.machine.name, { known, sentMs: nowMs, waitMs });
+    this.sent.set(watchRequest.machine.name, { known, sentMs: nowMs, waitMs });
   }
 
   /** Forgets all, as one that leads anew. */
--- a/src/control-protocol/command.ts
+++ b/src/control-protocol/command.ts
@@ -89,7 +89,7 @@
 
 const unpacked = (packed: string): unknown => {
   try {
-    const value: unknown = JSON.parse(TextCompression.text(packed));
+    const value: unknown = JSON.parse(TextCompression.decompress(packed));
     return value;
   } catch (error) {
     throw new FrameError("A packed command can't be read.", { cause: error });
@@ -108,10 +108,10 @@
     return isOrder(kind, value) ? value : orderShapes[kind].create(value);
   },
   /** As it travels; a long one is packed, since links of small machines are slow. */
-  text(order: Command): string {
-    const text = JSON.stringify(order);
+  text(command: Command): string {
+    const text = JSON.stringify(command);
     return text.length > COMPRESSION_THRESHOLD_CHARS
-      ? JSON.stringify({ packed: TextCompression.of(text) })
+      ? JSON.stringify({ packed: TextCompression.compress(text) })
       : text;
   },
 };
@@ -234,7 +234,7 @@
     ? view
     : {
         ...view,
-        directory: readRegistrations(JSON.parse(TextCompression.text(view.packedDirectory))),
+        directory: readRegistrations(JSON.parse(TextCompression.decompress(view.packedDirectory))),
       };
 
 export const WatchRequest = {
@@ -243,7 +243,7 @@
   configUpdate: ({ configChanges, packedConfigChanges }: LeasedView): ConfigUpdate | undefined =>
     packedConfigChanges === undefined
       ? configChanges
-      : readConfigUpdate(JSON.parse(TextCompression.text(packedConfigChanges))),
+      : readConfigUpdate(JSON.parse(TextCompression.decompress(packedConfigChanges))),
   readReturn(text: string): Infer<typeof pollReturnShape> {
     const value: unknown = JSON.parse(text);
     return typeof value === "object" &&
--- a/src/control-protocol/compressed-text.ts
+++ b/src/control-protocol/compressed-text.ts
@@ -11,9 +11,11 @@
 export const CompressedText = {
   /** The form in which a text travels. */
   of: (text: string): CompressedText =>
-    text.length > COMPRESSION_THRESHOLD_CHARS ? { packedText: TextCompression.of(text) } : { text },
+    text.length > COMPRESSION_THRESHOLD_CHARS
+      ? { packedText: TextCompression.compress(text) }
+      : { text },
 
   /** The text again; raises an error where it was packed and can't be read. */
   read: ({ text, packedText }: CompressedText): string =>
-    packedText === undefined ? (text ?? "") : TextCompression.text(packedText),
+    packedText === undefined ? (text ?? "") : TextCompression.decompress(packedText),
 };
--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -60,8 +60,8 @@
   readonly pollMs: number;
   /** How long an edge waits until it asks again; longer than the leader holds a poll. */
   readonly pollWaitMs: number;
-  readonly terms: ControlPlaneTimeouts;
-  readonly waits: ReplicationTimeouts;
+  readonly controlPlaneTimeouts: ControlPlaneTimeouts;
+  readonly replicationTimeouts: ReplicationTimeouts;
   readonly budget: RetryRules;
   readonly counts: RequestCountsFormat;
   /** How long an operator's order may take until its fate is called unknown. */
@@ -85,7 +85,7 @@
 
 /** How quick elections are against the usual ones, so that they fit into each bound that waits for one. */
 const paceOf = (leaseMs: number, { contactMs, catchUpMs }: Figures): number => {
-  const usualElectionsMs = electionsInCatchUp * ReplicationTimeouts.usual.electionMaxMs;
+  const usualElectionsMs = electionsInCatchUp * ReplicationTimeouts.defaults.electionMaxMs;
   const fitting = Math.min(leaseMs / 1600, contactMs / 3000, catchUpMs / usualElectionsMs);
   return Math.min(1, Math.max(0.3, fitting));
 };
@@ -143,30 +143,30 @@
       leaseMs,
       pollMs,
       pollWaitMs: holdMs + Math.max(leaseMs * pollWayPart, leastPollWayMs),
-      terms: {
-        ...ControlPlaneTimeouts.usual,
-        grantMs: leaseMs,
-        announceMs: heartbeatMs,
+      controlPlaneTimeouts: {
+        ...ControlPlaneTimeouts.defaults,
+        leaseMs: leaseMs,
+        heartbeatMs: heartbeatMs,
         // What one daemon hears reaches the leader with its polls.
-        lapseMs: 3.5 * heartbeatMs + 2 * pollMs,
+        expiryMs: 3.5 * heartbeatMs + 2 * pollMs,
         holdMs,
         leaveHoldMs: drainMs + 500,
         keyMs: keyWindowMs + 10_000,
         silentMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
-        restMs: Math.max(60_000, 6 * retryWindowMs),
+        idRestMs: Math.max(60_000, 6 * retryWindowMs),
       },
-      waits: {
-        ...ReplicationTimeouts.usual,
-        heartbeatMs: paced(ReplicationTimeouts.usual.heartbeatMs),
-        electionMinMs: paced(ReplicationTimeouts.usual.electionMinMs),
-        electionMaxMs: paced(ReplicationTimeouts.usual.electionMaxMs),
-        leaderGrantMs: paced(ReplicationTimeouts.usual.leaderGrantMs),
-        stallMs: paced(ReplicationTimeouts.usual.stallMs),
+      replicationTimeouts: {
+        ...ReplicationTimeouts.defaults,
+        heartbeatMs: paced(ReplicationTimeouts.defaults.heartbeatMs),
+        electionMinMs: paced(ReplicationTimeouts.defaults.electionMinMs),
+        electionMaxMs: paced(ReplicationTimeouts.defaults.electionMaxMs),
+        leaderLeaseMs: paced(ReplicationTimeouts.defaults.leaderLeaseMs),
+        stallMs: paced(ReplicationTimeouts.defaults.stallMs),
         replaceAfterMs: Math.max(
-          2 * paced(ReplicationTimeouts.usual.electionMaxMs),
+          2 * paced(ReplicationTimeouts.defaults.electionMaxMs),
           Math.round(Math.min(mostReplaceMs, catchUpMs * replacePart)),
         ),
-        provenAfterMs: catchUpMs,
+        responsiveAfterMs: catchUpMs,
         forgetAfterMs: forgetTimes * catchUpMs,
       },
       budget: RetryRules.of(retryRatio, retryExtra, retryWindowMs),
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -37,24 +37,24 @@
 
 /** A caller's request as it arrives. */
 export interface IncomingRequest {
-  readonly job: ProxyRequest;
-  readonly caller: ClientConnection;
+  readonly clientRequest: ProxyRequest;
+  readonly client: ClientConnection;
 }
 
 /** An operator's or back end's request as it arrives. */
 export interface IncomingAdminRequest {
-  readonly job: ProxyRequest;
-  readonly give: (ret: ClientResponse) => void;
+  readonly clientRequest: ProxyRequest;
+  readonly give: (response: ClientResponse) => void;
 }
 
 /** What a daemon may be told besides its settings. */
 export interface DaemonOptions {
   /** The back ends as this machine reaches them. */
-  readonly backEnds: BackendClient;
+  readonly backendClient: BackendClient;
   /** Where accepted configs are also kept, on a machine with a disk. */
   readonly archive?: ConfigArchive | undefined;
   /** The headers by which it speaks with callers and back ends. */
-  readonly dialect?: HeaderNames;
+  readonly headerNames?: HeaderNames;
   /** Both directions of the machine's link, where its rate is to be kept. */
   readonly pacers?: LinkPacers;
   /** Waits of the record that differ from what the bounds make of them. */
@@ -67,49 +67,49 @@
 export class Daemon {
   readonly callers = new EventStream<IncomingRequest>();
   readonly operators = new EventStream<IncomingAdminRequest>();
-  private readonly world: Runtime;
+  private readonly runtime: Runtime;
   private readonly settings: Settings;
   private readonly bounds: Bounds;
   private readonly roles: Role[];
   private readonly log: Logger;
   private readonly archive: ConfigArchive | undefined;
   private readonly incarnation: string;
-  private readonly link: RpcEndpoint;
+  private readonly rpc: RpcEndpoint;
   private readonly forwarder: CommandForwarder;
-  private readonly meeting: ClusterBootstrap;
+  private readonly bootstrap: ClusterBootstrap;
   private seeds: readonly string[];
   private readonly budget: RetryBudget;
-  private readonly view: ClusterView;
-  private readonly shares: LoadBalancer;
+  private readonly clusterView: ClusterView;
+  private readonly loadBalancer: LoadBalancer;
   private readonly edgeCounts: EdgeCounts;
   private readonly desk: AdminApi;
-  readonly door: HttpProxy;
+  readonly proxy: HttpProxy;
   private readonly outcomes: OutcomeReplicator;
-  readonly recorder: ReplicationNode | undefined;
-  private readonly registry: ControlPlane | undefined;
+  readonly replicationNode: ReplicationNode | undefined;
+  private readonly controlPlane: ControlPlane | undefined;
   private readonly collector: CountAggregator | undefined;
   private draining = false;
   /** Hears what callers may send, whenever a config says so. */
   onLimits: (limits: RouteTable["limits"]) => void = () => undefined;
 
-  constructor(world: Runtime, settings: Settings, options: DaemonOptions) {
+  constructor(runtime: Runtime, settings: Settings, options: DaemonOptions) {
     const bounds = Bounds.of(settings);
-    this.world = world;
+    this.runtime = runtime;
     this.settings = settings;
     this.archive = options.archive;
     this.bounds = bounds;
     this.budget = new RetryBudget(bounds.budget);
     this.roles = Settings.roles(settings);
-    this.log = world.logbook.part("machine");
-    this.incarnation = Runtime.nonce(world);
-    const pacers = options.pacers ?? LinkPacers.of(world.clock, settings.limits?.linkMbps);
-    this.link = new RpcEndpoint(world, settings.peers, undefined, pacers);
+    this.log = runtime.loggers.component("machine");
+    this.incarnation = Runtime.nonce(runtime);
+    const pacers = options.pacers ?? LinkPacers.of(runtime.clock, settings.limits?.linkMbps);
+    this.rpc = new RpcEndpoint(runtime, settings.peers, undefined, pacers);
     this.seeds = settings.seeds;
-    this.forwarder = new CommandForwarder(world, this.link, () => [
+    this.forwarder = new CommandForwarder(runtime, this.rpc, () => [
       ...this.seeds,
-      ...this.meeting.recorders,
+      ...this.bootstrap.recorders,
     ]);
-    const place: NodeLocation = {
+    const location: NodeLocation = {
       self: settings.peers,
       machine: settings.machine,
       zone: settings.zone,
@@ -117,86 +117,87 @@
       tolerate: settings.tolerate ?? { machines: 1, zones: 0 },
       seeds: () => this.seeds,
     };
-    this.meeting = new ClusterBootstrap(world, this.link, place, {
-      leader: () => this.recorder?.leader || this.forwarder.leader,
-      recorders: () => this.forwarder.recorders,
+    this.bootstrap = new ClusterBootstrap(runtime, this.rpc, location, {
+      leader: () => this.replicationNode?.leader || this.forwarder.leader,
+      recorders: () => this.forwarder.members,
     });
-    this.view = new ClusterView(world, this.forwarder, () => this.machine(), this.budget);
-    this.shares = new LoadBalancer(settings.zone, () => world.random());
-    this.view.onLease = () => this.door.leased();
-    this.view.onPlace = (place) => this.shares.setPlace(place);
-    this.view.onConfig = ({ limits }) => this.onLimits(limits);
-    this.view.onDirectory = (contracts) => {
-      options.backEnds.keepOnly(new Set(contracts.map(connectionPoolKey)));
-      this.shares.know(contracts, world.clock.nowMs());
+    this.clusterView = new ClusterView(runtime, this.forwarder, () => this.machine(), this.budget);
+    this.loadBalancer = new LoadBalancer(settings.zone, () => runtime.random());
+    this.clusterView.onLease = () => this.proxy.leased();
+    this.clusterView.onPlace = (place) => this.loadBalancer.setPlace(place);
+    this.clusterView.onConfig = ({ limits }) => this.onLimits(limits);
+    this.clusterView.onEndpoints = (registrations) => {
+      options.backendClient.retainPools(new Set(registrations.map(connectionPoolKey)));
+      this.loadBalancer.setBackends(registrations, runtime.clock.nowMs());
     };
     const self = { machine: settings.machine, incarnation: this.incarnation, zone: settings.zone };
     this.edgeCounts = new EdgeCounts(
-      world,
-      this.link,
+      runtime,
+      this.rpc,
       bounds.counts,
-      this.view,
+      this.clusterView,
       self,
       bounds.budget,
     );
     this.outcomes = new OutcomeReplicator(
-      this.link,
-      new OutcomeCache(world.clock, bounds.terms.keyMs),
+      this.rpc,
+      new OutcomeCache(runtime.clock, bounds.controlPlaneTimeouts.keyMs),
       () => ({
-        members: this.view.collectors,
+        members: this.clusterView.collectors,
         leader: this.forwarder.leader,
         zone: settings.zone,
       }),
     );
-    this.door = new HttpProxy(world, {
-      view: this.view,
-      backEnds: options.backEnds,
+    this.proxy = new HttpProxy(runtime, {
+      clusterView: this.clusterView,
+      backendClient: options.backendClient,
       forwarder: this.forwarder,
       budget: this.budget,
       counts: this.edgeCounts,
-      shares: this.shares,
+      loadBalancer: this.loadBalancer,
       incarnation: this.incarnation,
-      dialect: options.dialect ?? HeaderNames.own,
+      headerNames: options.headerNames ?? HeaderNames.own,
       lapsedLease: this.lapsedLease(),
       outcomes: this.outcomes,
       egress: pacers.egress,
     });
-    if (this.roles.includes("recorder") && world.disk) {
-      const book = new StateMachine();
-      this.recorder = new ReplicationNode(
-        world,
-        this.link,
-        place,
-        { ...bounds.waits, ...options.waits },
-        book,
-        new LogStore(world.disk, historyQuotaBytes(settings.limits?.diskMb)),
-        this.meeting,
+    if (this.roles.includes("recorder") && runtime.disk) {
+      const stateMachine = new StateMachine();
+      this.replicationNode = new ReplicationNode(
+        runtime,
+        this.rpc,
+        location,
+        { ...bounds.replicationTimeouts, ...options.waits },
+        stateMachine,
+        new LogStore(runtime.disk, historyQuotaBytes(settings.limits?.diskMb)),
+        this.bootstrap,
       );
-      this.registry = new ControlPlane(
-        world,
-        this.recorder,
-        book,
-        bounds.terms,
+      this.controlPlane = new ControlPlane(
+        runtime,
+        this.replicationNode,
+        stateMachine,
+        bounds.controlPlaneTimeouts,
         new RetryQuotas(bounds.budget, bounds.leaseMs),
       );
-      book.onApplied((deed) => {
-        if (deed.kind === "config" && book.inForce) this.archive?.keep(book.inForce);
+      stateMachine.onApplied((command) => {
+        if (command.kind === "config" && stateMachine.activeConfig)
+          this.archive?.keep(stateMachine.activeConfig);
       });
     }
     if (this.roles.includes("collector"))
       this.collector = new CountAggregator(
-        world,
-        this.link,
+        runtime,
+        this.rpc,
         bounds.counts,
         settings.peers,
         this.incarnation,
-        () => this.recorder?.leader || this.forwarder.leader,
+        () => this.replicationNode?.leader || this.forwarder.leader,
       );
     this.desk = new AdminApi(
-      world,
+      runtime,
       this.forwarder,
-      this.view,
-      this.shares,
+      this.clusterView,
+      this.loadBalancer,
       pacers.egress,
       settings.operators,
       {
@@ -210,67 +211,71 @@
 
   /** Starts all tasks; ends once the daemon listens for its peers. */
   *start(): Task {
-    const { world, registry, recorder, collector } = this;
-    this.callers.each(world.clock.scheduler, ({ job, caller }) =>
-      Runtime.start(world, "door", this.door.handle(job, caller)),
+    const { runtime, controlPlane, replicationNode, collector } = this;
+    this.callers.subscribe(runtime.clock.scheduler, ({ clientRequest, client }) =>
+      Runtime.start(runtime, "door", this.proxy.handle(clientRequest, client)),
     );
-    this.operators.each(world.clock.scheduler, ({ job, give }) =>
-      Runtime.start(world, "operator", this.desk.handle(job), give),
+    this.operators.subscribe(runtime.clock.scheduler, ({ clientRequest, give }) =>
+      Runtime.start(runtime, "operator", this.desk.handle(clientRequest), give),
     );
-    if (recorder && registry) {
+    if (replicationNode && controlPlane) {
       const leadership = {
         get leads() {
-          return recorder.status.role === "leader";
+          return replicationNode.status.role === "leader";
         },
         get leader() {
-          return recorder.leader;
+          return replicationNode.leader;
         },
       };
-      this.forwarder.serve(RpcMethod.command, leadership, (text) => registry.command(text));
-      this.forwarder.serve(RpcMethod.poll, leadership, (text) => registry.poll(text));
+      this.forwarder.serve(RpcMethod.command, leadership, (text) => controlPlane.command(text));
+      this.forwarder.serve(RpcMethod.poll, leadership, (text) => controlPlane.watch(text));
     } else {
       this.forwarder.serveWay();
-      this.meeting.serve();
+      this.bootstrap.serve();
     }
     this.outcomes.serve();
-    yield* this.link.listen();
-    if (recorder && registry) {
-      Runtime.start(world, "record", recorder.own());
-      if (this.archive) Runtime.start(world, "operator", this.archive.own());
-      Runtime.start(world, "contract", registry.ownConfigs());
-      Runtime.start(world, "contract", registry.ownTime());
+    yield* this.rpc.listen();
+    if (replicationNode && controlPlane) {
+      Runtime.start(runtime, "record", replicationNode.run());
+      if (this.archive) Runtime.start(runtime, "operator", this.archive.run());
+      Runtime.start(runtime, "contract", controlPlane.runConfigChanges());
+      Runtime.start(runtime, "contract", controlPlane.runMaintenance());
     }
-    if (!recorder) Runtime.start(world, "record", this.meeting.own());
-    Runtime.start(world, "contract", this.view.own(this.bounds.pollMs, this.bounds.pollWaitMs));
-    if (collector) Runtime.start(world, "zone", collector.own(pushMs));
-    if (this.roles.includes("edge")) Runtime.start(world, "zone", this.edgeCounts.pushing(pushMs));
-    this.log.say("Runs.", { roles: this.roles, zone: this.settings.zone });
+    if (!replicationNode) Runtime.start(runtime, "record", this.bootstrap.run());
+    Runtime.start(
+      runtime,
+      "contract",
+      this.clusterView.run(this.bounds.pollMs, this.bounds.pollWaitMs),
+    );
+    if (collector) Runtime.start(runtime, "zone", collector.run(pushMs));
+    if (this.roles.includes("edge")) Runtime.start(runtime, "zone", this.edgeCounts.run(pushMs));
+    this.log.info("Runs.", { roles: this.roles, zone: this.settings.zone });
   }
 
   /** Finishes the work in hand and takes no more; ends when all is done or the time for it is over. */
   *drain(closeToCallers: () => void = () => undefined): Task {
-    const startedMs = this.world.clock.nowMs();
+    const startedMs = this.runtime.clock.nowMs();
     this.draining = true;
-    this.log.say("Draining.", { inHand: this.door.unfinished });
+    this.log.info("Draining.", { inHand: this.proxy.unfinished });
     const { serveOnMs, abandonMs, retireMs } = this.bounds;
-    const { recorder } = this;
-    if (recorder) {
-      yield* recorder.yieldLeadership();
-      Runtime.start(this.world, "record", recorder.leave(startedMs + serveOnMs));
+    const { replicationNode } = this;
+    if (replicationNode) {
+      yield* replicationNode.yieldLeadership();
+      Runtime.start(this.runtime, "record", replicationNode.leave(startedMs + serveOnMs));
     }
-    yield* Clock.rest(this.world.clock, startedMs + serveOnMs - this.world.clock.nowMs());
-    this.door.close();
+    yield* Clock.sleep(this.runtime.clock, startedMs + serveOnMs - this.runtime.clock.nowMs());
+    this.proxy.close();
     closeToCallers();
-    while (this.door.unfinished > 0 && this.world.clock.nowMs() - startedMs < abandonMs)
-      yield* Clock.rest(this.world.clock, 20);
-    if (this.door.unfinished > 0)
+    while (this.proxy.unfinished > 0 && this.runtime.clock.nowMs() - startedMs < abandonMs)
+      yield* Clock.sleep(this.runtime.clock, 20);
+    if (this.proxy.unfinished > 0)
       this.log.warn("Stops with work unfinished; it is given up on.", {
-        inHand: this.door.unfinished,
+        inHand: this.proxy.unfinished,
       });
-    this.door.abandon();
-    if (recorder) yield* recorder.retire(startedMs + retireMs);
-    if (this.door.unfinished > 0) return;
-    this.log.say("Drained.");
+    this.proxy.abandon();
+    if (replicationNode) yield* replicationNode.retire(startedMs + retireMs);
+    if (this.proxy.unfinished > 0) return;
+    this.log.info("Drained.");
   }
 
   /** Peer addresses of other daemons, from now on. */
@@ -280,7 +285,10 @@
 
   /** The config this daemon serves by, and whether it may serve now. */
   get standing(): { configSequence: number; isGranted: boolean } {
-    return { configSequence: this.view.configSequence, isGranted: this.view.isGranted };
+    return {
+      configSequence: this.clusterView.configSequence,
+      isGranted: this.clusterView.holdsLease,
+    };
   }
 
   /** The name of this process, which no other ever has. */
@@ -294,14 +302,14 @@
   }
 
   private lapsedLease(): ExpiredLeasePolicy {
-    const { forwarder, link } = this;
+    const { forwarder, rpc } = this;
     const core = {
       get members() {
-        return forwarder.recorders;
+        return forwarder.members;
       },
-      isOutOfReach: (member: string, sinceMs: number) => link.isOutOfReach(member, sinceMs),
+      isOutOfReach: (member: string, sinceMs: number) => rpc.isUnreachable(member, sinceMs),
     };
-    return new ExpiredLeasePolicy(this.world.clock, core, this.bounds.figures);
+    return new ExpiredLeasePolicy(this.runtime.clock, core, this.bounds.figures);
   }
 
   private machine(): DaemonInfo {
@@ -319,7 +327,7 @@
 
   private notReady(): string {
     if (this.draining) return "draining";
-    if (!this.view.isGranted) return "no fresh grant";
+    if (!this.clusterView.holdsLease) return "no fresh grant";
     return "";
   }
 
@@ -327,16 +335,16 @@
     return {
       ...this.machine(),
       ready: this.notReady() === "",
-      granted: this.view.isGranted,
-      configSequence: this.view.configSequence,
-      polls: this.view.polls,
-      grants: this.view.grants,
-      droppedFrames: this.link.droppedFrames,
-      record: this.recorder?.status ?? null,
+      granted: this.clusterView.holdsLease,
+      configSequence: this.clusterView.configSequence,
+      polls: this.clusterView.polls,
+      grants: this.clusterView.grants,
+      droppedFrames: this.rpc.droppedFrames,
+      record: this.replicationNode?.status ?? null,
       door: this.roles.includes("edge")
         ? {
-            inHand: this.door.inHand,
-            ...this.door.tally,
+            inHand: this.proxy.inHand,
+            ...this.proxy.tally,
             capacities: Object.fromEntries(this.budget.capacities),
           }
         : null,
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -63,18 +63,18 @@
     response.once("close", () => this.leave());
   }
 
-  get isGone(): boolean {
+  get isClosed(): boolean {
     return this.connection.isOver;
   }
 
-  onGone(run: () => void): () => void {
+  onClosed(run: () => void): () => void {
     const { over } = this.connection;
     over.add(run);
     return () => over.delete(run);
   }
 
   /** Waits until all that came before on the connection is answered; false where the connection ends before. */
-  *turn(): Task<boolean> {
+  *awaitTurn(): Task<boolean> {
     const { connection } = this;
     while (connection.unanswered[0] !== this && !connection.isOver) {
       yield* Task.wait<true>((done) => {
@@ -90,7 +90,7 @@
     return !connection.isOver && !connection.isClosing;
   }
 
-  whole({ code, headers, body }: ClientResponse): void {
+  respond({ code, headers, body }: ClientResponse): void {
     const { request, response, context } = this;
     const isBodiless = request.method === "HEAD" || code === 204 || code === 304;
     this.head(code, isBodiless ? headers : { ...headers, "content-length": String(body.length) });
@@ -102,12 +102,12 @@
     Task.start(this.written(body), () => response.destroy());
   }
 
-  begin(code: number, headers: Record<string, string>): void {
+  writeHead(code: number, headers: Record<string, string>): void {
     this.head(code, headers);
     this.beginTransfer(Number(headers["content-length"] ?? 0));
   }
 
-  *piece(bytes: Uint8Array): Task<boolean> {
+  *writeChunk(bytes: Uint8Array): Task<boolean> {
     const { turnBytes } = this.context.egress;
     const transfer = this.transfer ?? this.beginTransfer(bytes.length);
     for (let at = 0; at < bytes.length; at += turnBytes) {
@@ -126,7 +126,7 @@
     this.response.end();
   }
 
-  cut(): void {
+  abort(): void {
     this.transfer?.end();
     this.response.destroy();
   }
@@ -135,7 +135,7 @@
     this.context.unfinished += 1;
     try {
       this.beginTransfer(body.length);
-      if (yield* this.piece(body)) this.end();
+      if (yield* this.writeChunk(body)) this.end();
     } finally {
       this.context.unfinished -= 1;
     }
--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -94,13 +94,15 @@
   return sum;
 };
 
-const refused = (caller: ClientConnection, code: number, error: string): void =>
-  caller.whole(ClientResponse.json(code, { error, verdict: "neverRan" }, { connection: "close" }));
+const refused = (client: ClientConnection, code: number, error: string): void =>
+  client.respond(
+    ClientResponse.json(code, { error, verdict: "neverRan" }, { connection: "close" }),
+  );
 
 /** An HTTP/1.1 server that hands on requests, small bodies held whole. */
 export class HttpServer {
   private readonly server: Server;
-  private readonly take: (job: ProxyRequest, caller: ClientConnection) => void;
+  private readonly take: (clientRequest: ProxyRequest, client: ClientConnection) => void;
   private readonly wholeOnly: boolean;
   private readonly connections = new WeakMap<Socket, HttpConnectionState>();
   private limits: ServerLimits = usual;
@@ -108,7 +110,7 @@
   private readonly responses: ResponseContext;
 
   constructor(
-    take: (job: ProxyRequest, caller: ClientConnection) => void,
+    take: (clientRequest: ProxyRequest, client: ClientConnection) => void,
     {
       wholeOnly = true,
       egress = new LinkPacer(Clock.real(), undefined),
--- a/src/daemon/process-monitor.ts
+++ b/src/daemon/process-monitor.ts
@@ -20,7 +20,7 @@
   let processor = process.cpuUsage();
   for (;;) {
     const dueMs = clock.nowMs() + periodMs;
-    yield* Clock.rest(clock, periodMs);
+    yield* Clock.sleep(clock, periodMs);
     const behindMs = clock.nowMs() - dueMs;
     const used = process.cpuUsage(processor);
     const { utilization } = performance.eventLoopUtilization(loop);
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -37,67 +37,74 @@
   { adapter, archive: isArchived = false }: ServeOptions = {},
 ): Promise<number> => {
   let settings = file.read();
-  const logbook = LoggerFactory.open(settings.machine, settings.logLevel ?? "info");
-  const log = logbook.part("machine");
+  const logbook = LoggerFactory.create(settings.machine, settings.logLevel ?? "info");
+  const log = logbook.component("machine");
   const clock = Clock.real();
   const wire = Network.tcp();
   const pacers = LinkPacers.of(clock, settings.limits?.linkMbps);
-  const backEnds = BackendClient.http(clock, { proof: adapter?.dialect.proof, pacers });
+  const backendClient = BackendClient.http(clock, { proof: adapter?.headerNames.proof, pacers });
   return new Promise<number>((end) => {
     const fail = (error: unknown): void => {
-      log.fault("The daemon can't run.", error);
+      log.error("The daemon can't run.", error);
       end(1);
     };
     const life = function* (): Task<number> {
       const disk =
         settings.dataFolder === undefined ? undefined : yield* Disk.open(settings.dataFolder);
       const broken = (part: string, error: unknown): void => {
-        logbook.part(part).fault("A task broke off; the daemon ends.", error);
+        logbook.component(part).error("A task broke off; the daemon ends.", error);
         end(1);
       };
       const archive =
         settings.dataFolder !== undefined && isArchived
-          ? new ConfigArchive(settings.dataFolder, logbook.part("operator"))
+          ? new ConfigArchive(settings.dataFolder, logbook.component("operator"))
           : undefined;
-      const world: Runtime = {
+      const runtime: Runtime = {
         clock,
-        wire,
+        network: wire,
         disk,
-        logbook,
-        broken,
+        loggers: logbook,
+        onTaskFailure: broken,
         random: Math.random,
         wallTime: () => new Date(),
       };
-      const daemon = new Daemon(world, settings, {
-        backEnds,
+      const daemon = new Daemon(runtime, settings, {
+        backendClient,
         archive,
         pacers,
-        ...(adapter ? { dialect: adapter.dialect } : {}),
+        ...(adapter ? { headerNames: adapter.headerNames } : {}),
       });
-      const control = (takes: (job: ProxyRequest) => boolean): HttpServer => {
+      const control = (takes: (clientRequest: ProxyRequest) => boolean): HttpServer => {
         const server = new HttpServer(
-          (job, caller) => {
+          (clientRequest, client) => {
             const read = adapter
-              ? adapter.control.into(job)
-              : { job, back: (ret: ClientResponse) => ret };
-            if ("code" in read) caller.whole(read);
-            else if (takes(read.job))
-              daemon.operators.put({ job: read.job, give: (ret) => caller.whole(read.back(ret)) });
+              ? adapter.control.into(clientRequest)
+              : { clientRequest, back: (response: ClientResponse) => response };
+            if ("code" in read) client.respond(read);
+            else if (takes(read.clientRequest))
+              daemon.operators.emit({
+                clientRequest: read.clientRequest,
+                give: (response) => client.respond(read.back(response)),
+              });
             else
-              caller.whole(ClientResponse.json(404, { error: "Only readiness is served here." }));
+              client.respond(ClientResponse.json(404, { error: "Only readiness is served here." }));
           },
           { egress: pacers.egress, transferClass: "control" },
         );
         server.bound({ bodyBytes: configBodyBytes });
         return server;
       };
-      const callers = new HttpServer((job, caller) => daemon.callers.put({ job, caller }), {
-        wholeOnly: false,
-        egress: pacers.egress,
-      });
+      const callers = new HttpServer(
+        (clientRequest, client) => daemon.callers.emit({ clientRequest, client }),
+        {
+          wholeOnly: false,
+          egress: pacers.egress,
+        },
+      );
       const operators = control(() => true);
       const readiness = control(
-        (job) => job.method === "GET" && ProxyRequest.path(job) === "/ready",
+        (clientRequest) =>
+          clientRequest.method === "GET" && ProxyRequest.path(clientRequest) === "/ready",
       );
       daemon.onLimits = (limits) => callers.bound(limits);
       yield* daemon.start();
@@ -112,7 +119,7 @@
           const { applied, needRestart } = Settings.difference(settings, after);
           if (applied.includes("logLevel")) logbook.setLevel(after.logLevel ?? "info");
           if (applied.includes("seeds")) daemon.setSeeds(after.seeds);
-          log.say("Settings were read again.", { applied, needRestart });
+          log.info("Settings were read again.", { applied, needRestart });
           settings = { ...settings, logLevel: after.logLevel ?? "info", seeds: after.seeds };
         } catch (error) {
           log.warn("The settings on file have faults; the old ones stay.", {
@@ -122,7 +129,7 @@
       };
       const looking = function* (): Task {
         for (;;) {
-          yield* Clock.rest(clock, lookMs);
+          yield* Clock.sleep(clock, lookMs);
           if (file.hasChanged) readAgain();
         }
       };
@@ -130,12 +137,12 @@
       Task.start(monitorProcess(clock, log), fail);
       const signals = new EventStream<"SIGTERM" | "SIGINT" | "SIGHUP">();
       for (const name of ["SIGTERM", "SIGINT", "SIGHUP"] as const)
-        process.on(name, () => signals.put(name));
-      signals.each(clock.scheduler, (name) => {
+        process.on(name, () => signals.emit(name));
+      signals.subscribe(clock.scheduler, (name) => {
         if (name === "SIGHUP") readAgain();
       });
       yield* Task.wait<string>((done) =>
-        signals.each(clock.scheduler, (name) => {
+        signals.subscribe(clock.scheduler, (name) => {
           if (name !== "SIGHUP") done(name);
         }),
       );
@@ -144,15 +151,15 @@
       yield* daemon.drain(() => {
         if (callersAt !== undefined) callers.close();
       });
-      while (callers.unfinished > 0 && clock.nowMs() < untilMs) yield* Clock.rest(clock, 20);
-      yield* Clock.rest(clock, 50);
+      while (callers.unfinished > 0 && clock.nowMs() < untilMs) yield* Clock.sleep(clock, 20);
+      yield* Clock.sleep(clock, 50);
       callers.end();
       for (const server of [operators, readiness]) {
         server.close();
         server.end();
       }
       wire.close();
-      backEnds.close();
+      backendClient.close();
       return 0;
     };
     Task.start(life(), fail, end);
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -80,11 +80,11 @@
 /** A whole fleet of real daemons on this machine, with callers, back ends and operators of our own. */
 export class Fleet {
   readonly clock = Clock.real();
-  readonly ledger = new EventRecorder();
+  readonly recorder = new EventRecorder();
   readonly profile: Profile;
   readonly folder: string;
   readonly machines: FleetMachine[];
-  readonly standIns: TestBackend[];
+  readonly testBackends: TestBackend[];
   readonly day: Workload;
   private readonly random: () => number;
   private readonly servers = new Map<string, Server>();
@@ -112,7 +112,7 @@
       ]),
     );
     const ports = [...standInPorts];
-    this.standIns = Object.entries(profile.backEnds).flatMap(([service, many]) =>
+    this.testBackends = Object.entries(profile.backEnds).flatMap(([service, many]) =>
       Array.from(
         { length: many },
         (_, at) =>
@@ -120,13 +120,13 @@
             `127.0.0.1:${ports.shift() ?? 0}`,
             profile.zones[at % profile.zones.length] ?? "",
             service,
-            this.ledger,
+            this.recorder,
             this.random,
             bodyBytes,
           ),
       ),
     );
-    this.day = new Workload(this.outside(), profile, this.ledger, rateFactor);
+    this.day = new Workload(this.outside(), profile, this.recorder, rateFactor);
   }
 
   /** Lays a fleet out: free ports, settings files and data folders. */
@@ -172,10 +172,10 @@
 
   /** Starts daemons, back ends, callers and the platform's look at readiness. */
   async begin(): Promise<void> {
-    await Promise.all(this.standIns.map((standIn) => this.open(standIn)));
+    await Promise.all(this.testBackends.map((testBackend) => this.open(testBackend)));
     for (const machine of this.machines) this.boot(machine);
     for (const machine of this.machines) this.start(this.watching(machine));
-    for (const standIn of this.standIns) this.start(this.day.announcing(standIn, 1000));
+    for (const testBackend of this.testBackends) this.start(this.day.announcing(testBackend, 1000));
   }
 
   /** Lets callers come. */
@@ -216,7 +216,7 @@
   *kill(machine: FleetMachine): Task {
     const child = machine.process;
     if (!child) return;
-    this.ledger.world.push({
+    this.recorder.world.push({
       kind: "killed",
       atMs: this.clock.nowMs(),
       daemon: machine.settings.machine,
@@ -231,7 +231,7 @@
   /** Freezes a daemon's process for a while, as a machine that swaps or moves does. */
   *freeze(machine: FleetMachine, forMs: number): Task {
     machine.process?.kill("SIGSTOP");
-    yield* Clock.rest(this.clock, forMs);
+    yield* Clock.sleep(this.clock, forMs);
     machine.process?.kill("SIGCONT");
   }
 
@@ -244,7 +244,7 @@
       child.once("exit", () => done(true));
       child.kill("SIGTERM");
     });
-    this.ledger.world.push({
+    this.recorder.world.push({
       kind: "stopped",
       atMs,
       daemon: machine.settings.machine,
@@ -253,10 +253,10 @@
   }
 
   /** A back end's process ends: its port closes and its connections break. */
-  *crash(standIn: TestBackend): Task {
-    standIn.end();
-    const server = this.servers.get(standIn.address);
-    this.servers.delete(standIn.address);
+  *crash(testBackend: TestBackend): Task {
+    testBackend.end();
+    const server = this.servers.get(testBackend.address);
+    this.servers.delete(testBackend.address);
     if (!server) return;
     yield* Task.wait<boolean>((done) => {
       server.close(() => done(true));
@@ -265,9 +265,9 @@
   }
 
   /** A back end's place is taken by a new process, perhaps of another service. */
-  *replace(standIn: TestBackend, service: string): Task {
-    standIn.replace(service);
-    yield* Task.settle(this.open(standIn));
+  *replace(testBackend: TestBackend, service: string): Task {
+    testBackend.replace(service);
+    yield* Task.fromPromise(this.open(testBackend));
   }
 
   /** Waits until a condition holds, at most so long. */
@@ -275,20 +275,20 @@
     const untilMs = this.clock.nowMs() + waitMs;
     while (!holds()) {
       if (this.clock.nowMs() > untilMs) return false;
-      yield* Clock.rest(this.clock, 50);
+      yield* Clock.sleep(this.clock, 50);
     }
     return true;
   }
 
   /** How a daemon says that it stands. */
   *status(machine: FleetMachine): Task<unknown> {
-    const ret = yield* this.desk(machine.settings.machine, {
+    const response = yield* this.desk(machine.settings.machine, {
       method: "GET",
       target: "/status",
       headers: {},
       body: Buffer.alloc(0),
     });
-    return ret ? JSON.parse(Buffer.from(ret.body).toString()) : undefined;
+    return response ? JSON.parse(Buffer.from(response.body).toString()) : undefined;
   }
 
   start(task: Task<unknown>): void {
@@ -328,10 +328,10 @@
     if (!keep) await rm(this.folder, { recursive: true, force: true });
   }
 
-  private async open(standIn: TestBackend): Promise<void> {
+  private async open(testBackend: TestBackend): Promise<void> {
     const server = createHttpServer((incoming, outgoing) => {
       if (incoming.url === SERVICE_PROOF_PATH)
-        return void outgoing.writeHead(204, { [SERVICE_HEADER]: standIn.service }).end();
+        return void outgoing.writeHead(204, { [SERVICE_HEADER]: testBackend.service }).end();
       const pieces: Buffer[] = [];
       incoming.on("data", (piece: Buffer) => pieces.push(piece));
       incoming.on("error", () => undefined);
@@ -340,7 +340,7 @@
         const headers: Record<string, string> = {};
         for (const [name, value] of Object.entries(incoming.headers))
           headers[name] = first(value) ?? "";
-        const reply = standIn.run(
+        const reply = testBackend.run(
           {
             method: incoming.method ?? "",
             path: incoming.url ?? "",
@@ -359,22 +359,22 @@
     });
     await new Promise<void>((done, fail) => {
       server.once("error", fail);
-      server.listen(Address.parts(standIn.address), done);
+      server.listen(Address.parts(testBackend.address), done);
     });
-    this.servers.set(standIn.address, server);
+    this.servers.set(testBackend.address, server);
   }
 
   private *watching(machine: FleetMachine): Task {
     while (!this.isOver) {
-      yield* Clock.rest(this.clock, readyEveryMs);
+      yield* Clock.sleep(this.clock, readyEveryMs);
       if (!machine.process) continue;
-      const ret = yield* this.desk(machine.settings.machine, {
+      const response = yield* this.desk(machine.settings.machine, {
         method: "GET",
         target: "/ready",
         headers: {},
         body: Buffer.alloc(0),
       });
-      machine.isReady = ret?.code === 200 && machine.process !== undefined;
+      machine.isReady = response?.code === 200 && machine.process !== undefined;
     }
   }
 
@@ -389,8 +389,8 @@
           .map(({ settings }) => settings),
       isUp: (daemon) =>
         this.machines.some((one) => one.settings.machine === daemon && one.process !== undefined),
-      call: (daemon, job, patienceMs) => this.call(daemon, job, patienceMs),
-      desk: (daemon, job) => this.desk(daemon, job),
+      call: (daemon, clientRequest, patienceMs) => this.call(daemon, clientRequest, patienceMs),
+      desk: (daemon, clientRequest) => this.desk(daemon, clientRequest),
     };
   }
 
@@ -406,16 +406,16 @@
     return pool;
   }
 
-  private *call(daemon: string, job: ProxyRequest, patienceMs: number): Task<ClientSide> {
+  private *call(daemon: string, clientRequest: ProxyRequest, patienceMs: number): Task<ClientSide> {
     const callers = this.settingsOf(daemon)?.callers;
     if (callers === undefined) return noEnd("refused");
-    const ret = yield* Task.settle(
+    const ret = yield* Task.fromPromise(
       this.pool(callers)
         .request({
-          method: job.method,
-          path: job.target,
-          headers: job.headers,
-          body: job.body.length > 0 ? job.body : null,
+          method: clientRequest.method,
+          path: clientRequest.target,
+          headers: clientRequest.headers,
+          body: clientRequest.body.length > 0 ? clientRequest.body : null,
           signal: AbortSignal.timeout(Math.ceil(patienceMs)),
         })
         .then(async ({ statusCode, headers, body }) => ({
@@ -448,25 +448,28 @@
     };
   }
 
-  private *desk(name: string | undefined, job: ProxyRequest): Task<ClientResponse | undefined> {
+  private *desk(
+    name: string | undefined,
+    clientRequest: ProxyRequest,
+  ): Task<ClientResponse | undefined> {
     const open = this.machines.filter((one) => one.process !== undefined);
     const settings =
       name === undefined
         ? open[Math.floor(this.random() * open.length)]?.settings
         : this.settingsOf(name);
     if (!settings) return undefined;
-    const ret = yield* Task.settle(
-      request(`http://${settings.operators}${job.target}`, {
+    const ret = yield* Task.fromPromise(
+      request(`http://${settings.operators}${clientRequest.target}`, {
         method:
-          job.method === "PUT"
+          clientRequest.method === "PUT"
             ? "PUT"
-            : job.method === "PATCH"
+            : clientRequest.method === "PATCH"
               ? "PATCH"
-              : job.method === "GET"
+              : clientRequest.method === "GET"
                 ? "GET"
                 : "POST",
-        headers: job.headers,
-        body: job.body.length > 0 ? job.body : null,
+        headers: clientRequest.headers,
+        body: clientRequest.body.length > 0 ? clientRequest.body : null,
         signal: AbortSignal.timeout(5000),
       }).then(async ({ statusCode, body }) => ({
         code: statusCode,
--- a/src/fleet/main.ts
+++ b/src/fleet/main.ts
@@ -50,7 +50,7 @@
 const trouble = function* (fleet: Fleet, secondsMs: number): Task {
   const { clock } = fleet;
   const after = function* (part: number, startedMs: number): Task {
-    yield* Clock.rest(clock, startedMs + secondsMs * part - clock.nowMs());
+    yield* Clock.sleep(clock, startedMs + secondsMs * part - clock.nowMs());
   };
   const startedMs = clock.nowMs();
   const edges = fleet.machines.filter(({ settings }) => settings.callers !== undefined);
@@ -60,37 +60,38 @@
   if (leader) {
     say(`${leader.settings.machine}, which leads the record, is killed`);
     yield* fleet.kill(leader);
-    yield* Clock.rest(clock, 3000);
+    yield* Clock.sleep(clock, 3000);
     fleet.boot(leader);
   }
   yield* after(0.3, startedMs);
   if (edgeToKill) {
     say(`${edgeToKill.settings.machine}, an edge, is killed`);
     yield* fleet.kill(edgeToKill);
-    yield* Clock.rest(clock, 2000);
+    yield* Clock.sleep(clock, 2000);
     fleet.boot(edgeToKill);
   }
   yield* after(0.4, startedMs);
-  const [crashed, leaver, reused, liar] = fleet.standIns.filter((_, at) => at % 7 === 3);
+  const [crashed, leaver, reused, liar] = fleet.testBackends.filter((_, at) => at % 7 === 3);
   if (crashed) {
     say(`${crashed.address} of ${crashed.service} crashes and is replaced`);
     yield* fleet.crash(crashed);
-    yield* Clock.rest(clock, 2500);
+    yield* Clock.sleep(clock, 2500);
     yield* fleet.replace(crashed, crashed.service);
   }
   if (leaver) {
     say(`${leaver.address} of ${leaver.service} leaves`);
     yield* fleet.day.leave(leaver);
-    yield* Clock.rest(clock, 3000);
+    yield* Clock.sleep(clock, 3000);
     yield* fleet.crash(leaver);
   }
   if (reused) {
     const other =
-      fleet.standIns.find(({ service }) => service !== reused.service)?.service ?? reused.service;
+      fleet.testBackends.find(({ service }) => service !== reused.service)?.service ??
+      reused.service;
     say(`${reused.address} of ${reused.service} is reused by ${other}`);
     yield* fleet.crash(reused);
-    yield* Clock.rest(clock, 1500);
-    fleet.ledger.world.push({
+    yield* Clock.sleep(clock, 1500);
+    fleet.recorder.world.push({
       kind: "reused",
       atMs: clock.nowMs(),
       address: reused.address,
@@ -110,11 +111,11 @@
   liar?.behave({});
   yield* after(0.6, startedMs);
   const [service] = Object.keys(fleet.profile.backEnds);
-  const broken = fleet.standIns.filter((standIn) => standIn.service === service);
+  const broken = fleet.testBackends.filter((testBackend) => testBackend.service === service);
   say(`all ${broken.length} back ends of ${service ?? ""} lose 7 of 10 answers`);
-  for (const standIn of broken) standIn.behave({ losesPart: 0.7 });
+  for (const testBackend of broken) testBackend.behave({ losesPart: 0.7 });
   yield* after(0.7, startedMs);
-  for (const standIn of broken) standIn.behave({});
+  for (const testBackend of broken) testBackend.behave({});
   yield* decisions(fleet);
   if (edgeToStop) {
     say(`${edgeToStop.settings.machine}, an edge, is told to stop and started again`);
@@ -123,7 +124,7 @@
     fleet.boot(edgeToStop);
   }
   yield* after(0.8, startedMs);
-  fleet.ledger.world.push({ kind: "recovered", atMs: clock.nowMs() });
+  fleet.recorder.world.push({ kind: "recovered", atMs: clock.nowMs() });
 };
 
 const program = cac("fleet");
@@ -148,7 +149,7 @@
     for (const name of ["SIGINT", "SIGTERM"] as const)
       process.once(name, () => void fleet.end(false).then(() => process.exit(130)));
     say(
-      `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.smallMachines} small ones, ${fleet.standIns.length} back ends; logs under ${fleet.folder}`,
+      `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.smallMachines} small ones, ${fleet.testBackends.length} back ends; logs under ${fleet.folder}`,
     );
     if (!(await startFleet(fleet))) process.exit(1);
     say("All machines are ready and a config is in force; callers come");
@@ -157,10 +158,10 @@
     fleet.start(applyConfigurations(fleet));
     await fleet.perform(
       options.calm
-        ? Clock.rest(fleet.clock, options.seconds * 1000)
+        ? Clock.sleep(fleet.clock, options.seconds * 1000)
         : trouble(fleet, options.seconds * 1000),
     );
-    if (!options.calm) await fleet.perform(Clock.rest(fleet.clock, settleMs));
+    if (!options.calm) await fleet.perform(Clock.sleep(fleet.clock, settleMs));
     const breaches = await stopFleet(fleet, fromMs);
     await fleet.end(options.keep ?? false);
     process.exit(breaches > 0 ? 1 : 0);
--- a/src/fleet/report.ts
+++ b/src/fleet/report.ts
@@ -18,10 +18,10 @@
 
 /** Prints what callers, back ends and operators recorded, rule by rule; tells how often a rule was broken. */
 export const report = (fleet: Fleet, fromMs: number): number => {
-  const { ledger } = fleet;
+  const { recorder } = fleet;
   const tallied = (nameOf: (record: ClientRecord) => string): string => {
     const counts = new Map<string, number>();
-    for (const record of ledger.callers)
+    for (const record of recorder.callers)
       counts.set(nameOf(record), (counts.get(nameOf(record)) ?? 0) + 1);
     return [...counts]
       .sort(([a], [b]) => a.localeCompare(b))
@@ -29,7 +29,7 @@
       .join(", ");
   };
   say(
-    `Requests: ${ledger.callers.length}, ${(servedPart(ledger, fromMs, Infinity) * 100).toFixed(2)}% served`,
+    `Requests: ${recorder.callers.length}, ${(servedPart(recorder, fromMs, Infinity) * 100).toFixed(2)}% served`,
   );
   say(`  by return: ${tallied(({ code, broke }) => (code === 0 ? broke : String(code)))}`);
   say(
@@ -40,7 +40,7 @@
       .find((one) => one.route === route)
       ?.path(0)
       .split("/")[1];
-    const took = ledger.callers
+    const took = recorder.callers
       .filter(
         (one) =>
           one.method === method &&
@@ -55,13 +55,13 @@
     );
   }
   say(
-    `Tries that reached back ends: ${ledger.runs.length}; configs accepted: ${ledger.of("accepted").length}`,
+    `Tries that reached back ends: ${recorder.runs.length}; configs accepted: ${recorder.of("accepted").length}`,
   );
-  for (const [service, { further, requests, allowed }] of worstRepeats(ledger))
+  for (const [service, { further, requests, allowed }] of worstRepeats(recorder))
     say(
       `  ${service}: worst ten seconds had ${further} repeats with ${requests} requests, ${Math.floor(allowed)} allowed`,
     );
-  const breaches = checkRules(ledger);
+  const breaches = checkRules(recorder);
   for (const rule of Object.keys(rules)) {
     const own = breaches.filter((breach) => breach.rule === rule);
     say(
@@ -85,8 +85,8 @@
     await fleet.perform(
       fleet.until(
         () =>
-          new Set(fleet.ledger.of("announced").map(({ address }) => address)).size >=
-          fleet.standIns.length,
+          new Set(fleet.recorder.of("announced").map(({ address }) => address)).size >=
+          fleet.testBackends.length,
         upMs,
       ),
     );
@@ -104,9 +104,9 @@
 
 /** Lets callers come to their end, reads every config back, and reports. */
 export const stopFleet = async (fleet: Fleet, fromMs: number): Promise<number> => {
-  fleet.ledger.endMs = fleet.clock.nowMs();
+  fleet.recorder.endMs = fleet.clock.nowMs();
   fleet.day.isOver = true;
-  await fleet.perform(Clock.rest(fleet.clock, lastCallsMs));
+  await fleet.perform(Clock.sleep(fleet.clock, lastCallsMs));
   fleet.day.isOver = false;
   await fleet.perform(fleet.day.readBack());
   return report(fleet, fromMs);
@@ -116,7 +116,7 @@
 export const applyConfigurations = function* (fleet: Fleet): Task {
   while (!fleet.day.isOver) {
     yield* fleet.day.putConfig();
-    yield* Clock.rest(fleet.clock, 3000);
+    yield* Clock.sleep(fleet.clock, 3000);
   }
 };
 
--- a/src/fleet/zone-drill.ts
+++ b/src/fleet/zone-drill.ts
@@ -19,20 +19,20 @@
 /** Takes every machine and back end of a zone away at once. */
 const takeOut = function* (fleet: Fleet, zone: string): Task {
   const machines = fleet.machines.filter(({ settings }) => settings.zone === zone);
-  const standIns = fleet.standIns.filter((standIn) => standIn.zone === zone);
+  const testBackends = fleet.testBackends.filter((testBackend) => testBackend.zone === zone);
   for (const machine of machines) fleet.start(fleet.kill(machine));
-  for (const standIn of standIns) fleet.start(fleet.crash(standIn));
+  for (const testBackend of testBackends) fleet.start(fleet.crash(testBackend));
   yield* fleet.until(() => machines.every((machine) => machine.process === undefined), 5000);
   say(
-    `zone ${zone} is out: ${machines.map(({ settings }) => settings.machine).join(", ")} and ${standIns.length} back ends`,
+    `zone ${zone} is out: ${machines.map(({ settings }) => settings.machine).join(", ")} and ${testBackends.length} back ends`,
   );
 };
 
 /** Brings a zone's machines and back ends back. */
 const bringBack = function* (fleet: Fleet, zone: string): Task {
   for (const machine of fleet.machines) if (machine.settings.zone === zone) fleet.boot(machine);
-  for (const standIn of fleet.standIns)
-    if (standIn.zone === zone) yield* fleet.replace(standIn, standIn.service);
+  for (const testBackend of fleet.testBackends)
+    if (testBackend.zone === zone) yield* fleet.replace(testBackend, testBackend.service);
   say(`zone ${zone} is back`);
 };
 
@@ -65,26 +65,26 @@
       `Drill on ${profile.name}: zone ${zone} of ${profile.zones.join(", ")} goes out for ${options.seconds} s; logs under ${fleet.folder}`,
     );
     if (!(await startFleet(fleet))) process.exit(1);
-    const { clock, ledger } = fleet;
+    const { clock, recorder } = fleet;
     const fromMs = clock.nowMs();
     fleet.beginCalls();
     fleet.start(applyConfigurations(fleet));
-    await fleet.perform(Clock.rest(clock, hours.quietMs));
+    await fleet.perform(Clock.sleep(clock, hours.quietMs));
     const outMs = clock.nowMs();
     await fleet.perform(takeOut(fleet, zone));
-    await fleet.perform(Clock.rest(clock, options.seconds * 1000));
+    await fleet.perform(Clock.sleep(clock, options.seconds * 1000));
     const backMs = clock.nowMs();
     await fleet.perform(bringBack(fleet, zone));
-    ledger.world.push({ kind: "recovered", atMs: clock.nowMs() });
+    recorder.world.push({ kind: "recovered", atMs: clock.nowMs() });
     const ready = await fleet.perform(
       fleet.until(() => fleet.machines.every(({ isReady }) => isReady), hours.recoverMs),
     );
     const readyMs = clock.nowMs() - backMs;
-    await fleet.perform(Clock.rest(clock, Math.max(0, hours.recoverMs - readyMs) + hours.afterMs));
+    await fleet.perform(Clock.sleep(clock, Math.max(0, hours.recoverMs - readyMs) + hours.afterMs));
     const endMs = clock.nowMs();
     const breaches = await stopFleet(fleet, fromMs);
     say(
-      `Served before ${percent(servedPart(ledger, fromMs, outMs))}, in the first 5 s without the zone ${percent(servedPart(ledger, outMs, outMs + 5000))}, then ${percent(servedPart(ledger, outMs + 5000, backMs))}, after its return ${percent(servedPart(ledger, backMs, endMs))}`,
+      `Served before ${percent(servedPart(recorder, fromMs, outMs))}, in the first 5 s without the zone ${percent(servedPart(recorder, outMs, outMs + 5000))}, then ${percent(servedPart(recorder, outMs + 5000, backMs))}, after its return ${percent(servedPart(recorder, backMs, endMs))}`,
     );
     say(
       ready
--- a/src/load-balancing/load-balancer.ts
+++ b/src/load-balancing/load-balancer.ts
@@ -47,7 +47,7 @@
   private readonly routes = new RouteStatsTable();
   private place: EdgePlacement | undefined;
   /** The ring order of lists of backends, as places in the list. */
-  private orders = new WeakMap<readonly Backend[], readonly number[]>();
+  private commands = new WeakMap<readonly Backend[], readonly number[]>();
 
   /** `random` gives 0 to 1. */
   constructor(zone: string, random: () => number) {
@@ -58,7 +58,7 @@
   /** Learns this daemon's place among all; until then every backend is as good as another. */
   setPlace(place: EdgePlacement): void {
     this.place = place;
-    this.orders = new WeakMap();
+    this.commands = new WeakMap();
   }
 
   /**
@@ -143,7 +143,7 @@
   }
 
   /** Learns which backends there are: those that are new begin to warm up now. */
-  know(backends: readonly Backend[], nowMs: number): void {
+  setBackends(backends: readonly Backend[], nowMs: number): void {
     for (const backend of backends) this.stats(backend, nowMs);
     this.keepOnly(backends);
   }
@@ -163,8 +163,8 @@
   /** Backends in this daemon's ring order, worked out once for each list. */
   private ordered<B extends Backend>(backends: readonly B[]): readonly B[] {
     if (!this.place) return backends;
-    const ranks = this.orders.get(backends) ?? ringRanks(backends, this.zone, this.place);
-    this.orders.set(backends, ranks);
+    const ranks = this.commands.get(backends) ?? ringRanks(backends, this.zone, this.place);
+    this.commands.set(backends, ranks);
     return ranks.flatMap((rank) => backends[rank] ?? []);
   }
 
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -193,11 +193,11 @@
     const {
       log,
       matched,
-      ackedSentMs,
-      provenSinceMs,
+      acknowledgedSentMs: ackedSentMs,
+      responsiveSinceMs: provenSinceMs,
       votes,
-      heardLeaderMs,
-      heardAppendMs,
+      lastLeaderContactMs: heardLeaderMs,
+      lastAppendMs: heardAppendMs,
       ...rest
     } = this.state;
     const now = this.nowMs;
@@ -231,7 +231,7 @@
     const { settings } = this.around;
     return {
       nowMs: this.nowMs,
-      waits: settings.waits,
+      timeouts: settings.waits,
       rules: settings.rules,
       stage: this.hasStorage ? "formed" : "empty",
       isRetired: false,
@@ -390,13 +390,13 @@
   }
 
   private waitForElection(): void {
-    this.waitedSinceMs = this.state.heardLeaderMs;
+    this.waitedSinceMs = this.state.lastLeaderContactMs;
     const sinceMs = Number.isFinite(this.waitedSinceMs) ? this.waitedSinceMs : this.nowMs;
     this.untilMs = sinceMs + this.electionWaitMs();
   }
 
   private tickFollower(now: number): void {
-    if (this.state.heardLeaderMs !== this.waitedSinceMs) this.waitForElection();
+    if (this.state.lastLeaderContactMs !== this.waitedSinceMs) this.waitForElection();
     if (now < this.untilMs) return;
     this.state = onElectionTimeout(this.state, this.facts);
     if (this.state.role === "follower") this.untilMs = now + this.electionWaitMs();
@@ -416,7 +416,13 @@
   private reviewMembership(): void {
     if (!mayChangeMembers(this.state, this.facts)) return;
     const now = this.nowMs;
-    const { members, ackedSentMs, matched, committedIndex, syncedIndex } = this.state;
+    const {
+      members,
+      acknowledgedSentMs: ackedSentMs,
+      matched,
+      committedIndex,
+      syncedIndex,
+    } = this.state;
     const since = this.leadingSinceMs;
     const { settings } = this.around;
     const change = MembershipPolicy.next({
@@ -432,13 +438,13 @@
           : {
               silentMs: now - Math.max(since, ackedSentMs.get(member) ?? since),
               answered: ackedSentMs.has(member),
-              provenMs: now - (this.state.provenSinceMs.get(member) ?? now),
+              provenMs: now - (this.state.responsiveSinceMs.get(member) ?? now),
               matchedIndex: matched.get(member) ?? 0,
             },
       waits: {
         answersWithinMs: settings.waits.electionMaxMs,
         replaceAfterMs: settings.replaceAfterMs,
-        provenAfterMs: settings.provenAfterMs,
+        responsiveAfterMs: settings.provenAfterMs,
         forgetAfterMs: settings.forgetAfterMs,
       },
     });
@@ -597,7 +603,7 @@
     this.state = installSnapshot(this.state, request, members, entries);
     this.appliedIndex = lastIndex;
     this.value = value;
-    const { term, votedFor, rejoinNonce, cuts } = this.state;
+    const { term, votedFor, rejoinNonce, truncations: cuts } = this.state;
     this.disk.pending.push({
       content: {
         whole: { term, votedFor, rejoinNonce, lastIndex, lastTerm, members, entries, value },
@@ -728,7 +734,7 @@
 
   /** One that rejoins, or that no leader has sent anything for long, asks to be taken up. */
   private askToRejoin(now: number): void {
-    const { rejoinNonce, heardAppendMs, role } = this.state;
+    const { rejoinNonce, lastAppendMs: heardAppendMs, role } = this.state;
     const isForgotten =
       role !== "leader" && now - heardAppendMs > this.around.settings.replaceAfterMs;
     if ((rejoinNonce === "" && !isForgotten) || now < this.nextRejoinMs) return;
--- a/src/model-checker/mutants.ts
+++ b/src/model-checker/mutants.ts
@@ -32,5 +32,5 @@
   withoutRule("oneMembershipChangeAtATime", "members change while a change is uncommitted"),
   withoutRule("leaseFromSending", "the lease counts from the answer, not from the sending"),
   withoutRule("answerOnlyInCommittedTerm", "a new leader answers before an entry of its term"),
-  { name: "a lease longer than the election wait", alteration: { waits: { leaderGrantMs: 900 } } },
+  { name: "a lease longer than the election wait", alteration: { waits: { leaderLeaseMs: 900 } } },
 ];
