--- a/src/proxy/http-proxy.ts
+++ b/src/proxy/http-proxy.ts
@@ -29,14 +29,14 @@
 
 /** One request on its way through the chain. */
 interface Passage {
-  readonly job: ProxyRequest;
-  readonly caller: ClientConnection;
+  readonly clientRequest: ProxyRequest;
+  readonly client: ClientConnection;
   readonly arrivedMs: number;
   /** Its name toward back ends, where its caller gave it one. */
   readonly id: string | undefined;
   /** Decides among the services of a route that is split. */
   readonly draw: number;
-  mapping: ActiveRoute | undefined;
+  route: ActiveRoute | undefined;
   service: string;
   /** When its caller or its route gives it up. */
   untilMs: number;
@@ -55,7 +55,7 @@
 
 /** How one try ended, and whether its back end may have heard of it. */
 interface Attempt {
-  readonly ending: RequestOutcome;
+  readonly outcome: RequestOutcome;
   readonly isSent: boolean;
 }
 
@@ -132,14 +132,14 @@
 
 /** What a door depends on beside its world. */
 export interface HttpProxyOptions {
-  readonly view: ClusterView;
-  readonly backEnds: BackendClient;
+  readonly clusterView: ClusterView;
+  readonly backendClient: BackendClient;
   readonly forwarder: CommandForwarder;
   readonly budget: RetryBudget;
   readonly counts: EdgeCounts;
-  readonly shares: LoadBalancer;
+  readonly loadBalancer: LoadBalancer;
   readonly incarnation: string;
-  readonly dialect: HeaderNames;
+  readonly headerNames: HeaderNames;
   /** Whether requests that may be repeated are still served by a view whose lease is over. */
   readonly lapsedLease: ExpiredLeasePolicy;
   /** Where it is kept what became of keyed requests. */
@@ -150,15 +150,15 @@
 
 /** Takes callers' requests through a chain of filters, each of which may answer. */
 export class HttpProxy {
-  private readonly world: Runtime;
-  private readonly view: ClusterView;
-  private readonly backEnds: BackendClient;
+  private readonly runtime: Runtime;
+  private readonly clusterView: ClusterView;
+  private readonly backendClient: BackendClient;
   private readonly budget: RetryBudget;
   private readonly counts: EdgeCounts;
-  private readonly shares: LoadBalancer;
+  private readonly loadBalancer: LoadBalancer;
   private readonly keys: IdempotencyClaims;
   private readonly incarnation: string;
-  private readonly dialect: HeaderNames;
+  private readonly headerNames: HeaderNames;
   private readonly lapsedLease: ExpiredLeasePolicy;
   private readonly egress: LinkPacer;
   private readonly bulk: BulkAdmission;
@@ -180,27 +180,36 @@
     cut: 0,
   };
 
-  constructor(world: Runtime, parts: HttpProxyOptions) {
-    const { view, backEnds, forwarder, budget, counts, shares, incarnation, dialect } = parts;
-    this.world = world;
-    this.view = view;
-    this.backEnds = backEnds;
+  constructor(runtime: Runtime, parts: HttpProxyOptions) {
+    const {
+      clusterView,
+      backendClient,
+      forwarder,
+      budget,
+      counts,
+      loadBalancer,
+      incarnation,
+      headerNames,
+    } = parts;
+    this.runtime = runtime;
+    this.clusterView = clusterView;
+    this.backendClient = backendClient;
     this.budget = budget;
     this.counts = counts;
-    this.shares = shares;
+    this.loadBalancer = loadBalancer;
     this.incarnation = incarnation;
-    this.dialect = dialect;
+    this.headerNames = headerNames;
     this.lapsedLease = parts.lapsedLease;
     this.egress = parts.egress;
     this.bulk = new BulkAdmission(parts.egress, wholeBytes);
     this.keys = new IdempotencyClaims(
-      world,
+      runtime,
       forwarder,
       parts.outcomes,
       incarnation,
-      dialect.tellsParts ? after.led : undefined,
+      headerNames.tellsParts ? after.led : undefined,
     );
-    this.log = world.logbook.part("door");
+    this.log = runtime.loggers.component("door");
   }
 
   /** All that must end before the daemon may stop. */
@@ -219,15 +228,15 @@
   }
 
   /** Takes one request to its end. */
-  *handle(job: ProxyRequest, caller: ClientConnection): Task {
-    const { callerId } = this.dialect;
+  *handle(clientRequest: ProxyRequest, client: ClientConnection): Task {
+    const { callerId } = this.headerNames;
     const passage: Passage = {
-      job,
-      caller,
-      arrivedMs: this.world.clock.nowMs(),
-      id: callerId === undefined ? undefined : job.headers[callerId],
-      draw: this.world.random(),
-      mapping: undefined,
+      clientRequest,
+      client,
+      arrivedMs: this.runtime.clock.nowMs(),
+      id: callerId === undefined ? undefined : clientRequest.headers[callerId],
+      draw: this.runtime.random(),
+      route: undefined,
       service: "",
       untilMs: Infinity,
       claim: undefined,
@@ -240,21 +249,22 @@
     this.inHand += 1;
     this.passages.add(passage);
     try {
-      const ending = yield* this.pass(passage, [
+      const outcome = yield* this.pass(passage, [
         this.limits,
         this.mapped,
         this.ordered,
         this.keyed,
       ]);
       if (passage.isAbandoned) return;
-      this.tally.byVerdict[ending.verdict] += 1;
-      if (ending.ret === "cut") this.tally.cut += 1;
-      if (typeof ending.ret === "string") return;
-      this.tally.byCode[ending.ret.code] = (this.tally.byCode[ending.ret.code] ?? 0) + 1;
-      caller.whole(this.spoken(ending, ending.ret));
+      this.tally.byVerdict[outcome.execution] += 1;
+      if (outcome.response === "cut") this.tally.cut += 1;
+      if (typeof outcome.response === "string") return;
+      this.tally.byCode[outcome.response.code] =
+        (this.tally.byCode[outcome.response.code] ?? 0) + 1;
+      client.respond(this.spoken(outcome, outcome.response));
     } catch (error) {
-      this.log.fault("A request met what nobody foresaw.", error);
-      caller.whole(
+      this.log.error("A request met what nobody foresaw.", error);
+      client.respond(
         ClientResponse.json(500, {
           error: "The daemon broke down over this request.",
           verdict: "mayHaveRun",
@@ -271,9 +281,9 @@
   abandon(): void {
     for (const passage of this.passages) {
       passage.isAbandoned = true;
-      if (passage.isStreaming) passage.caller.cut();
+      if (passage.isStreaming) passage.client.abort();
       else
-        passage.caller.whole(
+        passage.client.respond(
           ClientResponse.json(
             504,
             {
@@ -288,10 +298,13 @@
   }
 
   /** A return as callers of this dialect read it. */
-  private spoken({ afterMs }: RequestOutcome, ret: ClientResponse): ClientResponse {
-    if (afterMs === undefined || !this.dialect.tellsParts) return ret;
-    const spreadMs = afterMs * (0.75 + 0.5 * this.world.random());
-    return { ...ret, headers: { ...ret.headers, "retry-after": (spreadMs / 1000).toFixed(3) } };
+  private spoken({ afterMs }: RequestOutcome, response: ClientResponse): ClientResponse {
+    if (afterMs === undefined || !this.headerNames.tellsParts) return response;
+    const spreadMs = afterMs * (0.75 + 0.5 * this.runtime.random());
+    return {
+      ...response,
+      headers: { ...response.headers, "retry-after": (spreadMs / 1000).toFixed(3) },
+    };
   }
 
   private pass(passage: Passage, chain: readonly Filter[]): Task<RequestOutcome> {
@@ -306,11 +319,11 @@
     if (this.inHand > inHandLimit)
       return RequestOutcome.drop("This daemon has too much in hand.", after.soon);
     if (!this.hasView) yield* this.awaitView(passage);
-    if (this.view.configSequence === 0)
+    if (this.clusterView.configSequence === 0)
       return RequestOutcome.drop("No config is in force yet.", after.settled);
     if (!this.hasView)
       return RequestOutcome.drop("This daemon's view is not proven fresh.", after.settled);
-    if (this.dialect.callerId !== undefined && passage.id === undefined)
+    if (this.headerNames.callerId !== undefined && passage.id === undefined)
       return RequestOutcome.refusal(400, "The request names no try.");
     return yield* rest();
   }
@@ -318,50 +331,52 @@
   /** Whether there is a view by which requests may be looked at, if only those that may be repeated. */
   private get hasView(): boolean {
     return (
-      this.view.configSequence > 0 &&
-      (this.view.isGranted || this.lapsedLease.allows(this.view.lapsedMs))
+      this.clusterView.configSequence > 0 &&
+      (this.clusterView.holdsLease || this.lapsedLease.allows(this.clusterView.expiredForMs))
     );
   }
 
   /** A daemon that has just started holds requests for its first lease, for a bounded part of the time that their callers gave. */
-  private *awaitView({ job }: Passage): Task {
-    const { deadline } = this.dialect;
-    const toldMs = deadline === undefined ? Number.NaN : Number(job.headers[deadline]);
+  private *awaitView({ clientRequest }: Passage): Task {
+    const { deadline } = this.headerNames;
+    const toldMs = deadline === undefined ? Number.NaN : Number(clientRequest.headers[deadline]);
     if (!(toldMs > 0) || this.awaiting.length >= inHandLimit) return;
-    yield* Clock.within<true>(this.world.clock, Math.min(toldMs * awaitPart, mostAwaitMs), (done) =>
-      this.awaiting.push(() => done(true)),
+    yield* Clock.withTimeout<true>(
+      this.runtime.clock,
+      Math.min(toldMs * awaitPart, mostAwaitMs),
+      (done) => this.awaiting.push(() => done(true)),
     );
   }
 
   private *mapped(passage: Passage, rest: () => Task<RequestOutcome>): Task<RequestOutcome> {
-    const mapping = this.find(passage);
-    if (!mapping)
-      return this.view.isGranted
+    const route = this.find(passage);
+    if (!route)
+      return this.clusterView.holdsLease
         ? RequestOutcome.refusal(404, "No route takes this request.")
         : RequestOutcome.drop("This daemon's view is not proven fresh.", after.settled);
-    passage.mapping = mapping;
-    passage.service = mapping.choose(passage.draw);
-    passage.untilMs = passage.arrivedMs + this.givenMs(passage, mapping);
-    passage.caller.dueMs = passage.arrivedMs + mapping.goalMs;
-    if (!this.canBear(passage, mapping))
+    passage.route = route;
+    passage.service = route.choose(passage.draw);
+    passage.untilMs = passage.arrivedMs + this.givenMs(passage, route);
+    passage.client.dueMs = passage.arrivedMs + route.goalMs;
+    if (!this.canBear(passage, route))
       return RequestOutcome.drop(
         "This daemon's link is full for as long as there is time.",
         after.elsewhere,
       );
     this.budget.countFirst(passage.service, passage.arrivedMs);
-    const number = this.view.numberOf("route", mapping.name);
+    const number = this.clusterView.idOf("route", route.name);
     if (number !== undefined) this.counts.countRoute(number);
-    passage.bulkOver = this.bulk.expect(mapping.name);
+    passage.bulkOver = this.bulk.expect(route.name);
     return yield* rest();
   }
 
   /** Holds what may run once until it is sure that its caller won't count it as not read and send it again. */
   private *ordered(
-    { mapping, caller }: Passage,
+    { route, client }: Passage,
     rest: () => Task<RequestOutcome>,
   ): Task<RequestOutcome> {
-    const isRepeatable = mapping?.repeatable === true;
-    if (!isRepeatable && caller.turn && !(yield* caller.turn()))
+    const isRepeatable = route?.repeatable === true;
+    if (!isRepeatable && client.awaitTurn && !(yield* client.awaitTurn()))
       return RequestOutcome.drop(
         "The answer before this one closed the connection.",
         after.elsewhere,
@@ -370,11 +385,11 @@
   }
 
   private *keyed(passage: Passage, rest: () => Task<RequestOutcome>): Task<RequestOutcome> {
-    const { job, mapping } = passage;
-    const { key: header } = this.dialect;
-    const key = job.headers[header];
-    const isKeyed = mapping?.keyed === true;
-    if (!isKeyed && (mapping?.repeatable === true || safeMethods.has(job.method)))
+    const { clientRequest, route } = passage;
+    const { key: header } = this.headerNames;
+    const key = clientRequest.headers[header];
+    const isKeyed = route?.keyed === true;
+    if (!isKeyed && (route?.repeatable === true || safeMethods.has(clientRequest.method)))
       return yield* rest();
     if (key === undefined)
       return isKeyed
@@ -382,31 +397,35 @@
         : yield* rest();
     if (key.length === 0 || key.length > 200)
       return RequestOutcome.refusal(400, "A key has 1 to 200 characters.");
-    if (!this.view.isGranted)
+    if (!this.clusterView.holdsLease)
       return RequestOutcome.drop("This daemon's view is not proven fresh.", after.settled);
     const claim = yield* this.keys.claim(
-      job,
+      clientRequest,
       key,
       passage.untilMs,
-      mapping && this.claimMs(passage, mapping),
+      route && this.claimMs(passage, route),
     );
-    if ("verdict" in claim) return claim;
+    if ("execution" in claim) return claim;
     passage.claim = claim;
-    const ending = yield* rest();
-    this.keys.conclude(claim, ending);
-    return ending;
+    const outcome = yield* rest();
+    this.keys.conclude(claim, outcome);
+    return outcome;
   }
 
-  private find({ job }: Passage): ActiveRoute | undefined {
-    return this.view.mappings.find(job.method, ProxyRequest.path(job), job.headers["host"] ?? "");
+  private find({ clientRequest }: Passage): ActiveRoute | undefined {
+    return this.clusterView.routeTable.find(
+      clientRequest.method,
+      ProxyRequest.path(clientRequest),
+      clientRequest.headers["host"] ?? "",
+    );
   }
 
   /** How long a request may be in hand: what its caller says is left, and what its route allows. */
-  private givenMs({ job }: Passage, mapping: ActiveRoute): number {
-    const { deadline } = this.dialect;
-    if (deadline === undefined) return mapping.giveUpMs * 2;
-    const told = Number(job.headers[deadline]);
-    return Number.isFinite(told) && told > 0 ? Math.min(told, mapping.giveUpMs) : mapping.giveUpMs;
+  private givenMs({ clientRequest }: Passage, route: ActiveRoute): number {
+    const { deadline } = this.headerNames;
+    if (deadline === undefined) return route.giveUpMs * 2;
+    const told = Number(clientRequest.headers[deadline]);
+    return Number.isFinite(told) && told > 0 ? Math.min(told, route.giveUpMs) : route.giveUpMs;
   }
 
   /** How long a claim may take. A first try is refused early, so that its caller still has time to come back; one that came back waits. */
@@ -414,7 +433,7 @@
     { arrivedMs, untilMs }: Passage,
     { giveUpMs, goalMs }: ActiveRoute,
   ): number | undefined {
-    if (this.dialect.deadline === undefined) return undefined;
+    if (this.headerNames.deadline === undefined) return undefined;
     const givenMs = untilMs - arrivedMs;
     return givenMs < giveUpMs * firstTryPart
       ? givenMs
@@ -422,14 +441,14 @@
   }
 
   /** How long it takes until a request that is sent now has left the link. */
-  private leavesInMs({ job }: Passage): number {
-    return this.egress.queueMs + this.egress.transferMs(job.body.length);
+  private leavesInMs({ clientRequest }: Passage): number {
+    return this.egress.queueMs + this.egress.transferMs(clientRequest.body.length);
   }
 
   /** Whether this daemon's view lets a request be sent on: it must hold until the request can have left the link. */
-  private mayServe(passage: Passage, mapping: ActiveRoute): boolean {
-    const leftMs = this.view.leaseLeftMs - this.leavesInMs(passage);
-    return leftMs > 0 || (mapping.repeatable && this.lapsedLease.allows(-leftMs));
+  private mayServe(passage: Passage, route: ActiveRoute): boolean {
+    const leftMs = this.clusterView.leaseLeftMs - this.leavesInMs(passage);
+    return leftMs > 0 || (route.repeatable && this.lapsedLease.allows(-leftMs));
   }
 
   /** Whether a response of the route's usual size can still leave in time. A first try is refused while its caller can have another. */
@@ -439,7 +458,7 @@
   ): boolean {
     const isFirst = untilMs - arrivedMs >= giveUpMs * firstTryPart;
     const dueMs = isFirst ? Math.min(untilMs, arrivedMs + goalMs) : untilMs;
-    return this.bulk.admits(name, dueMs - this.world.clock.nowMs());
+    return this.bulk.admits(name, dueMs - this.runtime.clock.nowMs());
   }
 
   private *forward(passage: Passage): Task<RequestOutcome> {
@@ -450,60 +469,60 @@
     const giveUp = (why: string, afterMs = after.soon): RequestOutcome =>
       worst ?? RequestOutcome.drop(why, afterMs);
     for (let attempts = 0; attempts < attemptLimit; attempts += 1) {
-      const nowMs = this.world.clock.nowMs();
-      const mapping = this.find(passage);
-      if (!mapping) return worst ?? RequestOutcome.refusal(404, "No route takes this request.");
-      if (!this.mayServe(passage, mapping))
+      const nowMs = this.runtime.clock.nowMs();
+      const route = this.find(passage);
+      if (!route) return worst ?? RequestOutcome.refusal(404, "No route takes this request.");
+      if (!this.mayServe(passage, route))
         return giveUp("This daemon's view is not proven fresh.", after.settled);
-      if (!mapping.takes(passage.service)) passage.service = mapping.choose(passage.draw);
+      if (!route.takes(passage.service)) passage.service = route.choose(passage.draw);
       const { service } = passage;
       if (passage.claim && nowMs + this.leavesInMs(passage) >= passage.claim.sendUntilMs)
         return giveUp("The key's claim is too old to send under.");
       if (nowMs + (attempts > 0 ? leastLeftMs : 0) >= passage.untilMs)
         return giveUp(`No back end of ${service} took this in time.`);
-      const contract = this.shares.pick(
-        this.view.backEnds(service),
+      const registration = this.loadBalancer.pick(
+        this.clusterView.backendsOf(service),
         {
           tried,
-          inHandLimit: mapping.inHandLimit,
-          maxConnections: this.view.mappings.service(service)?.maxConnections,
-          route: mapping.name,
+          inHandLimit: route.inHandLimit,
+          maxConnections: this.clusterView.routeTable.service(service)?.maxConnections,
+          route: route.name,
         },
         nowMs,
       );
-      if (!contract) return giveUp(`No back end of ${service} can take this now.`);
+      if (!registration) return giveUp(`No back end of ${service} can take this now.`);
       const isFurther = sends > 0;
       if (isFurther) {
         further += 1;
-        const mayRepeat = mayRetry(worst?.verdict ?? "neverRan", mapping);
+        const mayRepeat = mayRetry(worst?.execution ?? "neverRan", route);
         if (
           !mayRepeat ||
           passage.isSpent ||
-          further > mapping.furtherTries ||
-          passage.caller.isGone
+          further > route.furtherTries ||
+          passage.client.isClosed
         )
           return giveUp("No further try is allowed.");
-        const left = this.counts.leave(service);
-        if (left === undefined || left.taken + 2 > left.part) this.counts.hurry();
+        const left = this.counts.remainingQuota(service);
+        if (left === undefined || left.taken + 2 > left.part) this.counts.expedite();
         const leave = this.budget.take(service, left, nowMs);
         if (leave !== "granted") {
           this.tally.furtherRefused[leave] += 1;
           return giveUp("The budget of further tries is spent.");
         }
       }
-      tried.add(contract.address);
-      const { ending, isSent } = yield* this.attempt(passage, mapping, contract, isFurther);
-      const isFailure = typeof ending.ret !== "string" && ending.ret.code >= 500;
+      tried.add(registration.address);
+      const { outcome, isSent } = yield* this.attempt(passage, route, registration, isFurther);
+      const isFailure = typeof outcome.response !== "string" && outcome.response.code >= 500;
       if (
-        ending.why === "" &&
-        !(isFailure && mapping.repeatable && this.shares.isFailing(contract))
+        outcome.why === "" &&
+        !(isFailure && route.repeatable && this.loadBalancer.isFailing(registration))
       )
-        return ending;
+        return outcome;
       if (isSent) sends += 1;
-      if (ending.verdict !== "neverRan") worst = ending;
+      if (outcome.execution !== "neverRan") worst = outcome;
       if (!isSent && isFurther) {
         further -= 1;
-        this.budget.giveBack(service, nowMs);
+        this.budget.refund(service, nowMs);
       }
     }
     return giveUp("Too many back ends took no connection.");
@@ -513,138 +532,139 @@
   private mayStill(
     passage: Passage,
     service: string,
-    contract: Registration,
+    registration: Registration,
     isFurther: boolean,
   ): boolean {
     const claimEnds = passage.claim?.sendUntilMs ?? Infinity;
-    const mapping = this.find(passage);
+    const route = this.find(passage);
     const may =
-      !passage.caller.isGone &&
-      mapping !== undefined &&
-      mapping.takes(service) &&
-      this.mayServe(passage, mapping) &&
-      this.view.holds(contract) &&
-      this.world.clock.nowMs() + this.leavesInMs(passage) < claimEnds;
+      !passage.client.isClosed &&
+      route !== undefined &&
+      route.takes(service) &&
+      this.mayServe(passage, route) &&
+      this.clusterView.isRegistered(registration) &&
+      this.runtime.clock.nowMs() + this.leavesInMs(passage) < claimEnds;
     if (!may) return false;
     if (isFurther) this.tally.furtherTries += 1;
     else this.tally.firstTries += 1;
-    if (passage.job.rest) passage.isSpent = true;
-    this.counts.countTry(service, isFurther);
+    if (passage.clientRequest.rest) passage.isSpent = true;
+    this.counts.countAttempt(service, isFurther);
     return true;
   }
 
   /** What a back end is sent beside what the caller sent. */
   private headersFor(
-    { job }: Passage,
+    { clientRequest }: Passage,
     service: string,
-    contract: Registration,
+    registration: Registration,
     id: string,
     untilMs: number,
   ): Record<string, string> {
-    const { requestId, deadline, expected, proof } = this.dialect;
-    const headers = passedOn(job.headers);
-    const stated = job.headers["content-length"];
-    if (job.rest && stated !== undefined) headers["content-length"] = stated;
+    const { requestId, deadline, expected, proof } = this.headerNames;
+    const headers = passedOn(clientRequest.headers);
+    const stated = clientRequest.headers["content-length"];
+    if (clientRequest.rest && stated !== undefined) headers["content-length"] = stated;
     if (proof === "connection") {
       delete headers["host"];
       headers[SERVICE_HEADER] = service;
     }
     headers[requestId] = id;
     if (deadline !== undefined)
-      headers[deadline] = String(Math.max(1, Math.floor(untilMs - this.world.clock.nowMs())));
-    if (expected !== undefined && contract.instance !== "") headers[expected] = contract.instance;
+      headers[deadline] = String(Math.max(1, Math.floor(untilMs - this.runtime.clock.nowMs())));
+    if (expected !== undefined && registration.instance !== "")
+      headers[expected] = registration.instance;
     return headers;
   }
 
   private *attempt(
     passage: Passage,
-    mapping: ActiveRoute,
-    contract: Registration,
+    route: ActiveRoute,
+    registration: Registration,
     isFurther: boolean,
   ): Task<Attempt> {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     const { service } = passage;
     const startedMs = clock.nowMs();
     this.tries += 1;
     const id = passage.id ?? `${service}/${this.incarnation}-${this.tries}`;
     const untilMs =
-      this.dialect.deadline === undefined ? startedMs + mapping.giveUpMs : passage.untilMs;
-    const { caller } = passage;
-    const { method, target, body, rest } = passage.job;
-    this.shares.began(contract, startedMs, mapping.name);
-    const opened = yield* this.backEnds.send({
-      address: contract.address,
+      this.headerNames.deadline === undefined ? startedMs + route.giveUpMs : passage.untilMs;
+    const { client } = passage;
+    const { method, target, body, rest } = passage.clientRequest;
+    this.loadBalancer.began(registration, startedMs, route.name);
+    const opened = yield* this.backendClient.send({
+      address: registration.address,
       service,
-      pool: connectionPoolKey(contract),
-      job: {
+      pool: connectionPoolKey(registration),
+      request: {
         method,
         path: target,
-        headers: this.headersFor(passage, service, contract, id, untilMs),
+        headers: this.headersFor(passage, service, registration, id, untilMs),
         body,
         rest,
       },
       untilMs,
-      dueMs: passage.caller.dueMs,
-      isOnce: !mapping.repeatable,
-      ...(mapping.repeatable && caller.onGone
-        ? { onUnwanted: (run) => caller.onGone?.(run) ?? noCancel }
+      dueMs: passage.client.dueMs,
+      isOnce: !route.repeatable,
+      ...(route.repeatable && client.onClosed
+        ? { onUnwanted: (run) => client.onClosed?.(run) ?? noCancel }
         : {}),
-      mayStill: () => this.mayStill(passage, service, contract, isFurther),
+      maySend: () => this.mayStill(passage, service, registration, isFurther),
     });
-    if (opened === "refused" || opened === "foreign") this.view.noteRefused(contract);
+    if (opened === "refused" || opened === "foreign") this.clusterView.noteRefused(registration);
     if (opened === "withdrawn") {
-      this.shares.withdrew(contract, clock.nowMs());
-      return { ending: outcomeOfFailure("withdrawn", after.soon), isSent: false };
+      this.loadBalancer.withdrew(registration, clock.nowMs());
+      return { outcome: outcomeOfFailure("withdrawn", after.soon), isSent: false };
     }
     const isSent = typeof opened !== "string" || outcomeRuleOf(opened).isSent;
-    const ending = yield* this.receive(passage, mapping, contract, opened, id);
+    const outcome = yield* this.receive(passage, route, registration, opened, id);
     const nowMs = clock.nowMs();
     // What a caller broke off by leaving tells nothing of the backend.
-    if (ending.why !== "" && caller.isGone && mapping.repeatable) {
-      this.shares.withdrew(contract, nowMs);
-      return { ending, isSent };
+    if (outcome.why !== "" && client.isClosed && route.repeatable) {
+      this.loadBalancer.withdrew(registration, nowMs);
+      return { outcome, isSent };
     }
     const whole =
-      typeof ending.ret === "string"
-        ? ending.ret === "streamed"
-        : ending.why === "" && ending.ret.code < 500;
-    const bytes = typeof ending.ret === "string" ? undefined : ending.ret.body.length;
-    if (whole && bytes !== undefined) this.bulk.learn(mapping.name, bytes);
-    this.shares.ended(
-      contract,
+      typeof outcome.response === "string"
+        ? outcome.response === "streamed"
+        : outcome.why === "" && outcome.response.code < 500;
+    const bytes = typeof outcome.response === "string" ? undefined : outcome.response.body.length;
+    if (whole && bytes !== undefined) this.bulk.learn(route.name, bytes);
+    this.loadBalancer.ended(
+      registration,
       {
         tookMs: nowMs - startedMs,
         isWhole: whole,
-        goalMs: mapping.goalMs,
-        route: mapping.name,
+        goalMs: route.goalMs,
+        route: route.name,
         bytes: whole ? bytes : undefined,
       },
       nowMs,
     );
-    return { ending, isSent };
+    return { outcome, isSent };
   }
 
   private *receive(
     passage: Passage,
-    mapping: ActiveRoute,
-    contract: Registration,
+    route: ActiveRoute,
+    registration: Registration,
     opened: OpenResult,
     id: string,
   ): Task<RequestOutcome> {
     if (typeof opened === "string") return outcomeOfFailure(opened, after.soon);
     const { code, headers } = opened;
-    const { dialect } = this;
-    const { echo, proof } = dialect;
-    const echoHeader = proof === "connection" ? mapping.stampHeader : echo;
-    const fault = responseHeadFault(opened, { dialect, id, echoHeader });
+    const { headerNames } = this;
+    const { echo, proof } = headerNames;
+    const echoHeader = proof === "connection" ? route.stampHeader : echo;
+    const fault = responseHeadFault(opened, { headerNames, id, echoHeader });
     if (headers[echoHeader] === undefined) opened.noteUnnamed?.();
-    if (fault !== undefined) return yield* this.refuse(contract, opened, fault);
-    const end = responseBodyEnd(passage.job.method, opened);
-    if (end === "unknown") return yield* this.refuse(contract, opened, "noLength");
+    if (fault !== undefined) return yield* this.refuse(registration, opened, fault);
+    const end = responseBodyEnd(passage.clientRequest.method, opened);
+    if (end === "unknown") return yield* this.refuse(registration, opened, "noLength");
     const bodiless = end === "bodiless";
     const stated = headers["content-length"];
     const ret = passedOn(headers);
-    if (proof === "connection") delete ret[mapping.stampHeader];
+    if (proof === "connection") delete ret[route.stampHeader];
     const lengthBytes = bodiless ? 0 : end === "chunked" ? undefined : end.lengthBytes;
     if (lengthBytes !== undefined && lengthBytes > wholeBytes)
       return yield* this.stream(passage, opened, ret, [], lengthBytes);
@@ -676,11 +696,11 @@
 
   /** A response that is not passed on. Its connection can be used again once the rest has come, where the outcome lets it. */
   private *refuse(
-    contract: Registration,
+    registration: Registration,
     opened: BackendResponse,
     cause: FailureCause,
   ): Task<RequestOutcome> {
-    if (cause === "otherInstance") this.view.noteRefused(contract);
+    if (cause === "otherInstance") this.clusterView.noteRefused(registration);
     if (outcomeRuleOf(cause).connection !== "keep") return this.discard(opened, cause);
     for (let piece = yield* opened.next(); typeof piece !== "string";) piece = yield* opened.next();
     return outcomeOfFailure(cause, after.soon);
@@ -693,11 +713,11 @@
     held: readonly Uint8Array[],
     lengthBytes: number | undefined,
   ): Task<RequestOutcome> {
-    const { caller } = passage;
+    const { client } = passage;
     if (passage.isAbandoned) return this.discard(opened, "answered");
     passage.isStreaming = true;
     passage.bulkOver();
-    caller.begin(
+    client.writeHead(
       opened.code,
       lengthBytes === undefined ? headers : { ...headers, "content-length": String(lengthBytes) },
     );
@@ -706,25 +726,25 @@
     for (;;) {
       const piece = early.shift() ?? (yield* opened.next());
       if (piece === "end" && (lengthBytes === undefined || sentBytes === lengthBytes)) {
-        caller.end();
-        this.bulk.learn(passage.mapping?.name ?? "", sentBytes);
-        return { verdict: outcomeRuleOf("streamed").verdict, ret: "streamed", why: "" };
+        client.end();
+        this.bulk.learn(passage.route?.name ?? "", sentBytes);
+        return { execution: outcomeRuleOf("streamed").execution, response: "streamed", why: "" };
       }
       if (
         piece !== "cut" &&
         piece !== "end" &&
         (lengthBytes === undefined || sentBytes + piece.length <= lengthBytes) &&
-        (yield* caller.piece(piece))
+        (yield* client.writeChunk(piece))
       ) {
         sentBytes += piece.length;
         continue;
       }
       opened.cancel();
-      caller.cut();
+      client.abort();
       this.log.warn("A return was cut short, and the caller's connection with it.", {
-        route: passage.mapping?.name,
+        route: passage.route?.name,
       });
-      return { verdict: outcomeRuleOf("streamCut").verdict, ret: "cut", why: "" };
+      return { execution: outcomeRuleOf("streamCut").execution, response: "cut", why: "" };
     }
   }
 
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -74,7 +74,7 @@
 
 /** Claims keys in the record before the first send, and keeps what becomes of their requests. */
 export class IdempotencyClaims {
-  private readonly world: Runtime;
+  private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
   private readonly outcomes: OutcomeReplicator;
   private readonly incarnation: string;
@@ -84,13 +84,13 @@
   inHand = 0;
 
   constructor(
-    world: Runtime,
+    runtime: Runtime,
     forwarder: CommandForwarder,
     outcomes: OutcomeReplicator,
     incarnation: string,
     afterMs = 2000,
   ) {
-    this.world = world;
+    this.runtime = runtime;
     this.forwarder = forwarder;
     this.outcomes = outcomes;
     this.incarnation = incarnation;
@@ -99,21 +99,21 @@
 
   /** Claims a request's key; an ending where another holds it or nobody can tell. */
   *claim(
-    job: ProxyRequest,
+    clientRequest: ProxyRequest,
     key: string,
     untilMs = Infinity,
     mostMs = claimWaitMs,
   ): Task<HeldClaim | RequestOutcome> {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     const startedMs = clock.nowMs();
     this.claims += 1;
     const scope = hash(
-      hostName(job.headers["host"] ?? ""),
-      job.method,
-      ProxyRequest.path(job),
+      hostName(clientRequest.headers["host"] ?? ""),
+      clientRequest.method,
+      ProxyRequest.path(clientRequest),
       key,
     );
-    const bodyHash = hash(job.target, job.body);
+    const bodyHash = hash(clientRequest.target, clientRequest.body);
     const request: KeyedRequest = { scope, job: `${this.incarnation}/${this.claims}` };
     const holders = this.outcomes.holdersFor(scope);
     this.outcomes.note(request, { kind: "inHand" });
@@ -121,14 +121,14 @@
     for (;;) {
       const askedMs = clock.nowMs();
       const waitMs = Math.min(mostMs, (untilMs - askedMs) * claimPart);
-      const order: Command = {
+      const command: Command = {
         kind: "claim",
         ...request,
         bodyHash,
         holders,
         ...(replaces === undefined ? {} : { replaces }),
       };
-      const text = yield* this.forwarder.command(order, waitMs);
+      const text = yield* this.forwarder.command(command, waitMs);
       if (text === undefined || text === overloadedResponse) return this.giveUp(request);
       const ret = ClaimResponse.read(text);
       if ("claimed" in ret) return { ...request, holders, sendUntilMs: askedMs + sendMs };
@@ -150,20 +150,24 @@
   }
 
   /** Notes how a claimed request ended, and has the response kept. */
-  conclude(claim: HeldClaim, ending: RequestOutcome): void {
-    const { verdict, ret } = ending;
-    if (verdict === "neverRan") {
+  conclude(claim: HeldClaim, outcome: RequestOutcome): void {
+    const { execution, response } = outcome;
+    if (execution === "neverRan") {
       this.outcomes.note(claim, { kind: "neverRan" });
       this.start(this.release(claim));
       return;
     }
-    if (verdict === "ran" && typeof ret !== "string" && ret.body.length <= keptBodyBytes) {
-      const outcome: KeyedOutcome = { kind: "ran", response: ret };
+    if (
+      execution === "ran" &&
+      typeof response !== "string" &&
+      response.body.length <= keptBodyBytes
+    ) {
+      const outcome: KeyedOutcome = { kind: "ran", response: response };
       this.outcomes.note(claim, outcome);
       this.start(this.outcomes.share(claim, outcome, claim.holders));
       return;
     }
-    this.outcomes.note(claim, { kind: verdict === "ran" ? "ranNotKept" : "mayHaveRun" });
+    this.outcomes.note(claim, { kind: execution === "ran" ? "ranNotKept" : "mayHaveRun" });
   }
 
   /** A request whose claim came to nothing in time is never sent: whoever asks after it may take its claim over. */
@@ -199,14 +203,14 @@
   ): Task<KeyedOutcome | "unreachable"> {
     if (held.verdict === "mayHaveRun") return { kind: "mayHaveRun" };
     if (held.verdict === "ran") return { kind: "ranNotKept" };
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     for (;;) {
       const request = { scope, job: held.job };
       const outcome = yield* this.outcomes.find(request, held.holders ?? []);
       if (outcome === "unknown") return { kind: "mayHaveRun" };
       if (outcome !== "unreachable" && outcome.kind !== "inHand") return outcome;
       if (clock.nowMs() + askAgainMs > untilMs) return outcome;
-      yield* Clock.rest(clock, askAgainMs);
+      yield* Clock.sleep(clock, askAgainMs);
     }
   }
 
@@ -216,7 +220,7 @@
 
   private start(task: Task): void {
     this.inHand += 1;
-    Runtime.start(this.world, "door", task, () => {
+    Runtime.start(this.runtime, "door", task, () => {
       this.inHand -= 1;
     });
   }
--- a/src/proxy/idempotency/keyed-outcome.ts
+++ b/src/proxy/idempotency/keyed-outcome.ts
@@ -18,7 +18,7 @@
   | { readonly kind: "ran"; readonly response: ClientResponse };
 
 /** An outcome as it travels; `unknown` where the daemon that is asked knows of no such request. */
-export type OutcomeMessage = DecodedMessage<typeof RpcMethod.keyedOutcome.return>;
+export type OutcomeMessage = DecodedMessage<typeof RpcMethod.keyedOutcome.response>;
 
 const kinds = ["unknown", "inHand", "neverRan", "ran", "ranNotKept", "mayHaveRun"] as const;
 const headersShape = record(string(), string());
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -31,12 +31,12 @@
  * zone where there is one.
  */
 export class OutcomeReplicator {
-  private readonly link: RpcEndpoint;
+  private readonly rpc: RpcEndpoint;
   private readonly store: OutcomeCache;
   private readonly others: () => OutcomeReplicas;
 
-  constructor(link: RpcEndpoint, store: OutcomeCache, others: () => OutcomeReplicas) {
-    this.link = link;
+  constructor(rpc: RpcEndpoint, store: OutcomeCache, others: () => OutcomeReplicas) {
+    this.rpc = rpc;
     this.store = store;
     this.others = others;
   }
@@ -44,12 +44,12 @@
   /** Keeps responses for other daemons, and tells outcomes. */
   serve(): void {
     const { store } = this;
-    this.link.serve(RpcMethod.keepOutcome, function* ({ scope, job, ...message }) {
+    this.rpc.serve(RpcMethod.keepOutcome, function* ({ scope, job, ...message }) {
       const outcome = KeyedOutcome.read(message);
       if (outcome) store.note({ scope, job }, outcome);
       return { isKept: outcome !== undefined };
     });
-    this.link.serve(RpcMethod.keyedOutcome, function* (request) {
+    this.rpc.serve(RpcMethod.keyedOutcome, function* (request) {
       return KeyedOutcome.message(store.find(request));
     });
   }
@@ -57,7 +57,7 @@
   /** Who will know what becomes of a request: this daemon first, then the member that is to keep its response. */
   holdersFor(scope: string): string[] {
     const member = this.memberFor(scope);
-    return member === undefined ? [this.link.self] : [this.link.self, member];
+    return member === undefined ? [this.rpc.self] : [this.rpc.self, member];
   }
 
   /** Notes here what became of a request. */
@@ -68,8 +68,8 @@
   /** Has the other holders keep what became of a request. */
   *share({ scope, job }: KeyedRequest, outcome: KeyedOutcome, holders: readonly string[]): Task {
     for (const holder of holders)
-      if (holder !== this.link.self)
-        yield* this.link.ask(
+      if (holder !== this.rpc.self)
+        yield* this.rpc.call(
           holder,
           RpcMethod.keepOutcome,
           { scope, job, ...KeyedOutcome.message(outcome) },
@@ -91,11 +91,11 @@
     let isOwnerReached = false;
     for (const holder of holders) {
       const isOwner = holder === holders[0];
-      if (holder === this.link.self) {
+      if (holder === this.rpc.self) {
         isOwnerReached ||= isOwner;
         continue;
       }
-      const answer = yield* this.link.ask(
+      const answer = yield* this.rpc.call(
         holder,
         RpcMethod.keyedOutcome,
         { scope, job },
@@ -111,7 +111,7 @@
   /** Which member keeps the response of a scope's request, spread evenly. */
   private memberFor(scope: string): string | undefined {
     const { members, leader, zone } = this.others();
-    const others = members.filter(({ peer }) => peer !== this.link.self);
+    const others = members.filter(({ peer }) => peer !== this.rpc.self);
     const following = others.filter(({ peer }) => peer !== leader);
     const near = following.filter((member) => member.zone === zone);
     const pool = [near, following, others].find((one) => one.length > 0) ?? [];
--- a/src/proxy/outcome-rules.ts
+++ b/src/proxy/outcome-rules.ts
@@ -41,7 +41,7 @@
 /** What follows from the way a try ended. */
 export interface OutcomeRule {
   /** Whether the request may have run there. */
-  readonly verdict: ExecutionStatus;
+  readonly execution: ExecutionStatus;
   /** Whether bytes of it left, so that it counts as an arrival at the back end. */
   readonly isSent: boolean;
   /** What becomes of the connection: there is none, it may carry another request once the response has ended, or it ends now. */
@@ -57,7 +57,7 @@
 }
 
 const nothingLeft = (why: string, connection: OutcomeRule["connection"] = "none"): Failure => ({
-  verdict: "neverRan",
+  execution: "neverRan",
   isSent: false,
   connection,
   answer: 503,
@@ -65,7 +65,7 @@
 });
 
 const declined = (why: string): Failure => ({
-  verdict: "neverRan",
+  execution: "neverRan",
   isSent: true,
   connection: "keep",
   answer: 503,
@@ -73,7 +73,7 @@
 });
 
 const uncertain = (why: string, answer: 502 | 504 = 502): Failure => ({
-  verdict: "mayHaveRun",
+  execution: "mayHaveRun",
   isSent: true,
   connection: "close",
   answer,
@@ -100,7 +100,7 @@
 };
 
 const passedOn: OutcomeRule = {
-  verdict: "ran",
+  execution: "ran",
   isSent: true,
   connection: "keep",
   answer: "backEnd",
@@ -112,7 +112,7 @@
   whole: passedOn,
   streamed: passedOn,
   streamCut: {
-    verdict: "mayHaveRun",
+    execution: "mayHaveRun",
     isSent: true,
     connection: "close",
     answer: "cut",
@@ -128,10 +128,10 @@
 
 /** What the client is told where no other back end answers, and when to come back. */
 export const outcomeOfFailure = (cause: FailureCause, afterMs: number): RequestOutcome => {
-  const { verdict, answer, why } = failures[cause];
+  const { execution, answer, why } = failures[cause];
   return answer === 503
     ? RequestOutcome.drop(why, afterMs)
-    : RequestOutcome.breakdown(answer, why, verdict, afterMs);
+    : RequestOutcome.breakdown(answer, why, execution, afterMs);
 };
 
 /**
--- a/src/proxy/proxy-request.ts
+++ b/src/proxy/proxy-request.ts
@@ -14,26 +14,26 @@
 
 /** The way back to a caller. */
 export interface ClientConnection {
-  readonly isGone: boolean;
+  readonly isClosed: boolean;
   /** Calls back once the caller has left; returns a cancel function. Absent where nothing is heard of it. */
-  onGone?(run: () => void): () => void;
+  onClosed?(run: () => void): () => void;
   /** Waits until all that came before on its connection is answered; false where that closed the connection. Absent where requests come one at a time. */
-  turn?(): Task<boolean>;
+  awaitTurn?(): Task<boolean>;
   /** When the response should have ended: of two large ones, that which is due first goes first. */
   dueMs?: number;
-  whole(ret: ClientResponse): void;
-  begin(code: number, headers: Record<string, string>): void;
+  respond(response: ClientResponse): void;
+  writeHead(code: number, headers: Record<string, string>): void;
   /** Passes a piece on; false once the caller is gone. */
-  piece(bytes: Uint8Array): Task<boolean>;
+  writeChunk(bytes: Uint8Array): Task<boolean>;
   end(): void;
   /** Breaks the connection, so that what was sent can't look complete. */
-  cut(): void;
+  abort(): void;
 }
 
 export const ProxyRequest = {
   /** The path without its query. */
-  path(job: ProxyRequest): string {
-    const query = job.target.indexOf("?");
-    return query < 0 ? job.target : job.target.slice(0, query);
+  path(clientRequest: ProxyRequest): string {
+    const query = clientRequest.target.indexOf("?");
+    return query < 0 ? clientRequest.target : clientRequest.target.slice(0, query);
   },
 };
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -10,8 +10,8 @@
 
 /** How a request ended: what it is told, or that a body was passed on as it came. */
 export interface RequestOutcome {
-  readonly verdict: ExecutionStatus;
-  readonly ret: ClientResponse | "streamed" | "cut";
+  readonly execution: ExecutionStatus;
+  readonly response: ClientResponse | "streamed" | "cut";
   /** Why, in the daemon's own words; empty when a back end's return was passed on. */
   readonly why: string;
   /** When to come back, where that is told. */
@@ -36,15 +36,15 @@
 const told = (
   code: number,
   why: string,
-  verdict: ExecutionStatus,
+  execution: ExecutionStatus,
   afterMs: number,
 ): RequestOutcome => ({
-  verdict,
+  execution,
   why,
   afterMs,
-  ret: json(
+  response: json(
     code,
-    { error: why, verdict, retryAfterS: afterMs / 1000 },
+    { error: why, verdict: execution, retryAfterS: afterMs / 1000 },
     { "retry-after": String(Math.ceil(afterMs / 1000)) },
   ),
 });
@@ -56,19 +56,23 @@
 
   /** Refused for what it is; coming back won't help. */
   refusal(code: number, why: string): RequestOutcome {
-    return { verdict: "neverRan", why, ret: json(code, { error: why, verdict: "neverRan" }) };
+    return {
+      execution: "neverRan",
+      why,
+      response: json(code, { error: why, verdict: "neverRan" }),
+    };
   },
 
   /** Given up on: it may have run. */
   breakdown: (
     code: 409 | 502 | 504,
     why: string,
-    verdict: ExecutionStatus,
+    execution: ExecutionStatus,
     afterMs = usualAfterMs,
-  ): RequestOutcome => told(code, why, verdict, afterMs),
+  ): RequestOutcome => told(code, why, execution, afterMs),
 
   /** A return that a back end gave. */
-  returned(ret: ClientResponse): RequestOutcome {
-    return { verdict: "ran", ret, why: "" };
+  returned(response: ClientResponse): RequestOutcome {
+    return { execution: "ran", response, why: "" };
   },
 };
--- a/src/proxy/upstream/backend-client.ts
+++ b/src/proxy/upstream/backend-client.ts
@@ -41,7 +41,7 @@
   readonly service: string;
   /** The connections under one contract. */
   readonly pool: string;
-  readonly job: BackendRequest;
+  readonly request: BackendRequest;
   readonly untilMs: number;
   /** When its response should have ended; of two large ones, that which is due first goes first. */
   readonly dueMs?: number | undefined;
@@ -50,14 +50,14 @@
   /** Calls back once nobody waits for the response any more, where it may then be broken off; returns a cancel function. */
   onUnwanted?(run: () => void): () => void;
   /** Whether it may still be sent; asked when the connection stands, right before the first byte. */
-  mayStill(): boolean;
+  maySend(): boolean;
 }
 
 /** The back ends as a daemon reaches them. */
 export interface BackendClient {
   send(one: BackendAttempt): Task<OpenResult>;
   /** Closes the connections of pools that are no longer wanted. */
-  keepOnly(pools: ReadonlySet<string>): void;
+  retainPools(pools: ReadonlySet<string>): void;
   close(): void;
 }
 
@@ -428,7 +428,7 @@
       const line = lineOn(socket, address, pool);
       if (proof === "request") return line;
       const cancelTimer = clock.after(connectWaitMs, () => reset(line));
-      const proven = yield* Task.settle(
+      const proven = yield* Task.fromPromise(
         line.client
           .request({ method: "GET", path: SERVICE_PROOF_PATH })
           .then(async ({ headers, body }) => body.dump().then(() => headers[SERVICE_HEADER])),
@@ -441,7 +441,7 @@
 
     const dispatched = function* (
       line: Line,
-      { job, untilMs, dueMs = untilMs, onUnwanted }: BackendAttempt,
+      { request: job, untilMs, dueMs = untilMs, onUnwanted }: BackendAttempt,
     ): Task<OpenResult | "over"> {
       return yield* Task.wait<OpenResult | "over">((done) => {
         let isLate = false;
@@ -511,7 +511,7 @@
           if (known && !lines.has(known)) continue;
           const line = known ?? (yield* opened(one));
           if (typeof line === "string") return line;
-          if (!one.mayStill()) {
+          if (!one.maySend()) {
             rest(line);
             return "withdrawn";
           }
@@ -521,7 +521,7 @@
           if (!known) return "unreached";
         }
       },
-      keepOnly(pools) {
+      retainPools(pools) {
         wanted = pools;
         for (const [pool, resting] of idle) {
           if (pools.has(pool)) continue;
--- a/src/proxy/upstream/response-validation.ts
+++ b/src/proxy/upstream/response-validation.ts
@@ -9,7 +9,7 @@
 
 /** What a response has to show to be this request's answer. */
 export interface ExpectedResponse {
-  readonly dialect: HeaderNames;
+  readonly headerNames: HeaderNames;
   /** The request's name toward the back end. */
   readonly id: string;
   /** In which header the response repeats that name. */
@@ -22,7 +22,7 @@
 /** What keeps a response from being passed on as this request's answer; undefined where nothing does. */
 export const responseHeadFault = (
   { code, headers }: ResponseHead,
-  { dialect: { seal, notRun, expected, proof }, id, echoHeader }: ExpectedResponse,
+  { headerNames: { seal, notRun, expected, proof }, id, echoHeader }: ExpectedResponse,
 ): FailureCause | undefined => {
   const echoed = headers[echoHeader];
   if (echoed === undefined || echoed === id) {
--- a/src/replication/bootstrap/cluster-bootstrap.ts
+++ b/src/replication/bootstrap/cluster-bootstrap.ts
@@ -15,7 +15,7 @@
 
 /** A recorder as its daemon's meeting sees it. */
 export interface BootstrapMember {
-  readonly attendance: BootstrapStatus;
+  readonly bootstrapStatus: BootstrapStatus;
   /** Writes on an empty disk which fleet's record this is and who its members are. */
   form(fleet: string, members: Members): Task;
   /** All voters of this fleet have formed. */
@@ -30,8 +30,8 @@
   recorders(): readonly string[];
 }
 
-type Ask = DecodedMessage<typeof RpcMethod.meet.ask>;
-type Met = DecodedMessage<typeof RpcMethod.meet.return>;
+type Ask = DecodedMessage<typeof RpcMethod.meet.request>;
+type Met = DecodedMessage<typeof RpcMethod.meet.response>;
 
 const askMs = 300;
 const formMs = 2000;
@@ -52,16 +52,16 @@
 
 /** Where the daemons of a fleet meet: tells who this one is, brings recorders together and forms their record. */
 export class ClusterBootstrap {
-  private readonly world: Runtime;
-  private readonly link: RpcEndpoint;
-  private readonly place: NodeLocation;
-  private readonly outlook: ClusterHints;
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
+  private readonly location: NodeLocation;
+  private readonly hints: ClusterHints;
   private readonly log: Logger;
   private readonly incarnation: string;
   /** Recorders that showed themselves, and when. */
   private readonly shown = new Map<string, number>();
   private named: string[] = [];
-  private attendee: BootstrapMember | undefined;
+  private member: BootstrapMember | undefined;
   /** Set once a record is known to exist: then none is formed any more. */
   private recordKnown = false;
   private enoughSinceMs: number | undefined;
@@ -69,101 +69,101 @@
   private toldMs = -Infinity;
 
   constructor(
-    world: Runtime,
-    link: RpcEndpoint,
-    place: NodeLocation,
-    outlook: ClusterHints = { leader: () => "", recorders: () => [] },
+    runtime: Runtime,
+    rpc: RpcEndpoint,
+    location: NodeLocation,
+    hints: ClusterHints = { leader: () => "", recorders: () => [] },
   ) {
-    this.world = world;
-    this.link = link;
-    this.place = place;
-    this.outlook = outlook;
-    this.log = world.logbook.part("record");
-    this.incarnation = Runtime.nonce(world);
+    this.runtime = runtime;
+    this.rpc = rpc;
+    this.location = location;
+    this.hints = hints;
+    this.log = runtime.loggers.component("record");
+    this.incarnation = Runtime.nonce(runtime);
   }
 
   /** Has a recorder take part; before the meeting begins. */
-  attend(attendee: BootstrapMember): void {
-    this.attendee = attendee;
+  attend(member: BootstrapMember): void {
+    this.member = member;
   }
 
   /** The recorders known here: members of the record, and those that showed themselves lately. */
   get recorders(): string[] {
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     for (const [peer, atMs] of this.shown) if (nowMs - atMs > freshMs) this.shown.delete(peer);
-    const { voters, learners } = this.attendee?.attendance ?? { voters: [], learners: [] };
+    const { voters, learners } = this.member?.bootstrapStatus ?? { voters: [], learners: [] };
     return [...new Set([...voters, ...learners, ...this.shown.keys()])];
   }
 
   /** Serves those who meet this daemon. */
   serve(): void {
     const answer = (ask: Ask): Task<Met> => this.answering(ask);
-    this.link.serve(RpcMethod.meet, (ask) => answer(ask));
+    this.rpc.serve(RpcMethod.meet, (ask) => answer(ask));
   }
 
   /** Meets others for as long as the daemon runs. */
-  *own(): Task {
+  *run(): Task {
     for (;;) {
       const state = this.state;
-      if (state === "loading") yield* Clock.rest(this.world.clock, roundMs / 5);
+      if (state === "loading") yield* Clock.sleep(this.runtime.clock, roundMs / 5);
       else if (state === "formed") {
         this.recordKnown = true;
-        yield* this.meetAll(this.place.seeds());
-        yield* Clock.rest(this.world.clock, helloMs);
+        yield* this.meetAll(this.location.seeds());
+        yield* Clock.sleep(this.runtime.clock, helloMs);
       } else {
         const known = this.named;
         if (state !== "none" || this.mayFound) yield* this.round();
         const isNew = this.named.some((peer) => !known.includes(peer));
-        const restMs = isNew ? newNamesMs : roundMs * (1 + this.world.random());
-        yield* Clock.rest(this.world.clock, restMs);
+        const restMs = isNew ? newNamesMs : roundMs * (1 + this.runtime.random());
+        yield* Clock.sleep(this.runtime.clock, restMs);
       }
     }
   }
 
   private get state(): BootstrapStatus["state"] | "none" {
-    return this.attendee?.attendance.state ?? "none";
+    return this.member?.bootstrapStatus.state ?? "none";
   }
 
   private get mayFound(): boolean {
-    const { founds, self } = this.place;
+    const { founds, self } = this.location;
     return (
       founds &&
-      this.place.seeds()[0] === self &&
+      this.location.seeds()[0] === self &&
       !this.recordKnown &&
-      this.outlook.leader() === "" &&
+      this.hints.leader() === "" &&
       (this.state === "none" || this.state === "empty")
     );
   }
 
   private *answering(ask: Ask): Task<Met> {
-    if (ask.peer) this.shown.set(ask.peer, this.world.clock.nowMs());
-    if (ask.fleet && ask.open) this.attendee?.open(ask.fleet);
+    if (ask.peer) this.shown.set(ask.peer, this.runtime.clock.nowMs());
+    if (ask.fleet && ask.open) this.member?.open(ask.fleet);
     else if (
-      this.attendee &&
+      this.member &&
       ask.fleet &&
       ask.incarnation === this.incarnation &&
-      this.place.founds &&
+      this.location.founds &&
       this.state === "empty"
     )
-      yield* this.attendee.form(ask.fleet, ask);
+      yield* this.member.form(ask.fleet, ask);
     return this.answer;
   }
 
   private get answer(): Met {
-    const { machine, zone, founds } = this.place;
-    const { state, fleet, voters, learners } = this.attendee?.attendance ?? {
+    const { machine, zone, founds } = this.location;
+    const { state, fleet, voters, learners } = this.member?.bootstrapStatus ?? {
       state: "none",
       fleet: "",
       voters: [],
       learners: [],
     };
-    const recorders = [...new Set([...this.recorders, ...this.outlook.recorders()])];
+    const recorders = [...new Set([...this.recorders, ...this.hints.recorders()])];
     return {
       machine,
       zone,
       state,
       fleet,
-      leader: this.outlook.leader(),
+      leader: this.hints.leader(),
       founds,
       incarnation: this.incarnation,
       voters: [...voters],
@@ -174,13 +174,8 @@
 
   /** Meets all that are known; then rejoins, forms or opens, or waits. */
   private *round(): Task {
-    const seeds = this.place.seeds();
-    const peers = new Set([
-      ...seeds,
-      ...this.recorders,
-      ...this.outlook.recorders(),
-      ...this.named,
-    ]);
+    const seeds = this.location.seeds();
+    const peers = new Set([...seeds, ...this.recorders, ...this.hints.recorders(), ...this.named]);
     // One that is empty has only to find a formed record; the dead among those it asks must not cost it time.
     const enough = (one: Met): boolean => this.state === "empty" && one.state === "formed";
     const met = yield* this.meetAll([...peers], enough);
@@ -189,13 +184,13 @@
     ]
       .filter((peer) => peer !== "")
       .slice(0, contactsHeld);
-    const own = this.attendee?.attendance;
+    const own = this.member?.bootstrapStatus;
     if (own?.state === "formed") return;
     const formed = [...met.values()].find((one) => one.state === "formed");
     if (formed || [...met.values()].some((one) => one.leader !== "")) this.recordKnown = true;
-    if (this.attendee) met.set(this.place.self, this.answer);
+    if (this.member) met.set(this.location.self, this.answer);
     if (own?.state === "unborn") return yield* this.unborn(own, met);
-    if (this.attendee && formed) return yield* this.attendee.rejoin(formed.fleet, formed);
+    if (this.member && formed) return yield* this.member.rejoin(formed.fleet, formed);
     if (this.mayFound) return yield* this.found(seeds, met);
     this.tell("Waiting for a record to be formed or found.", { met: met.size });
   }
@@ -207,18 +202,18 @@
         one.fleet !== own.fleet &&
         one.voters.some((voter) => own.voters.includes(voter)),
     );
-    if (other && this.attendee) {
+    if (other && this.member) {
       this.log.warn(
         "What was formed here can't be any more, since one of its voters formed another record.",
         { fleet: own.fleet, other: other.fleet },
       );
-      return yield* this.attendee.rejoin(other.fleet, other);
+      return yield* this.member.rejoin(other.fleet, other);
     }
     yield* this.complete(own.fleet, own, met);
   }
 
   private *found(seeds: readonly string[], met: Map<string, Met>): Task {
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     const [unborn] = [...met.values()]
       .filter((one) => one.state === "unborn")
       .sort((a, b) => (a.fleet < b.fleet ? -1 : 1));
@@ -230,20 +225,20 @@
     const candidates = [...met]
       .filter(([, one]) => one.state === "empty" && one.founds)
       .map(([peer, { machine, zone }]) => ({ peer, machine, zone }));
-    const members = damaged ? undefined : NodeLocation.choose(this.place, candidates);
+    const members = damaged ? undefined : NodeLocation.choose(this.location, candidates);
     if (!members) {
       this.enoughSinceMs = undefined;
       return this.tell("Waiting for enough recorders to form the record.", {
         candidates: candidates.map(({ machine }) => machine),
-        voters: NodeLocation.voters(this.place),
+        voters: NodeLocation.voters(this.location),
         damaged,
       });
     }
     this.enoughSinceMs ??= nowMs;
-    const haveAll = seeds.every((seed) => seed === this.place.self || met.has(seed));
+    const haveAll = seeds.every((seed) => seed === this.location.self || met.has(seed));
     if (nowMs - this.enoughSinceMs < (haveAll ? settleMs.all : settleMs.some)) return;
-    this.begun = { fleet: Runtime.nonce(this.world), members, atMs: nowMs };
-    this.log.say("Forms the fleet's record.", {
+    this.begun = { fleet: Runtime.nonce(this.runtime), members, atMs: nowMs };
+    this.log.info("Forms the fleet's record.", {
       fleet: this.begun.fleet,
       voters: members.voters,
       learners: members.learners,
@@ -256,16 +251,16 @@
    * was met, and none of them had opened: an emptied voter must not come back as if it had never acknowledged anything.
    */
   private *complete(fleet: string, { voters, learners }: Members, met: Map<string, Met>): Task {
-    const { attendee } = this;
-    const { self } = this.place;
+    const { member } = this;
+    const { self } = this.location;
     const opened = [...met.values()].some((one) => one.fleet === fleet && one.state === "formed");
-    if (opened) return attendee?.open(fleet);
+    if (opened) return member?.open(fleet);
     if (voters.some((voter) => !isIn(met.get(voter), fleet) && met.get(voter)?.state !== "empty"))
       return this.tell("Waiting for the voters of the record that is being formed.", {
         fleet,
         voters,
       });
-    if (this.place.founds) {
+    if (this.location.founds) {
       const asks: Task[] = [];
       for (const peer of [...voters, ...learners]) {
         const one = met.get(peer);
@@ -279,22 +274,22 @@
               met,
             ),
           );
-        else if (attendee) asks.push(attendee.form(fleet, { voters, learners }));
+        else if (member) asks.push(member.form(fleet, { voters, learners }));
       }
-      yield* Task.all((task) => Runtime.start(this.world, "record", task), asks);
-      if (attendee) met.set(self, this.answer);
+      yield* Task.all((task) => Runtime.start(this.runtime, "record", task), asks);
+      if (member) met.set(self, this.answer);
     }
     if (!voters.every((voter) => isIn(met.get(voter), fleet))) return;
     this.recordKnown = true;
-    attendee?.open(fleet);
+    member?.open(fleet);
     const open = { ...this.hello, fleet, open: true };
     for (const peer of [...voters, ...learners])
-      if (peer !== self) Runtime.start(this.world, "record", this.meet(peer, open, askMs, met));
+      if (peer !== self) Runtime.start(this.runtime, "record", this.meet(peer, open, askMs, met));
   }
 
   private get hello(): Ask {
     return {
-      peer: this.attendee ? this.place.self : "",
+      peer: this.member ? this.location.self : "",
       fleet: "",
       incarnation: "",
       voters: [],
@@ -304,7 +299,7 @@
   }
 
   private *meet(peer: string, ask: Ask, waitMs: number, met: Map<string, Met>): Task {
-    const ret = yield* this.link.ask(peer, RpcMethod.meet, ask, waitMs);
+    const ret = yield* this.rpc.call(peer, RpcMethod.meet, ask, waitMs);
     if (ret) met.set(peer, ret);
   }
 
@@ -315,12 +310,12 @@
   ): Task<Map<string, Met>> {
     const met = new Map<string, Met>();
     const { hello } = this;
-    const others = peers.filter((peer) => peer !== this.place.self);
+    const others = peers.filter((peer) => peer !== this.location.self);
     let open = others.length;
     if (open === 0) return met;
     yield* Task.wait<boolean>((done) => {
       for (const peer of others)
-        Runtime.start(this.world, "record", this.meet(peer, hello, askMs, met), () => {
+        Runtime.start(this.runtime, "record", this.meet(peer, hello, askMs, met), () => {
           open -= 1;
           const one = met.get(peer);
           if (open === 0 || (one && enough(one))) done(true);
@@ -330,7 +325,7 @@
   }
 
   private tell(what: string, details: Record<string, unknown>): void {
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     if (nowMs - this.toldMs < tellMs) return;
     this.toldMs = nowMs;
     this.log.warn(what, details);
--- a/src/replication/bootstrap/node-location.ts
+++ b/src/replication/bootstrap/node-location.ts
@@ -29,8 +29,8 @@
     2 * Math.max(tolerate.machines, tolerate.zones) + 1,
 
   /** Who votes and who learns: voters in turn from the zones, by name; nothing where too few or too near to each other. */
-  choose(place: NodeLocation, candidates: readonly BootstrapCandidate[]): Members | undefined {
-    const wanted = NodeLocation.voters(place);
+  choose(location: NodeLocation, candidates: readonly BootstrapCandidate[]): Members | undefined {
+    const wanted = NodeLocation.voters(location);
     const byZone = new Map<string, BootstrapCandidate[]>();
     for (const one of [...candidates].sort(
       (a, b) => compare(a.zone, b.zone) || compare(a.machine, b.machine) || compare(a.peer, b.peer),
@@ -44,7 +44,7 @@
     const inZones = [...byZone.keys()]
       .map((zone) => chosen.filter((one) => one.zone === zone).length)
       .sort((a, b) => b - a);
-    const lost = inZones.slice(0, place.tolerate.zones).reduce((sum, count) => sum + count, 0);
+    const lost = inZones.slice(0, location.tolerate.zones).reduce((sum, count) => sum + count, 0);
     if (2 * (wanted - lost) <= wanted) return undefined;
     return {
       voters: chosen.map(({ peer }) => peer),
--- a/src/replication/bootstrap/restore-as-only-voter.ts
+++ b/src/replication/bootstrap/restore-as-only-voter.ts
@@ -17,14 +17,14 @@
   if (loaded.kind === "empty") return { kind: "refused", why: "The data folder holds no record." };
   if (loaded.kind === "damaged")
     return { kind: "refused", why: `The record here is damaged: ${loaded.why}` };
-  const { standing } = loaded;
-  if (standing.rejoining !== "")
+  const { standing: durableState } = loaded;
+  if (durableState.rejoining !== "")
     return {
       kind: "refused",
       why: "This recorder was learning the record anew and may lack a part of it.",
     };
-  const term = standing.term + 1;
-  const lastIndex = standing.lastIndex + standing.entries.length;
+  const term = durableState.term + 1;
+  const lastIndex = durableState.lastIndex + durableState.entries.length;
   const added = [
     LogCommand.text({ kind: "members", voters: [self], learners: [] }),
     LogCommand.text({
@@ -33,11 +33,11 @@
     }),
   ];
   const entries = [
-    ...standing.entries,
+    ...durableState.entries,
     ...added.map((text, at) => ({ index: lastIndex + 1 + at, term, text })),
   ];
   // Members of before may hold entries that are gone from here; by another name of the fleet they are not taken in as they are.
-  const fleet = `${standing.fleet}-${term}`;
-  yield* store.checkpoint({ ...standing, fleet, term, votedFor: self, entries });
+  const fleet = `${durableState.fleet}-${term}`;
+  yield* store.writeSnapshot({ ...durableState, fleet, term, votedFor: self, entries });
   return { kind: "restored", entries: entries.length, lastIndex: lastIndex + added.length };
 };
--- a/src/replication/history/history-service.ts
+++ b/src/replication/history/history-service.ts
@@ -48,9 +48,9 @@
 
 /** Keeps accepted configs on disk, learns those that are missing from the other members, and reads them back. */
 export class HistoryService {
-  private readonly world: Runtime;
-  private readonly link: RpcEndpoint;
-  private readonly book: StateMachine;
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
+  private readonly stateMachine: StateMachine;
   private readonly history: ConfigHistory;
   private readonly writer: LogWriter;
   private readonly terms: HistoryServiceOptions;
@@ -69,40 +69,40 @@
   private goneUpTo = 0;
 
   constructor(
-    world: Runtime,
-    link: RpcEndpoint,
-    book: StateMachine,
+    runtime: Runtime,
+    rpc: RpcEndpoint,
+    stateMachine: StateMachine,
     history: ConfigHistory,
     writer: LogWriter,
     terms: HistoryServiceOptions,
   ) {
-    this.world = world;
-    this.link = link;
-    this.book = book;
+    this.runtime = runtime;
+    this.rpc = rpc;
+    this.stateMachine = stateMachine;
     this.history = history;
     this.writer = writer;
     this.terms = terms;
-    this.log = world.logbook.part("record");
+    this.log = runtime.loggers.component("record");
   }
 
   /** Returns to other members what is kept here. */
   serve(): void {
-    this.link.serve(RpcMethod.history, ({ from }) => this.pieceFrom(from));
+    this.rpc.serve(RpcMethod.history, ({ from }) => this.pieceFrom(from));
   }
 
   /** The keeper's own task: measures what the disk holds, then learns what is missing, newest first. */
-  *own(): Task {
+  *run(): Task {
     yield* this.check();
     for (;;) {
       if (this.terms.isFormed()) {
         if (this.history.isDamaged) yield* this.check();
         if (this.isOwing) this.keep();
-        const sinceMs = this.world.clock.nowMs();
+        const sinceMs = this.runtime.clock.nowMs();
         yield* this.learn();
-        const tookMs = this.world.clock.nowMs() - sinceMs;
-        yield* Clock.rest(this.world.clock, restsPerExchange * tookMs);
+        const tookMs = this.runtime.clock.nowMs() - sinceMs;
+        yield* Clock.sleep(this.runtime.clock, restsPerExchange * tookMs);
       }
-      yield* Clock.rest(this.world.clock, learnMs);
+      yield* Clock.sleep(this.runtime.clock, learnMs);
     }
   }
 
@@ -113,21 +113,21 @@
   keepWhenMany(): void {
     if (this.isKeeping || this.isKeepPlanned || !this.terms.isFormed() || !this.holdsMany) return;
     this.isKeepPlanned = true;
-    this.world.clock.after(this.world.random() * keepSpreadMs, () => {
+    this.runtime.clock.after(this.runtime.random() * keepSpreadMs, () => {
       this.isKeepPlanned = false;
       if (!this.isKeeping && this.holdsMany) this.keep();
     });
   }
 
   private get holdsMany(): boolean {
-    const { configs } = this.book;
+    const { configs } = this.stateMachine;
     const bytes = configs.reduce((sum, { text }) => sum + text.length, 0);
     return configs.length > 1 && bytes > this.terms.unkeptBytes * keepPart;
   }
 
   /** Has the disk keep the configs that the state machine still holds; it lets go of them once they are kept. */
   keep(): void {
-    const { configs } = this.book;
+    const { configs } = this.stateMachine;
     const newest = configs.at(-1)?.sequence ?? 0;
     this.isOwing = false;
     if (newest <= this.history.newest) return this.terms.kept(this.history.newest);
@@ -151,7 +151,7 @@
   /** One accepted config, from here or from another member. */
   *read(sequence: number): Task<ConfigRead> {
     const own =
-      this.book.configs.find((config) => config.sequence === sequence) ??
+      this.stateMachine.configs.find((config) => config.sequence === sequence) ??
       (yield* this.history.read(sequence));
     if (own) return { kind: "found", config: own };
     if (sequence <= this.goneUpTo) return { kind: "noLongerKept" };
@@ -161,11 +161,11 @@
     return { kind: isEveryVoterHeard ? "noLongerKept" : "unknown" };
   }
 
-  private *pieceFrom(from: number): Task<DecodedMessage<typeof RpcMethod.history.return>> {
+  private *pieceFrom(from: number): Task<DecodedMessage<typeof RpcMethod.history.response>> {
     if (!this.terms.isFormed()) return { configs: new Uint8Array() };
     const kept = yield* this.history.piece(from);
     if (kept.length > 0) return { configs: kept };
-    const { configs } = this.book;
+    const { configs } = this.stateMachine;
     const at = configs.findIndex(({ sequence }) => sequence === from);
     return { configs: at < 0 ? new Uint8Array() : ConfigHistory.pack(configs.slice(at)) };
   }
@@ -173,13 +173,13 @@
   /** Configs from one on, as another member holds them; followers are asked before the leader. */
   private *fetch(from: number): Task<Fetched> {
     const voters = this.terms.voters();
-    const heard = new Set([this.link.self]);
-    const asked = new Set([this.link.self, ""]);
+    const heard = new Set([this.rpc.self]);
+    const asked = new Set([this.rpc.self, ""]);
     for (const peer of [...voters, ...this.terms.others()]) {
       if (asked.has(peer)) continue;
       asked.add(peer);
       if (this.isGone(peer)) continue;
-      const ret = yield* this.link.ask(peer, RpcMethod.history, { from }, askWaitMs);
+      const ret = yield* this.rpc.call(peer, RpcMethod.history, { from }, askWaitMs);
       if (!ret) continue;
       heard.add(peer);
       const configs = ConfigHistory.unpack(ret.configs, from);
@@ -189,7 +189,7 @@
   }
 
   private isGone(peer: string): boolean {
-    return this.link.isOutOfReach(peer, this.world.clock.nowMs() - failedMs);
+    return this.rpc.isUnreachable(peer, this.runtime.clock.nowMs() - failedMs);
   }
 
   /** Learns some of the newest configs that are missing here, while there is room for them. */
@@ -197,7 +197,7 @@
     const missing = this.missing();
     if (!missing) {
       if (this.isLacking)
-        this.log.say("The history of configs is whole.", { newest: this.history.newest });
+        this.log.info("The history of configs is whole.", { newest: this.history.newest });
       this.isLacking = false;
       return;
     }
@@ -221,7 +221,7 @@
 
   /** The newest range that is missing here and may be learned. */
   private missing(): SequenceRange | undefined {
-    const first = this.book.configs[0]?.sequence ?? 1;
+    const first = this.stateMachine.configs[0]?.sequence ?? 1;
     const range = this.history.missingBelow(first);
     const floor = Math.max(this.goneUpTo, this.history.letGoUpTo);
     if (!range || range.to <= floor || !this.history.hasRoom) return undefined;
@@ -254,22 +254,22 @@
   }
 
   private noteMended(): void {
-    const missing = this.history.missingBelow(this.book.configs[0]?.sequence ?? 1);
+    const missing = this.history.missingBelow(this.stateMachine.configs[0]?.sequence ?? 1);
     const isWhole = ({ from }: SequenceRange): boolean => !missing || missing.to < from;
     for (const range of this.damaged.filter(isWhole))
-      this.log.say("A damaged file of the history is whole again.", { ...range });
+      this.log.info("A damaged file of the history is whole again.", { ...range });
     this.damaged = this.damaged.filter((range) => !isWhole(range));
   }
 
   private *shrink(): Task {
     const removed = yield* this.history.shrink();
     if (removed)
-      this.log.say("The oldest configs of the history are no longer kept.", { ...removed });
+      this.log.info("The oldest configs of the history are no longer kept.", { ...removed });
   }
 
   /** While the disk refuses the history, only so much text waits for it; beyond that only the newest config does. */
   private boundUnkept(): void {
-    const { configs } = this.book;
+    const { configs } = this.stateMachine;
     const bytes = configs.reduce((sum, { text }) => sum + text.length, 0);
     const upTo = configs.at(-2)?.sequence;
     if (bytes <= this.terms.unkeptBytes || upTo === undefined) return;
--- a/src/replication/log/log-store.ts
+++ b/src/replication/log/log-store.ts
@@ -52,19 +52,19 @@
 };
 
 /** Applies one change; false where it doesn't follow on what came before. */
-const replay = (standing: DurableState, body: Buffer): boolean => {
+const replay = (durableState: DurableState, body: Buffer): boolean => {
   const { kind, term, index, text } = decodeExactly(payload, body);
   if (kind === 1) {
-    if (index > standing.lastIndex + standing.entries.length + 1) return false;
-    if (index > standing.lastIndex) {
-      standing.entries.splice(index - standing.lastIndex - 1);
-      standing.entries.push({ index, term, text });
+    if (index > durableState.lastIndex + durableState.entries.length + 1) return false;
+    if (index > durableState.lastIndex) {
+      durableState.entries.splice(index - durableState.lastIndex - 1);
+      durableState.entries.push({ index, term, text });
     }
-    standing.term = Math.max(standing.term, term);
+    durableState.term = Math.max(durableState.term, term);
   } else if (kind === 2) {
-    standing.term = term;
-    standing.votedFor = text;
-  } else standing.entries = standing.entries.filter((entry) => entry.index < index);
+    durableState.term = term;
+    durableState.votedFor = text;
+  } else durableState.entries = durableState.entries.filter((entry) => entry.index < index);
   return true;
 };
 
@@ -113,9 +113,12 @@
         broken += 1;
         continue;
       }
-      const { sequence, standing } = create(JSON.parse(body.toString("utf8")), slotShape);
+      const { sequence, standing: durableState } = create(
+        JSON.parse(body.toString("utf8")),
+        slotShape,
+      );
       if (!best || sequence > best.sequence)
-        best = { sequence, standing: { ...standing, book: book.toString("utf8") } };
+        best = { sequence, standing: { ...durableState, book: book.toString("utf8") } };
     }
     if (!best) {
       const logged = names.some((name) => name.startsWith("log-") || ConfigHistory.isName(name));
@@ -173,10 +176,10 @@
   }
 
   /** Writes a standing whole into the other slot and begins a new log. */
-  *checkpoint(standing: DurableState): Task {
+  *writeSnapshot(durableState: DurableState): Task {
     const sequence = this.sequence + 1;
     const name = slots[sequence % slots.length] ?? "slot-a";
-    const { book, ...rest } = standing;
+    const { book, ...rest } = durableState;
     const head = withChecksum(Buffer.from(JSON.stringify({ sequence, standing: rest }), "utf8"));
     yield* this.disk.write(name, Buffer.concat([head, withChecksum(Buffer.from(book, "utf8"))]));
     yield* this.disk.write(logName(sequence), Buffer.alloc(0));
--- a/src/replication/log/log-writer.ts
+++ b/src/replication/log/log-writer.ts
@@ -23,7 +23,7 @@
   private readonly roomMaker: DiskReclaimer;
   private sinceMs: number | undefined;
   /** Why the disk takes nothing now, or nothing. */
-  breakdown: string | undefined;
+  failure: string | undefined;
   /** How many syncs have ended, and how many changes they carried. */
   syncs = 0;
   written = 0;
@@ -48,8 +48,8 @@
     this.queue.put({ records, done });
   }
 
-  checkpoint(standing: DurableState, done: () => void): void {
-    this.queue.put({ standing, done });
+  writeSnapshot(durableState: DurableState, done: () => void): void {
+    this.queue.put({ standing: durableState, done });
   }
 
   /** Does what may fail without consequence, once, in its turn; tells whether the disk took it. */
@@ -57,20 +57,20 @@
     this.queue.put({ attempt, done });
   }
 
-  *own(): Task {
+  *run(): Task {
     for (;;) {
       const first = yield* this.queue.take();
       this.sinceMs = this.clock.nowMs();
       let group: Array<{ records: LogRecord[]; done: () => void }> = [];
-      for (const order of [first, ...this.queue.drain()]) {
-        if ("records" in order) group.push(order);
+      for (const command of [first, ...this.queue.drain()]) {
+        if ("records" in command) group.push(command);
         else {
           yield* this.appendGroup(group);
           group = [];
-          if ("attempt" in order) order.done(yield* this.tryOnce(order.attempt));
+          if ("attempt" in command) command.done(yield* this.tryOnce(command.attempt));
           else {
-            yield* this.persist(() => this.store.checkpoint(order.standing));
-            order.done();
+            yield* this.persist(() => this.store.writeSnapshot(command.standing));
+            command.done();
           }
         }
       }
@@ -92,10 +92,10 @@
   }
 
   private *appendGroup(group: Array<{ records: LogRecord[]; done: () => void }>): Task {
-    const records = group.flatMap((order) => order.records);
+    const records = group.flatMap((command) => command.records);
     if (records.length > 0) yield* this.persist(() => this.store.append(records));
     this.written += records.length;
-    for (const order of group) order.done();
+    for (const command of group) command.done();
   }
 
   /** Does a piece of work on the disk, again and again until it is done. */
@@ -104,18 +104,18 @@
       try {
         yield* write();
         this.syncs += 1;
-        if (this.breakdown !== undefined) this.log.say("The disk takes writes again.");
-        this.breakdown = undefined;
+        if (this.failure !== undefined) this.log.info("The disk takes writes again.");
+        this.failure = undefined;
         this.roomMaker.accepted();
         return;
       } catch (error) {
         if (!(error instanceof DiskError)) throw error;
         if (yield* this.roomMaker.refused()) continue;
         const why = error.cause instanceof Error ? error.cause.message : error.message;
-        if (this.breakdown === undefined)
+        if (this.failure === undefined)
           this.log.warn("The disk takes no writes; nothing is acknowledged.", { why });
-        this.breakdown = why;
-        yield* Clock.rest(this.clock, retryMs);
+        this.failure = why;
+        yield* Clock.sleep(this.clock, retryMs);
       }
     }
   }
--- a/src/replication/membership/membership-join.ts
+++ b/src/replication/membership/membership-join.ts
@@ -33,8 +33,8 @@
 
 /** Asks the leader to take this member in, whenever it has to be, over contacts of which many may be gone. */
 export class MembershipJoin {
-  private readonly world: Runtime;
-  private readonly link: RpcEndpoint;
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
   private readonly applicant: JoiningMember;
   private readonly log: Logger;
   /** Contacts whose answer is still waited for. */
@@ -46,25 +46,25 @@
   /** The request that the leader has carried out. */
   private taken = "";
 
-  constructor(world: Runtime, link: RpcEndpoint, applicant: JoiningMember) {
-    this.world = world;
-    this.link = link;
+  constructor(runtime: Runtime, rpc: RpcEndpoint, applicant: JoiningMember) {
+    this.runtime = runtime;
+    this.rpc = rpc;
     this.applicant = applicant;
-    this.log = world.logbook.part("record");
+    this.log = runtime.loggers.component("record");
   }
 
   /** Runs for as long as the daemon does. */
-  *own(): Task {
+  *run(): Task {
     for (;;) {
       const { request } = this.applicant;
       if (request !== undefined) yield* this.applying(request);
-      yield* Clock.rest(this.world.clock, lookMs);
+      yield* Clock.sleep(this.runtime.clock, lookMs);
     }
   }
 
   /** Asks round by round until the request is taken, or another one or none is due. */
   private *applying(request: string): Task {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     const sinceMs = clock.nowMs();
     const { snapshots } = this.applicant;
     let rounds = 0;
@@ -77,7 +77,7 @@
     }
     if (this.taken !== request) return;
     const tookMs = Math.round(clock.nowMs() - sinceMs);
-    this.log.say("The leader has taken this member in.", { rounds, tookMs });
+    this.log.info("The leader has taken this member in.", { rounds, tookMs });
     const isOver = (): boolean =>
       this.applicant.request !== request || this.applicant.snapshots !== snapshots;
     yield* this.resting(settleMs, isOver);
@@ -85,9 +85,9 @@
   }
 
   private *resting(forMs: number, isOver: () => boolean): Task {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     const untilMs = clock.nowMs() + forMs;
-    while (!isOver() && clock.nowMs() < untilMs) yield* Clock.rest(clock, stepMs);
+    while (!isOver() && clock.nowMs() < untilMs) yield* Clock.sleep(clock, stepMs);
   }
 
   /** Asks all contacts that don't owe an answer, so that dead ones cost no time; only the leader does what is asked. */
@@ -99,8 +99,8 @@
     if (peer === "" || peer === this.applicant.self || this.pending.has(peer)) return;
     this.pending.add(peer);
     this.asked.add(peer);
-    const asking = this.link.ask(peer, RpcMethod.command, { forwarded, text: request }, askMs);
-    Runtime.start(this.world, "record", asking, (ret) => {
+    const asking = this.rpc.call(peer, RpcMethod.command, { forwarded, text: request }, askMs);
+    Runtime.start(this.runtime, "record", asking, (ret) => {
       this.pending.delete(peer);
       if (!ret) return;
       if (isTaken(ret.text)) this.taken = request;
--- a/src/replication/membership/membership-leave.ts
+++ b/src/replication/membership/membership-leave.ts
@@ -31,23 +31,23 @@
 
 /** Tells the leader that this member is about to stop, and learns when it may. */
 export class MembershipLeave {
-  private readonly world: Runtime;
-  private readonly link: RpcEndpoint;
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
   private readonly leaver: LeavingMember;
 
-  constructor(world: Runtime, link: RpcEndpoint, leaver: LeavingMember) {
-    this.world = world;
-    this.link = link;
+  constructor(runtime: Runtime, rpc: RpcEndpoint, leaver: LeavingMember) {
+    this.runtime = runtime;
+    this.rpc = rpc;
     this.leaver = leaver;
   }
 
   /** Repeats that this member leaves until the answer satisfies, or a moment of the clock has come; tells which. */
   *until(satisfies: (answer: LeaveStatus) => boolean, untilMs: number): Task<boolean> {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     while (clock.nowMs() < untilMs) {
       const answer = yield* this.telling();
       if (answer && satisfies(answer)) return true;
-      yield* Clock.rest(clock, Math.max(0, Math.min(repeatMs, untilMs - clock.nowMs())));
+      yield* Clock.sleep(clock, Math.max(0, Math.min(repeatMs, untilMs - clock.nowMs())));
     }
     return false;
   }
@@ -56,7 +56,7 @@
     const { leader, self, lastIndex } = this.leaver;
     if (leader === "" || leader === self) return undefined;
     const text = JSON.stringify({ kind: "stopping", machine: self, lastIndex });
-    const ret = yield* this.link.ask(leader, RpcMethod.command, { forwarded: true, text }, askMs);
+    const ret = yield* this.rpc.call(leader, RpcMethod.command, { forwarded: true, text }, askMs);
     return ret?.text.includes('"isHeld"') === true
       ? create(JSON.parse(ret.text), answerShape)
       : undefined;
--- a/src/replication/membership/membership-policy.ts
+++ b/src/replication/membership/membership-policy.ts
@@ -27,7 +27,7 @@
   /** How long a voter is silent until it is replaced. */
   readonly replaceAfterMs: number;
   /** How long a learner must have answered so that its own loss would count as one more. */
-  readonly provenAfterMs: number;
+  readonly responsiveAfterMs: number;
   /** How long a learner is silent until it is removed from the group. */
   readonly forgetAfterMs: number;
 }
@@ -105,7 +105,7 @@
 /** A voter that is lost or leaves gives its place to a learner that is ready. */
 const exchange = (view: MembershipView, ready: string): MembershipChange | undefined => {
   const lost = view.voters.find((voter) => isLost(view, voter));
-  if (lost !== undefined && view.progressOf(ready).provenMs >= view.waits.provenAfterMs)
+  if (lost !== undefined && view.progressOf(ready).provenMs >= view.waits.responsiveAfterMs)
     return promotion(view, ready, `it takes the place of ${lost}, which is silent`);
   if (lost !== undefined)
     return demotion(view, lost, `it is silent, and ${ready} is ready to take its place`);
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -86,40 +86,40 @@
   electionMinMs: number;
   electionMaxMs: number;
   /** How long a majority's acknowledgment lets the leader answer; shorter than the shortest election wait. */
-  leaderGrantMs: number;
+  leaderLeaseMs: number;
   stallMs: number;
   /** How long a voter is silent before a learner takes its place. */
   replaceAfterMs: number;
   /** How long a learner must have answered so that its own loss would count as one more. */
-  provenAfterMs: number;
+  responsiveAfterMs: number;
   /** How long a learner is silent before it is removed from the members. */
   forgetAfterMs: number;
   /** How long the log grows until a checkpoint is written. */
-  checkpointBytes: number;
+  snapshotBytes: number;
 }
 
 export const ReplicationTimeouts = {
-  usual: {
+  defaults: {
     heartbeatMs: 60,
     electionMinMs: 300,
     electionMaxMs: 500,
-    leaderGrantMs: 240,
+    leaderLeaseMs: 240,
     stallMs: 700,
     replaceAfterMs: 1000,
-    provenAfterMs: 4000,
+    responsiveAfterMs: 4000,
     forgetAfterMs: 60_000,
-    checkpointBytes: 4 * 1024 * 1024,
+    snapshotBytes: 4 * 1024 * 1024,
   },
 };
 
 /** What became of a proposal: committed and applied here, or its fate is unknown. */
 export type ProposalResult = { index: number; outcome: string } | "notLeader" | "unknown";
 
-type CheckpointAsk = DecodedMessage<typeof RpcMethod.checkpoint.ask>;
-type CheckpointReturn = DecodedMessage<typeof RpcMethod.checkpoint.return>;
+type CheckpointAsk = DecodedMessage<typeof RpcMethod.checkpoint.request>;
+type CheckpointReturn = DecodedMessage<typeof RpcMethod.checkpoint.response>;
 
-type PieceAsk = DecodedMessage<typeof RpcMethod.snapshotPiece.ask>;
-type PieceReturn = DecodedMessage<typeof RpcMethod.snapshotPiece.return>;
+type PieceAsk = DecodedMessage<typeof RpcMethod.snapshotPiece.request>;
+type PieceReturn = DecodedMessage<typeof RpcMethod.snapshotPiece.response>;
 
 type Command =
   | { kind: "vote"; ask: VoteRequest; done: (ret: VoteReply) => void }
@@ -163,14 +163,14 @@
 /** A recorder: it replicates the record under a leader that a majority elected, and applies it to its book. */
 export class ReplicationNode {
   readonly self: string;
-  private readonly world: Runtime;
-  private readonly link: RpcEndpoint;
-  private readonly place: NodeLocation;
-  private readonly meeting: ClusterBootstrap;
-  private readonly waits: ReplicationTimeouts;
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
+  private readonly location: NodeLocation;
+  private readonly bootstrap: ClusterBootstrap;
+  private readonly replicationTimeouts: ReplicationTimeouts;
   private readonly log: Logger;
   private readonly steps: StepTimer;
-  private readonly book: StateMachine;
+  private readonly stateMachine: StateMachine;
   private readonly store: LogStore;
   private readonly writer: LogWriter;
   private readonly queue = new Queue<Command>();
@@ -208,42 +208,49 @@
   private leaderHooks: Array<(leads: boolean) => void> = [];
 
   constructor(
-    world: Runtime,
-    link: RpcEndpoint,
-    place: NodeLocation,
-    waits: ReplicationTimeouts,
-    book: StateMachine,
+    runtime: Runtime,
+    rpc: RpcEndpoint,
+    location: NodeLocation,
+    replicationTimeouts: ReplicationTimeouts,
+    stateMachine: StateMachine,
     store: LogStore,
-    meeting = new ClusterBootstrap(world, link, place),
+    bootstrap = new ClusterBootstrap(runtime, rpc, location),
   ) {
-    this.world = world;
-    this.link = link;
-    this.self = place.self;
-    this.place = place;
-    this.meeting = meeting;
-    this.waits = waits;
-    this.snapshotPart = 1 - snapshotSpread * world.random();
-    this.book = book;
+    this.runtime = runtime;
+    this.rpc = rpc;
+    this.self = location.self;
+    this.location = location;
+    this.bootstrap = bootstrap;
+    this.replicationTimeouts = replicationTimeouts;
+    this.snapshotPart = 1 - snapshotSpread * runtime.random();
+    this.stateMachine = stateMachine;
     this.store = store;
-    this.log = world.logbook.part("record");
-    this.steps = new StepTimer(world.clock, this.log);
-    this.writer = new LogWriter(world.clock, store, this.log);
-    this.historyKeeper = new HistoryService(world, link, book, store.history, this.writer, {
-      isFormed: () => this.state === "formed",
-      voters: () => this.agreed.members.voters,
-      others: () => [
-        this.agreed.knownLeader,
-        ...this.agreed.members.learners,
-        ...meeting.recorders,
-      ],
-      unkeptBytes: waits.checkpointBytes,
-      kept: (upTo) => this.queue.put({ kind: "kept", upTo }),
-    });
-    book.onApplied(({ kind }) => {
+    this.log = runtime.loggers.component("record");
+    this.steps = new StepTimer(runtime.clock, this.log);
+    this.writer = new LogWriter(runtime.clock, store, this.log);
+    this.historyKeeper = new HistoryService(
+      runtime,
+      rpc,
+      stateMachine,
+      store.history,
+      this.writer,
+      {
+        isFormed: () => this.state === "formed",
+        voters: () => this.agreed.members.voters,
+        others: () => [
+          this.agreed.knownLeader,
+          ...this.agreed.members.learners,
+          ...bootstrap.recorders,
+        ],
+        unkeptBytes: replicationTimeouts.snapshotBytes,
+        kept: (upTo) => this.queue.put({ kind: "kept", upTo }),
+      },
+    );
+    stateMachine.onApplied(({ kind }) => {
       if (kind === "config") this.historyKeeper.keepWhenMany();
     });
-    this.agreed = initialState(this.self, world.clock.nowMs());
-    meeting.attend(this);
+    this.agreed = initialState(this.self, runtime.clock.nowMs());
+    bootstrap.attend(this);
   }
 
   /** The leader as far as this recorder knows, or an empty word. */
@@ -252,7 +259,7 @@
   }
 
   /** Whether this recorder may answer for the fleet now. */
-  get hasGrant(): boolean {
+  get holdsLease(): boolean {
     return this.applied >= this.agreed.leadingSinceIndex && this.rights.answer;
   }
 
@@ -264,7 +271,7 @@
   /** How this recorder stands, for status and tests. */
   get status() {
     return {
-      state: this.nonce !== "" ? "rejoining" : this.attendance.state,
+      state: this.nonce !== "" ? "rejoining" : this.bootstrapStatus.state,
       role: this.agreed.role,
       term: this.agreed.term,
       leader: this.leader,
@@ -273,7 +280,7 @@
       lastIndex: this.agreed.log.lastIndex,
       voters: this.agreed.members.voters,
       learners: this.agreed.members.learners,
-      disk: this.writer.breakdown ?? "well",
+      disk: this.writer.failure ?? "well",
       syncs: this.writer.syncs,
       written: this.writer.written,
     };
@@ -294,7 +301,7 @@
   }
 
   /** How this recorder stands when others meet it. */
-  get attendance(): BootstrapStatus {
+  get bootstrapStatus(): BootstrapStatus {
     return {
       state: this.isUnborn ? "unborn" : this.state,
       fleet: this.fleet,
@@ -316,18 +323,19 @@
   /** What decisions know beside the state. */
   private get facts(): DecisionContext {
     return {
-      nowMs: this.world.clock.nowMs(),
-      waits: this.waits,
+      nowMs: this.runtime.clock.nowMs(),
+      timeouts: this.replicationTimeouts,
       rules: safetyRules,
       stage: this.isUnborn ? "unborn" : this.state,
       isRetired: this.isRetired,
       isDiskWell:
-        this.writer.breakdown === undefined && this.writer.waitingMs <= this.waits.stallMs,
+        this.writer.failure === undefined &&
+        this.writer.waitingMs <= this.replicationTimeouts.stallMs,
     };
   }
 
   /** Hears each time this recorder begins or ceases to lead. */
-  onLeading(hook: (leads: boolean) => void): void {
+  onLeadershipChange(hook: (leads: boolean) => void): void {
     this.leaderHooks.push(hook);
   }
 
@@ -350,7 +358,7 @@
   }
 
   /** Hears, as the leader, that a member is about to stop; tells how it stands, or nothing where this one doesn't lead. */
-  *memberStops(machine: string, lastIndex: number): Task<LeaveStatus | undefined> {
+  *onMemberStopping(machine: string, lastIndex: number): Task<LeaveStatus | undefined> {
     return yield* Task.wait<LeaveStatus | undefined>((done) =>
       this.queue.put({ kind: "stopping", machine, lastIndex, done }),
     );
@@ -359,7 +367,7 @@
   /** Leaves the voters where a learner is ready to take the place; ends once that is done, or at a moment of the clock. */
   *leave(untilMs: number): Task {
     const left = yield* this.leaving().until(({ isVoter }) => !isVoter, untilMs);
-    if (left) this.log.say("Left the voters: a learner took this one's place.");
+    if (left) this.log.info("Left the voters: a learner took this one's place.");
   }
 
   /**
@@ -377,9 +385,9 @@
   }
 
   /** The recorder's own task: loads, forms or rejoins, then follows, stands and leads. */
-  *own(): Task {
+  *run(): Task {
     this.serve();
-    Runtime.start(this.world, "record", this.writer.own());
+    Runtime.start(this.runtime, "record", this.writer.run());
     const loaded = yield* this.store.load();
     for (const piece of this.store.snapshotPart.takeLoaded()) this.snapshotReceiver.take(piece);
     if (loaded.kind === "whole") this.adopt(loaded.standing);
@@ -390,11 +398,11 @@
       }
       this.state = loaded.kind;
     }
-    Runtime.start(this.world, "record", this.meeting.own());
+    Runtime.start(this.runtime, "record", this.bootstrap.run());
     if (this.state !== "formed" || this.isUnborn) yield* this.opening.take();
     this.agreed = stateAfterRestart(this.agreed, this.facts);
-    Runtime.start(this.world, "record", this.joining().own());
-    Runtime.start(this.world, "record", this.historyKeeper.own());
+    Runtime.start(this.runtime, "record", this.joining().run());
+    Runtime.start(this.runtime, "record", this.historyKeeper.run());
     for (;;) {
       switch (this.agreed.role) {
         case "follower":
@@ -415,29 +423,29 @@
 
   private serve(): void {
     const { queue } = this;
-    this.meeting.serve();
+    this.bootstrap.serve();
     const closed = (): boolean => !this.rights.takePart;
-    this.link.serve(RpcMethod.vote, function* (ask) {
+    this.rpc.serve(RpcMethod.vote, function* (ask) {
       if (closed()) return { term: 0, granted: false };
       return yield* Task.wait<VoteReply>((done) => queue.put({ kind: "vote", ask, done }));
     });
-    this.link.serve(RpcMethod.append, function* (ask) {
+    this.rpc.serve(RpcMethod.append, function* (ask) {
       if (closed()) return { term: 0, fits: false, counts: false, matched: 0 };
       return yield* Task.wait<AppendReply>((done) => queue.put({ kind: "append", ask, done }));
     });
-    this.link.serve(RpcMethod.checkpoint, function* (ask) {
+    this.rpc.serve(RpcMethod.checkpoint, function* (ask) {
       if (closed()) return { term: 0, counts: false, matched: 0 };
       return yield* Task.wait<CheckpointReturn>((done) =>
         queue.put({ kind: "checkpoint", ask, done }),
       );
     });
-    this.link.serve(RpcMethod.snapshotPiece, function* (ask) {
+    this.rpc.serve(RpcMethod.snapshotPiece, function* (ask) {
       if (closed()) return { term: 0, counts: false, matched: 0, receivedBytes: 0 };
       return yield* Task.wait<PieceReturn>((done) =>
         queue.put({ kind: "snapshotPiece", ask, done }),
       );
     });
-    this.link.serve(RpcMethod.handOver, function* ({ term }) {
+    this.rpc.serve(RpcMethod.handOver, function* ({ term }) {
       if (closed()) return { taken: false };
       return {
         taken: yield* Task.wait<boolean>((done) => queue.put({ kind: "handOver", term, done })),
@@ -450,20 +458,20 @@
   *form(fleet: string, { voters, learners }: Members): Task {
     if (!this.rights.form || this.isTurning) return;
     this.isTurning = true;
-    const standing: DurableState = {
+    const durableState: DurableState = {
       fleet,
       rejoining: "",
       term: 0,
       votedFor: "",
       lastIndex: 0,
       lastTerm: 0,
-      book: this.book.checkpoint({ voters, learners }),
+      book: this.stateMachine.snapshot({ voters, learners }),
       entries: [],
     };
-    yield* Task.wait<boolean>((done) => this.writer.checkpoint(standing, () => done(true)));
+    yield* Task.wait<boolean>((done) => this.writer.writeSnapshot(durableState, () => done(true)));
     this.isTurning = false;
-    this.log.say("The fleet's record is formed.", { fleet, voters, learners });
-    this.adopt(standing);
+    this.log.info("The fleet's record is formed.", { fleet, voters, learners });
+    this.adopt(durableState);
   }
 
   /** All voters of this fleet have formed its record: now this one may stand and vote. */
@@ -474,7 +482,7 @@
   }
 
   /** One accepted config, from here or from another member. */
-  *config(sequence: number): Task<ConfigRead> {
+  *readConfig(sequence: number): Task<ConfigRead> {
     return yield* this.historyKeeper.read(sequence);
   }
 
@@ -482,20 +490,20 @@
   *rejoin(fleet: string, { voters, learners }: Members): Task {
     if (this.isTurning || (this.state === "formed" && !this.isUnborn)) return;
     this.isTurning = true;
-    const standing: DurableState = {
+    const durableState: DurableState = {
       fleet,
-      rejoining: Runtime.nonce(this.world),
+      rejoining: Runtime.nonce(this.runtime),
       term: 0,
       votedFor: "",
       lastIndex: 0,
       lastTerm: 0,
-      book: this.book.checkpoint({ voters, learners }),
+      book: this.stateMachine.snapshot({ voters, learners }),
       entries: [],
     };
-    yield* Task.wait<boolean>((done) => this.writer.checkpoint(standing, () => done(true)));
+    yield* Task.wait<boolean>((done) => this.writer.writeSnapshot(durableState, () => done(true)));
     this.isTurning = false;
     this.log.warn("Rejoining: no vote and no acknowledgment until the record is learned again.");
-    this.adopt(standing);
+    this.adopt(durableState);
     this.opening.putOnce(true);
   }
 
@@ -503,8 +511,9 @@
   private get membershipRequest(): string | undefined {
     if (this.nonce !== "")
       return JSON.stringify({ kind: "rejoin", machine: this.self, nonce: this.nonce });
-    const unheardMs = this.world.clock.nowMs() - this.agreed.heardAppendMs;
-    const isForgotten = this.agreed.role !== "leader" && unheardMs > this.waits.replaceAfterMs;
+    const unheardMs = this.runtime.clock.nowMs() - this.agreed.lastAppendMs;
+    const isForgotten =
+      this.agreed.role !== "leader" && unheardMs > this.replicationTimeouts.replaceAfterMs;
     if (!isForgotten) return undefined;
     return JSON.stringify({ kind: "join", machine: this.self, fleet: this.fleet });
   }
@@ -512,12 +521,12 @@
   private joining(): MembershipJoin {
     const contacts = (): string[] => [
       this.agreed.knownLeader,
-      ...this.meeting.recorders,
-      ...this.place.seeds(),
+      ...this.bootstrap.recorders,
+      ...this.location.seeds(),
     ];
     const request = (): string | undefined => this.membershipRequest;
     const snapshots = (): number => this.snapshotsTaken;
-    return new MembershipJoin(this.world, this.link, {
+    return new MembershipJoin(this.runtime, this.rpc, {
       self: this.self,
       get request() {
         return request();
@@ -534,7 +543,7 @@
   private leaving(): MembershipLeave {
     const leader = (): string => this.leader;
     const lastIndex = (): number => this.agreed.log.lastIndex;
-    return new MembershipLeave(this.world, this.link, {
+    return new MembershipLeave(this.runtime, this.rpc, {
       self: this.self,
       get leader() {
         return leader();
@@ -545,16 +554,16 @@
     });
   }
 
-  private adopt(standing: DurableState): void {
-    this.fleet = standing.fleet;
-    const { term, votedFor, lastIndex, lastTerm, entries } = standing;
+  private adopt(durableState: DurableState): void {
+    this.fleet = durableState.fleet;
+    const { term, votedFor, lastIndex, lastTerm, entries } = durableState;
     this.agreed = restoredState(this.agreed, {
       term,
       votedFor,
-      rejoinNonce: standing.rejoining,
+      rejoinNonce: durableState.rejoining,
       lastIndex,
       lastTerm,
-      members: this.book.restore(standing.book),
+      members: this.stateMachine.restore(durableState.book),
       entries,
     });
     this.applied = lastIndex;
@@ -562,27 +571,27 @@
   }
 
   private electionWaitMs(): number {
-    const { electionMinMs, electionMaxMs } = this.waits;
-    return electionMinMs + this.world.random() * (electionMaxMs - electionMinMs);
+    const { electionMinMs, electionMaxMs } = this.replicationTimeouts;
+    return electionMinMs + this.runtime.random() * (electionMaxMs - electionMinMs);
   }
 
   private *following(): Task {
-    let untilMs = this.agreed.heardLeaderMs + this.electionWaitMs();
+    let untilMs = this.agreed.lastLeaderContactMs + this.electionWaitMs();
     while (this.agreed.role === "follower") {
-      const command = yield* this.queue.takeUntil(this.world.clock, untilMs);
-      const heardMs = this.agreed.heardLeaderMs;
+      const command = yield* this.queue.takeUntil(this.runtime.clock, untilMs);
+      const heardMs = this.agreed.lastLeaderContactMs;
       if (command) this.handle(command);
-      if (this.agreed.heardLeaderMs !== heardMs)
-        untilMs = this.agreed.heardLeaderMs + this.electionWaitMs();
-      else if (this.world.clock.nowMs() >= untilMs) {
+      if (this.agreed.lastLeaderContactMs !== heardMs)
+        untilMs = this.agreed.lastLeaderContactMs + this.electionWaitMs();
+      else if (this.runtime.clock.nowMs() >= untilMs) {
         const { knownLeader } = this.agreed;
         this.agreed = onElectionTimeout(this.agreed, this.facts);
         if (this.agreed.role === "follower")
-          untilMs = this.world.clock.nowMs() + this.electionWaitMs();
+          untilMs = this.runtime.clock.nowMs() + this.electionWaitMs();
         else
-          this.log.say("The leader was not heard in time.", {
+          this.log.info("The leader was not heard in time.", {
             leader: knownLeader,
-            unheardMs: Math.round(this.world.clock.nowMs() - heardMs),
+            unheardMs: Math.round(this.runtime.clock.nowMs() - heardMs),
           });
       }
     }
@@ -592,11 +601,11 @@
     const { role } = this.agreed;
     if (isPreVote) this.preVote();
     else this.campaign();
-    const untilMs = this.world.clock.nowMs() + this.electionWaitMs();
+    const untilMs = this.runtime.clock.nowMs() + this.electionWaitMs();
     while (this.agreed.role === role) {
-      const command = yield* this.queue.takeUntil(this.world.clock, untilMs);
+      const command = yield* this.queue.takeUntil(this.runtime.clock, untilMs);
       if (command) this.handle(command);
-      if (this.agreed.role === role && this.world.clock.nowMs() >= untilMs)
+      if (this.agreed.role === role && this.runtime.clock.nowMs() >= untilMs)
         this.agreed = abandonElection(this.agreed, this.facts);
     }
   }
@@ -620,11 +629,16 @@
     const reply: VoteReply = { term, granted: true };
     this.queue.put({ kind: "voted", received: { peer: this.self, isPreVote, term, reply } });
     for (const peer of this.agreed.members.voters.filter((voter) => voter !== this.self))
-      Runtime.start(this.world, "record", this.asking(peer, request));
+      Runtime.start(this.runtime, "record", this.asking(peer, request));
   }
 
   private *asking(peer: string, ask: VoteRequest): Task {
-    const ret = yield* this.link.ask(peer, RpcMethod.vote, ask, this.waits.electionMinMs);
+    const ret = yield* this.rpc.call(
+      peer,
+      RpcMethod.vote,
+      ask,
+      this.replicationTimeouts.electionMinMs,
+    );
     if (!ret) return;
     const { isPreVote, term } = ask;
     this.queue.put({ kind: "voted", received: { peer, isPreVote, term, reply: ret } });
@@ -650,15 +664,15 @@
     this.nudges = new Map();
     this.promises = new Map();
     this.snapshotSender = new SnapshotSender();
-    this.log.say("Leads the record.", { term });
+    this.log.info("Leads the record.", { term });
     this.add([leadershipEntryText(this.agreed)]);
     for (const hook of this.leaderHooks) hook(true);
-    const startedMs = this.world.clock.nowMs();
+    const startedMs = this.runtime.clock.nowMs();
     while (this.isLeading(term)) {
       this.keepReplicating(term);
       const command = yield* this.queue.takeUntil(
-        this.world.clock,
-        this.world.clock.nowMs() + this.waits.heartbeatMs,
+        this.runtime.clock,
+        this.runtime.clock.nowMs() + this.replicationTimeouts.heartbeatMs,
       );
       if (command) this.handle(command);
       if (!this.isLeading(term)) break;
@@ -678,7 +692,7 @@
     for (const { done } of this.proposals.splice(0)) done("notLeader");
     for (const nudge of this.nudges.values()) nudge.put(true);
     for (const hook of this.leaderHooks) hook(false);
-    this.log.say("Leads no more.", { term });
+    this.log.info("Leads no more.", { term });
   }
 
   private isLeading(term: number): boolean {
@@ -690,49 +704,50 @@
     const heir = transferTargetOf(this.agreed, this.leavingMembers());
     this.log.warn("Hands over the lead.", { why, to: heir ?? "nobody" });
     this.follow(term, "");
-    const link = this.link;
+    const rpc = this.rpc;
     if (heir !== undefined)
       Runtime.start(
-        this.world,
+        this.runtime,
         "record",
         (function* () {
-          yield* link.ask(heir, RpcMethod.handOver, { term }, 300);
+          yield* rpc.call(heir, RpcMethod.handOver, { term }, 300);
         })(),
       );
   }
 
   private leavingMembers(): Set<string> {
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     const still = [...this.leavingUntilMs].filter(([, untilMs]) => untilMs > nowMs);
     return new Set(still.map(([peer]) => peer));
   }
 
   /** What this leader knows of the members, for a decision about them. */
   private membershipView(startedMs: number): MembershipView {
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     const { voters, learners } = this.agreed.members;
     return {
       self: this.self,
       voters,
       learners,
       leaving: this.leavingMembers(),
-      wantedVoters: NodeLocation.voters(this.place),
+      wantedVoters: NodeLocation.voters(this.location),
       committedIndex: this.agreed.committedIndex,
       progressOf: (member) =>
         member === this.self
           ? { silentMs: 0, answered: true, provenMs: 0, matchedIndex: this.agreed.syncedIndex }
           : {
               silentMs:
-                nowMs - Math.max(startedMs, this.agreed.ackedSentMs.get(member) ?? startedMs),
-              answered: this.agreed.ackedSentMs.has(member),
-              provenMs: nowMs - (this.agreed.provenSinceMs.get(member) ?? nowMs),
+                nowMs -
+                Math.max(startedMs, this.agreed.acknowledgedSentMs.get(member) ?? startedMs),
+              answered: this.agreed.acknowledgedSentMs.has(member),
+              provenMs: nowMs - (this.agreed.responsiveSinceMs.get(member) ?? nowMs),
               matchedIndex: this.agreed.matched.get(member) ?? 0,
             },
       waits: {
-        answersWithinMs: this.waits.electionMaxMs,
-        replaceAfterMs: this.waits.replaceAfterMs,
-        provenAfterMs: this.waits.provenAfterMs,
-        forgetAfterMs: this.waits.forgetAfterMs,
+        answersWithinMs: this.replicationTimeouts.electionMaxMs,
+        replaceAfterMs: this.replicationTimeouts.replaceAfterMs,
+        responsiveAfterMs: this.replicationTimeouts.responsiveAfterMs,
+        forgetAfterMs: this.replicationTimeouts.forgetAfterMs,
       },
     };
   }
@@ -756,7 +771,7 @@
       if (peer === this.self || this.nudges.has(peer)) continue;
       const nudge = new Queue<true>();
       this.nudges.set(peer, nudge);
-      Runtime.start(this.world, "record", this.replicating(peer, term, nudge));
+      Runtime.start(this.runtime, "record", this.replicating(peer, term, nudge));
     }
   }
 
@@ -772,15 +787,15 @@
           progress = { ...progress, next: installedIndex + 1 };
         if (answers) continue;
       } else {
-        const sentMs = this.world.clock.nowMs();
+        const sentMs = this.runtime.clock.nowMs();
         const { baseIndex } = this.agreed.log;
         const asked = { ...progress, next: Math.max(progress.next, baseIndex + 1) };
         const ask = appendRequestFor(this.agreed, asked, appendBatchLimit);
-        const ret = yield* this.link.ask(
+        const ret = yield* this.rpc.call(
           peer,
           RpcMethod.append,
           ask,
-          appendTimeoutMs(ask, this.waits),
+          appendTimeoutMs(ask, this.replicationTimeouts),
         );
         if (ret && ret.term > term) this.queue.put({ kind: "outdated", term: ret.term });
         else if (ret && ret.term === term) {
@@ -796,7 +811,10 @@
         }
       }
       nudge.drain();
-      yield* nudge.takeUntil(this.world.clock, this.world.clock.nowMs() + this.waits.heartbeatMs);
+      yield* nudge.takeUntil(
+        this.runtime.clock,
+        this.runtime.clock.nowMs() + this.replicationTimeouts.heartbeatMs,
+      );
     }
     if (this.nudges.get(peer) === nudge) {
       this.nudges.delete(peer);
@@ -807,7 +825,7 @@
   /** Sends a member one piece of the snapshot; tells up to where it then holds the log, 0 while the transfer goes on, nothing where it came no further. */
   private *sendSnapshot(peer: string, term: number): Task<number | undefined> {
     const { snapshotSender } = this;
-    const sentMs = this.world.clock.nowMs();
+    const sentMs = this.runtime.clock.nowMs();
     const { baseIndex } = this.agreed.log;
     const message = snapshotSender.next(peer, baseIndex, sentMs, () => this.makeSnapshot());
     const ret = yield* this.snapshotAnswer(peer, term, message);
@@ -824,7 +842,7 @@
       return matched;
     }
     if (message.kind === "whole") return undefined;
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     return snapshotSender.answered(peer, ret.receivedBytes, nowMs) ? 0 : undefined;
   }
 
@@ -835,7 +853,7 @@
   ): Task<PieceReturn | undefined> {
     const leader = this.self;
     if (message.kind === "piece")
-      return yield* this.link.ask(
+      return yield* this.rpc.call(
         peer,
         RpcMethod.snapshotPiece,
         { term, leader, ...message.piece },
@@ -843,13 +861,13 @@
       );
     const { lastIndex, lastTerm } = message.snapshot.identity;
     const whole = { term, leader, lastIndex, lastTerm, text: message.snapshot.text };
-    const ret = yield* this.link.ask(peer, RpcMethod.checkpoint, whole, snapshotWaitMs);
+    const ret = yield* this.rpc.call(peer, RpcMethod.checkpoint, whole, snapshotWaitMs);
     return ret && { ...ret, receivedBytes: 0 };
   }
 
   private makeSnapshot(): SharedSnapshot {
     const lastTerm = this.agreed.log.termAt(this.applied) ?? 0;
-    const text = this.book.checkpoint(membersAt(this.agreed, this.applied));
+    const text = this.stateMachine.snapshot(membersAt(this.agreed, this.applied));
     return new SharedSnapshot(this.applied, lastTerm, text);
   }
 
@@ -861,10 +879,10 @@
   /** Has the proposals that wait added: at once after a pause, else together with those that come shortly after. */
   private gatherProposals(): void {
     if (this.willAddProposals) return;
-    const waitMs = this.addedProposalsMs + gatherProposalsMs - this.world.clock.nowMs();
+    const waitMs = this.addedProposalsMs + gatherProposalsMs - this.runtime.clock.nowMs();
     if (waitMs <= 0) return this.addProposals();
     this.willAddProposals = true;
-    this.world.clock.after(waitMs, () => this.queue.put({ kind: "addProposals" }));
+    this.runtime.clock.after(waitMs, () => this.queue.put({ kind: "addProposals" }));
   }
 
   private addProposals(): void {
@@ -875,7 +893,7 @@
       return;
     }
     if (proposals.length === 0) return;
-    this.addedProposalsMs = this.world.clock.nowMs();
+    this.addedProposalsMs = this.runtime.clock.nowMs();
     this.add(
       proposals.map(({ text }) => text),
       proposals.map(({ done }) => done),
@@ -925,7 +943,7 @@
       case "acked":
         return this.take(onAcknowledgment(this.agreed, command.acknowledgment, this.facts));
       case "voted":
-        this.agreed = countVote(this.agreed, command.received, this.world.clock.nowMs());
+        this.agreed = countVote(this.agreed, command.received, this.runtime.clock.nowMs());
         return;
       case "written":
         return this.take(onOwnEntriesSynced(this.agreed, command.term, command.index, this.facts));
@@ -943,11 +961,11 @@
       case "stopping":
         return command.done(this.noteStopping(command.machine, command.lastIndex));
       case "kept":
-        this.book.letGo(command.upTo);
+        this.stateMachine.releaseConfigs(command.upTo);
         return;
       case "rejoined":
         this.agreed = afterRejoin(this.agreed);
-        this.log.say("Rejoined: votes and acknowledges again.");
+        this.log.info("Rejoined: votes and acknowledges again.");
         return;
     }
   }
@@ -955,8 +973,8 @@
   private noteStopping(machine: string, lastIndex: number): LeaveStatus | undefined {
     const { role, members, membersIndex, committedIndex, log } = this.agreed;
     if (role !== "leader") return undefined;
-    const nowMs = this.world.clock.nowMs();
-    this.leavingUntilMs.set(machine, nowMs + this.waits.electionMaxMs);
+    const nowMs = this.runtime.clock.nowMs();
+    this.leavingUntilMs.set(machine, nowMs + this.replicationTimeouts.electionMaxMs);
     const view = this.membershipView(nowMs);
     return {
       isVoter: members.voters.includes(machine) || membersIndex > committedIndex,
@@ -965,7 +983,7 @@
   }
 
   private follow(term: number, leader: string): void {
-    this.agreed = becomeFollower(this.agreed, term, leader, this.world.clock.nowMs());
+    this.agreed = becomeFollower(this.agreed, term, leader, this.runtime.clock.nowMs());
   }
 
   private handleVote(request: VoteRequest, done: (reply: VoteReply) => void): void {
@@ -1029,7 +1047,7 @@
     const { counts, entries } = decision;
     const { term, votedFor, rejoinNonce } = this.agreed;
     const { lastIndex, lastTerm } = ask;
-    const standing: DurableState = {
+    const durableState: DurableState = {
       fleet: this.fleet,
       rejoining: rejoinNonce,
       term,
@@ -1039,11 +1057,11 @@
       book: ask.text,
       entries: [...entries],
     };
-    this.agreed = installSnapshot(this.agreed, ask, this.book.restore(ask.text), entries);
+    this.agreed = installSnapshot(this.agreed, ask, this.stateMachine.restore(ask.text), entries);
     this.snapshotsTaken += 1;
     this.applied = lastIndex;
-    const pending = { term, cuts: this.agreed.cuts, counts, matched: lastIndex };
-    this.writer.checkpoint(standing, () => {
+    const pending = { term, cuts: this.agreed.truncations, counts, matched: lastIndex };
+    this.writer.writeSnapshot(durableState, () => {
       const heldIndex = lastIndex + entries.length;
       const acknowledged = acknowledgeSnapshot(this.agreed, pending, heldIndex, this.facts);
       this.agreed = acknowledged.state;
@@ -1060,14 +1078,16 @@
         throw new LogInvariantError(`Entry ${this.applied + 1} is not where it should be.`);
       this.applied = entry.index;
       this.noteRejoined(entry.text);
-      const outcome = this.steps.run("applyEntry", () => this.book.apply(entry.index, entry.text));
+      const outcome = this.steps.run("applyEntry", () =>
+        this.stateMachine.apply(entry.index, entry.text),
+      );
       const promise = this.promises.get(entry.index);
       this.promises.delete(entry.index);
       promise?.done(promise.term === entry.term ? { index: entry.index, outcome } : "unknown");
     }
     if (
       !this.checkpointing &&
-      this.writer.addedBytes > this.waits.checkpointBytes * this.snapshotPart &&
+      this.writer.addedBytes > this.replicationTimeouts.snapshotBytes * this.snapshotPart &&
       this.state === "formed"
     )
       this.writeCheckpoint("");
@@ -1084,8 +1104,8 @@
     const lastIndex = this.applied;
     const { term, votedFor, rejoinNonce, log } = this.agreed;
     const members = membersAt(this.agreed, lastIndex);
-    const startedMs = this.world.clock.nowMs();
-    const standing: DurableState = {
+    const startedMs = this.runtime.clock.nowMs();
+    const durableState: DurableState = {
       fleet: this.fleet,
       rejoining: then === "rejoined" ? "" : rejoinNonce,
       term,
@@ -1093,23 +1113,23 @@
       lastIndex,
       lastTerm: log.termAt(lastIndex) ?? 0,
       book: this.steps.run("makeSnapshot", () =>
-        this.book.checkpoint(members, this.store.history.newest),
+        this.stateMachine.snapshot(members, this.store.history.newest),
       ),
       entries: log.entriesFrom(lastIndex + 1),
     };
     const applied = log.entriesFrom(log.baseIndex + 1, lastIndex - log.baseIndex).reverse();
     const keptCount = applied.length > 0 ? countWithinLimit(applied, kept) : 0;
-    const heldIndex = this.snapshotSender.heldIndex(this.world.clock.nowMs()) ?? lastIndex;
+    const heldIndex = this.snapshotSender.heldIndex(this.runtime.clock.nowMs()) ?? lastIndex;
     const heldCount = applied.length > 0 ? countWithinLimit(applied, heldForTransfers) : 0;
     const neededCount = Math.min(lastIndex - heldIndex, heldCount);
     this.agreed = compactLog(this.agreed, lastIndex - Math.max(keptCount, neededCount));
-    const madeMs = this.world.clock.nowMs();
-    this.writer.checkpoint(standing, () => {
+    const madeMs = this.runtime.clock.nowMs();
+    this.writer.writeSnapshot(durableState, () => {
       this.checkpointing = false;
-      this.log.say("Wrote a snapshot.", {
-        bytes: standing.book.length,
+      this.log.info("Wrote a snapshot.", {
+        bytes: durableState.book.length,
         madeInMs: Math.round(madeMs - startedMs),
-        writtenInMs: Math.round(this.world.clock.nowMs() - madeMs),
+        writtenInMs: Math.round(this.runtime.clock.nowMs() - madeMs),
       });
       if (then === "rejoined") this.queue.put({ kind: "rejoined" });
     });
--- a/src/retry-budget/count-aggregator.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -89,8 +89,8 @@
 
 /** Merges the sketches of its children; at the leader it is the root, elsewhere it pushes to the root. */
 export class CountAggregator {
-  private readonly world: Runtime;
-  private readonly link: RpcEndpoint;
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
   private readonly form: RequestCountsFormat;
   private readonly self: string;
   private readonly incarnation: string;
@@ -118,21 +118,21 @@
   refused = 0;
 
   constructor(
-    world: Runtime,
-    link: RpcEndpoint,
+    runtime: Runtime,
+    rpc: RpcEndpoint,
     form: RequestCountsFormat,
     self: string,
     incarnation: string,
     leader: () => string,
   ) {
-    this.world = world;
-    this.link = link;
+    this.runtime = runtime;
+    this.rpc = rpc;
     this.form = form;
     this.self = self;
     this.incarnation = incarnation;
     this.leader = leader;
-    this.log = world.logbook.part("traffic");
-    link.serve(RpcMethod.push, (ask) => this.taking(ask));
+    this.log = runtime.loggers.component("traffic");
+    rpc.serve(RpcMethod.push, (ask) => this.taking(ask));
   }
 
   /** The fleet's counts as last heard, and what they cover. */
@@ -141,24 +141,24 @@
     return (
       this.fleet && {
         counts: this.fleet.counts,
-        ageMs: this.world.clock.nowMs() - this.fleet.atMs,
+        ageMs: this.runtime.clock.nowMs() - this.fleet.atMs,
         coverage: this.fleet.coverage,
       }
     );
   }
 
   /** Merges and pushes at its own pace. */
-  *own(pushMs: number): Task {
+  *run(pushMs: number): Task {
     for (;;) {
-      const startedMs = this.world.clock.nowMs();
-      yield* Clock.rest(this.world.clock, EXPEDITED_PUSH_MS);
+      const startedMs = this.runtime.clock.nowMs();
+      yield* Clock.sleep(this.runtime.clock, EXPEDITED_PUSH_MS);
       const isHurried =
-        (yield* this.nudge.takeUntil(this.world.clock, startedMs + pushMs)) !== undefined;
+        (yield* this.nudge.takeUntil(this.runtime.clock, startedMs + pushMs)) !== undefined;
       this.forget();
       const children = [...this.children.values()].map(({ push }) => CountAggregator.childOf(push));
       const isGranted = (child: ChildReport): boolean =>
         this.granted.some((one) => sameChild(one, child));
-      const nowMs = this.world.clock.nowMs();
+      const nowMs = this.runtime.clock.nowMs();
       const held = [...this.children.values()].filter(({ push }) =>
         isGranted(CountAggregator.childOf(push)),
       );
@@ -191,9 +191,9 @@
       const ret =
         leader === this.self
           ? this.take(ask)
-          : yield* this.link.ask(leader, RpcMethod.push, ask, pushMs);
+          : yield* this.rpc.call(leader, RpcMethod.push, ask, pushMs);
       if (!ret) continue;
-      this.halfTripMs = leader === this.self ? 0 : (this.world.clock.nowMs() - nowMs) / 2;
+      this.halfTripMs = leader === this.self ? 0 : (this.runtime.clock.nowMs() - nowMs) / 2;
       const down = AggregatedCounts.read(ret.text);
       if (down.taken !== "") continue;
       this.granted = down.granted;
@@ -201,10 +201,10 @@
         counts: RequestCounts.decode(
           ret.sketches,
           this.form,
-          this.world.clock.nowMs(),
+          this.runtime.clock.nowMs(),
           this.halfTripMs,
         ).withRoutesOf(this.fleet?.counts),
-        atMs: this.world.clock.nowMs(),
+        atMs: this.runtime.clock.nowMs(),
         coverage: down.coverage,
         included,
       };
@@ -216,16 +216,16 @@
   }
 
   private *taking(
-    ask: DecodedMessage<typeof RpcMethod.push.ask>,
-  ): Task<DecodedMessage<typeof RpcMethod.push.return>> {
+    ask: DecodedMessage<typeof RpcMethod.push.request>,
+  ): Task<DecodedMessage<typeof RpcMethod.push.response>> {
     return this.take(ask);
   }
 
   private take(
-    ask: DecodedMessage<typeof RpcMethod.push.ask>,
-  ): DecodedMessage<typeof RpcMethod.push.return> {
+    ask: DecodedMessage<typeof RpcMethod.push.request>,
+  ): DecodedMessage<typeof RpcMethod.push.response> {
     const nothing = { edges: 0, oldestMs: 0 };
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     let kept: Kept;
     try {
       const push = readPush(JSON.parse(ask.text));
@@ -244,7 +244,7 @@
     return kept.push.tier === "edge" ? this.takeEdge(kept) : this.takeCollector(kept);
   }
 
-  private takeEdge(kept: Kept): DecodedMessage<typeof RpcMethod.push.return> {
+  private takeEdge(kept: Kept): DecodedMessage<typeof RpcMethod.push.response> {
     const { push } = kept;
     const name = `${push.from} ${push.incarnation}`;
     const known = this.children.get(name);
@@ -261,7 +261,7 @@
     };
     const { bytes, atMs } = this.pack(fleet?.counts, kept.counts.hasRoutes);
     return {
-      text: JSON.stringify({ ...down, sinceMs: this.world.clock.nowMs() - atMs }),
+      text: JSON.stringify({ ...down, sinceMs: this.runtime.clock.nowMs() - atMs }),
       sketches: bytes,
     };
   }
@@ -272,7 +272,7 @@
   ): { bytes: Uint8Array; atMs: number } {
     if (this.packed && this.packed.of === of && this.packed.withRoutes === withRoutes)
       return this.packed;
-    const atMs = this.world.clock.nowMs();
+    const atMs = this.runtime.clock.nowMs();
     this.packed = {
       of,
       withRoutes,
@@ -282,9 +282,9 @@
     return this.packed;
   }
 
-  private takeCollector(kept: Kept): DecodedMessage<typeof RpcMethod.push.return> {
+  private takeCollector(kept: Kept): DecodedMessage<typeof RpcMethod.push.response> {
     const { push } = kept;
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     this.forget();
     const granted: ChildReport[] = [];
     for (const child of [...push.includes, ...push.wants]) {
@@ -333,7 +333,7 @@
   }
 
   private forget(): void {
-    const oldMs = this.world.clock.nowMs() - this.form.tries.windowMs;
+    const oldMs = this.runtime.clock.nowMs() - this.form.tries.windowMs;
     for (const table of [this.children, this.collectors])
       for (const [name, { atMs }] of table) if (atMs < oldMs) table.delete(name);
     for (const [name, { atMs }] of this.countedBy) if (atMs < oldMs) this.countedBy.delete(name);
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -24,10 +24,10 @@
 const evenTries = 1;
 /** An edge's own counts, and the fleet's as they last came down the tree. */
 export class EdgeCounts {
-  private readonly world: Runtime;
-  private readonly link: RpcEndpoint;
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
   private readonly form: RequestCountsFormat;
-  private readonly view: ClusterView;
+  private readonly clusterView: ClusterView;
   private readonly self: { machine: string; incarnation: string; zone: string };
   private readonly rules: RetryRules;
   private readonly log: Logger;
@@ -44,20 +44,20 @@
   private routesMs = -Infinity;
 
   constructor(
-    world: Runtime,
-    link: RpcEndpoint,
+    runtime: Runtime,
+    rpc: RpcEndpoint,
     form: RequestCountsFormat,
-    view: ClusterView,
+    clusterView: ClusterView,
     self: { machine: string; incarnation: string; zone: string },
     rules: RetryRules = defaultRetryRules,
   ) {
-    this.world = world;
-    this.link = link;
+    this.runtime = runtime;
+    this.rpc = rpc;
     this.form = form;
-    this.view = view;
+    this.clusterView = clusterView;
     this.self = self;
     this.rules = rules;
-    this.log = world.logbook.part("traffic");
+    this.log = runtime.loggers.component("traffic");
     this.own = new RequestCounts(form);
   }
 
@@ -67,19 +67,19 @@
     return (
       this.fleet && {
         counts: this.fleet.counts,
-        ageMs: this.world.clock.nowMs() - this.fleet.atMs,
+        ageMs: this.runtime.clock.nowMs() - this.fleet.atMs,
         coverage: this.fleet.coverage,
       }
     );
   }
 
   countRoute(route: number): void {
-    this.own.countRoute(route, this.world.clock.nowMs());
+    this.own.countRoute(route, this.runtime.clock.nowMs());
   }
 
-  countTry(service: string, isFurther: boolean): void {
-    const number = this.view.numberOf("service", service);
-    if (number !== undefined) this.own.countTry(number, isFurther, this.world.clock.nowMs());
+  countAttempt(service: string, isFurther: boolean): void {
+    const number = this.clusterView.idOf("service", service);
+    if (number !== undefined) this.own.countAttempt(number, isFurther, this.runtime.clock.nowMs());
   }
 
   /**
@@ -87,12 +87,12 @@
    * window that is looked at, the fleet may take the pool and what its first tries earned; of what is left, each daemon has the part
    * that it took of the fleet's further tries lately, and what its own first tries earned since.
    */
-  leave(service: string): SketchQuota | undefined {
-    const number = this.view.numberOf("service", service);
+  remainingQuota(service: string): SketchQuota | undefined {
+    const number = this.clusterView.idOf("service", service);
     if (number === undefined || !this.fleet) return undefined;
     const { counts, coverage } = this.fleet;
     const { sketch, windowMs } = this.rules;
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     let left = sketch.pool;
     for (const part of stretches) {
       const { first, further } = counts.ofService(number, nowMs, part * windowMs);
@@ -112,9 +112,9 @@
   ofService(
     service: string,
   ): { first: number; further: number; ageMs: number; edges: number } | undefined {
-    const number = this.view.numberOf("service", service);
+    const number = this.clusterView.idOf("service", service);
     if (number === undefined || !this.fleet) return undefined;
-    const nowMs = this.world.clock.nowMs();
+    const nowMs = this.runtime.clock.nowMs();
     const { windowMs } = this.rules;
     const fleet = this.fleet.counts.ofService(number, nowMs, windowMs);
     const since = this.own.ofService(number, nowMs, Math.min(windowMs, nowMs - this.includedMs));
@@ -127,21 +127,21 @@
   }
 
   /** Has the next push go sooner, since further tries are wished for. */
-  hurry(): void {
+  expedite(): void {
     this.nudge.putOnce(true);
   }
 
   /** Pushes to the zone's collector, or to another where it has none, for as long as the daemon runs; sooner where it is hurried. */
-  *pushing(pushMs: number): Task {
+  *run(pushMs: number): Task {
     for (;;) {
-      const startedMs = this.world.clock.nowMs();
-      yield* Clock.rest(this.world.clock, EXPEDITED_PUSH_MS);
+      const startedMs = this.runtime.clock.nowMs();
+      yield* Clock.sleep(this.runtime.clock, EXPEDITED_PUSH_MS);
       const isHurried =
         (yield* this.nudge.takeUntil(
-          this.world.clock,
-          startedMs + pushMs * (0.9 + this.world.random() * 0.2),
+          this.runtime.clock,
+          startedMs + pushMs * (0.9 + this.runtime.random() * 0.2),
         )) !== undefined;
-      const nowMs = this.world.clock.nowMs();
+      const nowMs = this.runtime.clock.nowMs();
       this.own.expire(nowMs);
       const withRoutes = nowMs - this.routesMs >= ROUTE_COUNTS_INTERVAL_MS;
       const parent = this.chooseParent();
@@ -160,13 +160,13 @@
       };
       this.pushes.push({ push: this.lastPush, atMs: nowMs });
       this.pushes = this.pushes.filter(({ atMs }) => atMs > nowMs - this.form.tries.windowMs);
-      const ret = yield* this.link.ask(
+      const ret = yield* this.rpc.call(
         parent,
         RpcMethod.push,
         { text: JSON.stringify(push), sketches: this.own.encode(nowMs, withRoutes) },
         pushMs,
       );
-      const heardMs = this.world.clock.nowMs();
+      const heardMs = this.runtime.clock.nowMs();
       if (!ret) {
         this.parent = "";
         continue;
@@ -195,10 +195,10 @@
   }
 
   private chooseParent(): string {
-    const near = this.view.collectors.filter(({ zone }) => zone === this.self.zone);
-    const choice = near.length > 0 ? near : this.view.collectors;
+    const near = this.clusterView.collectors.filter(({ zone }) => zone === this.self.zone);
+    const choice = near.length > 0 ? near : this.clusterView.collectors;
     if (choice.some(({ peer }) => peer === this.parent)) return this.parent;
-    const chosen = choice[Math.floor(this.world.random() * choice.length)]?.peer ?? "";
+    const chosen = choice[Math.floor(this.runtime.random() * choice.length)]?.peer ?? "";
     if (chosen !== this.parent) this.parentSequence += 1;
     this.parent = chosen;
     return chosen;
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -78,7 +78,7 @@
   }
 
   /** Counts a try sent to a backend of a service. */
-  countTry(service: number, isFurther: boolean, nowMs: number): void {
+  countAttempt(service: number, isFurther: boolean, nowMs: number): void {
     this.tries.add(service * 2 + (isFurther ? 1 : 0), stampOf(nowMs));
   }
 
--- a/src/retry-budget/retry-budget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -70,14 +70,14 @@
   }
 
   /** A further try that was granted at some moment reached nobody. */
-  giveBack(service: string, takenMs: number): void {
+  refund(service: string, takenMs: number): void {
     const at = Math.floor(takenMs / slotMs);
     const slot = this.account(service).slots.find((one) => one.at === at);
     if (slot && slot.further > 0) slot.further -= 1;
   }
 
   /** How many further tries were wished for in the last window. */
-  wished(service: string, nowMs: number): number {
+  requested(service: string, nowMs: number): number {
     const account = this.account(service);
     this.slot(account, nowMs);
     return account.slots.reduce((sum, { wished }) => sum + wished, 0);
--- a/src/rpc/paced-connection.ts
+++ b/src/rpc/paced-connection.ts
@@ -27,7 +27,7 @@
  */
 export class PacedConnection implements Connection {
   readonly incoming: Queue<Uint8Array | "closed">;
-  private readonly channel: Connection;
+  private readonly connection: Connection;
   private readonly egress: LinkPacer;
   private readonly clock: Clock;
   private readonly patienceMs: number;
@@ -37,9 +37,9 @@
   private isClosed = false;
 
   /** `patienceMs`: for how long frames may give way to those of other channels. */
-  constructor(channel: Connection, egress: LinkPacer, clock: Clock, patienceMs = 0) {
-    this.channel = channel;
-    this.incoming = channel.incoming;
+  constructor(connection: Connection, egress: LinkPacer, clock: Clock, patienceMs = 0) {
+    this.connection = connection;
+    this.incoming = connection.incoming;
     this.egress = egress;
     this.clock = clock;
     this.patienceMs = patienceMs;
@@ -78,7 +78,7 @@
       keep();
       transfer.end();
     }
-    this.channel.close();
+    this.connection.close();
   }
 
   /** Writes the first of the large frames, a part at each turn, then the next one. */
@@ -94,7 +94,7 @@
       first.keep();
       first.rank.dueMs = Math.min(first.rank.dueMs, this.clock.nowMs());
       first.sentBytes += part.length;
-      this.channel.send(part);
+      this.connection.send(part);
       if (first.sentBytes >= frame.length) {
         this.large.shift();
         transfer.end();
@@ -117,6 +117,6 @@
 
   private write(frame: Uint8Array): void {
     this.egress.note(frame.length);
-    this.channel.send(frame);
+    this.connection.send(frame);
   }
 }
--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -22,7 +22,7 @@
   failedMs: number;
   /** The frames that are tried on this peer: the newest, until it turns them down. */
   sequence: number;
-  channel: Connection | undefined;
+  connection: Connection | undefined;
 }
 
 /** How a return that comes after its time is taken, and for how long it is waited for. */
@@ -44,7 +44,7 @@
 
 /** The links of one daemon to its peers: asks, and the returns that come back. */
 export class RpcEndpoint {
-  private readonly world: Runtime;
+  private readonly runtime: Runtime;
   private readonly log: Logger;
   private readonly peers = new Map<string, Peer>();
   private readonly servers = new Map<number, Server>();
@@ -58,23 +58,23 @@
   readonly self: string;
 
   constructor(
-    world: Runtime,
+    runtime: Runtime,
     self: string,
     newest = FRAME_VERSION,
-    pacers = LinkPacers.of(world.clock, undefined),
+    pacers = LinkPacers.of(runtime.clock, undefined),
   ) {
     this.newest = newest;
     this.pacers = pacers;
-    this.world = world;
+    this.runtime = runtime;
     this.self = self;
-    this.log = world.logbook.part("link");
+    this.log = runtime.loggers.component("link");
   }
 
   /** Takes asks of one kind. */
   serve<A, R>(kind: RpcMethod<A, R>, handle: (ask: A) => Task<R>): void {
-    this.servers.set(kind.number, {
+    this.servers.set(kind.id, {
       *handle(body) {
-        return kind.return.toBuffer(yield* handle(decodeExactly(kind.ask, body)));
+        return kind.response.toBuffer(yield* handle(decodeExactly(kind.request, body)));
       },
       waitMs: kind.waitMs ?? Infinity,
     });
@@ -82,12 +82,12 @@
 
   /** Listens for peers. */
   *listen(): Task {
-    yield* this.world.wire.listen(this.self, (channel) =>
+    yield* this.runtime.network.listen(this.self, (connection) =>
       Runtime.start(
-        this.world,
+        this.runtime,
         "link",
         this.serving(
-          new PacedConnection(channel, this.pacers.egress, this.world.clock, returnPatienceMs),
+          new PacedConnection(connection, this.pacers.egress, this.runtime.clock, returnPatienceMs),
         ),
       ),
     );
@@ -97,7 +97,7 @@
    * Asks a peer and waits for its return; `undefined` when none came in time or the link broke. With `late`, a return that
    * comes afterwards is handed on.
    */
-  *ask<A, R>(
+  *call<A, R>(
     address: string,
     kind: RpcMethod<A, R>,
     ask: A,
@@ -107,56 +107,60 @@
     const peer = this.peer(address);
     const job = this.nextJob;
     this.nextJob = (this.nextJob + 1) % 2 ** 32;
-    peer.unansweredSinceMs ??= this.world.clock.nowMs();
-    const body = yield* Clock.within<Uint8Array | undefined>(this.world.clock, waitMs, (done) => {
-      peer.waiting.set(job, done);
-      const frame = Frame.encode({
-        sequence: peer.sequence,
-        kind: kind.number,
-        isReturn: false,
-        job,
-        body: kind.ask.toBuffer(ask),
-      });
-      if (peer.channel) peer.channel.send(frame);
-      else peer.outgoing.put(frame);
-    });
+    peer.unansweredSinceMs ??= this.runtime.clock.nowMs();
+    const body = yield* Clock.withTimeout<Uint8Array | undefined>(
+      this.runtime.clock,
+      waitMs,
+      (done) => {
+        peer.waiting.set(job, done);
+        const frame = Frame.encode({
+          sequence: peer.sequence,
+          kind: kind.id,
+          isReturn: false,
+          job,
+          body: kind.request.toBuffer(ask),
+        });
+        if (peer.connection) peer.connection.send(frame);
+        else peer.outgoing.put(frame);
+      },
+    );
     peer.waiting.delete(job);
     if (body === undefined) {
       this.closeIfSilent(peer);
-      if (late) this.takeLate(peer, job, late, (found) => decodeExactly(kind.return, found));
+      if (late) this.takeLate(peer, job, late, (found) => decodeExactly(kind.response, found));
       return undefined;
     }
     try {
-      return decodeExactly(kind.return, body);
+      return decodeExactly(kind.response, body);
     } catch (error) {
-      this.refuse(peer.channel, error);
+      this.refuse(peer.connection, error);
       return undefined;
     }
   }
 
   /** Whether a peer was heard since a moment. */
-  hasHeard(address: string, sinceMs: number): boolean {
+  hasHeardFrom(address: string, sinceMs: number): boolean {
     return (this.peers.get(address)?.heardMs ?? -Infinity) >= sinceMs;
   }
 
   /** Whether a connection to a peer failed or went silent since a moment, and nothing was heard of it after that. */
-  isOutOfReach(address: string, sinceMs: number): boolean {
+  isUnreachable(address: string, sinceMs: number): boolean {
     const peer = this.peers.get(address);
     return peer !== undefined && peer.failedMs >= sinceMs && peer.failedMs > peer.heardMs;
   }
 
   /** Gives a connection up on which an ask has waited for so long that nobody can be there; a slow answer is no silence. */
   private closeIfSilent(peer: Peer): void {
-    const nowMs = this.world.clock.nowMs();
-    const { channel, unansweredSinceMs } = peer;
-    if (!channel || unansweredSinceMs === undefined || nowMs - unansweredSinceMs <= silentMs)
+    const nowMs = this.runtime.clock.nowMs();
+    const { connection, unansweredSinceMs } = peer;
+    if (!connection || unansweredSinceMs === undefined || nowMs - unansweredSinceMs <= silentMs)
       return;
     peer.failedMs = nowMs;
-    channel.close();
+    connection.close();
   }
 
   private noteHeard(peer: Peer): void {
-    peer.heardMs = this.world.clock.nowMs();
+    peer.heardMs = this.runtime.clock.nowMs();
     peer.unansweredSinceMs = undefined;
   }
 
@@ -174,7 +178,7 @@
       forget();
       if (body !== undefined) late.take(read(body));
     });
-    this.world.clock.after(late.waitMs, forget);
+    this.runtime.clock.after(late.waitMs, forget);
   }
 
   private peer(address: string): Peer {
@@ -188,43 +192,43 @@
       unansweredSinceMs: undefined,
       failedMs: -Infinity,
       sequence: this.newest,
-      channel: undefined,
+      connection: undefined,
     };
     this.peers.set(address, peer);
-    Runtime.start(this.world, "link", this.keeping(peer));
+    Runtime.start(this.runtime, "link", this.keeping(peer));
     return peer;
   }
 
   private *keeping(peer: Peer): Task {
     for (;;) {
       const first = yield* peer.outgoing.take();
-      const connected = yield* this.world.wire.connect(peer.address);
+      const connected = yield* this.runtime.network.connect(peer.address);
       if (connected) {
-        const channel = new PacedConnection(connected, this.pacers.egress, this.world.clock);
+        const channel = new PacedConnection(connected, this.pacers.egress, this.runtime.clock);
         this.noteHeard(peer);
         peer.unansweredSinceMs = peer.heardMs;
-        peer.channel = channel;
+        peer.connection = channel;
         channel.send(first);
         for (const frame of peer.outgoing.drain()) channel.send(frame);
         const heard = yield* this.hearing(peer, channel);
         if (!heard)
           peer.sequence =
             peer.sequence === this.newest ? Math.max(0, this.newest - 1) : this.newest;
-        peer.channel = undefined;
+        peer.connection = undefined;
         channel.close();
-      } else peer.failedMs = this.world.clock.nowMs();
+      } else peer.failedMs = this.runtime.clock.nowMs();
       peer.outgoing.drain();
       for (const done of [...peer.waiting.values()]) done(undefined);
-      yield* Clock.rest(this.world.clock, backOffMs);
+      yield* Clock.sleep(this.runtime.clock, backOffMs);
     }
   }
 
   /** Hears a peer until its link ends; tells whether it said anything that is understood. */
-  private *hearing(peer: Peer, channel: Connection): Task<boolean> {
+  private *hearing(peer: Peer, connection: Connection): Task<boolean> {
     const reader = new FrameReader(this.newest);
     let heard = false;
     for (;;) {
-      const piece = yield* channel.incoming.take();
+      const piece = yield* connection.incoming.take();
       if (piece === "closed") return heard;
       this.noteHeard(peer);
       this.pacers.ingress.note(piece.length);
@@ -234,7 +238,7 @@
           if (frame.isReturn) peer.waiting.get(frame.job)?.(frame.body);
         }
       } catch (error) {
-        this.refuse(channel, error);
+        this.refuse(connection, error);
         return heard;
       }
     }
@@ -251,7 +255,7 @@
           const server = this.servers.get(frame.kind);
           if (!server || frame.isReturn)
             throw new FrameError(`Nothing here serves kind ${frame.kind}.`);
-          Runtime.start(this.world, "link", this.answering(channel, frame, server));
+          Runtime.start(this.runtime, "link", this.answering(channel, frame, server));
         }
       } catch (error) {
         this.refuse(channel, error);
@@ -261,7 +265,7 @@
   }
 
   private *answering(channel: PacedConnection, frame: Frame, server: Server): Task {
-    const expiresMs = this.world.clock.nowMs() + server.waitMs;
+    const expiresMs = this.runtime.clock.nowMs() + server.waitMs;
     try {
       const body = yield* server.handle(frame.body);
       channel.send(Frame.encode({ ...frame, isReturn: true, body }), expiresMs);
@@ -270,7 +274,7 @@
     }
   }
 
-  private refuse(channel: Connection | undefined, error: unknown): void {
+  private refuse(connection: Connection | undefined, error: unknown): void {
     if (!(
       error instanceof FrameError ||
       error instanceof StructError ||
@@ -279,7 +283,7 @@
       throw error;
     this.droppedFrames += 1;
     this.log.warn("A peer's frame was refused and its link closed.", { why: error.message });
-    channel?.close();
+    connection?.close();
   }
 }
 
--- a/src/rpc/rpc-method.ts
+++ b/src/rpc/rpc-method.ts
@@ -3,9 +3,9 @@
 
 /** One kind of exchange between processes: what is asked and what is returned. */
 export interface RpcMethod<A, R> {
-  readonly number: number;
-  readonly ask: r.Coder<A>;
-  readonly return: r.Coder<R>;
+  readonly id: number;
+  readonly request: r.Coder<A>;
+  readonly response: r.Coder<R>;
   /** How long after an ask its return may still be of use. */
   readonly waitMs?: number;
 }
@@ -30,8 +30,8 @@
 export const RpcMethod = {
   /** A voter is asked for its vote, or in a pre-vote whether it would give it. */
   vote: {
-    number: 1,
-    ask: new r.Struct({
+    id: 1,
+    request: new r.Struct({
       isPreVote: flag,
       term: r.uint32,
       candidate: text,
@@ -39,12 +39,12 @@
       lastTerm: r.uint32,
       handOver: flag,
     }),
-    return: new r.Struct({ term: r.uint32, granted: flag }),
+    response: new r.Struct({ term: r.uint32, granted: flag }),
   },
   /** A leader sends entries, or none as a heartbeat. */
   append: {
-    number: 2,
-    ask: new r.Struct({
+    id: 2,
+    request: new r.Struct({
       term: r.uint32,
       leader: text,
       previousIndex: r.uint32,
@@ -52,27 +52,27 @@
       committed: r.uint32,
       entries: new r.Array(entry, r.uint32),
     }),
-    return: new r.Struct({ term: r.uint32, fits: flag, counts: flag, matched: r.uint32 }),
+    response: new r.Struct({ term: r.uint32, fits: flag, counts: flag, matched: r.uint32 }),
   },
   /** A leader sends its whole checkpoint to one too far behind. */
   checkpoint: {
-    number: 3,
-    ask: new r.Struct({
+    id: 3,
+    request: new r.Struct({
       term: r.uint32,
       leader: text,
       lastIndex: r.uint32,
       lastTerm: r.uint32,
       text,
     }),
-    return: new r.Struct({ term: r.uint32, counts: flag, matched: r.uint32 }),
+    response: new r.Struct({ term: r.uint32, counts: flag, matched: r.uint32 }),
   },
   /**
    * Daemons meet. A recorder tells its peer address, others an empty text. With a fleet, the record is to be formed with
    * these members, at the process that `incarnation` names; with `open`, all its voters have formed it.
    */
   meet: {
-    number: 4,
-    ask: new r.Struct({
+    id: 4,
+    request: new r.Struct({
       peer: text,
       fleet: text,
       incarnation: text,
@@ -80,7 +80,7 @@
       learners: texts,
       open: flag,
     }),
-    return: new r.Struct({
+    response: new r.Struct({
       machine: text,
       zone: text,
       state: text,
@@ -95,55 +95,55 @@
   },
   /** The leader asks a follower to stand at once. */
   handOver: {
-    number: 5,
-    ask: new r.Struct({ term: r.uint32 }),
-    return: new r.Struct({ taken: flag }),
+    id: 5,
+    request: new r.Struct({ term: r.uint32 }),
+    response: new r.Struct({ taken: flag }),
   },
   /** An edge or collector asks for a fresh view; the return is its grant. */
   poll: {
-    number: 6,
+    id: 6,
     /** A large view over a thin link is taken though the poll was asked again meanwhile; the leader sends it once. */
     waitMs: 30_000,
-    ask: new r.Struct({ forwarded: flag, text }),
-    return: new r.Struct({ leader: text, text }),
+    request: new r.Struct({ forwarded: flag, text }),
+    response: new r.Struct({ leader: text, text }),
   },
   /** A command for the leader, forwarded by whoever hears it. */
   command: {
-    number: 7,
-    ask: new r.Struct({ forwarded: flag, text }),
-    return: new r.Struct({ leader: text, text }),
+    id: 7,
+    request: new r.Struct({ forwarded: flag, text }),
+    response: new r.Struct({ leader: text, text }),
   },
   /** A sketch goes up, the fleet's merged one comes down. */
   push: {
-    number: 8,
-    ask: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
-    return: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
+    id: 8,
+    request: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
+    response: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
   },
   /** A recorder asks another for accepted configs, from one on. */
   history: {
-    number: 9,
-    ask: new r.Struct({ from: r.uint32 }),
-    return: new r.Struct({ configs: new r.Buffer(r.uint32) }),
+    id: 9,
+    request: new r.Struct({ from: r.uint32 }),
+    response: new r.Struct({ configs: new r.Buffer(r.uint32) }),
   },
   /** A daemon has another keep what became of a keyed request. */
   keepOutcome: {
-    number: 11,
-    ask: new r.Struct({ ...keyedRequest, ...keyedOutcome }),
-    return: new r.Struct({ isKept: flag }),
+    id: 11,
+    request: new r.Struct({ ...keyedRequest, ...keyedOutcome }),
+    response: new r.Struct({ isKept: flag }),
   },
   /** A daemon asks another what became of a keyed request. */
   keyedOutcome: {
-    number: 12,
-    ask: new r.Struct(keyedRequest),
-    return: new r.Struct(keyedOutcome),
+    id: 12,
+    request: new r.Struct(keyedRequest),
+    response: new r.Struct(keyedOutcome),
   },
   /**
    * A leader sends one piece of its snapshot, deflated, to a member that is behind its log; without bytes it asks how much the
    * member has received. A build that doesn't know of pieces closes the link; it is sent the whole as `checkpoint`.
    */
   snapshotPiece: {
-    number: 10,
-    ask: new r.Struct({
+    id: 10,
+    request: new r.Struct({
       term: r.uint32,
       leader: text,
       lastIndex: r.uint32,
@@ -153,7 +153,7 @@
       offset: r.uint32,
       bytes: new r.Buffer(r.uint32),
     }),
-    return: new r.Struct({
+    response: new r.Struct({
       term: r.uint32,
       counts: flag,
       matched: r.uint32,
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -51,12 +51,12 @@
   },
 
   /** Lets a task rest. */
-  *rest(clock: Clock, waitMs: number): Task {
+  *sleep(clock: Clock, waitMs: number): Task {
     yield* Task.wait<boolean>((done) => clock.after(waitMs, () => done(true)));
   },
 
   /** Waits for an outcome, at most `waitMs`; `undefined` once that is over. */
-  *within<T>(
+  *withTimeout<T>(
     clock: Clock,
     waitMs: number,
     start: (done: (outcome: T) => void) => void,
--- a/src/runtime/disk.ts
+++ b/src/runtime/disk.ts
@@ -32,7 +32,7 @@
 };
 
 const awaitDisk = function* <T>(promise: Promise<T>): Task<T> {
-  const outcome = yield* Task.settle(promise);
+  const outcome = yield* Task.fromPromise(promise);
   if ("value" in outcome) return outcome.value;
   throw new DiskError("The disk broke down.", { cause: outcome.error });
 };
--- a/src/runtime/event-stream.ts
+++ b/src/runtime/event-stream.ts
@@ -14,12 +14,12 @@
   };
 
   /** Something arrived. */
-  put(item: T): void {
+  emit(item: T): void {
     for (const [sink, scheduler] of this.sinks) sink.event(scheduler.currentTime(), item);
   }
 
   /** Hears all that arrives from now on. */
-  each(scheduler: Scheduler, hear: (item: T) => void): void {
+  subscribe(scheduler: Scheduler, hear: (item: T) => void): void {
     void runEffects(tap(hear, this.stream), scheduler);
   }
 }
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -2,14 +2,14 @@
 
 /** The log of one part: short sentences behind a fixed prefix. */
 export interface Logger {
-  say(sentence: string, fields?: Record<string, unknown>): void;
+  info(sentence: string, fields?: Record<string, unknown>): void;
   warn(sentence: string, fields?: Record<string, unknown>): void;
-  fault(sentence: string, error: unknown): void;
+  error(sentence: string, error: unknown): void;
 }
 
 /** A daemon's log, by part. */
 export interface LoggerFactory {
-  part(name: string): Logger;
+  component(name: string): Logger;
 }
 
 /** From which weight on lines are written. */
@@ -17,27 +17,27 @@
 
 export const LoggerFactory = {
   /** Writes through bunyan to the standard error stream. */
-  open(machine: string, level: LogLevel): LoggerFactory & { setLevel(level: LogLevel): void } {
+  create(machine: string, level: LogLevel): LoggerFactory & { setLevel(level: LogLevel): void } {
     const log = bunyan.createLogger({ name: "daledoor", machine, level, stream: process.stderr });
     return {
       setLevel: (changed) => log.level(changed),
-      part: (name) => ({
-        say: (sentence, fields) => log.info(fields ?? {}, `${name}: ${sentence}`),
+      component: (name) => ({
+        info: (sentence, fields) => log.info(fields ?? {}, `${name}: ${sentence}`),
         warn: (sentence, fields) => log.warn(fields ?? {}, `${name}: ${sentence}`),
-        fault: (sentence, error) => log.error({ err: error }, `${name}: ${sentence}`),
+        error: (sentence, error) => log.error({ err: error }, `${name}: ${sentence}`),
       }),
     };
   },
 
   /** Hands lines on and raises what is at fault, for tests and the simulator. */
-  into(lines: (line: string) => void): LoggerFactory {
+  toLines(lines: (line: string) => void): LoggerFactory {
     return {
-      part: (name) => ({
-        say: (sentence, fields) =>
+      component: (name) => ({
+        info: (sentence, fields) =>
           lines(`${name}: ${sentence}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
         warn: (sentence, fields) =>
           lines(`${name}: ${sentence}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
-        fault(sentence, error) {
+        error(sentence, error) {
           lines(
             `${name}: ${sentence} ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
           );
--- a/src/runtime/network.ts
+++ b/src/runtime/network.ts
@@ -13,7 +13,7 @@
 /** How processes reach one another, by IP number and port. */
 export interface Network {
   connect(address: string): Task<Connection | undefined>;
-  listen(address: string, accept: (channel: Connection) => void): Task;
+  listen(address: string, accept: (connection: Connection) => void): Task;
 }
 
 /** Raised when an address can't be listened on. */
--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -7,11 +7,11 @@
 /** The machine that a daemon runs on: real in a process, virtual and seeded in the simulator. */
 export interface Runtime {
   readonly clock: Clock;
-  readonly wire: Network;
+  readonly network: Network;
   readonly disk: Disk | undefined;
-  readonly logbook: LoggerFactory;
+  readonly loggers: LoggerFactory;
   /** Hears that a task broke off on what nobody foresaw: the daemon must not go on half alive. */
-  broken(part: string, error: unknown): void;
+  onTaskFailure(part: string, error: unknown): void;
   /** A number from 0 up to 1. */
   random(): number;
   /** The wall clock, for people to read; nothing is decided by it. */
@@ -20,14 +20,14 @@
 
 export const Runtime = {
   /** Starts a task of a part; should it break off, the daemon ends rather than go on without it. */
-  start<T>(world: Runtime, part: string, task: Task<T>, ended?: (value: T) => void): void {
-    Task.start(task, (error) => world.broken(part, error), ended);
+  start<T>(runtime: Runtime, part: string, task: Task<T>, ended?: (value: T) => void): void {
+    Task.start(task, (error) => runtime.onTaskFailure(part, error), ended);
   },
 
   /** A word no other draw gives again. */
-  nonce(world: Runtime): string {
-    return Array.from({ length: 3 }, () => Math.floor(world.random() * 2 ** 32).toString(36)).join(
-      "-",
-    );
+  nonce(runtime: Runtime): string {
+    return Array.from({ length: 3 }, () =>
+      Math.floor(runtime.random() * 2 ** 32).toString(36),
+    ).join("-");
   },
 };
--- a/src/runtime/task.ts
+++ b/src/runtime/task.ts
@@ -49,7 +49,7 @@
   },
 
   /** Waits for a promise; a rejection comes back as its error. */
-  *settle<T>(promise: Promise<T>): Task<{ value: T } | { error: unknown }> {
+  *fromPromise<T>(promise: Promise<T>): Task<{ value: T } | { error: unknown }> {
     return yield* Task.wait<{ value: T } | { error: unknown }>((done) => {
       promise.then(
         (value) => done({ value }),
--- a/src/simulation/client-transport.ts
+++ b/src/simulation/client-transport.ts
@@ -22,11 +22,11 @@
   ready(): Array<Pick<Settings, "machine" | "zone">>;
   /** Whether a daemon's process runs, so that a kept connection to it may be used though it takes no new ones. */
   isUp(daemon: string): boolean;
-  call(daemon: string, job: ProxyRequest, patienceMs: number): Task<ClientSide>;
+  call(daemon: string, clientRequest: ProxyRequest, patienceMs: number): Task<ClientSide>;
   /** Asks the operators' port of a daemon, any daemon where none is named, from a back end's place or the operators'. */
   desk(
     daemon: string | undefined,
-    job: ProxyRequest,
+    clientRequest: ProxyRequest,
     from?: string,
     patienceMs?: number,
   ): Task<ClientResponse | undefined>;
--- a/src/simulation/config-history-check.ts
+++ b/src/simulation/config-history-check.ts
@@ -11,8 +11,8 @@
   readonly what: string;
 }
 
-const sightingOf = (order: ConfigCommandRecord): Sighting | undefined => {
-  const { startMs, endMs, base, probe, outcome, version } = order;
+const sightingOf = (command: ConfigCommandRecord): Sighting | undefined => {
+  const { startMs, endMs, base, probe, outcome, version } = command;
   const own = { startMs, endMs, leaves: version };
   if (outcome === "accepted")
     return { ...own, version: base, what: `order ${probe} was accepted as ${version} on ${base}` };
@@ -21,10 +21,10 @@
 };
 
 const sightingsOf = (
-  orders: readonly ConfigCommandRecord[],
+  commands: readonly ConfigCommandRecord[],
   reads: readonly ConfigReadRecord[],
 ): Sighting[] => [
-  ...orders.flatMap((order) => sightingOf(order) ?? []),
+  ...commands.flatMap((command) => sightingOf(command) ?? []),
   ...reads.map(({ startMs, endMs, version }) => ({
     startMs,
     endMs,
@@ -63,13 +63,13 @@
 
 /** Versions that were shown before any order that could have made them was sent. */
 const unmadeVersions = function* (
-  orders: readonly ConfigCommandRecord[],
+  commands: readonly ConfigCommandRecord[],
   sightings: readonly Sighting[],
 ): Iterable<string> {
   const accepted = new Map(
-    orders.filter(({ outcome }) => outcome === "accepted").map((one) => [one.version, one]),
+    commands.filter(({ outcome }) => outcome === "accepted").map((one) => [one.version, one]),
   );
-  const unknown = orders.filter(({ outcome }) => outcome === "unknown");
+  const unknown = commands.filter(({ outcome }) => outcome === "unknown");
   for (const { endMs, version, what } of sightings) {
     const maker = accepted.get(version);
     const mayBe = [...(maker ? [maker] : []), ...unknown].some(
@@ -85,16 +85,16 @@
  * accepted orders form a chain and no call shows less than a call that ended before it began.
  */
 export const configHistoryFaults = function* (
-  orders: readonly ConfigCommandRecord[],
+  commands: readonly ConfigCommandRecord[],
   reads: readonly ConfigReadRecord[],
 ): Iterable<string> {
-  for (const { outcome, probe } of orders)
+  for (const { outcome, probe } of commands)
     if (outcome === "refused") yield `order ${probe} was refused for good, though it was proper`;
-  const sightings = sightingsOf(orders, reads);
-  yield* brokenChain(orders.filter(({ outcome }) => outcome === "accepted"));
+  const sightings = sightingsOf(commands, reads);
+  yield* brokenChain(commands.filter(({ outcome }) => outcome === "accepted"));
   yield* staleSightings(sightings);
-  yield* unmadeVersions(orders, sightings);
-  for (const { outcome, version, base, probe } of orders)
+  yield* unmadeVersions(commands, sightings);
+  for (const { outcome, version, base, probe } of commands)
     if (outcome === "lost" && version === base)
       yield `order ${probe} lost to ${version}, the very version that it builds on`;
 };
--- a/src/simulation/config-workload.ts
+++ b/src/simulation/config-workload.ts
@@ -60,7 +60,7 @@
 export class ConfigWorkload {
   private readonly outside: ClientTransport;
   private readonly profile: Profile;
-  private readonly ledger: EventRecorder;
+  private readonly recorder: EventRecorder;
   private readonly isOver: () => boolean;
   private changes = 0;
   private extraRoutes = 0;
@@ -71,12 +71,12 @@
   constructor(
     outside: ClientTransport,
     profile: Profile,
-    ledger: EventRecorder,
+    recorder: EventRecorder,
     isOver: () => boolean,
   ) {
     this.outside = outside;
     this.profile = profile;
-    this.ledger = ledger;
+    this.recorder = recorder;
     this.isOver = isOver;
   }
 
@@ -112,29 +112,30 @@
   *submit(change: ConfigChange, { via, patienceMs }: CommandSender = {}): Task<boolean> {
     const { base, probe, text } = change;
     const { clock } = this.outside;
-    const record = this.ledger.order({ base, probe, startMs: clock.nowMs() });
-    this.ledger.world.push({ kind: "sent", atMs: clock.nowMs(), probe, text });
+    const record = this.recorder.order({ base, probe, startMs: clock.nowMs() });
+    this.recorder.world.push({ kind: "sent", atMs: clock.nowMs(), probe, text });
     for (let attempt = 0; attempt < attemptsOfOrder && !this.isOver(); attempt += 1) {
       const [daemon, sentMs] = [via?.(), clock.nowMs()];
-      const ret = yield* this.outside.desk(daemon, orderJob(change), undefined, patienceMs);
+      const response = yield* this.outside.desk(daemon, orderJob(change), undefined, patienceMs);
       const atMs = clock.nowMs();
-      record.attempts.push({ daemon, startMs: sentMs, endMs: atMs, code: ret?.code ?? 0 });
-      if (ret?.code === 200) {
-        const { sequence } = create(jsonIn(ret.body), sequenced);
+      record.attempts.push({ daemon, startMs: sentMs, endMs: atMs, code: response?.code ?? 0 });
+      if (response?.code === 200) {
+        const { sequence } = create(jsonIn(response.body), sequenced);
         this.sequence = Math.max(this.sequence, sequence);
         Object.assign(record, { outcome: "accepted", version: sequence, endMs: atMs });
-        this.ledger.world.push({ kind: "accepted", atMs, sequence, probe, text });
+        this.recorder.world.push({ kind: "accepted", atMs, sequence, probe, text });
         return true;
       }
-      if (ret && ret.code >= 400 && ret.code < 500) {
-        const current = ret.code === 412 ? create(jsonIn(ret.body), sequenced).sequence : 0;
+      if (response && response.code >= 400 && response.code < 500) {
+        const current =
+          response.code === 412 ? create(jsonIn(response.body), sequenced).sequence : 0;
         this.sequence = Math.max(this.sequence, current);
-        const outcome = ret.code === 412 ? "lost" : "refused";
+        const outcome = response.code === 412 ? "lost" : "refused";
         Object.assign(record, { outcome, version: current, endMs: atMs });
-        this.ledger.world.push({ kind: "rejected", atMs, probe });
+        this.recorder.world.push({ kind: "rejected", atMs, probe });
         return false;
       }
-      yield* Clock.rest(clock, pauseMs);
+      yield* Clock.sleep(clock, pauseMs);
     }
     return false;
   }
@@ -143,16 +144,16 @@
   *read(via: string | undefined): Task {
     const { clock } = this.outside;
     const startMs = clock.nowMs();
-    const ret = yield* this.outside.desk(via, readJob("/config"));
-    if (ret?.code !== 200) return;
-    const { sequence } = create(jsonIn(ret.body), sequenced);
-    this.ledger.configReads.push({ startMs, endMs: clock.nowMs(), version: sequence });
+    const response = yield* this.outside.desk(via, readJob("/config"));
+    if (response?.code !== 200) return;
+    const { sequence } = create(jsonIn(response.body), sequenced);
+    this.recorder.configReads.push({ startMs, endMs: clock.nowMs(), version: sequence });
   }
 
   /** An operator who reads the newest configuration now and then, from any daemon. */
   *reading(everyMs: number): Task {
     while (!this.isOver()) {
-      yield* Clock.rest(this.outside.clock, everyMs * (0.5 + this.outside.random()));
+      yield* Clock.sleep(this.outside.clock, everyMs * (0.5 + this.outside.random()));
       this.outside.start(this.read(undefined));
     }
   }
@@ -163,23 +164,23 @@
     const probe = (this.sequence + 1) * 1000 + (this.changes % 1000);
     const bad = malformedConfigs(Profile.config(this.profile, probe), this.profile, probe);
     const body = Buffer.from(bad[Math.floor(this.outside.random() * bad.length)] ?? "");
-    const ret = yield* this.outside.desk(undefined, {
+    const response = yield* this.outside.desk(undefined, {
       method: "PUT",
       target: "/config",
       headers: { "if-match": `"${this.sequence}"` },
       body,
     });
     const atMs = this.outside.clock.nowMs();
-    if (ret?.code === 400) this.ledger.world.push({ kind: "rejected", atMs, probe });
-    if (ret && ret.code < 300)
-      this.ledger.world.push({ kind: "tookMalformed", atMs, text: body.toString() });
+    if (response?.code === 400) this.recorder.world.push({ kind: "rejected", atMs, probe });
+    if (response && response.code < 300)
+      this.recorder.world.push({ kind: "tookMalformed", atMs, text: body.toString() });
   }
 
   /** Reads back every configuration that was accepted, at the end of a day; one that nobody returns reads as missing. */
   *readBack(): Task {
-    for (const sequence of new Set(this.ledger.of("accepted").map((record) => record.sequence))) {
+    for (const sequence of new Set(this.recorder.of("accepted").map((record) => record.sequence))) {
       const text = yield* this.textOf(sequence);
-      this.ledger.world.push({
+      this.recorder.world.push({
         kind: "readBack",
         atMs: this.outside.clock.nowMs(),
         sequence,
@@ -190,10 +191,11 @@
 
   private *textOf(sequence: number): Task<string | undefined> {
     for (let attempt = 0; attempt < attemptsOfRead; attempt += 1) {
-      const ret = yield* this.outside.desk(undefined, readJob(`/config/${sequence}`));
-      if (ret?.code === 200) return JSON.stringify(create(jsonIn(ret.body), foundConfig).config);
-      if (ret && ret.code !== 503) return undefined;
-      yield* Clock.rest(this.outside.clock, readPauseMs);
+      const response = yield* this.outside.desk(undefined, readJob(`/config/${sequence}`));
+      if (response?.code === 200)
+        return JSON.stringify(create(jsonIn(response.body), foundConfig).config);
+      if (response && response.code !== 503) return undefined;
+      yield* Clock.sleep(this.outside.clock, readPauseMs);
     }
     return undefined;
   }
--- a/src/simulation/faults/addresses.ts
+++ b/src/simulation/faults/addresses.ts
@@ -19,7 +19,7 @@
 ): Task {
   yield* rest(simulation, 0, 3000);
   one.replace(pick(simulation, services) ?? one.service);
-  simulation.ledger.world.push({
+  simulation.recorder.world.push({
     kind: "reused",
     atMs: simulation.time.nowMs(),
     address: one.address,
--- a/src/simulation/faults/backend-faults.ts
+++ b/src/simulation/faults/backend-faults.ts
@@ -62,7 +62,7 @@
       workingBackends(simulation).filter(({ service }) => service === one.service).length < 5;
     const service = few ? one.service : (pick(simulation, services) ?? one.service);
     one.replace(service);
-    simulation.ledger.world.push({
+    simulation.recorder.world.push({
       kind: "reused",
       atMs: simulation.time.nowMs(),
       address: one.address,
--- a/src/simulation/faults/catch-up-faults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -31,14 +31,14 @@
     simulation.kill(away, true);
     yield* changeManyTimes(simulation, changesMeanwhile);
     simulation.boot(away);
-    yield* Clock.rest(simulation.clock, catchUpMs);
+    yield* Clock.sleep(simulation.clock, catchUpMs);
     for (const other of diskMachines(simulation).filter((one) => one !== away)) {
       simulation.kill(other, true);
-      yield* Clock.rest(simulation.clock, orderAfterMs);
+      yield* Clock.sleep(simulation.clock, orderAfterMs);
       simulation.start(timedCommand(simulation, "one lost after many changes"));
-      yield* Clock.rest(simulation.clock, downMs);
+      yield* Clock.sleep(simulation.clock, downMs);
       simulation.boot(other);
-      yield* Clock.rest(simulation.clock, catchUpMs);
+      yield* Clock.sleep(simulation.clock, catchUpMs);
     }
     yield* rest(simulation, 200, 500);
   },
--- a/src/simulation/faults/disk-faults.ts
+++ b/src/simulation/faults/disk-faults.ts
@@ -30,12 +30,12 @@
   },
   *loseDiskWhileAnotherLags(simulation) {
     const [leader] = leaders(simulation);
-    const voters = leader?.daemon?.recorder?.currentMembers.voters ?? [];
+    const voters = leader?.daemon?.replicationNode?.currentMembers.voters ?? [];
     const [lagging, emptied, more] = diskMachines(simulation).filter(
       (one) => one !== leader && voters.includes(one.settings.peers),
     );
     const whole = diskMachines(simulation).every(
-      ({ daemon }) => daemon?.recorder?.status.state === "formed",
+      ({ daemon }) => daemon?.replicationNode?.status.state === "formed",
     );
     if (!leader || !lagging || !emptied || more || !whole) return;
     const ways = routesBetween(
@@ -45,7 +45,9 @@
     for (const [from, to] of ways) simulation.network.cut(from, to);
     yield* simulation.day.putConfig();
     const still =
-      diskMachines(simulation).every(({ daemon }) => daemon?.recorder?.status.state === "formed") &&
+      diskMachines(simulation).every(
+        ({ daemon }) => daemon?.replicationNode?.status.state === "formed",
+      ) &&
       emptied.gate.isAlive &&
       leader.gate.isAlive;
     if (still) {
--- a/src/simulation/faults/garbled-response-faults.ts
+++ b/src/simulation/faults/garbled-response-faults.ts
@@ -50,6 +50,6 @@
     for (const one of drawn.slice(releasedBackEnds, releasedBackEnds + handedOver))
       simulation.start(reuse(simulation, one));
     yield* rest(simulation, 9000, 12_000);
-    for (const one of simulation.standIns) one.behave({});
+    for (const one of simulation.testBackends) one.behave({});
   },
 };
--- a/src/simulation/faults/member-partition-faults.ts
+++ b/src/simulation/faults/member-partition-faults.ts
@@ -69,7 +69,7 @@
   for (const [from, to] of ways) simulation.network.cut(from, to);
   const atMs = simulation.time.nowMs();
   const untilMs = atMs + cutMs;
-  simulation.ledger.world.push({
+  simulation.recorder.world.push({
     kind: "memberCut",
     atMs,
     endMs: untilMs,
@@ -78,7 +78,7 @@
   simulation.start(leaveMeanwhile(simulation));
   while (simulation.time.nowMs() < untilMs) {
     raceAcross(simulation, member, others);
-    yield* Clock.rest(simulation.clock, raceEveryMs);
+    yield* Clock.sleep(simulation.clock, raceEveryMs);
   }
   simulation.kill(member, simulation.random() < 0.5);
   for (const [from, to] of ways) simulation.network.mend(from, to);
--- a/src/simulation/faults/network-faults.ts
+++ b/src/simulation/faults/network-faults.ts
@@ -54,7 +54,7 @@
   *cutFromBackEnds(simulation) {
     const some = disklessMachines(simulation).slice(0, 1 + Math.floor(simulation.random() * 4));
     const most = simulation.random() < 0.3 ? 1 : simulation.random();
-    const addresses = simulation.standIns
+    const addresses = simulation.testBackends
       .filter(() => simulation.random() < most)
       .map(({ address }) => address);
     yield* partition(
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -20,7 +20,7 @@
 
 const replacedSuddenly: Loss = function* (simulation, member) {
   simulation.remove(member);
-  yield* Clock.rest(simulation.clock, successorMs);
+  yield* Clock.sleep(simulation.clock, successorMs);
   simulation.addSpare(member.settings.zone);
   return simulation.time.nowMs() + syncMs(simulation);
 };
@@ -28,7 +28,7 @@
 const replacedInOrder: Loss = function* (simulation, member) {
   simulation.addSpare(member.settings.zone);
   const wholeMs = simulation.time.nowMs() + syncMs(simulation);
-  yield* Clock.rest(simulation.clock, successorMs);
+  yield* Clock.sleep(simulation.clock, successorMs);
   yield* simulation.stop(member);
   simulation.remove(member);
   return wholeMs;
@@ -38,14 +38,14 @@
   simulation.kill(member, true);
   member.disk?.wipe();
   member.isEmptied = true;
-  yield* Clock.rest(simulation.clock, successorMs);
+  yield* Clock.sleep(simulation.clock, successorMs);
   simulation.boot(member);
   return simulation.time.nowMs() + syncMs(simulation);
 };
 
 const unpowered: Loss = function* (simulation, member) {
   simulation.kill(member, true);
-  yield* Clock.rest(simulation.clock, downMs);
+  yield* Clock.sleep(simulation.clock, downMs);
   simulation.boot(member);
   return simulation.time.nowMs() + syncMs(simulation);
 };
@@ -61,7 +61,7 @@
 const loseAtOnce = function* (simulation: Simulation, lose: Loss, name: string): Task {
   const members = nextLost(simulation, simulation.profile.tolerate?.machines ?? 1);
   const wholeMs: number[] = [];
-  simulation.ledger.world.push({
+  simulation.recorder.world.push({
     kind: "membersLost",
     atMs: simulation.time.nowMs(),
     how: name,
@@ -73,11 +73,11 @@
         wholeMs.push(yield* lose(simulation, member));
       })(),
     );
-  yield* Clock.rest(simulation.clock, orderAfterMs);
+  yield* Clock.sleep(simulation.clock, orderAfterMs);
   simulation.start(timedCommand(simulation, name));
-  while (wholeMs.length < members.length) yield* Clock.rest(simulation.clock, watchMs);
+  while (wholeMs.length < members.length) yield* Clock.sleep(simulation.clock, watchMs);
   const untilMs = Math.max(...wholeMs);
-  yield* Clock.rest(simulation.clock, Math.max(0, untilMs - simulation.time.nowMs()));
+  yield* Clock.sleep(simulation.clock, Math.max(0, untilMs - simulation.time.nowMs()));
 };
 
 /** Loses members again and again, each time at the first moment that the bounds allow. */
@@ -86,7 +86,7 @@
   losses: ReadonlyArray<readonly [name: string, lose: Loss]>,
 ): Task {
   // Whoever was lost before counts as lost for so long.
-  yield* Clock.rest(simulation.clock, syncMs(simulation));
+  yield* Clock.sleep(simulation.clock, syncMs(simulation));
   if (!allFormed(simulation)) return;
   simulation.isLosingDisk = true;
   for (const [name, lose] of losses) yield* loseAtOnce(simulation, lose, name);
--- a/src/simulation/faults/targets.ts
+++ b/src/simulation/faults/targets.ts
@@ -9,7 +9,7 @@
 
 /** Waits for a drawn time between two bounds. */
 export const rest = (simulation: Simulation, leastMs: number, mostMs: number): Task =>
-  Clock.rest(simulation.clock, leastMs + simulation.random() * (mostMs - leastMs));
+  Clock.sleep(simulation.clock, leastMs + simulation.random() * (mostMs - leastMs));
 
 /** The machines whose process runs and was not told to stop. */
 export const runningMachines = (simulation: Simulation): SimulatedMachine[] =>
@@ -25,11 +25,13 @@
 
 /** The back ends that run and announce themselves. */
 export const workingBackends = (simulation: Simulation): TestBackend[] =>
-  simulation.standIns.filter(({ isUp, isAnnouncing }) => isUp && isAnnouncing);
+  simulation.testBackends.filter(({ isUp, isAnnouncing }) => isUp && isAnnouncing);
 
 /** The replicated-log members that take themselves for the leader. */
 export const leaders = (simulation: Simulation): SimulatedMachine[] =>
-  diskMachines(simulation).filter(({ daemon }) => daemon?.recorder?.status.role === "leader");
+  diskMachines(simulation).filter(
+    ({ daemon }) => daemon?.replicationNode?.status.role === "leader",
+  );
 
 /** Where a machine is, as the network names it. */
 export const machineNameOf = ({ settings }: SimulatedMachine): string => settings.machine;
@@ -46,7 +48,7 @@
   return (
     !simulation.isLosingDisk &&
     whole.length === simulation.profile.diskMachines &&
-    whole.every(({ daemon }) => daemon?.recorder?.status.state === "formed") &&
+    whole.every(({ daemon }) => daemon?.replicationNode?.status.state === "formed") &&
     leaders(simulation).length > 0 &&
     !areMembersCut(simulation)
   );
--- a/src/simulation/faults/timed-command.ts
+++ b/src/simulation/faults/timed-command.ts
@@ -3,16 +3,16 @@
 
 /** An operator changes the configuration; how long that took goes into the ledger. */
 export const timedCommand = function* (simulation: Simulation, during: string): Task {
-  const { ledger, time, day } = simulation;
+  const { recorder, time, day } = simulation;
   const atMs = time.nowMs();
   const change = day.operators.prepare();
   yield* day.operators.submit(change, { patienceMs: OPERATOR_PATIENCE_MS });
-  const order = ledger.configOrders.find(({ probe }) => probe === change.probe);
-  ledger.world.push({
+  const command = recorder.configOrders.find(({ probe }) => probe === change.probe);
+  recorder.world.push({
     kind: "orderedDuring",
     atMs,
     during,
-    outcome: order?.outcome ?? "unknown",
+    outcome: command?.outcome ?? "unknown",
     waitedMs: time.nowMs() - atMs,
   });
 };
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -9,7 +9,7 @@
   what: string;
 }
 
-type Rule = (ledger: EventRecorder) => Iterable<string>;
+type Rule = (recorder: EventRecorder) => Iterable<string>;
 
 const keyMs = 60_000;
 const leftMs = 2000;
@@ -37,8 +37,8 @@
 
 const succeeded = (record: ClientRecord): boolean => record.code >= 200 && record.code < 300;
 
-const keyRanOnce: Rule = function* (ledger) {
-  const byKey = groupBy(ledger.runs, (run) =>
+const keyRanOnce: Rule = function* (recorder) {
+  const byKey = groupBy(recorder.runs, (run) =>
     run.key === undefined ? undefined : `${run.method} ${run.path} ${run.key}`,
   );
   for (const [key, runs] of byKey) {
@@ -50,9 +50,9 @@
   }
 };
 
-const returnsAreTrue: Rule = function* (ledger) {
-  const keys = new Map(ledger.callers.map(({ id, key }) => [id, key]));
-  for (const record of ledger.callers.filter(succeeded)) {
+const returnsAreTrue: Rule = function* (recorder) {
+  const keys = new Map(recorder.callers.map(({ id, key }) => [id, key]));
+  for (const record of recorder.callers.filter(succeeded)) {
     if (record.isGarbage) yield `${record.id} got garbage as a success`;
     else if (!record.isWhole) yield `${record.id} got a body that is cut short as a success`;
     else {
@@ -63,15 +63,15 @@
   }
 };
 
-const droppedNeverRan: Rule = function* (ledger) {
-  const ran = new Set(ledger.runs.map(({ caller }) => caller));
-  for (const record of ledger.callers)
+const droppedNeverRan: Rule = function* (recorder) {
+  const ran = new Set(recorder.runs.map(({ caller }) => caller));
+  for (const record of recorder.callers)
     if (record.code === 503 && ran.has(record.id))
       yield `${record.id} was told to try later, but ran`;
 };
 
-const unrepeatableRanOnce: Rule = function* (ledger) {
-  for (const [caller, runs] of groupBy(ledger.runs, (run) =>
+const unrepeatableRanOnce: Rule = function* (recorder) {
+  for (const [caller, runs] of groupBy(recorder.runs, (run) =>
     safeMethods.has(run.method) ? undefined : run.caller,
   ))
     if (runs.length > 1) yield `${caller} ran ${runs.length} times`;
@@ -79,16 +79,16 @@
 
 /** The most further tries that any window held, against what it might. */
 export const worstRepeats = (
-  ledger: EventRecorder,
+  recorder: EventRecorder,
 ): Map<string, { further: number; requests: number; allowed: number }> => {
   const worst = new Map<string, { further: number; requests: number; allowed: number }>();
   const seen = new Set<string>();
   const further: RunRecord[] = [];
-  for (const run of [...ledger.runs].sort((a, b) => a.atMs - b.atMs)) {
+  for (const run of [...recorder.runs].sort((a, b) => a.atMs - b.atMs)) {
     if (seen.has(run.caller)) further.push(run);
     seen.add(run.caller);
   }
-  const requests = groupBy(ledger.callers, ({ service }) => service);
+  const requests = groupBy(recorder.callers, ({ service }) => service);
   for (const [service, runs] of groupBy(further, ({ meant }) => meant)) {
     const sent = (requests.get(service) ?? []).map(({ sentMs }) => sentMs).sort((a, b) => a - b);
     for (const { atMs } of runs) {
@@ -104,15 +104,15 @@
   return worst;
 };
 
-const repeatsAreBounded: Rule = function* (ledger) {
-  for (const [service, { further, requests, allowed }] of worstRepeats(ledger))
+const repeatsAreBounded: Rule = function* (recorder) {
+  for (const [service, { further, requests, allowed }] of worstRepeats(recorder))
     if (further > allowed)
       yield `${service} got ${further} repeats in ten seconds with ${requests} requests; ${Math.floor(allowed)} were allowed`;
 };
 
-const leaversGetNothing: Rule = function* (ledger) {
-  for (const left of ledger.of("left"))
-    for (const run of ledger.runs)
+const leaversGetNothing: Rule = function* (recorder) {
+  for (const left of recorder.of("left"))
+    for (const run of recorder.runs)
       if (
         run.address === left.address &&
         run.incarnation === left.incarnation &&
@@ -126,11 +126,11 @@
   return number === undefined ? undefined : Number(number);
 };
 
-const configsAreFresh: Rule = function* (ledger) {
-  const accepted = ledger.of("accepted");
-  const rejected = new Set(ledger.of("rejected").map((record) => record.probe));
-  const sent = ledger.of("sent").filter((record) => !rejected.has(record.probe));
-  for (const record of ledger.callers) {
+const configsAreFresh: Rule = function* (recorder) {
+  const accepted = recorder.of("accepted");
+  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
+  const sent = recorder.of("sent").filter((record) => !rejected.has(record.probe));
+  for (const record of recorder.callers) {
     const number = probed(record);
     if (number === undefined) continue;
     const newest = accepted
@@ -144,8 +144,8 @@
   }
 };
 
-const configsNeverSlipBack: Rule = function* (ledger) {
-  for (const [daemon, records] of groupBy(ledger.callers, (record) =>
+const configsNeverSlipBack: Rule = function* (recorder) {
+  for (const [daemon, records] of groupBy(recorder.callers, (record) =>
     probed(record) !== undefined && record.code === 200 ? record.daemon : undefined,
   )) {
     const ended = [...records].sort((a, b) => a.endedMs - b.endedMs);
@@ -167,20 +167,20 @@
   }
 };
 
-const servicesWereAllowed: Rule = function* (ledger) {
-  const rejected = new Set(ledger.of("rejected").map((record) => record.probe));
-  const configs = ledger
+const servicesWereAllowed: Rule = function* (recorder) {
+  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
+  const configs = recorder
     .of("sent")
     .filter((record) => !rejected.has(record.probe))
     .map(({ text }) => new RouteTable(Config.parse(text)));
   const known = new Map<string, Set<string>>();
-  for (const run of ledger.runs) {
+  for (const run of recorder.runs) {
     const name = `${run.method} ${run.path}`;
     let allowed = known.get(name);
     if (!allowed) {
       allowed = new Set(
         configs
-          .map((mappings) => mappings.find(run.method, run.path)?.service)
+          .map((routeTable) => routeTable.find(run.method, run.path)?.service)
           .filter((service) => service !== undefined),
       );
       known.set(name, allowed);
@@ -189,22 +189,22 @@
   }
 };
 
-const configsAreKept: Rule = function* (ledger) {
-  const accepted = ledger.of("accepted");
-  const rejected = new Set(ledger.of("rejected").map((record) => record.probe));
+const configsAreKept: Rule = function* (recorder) {
+  const accepted = recorder.of("accepted");
+  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
   for (const [sequence, records] of groupBy(accepted, ({ sequence }) => String(sequence)))
     if (new Set(records.map(({ text }) => text)).size > 1)
       yield `two configs were accepted as ${sequence}`;
-  for (const { text } of ledger.of("tookMalformed"))
+  for (const { text } of recorder.of("tookMalformed"))
     yield `a malformed config was accepted: ${text.slice(0, 80)}`;
-  for (const read of ledger.of("readBack")) {
+  for (const read of recorder.of("readBack")) {
     const own = accepted.find(({ sequence }) => sequence === read.sequence);
     if (own && read.text !== own.text)
       yield `config ${read.sequence} reads back ${read.text === undefined ? "as missing" : "changed"}`;
     const newest = accepted
       .filter(({ atMs }) => atMs <= read.atMs)
       .reduce((most, { sequence }) => Math.max(most, sequence), 0);
-    const mayBeNewer = ledger
+    const mayBeNewer = recorder
       .of("sent")
       .some(
         ({ probe: number, atMs }) =>
@@ -215,16 +215,16 @@
     if (read.text !== undefined && read.sequence > newest && !mayBeNewer)
       yield `config ${read.sequence} is in force though none accepted it`;
   }
-  for (const record of ledger.callers) {
+  for (const record of recorder.callers) {
     const number = probed(record);
     if (number !== undefined && record.code === 200 && rejected.has(number))
       yield `${record.daemon} serves by the rejected config ${number}`;
   }
 };
 
-const stopsFinishWork: Rule = function* (ledger) {
-  for (const { daemon, atMs, endedMs } of ledger.of("stopped")) {
-    for (const record of ledger.callers)
+const stopsFinishWork: Rule = function* (recorder) {
+  for (const { daemon, atMs, endedMs } of recorder.of("stopped")) {
+    for (const record of recorder.callers)
       if (
         record.daemon === daemon &&
         record.sentMs < atMs &&
@@ -238,27 +238,27 @@
 };
 
 /** The part of requests sent in a time that were served. */
-export const servedPart = (ledger: EventRecorder, fromMs: number, untilMs: number): number => {
-  const sent = ledger.callers.filter(
+export const servedPart = (recorder: EventRecorder, fromMs: number, untilMs: number): number => {
+  const sent = recorder.callers.filter(
     ({ sentMs, path }) => sentMs >= fromMs && sentMs < untilMs && !probe.test(path),
   );
   return sent.length === 0 ? 0 : sent.filter(succeeded).length / sent.length;
 };
 
-const recoversInTime: Rule = function* (ledger) {
-  for (const { atMs } of ledger.of("recovered")) {
-    if (ledger.endMs < atMs + recoverMs + 2000) {
+const recoversInTime: Rule = function* (recorder) {
+  for (const { atMs } of recorder.of("recovered")) {
+    if (recorder.endMs < atMs + recoverMs + 2000) {
       yield "the run ended too soon after the fault to tell";
       continue;
     }
-    const part = servedPart(ledger, atMs + recoverMs, ledger.endMs - 1000);
+    const part = servedPart(recorder, atMs + recoverMs, recorder.endMs - 1000);
     if (part < 0.9)
       yield `${Math.round(part * 100)}% of requests were served 15 s after the fault's end`;
   }
 };
 
-const operatorsSeeOneRegister: Rule = (ledger) =>
-  configHistoryFaults(ledger.configOrders, ledger.configReads);
+const operatorsSeeOneRegister: Rule = (recorder) =>
+  configHistoryFaults(recorder.configOrders, recorder.configReads);
 
 /** The brief's rules, each judged by what callers, back ends and operators recorded. */
 export const rules: Record<string, Rule> = {
@@ -278,7 +278,7 @@
 };
 
 /** Judges a run by all rules. */
-export const checkRules = (ledger: EventRecorder): RuleViolation[] =>
+export const checkRules = (recorder: EventRecorder): RuleViolation[] =>
   Object.entries(rules).flatMap(([rule, find]) =>
-    [...find(ledger)].map((what) => ({ rule, what })),
+    [...find(recorder)].map((what) => ({ rule, what })),
   );
--- a/src/simulation/main.ts
+++ b/src/simulation/main.ts
@@ -52,7 +52,7 @@
         for (const { rule, what } of day.breaches.slice(0, 8))
           process.stdout.write(`  BROKEN ${rule}: ${what}\n`);
         if (options.trace !== undefined) {
-          const marks = day.simulation.ledger
+          const marks = day.simulation.recorder
             .of("fault")
             .map(({ atMs, what }) => `${(atMs / 1000).toFixed(3)} FAULT ${what}`);
           writeFileSync(
--- a/src/simulation/simulated-day.ts
+++ b/src/simulation/simulated-day.ts
@@ -57,15 +57,15 @@
 
   const strike = function* (): Task {
     const name = draw.begin();
-    if (name === undefined) return yield* Clock.rest(simulation.clock, nothingDrawnMs);
+    if (name === undefined) return yield* Clock.sleep(simulation.clock, nothingDrawnMs);
     struck.push(name);
-    simulation.ledger.world.push({ kind: "fault", atMs: simulation.time.nowMs(), what: name });
-    yield* faults[name]?.(simulation) ?? Clock.rest(simulation.clock, 1);
+    simulation.recorder.world.push({ kind: "fault", atMs: simulation.time.nowMs(), what: name });
+    yield* faults[name]?.(simulation) ?? Clock.sleep(simulation.clock, 1);
     draw.end(name);
   };
   const striking = function* (): Task {
     while (simulation.time.nowMs() < settleMs + dayMs) {
-      yield* Clock.rest(simulation.clock, random() * 3000);
+      yield* Clock.sleep(simulation.clock, random() * 3000);
       if (simulation.time.nowMs() < settleMs + dayMs) yield* strike();
     }
     yield* strike();
@@ -77,14 +77,14 @@
       simulation.boot(machine);
       if (machine.disk) machine.disk.full = false;
     }
-    for (const standIn of simulation.standIns)
-      if (!standIn.isUp || !standIn.isAnnouncing) standIn.replace(standIn.service);
-    simulation.ledger.world.push({ kind: "recovered", atMs: simulation.time.nowMs() });
+    for (const testBackend of simulation.testBackends)
+      if (!testBackend.isUp || !testBackend.isAnnouncing) testBackend.replace(testBackend.service);
+    simulation.recorder.world.push({ kind: "recovered", atMs: simulation.time.nowMs() });
   };
   const configuring = function* (): Task {
     while (!simulation.day.isOver) {
       yield* simulation.day.putConfig();
-      yield* Clock.rest(simulation.clock, 1500 + random() * 4000);
+      yield* Clock.sleep(simulation.clock, 1500 + random() * 4000);
     }
   };
 
@@ -93,17 +93,17 @@
   simulation.time.runUntil(settleMs);
   for (let strikers = 0; strikers < atOnce; strikers += 1) simulation.start(striking());
   while (
-    simulation.ledger.of("recovered").length < atOnce &&
+    simulation.recorder.of("recovered").length < atOnce &&
     simulation.time.nowMs() < settleMs + dayMs + 120_000
   )
     simulation.time.runUntil(simulation.time.nowMs() + 500);
-  const recoveredMs = Math.max(0, ...simulation.ledger.of("recovered").map(({ atMs }) => atMs));
-  const marks = simulation.ledger.world.filter(
+  const recoveredMs = Math.max(0, ...simulation.recorder.of("recovered").map(({ atMs }) => atMs));
+  const marks = simulation.recorder.world.filter(
     (record) => record.kind !== "recovered" || record.atMs === recoveredMs,
   );
-  simulation.ledger.world.splice(0, Infinity, ...marks);
+  simulation.recorder.world.splice(0, Infinity, ...marks);
   simulation.time.runUntil(recoveredMs + tailMs);
-  simulation.ledger.endMs = simulation.time.nowMs();
+  simulation.recorder.endMs = simulation.time.nowMs();
   let readBack = false;
   simulation.start(
     (function* () {
@@ -114,18 +114,18 @@
   while (!readBack) simulation.time.runUntil(simulation.time.nowMs() + 200);
   simulation.day.isOver = true;
 
-  const { ledger } = simulation;
+  const { recorder } = simulation;
   return {
     simulation,
     faults: struck,
-    breaches: checkRules(ledger),
-    served: servedPart(ledger, settleMs, ledger.endMs),
-    requests: ledger.callers.length,
-    configs: ledger.of("accepted").length,
+    breaches: checkRules(recorder),
+    served: servedPart(recorder, settleMs, recorder.endMs),
+    requests: recorder.callers.length,
+    configs: recorder.of("accepted").length,
     elections: simulation.lines.filter((line) => line.includes("Leads the record")).length,
     worstRepeats: Math.max(
       0,
-      ...[...worstRepeats(ledger).values()].map(({ further, allowed }) => further / allowed),
+      ...[...worstRepeats(recorder).values()].map(({ further, allowed }) => further / allowed),
     ),
   };
 };
