--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -65,9 +65,9 @@
   readonly clock: Clock;
   readonly random: () => number;
   readonly network: VirtualNetwork;
-  readonly ledger = new EventRecorder();
+  readonly recorder = new EventRecorder();
   readonly machines: SimulatedMachine[];
-  readonly standIns: TestBackend[] = [];
+  readonly testBackends: TestBackend[] = [];
   readonly day: Workload;
   readonly profile: Profile;
   readonly lines: string[] = [];
@@ -86,7 +86,7 @@
     waits: Partial<ReplicationTimeouts> = {},
   ) {
     this.profile = profile;
-    this.waits = { checkpointBytes: simCheckpointBytes, ...waits };
+    this.waits = { snapshotBytes: simCheckpointBytes, ...waits };
     this.clock = this.time.clock();
     this.random = RandomDraw.of(seed);
     this.network = new VirtualNetwork(this.clock, this.random);
@@ -104,17 +104,17 @@
     let port = 9000;
     for (const [service, many] of Object.entries(profile.backEnds))
       for (let at = 0; at < many; at += 1)
-        this.standIns.push(
+        this.testBackends.push(
           new TestBackend(
             `10.1.0.1:${(port += 1)}`,
             profile.zones[at % profile.zones.length] ?? "",
             service,
-            this.ledger,
+            this.recorder,
             this.random,
             bodyBytes,
           ),
         );
-    this.day = new Workload(this.outside(), profile, this.ledger, rateFactor);
+    this.day = new Workload(this.outside(), profile, this.recorder, rateFactor);
   }
 
   /** A machine as it is before its first start, at the address that its number gives it. */
@@ -179,7 +179,7 @@
   /** Starts all machines, back ends and callers. */
   begin(): void {
     for (const machine of this.machines) this.boot(machine);
-    for (const standIn of this.standIns) this.start(this.day.announcing(standIn, 1000));
+    for (const testBackend of this.testBackends) this.start(this.day.announcing(testBackend, 1000));
     for (const traffic of this.profile.traffic) this.start(this.day.callers(traffic));
     this.start(this.day.probers(5));
     this.start(this.day.operators.reading(readEveryMs));
@@ -199,9 +199,9 @@
     machine.isStopping = false;
     const clock = this.machineClock(gate, machine.offsetMs, machine.rate);
     machine.disk?.restart(clock);
-    const world = virtualRuntime({
+    const runtime = virtualRuntime({
       clock,
-      wire: this.network.wire(machine.settings.machine, gate),
+      network: this.network.wire(machine.settings.machine, gate),
       disk: machine.disk,
       lines: (line) =>
         this.lines.push(
@@ -215,8 +215,8 @@
       seeds: this.seeds(),
       ...(machine.isEmptied ? { bootstrap: false } : {}),
     };
-    const daemon = new Daemon(world, settings, {
-      backEnds: this.backEnds(machine, gate, clock),
+    const daemon = new Daemon(runtime, settings, {
+      backendClient: this.backEnds(machine, gate, clock),
       waits: this.waits,
     });
     machine.daemon = daemon;
@@ -233,7 +233,7 @@
     this.network.drop(machine.settings.machine);
     for (const hear of [...machine.gone]) hear();
     machine.gone.clear();
-    this.ledger.world.push({
+    this.recorder.world.push({
       kind: "killed",
       atMs: this.time.nowMs(),
       daemon: machine.settings.machine,
@@ -251,8 +251,8 @@
       Task.start(daemon.drain(), this.fail, () => gate.pass(() => done(true)));
     });
     if (!gate.isAlive) return;
-    yield* Clock.rest(this.clock, 50);
-    this.ledger.world.push({
+    yield* Clock.sleep(this.clock, 50);
+    this.recorder.world.push({
       kind: "stopped",
       atMs,
       daemon: machine.settings.machine,
@@ -286,13 +286,14 @@
           )
           .map(({ settings }) => settings),
       isUp: (daemon) => this.machine(daemon)?.daemon !== undefined,
-      call: (daemon, job, patienceMs) => this.call(daemon, job, patienceMs),
-      desk: (daemon, job, from, patienceMs) => this.desk(daemon, job, from, patienceMs),
+      call: (daemon, clientRequest, patienceMs) => this.call(daemon, clientRequest, patienceMs),
+      desk: (daemon, clientRequest, from, patienceMs) =>
+        this.desk(daemon, clientRequest, from, patienceMs),
     };
   }
 
   /** Sends one request to a daemon as a caller does, who hangs up after a while. */
-  *call(name: string, job: ProxyRequest, patienceMs: number): Task<ClientSide> {
+  *call(name: string, clientRequest: ProxyRequest, patienceMs: number): Task<ClientSide> {
     const machine = this.machine(name);
     const { network, clock, random } = this;
     const broken = (broke: ClientSide["broke"]): ClientSide => ({
@@ -303,7 +304,7 @@
       retryAfterS: undefined,
     });
     let hangUp = (): void => undefined;
-    const end = yield* Clock.within<ClientSide>(clock, patienceMs, (done) => {
+    const end = yield* Clock.withTimeout<ClientSide>(clock, patienceMs, (done) => {
       const back = (outcome: ClientSide): void =>
         network.deliver(
           name,
@@ -347,17 +348,17 @@
           retryAfterS:
             headers["retry-after"] === undefined ? undefined : Number(headers["retry-after"]),
         });
-        const caller: ClientConnection = {
-          get isGone() {
+        const client: ClientConnection = {
+          get isClosed() {
             return isGone;
           },
-          whole: ({ code, headers, body }) => {
+          respond: ({ code, headers, body }) => {
             if (!isGone) finish(ended(code, headers, Buffer.from(body)));
           },
-          begin: (code, headers) => {
+          writeHead: (code, headers) => {
             open = { code, headers, pieces: [] };
           },
-          *piece(bytes) {
+          *writeChunk(bytes) {
             open?.pieces.push(Buffer.from(bytes));
             if (random() < 0.2)
               yield* Task.wait<boolean>((drained) =>
@@ -368,11 +369,11 @@
           end: () => {
             if (!isGone && open) finish(ended(open.code, open.headers, Buffer.concat(open.pieces)));
           },
-          cut: () => {
+          abort: () => {
             if (!isGone) finish(broken("broken"));
           },
         };
-        gate.pass(() => daemon.callers.put({ job, caller }));
+        gate.pass(() => daemon.callers.emit({ clientRequest, client }));
       };
       clock.after(network.connectMs(), () =>
         network.deliver(CLIENTS_LOCATION, name, outsideGate, arrive, () => done(broken("silent"))),
@@ -385,7 +386,7 @@
 
   private *desk(
     name: string | undefined,
-    job: ProxyRequest,
+    clientRequest: ProxyRequest,
     from = OPERATORS_LOCATION,
     patienceMs = deskWaitMs,
   ): Task<ClientResponse | undefined> {
@@ -395,26 +396,26 @@
     if (!machine) return undefined;
     const { network } = this;
     const place = machine.settings.machine;
-    return yield* Clock.within<ClientResponse | undefined>(this.clock, patienceMs, (done) => {
-      const back = (ret: ClientResponse | undefined): void => {
-        if (from === OPERATORS_LOCATION && ret && this.random() < this.lostAnswerPart) return;
+    return yield* Clock.withTimeout<ClientResponse | undefined>(this.clock, patienceMs, (done) => {
+      const back = (response: ClientResponse | undefined): void => {
+        if (from === OPERATORS_LOCATION && response && this.random() < this.lostAnswerPart) return;
         network.deliver(
           place,
           from,
           outsideGate,
-          () => done(ret),
+          () => done(response),
           () => done(undefined),
         );
       };
-      const give = (ret: ClientResponse): void => {
-        back(ret);
-        if (ret.code === 200 && job.method === "PUT") this.onAcknowledged(machine);
+      const give = (response: ClientResponse): void => {
+        back(response);
+        if (response.code === 200 && clientRequest.method === "PUT") this.onAcknowledged(machine);
       };
       const arrive = (): void => {
         if (!machine.daemon || !machine.gate.isAlive) return back(undefined);
         const { daemon, gate } = machine;
         machine.gone.add(() => done(undefined));
-        gate.pass(() => daemon.operators.put({ job, give }));
+        gate.pass(() => daemon.operators.emit({ clientRequest, give }));
       };
       network.deliver(from, place, outsideGate, arrive, () => done(undefined));
     });
@@ -428,7 +429,7 @@
       clock: this.clock,
       network: this.network,
       random: this.random,
-      standInAt: (address) => this.standIns.find((one) => one.address === address),
+      standInAt: (address) => this.testBackends.find((one) => one.address === address),
     });
   }
 }
--- a/src/simulation/test-backend.ts
+++ b/src/simulation/test-backend.ts
@@ -48,7 +48,7 @@
   isAnnouncing = true;
   private up = true;
   private readonly ends = new Set<() => void>();
-  private readonly ledger: EventRecorder;
+  private readonly recorder: EventRecorder;
   private readonly random: () => number;
   private readonly bodyBytes: ReadonlyMap<string, number>;
 
@@ -56,14 +56,14 @@
     address: string,
     zone: string,
     service: string,
-    ledger: EventRecorder,
+    recorder: EventRecorder,
     random: () => number,
     bodyBytes: ReadonlyMap<string, number>,
   ) {
     this.address = address;
     this.zone = zone;
     this.service = service;
-    this.ledger = ledger;
+    this.recorder = recorder;
     this.random = random;
     this.bodyBytes = bodyBytes;
   }
@@ -103,7 +103,7 @@
     const caller = job.headers["x-caller"] ?? "";
     const path = job.path.split("?")[0] ?? "";
     const meant = job.headers["x-daledoor-service"] ?? "";
-    this.ledger.runs.push({
+    this.recorder.runs.push({
       atMs: nowMs,
       heldMs,
       address: this.address,
--- a/src/simulation/unreachable-backends.ts
+++ b/src/simulation/unreachable-backends.ts
@@ -5,6 +5,6 @@
   *send() {
     return "refused";
   },
-  keepOnly: () => undefined,
+  retainPools: () => undefined,
   close: () => undefined,
 };
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -46,18 +46,18 @@
 }: VirtualBackendOptions): BackendClient => {
   const idle = new Map<string, Line[]>();
 
-  const isWhole = ({ standIn, incarnation }: Line): boolean =>
-    standIn.isUp && standIn.incarnation === incarnation;
-  const lineTo = (standIn: TestBackend): Line => {
+  const isWhole = ({ standIn: testBackend, incarnation }: Line): boolean =>
+    testBackend.isUp && testBackend.incarnation === incarnation;
+  const lineTo = (testBackend: TestBackend): Line => {
     const line: Line = {
-      standIn,
-      incarnation: standIn.incarnation,
+      standIn: testBackend,
+      incarnation: testBackend.incarnation,
       isOver: false,
       hear: undefined,
     };
-    standIn.onEnd(() =>
+    testBackend.onEnd(() =>
       network.deliver(
-        standIn.address,
+        testBackend.address,
         place,
         gate,
         () => {
@@ -91,11 +91,13 @@
           () => undefined,
         );
       const arrive = (): void => {
-        const standIn = standInAt(address);
-        if (!standIn?.isUp) return back("refused");
-        const line = lineTo(standIn);
+        const testBackend = standInAt(address);
+        if (!testBackend?.isUp) return back("refused");
+        const line = lineTo(testBackend);
         const prove = (): void =>
-          isWhole(line) ? back(standIn.service === service ? line : "foreign") : back("unreached");
+          isWhole(line)
+            ? back(testBackend.service === service ? line : "foreign")
+            : back("unreached");
         network.deliver(
           address,
           place,
@@ -110,9 +112,12 @@
     });
   };
 
-  const sent = function* (line: Line, { job, untilMs, pool }: BackendAttempt): Task<OpenResult> {
-    const { standIn } = line;
-    const { address } = standIn;
+  const sent = function* (
+    line: Line,
+    { request: job, untilMs, pool }: BackendAttempt,
+  ): Task<OpenResult> {
+    const { standIn: testBackend } = line;
+    const { address } = testBackend;
     return yield* Task.wait<OpenResult>((done) => {
       let isOver = false;
       const give = (opened: OpenResult): void => {
@@ -138,7 +143,7 @@
         outside,
         () => {
           if (!isWhole(line)) return back("lost");
-          const reply = standIn.run(
+          const reply = testBackend.run(
             job,
             clock.nowMs(),
             Math.max(0, clock.nowMs() - sentMs - tripMs),
@@ -210,13 +215,13 @@
       while (line?.isOver) line = resting.pop();
       const ready = line ?? (yield* proven(one));
       if (typeof ready === "string") return ready;
-      if (!one.mayStill()) {
+      if (!one.maySend()) {
         rest(ready, one.pool);
         return "withdrawn";
       }
       return yield* sent(ready, one);
     },
-    keepOnly(pools) {
+    retainPools(pools) {
       for (const pool of idle.keys()) if (!pools.has(pool)) idle.delete(pool);
     },
     close: () => idle.clear(),
--- a/src/simulation/virtual-disk.ts
+++ b/src/simulation/virtual-disk.ts
@@ -108,7 +108,7 @@
   }
 
   private *rest(): Task {
-    yield* Clocks.rest(
+    yield* Clocks.sleep(
       this.clock,
       0.3 + this.random() * 2 + Math.max(0, this.stalledUntilMs - this.clock.nowMs()),
     );
--- a/src/simulation/virtual-network.ts
+++ b/src/simulation/virtual-network.ts
@@ -22,7 +22,7 @@
   private readonly random: () => number;
   private readonly listeners = new Map<
     string,
-    { place: string; gate: EventGate; accept: (channel: Connection) => void }
+    { place: string; gate: EventGate; accept: (connection: Connection) => void }
   >();
   private readonly ends = new Set<End>();
   private readonly cuts = new Map<string, number>();
@@ -104,9 +104,9 @@
 
   /** The wire of one machine. */
   wire(place: string, gate: EventGate): Network {
-    const listen = (address: string, accept: (channel: Connection) => void): unknown =>
+    const listen = (address: string, accept: (connection: Connection) => void): unknown =>
       this.listeners.set(address, { place, gate, accept });
-    const connect = (address: string, done: (channel: Connection | undefined) => void): void =>
+    const connect = (address: string, done: (connection: Connection | undefined) => void): void =>
       this.connect(place, gate, address, done);
     return {
       *listen(address, accept) {
@@ -122,10 +122,10 @@
     place: string,
     gate: EventGate,
     address: string,
-    done: (channel: Connection | undefined) => void,
+    done: (connection: Connection | undefined) => void,
   ): void {
-    const give = (channel: Connection | undefined, waitMs: number): unknown =>
-      this.clock.after(waitMs, () => gate.pass(() => done(channel)));
+    const give = (connection: Connection | undefined, waitMs: number): unknown =>
+      this.clock.after(waitMs, () => gate.pass(() => done(connection)));
     const listener = this.listeners.get(address);
     if (!listener?.gate.isAlive) return void give(undefined, 2 * this.tripMs());
     if (this.isCut(place, listener.place) || this.isCut(listener.place, place))
--- a/src/simulation/virtual-runtime.ts
+++ b/src/simulation/virtual-runtime.ts
@@ -7,7 +7,7 @@
 /** What a virtual world is made of; what isn't named is absent or silent. */
 export interface VirtualRuntimeOptions {
   readonly clock: Clock;
-  readonly wire: Network;
+  readonly network: Network;
   readonly random: () => number;
   readonly disk?: Disk | undefined;
   readonly lines?: (line: string) => void;
@@ -17,17 +17,17 @@
 /** A world on virtual parts, in which a task that breaks off ends the run. */
 export const virtualRuntime = ({
   clock,
-  wire,
+  network,
   random,
   disk,
   lines = () => undefined,
   wallTime = () => new Date(0),
 }: VirtualRuntimeOptions): Runtime => ({
   clock,
-  wire,
+  network,
   disk,
-  logbook: LoggerFactory.into(lines),
-  broken: (_part, error) => {
+  loggers: LoggerFactory.toLines(lines),
+  onTaskFailure: (_part, error) => {
     throw error;
   },
   random,
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -35,7 +35,7 @@
 export class Workload {
   private readonly outside: ClientTransport;
   private readonly profile: Profile;
-  private readonly ledger: EventRecorder;
+  private readonly recorder: EventRecorder;
   private readonly rateFactor: number;
   private calls = 0;
   private kept: string[] = [];
@@ -48,14 +48,14 @@
   constructor(
     outside: ClientTransport,
     profile: Profile,
-    ledger: EventRecorder,
+    recorder: EventRecorder,
     rateFactor: number,
   ) {
     this.outside = outside;
     this.profile = profile;
-    this.ledger = ledger;
+    this.recorder = recorder;
     this.rateFactor = rateFactor;
-    this.operators = new ConfigWorkload(outside, profile, ledger, () => this.isOver);
+    this.operators = new ConfigWorkload(outside, profile, recorder, () => this.isOver);
   }
 
   /** Callers of one kind, each request at a time of its own. */
@@ -63,14 +63,14 @@
     const { clock } = this.outside;
     for (let nextMs = clock.nowMs(); !this.isOver;) {
       if (this.crowd === 0) {
-        yield* Clock.rest(clock, 50);
+        yield* Clock.sleep(clock, 50);
         nextMs = clock.nowMs();
         continue;
       }
       nextMs +=
         (-Math.log(1 - this.outside.random()) * 1000) /
         (traffic.perSecond * this.rateFactor * this.crowd);
-      if (nextMs > clock.nowMs()) yield* Clock.rest(clock, nextMs - clock.nowMs());
+      if (nextMs > clock.nowMs()) yield* Clock.sleep(clock, nextMs - clock.nowMs());
       this.outside.start(this.person(traffic));
     }
   }
@@ -78,8 +78,8 @@
   /** Callers who ask for the route that only one config has. */
   *probers(perSecond: number): Task {
     while (!this.isOver) {
-      yield* Clock.rest(this.outside.clock, 1000 / perSecond);
-      const accepted = this.ledger.of("accepted").slice(-3);
+      yield* Clock.sleep(this.outside.clock, 1000 / perSecond);
+      const accepted = this.recorder.of("accepted").slice(-3);
       const probe = accepted[Math.floor(this.outside.random() * accepted.length)]?.probe;
       const [service] = Object.keys(this.profile.backEnds);
       if (probe !== undefined && service !== undefined)
@@ -90,11 +90,11 @@
   }
 
   /** A back end's announcements, for as long as it makes any. */
-  *announcing(standIn: TestBackend, everyMs: number): Task {
+  *announcing(testBackend: TestBackend, everyMs: number): Task {
     while (!this.isOver) {
-      if (standIn.isAnnouncing && standIn.isUp) {
-        const { service, address, zone, incarnation } = standIn;
-        const ret = yield* this.outside.desk(
+      if (testBackend.isAnnouncing && testBackend.isUp) {
+        const { service, address, zone, incarnation } = testBackend;
+        const response = yield* this.outside.desk(
           undefined,
           this.deskJob("POST", "/backends/announce", {
             service,
@@ -104,30 +104,30 @@
           }),
           address,
         );
-        if (ret?.code === 200)
-          this.ledger.world.push({
+        if (response?.code === 200)
+          this.recorder.world.push({
             kind: "announced",
             atMs: this.outside.clock.nowMs(),
             address,
             service,
           });
       }
-      yield* Clock.rest(this.outside.clock, everyMs * (0.9 + this.outside.random() * 0.2));
+      yield* Clock.sleep(this.outside.clock, everyMs * (0.9 + this.outside.random() * 0.2));
     }
   }
 
   /** A back end says that it is leaving until it is heard. */
-  *leave(standIn: TestBackend): Task<boolean> {
-    standIn.isAnnouncing = false;
-    const { service, address, incarnation } = standIn;
+  *leave(testBackend: TestBackend): Task<boolean> {
+    testBackend.isAnnouncing = false;
+    const { service, address, incarnation } = testBackend;
     for (let round = 0; round < 40 && !this.isOver; round += 1) {
-      const ret = yield* this.outside.desk(
+      const response = yield* this.outside.desk(
         undefined,
         this.deskJob("POST", "/backends/leave", { service, address }),
         address,
       );
-      if (ret?.code === 200) {
-        this.ledger.world.push({
+      if (response?.code === 200) {
+        this.recorder.world.push({
           kind: "left",
           atMs: this.outside.clock.nowMs(),
           address,
@@ -136,7 +136,7 @@
         });
         return true;
       }
-      yield* Clock.rest(this.outside.clock, 200);
+      yield* Clock.sleep(this.outside.clock, 200);
     }
     return false;
   }
@@ -180,7 +180,7 @@
       if (record.code > 0 && record.code < 500) return;
       if (record.broke === "hungUp") continue;
       const obeys = this.outside.random() < 0.3;
-      yield* Clock.rest(
+      yield* Clock.sleep(
         this.outside.clock,
         obeys ? (record.retryAfterS ?? 1) * 1000 : this.outside.random() * 30,
       );
@@ -230,7 +230,7 @@
       verdict: "",
     };
     if (daemon === "") {
-      yield* Clock.rest(clock, 20);
+      yield* Clock.sleep(clock, 20);
       record.endedMs = clock.nowMs();
     } else {
       const end = yield* this.outside.call(
@@ -258,7 +258,7 @@
         record.bodyOf = wordIn(end.body, ownBody);
       if (record.isWhole && end.code >= 400) record.verdict = wordIn(end.body, verdictBody);
     }
-    this.ledger.callers.push(record);
+    this.recorder.callers.push(record);
     return record;
   }
 
--- a/src/state/config-payload.ts
+++ b/src/state/config-payload.ts
@@ -34,12 +34,12 @@
 export class ConfigPayloadError extends Error {}
 
 const wholeText = (text: string): ConfigPayload =>
-  text.length > longTextLength ? { packedText: TextCompression.of(text) } : { text };
+  text.length > longTextLength ? { packedText: TextCompression.compress(text) } : { text };
 
 const deltaIn = ({ delta, packedDelta }: ConfigPayload): TextDelta | undefined =>
   packedDelta === undefined
     ? delta
-    : textDeltaShape.create(JSON.parse(TextCompression.text(packedDelta)));
+    : textDeltaShape.create(JSON.parse(TextCompression.decompress(packedDelta)));
 
 const lengthOf = ({ text, packedText, packedDelta }: ConfigPayload): number =>
   (text ?? packedText ?? packedDelta ?? "").length;
@@ -51,7 +51,7 @@
     const delta = TextDelta.between(former, text);
     const json = JSON.stringify(delta);
     if (json.length <= longTextLength) return { delta };
-    const packed = { packedDelta: TextCompression.of(json) };
+    const packed = { packedDelta: TextCompression.compress(json) };
     const whole = wholeText(text);
     return lengthOf(packed) < lengthOf(whole) ? packed : whole;
   },
@@ -60,7 +60,7 @@
   read(recorded: ConfigPayload, former: string | undefined): DecodedConfigText {
     if (recorded.text !== undefined) return { text: recorded.text };
     if (recorded.packedText !== undefined)
-      return { text: TextCompression.text(recorded.packedText) };
+      return { text: TextCompression.decompress(recorded.packedText) };
     const delta = deltaIn(recorded);
     if (delta === undefined || former === undefined)
       throw new ConfigPayloadError("An entry holds no text of a configuration, or no base for it.");
--- a/src/state/state-machine.ts
+++ b/src/state/state-machine.ts
@@ -278,7 +278,7 @@
   matchesStruct(deedShapes[kind], value);
 
 export const LogCommand = {
-  text: (deed: LogCommand): string => JSON.stringify(deed),
+  text: (command: LogCommand): string => JSON.stringify(command),
 
   /** Reads an entry's text; one of an unknown kind can't be applied, so it stops this recorder. */
   read(text: string): LogCommand {
@@ -330,34 +330,36 @@
   configs: AcceptedConfig[] = [];
   /** What is told of the last configs. */
   recent: Array<Omit<AcceptedConfig, "text" | "index">> = [];
-  contracts = Table<string, Registration>();
+  registrations = Table<string, Registration>();
   /** The instances that left, were drained or were replaced, by the entry that says so: they never come back. */
-  gone = new Map<string, number>();
-  directorySequence = 0;
-  keys = new Map<string, IdempotencyClaim>();
+  tombstones = new Map<string, number>();
+  endpointSequence = 0;
+  claims = new Map<string, IdempotencyClaim>();
   /** The numbers of services and routes, by which sketches count them. */
-  readonly numbering = new IdAllocator();
+  readonly idAllocator = new IdAllocator();
   journal: Array<{ index: number; text: string }> = [];
   /** The edges that may hold a part of a pool of further tries, so that a new leader knows whom to wait for. */
   holders = new Set<string>();
   private changes = new Map<string, Pick<AcceptedConfig, "sequence" | "version">>();
-  private applied = new Set<(deed: LogCommand, index: number) => void>();
+  private applied = new Set<(command: LogCommand, index: number) => void>();
 
   /** The config in force. */
-  get inForce(): AcceptedConfig | undefined {
+  get activeConfig(): AcceptedConfig | undefined {
     return this.configs.at(-1);
   }
 
   /** The contracts of an instance: one that stands, and others that it left behind. */
-  contractsOf(instance: string): Registration[] {
+  registrationsOf(instance: string): Registration[] {
     return instance === ""
       ? []
-      : [...this.contracts.values()].filter((contract) => contract.instance === instance);
+      : [...this.registrations.values()].filter(
+          (registration) => registration.instance === instance,
+        );
   }
 
   /** The version in force, or 0 for none yet. */
   get version(): number {
-    return this.inForce ? versionOf(this.inForce) : 0;
+    return this.activeConfig ? versionOf(this.activeConfig) : 0;
   }
 
   /** The version that a change id was accepted under, if it was. */
@@ -374,35 +376,35 @@
   }
 
   /** Hears of each entry once it is applied. */
-  onApplied(hook: (deed: LogCommand, index: number) => void): void {
+  onApplied(hook: (command: LogCommand, index: number) => void): void {
     this.applied.add(hook);
   }
 
   /** Applies one entry and tells its outcome, as JSON. */
   apply(index: number, text: string): string {
-    const deed = LogCommand.read(text);
-    const outcome = this.take(index, deed);
-    for (const hook of this.applied) hook(deed, index);
+    const command = LogCommand.read(text);
+    const outcome = this.take(index, command);
+    for (const hook of this.applied) hook(command, index);
     return JSON.stringify(outcome);
   }
 
   /** Lets go of configs that the history holds, save the one in force. */
-  letGo(upTo: number): void {
+  releaseConfigs(upTo: number): void {
     this.configs = this.after(upTo);
   }
 
   /** All tables as one text, without the configs up to one that the history holds. */
-  checkpoint(members: Members, historyUpTo = 0): string {
+  snapshot(members: Members, historyUpTo = 0): string {
     return JSON.stringify({
       ...members,
       configs: this.after(historyUpTo).map(storedConfig),
       recent: this.recent,
       changes: [...this.changes].map(([changeId, numbers]) => ({ changeId, ...numbers })),
-      contracts: [...this.contracts.values()],
-      gone: [...this.gone],
-      directorySequence: this.directorySequence,
-      keys: [...this.keys].map(([scope, claim]) => ({ scope, claim })),
-      numbering: this.numbering.state,
+      contracts: [...this.registrations.values()],
+      gone: [...this.tombstones],
+      directorySequence: this.endpointSequence,
+      keys: [...this.claims].map(([scope, claim]) => ({ scope, claim })),
+      numbering: this.idAllocator.state,
       journal: this.journal,
       holders: [...this.holders],
     });
@@ -425,11 +427,13 @@
         numbersOf(sequence, version ?? sequence),
       ]),
     );
-    this.contracts = Table(kept.contracts.map((contract) => [contract.address, contract]));
-    this.gone = new Map(kept.gone ?? []);
-    this.directorySequence = kept.directorySequence;
-    this.keys = new Map(kept.keys.map(({ scope, claim }) => [scope, storedClaim(claim)]));
-    this.numbering.restore(kept.numbering);
+    this.registrations = Table(
+      kept.contracts.map((registration) => [registration.address, registration]),
+    );
+    this.tombstones = new Map(kept.gone ?? []);
+    this.endpointSequence = kept.directorySequence;
+    this.claims = new Map(kept.keys.map(({ scope, claim }) => [scope, storedClaim(claim)]));
+    this.idAllocator.restore(kept.numbering);
     this.journal = kept.journal;
     this.holders = new Set(kept.holders ?? []);
     return { voters: kept.voters, learners: kept.learners };
@@ -441,116 +445,118 @@
     );
   }
 
-  private take(index: number, deed: LogCommand): Record<string, unknown> {
-    switch (deed.kind) {
+  private take(index: number, command: LogCommand): Record<string, unknown> {
+    switch (command.kind) {
       case "leads":
-        return this.note(index, `${deed.machine} leads the record in term ${deed.term}.`);
+        return this.note(index, `${command.machine} leads the record in term ${command.term}.`);
       case "members":
         return this.note(
           index,
-          `Voters: ${deed.voters.join(", ")}; learners: ${deed.learners.join(", ") || "none"}.`,
+          `Voters: ${command.voters.join(", ")}; learners: ${command.learners.join(", ") || "none"}.`,
         );
       case "rejoined":
-        return this.note(index, `${deed.machine} rejoined the record.`);
+        return this.note(index, `${command.machine} rejoined the record.`);
       case "note":
-        return this.note(index, deed.text);
+        return this.note(index, command.text);
       case "config": {
-        const current = this.inForce?.sequence ?? 0;
-        const known = this.changeVersion(deed.changeId);
+        const current = this.activeConfig?.sequence ?? 0;
+        const known = this.changeVersion(command.changeId);
         if (known !== undefined) return { accepted: known };
-        const version = deed.version ?? this.version + 1;
-        if (deed.expected !== current || version <= this.version) return { lost: this.version };
+        const version = command.version ?? this.version + 1;
+        if (command.expected !== current || version <= this.version) return { lost: this.version };
         const numbers = numbersOf(current + 1, version);
         this.configs.push({
           ...numbers,
           index,
-          changeId: deed.changeId,
-          acceptedAt: deed.acceptedAt,
-          ...ConfigPayload.read(deed, this.inForce?.text),
+          changeId: command.changeId,
+          acceptedAt: command.acceptedAt,
+          ...ConfigPayload.read(command, this.activeConfig?.text),
         });
         this.recent = [
           ...this.recent.slice(1 - keptRecent),
-          { ...numbers, changeId: deed.changeId, acceptedAt: deed.acceptedAt },
+          { ...numbers, changeId: command.changeId, acceptedAt: command.acceptedAt },
         ];
-        this.changes.set(deed.changeId, numbers);
+        this.changes.set(command.changeId, numbers);
         for (const changeId of this.changes.keys()) {
           if (this.changes.size <= keptChanges) break;
           this.changes.delete(changeId);
         }
-        this.numberNames(deed);
-        this.note(index, `Config ${version} is in force (change ${deed.changeId}).`);
+        this.numberNames(command);
+        this.note(index, `Config ${version} is in force (change ${command.changeId}).`);
         return { accepted: version };
       }
       case "contract":
-        return this.enterContract(index, deed);
+        return this.enterContract(index, command);
       case "leave":
-        return deed.instance === undefined || deed.instance === ""
-          ? this.leaveAddress(index, deed)
-          : this.leaveInstance(index, deed.instance, deed.drained);
+        return command.instance === undefined || command.instance === ""
+          ? this.leaveAddress(index, command)
+          : this.leaveInstance(index, command.instance, command.drained);
       case "end": {
-        const contract = this.contracts.get(deed.address);
-        if (!contract || contract.number !== deed.number) return { known: false };
-        this.contracts = this.contracts.set(deed.address, {
-          ...contract,
+        const registration = this.registrations.get(command.address);
+        if (!registration || registration.number !== command.number) return { known: false };
+        this.registrations = this.registrations.set(command.address, {
+          ...registration,
           leaving: true,
           leftAt: index,
         });
-        this.directorySequence = index;
-        this.note(index, `${deed.address} of ${contract.service} ended: ${deed.why}.`);
+        this.endpointSequence = index;
+        this.note(index, `${command.address} of ${registration.service} ended: ${command.why}.`);
         return { known: true };
       }
       case "purge":
-        if (this.contracts.get(deed.address)?.number === deed.number)
-          this.contracts = this.contracts.delete(deed.address);
-        this.directorySequence = index;
+        if (this.registrations.get(command.address)?.number === command.number)
+          this.registrations = this.registrations.delete(command.address);
+        this.endpointSequence = index;
         return { known: true };
       case "forgetGone":
-        for (const instance of deed.instances) this.gone.delete(instance);
+        for (const instance of command.instances) this.tombstones.delete(instance);
         return { known: true };
       case "claim": {
-        const known = this.keys.get(deed.scope);
-        if (known?.job === deed.job) return { claimed: true };
-        if (known && known.job !== deed.replaces) return { held: known };
-        this.keys.set(deed.scope, {
-          bodyHash: deed.bodyHash,
-          job: deed.job,
+        const known = this.claims.get(command.scope);
+        if (known?.job === command.job) return { claimed: true };
+        if (known && known.job !== command.replaces) return { held: known };
+        this.claims.set(command.scope, {
+          bodyHash: command.bodyHash,
+          job: command.job,
           verdict: "inHand",
-          ...(deed.holders ? { holders: deed.holders } : {}),
+          ...(command.holders ? { holders: command.holders } : {}),
           atIndex: index,
         });
         return { claimed: true };
       }
       case "settle": {
-        const known = this.keys.get(deed.scope);
-        if (known?.job !== deed.job) return { known: false };
-        this.keys.set(deed.scope, {
+        const known = this.claims.get(command.scope);
+        if (known?.job !== command.job) return { known: false };
+        this.claims.set(command.scope, {
           ...known,
-          verdict: deed.verdict,
+          verdict: command.verdict,
         });
         return { known: true };
       }
       case "release": {
-        const known = this.keys.get(deed.scope);
-        if (known?.job === deed.job && known.verdict === "inHand") this.keys.delete(deed.scope);
+        const known = this.claims.get(command.scope);
+        if (known?.job === command.job && known.verdict === "inHand")
+          this.claims.delete(command.scope);
         return { known: true };
       }
       case "holder":
-        this.holders.add(deed.edge);
+        this.holders.add(command.edge);
         return {};
       case "holdersPast":
-        for (const edge of deed.edges) this.holders.delete(edge);
+        for (const edge of command.edges) this.holders.delete(edge);
         return {};
       case "forget":
-        for (const scope of deed.scopes)
-          if ((this.keys.get(scope)?.atIndex ?? Infinity) <= deed.upTo) this.keys.delete(scope);
+        for (const scope of command.scopes)
+          if ((this.claims.get(scope)?.atIndex ?? Infinity) <= command.upTo)
+            this.claims.delete(scope);
         return { known: true };
     }
   }
 
   /** Gives numbers to the names that a configuration brings into force. */
   private numberNames({ services = [], routes = [], names, rested = [] }: ConfigDeed): void {
-    if (names) return this.numbering.change(names, rested);
-    this.numbering.adopt(
+    if (names) return this.idAllocator.change(names, rested);
+    this.idAllocator.adopt(
       [
         ...services.map((service) => IdAllocator.serviceName(service)),
         ...routes.map((route) => IdAllocator.routeName(route)),
@@ -561,7 +567,7 @@
 
   private enterContract(
     index: number,
-    deed: Extract<LogCommand, { kind: "contract" }>,
+    command: Extract<LogCommand, { kind: "contract" }>,
   ): Record<string, unknown> {
     const {
       address,
@@ -572,21 +578,21 @@
       capacity = 0,
       warmMs = 0,
       order = 0,
-    } = deed;
-    if (this.gone.has(instance)) return { gone: true };
-    const former = this.contracts.get(address);
+    } = command;
+    if (this.tombstones.has(instance)) return { gone: true };
+    const former = this.registrations.get(address);
     const isSame = former?.instance === instance && former.service === service;
     const staysSame = isSame && instance !== "" && !former.leaving && former.zone === zone;
     if (former && former.instance !== instance) this.goForGood(index, former.instance);
-    for (const other of this.contractsOf(instance))
+    for (const other of this.registrationsOf(instance))
       if (other.address !== address && !other.leaving)
-        this.contracts = this.contracts.set(other.address, {
+        this.registrations = this.registrations.set(other.address, {
           ...other,
           leaving: true,
           leftAt: index,
         });
     const number = staysSame ? former.number : index;
-    this.contracts = this.contracts.set(address, {
+    this.registrations = this.registrations.set(address, {
       address,
       service,
       zone,
@@ -600,7 +606,7 @@
       warmMs,
       order,
     });
-    this.directorySequence = index;
+    this.endpointSequence = index;
     if (former && former.service !== service)
       this.note(index, `${address} now serves ${service}, no longer ${former.service}.`);
     return { number };
@@ -610,7 +616,7 @@
     index: number,
     { address, service, drained }: Extract<LogCommand, { kind: "leave" }>,
   ): Record<string, unknown> {
-    const contract = this.contracts.get(address) ?? {
+    const registration = this.registrations.get(address) ?? {
       address,
       service,
       zone: "",
@@ -624,16 +630,16 @@
       warmMs: 0,
       order: 0,
     };
-    if (contract.service !== service) return { known: false };
-    this.goForGood(index, contract.instance);
-    this.contracts = this.contracts.set(address, {
-      ...contract,
+    if (registration.service !== service) return { known: false };
+    this.goForGood(index, registration.instance);
+    this.registrations = this.registrations.set(address, {
+      ...registration,
       leaving: true,
       leftAt: index,
-      drained: contract.drained || drained,
+      drained: registration.drained || drained,
     });
     if (drained) this.note(index, `${address} of ${service} is drained by an operator.`);
-    this.directorySequence = index;
+    this.endpointSequence = index;
     return { known: true };
   }
 
@@ -643,24 +649,24 @@
     drained: boolean,
   ): Record<string, unknown> {
     this.goForGood(index, instance);
-    const contracts = this.contractsOf(instance);
-    for (const contract of contracts)
-      this.contracts = this.contracts.set(contract.address, {
-        ...contract,
+    const registrations = this.registrationsOf(instance);
+    for (const registration of registrations)
+      this.registrations = this.registrations.set(registration.address, {
+        ...registration,
         leaving: true,
         leftAt: index,
-        drained: contract.drained || drained,
+        drained: registration.drained || drained,
       });
-    if (contracts.length > 0) this.directorySequence = index;
-    return { known: contracts.length > 0 };
+    if (registrations.length > 0) this.endpointSequence = index;
+    return { known: registrations.length > 0 };
   }
 
   private goForGood(index: number, instance: string): void {
-    if (instance === "" || this.gone.has(instance)) return;
-    this.gone.set(instance, index);
-    for (const oldest of this.gone.keys()) {
-      if (this.gone.size <= MAX_TOMBSTONES) return;
-      this.gone.delete(oldest);
+    if (instance === "" || this.tombstones.has(instance)) return;
+    this.tombstones.set(instance, index);
+    for (const oldest of this.tombstones.keys()) {
+      if (this.tombstones.size <= MAX_TOMBSTONES) return;
+      this.tombstones.delete(oldest);
     }
   }
 
--- a/test/admin/config-archive.test.ts
+++ b/test/admin/config-archive.test.ts
@@ -11,7 +11,7 @@
 
 test("configs are kept one commit each, and once only after a restart", async () => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-archive-"));
-  const log = LoggerFactory.into(() => undefined).part("operator");
+  const log = LoggerFactory.toLines(() => undefined).component("operator");
   const config = (sequence: number): AcceptedConfig => ({
     sequence,
     index: sequence,
@@ -26,7 +26,7 @@
   const run = async (sequences: number[], expected: number): Promise<void> => {
     const archive = new ConfigArchive(folder, log);
     for (const sequence of sequences) archive.keep(config(sequence));
-    Task.start(archive.own(), (error) => {
+    Task.start(archive.run(), (error) => {
       throw error;
     });
     await expect.poll(async () => (await messages()).length, { timeout: 20_000 }).toBe(expected);
--- a/test/cluster-view/command-forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -22,7 +22,7 @@
   const former = stage.leader;
   stage.kill(former);
   const isLed = (): boolean =>
-    stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
+    stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
   stage.until(isLed, 3000);
   expect(stage.until(() => edgesSeen(stage), 2000)).toBeLessThan(200);
 });
@@ -37,7 +37,7 @@
     for (const machine of stage.machines) if (machine !== former) stage.cut(former, machine);
     const next = (): boolean =>
       stage.disks.some(
-        (machine) => machine !== former && machine.daemon?.recorder?.hasGrant === true,
+        (machine) => machine !== former && machine.daemon?.replicationNode?.holdsLease === true,
       );
     const ledMs = stage.until(next, 3000);
     worst.push(ledMs + stage.until(() => edgesSeen(stage), 2000));
--- a/test/cluster-view/route-table.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -11,15 +11,14 @@
   host: string,
 ): ActiveRoute | undefined => {
   const own = host.toLowerCase().split(":")[0];
-  const rank = (mapping: ActiveRoute): number =>
-    (mapping.host === undefined ? 0 : 1e6) + (mapping.isPrefix ? mapping.path.length : 1e5);
+  const rank = (route: ActiveRoute): number =>
+    (route.host === undefined ? 0 : 1e6) + (route.isPrefix ? route.path.length : 1e5);
   return all
     .filter(
-      (mapping) =>
-        (mapping.host === undefined || mapping.host === own) &&
-        (mapping.methods?.has(method) ?? true),
+      (route) =>
+        (route.host === undefined || route.host === own) && (route.methods?.has(method) ?? true),
     )
-    .filter((mapping) => (mapping.isPrefix ? path.startsWith(mapping.path) : path === mapping.path))
+    .filter((route) => (route.isPrefix ? path.startsWith(route.path) : path === route.path))
     .sort((a, b) => rank(b) - rank(a))[0];
 };
 
@@ -46,7 +45,7 @@
       service: "s",
     };
   }
-  const mappings = new RouteTable({ services: { s: {} }, routes });
+  const routeTable = new RouteTable({ services: { s: {} }, routes });
   let found = 0;
   for (let round = 0; round < 3000; round += 1) {
     const asked = [
@@ -61,18 +60,18 @@
         "",
       ]) ?? "",
     ] as const;
-    const expected = find(mappings.all, ...asked);
-    expect(mappings.find(...asked)?.name, asked.join(" ")).toBe(expected?.name);
+    const expected = find(routeTable.all, ...asked);
+    expect(routeTable.find(...asked)?.name, asked.join(" ")).toBe(expected?.name);
     found += expected ? 1 : 0;
   }
   expect(found).toBeGreaterThan(1000);
-  expect(mappings.find("GET", "/".repeat(100_000), "two.example")?.name).toBe(
-    find(mappings.all, "GET", "/".repeat(100_000), "two.example")?.name,
+  expect(routeTable.find("GET", "/".repeat(100_000), "two.example")?.name).toBe(
+    find(routeTable.all, "GET", "/".repeat(100_000), "two.example")?.name,
   );
 });
 
 test("a host goes before none, a longer prefix before a shorter one, and a host's own prefix must match", () => {
-  const mappings = new RouteTable({
+  const routeTable = new RouteTable({
     services: { s: {} },
     routes: {
       any: { match: { path: "/x/y/*" }, service: "s" },
@@ -81,7 +80,7 @@
     },
   });
   const name = (path: string, host?: string): string | undefined =>
-    mappings.find("GET", path, host)?.name;
+    routeTable.find("GET", path, host)?.name;
   expect([
     name("/x/y/", "a.EXAMPLE:81"),
     name("/x/y/z/1", "a.example"),
@@ -101,25 +100,25 @@
     { service: "last", weight: 0 },
   ];
   const services = Object.fromEntries(split.map(({ service }) => [service, {}]));
-  const mapping = new RouteTable({
+  const route = new RouteTable({
     services,
     routes: { r: { match: { path: "/*" }, split } },
   }).named("r");
   const counts = new Map<string, number>();
   for (let at = 0; at < 10_000; at += 1) {
-    const service = mapping?.choose(at / 10_000) ?? "";
+    const service = route?.choose(at / 10_000) ?? "";
     counts.set(service, (counts.get(service) ?? 0) + 1);
   }
   expect(Object.fromEntries(counts)).toEqual({ much: 9000, few: 950, rare: 50 });
-  expect(mapping?.choose(1 - Number.EPSILON / 2)).toBe("rare");
-  expect(split.map(({ service }) => mapping?.takes(service))).toEqual([
+  expect(route?.choose(1 - Number.EPSILON / 2)).toBe("rare");
+  expect(split.map(({ service }) => route?.takes(service))).toEqual([
     false,
     true,
     true,
     true,
     false,
   ]);
-  expect([mapping?.service, mapping?.splits]).toEqual(["none", split]);
+  expect([route?.service, route?.splits]).toEqual(["none", split]);
 });
 
 test("a kind decides what is repeatable and keyed, whatever the methods and the older fields say", () => {
@@ -150,7 +149,7 @@
 });
 
 test("attempts count the first try too, and limits and services are at hand", () => {
-  const mappings = new RouteTable({
+  const routeTable = new RouteTable({
     services: { s: { keepsKeys: true } },
     routes: {
       given: { match: { path: "/a" }, service: "s", attempts: 4, priority: 0 },
@@ -161,7 +160,7 @@
     limits: { idleMs: 9 },
   });
   expect(
-    mappings.all.map(({ attempts, furtherTries, goalMs, priority }) => [
+    routeTable.all.map(({ attempts, furtherTries, goalMs, priority }) => [
       attempts,
       furtherTries,
       goalMs,
@@ -173,15 +172,15 @@
     [3, 2, 5, 5],
   ]);
   expect([
-    mappings.limits,
-    mappings.service("s"),
-    mappings.service("toString"),
-    mappings.named("toString"),
+    routeTable.limits,
+    routeTable.service("s"),
+    routeTable.service("toString"),
+    routeTable.named("toString"),
   ]).toEqual([{ idleMs: 9 }, { keepsKeys: true }, undefined, undefined]);
 });
 
 test("the most exact mapping that takes the method is found", () => {
-  const mappings = new RouteTable({
+  const routeTable = new RouteTable({
     services: { a: {}, b: {} },
     routes: {
       all: { match: { path: "/x/*" }, service: "a" },
@@ -189,12 +188,12 @@
       one: { match: { path: "/x/y/z", methods: ["PUT"] }, service: "b" },
     },
   });
-  const found = (method: string, path: string) => mappings.find(method, path)?.name;
+  const found = (method: string, path: string) => routeTable.find(method, path)?.name;
   expect([
     found("GET", "/x/y/z"),
     found("PUT", "/x/y/z"),
     found("POST", "/x/y/q"),
     found("GET", "/"),
   ]).toEqual(["deep", "one", "all", undefined]);
-  expect(mappings.all.map((mapping) => mapping.repeatable)).toEqual([false, true, false]);
+  expect(routeTable.all.map((route) => route.repeatable)).toEqual([false, true, false]);
 });
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -43,7 +43,7 @@
   name: string,
   kind: number,
   isReturn: boolean,
-  coder: RpcMethod<T, unknown>["ask"],
+  coder: RpcMethod<T, unknown>["request"],
   value: T,
 ): Sample => {
   const frameOf = (body: T): string =>
@@ -70,8 +70,8 @@
 
 /** A request and its response of one kind, each with a value in which no two fields are equal. */
 const exchange = <A, R>(name: string, kind: RpcMethod<A, R>, request: A, response: R): Sample[] => [
-  sample(`${name} request`, kind.number, false, kind.ask, request),
-  sample(`${name} response`, kind.number, true, kind.return, response),
+  sample(`${name} request`, kind.id, false, kind.request, request),
+  sample(`${name} response`, kind.id, true, kind.response, response),
 ];
 
 const bytes = Buffer.from("bytes, é");
@@ -220,7 +220,7 @@
   return Object.fromEntries(
     outcomes.map((outcome) => [
       outcome?.kind ?? "unknown",
-      Buffer.from(RpcMethod.keyedOutcome.return.toBuffer(KeyedOutcome.message(outcome))).toString(
+      Buffer.from(RpcMethod.keyedOutcome.response.toBuffer(KeyedOutcome.message(outcome))).toString(
         "hex",
       ),
     ]),
@@ -230,18 +230,18 @@
 /** The outcome that a recorded message tells, encoded again. */
 export const rewrittenOutcome = (hex: string): string => {
   const outcome = KeyedOutcome.read(
-    decodeExactly(RpcMethod.keyedOutcome.return, Buffer.from(hex, "hex")),
+    decodeExactly(RpcMethod.keyedOutcome.response, Buffer.from(hex, "hex")),
   );
   const message = KeyedOutcome.message(outcome);
-  return Buffer.from(RpcMethod.keyedOutcome.return.toBuffer(message)).toString("hex");
+  return Buffer.from(RpcMethod.keyedOutcome.response.toBuffer(message)).toString("hex");
 };
 
 /** How sketches were encoded: tries of two services and requests of two routes at fixed moments. */
 export const sketch = (withRoutes: boolean): string => {
   const counts = new RequestCounts(RequestCountsFormat.usual);
   for (let at = 0; at < 40; at += 1) {
-    counts.countTry(1, at % 4 === 0, 1000 + at * 50);
-    counts.countTry(2, false, 1010 + at * 40);
+    counts.countAttempt(1, at % 4 === 0, 1000 + at * 50);
+    counts.countAttempt(2, false, 1010 + at * 40);
     counts.countRoute(3 + (at % 2), 1020 + at * 30);
   }
   return Buffer.from(counts.encode(5000, withRoutes)).toString("base64");
@@ -366,15 +366,15 @@
 
 /** A peer that isn't a daemon: it sends what it is told, as bytes recorded before, and hears the answers. */
 class RawPeer {
-  private readonly link: RpcEndpoint;
+  private readonly rpc: RpcEndpoint;
 
   constructor(private readonly stage: TappedFleet) {
-    const world = virtualRuntime({
+    const runtime = virtualRuntime({
       clock: stage.time.clock(),
-      wire: stage.network.wire("raw-peer", new EventGate()),
+      network: stage.network.wire("raw-peer", new EventGate()),
       random: stage.random,
     });
-    this.link = new RpcEndpoint(world, "10.0.0.99:7000");
+    this.rpc = new RpcEndpoint(runtime, "10.0.0.99:7000");
   }
 
   private run<T>(task: Task<T | undefined>): T {
@@ -385,25 +385,25 @@
 
   /** Sends a command to a daemon and gives the text of its answer. */
   command(to: StageMachine, text: string): string {
-    return this.run(this.link.ask(to.peer, RpcMethod.command, { forwarded: true, text }, 5000))
+    return this.run(this.rpc.call(to.peer, RpcMethod.command, { forwarded: true, text }, 5000))
       .text;
   }
 
   /** Sends a poll to a daemon and gives the text of its answer. */
   poll(to: StageMachine, text: string): string {
-    return this.run(this.link.ask(to.peer, RpcMethod.poll, { forwarded: true, text }, 5000)).text;
+    return this.run(this.rpc.call(to.peer, RpcMethod.poll, { forwarded: true, text }, 5000)).text;
   }
 
   /** Sends a sketch to a daemon and gives the text of its answer. */
   push(to: StageMachine, text: string, base64: string): string {
     const ask = { text, sketches: Buffer.from(base64, "base64") };
-    return this.run(this.link.ask(to.peer, RpcMethod.push, ask, 5000)).text;
+    return this.run(this.rpc.call(to.peer, RpcMethod.push, ask, 5000)).text;
   }
 
   /** How a daemon says that it stands, when it is met. */
   meetingState(to: StageMachine): string {
     const ask = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
-    return this.run(this.link.ask(to.peer, RpcMethod.meet, ask, 5000)).state;
+    return this.run(this.rpc.call(to.peer, RpcMethod.meet, ask, 5000)).state;
   }
 }
 
@@ -423,45 +423,45 @@
 
   protected override lifeOf(machine: StageMachine): MachineLife {
     const life = super.lifeOf(machine);
-    return { ...life, wire: this.tapped(life.wire) };
+    return { ...life, network: this.tapped(life.network) };
   }
 
-  private tapped(wire: Network): Network {
-    const tap = (channel: Connection): Connection => this.tappedChannel(channel);
+  private tapped(network: Network): Network {
+    const tap = (connection: Connection): Connection => this.tappedChannel(connection);
     return {
       *connect(address) {
-        const channel = yield* wire.connect(address);
-        return channel && tap(channel);
+        const connection = yield* network.connect(address);
+        return connection && tap(connection);
       },
       *listen(address, accept) {
-        yield* wire.listen(address, (channel) => accept(tap(channel)));
+        yield* network.listen(address, (connection) => accept(tap(connection)));
       },
     };
   }
 
-  private tappedChannel(channel: Connection): Connection {
+  private tappedChannel(connection: Connection): Connection {
     const reader = new FrameReader();
     return {
-      incoming: channel.incoming,
+      incoming: connection.incoming,
       send: (piece) => {
         for (const frame of reader.read(piece)) this.note(frame);
-        channel.send(piece);
+        connection.send(piece);
       },
-      close: () => channel.close(),
+      close: () => connection.close(),
     };
   }
 
   private note({ kind, isReturn, body }: Frame): void {
-    if (kind === RpcMethod.meet.number && isReturn)
-      this.meetingStates.add(decodeExactly(RpcMethod.meet.return, body).state);
+    if (kind === RpcMethod.meet.id && isReturn)
+      this.meetingStates.add(decodeExactly(RpcMethod.meet.response, body).state);
     if (isReturn) return;
-    if (kind === RpcMethod.poll.number)
-      this.sent.note("poll", decodeExactly(RpcMethod.poll.ask, body).text);
-    if (kind === RpcMethod.push.number) this.notePush(decodeExactly(RpcMethod.push.ask, body).text);
-    if (kind === RpcMethod.command.number)
-      this.noteCommand(decodeExactly(RpcMethod.command.ask, body).text);
-    if (kind === RpcMethod.append.number)
-      for (const { text } of decodeExactly(RpcMethod.append.ask, body).entries)
+    if (kind === RpcMethod.poll.id)
+      this.sent.note("poll", decodeExactly(RpcMethod.poll.request, body).text);
+    if (kind === RpcMethod.push.id) this.notePush(decodeExactly(RpcMethod.push.request, body).text);
+    if (kind === RpcMethod.command.id)
+      this.noteCommand(decodeExactly(RpcMethod.command.request, body).text);
+    if (kind === RpcMethod.append.id)
+      for (const { text } of decodeExactly(RpcMethod.append.request, body).entries)
         this.sent.note(`log entry ${kindOfText(text)}`, text);
   }
 
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -73,17 +73,17 @@
 };
 
 /** Everything that a replica's state machine holds, in the words of the expectations. */
-const stateOf = (book: StateMachine, changeIds: readonly string[]) => ({
-  version: book.version,
-  configurations: book.configs.map(configurationOf),
-  listing: book.recent.map(({ sequence, version, changeId, acceptedAt }) => ({
+const stateOf = (stateMachine: StateMachine, changeIds: readonly string[]) => ({
+  version: stateMachine.version,
+  configurations: stateMachine.configs.map(configurationOf),
+  listing: stateMachine.recent.map(({ sequence, version, changeId, acceptedAt }) => ({
     sequence,
     version: version ?? null,
     changeId,
     acceptedAt,
   })),
-  versionsByChange: changeIds.map((id) => [id, book.changeVersion(id) ?? null]),
-  registrations: [...book.contracts.values()]
+  versionsByChange: changeIds.map((id) => [id, stateMachine.changeVersion(id) ?? null]),
+  registrations: [...stateMachine.registrations.values()]
     .map((one) => ({
       address: one.address,
       service: one.service,
@@ -99,9 +99,9 @@
       announcement: one.order,
     }))
     .sort((a, b) => (a.address < b.address ? -1 : 1)),
-  registrationsIndex: book.directorySequence,
-  goneInstances: [...book.gone],
-  claims: [...book.keys].map(([key, { bodyHash, job, verdict, holders, atIndex }]) => ({
+  registrationsIndex: stateMachine.endpointSequence,
+  goneInstances: [...stateMachine.tombstones],
+  claims: [...stateMachine.claims].map(([key, { bodyHash, job, verdict, holders, atIndex }]) => ({
     key,
     bodyHash,
     request: job,
@@ -109,12 +109,12 @@
     holders: holders ?? null,
     index: atIndex,
   })),
-  numbersInUse: book.numbering.state.inForce,
-  numbersResting: book.numbering.state.resting,
-  numbersFree: book.numbering.state.free,
-  nextNumber: book.numbering.state.next,
-  events: book.journal.map(({ index, text }) => ({ index, text })),
-  quotaHolders: [...book.holders],
+  numbersInUse: stateMachine.idAllocator.state.inForce,
+  numbersResting: stateMachine.idAllocator.state.resting,
+  numbersFree: stateMachine.idAllocator.state.free,
+  nextNumber: stateMachine.idAllocator.state.next,
+  events: stateMachine.journal.map(({ index, text }) => ({ index, text })),
+  quotaHolders: [...stateMachine.holders],
 });
 
 /** Loads a data folder the way a restarted member does. */
@@ -138,7 +138,7 @@
 /** What a data folder says to a member that opens it, snapshot and log entries together. */
 export const readStored = (files: Files, changeIds: readonly string[] = []) => {
   const stage = new DiskStage(files);
-  const { store, standing } = load(stage);
+  const { store, standing: durableState } = load(stage);
   const partial = store.snapshotPart.takeLoaded().map((piece) => ({
     lastIndex: piece.lastIndex,
     lastTerm: piece.lastTerm,
@@ -147,26 +147,28 @@
     offset: piece.offset,
     text: brief(inflateRawSync(piece.bytes).toString("utf8")),
   }));
-  const book = new StateMachine();
-  const hasSnapshot = standing.book !== "{}";
+  const stateMachine = new StateMachine();
+  const hasSnapshot = durableState.book !== "{}";
   const { voters, learners } = hasSnapshot
-    ? book.restore(standing.book)
+    ? stateMachine.restore(durableState.book)
     : { voters: [], learners: [] };
   const outcomes = hasSnapshot
-    ? standing.entries.map(({ index, text }) => `${index} ${brief(book.apply(index, text))}`)
+    ? durableState.entries.map(
+        ({ index, text }) => `${index} ${brief(stateMachine.apply(index, text))}`,
+      )
     : [];
   return {
-    cluster: standing.fleet,
-    rejoinMark: standing.rejoining,
-    term: standing.term,
-    votedFor: standing.votedFor,
-    snapshotIndex: standing.lastIndex,
-    snapshotTerm: standing.lastTerm,
+    cluster: durableState.fleet,
+    rejoinMark: durableState.rejoining,
+    term: durableState.term,
+    votedFor: durableState.votedFor,
+    snapshotIndex: durableState.lastIndex,
+    snapshotTerm: durableState.lastTerm,
     snapshotVoters: voters,
     snapshotLearners: learners,
-    entries: standing.entries.map(({ index, term, text }) => `${index} ${term} ${brief(text)}`),
+    entries: durableState.entries.map(({ index, term, text }) => `${index} ${term} ${brief(text)}`),
     outcomes,
-    state: stateOf(book, changeIds),
+    state: stateOf(stateMachine, changeIds),
     history: historyOf(stage, store),
     partialSnapshot: partial,
   };
@@ -177,12 +179,12 @@
  * the log entry that set them does, so that this entry is read again too.
  */
 export const rewrittenSnapshot = (files: Files): { stored: string; rewritten: string } => {
-  const { standing } = load(new DiskStage(files));
-  const book = new StateMachine();
-  const { voters, learners } = book.restore(standing.book);
+  const { standing: durableState } = load(new DiskStage(files));
+  const stateMachine = new StateMachine();
+  const { voters, learners } = stateMachine.restore(durableState.book);
   const members = Members.in(LogCommand.text({ kind: "members", voters, learners }));
   if (!members) throw new Error("A membership entry isn't read as one.");
-  return { stored: standing.book, rewritten: book.checkpoint(members) };
+  return { stored: durableState.book, rewritten: stateMachine.snapshot(members) };
 };
 
 /** What the present code takes a stored configuration for. */
@@ -228,7 +230,7 @@
   text: `{"services":{"service-${sequence}":{}},"routes":{},"note":"a text that stays the same"}`,
 });
 
-const standing: DurableState = {
+const durableState: DurableState = {
   fleet: "cluster-1",
   rejoining: "mark-1",
   term: 4,
@@ -249,8 +251,8 @@
   stage.disk.poke("history-0", Buffer.concat(wholes));
   const store = new LogStore(stage.disk);
   stage.run(store.load());
-  stage.run(store.checkpoint(standing));
-  stage.run(store.checkpoint({ ...standing, lastIndex: 21, lastTerm: 4, entries: [] }));
+  stage.run(store.writeSnapshot(durableState));
+  stage.run(store.writeSnapshot({ ...durableState, lastIndex: 21, lastTerm: 4, entries: [] }));
   stage.run(
     store.append([
       { kind: "entry", index: 22, term: 4, text: "entry 22, é" },
@@ -315,7 +317,7 @@
 
   protected override daemonOptions(): DaemonOptions {
     const { snapshotBytes } = this;
-    const waits = snapshotBytes === undefined ? {} : { checkpointBytes: snapshotBytes };
+    const waits = snapshotBytes === undefined ? {} : { snapshotBytes };
     return { ...super.daemonOptions(), waits };
   }
 
@@ -323,21 +325,21 @@
   restart(): void {
     if (this.member.daemon) this.kill(this.member);
     this.boot(this.member);
-    this.until(() => this.member.daemon?.recorder?.hasGrant === true, 20_000);
+    this.until(() => this.member.daemon?.replicationNode?.holdsLease === true, 20_000);
   }
 
   /** Has an entry committed and gives its outcome. */
   enter(text: string): string {
-    const { recorder } = this.member.daemon ?? {};
-    if (!recorder) throw new Error("The member doesn't run.");
-    const proposed = runOn(this.time, recorder.propose(text));
+    const { replicationNode } = this.member.daemon ?? {};
+    if (!replicationNode) throw new Error("The member doesn't run.");
+    const proposed = runOn(this.time, replicationNode.propose(text));
     if (typeof proposed === "string") throw new Error(`The entry was not taken: ${proposed}.`);
     return proposed.outcome;
   }
 
   /** How much of another leader's snapshot it holds. */
   get receivedSnapshotBytes(): number {
-    return this.member.daemon?.recorder?.receivedSnapshotBytes ?? 0;
+    return this.member.daemon?.replicationNode?.receivedSnapshotBytes ?? 0;
   }
 
   /** The text of an accepted configuration, as the member finds it. */
--- a/test/consensus/vote.test.ts
+++ b/test/consensus/vote.test.ts
@@ -2,7 +2,7 @@
 import { initialState, type ConsensusState } from "../../src/consensus/state.js";
 import { countVote } from "../../src/consensus/vote.js";
 
-const standing = (more: Partial<ConsensusState>): ConsensusState => ({
+const durableState = (more: Partial<ConsensusState>): ConsensusState => ({
   ...initialState("own", 0),
   members: { voters: ["own", "other"], learners: [] },
   ...more,
@@ -11,7 +11,7 @@
 test("a refused pre-vote tells of a later term, which is taken over, also one that is asked for", () => {
   const reply = { term: 3, granted: false };
   const state = countVote(
-    standing({ role: "preCandidate", term: 2 }),
+    durableState({ role: "preCandidate", term: 2 }),
     { peer: "other", isPreVote: true, term: 3, reply },
     0,
   );
@@ -19,7 +19,7 @@
 });
 
 test("an answer of a term that was left behind changes nothing", () => {
-  const state = standing({ role: "leader", term: 5, votedFor: "own" });
+  const state = durableState({ role: "leader", term: 5, votedFor: "own" });
   const received = { peer: "other", isPreVote: false, term: 3, reply: { term: 4, granted: false } };
   expect(countVote(state, received, 0)).toBe(state);
 });
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -12,10 +12,10 @@
 
 /** A state machine with configurations in force, and the views that a leader makes of them. */
 class Leader {
-  readonly book = new StateMachine();
+  readonly stateMachine = new StateMachine();
   private value: unknown = Config.empty;
   private parsed = { text: "", value: Config.parse(JSON.stringify(Config.empty)) };
-  readonly changes = new ConfigChangeLog(this.book, () => this.parsed.value);
+  readonly changes = new ConfigChangeLog(this.stateMachine, () => this.parsed.value);
   private index = 0;
 
   get config(): Config {
@@ -32,15 +32,15 @@
     this.parsed = { text, value: checked.config };
     const one: LogCommand = {
       kind: "config",
-      expected: this.book.inForce?.sequence ?? 0,
+      expected: this.stateMachine.activeConfig?.sequence ?? 0,
       changeId: `change-${this.index}`,
       acceptedAt: "now",
       text,
       services: Object.keys(checked.config.services),
       routes: Object.keys(checked.config.routes),
-      rested: [...this.book.numbering.resting],
+      rested: [...this.stateMachine.idAllocator.resting],
     };
-    this.book.apply(this.index, LogCommand.text(one));
+    this.stateMachine.apply(this.index, LogCommand.text(one));
   }
 
   patch(value: unknown): void {
@@ -57,7 +57,7 @@
   }
 
   view(known: number): LeasedView {
-    const sequence = this.book.inForce?.sequence ?? 0;
+    const sequence = this.stateMachine.activeConfig?.sequence ?? 0;
     const part = known === sequence ? "" : `,${this.changes.viewPart(known)}`;
     const view = WatchRequest.readReturn(
       `{"granted":true,"grantMs":1,"configSequence":${sequence},"directorySequence":0,"grantNumber":"","capacities":[]${part}}`,
@@ -77,7 +77,7 @@
   expect(plain(copy.config)).toEqual(plain(leader.config));
   expect(Object.keys(copy.config.routes)).toEqual(Object.keys(leader.config.routes));
   expect(Object.fromEntries(copy.numbers)).toEqual(
-    Object.fromEntries(leader.book.numbering.inForce),
+    Object.fromEntries(leader.stateMachine.idAllocator.inForce),
   );
 };
 
@@ -123,7 +123,7 @@
           if (copy.take(leader.view(copy.knownSequence)) === "differs")
             expect(copy.take(leader.view(copy.knownSequence))).toBe("changed");
           expectSame(copy, leader);
-          expect(copy.sequence).toBe(leader.book.inForce?.sequence);
+          expect(copy.sequence).toBe(leader.stateMachine.activeConfig?.sequence);
         }
       }
     }),
@@ -161,11 +161,11 @@
   expect(copy.take(view)).toBe("changed");
   expectSame(copy, leader);
   expect(copy.config.routes["route-8"]).toBe(untouched);
-  const mappings = new RouteTable(copy.config, former);
-  expect(mappings.named("route-8")).toBe(former.named("route-8"));
-  expect(mappings.named("route-7")?.service).toBe("two");
-  expect(mappings.find("GET", "/late")?.name).toBe("late");
-  expect(mappings.find("GET", "/things/9/x", "api.example")).toBeUndefined();
+  const routeTable = new RouteTable(copy.config, former);
+  expect(routeTable.named("route-8")).toBe(former.named("route-8"));
+  expect(routeTable.named("route-7")?.service).toBe("two");
+  expect(routeTable.find("GET", "/late")?.name).toBe("late");
+  expect(routeTable.find("GET", "/things/9/x", "api.example")).toBeUndefined();
 });
 
 test("a copy that differs grants nothing, keeps its sequence and asks for the whole, which mends it", () => {
@@ -215,18 +215,26 @@
 });
 
 test("edges of a fleet follow a storm of patches by items, also over a change of leader", () => {
-  const { simulation, exchange, poll, pollText, leader, wait, daemons } = stage({ holdMs: 50 });
+  const {
+    simulation,
+    exchange,
+    poll: watchRequest,
+    pollText,
+    leader,
+    wait,
+    daemons,
+  } = stage({ holdMs: 50 });
   const [one] = daemons(1);
   const send = (method: string, target: string, body: unknown): void => {
-    one?.daemon?.operators.put({
-      job: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
+    one?.daemon?.operators.emit({
+      clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
       give: () => undefined,
     });
     wait(300);
   };
   const config = large(300);
   send("PUT", "/config", config);
-  const { directorySequence, configSequence } = poll();
+  const { directorySequence, configSequence } = watchRequest();
   expect(configSequence).toBeGreaterThan(0);
   send("PATCH", "/config", { routes: { "route-3": { service: "three" } } });
   const text =
@@ -234,12 +242,12 @@
   expect(text).toContain('"configChanges"');
   expect(text).toContain('"route-3"');
   expect(text).not.toContain('"route-4"');
-  const known = poll({ directorySequence, configSequence });
+  const known = watchRequest({ directorySequence, configSequence });
   simulation.kill(leader());
   wait(3000);
   for (let at = 0; at < 4; at += 1)
     send("PATCH", "/config", { routes: { [`route-${at}`]: { service: "three" } } });
-  const after = poll({ directorySequence: known.directorySequence, configSequence });
+  const after = watchRequest({ directorySequence: known.directorySequence, configSequence });
   expect(after.configSequence).toBe(known.configSequence + 4);
   for (const machine of simulation.machines) {
     if (!machine.daemon) continue;
--- a/test/control-plane/config-changes.test.ts
+++ b/test/control-plane/config-changes.test.ts
@@ -40,13 +40,13 @@
 ): Answer[] => {
   const answers: Answer[] = [];
   const text = typeof body === "string" ? body : body === undefined ? "" : JSON.stringify(body);
-  simulation.machines[at]?.daemon?.operators.put({
-    job: { method, target, headers, body: Buffer.from(text) },
-    give: (ret) =>
+  simulation.machines[at]?.daemon?.operators.emit({
+    clientRequest: { method, target, headers, body: Buffer.from(text) },
+    give: (response) =>
       answers.push({
-        code: ret.code,
-        etag: ret.headers["etag"],
-        body: JSON.parse(Buffer.from(ret.body).toString()),
+        code: response.code,
+        etag: response.headers["etag"],
+        body: JSON.parse(Buffer.from(response.body).toString()),
       }),
   });
   return answers;
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -19,7 +19,7 @@
   text: string;
 }
 
-const usual = { ...ControlPlaneTimeouts.usual };
+const usual = { ...ControlPlaneTimeouts.defaults };
 
 export const fail = (error: unknown): void => {
   throw error;
@@ -27,20 +27,20 @@
 
 /** A simulated fleet whose own back ends are still, and a stranger's link to it. */
 export const stage = (terms: Partial<ControlPlaneTimeouts> = {}, seed = 1) => {
-  Object.assign(ControlPlaneTimeouts.usual, usual, terms);
+  Object.assign(ControlPlaneTimeouts.defaults, usual, terms);
   const simulation = new Simulation(Profile.all.rastro, seed, 0.0001);
-  for (const standIn of simulation.standIns) standIn.isAnnouncing = false;
+  for (const testBackend of simulation.testBackends) testBackend.isAnnouncing = false;
   simulation.begin();
   simulation.time.runUntil(5000);
-  const world = virtualRuntime({
+  const runtime = virtualRuntime({
     clock: simulation.clock,
-    wire: simulation.network.wire("stranger", new EventGate()),
+    network: simulation.network.wire("stranger", new EventGate()),
     random: simulation.random,
   });
-  const link = new RpcEndpoint(world, "stranger");
+  const rpc = new RpcEndpoint(runtime, "stranger");
   const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
   const leader = (): SimulatedMachine => {
-    const found = simulation.machines.find(({ daemon }) => daemon?.recorder?.hasGrant);
+    const found = simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease);
     if (!found) throw new Error("Nobody leads.");
     return found;
   };
@@ -51,20 +51,20 @@
   ) => {
     const returns: Array<{ text: string; atMs: number }> = [];
     Task.start(
-      link.ask(leader().settings.peers, kind, { forwarded: true, text }, 2000),
+      rpc.call(leader().settings.peers, kind, { forwarded: true, text }, 2000),
       fail,
       (ret) => returns.push({ text: ret?.text ?? "", atMs: simulation.time.nowMs() }),
     );
     wait(within);
     return returns;
   };
-  const order = (sent: Command): string =>
+  const command = (sent: Command): string =>
     exchange(RpcMethod.command, Command.text(sent))[0]?.text ?? "";
   const announce = (
     instance: string,
     more: Partial<Extract<Command, { kind: "announce" }>> = {},
   ): string =>
-    order({
+    command({
       kind: "announce",
       address,
       service,
@@ -92,13 +92,13 @@
       refused: [],
       ...more,
     });
-  const poll = (more: Partial<WatchRequest> = {}) => {
+  const watchRequest = (more: Partial<WatchRequest> = {}) => {
     const view = WatchRequest.readReturn(exchange(RpcMethod.poll, pollText(more))[0]?.text ?? "");
     if (!view.granted) throw new Error(view.why);
     return view;
   };
-  const contract = (at = address): Registration | undefined =>
-    poll().directory?.find((one) => one.address === at);
+  const registration = (at = address): Registration | undefined =>
+    watchRequest().directory?.find((one) => one.address === at);
   const daemons = (count: number): SimulatedMachine[] =>
     simulation.machines.filter(({ settings }) => settings.callers !== undefined).slice(0, count);
   const post = (
@@ -108,8 +108,13 @@
     within = 300,
   ): Told => {
     const told: Told[] = [];
-    machine?.daemon?.operators.put({
-      job: { method: "POST", target: path, headers: {}, body: Buffer.from(JSON.stringify(body)) },
+    machine?.daemon?.operators.emit({
+      clientRequest: {
+        method: "POST",
+        target: path,
+        headers: {},
+        body: Buffer.from(JSON.stringify(body)),
+      },
       give: ({ code, body: bytes }) => told.push({ code, text: Buffer.from(bytes).toString() }),
     });
     wait(within);
@@ -117,16 +122,16 @@
   };
   return {
     simulation,
-    world,
-    link,
+    world: runtime,
+    link: rpc,
     wait,
     leader,
-    order,
+    order: command,
     announce,
     exchange,
-    poll,
+    poll: watchRequest,
     pollText,
-    contract,
+    contract: registration,
     daemons,
     post,
   };
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -15,25 +15,26 @@
   const fail = (error: unknown): void => {
     throw error;
   };
-  const world = virtualRuntime({
+  const runtime = virtualRuntime({
     clock: simulation.clock,
-    wire: simulation.network.wire("late", new EventGate()),
+    network: simulation.network.wire("late", new EventGate()),
     random: simulation.random,
   });
-  const link = new RpcEndpoint(world, "late");
+  const rpc = new RpcEndpoint(runtime, "late");
   const leader =
-    simulation.machines.find(({ daemon }) => daemon?.recorder?.hasGrant)?.settings.peers ?? "";
-  const order = (sent: Command): string => {
+    simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease)?.settings.peers ??
+    "";
+  const command = (sent: Command): string => {
     const returns: string[] = [];
     Task.start(
-      link.ask(leader, RpcMethod.command, { forwarded: true, text: Command.text(sent) }, 2000),
+      rpc.call(leader, RpcMethod.command, { forwarded: true, text: Command.text(sent) }, 2000),
       fail,
       (ret) => returns.push(ret?.text ?? ""),
     );
     simulation.time.runUntil(simulation.time.nowMs() + 200);
     return returns[0] ?? "";
   };
-  const [one] = simulation.standIns;
+  const [one] = simulation.testBackends;
   if (!one) throw new Error("There is no back end.");
   one.isAnnouncing = false;
   const { address, service, zone } = one;
@@ -43,13 +44,13 @@
     service,
     zone,
     warmth: 1,
-    seen: Number(/"directorySequence":(\d+)/.exec(order({ kind: "fleet" }))?.[1] ?? "0"),
+    seen: Number(/"directorySequence":(\d+)/.exec(command({ kind: "fleet" }))?.[1] ?? "0"),
   };
-  expect(order({ kind: "leave", address, service })).toBe('{"known":true}');
+  expect(command({ kind: "leave", address, service })).toBe('{"known":true}');
   simulation.time.runUntil(simulation.time.nowMs() + 4000);
-  expect(order(late)).toContain('"overtaken"');
+  expect(command(late)).toContain('"overtaken"');
   const fresh = { ...late, seen: 1_000_000 };
-  expect(order({ ...fresh, service: "triage" })).toContain('"taken"');
-  expect(order(late)).toContain('"overtaken"');
-  expect(order(fresh)).toContain('"taken"');
+  expect(command({ ...fresh, service: "triage" })).toContain('"taken"');
+  expect(command(late)).toContain('"overtaken"');
+  expect(command(fresh)).toContain('"taken"');
 });
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -28,9 +28,9 @@
     const wire = new DelayedNetwork(stage.network.wire(name, gate), clock, () =>
       oneWayMs(zone, "zone-1", spread),
     );
-    const world = virtualRuntime({ clock, wire, random: stage.random });
+    const runtime = virtualRuntime({ clock, network: wire, random: stage.random });
     const daemon = new PollingDaemon(
-      world,
+      runtime,
       { machine: name, zone, peer: `10.9.0.${at + 1}:7000` },
       [stage.at(0).peer],
       Bounds.of({}),
@@ -52,25 +52,27 @@
   stage.bootAll();
   stage.wait(4000);
   const all = hollows(stage, many);
-  stage.until(() => all.every(({ daemon }) => daemon.view.isGranted), 5000);
-  expect(all.filter(({ daemon }) => daemon.view.isGranted)).toHaveLength(many);
+  stage.until(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
+  expect(all.filter(({ daemon }) => daemon.clusterView.holdsLease)).toHaveLength(many);
   stage.wait(6000);
 
   const before = {
-    polls: sumOf(all, ({ daemon }) => daemon.view.polls),
-    grants: sumOf(all, ({ daemon }) => daemon.view.grants),
+    polls: sumOf(all, ({ daemon }) => daemon.clusterView.polls),
+    grants: sumOf(all, ({ daemon }) => daemon.clusterView.grants),
     out: sumOf(all, ({ wire }) => wire.totals.messagesOut),
     back: sumOf(all, ({ wire }) => wire.totals.messagesIn),
   };
   stage.wait(4000);
-  const polls = sumOf(all, ({ daemon }) => daemon.view.polls) - before.polls;
+  const polls = sumOf(all, ({ daemon }) => daemon.clusterView.polls) - before.polls;
   const out = sumOf(all, ({ wire }) => wire.totals.messagesOut) - before.out;
-  const { pollMs, terms } = Bounds.of({});
+  const { pollMs, controlPlaneTimeouts } = Bounds.of({});
   const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
-  expect(polls).toBeGreaterThan(many * Math.floor(4000 / (pollMs + terms.holdMs + farMs + 50)));
+  expect(polls).toBeGreaterThan(
+    many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.holdMs + farMs + 50)),
+  );
   expect(polls).toBeLessThanOrEqual(many * Math.ceil(4000 / pollMs + 1));
   expect(
-    Math.abs(polls - (sumOf(all, ({ daemon }) => daemon.view.grants) - before.grants)),
+    Math.abs(polls - (sumOf(all, ({ daemon }) => daemon.clusterView.grants) - before.grants)),
   ).toBeLessThanOrEqual(many);
   // Nothing goes out but polls and one push every two seconds.
   expect(out - polls).toBeGreaterThanOrEqual(many);
@@ -86,7 +88,7 @@
   stage.bootAll();
   stage.wait(4000);
   const all = hollows(stage, many);
-  stage.until(() => all.every(({ daemon }) => daemon.view.isGranted), 5000);
+  stage.until(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
 
   const backEnds = Array.from({ length: 30 }, (_, at) => ({
     address: `10.8.0.${at + 1}:80`,
@@ -96,18 +98,21 @@
   const announcing = new Set(backEnds);
   const heard = { known: 0, unknown: 0 };
   const announce = function* (at: number): Task {
-    const backEnd = backEnds[at];
-    if (!backEnd) return;
-    for (let round = 0; announcing.has(backEnd); round += 1) {
+    const backend = backEnds[at];
+    if (!backend) return;
+    for (let round = 0; announcing.has(backend); round += 1) {
       const daemon = all[(at + round) % (many - 6)]?.daemon;
-      if (daemon && (yield* daemon.hear(backEnd))) heard.known += 1;
+      if (daemon && (yield* daemon.hear(backend))) heard.known += 1;
       else heard.unknown += 1;
       yield* Task.wait<boolean>((done) => stage.time.clock().after(1000, () => done(true)));
     }
   };
   for (const at of backEnds.keys()) run(announce(at));
   const known = ({ daemon }: Hollow): number =>
-    daemon.view.services.reduce((sum, service) => sum + daemon.view.backEnds(service).length, 0);
+    daemon.clusterView.services.reduce(
+      (sum, service) => sum + daemon.clusterView.backendsOf(service).length,
+      0,
+    );
   stage.until(() => all.every((one) => known(one) === backEnds.length), 8000);
   expect(all.map(known)).toEqual(all.map(() => backEnds.length));
 
@@ -125,9 +130,10 @@
     stage.until(() => {
       for (const { name, daemon } of all) {
         const one = seen.get(name);
-        if (one && one.at(-1) !== daemon.view.configSequence) one.push(daemon.view.configSequence);
+        if (one && one.at(-1) !== daemon.clusterView.configSequence)
+          one.push(daemon.clusterView.configSequence);
       }
-      return all.every(({ daemon }) => daemon.view.configSequence === sequence);
+      return all.every(({ daemon }) => daemon.clusterView.configSequence === sequence);
     }, 5000);
   }
   expect([...seen.values()]).toEqual(all.map(() => [0, 1, 2, 3]));
@@ -154,13 +160,13 @@
   const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
   const got: string[] = [];
   run(
-    far.listen("10.0.0.9:1", (channel) => {
+    far.listen("10.0.0.9:1", (connection) => {
       const hear = function* (): Task {
         for (;;) {
-          const piece = yield* channel.incoming.take();
+          const piece = yield* connection.incoming.take();
           if (piece === "closed") return;
           got.push(Buffer.from(piece).toString());
-          channel.send(piece);
+          connection.send(piece);
         }
       };
       run(hear());
@@ -168,11 +174,11 @@
   );
   const back: string[] = [];
   const speak = function* (): Task {
-    const channel = yield* near.connect("10.0.0.9:1");
-    if (!channel) return;
-    for (const word of ["a", "bb", "ccc"]) channel.send(Buffer.from(word));
+    const connection = yield* near.connect("10.0.0.9:1");
+    if (!connection) return;
+    for (const word of ["a", "bb", "ccc"]) connection.send(Buffer.from(word));
     for (;;) {
-      const piece = yield* channel.incoming.take();
+      const piece = yield* connection.incoming.take();
       if (piece === "closed") return;
       back.push(Buffer.from(piece).toString());
     }
--- a/test/control-plane/delayed-network.ts
+++ b/test/control-plane/delayed-network.ts
@@ -26,22 +26,22 @@
 
   *connect(address: string): Task<Connection | undefined> {
     const waitMs = this.oneWayMs(address);
-    if (waitMs > 0) yield* Clock.rest(this.clock, 2 * waitMs);
-    const channel = yield* this.inner.connect(address);
-    return channel && this.counted(channel, waitMs);
+    if (waitMs > 0) yield* Clock.sleep(this.clock, 2 * waitMs);
+    const connection = yield* this.inner.connect(address);
+    return connection && this.counted(connection, waitMs);
   }
 
-  *listen(address: string, accept: (channel: Connection) => void): Task {
-    yield* this.inner.listen(address, (channel) => accept(this.counted(channel, 0)));
+  *listen(address: string, accept: (connection: Connection) => void): Task {
+    yield* this.inner.listen(address, (connection) => accept(this.counted(connection, 0)));
   }
 
-  private counted(channel: Connection, waitMs: number): Connection {
+  private counted(connection: Connection, waitMs: number): Connection {
     const { totals } = this;
     const incoming = new Queue<Uint8Array | "closed">();
     const [away, back] = [this.inOrder(waitMs), this.inOrder(waitMs)];
     const pump = function* (): Task {
       for (;;) {
-        const piece = yield* channel.incoming.take();
+        const piece = yield* connection.incoming.take();
         back(() => incoming.put(piece));
         if (piece === "closed") return;
         totals.bytesIn += piece.length;
@@ -56,9 +56,9 @@
       send(bytes) {
         totals.bytesOut += bytes.length;
         totals.messagesOut += 1;
-        away(() => channel.send(bytes));
+        away(() => connection.send(bytes));
       },
-      close: () => away(() => channel.close()),
+      close: () => away(() => connection.close()),
     };
   }
 
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -31,7 +31,7 @@
   instance,
   capacity: fc.integer({ min: 0, max: 3 }),
 });
-const deed: fc.Arbitrary<LogCommand> = fc.oneof(
+const command: fc.Arbitrary<LogCommand> = fc.oneof(
   backend.map((one): LogCommand => ({ kind: "contract", zone: "z", warmth: 1, ...one })),
   backend.map(({ address: at, service: of, instance: life }): LogCommand => ({
     kind: "leave",
@@ -50,17 +50,17 @@
 
 test("copies that follow by changes, now and then, are what the state machine holds, by digest too", () => {
   fc.assert(
-    fc.property(fc.array(fc.tuple(deed, fc.nat(7)), { maxLength: 40 }), (steps) => {
-      const book = new StateMachine();
-      const changes = new EndpointChangeLog(book);
+    fc.property(fc.array(fc.tuple(command, fc.nat(7)), { maxLength: 40 }), (steps) => {
+      const stateMachine = new StateMachine();
+      const changes = new EndpointChangeLog(stateMachine);
       const copies = [0, 1, 2].map(() => new EndpointReplica());
       for (const [at, [one, polling]] of steps.entries()) {
-        book.apply(at + 1, LogCommand.text(one));
+        stateMachine.apply(at + 1, LogCommand.text(one));
         for (const [bit, copy] of copies.entries()) {
           if ((polling >> bit) % 2 === 0) continue;
           expect(copy.take(viewOf(changes, copy.knownSequence))).not.toBe("differs");
-          expect(sorted(copy.registrations)).toEqual(sorted(book.contracts.values()));
-          expect(copy.sequence).toBe(book.directorySequence);
+          expect(sorted(copy.registrations)).toEqual(sorted(stateMachine.registrations.values()));
+          expect(copy.sequence).toBe(stateMachine.endpointSequence);
         }
       }
     }),
@@ -69,8 +69,8 @@
 });
 
 test("a copy that differs is found by the digest, grants nothing and asks for the whole, which mends it", () => {
-  const book = new StateMachine();
-  const changes = new EndpointChangeLog(book);
+  const stateMachine = new StateMachine();
+  const changes = new EndpointChangeLog(stateMachine);
   const announce = (index: number, at: string, capacity: number): void => {
     const one: LogCommand = {
       kind: "contract",
@@ -80,7 +80,7 @@
       warmth: 1,
       capacity,
     };
-    book.apply(index, LogCommand.text(one));
+    stateMachine.apply(index, LogCommand.text(one));
   };
   for (let index = 1; index <= 8; index += 1) announce(index, `10.0.0.${index}:80`, 1);
   const copy = new EndpointReplica();
@@ -96,7 +96,7 @@
   expect(copy.take(bent)).toBe("differs");
   expect(copy.knownSequence).toBe(-1);
   expect(copy.take(viewOf(changes, copy.knownSequence))).toBe("changed");
-  expect(sorted(copy.registrations)).toEqual(sorted(book.contracts.values()));
+  expect(sorted(copy.registrations)).toEqual(sorted(stateMachine.registrations.values()));
   expect(copy.knownSequence).toBe(9);
   announce(10, "10.0.0.2:80", 5);
   const skipped = viewOf(changes, copy.knownSequence);
@@ -120,11 +120,20 @@
 });
 
 test("a poll that knows the directory before gets what changed, a few hundred bytes, from a new leader too", () => {
-  const { simulation, announce, exchange, poll, pollText, leader, wait, contract } = stage({
+  const {
+    simulation,
+    announce,
+    exchange,
+    poll: watchRequest,
+    pollText,
+    leader,
+    wait,
+    contract: registration,
+  } = stage({
     holdMs: 50,
   });
   for (let at = 0; at < 8; at += 1) announce(`life-${at}`, { address: `10.9.1.${at}:80` });
-  const known = poll();
+  const known = watchRequest();
   announce("late", { address: "10.9.2.1:80" });
   const { directorySequence, configSequence } = known;
   const bytesOf = (sequence: number): number => {
@@ -136,14 +145,14 @@
     expect(text).toContain('"granted":true');
     return text?.length ?? 0;
   };
-  const unchangedBytes = bytesOf(poll().directorySequence);
+  const unchangedBytes = bytesOf(watchRequest().directorySequence);
   expect(bytesOf(directorySequence) - unchangedBytes).toBeLessThan(400);
-  expect(poll({ directorySequence }).directoryChanges?.put).toHaveLength(1);
+  expect(watchRequest({ directorySequence }).directoryChanges?.put).toHaveLength(1);
 
   simulation.kill(leader());
   wait(2500);
-  const later = poll({ directorySequence, configSequence });
+  const later = watchRequest({ directorySequence, configSequence });
   expect(later.directory).toBeUndefined();
   expect(later.directoryChanges?.put.map(({ instance: life }) => life)).toContain("late");
-  expect(contract("10.9.1.7:80")).toMatchObject({ instance: "life-7" });
+  expect(registration("10.9.1.7:80")).toMatchObject({ instance: "life-7" });
 });
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -8,59 +8,59 @@
 import { address, fail, service, stage } from "./control-plane-stage.js";
 
 test("an instance that left, was replaced or is draining never comes back, however late its announcements are", () => {
-  const { order, announce, contract } = stage();
+  const { order: command, announce, contract: registration } = stage();
   expect(announce("one")).toContain('"taken"');
-  expect(order({ kind: "leave", instance: "one" })).toBe('{"known":true}');
+  expect(command({ kind: "leave", instance: "one" })).toBe('{"known":true}');
   expect(announce("one")).toContain('"gone"');
-  expect(contract()).toMatchObject({ instance: "one", leaving: true });
+  expect(registration()).toMatchObject({ instance: "one", leaving: true });
   expect(announce("two", { capacity: 3 })).toContain('"taken"');
-  expect(contract()).toMatchObject({ instance: "two", leaving: false, capacity: 3 });
+  expect(registration()).toMatchObject({ instance: "two", leaving: false, capacity: 3 });
   expect(announce("three")).toContain('"taken"');
   expect(announce("two")).toContain('"gone"');
-  expect(contract()).toMatchObject({ instance: "three", leaving: false });
+  expect(registration()).toMatchObject({ instance: "three", leaving: false });
   expect(announce("three", { draining: true })).toContain('"gone"');
-  expect(contract()).toMatchObject({ instance: "three", leaving: true });
+  expect(registration()).toMatchObject({ instance: "three", leaving: true });
   expect(announce("three", { draining: false })).toContain('"gone"');
-  expect(contract()).toMatchObject({ instance: "three", leaving: true });
+  expect(registration()).toMatchObject({ instance: "three", leaving: true });
   expect(announce("two", { draining: true })).toContain('"gone"');
-  expect(order({ kind: "leave", instance: "one" })).toBe('{"known":true}');
+  expect(command({ kind: "leave", instance: "one" })).toBe('{"known":true}');
 });
 
 test("an instance that only ended comes back under a new contract", () => {
-  const { announce, poll, contract, wait } = stage();
+  const { announce, poll: watchRequest, contract: registration, wait } = stage();
   announce("one");
-  const number = contract()?.number ?? -1;
-  poll({ refused: [{ address, number }] });
+  const number = registration()?.number ?? -1;
+  watchRequest({ refused: [{ address, number }] });
   wait(300);
-  expect(contract()).toMatchObject({ leaving: true });
+  expect(registration()).toMatchObject({ leaving: true });
   expect(announce("one", { seen: number })).toContain('"overtaken"');
   expect(announce("one")).toContain('"taken"');
-  expect(contract()?.leaving).toBe(false);
-  expect(contract()?.number).toBeGreaterThan(number);
+  expect(registration()?.leaving).toBe(false);
+  expect(registration()?.number).toBeGreaterThan(number);
 });
 
 test("an instance that moves stands at one address; a change of its capacity keeps its contract", () => {
-  const { announce, contract } = stage();
+  const { announce, contract: registration } = stage();
   announce("one", { capacity: 2 });
-  const number = contract()?.number;
+  const number = registration()?.number;
   expect(announce("one", { capacity: 5 })).toContain('"taken"');
-  expect(contract()).toMatchObject({ number, capacity: 5 });
+  expect(registration()).toMatchObject({ number, capacity: 5 });
   announce("one", { address: "10.9.0.2:80" });
-  expect(contract()?.leaving).toBe(true);
-  expect(contract("10.9.0.2:80")).toMatchObject({ instance: "one", leaving: false });
+  expect(registration()?.leaving).toBe(true);
+  expect(registration("10.9.0.2:80")).toMatchObject({ instance: "one", leaving: false });
 });
 
 test("an instance that nobody knew leaves: a late announcement doesn't bring it", () => {
-  const { order, announce, contract } = stage();
-  expect(order({ kind: "leave", instance: "one" })).toBe('{"known":false}');
+  const { order: command, announce, contract: registration } = stage();
+  expect(command({ kind: "leave", instance: "one" })).toBe('{"known":false}');
   expect(announce("one")).toContain('"gone"');
   expect(announce("two", { draining: true })).toContain('"gone"');
   expect(announce("two")).toContain('"gone"');
-  expect(contract()).toBeUndefined();
+  expect(registration()).toBeUndefined();
 });
 
 test("announcements overtaken by newer ones change nothing, at whichever daemon they come", () => {
-  const { daemons, post, contract, wait } = stage();
+  const { daemons, post, contract: registration, wait } = stage();
   const [one, two] = daemons(2);
   const said = { service, address, zone: "x", instance: "life-1", capacity: 2 };
   const announce = (at: typeof one, more: Record<string, unknown>): string =>
@@ -72,14 +72,14 @@
   expect(announce(one, { order: 9 })).toContain('"known"');
   wait(500);
   expect(announce(two, { order: 7, zone: "y" })).toContain('"overtaken"');
-  expect(contract()).toMatchObject({ zone: "x", leaving: false });
+  expect(registration()).toMatchObject({ zone: "x", leaving: false });
   expect(announce(two, { order: 11, zone: "y" })).toContain('"taken"');
-  expect(contract()).toMatchObject({ zone: "y" });
+  expect(registration()).toMatchObject({ zone: "y" });
 });
 
 test("a leave that was acknowledged holds though the leader loses power at once, and after a checkpoint", () => {
   for (const seed of [1, 2, 3]) {
-    const { simulation, leader, daemons, post, contract, wait } = stage({}, seed);
+    const { simulation, leader, daemons, post, contract: registration, wait } = stage({}, seed);
     const [one, two] = daemons(2);
     const said = { service, address, zone: "x", instance: "life-1" };
     post(one, "/backends/announce", said);
@@ -95,17 +95,17 @@
       expect(post(two, "/backends/announce", { ...said, instance, order: 9 }).text).toContain(
         '"gone"',
       );
-    expect(contract()?.leaving ?? true).toBe(true);
+    expect(registration()?.leaving ?? true).toBe(true);
   }
 });
 
 test("beats that change nothing are answered by daemons; the leader hears of them in polls alone, and silence ends what is silent", () => {
-  const { daemons, post, contract, wait } = stage();
+  const { daemons, post, contract: registration, wait } = stage();
   const [one, two] = daemons(2);
   const said = { service, address, zone: "x", instance: "life-1", capacity: 2 };
   post(one, "/backends/announce", { ...said, order: 1 });
   wait(700);
-  const number = contract()?.number;
+  const number = registration()?.number;
   const asked = vi.spyOn(ControlPlane.prototype, "command");
   for (let order = 2; order < 22; order += 1)
     expect(
@@ -113,16 +113,16 @@
     ).toContain('"known"');
   expect(asked.mock.calls.filter(([text]) => text.includes("announce"))).toEqual([]);
   asked.mockRestore();
-  expect(contract()).toMatchObject({ number, leaving: false });
+  expect(registration()).toMatchObject({ number, leaving: false });
   wait(1500);
-  expect(contract()?.leaving).toBe(false);
+  expect(registration()?.leaving).toBe(false);
   wait(1800);
-  expect(contract()).toMatchObject({ number, leaving: true });
+  expect(registration()).toMatchObject({ number, leaving: true });
   expect(post(two, "/backends/announce", { ...said, order: 30 }).text).toContain('"taken"');
 });
 
 test("a beat whose report was lost is reported with a later poll", () => {
-  const { simulation, daemons, post, contract, wait } = stage();
+  const { simulation, daemons, post, contract: registration, wait } = stage();
   const [one] = daemons(1);
   const said = { service, address, zone: "x", instance: "life-1" };
   post(one, "/backends/announce", said);
@@ -134,7 +134,7 @@
   simulation.network.drop(name);
   simulation.network.heal();
   wait(1700);
-  expect(contract()?.leaving).toBe(false);
+  expect(registration()?.leaving).toBe(false);
 });
 
 test("announcements and leaves that are malformed are refused with reasons, and nobody waits long for a leader", () => {
@@ -156,9 +156,9 @@
 });
 
 test("a held poll returns at once when the directory changes, and after its time when nothing does", () => {
-  const { simulation, announce, exchange, poll, pollText } = stage({ holdMs: 250 });
+  const { simulation, announce, exchange, poll: watchRequest, pollText } = stage({ holdMs: 250 });
   announce("one");
-  const { directorySequence, configSequence } = poll();
+  const { directorySequence, configSequence } = watchRequest();
   const held = pollText({ directorySequence, configSequence });
   const beganMs = simulation.time.nowMs();
   const quiet = exchange(RpcMethod.poll, held, 600)[0]?.atMs ?? Infinity;
@@ -176,8 +176,8 @@
 });
 
 test("a poll that is held while its leader is cut off grants nothing", () => {
-  const { simulation, leader, exchange, poll, pollText } = stage({ holdMs: 900 });
-  const { directorySequence, configSequence } = poll();
+  const { simulation, leader, exchange, poll: watchRequest, pollText } = stage({ holdMs: 900 });
+  const { directorySequence, configSequence } = watchRequest();
   const name = leader().settings.machine;
   const returns = exchange(RpcMethod.poll, pollText({ directorySequence, configSequence }), 50);
   for (const { settings } of simulation.machines) {
@@ -189,9 +189,9 @@
 });
 
 test("an instance that is gone is forgotten after its time, unless it still announces itself", () => {
-  const { order, announce, wait } = stage({ goneMs: 4000 });
-  order({ kind: "leave", instance: "one" });
-  order({ kind: "leave", instance: "two" });
+  const { order: command, announce, wait } = stage({ tombstoneMs: 4000 });
+  command({ kind: "leave", instance: "one" });
+  command({ kind: "leave", instance: "two" });
   for (let round = 0; round < 8; round += 1) {
     expect(announce("one")).toContain('"gone"');
     wait(700);
@@ -201,12 +201,12 @@
 });
 
 test("a view finds contracts by service, number and instance, and holds none that refused", () => {
-  const { world, link, leader, announce, wait, simulation } = stage();
+  const { world: runtime, link: rpc, leader, announce, wait, simulation } = stage();
   announce("one");
   announce("two", { address: "10.9.0.2:80" });
-  const forwarder = new CommandForwarder(world, link, () => [leader().settings.peers]);
-  const view = new ClusterView(
-    world,
+  const forwarder = new CommandForwarder(runtime, rpc, () => [leader().settings.peers]);
+  const clusterView = new ClusterView(
+    runtime,
     forwarder,
     () => ({
       name: "stranger",
@@ -218,27 +218,30 @@
     }),
     new RetryBudget(),
   );
-  Task.start(view.own(200), fail);
+  Task.start(clusterView.run(200), fail);
   wait(500);
-  const [one, two] = ["one", "two"].map((instance) => view.contractOf(instance));
+  const [one, two] = ["one", "two"].map((instance) => clusterView.registrationOf(instance));
   if (!one || !two) throw new Error("A contract is missing.");
-  expect(view.backEnds(service)).toEqual([one, two]);
-  expect([view.holds(one), view.holds({ ...two, number: 0 })]).toEqual([true, false]);
-  view.noteRefused(one);
-  expect([view.holds(one), view.backEnds(service)]).toEqual([false, [two]]);
+  expect(clusterView.backendsOf(service)).toEqual([one, two]);
+  expect([clusterView.isRegistered(one), clusterView.isRegistered({ ...two, number: 0 })]).toEqual([
+    true,
+    false,
+  ]);
+  clusterView.noteRefused(one);
+  expect([clusterView.isRegistered(one), clusterView.backendsOf(service)]).toEqual([false, [two]]);
   wait(1000);
-  expect(view.contractOf("one")).toMatchObject({ leaving: true });
+  expect(clusterView.registrationOf("one")).toMatchObject({ leaving: true });
   expect(simulation.machines.length).toBeGreaterThan(0);
 });
 
 test("a beat through a daemon with an older directory isn't told that it was heard, once through another it is", () => {
-  const { announce, poll, contract, wait } = stage();
+  const { announce, poll: watchRequest, contract: registration, wait } = stage();
   announce("one", { order: 1 });
-  const number = contract()?.number ?? -1;
-  poll({ refused: [{ address, number }] });
+  const number = registration()?.number ?? -1;
+  watchRequest({ refused: [{ address, number }] });
   wait(300);
   expect(announce("one", { order: 2, seen: number })).toContain('"behind"');
-  expect(contract()?.leaving).toBe(true);
+  expect(registration()?.leaving).toBe(true);
   expect(announce("one", { order: 2 })).toContain('"taken"');
-  expect(contract()?.leaving).toBe(false);
+  expect(registration()?.leaving).toBe(false);
 });
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -40,7 +40,7 @@
 });
 
 test("the leader sends a large view once to whoever asks again at once", () => {
-  const { exchange, pollText, poll, daemons, wait } = stage({ holdMs: 50 });
+  const { exchange, pollText, poll: watchRequest, daemons, wait } = stage({ holdMs: 50 });
   const [one] = daemons(1);
   const draw = RandomDraw.of(7);
   const routes = Object.fromEntries(
@@ -49,8 +49,8 @@
       { match: { path: `/${draw()}` }, service: "s" },
     ]),
   );
-  one?.daemon?.operators.put({
-    job: {
+  one?.daemon?.operators.emit({
+    clientRequest: {
       method: "PUT",
       target: "/config",
       headers: {},
@@ -63,7 +63,7 @@
   expect(first).toContain('"packedConfig"');
   for (let round = 0; round < 3; round += 1)
     expect(exchange(RpcMethod.poll, pollText())[0]?.text).toContain("under way");
-  expect(poll({ configSequence: 1 }).configSequence).toBe(1);
+  expect(watchRequest({ configSequence: 1 }).configSequence).toBe(1);
   wait(1600);
   expect(exchange(RpcMethod.poll, pollText())[0]?.text).toContain('"packedConfig"');
 });
@@ -75,10 +75,10 @@
   const gate = new EventGate();
   const clock = gate.clock(fleet.time.clock());
   const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
-  const world = virtualRuntime({ clock, wire, random: fleet.random });
+  const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
   const bounds = Bounds.of({});
   const daemon = new PollingDaemon(
-    world,
+    runtime,
     { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
     [fleet.at(0).peer],
     bounds,
@@ -89,8 +89,8 @@
   let granted = 0;
   for (let at = 0; at < 100; at += 1) {
     fleet.wait(40);
-    if (daemon.view.isGranted) granted += 1;
-    expect(daemon.view.leaseLeftMs).toBeLessThanOrEqual(bounds.leaseMs - 700);
+    if (daemon.clusterView.holdsLease) granted += 1;
+    expect(daemon.clusterView.leaseLeftMs).toBeLessThanOrEqual(bounds.leaseMs - 700);
   }
   expect(granted).toBeGreaterThan(95);
 });
--- a/test/control-plane/polling-daemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -28,8 +28,8 @@
 
 /** The control half of an edge: it polls the leader for views and pushes its request counts, and serves no requests. */
 export class PollingDaemon {
-  readonly view: ClusterView;
-  private readonly world: Runtime;
+  readonly clusterView: ClusterView;
+  private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
   private readonly edgeCounts: EdgeCounts;
   private readonly pollMs: number;
@@ -37,17 +37,17 @@
   /** When the directory last changed here. */
   directoryChanges = 0;
 
-  constructor(world: Runtime, place: DaemonPlace, seeds: readonly string[], bounds: Bounds) {
-    const incarnation = Runtime.nonce(world);
-    const link = new RpcEndpoint(world, place.peer);
+  constructor(runtime: Runtime, place: DaemonPlace, seeds: readonly string[], bounds: Bounds) {
+    const incarnation = Runtime.nonce(runtime);
+    const rpc = new RpcEndpoint(runtime, place.peer);
     const budget = new RetryBudget(bounds.budget);
-    const shares = new LoadBalancer(place.zone, () => world.random());
-    this.world = world;
+    const loadBalancer = new LoadBalancer(place.zone, () => runtime.random());
+    this.runtime = runtime;
     this.pollMs = bounds.pollMs;
     this.pollWaitMs = bounds.pollWaitMs;
-    this.forwarder = new CommandForwarder(world, link, () => seeds);
-    this.view = new ClusterView(
-      world,
+    this.forwarder = new CommandForwarder(runtime, rpc, () => seeds);
+    this.clusterView = new ClusterView(
+      runtime,
       this.forwarder,
       () => ({
         name: place.machine,
@@ -59,15 +59,15 @@
       }),
       budget,
     );
-    this.view.onDirectory = (contracts) => {
+    this.clusterView.onEndpoints = (registrations) => {
       this.directoryChanges += 1;
-      shares.know(contracts, world.clock.nowMs());
+      loadBalancer.setBackends(registrations, runtime.clock.nowMs());
     };
     this.edgeCounts = new EdgeCounts(
-      world,
-      link,
+      runtime,
+      rpc,
       bounds.counts,
-      this.view,
+      this.clusterView,
       { machine: place.machine, incarnation, zone: place.zone },
       bounds.budget,
     );
@@ -75,8 +75,8 @@
 
   /** Begins to poll and to push. */
   start(): void {
-    Runtime.start(this.world, "contract", this.view.own(this.pollMs, this.pollWaitMs));
-    Runtime.start(this.world, "zone", this.edgeCounts.pushing(pushMs));
+    Runtime.start(this.runtime, "contract", this.clusterView.run(this.pollMs, this.pollWaitMs));
+    Runtime.start(this.runtime, "zone", this.edgeCounts.run(pushMs));
   }
 
   /** Which part of the fleet its counts cover. */
@@ -85,19 +85,19 @@
   }
 
   /** Has the leader carry out an order. */
-  *order(order: Command): Task<string | undefined> {
-    return yield* this.forwarder.command(order, noticeWaitMs);
+  *order(command: Command): Task<string | undefined> {
+    return yield* this.forwarder.command(command, noticeWaitMs);
   }
 
   /** Hears a back end's announcement once, as the operators' port does; tells whether it is known. */
-  *hear(backEnd: BackendAddress): Task<boolean> {
-    if (this.view.hear({ ...backEnd, warmth: 1 })) return true;
+  *hear(backend: BackendAddress): Task<boolean> {
+    if (this.clusterView.acceptHeartbeat({ ...backend, warmth: 1 })) return true;
     return (
       (yield* this.order({
         kind: "announce",
-        ...backEnd,
+        ...backend,
         warmth: 1,
-        seen: Math.max(0, this.view.directorySequence),
+        seen: Math.max(0, this.clusterView.directorySequence),
       })) !== undefined
     );
   }
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -18,9 +18,9 @@
   const gate = new EventGate();
   const clock = gate.clock(fleet.time.clock());
   const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
-  const world = virtualRuntime({ clock, wire, random: fleet.random });
+  const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
   const daemon = new PollingDaemon(
-    world,
+    runtime,
     { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
     [fleet.at(0).peer],
     Bounds.of({}),
@@ -49,15 +49,15 @@
       }),
     );
   fleet.wait(1000);
-  expect(daemon.view.services.length).toBe(servicesCount);
+  expect(daemon.clusterView.services.length).toBe(servicesCount);
   const many = bytesInASecond();
   expect(many.out - bare.out).toBeLessThan(servicesCount * 10);
   expect(many.in - bare.in).toBeLessThan(servicesCount * 10);
 });
 
 test("members and capacities that a poll names aren't told again", () => {
-  const { poll, exchange, pollText } = stage({ holdMs: 50 });
-  const first = poll();
+  const { poll: watchRequest, exchange, pollText } = stage({ holdMs: 50 });
+  const first = watchRequest();
   const { members, grantNumber, configSequence, directorySequence } = first;
   expect(members?.recorders.length).toBeGreaterThan(2);
   expect(members?.collectors.length).toBeGreaterThan(2);
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -39,16 +39,16 @@
 const toldPlace = (stage: FleetStage, name: string, zone: string): EdgePlacement | undefined => {
   const told: Array<EdgePlacement | undefined> = [];
   const peer = "10.0.9.7:7000";
-  const world = virtualRuntime({
+  const runtime = virtualRuntime({
     clock: stage.time.clock(),
-    wire: stage.network.wire(`poll-${stage.time.nowMs()}`, new EventGate()),
+    network: stage.network.wire(`poll-${stage.time.nowMs()}`, new EventGate()),
     random: stage.random,
   });
-  const link = new RpcEndpoint(world, peer);
-  const forwarder = new CommandForwarder(world, link, () =>
+  const rpc = new RpcEndpoint(runtime, peer);
+  const forwarder = new CommandForwarder(runtime, rpc, () =>
     stage.disks.map((machine) => machine.peer),
   );
-  const poll: WatchRequest = {
+  const watchRequest: WatchRequest = {
     machine: { name, zone, roles: ["edge"], peer, incarnation: "1", draining: false },
     configSequence: -1,
     directorySequence: -2,
@@ -59,7 +59,7 @@
   };
   stage.start(
     (function* () {
-      const text = yield* forwarder.once(RpcMethod.poll, JSON.stringify(poll), 450);
+      const text = yield* forwarder.once(RpcMethod.poll, JSON.stringify(watchRequest), 450);
       const view = text === undefined ? undefined : WatchRequest.readReturn(text);
       told.push(view?.granted === true ? view.place : undefined);
     })(),
@@ -75,7 +75,10 @@
   expect(toldPlace(stage, "edge-0", "a")).toEqual({ zoneIndex: 0, zoneCount: 3, count: 5 });
   const former = stage.leader;
   stage.kill(former);
-  stage.until(() => stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true), 5000);
+  stage.until(
+    () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+    5000,
+  );
   expect(toldPlace(stage, "edge-0", "a")).toBeUndefined();
   stage.kill(stage.at(6));
   stage.wait(6000);
--- a/test/daemon/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -12,8 +12,8 @@
 
 test("without bounds in the settings all waits are the usual ones", () => {
   const bounds = Bounds.of({});
-  expect(bounds.terms).toEqual(ControlPlaneTimeouts.usual);
-  expect(bounds.waits).toEqual(ReplicationTimeouts.usual);
+  expect(bounds.controlPlaneTimeouts).toEqual(ControlPlaneTimeouts.defaults);
+  expect(bounds.replicationTimeouts).toEqual(ReplicationTimeouts.defaults);
   expect(bounds.counts).toEqual(RequestCountsFormat.usual);
   expect([bounds.leaseMs, bounds.pollMs, bounds.orderMs]).toEqual([1600, 400, 4000]);
   expect([bounds.budget.rule, bounds.budget.sketch, bounds.budget.guard]).toEqual([
@@ -30,37 +30,44 @@
     [600, 9000],
     [9000, 9000],
   ] as const) {
-    const { leaseMs, pollMs, pollWaitMs, terms } = Bounds.of({ bounds: { applyMs, drainMs } });
+    const { leaseMs, pollMs, pollWaitMs, controlPlaneTimeouts } = Bounds.of({
+      bounds: { applyMs, drainMs },
+    });
     expect(leaseMs).toBeLessThan(Math.min(applyMs, drainMs));
-    expect(terms.grantMs).toBe(leaseMs);
+    expect(controlPlaneTimeouts.leaseMs).toBe(leaseMs);
     expect(pollMs * 4).toBeLessThanOrEqual(leaseMs);
-    expect(terms.silentMs).toBeGreaterThan(leaseMs);
-    expect(terms.holdMs).toBeLessThan(400);
-    expect(pollWaitMs - terms.holdMs).toBeGreaterThanOrEqual(130);
+    expect(controlPlaneTimeouts.silentMs).toBeGreaterThan(leaseMs);
+    expect(controlPlaneTimeouts.holdMs).toBeLessThan(400);
+    expect(pollWaitMs - controlPlaneTimeouts.holdMs).toBeGreaterThanOrEqual(130);
     expect(2 * pollWaitMs).toBeLessThan(leaseMs);
   }
 });
 
 test("a leader's grant is over before any voter may stand, whatever the bounds", () => {
   for (const contactMs of [1000, 2000, 3000, 30_000]) {
-    const { waits } = Bounds.of({ bounds: { contactMs } });
-    expect(waits.leaderGrantMs).toBeLessThan(waits.electionMinMs);
-    expect(waits.heartbeatMs * 3).toBeLessThan(waits.leaderGrantMs);
-    expect(waits.electionMaxMs * 3).toBeLessThanOrEqual(contactMs);
+    const { replicationTimeouts } = Bounds.of({ bounds: { contactMs } });
+    expect(replicationTimeouts.leaderLeaseMs).toBeLessThan(replicationTimeouts.electionMinMs);
+    expect(replicationTimeouts.heartbeatMs * 3).toBeLessThan(replicationTimeouts.leaderLeaseMs);
+    expect(replicationTimeouts.electionMaxMs * 3).toBeLessThanOrEqual(contactMs);
   }
 });
 
 test("a lost voter is replaced well within the time that its successor has, whatever the bounds", () => {
   for (const catchUpMs of [1200, 1500, 2000, 4000, 6000, 60_000])
     for (const contactMs of [1000, 3000, 30_000]) {
-      const { waits } = Bounds.of({ bounds: { catchUpMs, contactMs } });
-      expect(waits.replaceAfterMs).toBeGreaterThanOrEqual(2 * waits.electionMaxMs);
+      const { replicationTimeouts } = Bounds.of({ bounds: { catchUpMs, contactMs } });
+      expect(replicationTimeouts.replaceAfterMs).toBeGreaterThanOrEqual(
+        2 * replicationTimeouts.electionMaxMs,
+      );
       // The lost one led, two elections are needed, and its first follower in the lead is followed by another.
-      const oneLeader = 2 * waits.electionMaxMs + waits.replaceAfterMs;
-      const twoLeaders = oneLeader + waits.electionMaxMs + waits.replaceAfterMs;
+      const oneLeader = 2 * replicationTimeouts.electionMaxMs + replicationTimeouts.replaceAfterMs;
+      const twoLeaders =
+        oneLeader + replicationTimeouts.electionMaxMs + replicationTimeouts.replaceAfterMs;
       expect(oneLeader).toBeLessThanOrEqual(0.51 * catchUpMs);
       expect(twoLeaders).toBeLessThanOrEqual(0.88 * catchUpMs);
-      expect(waits.forgetAfterMs).toBeGreaterThan(10 * waits.replaceAfterMs);
+      expect(replicationTimeouts.forgetAfterMs).toBeGreaterThan(
+        10 * replicationTimeouts.replaceAfterMs,
+      );
     }
   expect(Bounds.faults({ bounds: { catchUpMs: 1100 } }).map(({ path }) => path)).toEqual([
     "bounds.catchUpMs",
@@ -80,10 +87,10 @@
 });
 
 test("a key is kept for longer than its window, and a stop ends within its grace", () => {
-  const { terms, serveOnMs, abandonMs } = Bounds.of({
+  const { controlPlaneTimeouts, serveOnMs, abandonMs } = Bounds.of({
     bounds: { keyWindowMs: 60_000, graceMs: 6000 },
   });
-  expect(terms.keyMs).toBe(70_000);
+  expect(controlPlaneTimeouts.keyMs).toBe(70_000);
   expect([serveOnMs, abandonMs]).toEqual([2600, 5600]);
   const short = Bounds.of({ bounds: { graceMs: 1000 } });
   expect(short.serveOnMs).toBeLessThan(short.abandonMs);
@@ -92,9 +99,9 @@
 
 test("a back end may miss two heartbeats, however often they come", () => {
   for (const heartbeatMs of [200, 1300, 5000]) {
-    const { terms } = Bounds.of({ heartbeatMs });
-    expect(terms.announceMs).toBe(heartbeatMs);
-    expect(terms.lapseMs).toBeGreaterThan(3 * heartbeatMs);
+    const { controlPlaneTimeouts } = Bounds.of({ heartbeatMs });
+    expect(controlPlaneTimeouts.heartbeatMs).toBe(heartbeatMs);
+    expect(controlPlaneTimeouts.expiryMs).toBeGreaterThan(3 * heartbeatMs);
   }
 });
 
--- a/test/daemon/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -15,15 +15,15 @@
   const patch = Buffer.from(
     JSON.stringify({ routes: { issues: { giveUpMs: 30_000 }, crashes: { giveUpMs: 30_000 } } }),
   );
-  simulation.machines[0]?.daemon?.operators.put({
-    job: { method: "PATCH", target: "/config", headers: {}, body: patch },
+  simulation.machines[0]?.daemon?.operators.emit({
+    clientRequest: { method: "PATCH", target: "/config", headers: {}, body: patch },
     give: () => undefined,
   });
   wait(2000);
   const edge = simulation.machines.find(({ settings }) => settings.callers !== undefined);
   if (!edge) throw new Error("There is no edge.");
-  for (const standIn of simulation.standIns)
-    standIn.behave({ slowFactor: standIn.service === "issues" ? 4000 : 150 });
+  for (const testBackend of simulation.testBackends)
+    testBackend.behave({ slowFactor: testBackend.service === "issues" ? 4000 : 150 });
   const codes: string[] = [];
   const call = (path: string): void =>
     Task.start(
@@ -41,7 +41,7 @@
   simulation.start(simulation.stop(edge));
   wait(9000);
   expect(codes).toEqual(["/crashes/1 200 ", "/issues/1 504 "]);
-  expect(simulation.ledger.of("stopped").map(({ atMs, endedMs }) => endedMs - atMs < 7000)).toEqual(
-    [true],
-  );
+  expect(
+    simulation.recorder.of("stopped").map(({ atMs, endedMs }) => endedMs - atMs < 7000),
+  ).toEqual([true]);
 });
--- a/test/daemon/http-server.test.ts
+++ b/test/daemon/http-server.test.ts
@@ -5,8 +5,8 @@
 import { Task } from "../../src/runtime/task.js";
 
 test("a request that was sent over a kept connection right before the server began to part with its callers is answered", async () => {
-  const server = new HttpServer((job, caller) =>
-    caller.whole({ code: 200, headers: {}, body: Buffer.from(job.target) }),
+  const server = new HttpServer((clientRequest, client) =>
+    client.respond({ code: 200, headers: {}, body: Buffer.from(clientRequest.target) }),
   );
   const port = await new Promise<number>((done, fail) => {
     const probe = createServer().listen(0, "127.0.0.1", () => {
--- a/test/daemon/limits.test.ts
+++ b/test/daemon/limits.test.ts
@@ -6,9 +6,11 @@
 
 const taken: string[] = [];
 const server = new HttpServer(
-  (job, caller) => {
-    taken.push(`${job.method} ${job.target} ${job.body.length}${job.rest ? " and more" : ""}`);
-    caller.whole({ code: 200, headers: {}, body: Buffer.from(job.target) });
+  (clientRequest, client) => {
+    taken.push(
+      `${clientRequest.method} ${clientRequest.target} ${clientRequest.body.length}${clientRequest.rest ? " and more" : ""}`,
+    );
+    client.respond({ code: 200, headers: {}, body: Buffer.from(clientRequest.target) });
   },
   { wholeOnly: false },
 );
--- a/test/daemon/paced-responses.test.ts
+++ b/test/daemon/paced-responses.test.ts
@@ -35,15 +35,16 @@
   const clock = Clock.real();
   const egress = new LinkPacer(clock, linkMbps);
   const server = new HttpServer(
-    (job, caller) => {
-      const body = Buffer.alloc(job.target === "/short" ? 20 : largeBytes, "x");
-      if (job.target !== "/streamed") return caller.whole({ code: 200, headers: {}, body });
-      caller.begin(200, { "content-length": String(body.length) });
+    (clientRequest, client) => {
+      const body = Buffer.alloc(clientRequest.target === "/short" ? 20 : largeBytes, "x");
+      if (clientRequest.target !== "/streamed")
+        return client.respond({ code: 200, headers: {}, body });
+      client.writeHead(200, { "content-length": String(body.length) });
       Task.start(
         (function* () {
-          if (yield* caller.piece(body)) caller.end();
+          if (yield* client.writeChunk(body)) client.end();
         })(),
-        () => caller.cut(),
+        () => client.abort(),
       );
     },
     { wholeOnly: false, egress },
@@ -76,8 +77,8 @@
 test("a caller who hangs up in the middle of a large response frees the link for others", async () => {
   const egress = new LinkPacer(Clock.real(), linkMbps);
   const server = new HttpServer(
-    (_job, caller) =>
-      caller.whole({ code: 200, headers: {}, body: Buffer.alloc(largeBytes * 10, "x") }),
+    (_job, client) =>
+      client.respond({ code: 200, headers: {}, body: Buffer.alloc(largeBytes * 10, "x") }),
     { wholeOnly: false, egress },
   );
   const port = await freePort();
@@ -114,7 +115,7 @@
   const body = Buffer.alloc(largeBytes, "x");
   for (const transferClass of ["control", "response"] as const) {
     const server = new HttpServer(
-      (_job, caller) => caller.whole({ code: 200, headers: {}, body }),
+      (_job, client) => client.respond({ code: 200, headers: {}, body }),
       {
         egress,
         transferClass,
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -49,11 +49,11 @@
     ).toBe(true);
     expect(await fleet.perform(fleet.day.putConfig())).toBe(true);
     await fleet.perform(
-      fleet.until(() => fleet.ledger.of("announced").length >= fleet.standIns.length, 10_000),
+      fleet.until(() => fleet.recorder.of("announced").length >= fleet.testBackends.length, 10_000),
     );
     fleet.beginCalls();
     const served = (): number =>
-      fleet.ledger.callers.filter(({ code }) => code === 200 || code === 201).length;
+      fleet.recorder.callers.filter(({ code }) => code === 200 || code === 201).length;
     expect(await fleet.perform(fleet.until(() => served() > 60, 20_000))).toBe(true);
 
     const recorders = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
@@ -73,10 +73,10 @@
     if (!edge) throw new Error("There is no edge.");
     await fleet.perform(fleet.stop(edge));
     expect(edge.exitCode).toBe(0);
-    fleet.ledger.endMs = fleet.clock.nowMs();
+    fleet.recorder.endMs = fleet.clock.nowMs();
     await fleet.perform(fleet.day.readBack());
-    expect(fleet.ledger.of("readBack")).toHaveLength(2);
-    expect(checkRules(fleet.ledger)).toEqual([]);
+    expect(fleet.recorder.of("readBack")).toHaveLength(2);
+    expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.failures).toEqual([]);
     const statuses = [];
     for (const machine of recorders)
@@ -121,8 +121,8 @@
     if (other) await fleet.perform(fleet.kill(other));
     expect(await fleet.perform(fleet.day.putConfig())).toBe(true);
     await fleet.perform(fleet.day.readBack());
-    expect(fleet.ledger.of("readBack")).toHaveLength(7);
-    expect(checkRules(fleet.ledger)).toEqual([]);
+    expect(fleet.recorder.of("readBack")).toHaveLength(7);
+    expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.failures).toEqual([]);
   } finally {
     await fleet.end(false);
--- a/test/load-balancing/load-balancer.test.ts
+++ b/test/load-balancing/load-balancer.test.ts
@@ -4,7 +4,7 @@
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
 test("a slow backend, a failing one and a far one take less, and the reason is told", () => {
-  const shares = new LoadBalancer("a", RandomDraw.of(4));
+  const loadBalancer = new LoadBalancer("a", RandomDraw.of(4));
   const backend = (address: string, zone = "a"): Registration => ({
     address,
     service: "s",
@@ -22,11 +22,11 @@
   const backends = [backend("well"), backend("slow"), backend("failing"), backend("far", "b")];
   const taken = new Map<string, number>();
   for (let nowMs = 0; nowMs < 20_000; nowMs += 10) {
-    const one = shares.pick(backends, { tried: new Set(), inHandLimit: 100 }, nowMs);
+    const one = loadBalancer.pick(backends, { tried: new Set(), inHandLimit: 100 }, nowMs);
     if (!one) throw new Error("nothing was picked");
     taken.set(one.address, (taken.get(one.address) ?? 0) + 1);
-    shares.began(one, nowMs);
-    shares.ended(
+    loadBalancer.began(one, nowMs);
+    loadBalancer.ended(
       one,
       {
         tookMs: one.address === "slow" ? 400 : 20,
@@ -39,7 +39,7 @@
   const well = taken.get("well") ?? 0;
   for (const other of ["slow", "failing", "far"])
     expect(well).toBeGreaterThan(2 * (taken.get(other) ?? 0));
-  const whys = shares.explain(backends, 20_000).map(({ why }) => why);
+  const whys = loadBalancer.explain(backends, 20_000).map(({ why }) => why);
   expect(whys[1]).toContain("slower");
   expect(whys[3]).toContain("another zone");
 });
--- a/test/load-balancing/silence.test.ts
+++ b/test/load-balancing/silence.test.ts
@@ -19,31 +19,31 @@
 });
 
 test("a backend that is silent with work in hand gets no more, until something ends there", () => {
-  const shares = new LoadBalancer("a", RandomDraw.of(3));
+  const loadBalancer = new LoadBalancer("a", RandomDraw.of(3));
   const [dark, well] = [backend("dark", 1), backend("well", 2)];
   const ended = { tookMs: 50, isWhole: true, goalMs: 100, route: "r" };
   for (const one of [dark, well]) {
-    shares.began(one, 0, "r");
-    shares.ended(one, ended, 50);
+    loadBalancer.began(one, 0, "r");
+    loadBalancer.ended(one, ended, 50);
   }
-  shares.began(dark, 100, "r");
+  loadBalancer.began(dark, 100, "r");
   const picked = (nowMs: number): Set<string> =>
     new Set(
       Array.from(
         { length: 200 },
         () =>
-          shares.pick([dark, well], { tried: new Set(), inHandLimit: 100, route: "r" }, nowMs)
+          loadBalancer.pick([dark, well], { tried: new Set(), inHandLimit: 100, route: "r" }, nowMs)
             ?.address ?? "",
       ),
     );
   expect(picked(150)).toEqual(new Set(["dark", "well"]));
   expect(picked(600)).toEqual(new Set(["well"]));
-  shares.ended(dark, { ...ended, tookMs: 520 }, 620);
+  loadBalancer.ended(dark, { ...ended, tookMs: 520 }, 620);
   expect(picked(640).has("dark")).toBe(true);
 });
 
 test("what comes from another zone is dear where responses are large, and nearly free where they are small", () => {
-  const shares = new LoadBalancer("a", RandomDraw.of(5));
+  const loadBalancer = new LoadBalancer("a", RandomDraw.of(5));
   const [near, far] = [backend("near", 1), backend("far", 2, "b")];
   for (let at = 0; at < 40; at += 1)
     for (const one of [near, far])
@@ -51,8 +51,8 @@
         ["large", 200_000],
         ["small", 400],
       ] as const) {
-        shares.began(one, at * 100, route);
-        shares.ended(
+        loadBalancer.began(one, at * 100, route);
+        loadBalancer.ended(
           one,
           { tookMs: one === near ? 70 : 50, isWhole: true, goalMs: 500, route, bytes },
           at * 100 + 50,
@@ -60,7 +60,7 @@
       }
   const farPart = (route: string): number =>
     Array.from({ length: 400 }, () =>
-      shares.pick([near, far], { tried: new Set(), inHandLimit: 100, route }, 5000),
+      loadBalancer.pick([near, far], { tried: new Set(), inHandLimit: 100, route }, 5000),
     ).filter((one) => one === far).length / 400;
   expect(farPart("large")).toBeLessThan(0.1);
   expect(farPart("small")).toBeGreaterThan(0.9);
--- a/test/load-balancing/warmth.test.ts
+++ b/test/load-balancing/warmth.test.ts
@@ -4,7 +4,7 @@
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
 test("an instance warms up for as long as it said from when it was learned; one that said nothing is warm; without an instance it takes ten seconds", () => {
-  const shares = new LoadBalancer("a", RandomDraw.of(1));
+  const loadBalancer = new LoadBalancer("a", RandomDraw.of(1));
   const backend = (address: string, more: Partial<Registration>): Registration => ({
     address,
     service: "s",
@@ -26,12 +26,12 @@
     backend("cold", { instance: "c", warmMs: 4000 }),
   ];
   const sharesAt = (nowMs: number): number[] =>
-    shares.explain(backends, nowMs).map(({ share }) => share);
-  shares.know(backends, 1000);
+    loadBalancer.explain(backends, nowMs).map(({ share }) => share);
+  loadBalancer.setBackends(backends, 1000);
   expect(sharesAt(1000)).toEqual([0.05, 1, 0.05]);
   expect(sharesAt(3000)).toEqual([0.2, 1, 0.5]);
   expect(sharesAt(5000)).toEqual([0.4, 1, 1]);
-  shares.know([], 5000);
-  shares.know(backends, 9000);
+  loadBalancer.setBackends([], 5000);
+  loadBalancer.setBackends(backends, 9000);
   expect(sharesAt(9000)).toEqual([0.05, 1, 0.05]);
 });
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -41,13 +41,13 @@
 
 /** A daemon's way to the leader, on a machine of its own that is never short of anything. */
 const forwarderOf = (stage: LimitedStage): CommandForwarder => {
-  const world = virtualRuntime({
+  const runtime = virtualRuntime({
     clock: stage.time.clock(),
-    wire: stage.network.wire("caller", new EventGate()),
+    network: stage.network.wire("caller", new EventGate()),
     random: stage.random,
   });
-  const link = new RpcEndpoint(world, "10.0.9.9:7000");
-  return new CommandForwarder(world, link, () => stage.disks.map(({ peer }) => peer));
+  const rpc = new RpcEndpoint(runtime, "10.0.9.9:7000");
+  return new CommandForwarder(runtime, rpc, () => stage.disks.map(({ peer }) => peer));
 };
 
 /** Claims one key after another, for as long as the stage runs; how long each claim took. */
@@ -57,15 +57,15 @@
   const forwarder = forwarderOf(stage);
   const claim = function* (at: number): Task {
     const sentMs = stage.time.nowMs();
-    const order = { kind: "claim", scope: `key-${at}`, bodyHash: "h", job: `job-${at}` } as const;
-    const text = yield* forwarder.command(order, 5000);
+    const command = { kind: "claim", scope: `key-${at}`, bodyHash: "h", job: `job-${at}` } as const;
+    const text = yield* forwarder.command(command, 5000);
     tookMs.push(text === '{"claimed":true}' ? stage.time.nowMs() - sentMs : Infinity);
   };
   stage.start(
     (function* (): Task {
       for (let at = 0; ; at += 1) {
         stage.start(claim(at));
-        yield* Clock.rest(clock, claimEveryMs);
+        yield* Clock.sleep(clock, claimEveryMs);
       }
     })(),
   );
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -52,9 +52,9 @@
 
 /** Backends that answer each request after some work with a body of usual size. */
 const answering = (clock: Clock): BackendClient => ({
-  *send({ job, mayStill }) {
+  *send({ request: job, maySend: mayStill }) {
     if (!mayStill()) return "withdrawn";
-    yield* Clock.rest(clock, workMs);
+    yield* Clock.sleep(clock, workMs);
     const pieces = [Buffer.alloc(responseBytes, "r")];
     return {
       code: 200,
@@ -69,7 +69,7 @@
       cancel: () => undefined,
     };
   },
-  keepOnly: () => undefined,
+  retainPools: () => undefined,
   close: () => undefined,
 });
 
@@ -89,7 +89,7 @@
   }
 
   protected override daemonOptions(): DaemonOptions {
-    return { backEnds: answering(this.time.clock()), dialect: LimitedStage.dialect };
+    return { backendClient: answering(this.time.clock()), headerNames: LimitedStage.headerNames };
   }
 
   get edges(): StageMachine[] {
@@ -106,7 +106,7 @@
         const dueCount = Math.min(count, ((time.nowMs() - startMs) * perSecond) / 1000);
         for (let at = stage.written.length; at < dueCount; at += 1)
           stage.send(edges[at % edges.length], `key-${at}`);
-        yield* Clock.rest(time.clock(), 1);
+        yield* Clock.sleep(time.clock(), 1);
       }
     };
     this.start(writing(this));
@@ -116,18 +116,18 @@
     const sentMs = this.time.nowMs();
     const written: Written = { code: undefined, tookMs: Infinity };
     this.written.push(written);
-    const caller: ClientConnection = {
-      isGone: false,
-      whole: ({ code }) => {
+    const client: ClientConnection = {
+      isClosed: false,
+      respond: ({ code }) => {
         written.code = code;
         written.tookMs = this.time.nowMs() - sentMs;
       },
-      begin: () => undefined,
-      *piece() {
+      writeHead: () => undefined,
+      *writeChunk() {
         return true;
       },
       end: () => undefined,
-      cut: () => undefined,
+      abort: () => undefined,
     };
     const headers = {
       host: "a.example",
@@ -136,7 +136,7 @@
       "deadline-ms": String(deadlineMs),
     };
     const job = { method: "POST", target: `/write/${key}`, headers, body: Buffer.from(key) };
-    edge?.daemon?.callers.put({ job, caller });
+    edge?.daemon?.callers.emit({ clientRequest: job, client });
   }
 
   /** Has backends announce themselves through one edge after another, until they leave. */
@@ -146,7 +146,7 @@
       for (let calls = 1; !stage.leaving.has(id); calls += 1) {
         const edge = stage.edges[(id + calls) % stage.edges.length];
         if (edge) stage.beat(edge, { id: `${id}`, calls, service: "ledger" });
-        yield* Clock.rest(clock, beatMs);
+        yield* Clock.sleep(clock, beatMs);
       }
     };
     for (const id of ids) this.start(announcing(this, id));
@@ -169,12 +169,12 @@
           service: "ledger",
         });
         const untilMs = clock.nowMs() + patienceMs;
-        while (call.code === undefined && clock.nowMs() < untilMs) yield* Clock.rest(clock, 5);
+        while (call.code === undefined && clock.nowMs() < untilMs) yield* Clock.sleep(clock, 5);
         if (call.code === 200) {
           tookMs[place] = clock.nowMs() - startedMs;
           return;
         }
-        yield* Clock.rest(clock, 50);
+        yield* Clock.sleep(clock, 50);
       }
     };
     for (const [place, id] of ids.entries()) this.start(leaving(this, id, place));
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -45,14 +45,14 @@
     this.processors.set(machine, processor);
     const gate = new LimitedGate(time, processor, usualCharges);
     const clock = gate.clock(time);
-    const wire = limitedWire(this.network.wire(machine.settings.machine, gate), {
+    const network = limitedWire(this.network.wire(machine.settings.machine, gate), {
       clock,
       processor,
       egress: new LinkQueue(clock, linkMbps),
       ingress: new LinkQueue(clock, linkMbps),
       charges: usualCharges,
     });
-    return { gate, clock, wire };
+    return { gate, clock, network };
   }
 
   private limitsOf(machine: StageMachine): MachineLimits {
--- a/test/load/machine-limits.ts
+++ b/test/load/machine-limits.ts
@@ -167,13 +167,13 @@
 export const limitedWire = (inner: Network, parts: MachineParts): Network => ({
   *connect(address) {
     parts.processor.charge(parts.charges.connectionMs);
-    const channel = yield* inner.connect(address);
-    return channel && limitedChannel(channel, parts);
+    const connection = yield* inner.connect(address);
+    return connection && limitedChannel(connection, parts);
   },
   *listen(address, accept) {
-    yield* inner.listen(address, (channel) => {
+    yield* inner.listen(address, (connection) => {
       parts.processor.charge(parts.charges.connectionMs);
-      accept(limitedChannel(channel, parts));
+      accept(limitedChannel(connection, parts));
     });
   },
 });
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -35,7 +35,7 @@
     (function* (): Task {
       while (stage.time.nowMs() < untilMs) {
         for (const machine of busy) stage.processor(machine).charge(180);
-        yield* Clock.rest(clock, 300);
+        yield* Clock.sleep(clock, 300);
       }
     })(),
   );
@@ -43,31 +43,31 @@
 
 /** An edge's link to the members: it asks one after another, as one does whose leader answers late. */
 const askingAll = (stage: LimitedStage): RpcEndpoint => {
-  const world = virtualRuntime({
+  const runtime = virtualRuntime({
     clock: stage.time.clock(),
-    wire: stage.network.wire("asking", new EventGate()),
+    network: stage.network.wire("asking", new EventGate()),
     random: stage.random,
   });
-  const link = new RpcEndpoint(world, "10.0.9.8:7000");
+  const rpc = new RpcEndpoint(runtime, "10.0.9.8:7000");
   const asking = function* (): Task {
     for (;;)
       for (const { peer } of stage.disks) {
-        yield* link.ask(peer, RpcMethod.handOver, { term: 0 }, 200);
-        yield* Clock.rest(world.clock, 350);
+        yield* rpc.call(peer, RpcMethod.handOver, { term: 0 }, 200);
+        yield* Clock.sleep(runtime.clock, 350);
       }
   };
   stage.start(asking());
-  return link;
+  return rpc;
 };
 
 test("members whose processors are overloaded are never taken for a core that is out of reach", () => {
   const stage = begun();
-  const link = askingAll(stage);
+  const rpc = askingAll(stage);
   const lease = new ExpiredLeasePolicy(
     stage.time.clock(),
     {
       members: stage.disks.map(({ peer }) => peer),
-      isOutOfReach: (member, sinceMs) => link.isOutOfReach(member, sinceMs),
+      isOutOfReach: (member, sinceMs) => rpc.isUnreachable(member, sinceMs),
     },
     bounds,
   );
--- a/test/platform/command-stage.ts
+++ b/test/platform/command-stage.ts
@@ -1,5 +1,5 @@
 import { control } from "../../platform/control.js";
-import { dialect } from "../../platform/dialect.js";
+import { headerNames } from "../../platform/dialect.js";
 import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
 import type { ClientResponse } from "../../src/proxy/request-outcome.js";
 import type { Settings } from "../../src/daemon/settings.js";
@@ -95,7 +95,7 @@
   }
 
   /** The platform's headers. */
-  static readonly dialect = dialect;
+  static readonly headerNames = headerNames;
 
   /** Sends a request to a machine's control address; a machine that is down never answers. */
   call(
@@ -112,21 +112,25 @@
       headers: {},
       body: "",
     };
-    const give = (ret: ClientResponse): void => {
-      call.code = ret.code;
-      call.headers = ret.headers;
-      call.body = Buffer.from(ret.body).toString();
+    const give = (response: ClientResponse): void => {
+      call.code = response.code;
+      call.headers = response.headers;
+      call.body = Buffer.from(response.body).toString();
       call.answeredMs = this.time.nowMs();
     };
-    const job: ProxyRequest = {
+    const clientRequest: ProxyRequest = {
       method,
       target: `/daledoor/${target}`,
       headers,
       body: Buffer.from(body),
     };
-    const read = control.into(job);
+    const read = control.into(clientRequest);
     if ("code" in read) give(read);
-    else machine.daemon?.operators.put({ job: read.job, give: (ret) => give(read.back(ret)) });
+    else
+      machine.daemon?.operators.emit({
+        clientRequest: read.clientRequest,
+        give: (response) => give(read.back(response)),
+      });
     return call;
   }
 
@@ -150,10 +154,10 @@
   }
 
   /** Sends an order again and again, to one machine after another, until it has a clear answer. */
-  untilClear(order: OrderBytes, from = 0, atMostMs = 20_000): number {
+  untilClear(command: OrderBytes, from = 0, atMostMs = 20_000): number {
     const untilMs = this.time.nowMs() + atMostMs;
     for (let at = from; this.time.nowMs() < untilMs; at += 1) {
-      const call = this.order(this.at(at % this.machines.length), order);
+      const call = this.order(this.at(at % this.machines.length), command);
       const patienceMs = this.time.nowMs() + 1000;
       while (call.code === undefined && this.time.nowMs() < patienceMs) this.wait(5);
       if (call.code !== undefined && call.code < 500) return call.code;
--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -21,8 +21,8 @@
 };
 
 /** Sends an order through every machine at once and tells the answers. */
-const everywhere = (stage: OrderStage, order: OrderBytes): Array<number | undefined> => {
-  const calls = stage.machines.map((machine) => stage.order(machine, order));
+const everywhere = (stage: OrderStage, command: OrderBytes): Array<number | undefined> => {
+  const calls = stage.machines.map((machine) => stage.order(machine, command));
   stage.wait(1000);
   return calls.map(({ code }) => code);
 };
@@ -30,43 +30,46 @@
 
 test("the same bytes get the same answer through every daemon: during the first's commit, after a new leader, after a restart of all, after hundreds of others", () => {
   const stage = begun();
-  const order = wholeOrder(3, 7, "kept");
-  expect(everywhere(stage, order)).toEqual(all(200));
+  const command = wholeOrder(3, 7, "kept");
+  expect(everywhere(stage, command)).toEqual(all(200));
   const other = wholeOrder(3, 7, "other");
   expect(everywhere(stage, other)).toEqual(all(412));
 
   const former = stage.leader;
   stage.kill(former);
-  stage.until(() => stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true), 5000);
+  stage.until(
+    () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+    5000,
+  );
   stage.boot(former, { bootstrap: false });
   stage.wait(3000);
-  expect(everywhere(stage, order)).toEqual(all(200));
+  expect(everywhere(stage, command)).toEqual(all(200));
   expect(everywhere(stage, other)).toEqual(all(412));
 
   for (const machine of stage.machines) stage.kill(machine);
   for (const machine of stage.machines) stage.boot(machine, { bootstrap: false });
   stage.wait(5000);
-  expect(everywhere(stage, order)).toEqual(all(200));
+  expect(everywhere(stage, command)).toEqual(all(200));
   expect(everywhere(stage, other)).toEqual(all(412));
 
   for (let at = 0, base = 7; at < 300; at += 1, base += 3)
     expect(
       stage.untilClear(itemOrder(base, base + 3, { name: `r${at % 9}`, svc: "one" }), at),
     ).toBe(200);
-  expect(everywhere(stage, order)).toEqual(all(200));
+  expect(everywhere(stage, command)).toEqual(all(200));
   expect(everywhere(stage, other)).toEqual(all(412));
 });
 
 test("an order older than what is kept of the identities is left without a clear answer: neither refused nor taken again", () => {
   const stage = begun();
-  const order = wholeOrder(3, 7, "old");
-  expect(stage.untilClear(order)).toBe(200);
+  const command = wholeOrder(3, 7, "old");
+  expect(stage.untilClear(command)).toBe(200);
   const first = 3;
   for (let sequence = first; sequence < first + 2100; sequence += 1) {
-    const recorder = stage.leader.daemon?.recorder;
-    if (!recorder) throw new Error("Nobody leads.");
+    const replicationNode = stage.leader.daemon?.replicationNode;
+    if (!replicationNode) throw new Error("Nobody leads.");
     stage.start(
-      recorder.propose(
+      replicationNode.propose(
         LogCommand.text({
           kind: "config",
           expected: sequence - 1,
@@ -84,7 +87,7 @@
   stage.wait(3000);
   const newest = stage.newest(stage.at(0));
   expect(newest).toBe(`r${first + 2099 + 100}`);
-  expect(everywhere(stage, order)).toEqual(all(504));
+  expect(everywhere(stage, command)).toEqual(all(504));
   expect(stage.newest(stage.at(1))).toBe(newest);
   expect(everywhere(stage, wholeOrder(3, first + 2099 + 100, "late"))).toEqual(all(412));
 });
@@ -92,7 +95,7 @@
 /** Eight orders at a time through changing daemons: three proper ones that race, five that are invalid. */
 const eightAt = (stage: OrderStage, base: number, round: number): Call[] => {
   const bad = itemOrder(base, base + 1, { name: "z", svc: "nowhere" });
-  const orders = [
+  const commands = [
     wholeOrder(base, base + 2, `p${round}`),
     wholeOrder(base, base + 2, `q${round}`),
     itemOrder(base, base + 5, { name: `s${round}`, svc: "one" }),
@@ -102,7 +105,9 @@
     { ...bad, body: bad.body.replace('"tries":2', '"tries":0') },
     { ...bad, body: bad.body.replace('"safe"', '"wild"') },
   ];
-  return orders.map((order, at) => stage.order(stage.at((at + round) % machines.length), order));
+  return commands.map((command, at) =>
+    stage.order(stage.at((at + round) % machines.length), command),
+  );
 };
 
 test("of eight orders at once upon one base exactly one is taken, and none that is invalid", () => {
@@ -167,14 +172,14 @@
       expect(stage.untilClear(itemOrder(3, 9, { name: "n", svc: "new", addsService: true }))).toBe(
         200,
       );
-      const order = itemOrder(9, 11, { name: "m", svc: "new" });
-      const calls = stage.machines.map((machine) => stage.order(machine, order));
+      const command = itemOrder(9, 11, { name: "m", svc: "new" });
+      const calls = stage.machines.map((machine) => stage.order(machine, command));
       const reads: Call[] = [];
       stage.wait(restMs);
       begin(stage);
       for (let at = 0; at < 50; at += 1) {
         const machine: StageMachine = stage.at(at % machines.length);
-        calls.push(stage.order(machine, order));
+        calls.push(stage.order(machine, command));
         reads.push(stage.call(machine, "GET", "config/get"));
         stage.wait(100);
       }
@@ -184,7 +189,7 @@
           expect(call.code, call.body).toBeGreaterThanOrEqual(500);
       for (const read of reads.filter(({ code }) => code === 200))
         expect(read.body).toContain('"n"');
-      expect(stage.untilClear(order)).toBe(200);
+      expect(stage.untilClear(command)).toBe(200);
     }
   });
 
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -79,7 +79,10 @@
 };
 
 test("readiness, heartbeats and leaves become the product's own calls", () => {
-  expect(into(job("GET", "readyz")).job).toMatchObject({ method: "GET", target: "/ready" });
+  expect(into(job("GET", "readyz")).clientRequest).toMatchObject({
+    method: "GET",
+    target: "/ready",
+  });
   const beat = into(
     job("POST", "backends/i-7/heartbeat", {
       svc: "one",
@@ -92,8 +95,8 @@
       calls: 4,
     }),
   );
-  expect(beat.job).toMatchObject({ method: "POST", target: "/backends/announce" });
-  expect(bodyOf(beat.job)).toEqual({
+  expect(beat.clientRequest).toMatchObject({ method: "POST", target: "/backends/announce" });
+  expect(bodyOf(beat.clientRequest)).toEqual({
     service: "one",
     address: "10.1.0.9:8080",
     zone: "a",
@@ -109,11 +112,11 @@
     503,
   );
   const leave = into(job("POST", "backends/i-7/deregister", ""));
-  expect([leave.job.method, leave.job.target, bodyOf(leave.job)]).toEqual([
-    "POST",
-    "/backends/leave",
-    { instance: "i-7" },
-  ]);
+  expect([
+    leave.clientRequest.method,
+    leave.clientRequest.target,
+    bodyOf(leave.clientRequest),
+  ]).toEqual(["POST", "/backends/leave", { instance: "i-7" }]);
 });
 
 test("what can't be read is refused with the reason, and what isn't the platform's goes to the product as it is", () => {
@@ -126,17 +129,17 @@
     headers: {},
     body: new Uint8Array(),
   };
-  expect(into(own).job).toBe(own);
+  expect(into(own).clientRequest).toBe(own);
 });
 
 test("a whole configuration becomes the product's, and comes back as it was sent", () => {
   const put = into(job("POST", "config/put", whole, { "base-version": "r5" }));
-  expect(put.job).toMatchObject({
+  expect(put.clientRequest).toMatchObject({
     method: "PUT",
     target: "/config",
     headers: { "if-match": '"5"', "config-version": "7" },
   });
-  const config = productOf(bodyOf(put.job));
+  const config = productOf(bodyOf(put.clientRequest));
   expect(config.routes["x"]).toMatchObject({
     match: { host: "a.example", path: "/x/*" },
     service: "one",
@@ -171,7 +174,8 @@
 });
 
 test("the same change sent again has the same name, another one has another", () => {
-  const idOf = (sent: ProxyRequest): string | undefined => into(sent).job.headers["change-id"];
+  const idOf = (sent: ProxyRequest): string | undefined =>
+    into(sent).clientRequest.headers["change-id"];
   const id = idOf(job("POST", "config/put", whole, { "base-version": "r5" }));
   expect(idOf(job("POST", "config/put", whole, { "base-version": "r5" }))).toBe(id);
   expect(idOf(job("POST", "config/put", whole, { "base-version": "r6" }))).not.toBe(id);
@@ -179,12 +183,14 @@
     idOf(job("POST", "config/put", { ...whole, ver: "r8" }, { "base-version": "r5" })),
   ).not.toBe(id);
   expect(
-    into(job("POST", "config/put", whole, { "base-version": "0" })).job.headers["if-match"],
+    into(job("POST", "config/put", whole, { "base-version": "0" })).clientRequest.headers[
+      "if-match"
+    ],
   ).toBe('"0"');
 });
 
 test("a change of items replaces by name, adds and removes, and reads back whole", () => {
-  const before = productOf(bodyOf(into(job("POST", "config/put", whole)).job));
+  const before = productOf(bodyOf(into(job("POST", "config/put", whole)).clientRequest));
   const replaced = route("x", { tries: 3, target_time: undefined });
   const patch = into(
     job(
@@ -198,12 +204,12 @@
       { "base-version": "r7" },
     ),
   );
-  expect(patch.job).toMatchObject({
+  expect(patch.clientRequest).toMatchObject({
     method: "POST",
     target: "/config/items",
     headers: { "if-match": '"7"', "config-version": "9" },
   });
-  const body = bodyOf(patch.job);
+  const body = bodyOf(patch.clientRequest);
   expect(body).toMatchObject({
     put: { goals: { x: null, z: { latencyMs: 250 } } },
     remove: { routes: ["y"], services: ["two"] },
@@ -278,7 +284,9 @@
 test("a configuration that is invalid is refused here or by the product, never passed over and never a crash", () => {
   const refused = (value: unknown): boolean => {
     const read = control.into(job("POST", "config/put", value, { "base-version": "r5" }));
-    return "code" in read ? read.code === 400 : "faults" in Config.check(bodyOf(read.job));
+    return "code" in read
+      ? read.code === 400
+      : "faults" in Config.check(bodyOf(read.clientRequest));
   };
   const withRoute = (more: Record<string, unknown>) => ({
     ver: "r7",
--- a/test/platform/cut-off-daemons.test.ts
+++ b/test/platform/cut-off-daemons.test.ts
@@ -82,9 +82,9 @@
         // Where the few are heard, one of their orders may have been taken, though they can't be told.
         const base = Number(stage.newest(one)?.slice(1));
         if (ways !== "they hear nothing") expect(base).toBe(3);
-        const order = stage.order(one, wholeOrder(base, 1000, "majority"));
+        const command = stage.order(one, wholeOrder(base, 1000, "majority"));
         stage.wait(1000);
-        expect(order.code).toBe(200);
+        expect(command.code).toBe(200);
       }
       stage.network.heal();
       stage.wait(6000);
@@ -113,9 +113,14 @@
 /** Whether the leader's directory holds a backend that isn't leaving. */
 const stands = (stage: OrderStage, address: string): boolean => {
   const bodies: string[] = [];
-  stage.at(1).daemon?.operators.put({
-    job: { method: "POST", target: "/ask", headers: {}, body: Buffer.from("show backends") },
-    give: (ret) => bodies.push(Buffer.from(ret.body).toString()),
+  stage.at(1).daemon?.operators.emit({
+    clientRequest: {
+      method: "POST",
+      target: "/ask",
+      headers: {},
+      body: Buffer.from("show backends"),
+    },
+    give: (response) => bodies.push(Buffer.from(response.body).toString()),
   });
   stage.wait(300);
   return bodies.some((body) => new RegExp(`"address":"${address}"[^}]*"leaving":false`).test(body));
--- a/test/platform/edge-stage.ts
+++ b/test/platform/edge-stage.ts
@@ -69,9 +69,12 @@
   static async ready(count = 2): Promise<EdgeStage> {
     const raw = await RawStage.ready(count);
     const { callers } = raw.stage.daemon;
-    const server = new HttpServer((job, caller) => callers.put({ job, caller }), {
-      wholeOnly: false,
-    });
+    const server = new HttpServer(
+      (clientRequest, client) => callers.emit({ clientRequest, client }),
+      {
+        wholeOnly: false,
+      },
+    );
     const port = await freePort();
     await new Promise<void>((done, fail) =>
       Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
--- a/test/platform/invalid-commands.test.ts
+++ b/test/platform/invalid-commands.test.ts
@@ -102,18 +102,18 @@
   return stage;
 };
 
-const code = (stage: OrderStage, order: OrderBytes, at: number): number | undefined => {
-  const call = stage.order(stage.at(at % machines.length), order);
+const code = (stage: OrderStage, command: OrderBytes, at: number): number | undefined => {
+  const call = stage.order(stage.at(at % machines.length), command);
   stage.until(() => call.code !== undefined, 1000);
   return call.code;
 };
 
 test("each invalid order is refused through every daemon, sent again too, and leaves what is in force", () => {
   const stage = begun();
-  for (const [what, order] of invalidOrders(3))
+  for (const [what, command] of invalidOrders(3))
     for (let at = 0; at < machines.length; at += 1) {
       const expected = what.includes("base") ? [412] : [400, 412];
-      expect(expected, `${what}, through ${at}`).toContain(code(stage, order, at));
+      expect(expected, `${what}, through ${at}`).toContain(code(stage, command, at));
     }
   expect(stage.newest(stage.at(0))).toBe("r3");
 });
@@ -126,8 +126,8 @@
     if (!invalid) throw new Error("There is no such order.");
     const proper = wholeOrder(base, base + 2, `p${at}`);
     const pair = at % 2 === 0 ? [invalid, proper] : [proper, invalid];
-    const calls = pair.map((order, place) =>
-      stage.order(stage.at((at + place) % machines.length), order),
+    const calls = pair.map((command, place) =>
+      stage.order(stage.at((at + place) % machines.length), command),
     );
     stage.until(() => calls.every(({ code: answer }) => answer !== undefined), 1000);
     const [first, second] = calls.map(({ code: answer }) => answer);
@@ -165,15 +165,18 @@
   const former = stage.leader;
   const followers = stage.machines.filter((machine) => machine !== former);
   stage.kill(former);
-  for (const [at, [what, order]] of invalidOrders(3).entries()) {
+  for (const [at, [what, command]] of invalidOrders(3).entries()) {
     const through = followers[at % followers.length];
     if (!through) throw new Error("There is no follower.");
-    const call = stage.order(through, order);
+    const call = stage.order(through, command);
     stage.wait(30);
     if (call.code === undefined) stage.until(() => call.code !== undefined, 1000);
     expect([400, 412, 503, 504], what).toContain(call.code);
   }
-  stage.until(() => stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true), 5000);
+  stage.until(
+    () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+    5000,
+  );
   stage.wait(1000);
   expect(followers.map((machine) => stage.newest(machine))).toEqual(followers.map(() => "r3"));
 });
--- a/test/platform/outcomes.test.ts
+++ b/test/platform/outcomes.test.ts
@@ -235,18 +235,18 @@
   async ({ act, kept, method = "POST" }) => {
     const stage = await ready(1);
     await stage.useConnections();
-    const [backEnd] = stage.backEnds;
-    if (!backEnd) throw new Error("There is no back end.");
-    const used = backEnd.heads.length;
-    const connection = backEnd.heads[used - 1]?.connection;
-    backEnd.act = act;
+    const [backend] = stage.backEnds;
+    if (!backend) throw new Error("There is no back end.");
+    const used = backend.heads.length;
+    const connection = backend.heads[used - 1]?.connection;
+    backend.act = act;
     await stage.ask(method, "/unsafe/x", { "deadline-ms": "400" });
     await stage.wait(300);
-    backEnd.act = (request, socket) => socket.write(success(request, "next"));
+    backend.act = (request, socket) => socket.write(success(request, "next"));
     const next = await stage.ask("POST", "/unsafe/next");
     expect([next.code, next.body.toString()]).toEqual([200, "next"]);
-    const last = backEnd.heads.at(-1);
-    expect([backEnd.heads[used]?.connection, last?.connection === connection]).toEqual([
+    const last = backend.heads.at(-1);
+    expect([backend.heads[used]?.connection, last?.connection === connection]).toEqual([
       connection,
       kept === true,
     ]);
--- a/test/platform/pipelining.test.ts
+++ b/test/platform/pipelining.test.ts
@@ -45,9 +45,9 @@
   expect(client.heard).toBe("");
   go();
   await edge.raw.until(() => client.heard.includes("/safe/3"));
-  const order = [1, 2, 3].map((place) => client.heard.indexOf(`answer to /safe/${place}`));
-  expect(order).toEqual([...order].sort((a, b) => a - b));
-  expect(order[0]).toBeGreaterThan(0);
+  const command = [1, 2, 3].map((place) => client.heard.indexOf(`answer to /safe/${place}`));
+  expect(command).toEqual([...command].sort((a, b) => a - b));
+  expect(command[0]).toBeGreaterThan(0);
 });
 
 test("an unsafe request behind an answer that closes the connection does not run", async () => {
--- a/test/platform/proxy-stage.ts
+++ b/test/platform/proxy-stage.ts
@@ -1,4 +1,4 @@
-import { dialect } from "../../platform/dialect.js";
+import { headerNames } from "../../platform/dialect.js";
 import type {
   BackendClient,
   BackendResponse,
@@ -69,7 +69,7 @@
 
 /** What a caller saw of its response. */
 export class Seen implements ClientConnection {
-  isGone = false;
+  isClosed = false;
   code = 0;
   headers: Record<string, string> = {};
   ending: "open" | "whole" | "cut" = "open";
@@ -95,18 +95,18 @@
     return this.endMs - this.sinceMs;
   }
 
-  whole({ code, headers, body }: ClientResponse): void {
+  respond({ code, headers, body }: ClientResponse): void {
     this.head(code, headers);
     this.bytes.push(body);
     this.close("whole");
   }
 
-  begin(code: number, headers: Record<string, string>): void {
+  writeHead(code: number, headers: Record<string, string>): void {
     this.begun = true;
     this.head(code, headers);
   }
 
-  *piece(bytes: Uint8Array): Task<boolean> {
+  *writeChunk(bytes: Uint8Array): Task<boolean> {
     this.bytes.push(bytes);
     return true;
   }
@@ -115,7 +115,7 @@
     this.close("whole");
   }
 
-  cut(): void {
+  abort(): void {
     this.close("cut");
   }
 
@@ -174,16 +174,16 @@
       dataFolder: "data",
       tolerate: { machines: 0, zones: 0 },
     };
-    const world = virtualRuntime({
+    const runtime = virtualRuntime({
       clock: this.clock,
-      wire: network.wire("disk-1", new EventGate()),
+      network: network.wire("disk-1", new EventGate()),
       disk: this.disk,
       random,
       lines: (line) => this.lines.push(`${this.time.nowMs().toFixed(0)} ${line}`),
     });
-    this.daemon = new Daemon(world, settings, {
-      dialect,
-      backEnds: backEnds ? backEnds(this.clock) : this.backEnds(),
+    this.daemon = new Daemon(runtime, settings, {
+      headerNames,
+      backendClient: backEnds ? backEnds(this.clock) : this.backEnds(),
       pacers: this.pacers,
     });
     Task.start(this.daemon.start(), fail);
@@ -226,14 +226,14 @@
   /** Has the operators' port answer. */
   order(method: string, target: string, body: unknown): ClientResponse {
     const told: ClientResponse[] = [];
-    this.daemon.operators.put({
-      job: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
-      give: (ret) => told.push(ret),
+    this.daemon.operators.emit({
+      clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
+      give: (response) => told.push(response),
     });
     this.until(() => told.length > 0, 5000);
-    const [ret] = told;
-    if (!ret) throw new Error("The operators' port didn't answer.");
-    return ret;
+    const [response] = told;
+    if (!response) throw new Error("The operators' port didn't answer.");
+    return response;
   }
 
   /** Sends a request and doesn't wait. Each has an id of its own and a deadline, unless a test says otherwise. */
@@ -251,9 +251,9 @@
       ...headers,
     }))
       if (value !== undefined) held[name] = value;
-    const job: ProxyRequest = { method, target, headers: held, body };
+    const clientRequest: ProxyRequest = { method, target, headers: held, body };
     const caller = new Seen(() => this.time.nowMs());
-    this.daemon.callers.put({ job, caller });
+    this.daemon.callers.emit({ clientRequest, client: caller });
     return caller;
   }
 
@@ -295,8 +295,8 @@
         capacity: 10,
         order: this.orders,
       };
-      this.daemon.operators.put({
-        job: {
+      this.daemon.operators.emit({
+        clientRequest: {
           method: "POST",
           target: "/backends/announce",
           headers: {},
@@ -311,14 +311,19 @@
   private backEnds(): BackendClient {
     return {
       send: (one) => this.tried(one),
-      keepOnly: () => undefined,
+      retainPools: () => undefined,
       close: () => undefined,
     };
   }
 
-  private *tried({ address, job, untilMs, mayStill }: BackendAttempt): Task<OpenResult> {
+  private *tried({
+    address,
+    request: job,
+    untilMs,
+    maySend: mayStill,
+  }: BackendAttempt): Task<OpenResult> {
     const { clock } = this;
-    yield* Clock.rest(clock, 1);
+    yield* Clock.sleep(clock, 1);
     const why = this.before(address);
     if (why !== undefined) return why;
     if (!mayStill()) return "withdrawn";
@@ -334,10 +339,10 @@
     this.sent.push(sent);
     const act = this.act(sent, this.sent.length - 1);
     if (act === "late") {
-      yield* Clock.rest(clock, untilMs - clock.nowMs());
+      yield* Clock.sleep(clock, untilMs - clock.nowMs());
       return "late";
     }
-    yield* Clock.rest(clock, act === "lost" ? 3 : (act.waitMs ?? 3));
+    yield* Clock.sleep(clock, act === "lost" ? 3 : (act.waitMs ?? 3));
     if (act === "lost") return "lost";
     const left = [...act.pieces];
     const { code, headers, pieceMs = 0 } = act;
@@ -346,7 +351,7 @@
       code,
       headers,
       *next() {
-        if (pieceMs > 0) yield* Clock.rest(clock, pieceMs);
+        if (pieceMs > 0) yield* Clock.sleep(clock, pieceMs);
         return isCancelled ? "cut" : (left.shift() ?? "end");
       },
       cancel: () => {
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -98,7 +98,7 @@
   });
   expect(Bounds.of(settings)).toMatchObject({
     leaseMs: 1600,
-    terms: { announceMs: 1300, keyMs: 70_000 },
+    controlPlaneTimeouts: { heartbeatMs: 1300, keyMs: 70_000 },
   });
 });
 
--- a/test/proxy/calm-fleet.ts
+++ b/test/proxy/calm-fleet.ts
@@ -25,14 +25,14 @@
   const core = simulation.machines.filter(({ settings }) => settings.dataFolder !== undefined);
   const send = (through: Machine, key: string, patienceMs = 9000): Call => {
     const seen: Call = { code: undefined, text: "" };
-    const job: ProxyRequest = {
+    const clientRequest: ProxyRequest = {
       method: "POST",
       target: "/issues/5/resolve",
       headers: { "idempotency-key": key, "x-caller": `${through.settings.machine} ${key}` },
       body: Buffer.from("{}"),
     };
     Task.start(
-      simulation.call(through.settings.machine, job, patienceMs),
+      simulation.call(through.settings.machine, clientRequest, patienceMs),
       (error) => {
         throw error;
       },
@@ -44,7 +44,7 @@
     return seen;
   };
   const runs = (key: string): number[] =>
-    simulation.ledger.runs.filter((run) => run.key === key).map(({ atMs }) => atMs);
+    simulation.recorder.runs.filter((run) => run.key === key).map(({ atMs }) => atMs);
   const until = (holds: () => boolean): void => {
     for (let passedMs = 0; !holds(); passedMs += 1) {
       if (passedMs > 20_000) throw new Error("It doesn't hold after 20 s.");
@@ -52,9 +52,11 @@
     }
   };
   const leader = (): Machine | undefined =>
-    core.find(({ daemon }) => daemon?.recorder?.status.role === "leader");
+    core.find(({ daemon }) => daemon?.replicationNode?.status.role === "leader");
   const committed = (): number =>
-    Math.max(...simulation.machines.map(({ daemon }) => daemon?.recorder?.status.committed ?? 0));
+    Math.max(
+      ...simulation.machines.map(({ daemon }) => daemon?.replicationNode?.status.committed ?? 0),
+    );
   return { simulation, edges, core, wait, send, runs, until, leader, committed };
 };
 
--- a/test/proxy/idempotency/claims-of-lost-daemons.test.ts
+++ b/test/proxy/idempotency/claims-of-lost-daemons.test.ts
@@ -26,13 +26,13 @@
 test("a caller who hangs up while its keyed request runs and comes to another edge gets 409, then the first's answer", () => {
   const { simulation, edges, wait, send, runs, until } = calmFleet();
   const [first, second] = two(edges);
-  for (const standIn of simulation.standIns) standIn.behave({ slowFactor: 60 });
+  for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
   send(first, "k", 250);
   until(() => runs("k").length === 1);
   wait(300);
   const early = send(second, "k", 2000);
   wait(2000);
-  for (const standIn of simulation.standIns) standIn.behave({ slowFactor: 1 });
+  for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 1 });
   until(() => {
     const late = send(second, "k");
     wait(1000);
@@ -45,7 +45,7 @@
 test("an edge that is cut off from the core while its keyed request runs: no repeat elsewhere runs, and once it is back they get the first's answer", () => {
   const { simulation, edges, core, wait, send, runs, until } = calmFleet();
   const [first, second] = two(edges);
-  for (const standIn of simulation.standIns) standIn.behave({ slowFactor: 60 });
+  for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
   const one = send(first, "k");
   until(() => runs("k").length === 1);
   for (const other of [...core, ...edges.slice(1)]) {
@@ -78,8 +78,8 @@
       calls.set(key, mine);
       const first = pick(edges);
       if (!first) throw new Error("There are no edges.");
-      for (const standIn of simulation.standIns)
-        standIn.behave({ slowFactor: draw() < 0.5 ? 30 : 1 });
+      for (const testBackend of simulation.testBackends)
+        testBackend.behave({ slowFactor: draw() < 0.5 ? 30 : 1 });
       mine.push(send(first, key, draw() < 0.3 ? 100 : 9000));
       wait(Math.floor(draw() * (draw() < 0.5 ? 12 : 250)));
       const hurt = [draw() < 0.7 ? first : undefined, draw() < 0.4 ? leader() : undefined];
--- a/test/proxy/idempotency/idempotency-claims.test.ts
+++ b/test/proxy/idempotency/idempotency-claims.test.ts
@@ -20,14 +20,14 @@
     body = "{}",
   ): { code: number | undefined; text: string } => {
     const seen: { code: number | undefined; text: string } = { code: undefined, text: "" };
-    const job: ProxyRequest = {
+    const clientRequest: ProxyRequest = {
       method: "POST",
       target: "/issues/5/resolve",
       headers: { "idempotency-key": key, "x-caller": `${through.settings.machine} ${key}` },
       body: Buffer.from(body),
     };
     Task.start(
-      simulation.call(through.settings.machine, job, 9000),
+      simulation.call(through.settings.machine, clientRequest, 9000),
       (error) => {
         throw error;
       },
@@ -39,9 +39,11 @@
     return seen;
   };
   const runs = (key: string): number =>
-    simulation.ledger.runs.filter((run) => run.key === key).length;
+    simulation.recorder.runs.filter((run) => run.key === key).length;
   const committed = (): number =>
-    Math.max(...simulation.machines.map(({ daemon }) => daemon?.recorder?.status.committed ?? 0));
+    Math.max(
+      ...simulation.machines.map(({ daemon }) => daemon?.replicationNode?.status.committed ?? 0),
+    );
   return { simulation, wait, first, second, send, runs, committed };
 };
 let staged: ReturnType<typeof stage>;
@@ -63,7 +65,7 @@
 
 test("an edge dies between the send and the return: a duplicate elsewhere doesn't run", () => {
   const { simulation, wait, first, second, send, runs } = staged;
-  for (const standIn of simulation.standIns) standIn.behave({ slowFactor: 60 });
+  for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
   send(first, "k");
   while (runs("k") === 0) wait(1);
   simulation.kill(first);
@@ -79,8 +81,8 @@
   expect(one.code).toBe(201);
   simulation.kill(first);
   const patched: number[] = [];
-  simulation.machines[0]?.daemon?.operators.put({
-    job: {
+  simulation.machines[0]?.daemon?.operators.emit({
+    clientRequest: {
       method: "POST",
       target: "/ask",
       headers: {},
@@ -97,7 +99,7 @@
   expect([again.code, again.text, runs("k")]).toEqual([201, one.text, 1]);
   expect(changed.code).toBe(422);
   expect(fresh.code).toBe(201);
-  expect(simulation.ledger.runs.find((run) => run.key === "other")?.service).toBe("issues");
+  expect(simulation.recorder.runs.find((run) => run.key === "other")?.service).toBe("issues");
 });
 
 test("a key is kept through a change of leader, and free again after its time", () => {
@@ -105,7 +107,7 @@
   send(first, "k");
   wait(300);
   for (const machine of simulation.machines)
-    if (machine.daemon?.recorder?.status.role === "leader") simulation.kill(machine, true);
+    if (machine.daemon?.replicationNode?.status.role === "leader") simulation.kill(machine, true);
   wait(3000);
   const again = send(second, "k");
   wait(60_000);
--- a/test/proxy/outcome-rules.test.ts
+++ b/test/proxy/outcome-rules.test.ts
@@ -6,8 +6,8 @@
 
 test("the table of how a try can end: may it have run, did bytes leave, the connection, the client's answer", () => {
   const rows = [...outcomeRules].map(
-    ([cause, { verdict, isSent, connection, answer }]) =>
-      `${cause} ${verdict} ${isSent ? "sent" : "unsent"} ${connection} ${answer}`,
+    ([cause, { execution, isSent, connection, answer }]) =>
+      `${cause} ${execution} ${isSent ? "sent" : "unsent"} ${connection} ${answer}`,
   );
   expect(rows).toEqual([
     "refused neverRan unsent none 503",
@@ -33,9 +33,9 @@
 });
 
 test("only a request that never ran is told a status that promises so, and only that may be sent on whatever its route", () => {
-  for (const [cause, { verdict, isSent, answer }] of outcomeRules) {
-    expect([cause, answer === 503]).toEqual([cause, verdict === "neverRan"]);
-    if (!isSent) expect([cause, verdict]).toEqual([cause, "neverRan"]);
+  for (const [cause, { execution, isSent, answer }] of outcomeRules) {
+    expect([cause, answer === 503]).toEqual([cause, execution === "neverRan"]);
+    if (!isSent) expect([cause, execution]).toEqual([cause, "neverRan"]);
   }
   for (const repeatable of [true, false]) {
     expect(mayRetry("neverRan", { repeatable })).toBe(true);
@@ -43,12 +43,12 @@
     expect(mayRetry("ran", { repeatable })).toBe(repeatable);
   }
   expect(outcomeOfFailure("late", 100)).toMatchObject({
-    verdict: "mayHaveRun",
-    ret: { code: 504 },
+    execution: "mayHaveRun",
+    response: { code: 504 },
   });
   expect(outcomeOfFailure("notRun", 100)).toMatchObject({
-    verdict: "neverRan",
-    ret: { code: 503 },
+    execution: "neverRan",
+    response: { code: 503 },
   });
 });
 
@@ -77,7 +77,7 @@
   ["a 408 without that word", 408, { name: "me" }, "bareRefusal"],
   ["an encoded body", 200, { name: "me", stamp: "s", "content-encoding": "br" }, "encoded"],
 ] as const)("a response's head: %s", (_what, code, headers, fault) => {
-  const expected = { dialect: strict, id: "me", echoHeader: "name" };
+  const expected = { headerNames: strict, id: "me", echoHeader: "name" };
   expect(responseHeadFault({ code, headers }, expected)).toBe(fault);
 });
 
--- a/test/proxy/upstream/backend-client.test.ts
+++ b/test/proxy/upstream/backend-client.test.ts
@@ -36,20 +36,20 @@
       server.closeAllConnections();
     });
   const clock = Clock.real();
-  const backEnds = BackendClient.http(clock);
+  const backendClient = BackendClient.http(clock);
   const first = await open(0);
   const address = `127.0.0.1:${first.port}`;
   const sending = (path: string, mayStill = (): boolean => true): Promise<string> =>
     new Promise((done, fail) =>
       Task.start(
         (function* () {
-          const opened = yield* backEnds.send({
+          const opened = yield* backendClient.send({
             address,
             service: "issues",
             pool: "one",
-            job: { method: "GET", path, headers: {}, body: new Uint8Array() },
+            request: { method: "GET", path, headers: {}, body: new Uint8Array() },
             untilMs: clock.nowMs() + 5000,
-            mayStill,
+            maySend: mayStill,
           });
           if (typeof opened === "string") return opened;
           let text = "";
@@ -82,7 +82,7 @@
   expect(await slow).toBe("withdrawn");
   proofWaits = undefined;
   expect(await sending("/6")).toBe("whole end");
-  backEnds.close();
+  backendClient.close();
   await ended(third.server);
   expect(seen).toEqual(["issues /1", "issues /2", "issues /6"]);
 });
--- a/test/proxy/upstream/backend-deadline.test.ts
+++ b/test/proxy/upstream/backend-deadline.test.ts
@@ -13,7 +13,7 @@
 });
 
 /** A back end that hands each connection's first bytes to a test. */
-const backEnd = async (act: (socket: Socket) => void): Promise<string> => {
+const backend = async (act: (socket: Socket) => void): Promise<string> => {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
     socket.once("data", () => act(socket));
@@ -35,16 +35,16 @@
 /** Sends one request over a real connection, its deadline on a clock that only the test moves on. */
 const send = (address: string, time: VirtualClock): Promise<OpenResult> => {
   const virtual = time.clock();
-  const backEnds = BackendClient.http(virtual, { proof: "request" });
-  closing.push(() => backEnds.close());
+  const backendClient = BackendClient.http(virtual, { proof: "request" });
+  closing.push(() => backendClient.close());
   return run(
-    backEnds.send({
+    backendClient.send({
       address,
       service: "any",
       pool: "any",
-      job: { method: "GET", path: "/", headers: {}, body: new Uint8Array() },
+      request: { method: "GET", path: "/", headers: {}, body: new Uint8Array() },
       untilMs: virtual.nowMs() + deadlineMs,
-      mayStill: () => true,
+      maySend: () => true,
     }),
   );
 };
@@ -64,51 +64,51 @@
 
 test("a body that its reader takes up only after the deadline is cut short, never whole with a hole in it", async () => {
   const sockets: Socket[] = [];
-  const address = await backEnd((socket) => {
+  const address = await backend((socket) => {
     sockets.push(socket);
     socket.write(`${chunkedHead}5\r\nfirst\r\n`);
   });
   const time = new VirtualClock();
   const opened = await send(address, time);
   expect(typeof opened).toBe("object");
-  await run(Clock.rest(clock, 50));
+  await run(Clock.sleep(clock, 50));
   time.runUntil(deadlineMs + 10);
   sockets[0]?.write("6\r\nsecond\r\n0\r\n\r\n");
-  await run(Clock.rest(clock, 50));
+  await run(Clock.sleep(clock, 50));
   expect(await run(read(opened))).toMatch(/cut$/);
 });
 
 test("a reader that waits for the rest of a body hears at the deadline that it is cut", async () => {
-  const address = await backEnd((socket) => {
+  const address = await backend((socket) => {
     socket.write(`${chunkedHead}5\r\nfirst\r\n`);
   });
   const time = new VirtualClock();
   const opened = await send(address, time);
   const whole = run(read(opened));
-  await run(Clock.rest(clock, 50));
+  await run(Clock.sleep(clock, 50));
   time.runUntil(deadlineMs + 10);
   expect(await whole).toBe("first cut");
 });
 
 test("a body that never began to leave on a connection that ended is no longer counted on the link", async () => {
   const answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-  const address = await backEnd((socket) => {
+  const address = await backend((socket) => {
     socket.write(answer.repeat(2));
   });
   const pacers = LinkPacers.of(clock, 100);
-  const backEnds = BackendClient.http(clock, { proof: "request", pacers });
-  closing.push(() => backEnds.close());
+  const backendClient = BackendClient.http(clock, { proof: "request", pacers });
+  closing.push(() => backendClient.close());
   const one = (method: string, body: Uint8Array) => ({
     address,
     service: "any",
     pool: "any",
-    job: { method, path: "/", headers: {}, body },
+    request: { method, path: "/", headers: {}, body },
     untilMs: clock.nowMs() + 20_000,
-    mayStill: () => true,
+    maySend: () => true,
   });
   const read2 = function* (): Task<string[]> {
-    const first = yield* read(yield* backEnds.send(one("GET", new Uint8Array())));
-    const second = yield* read(yield* backEnds.send(one("POST", new Uint8Array(50_000))));
+    const first = yield* read(yield* backendClient.send(one("GET", new Uint8Array())));
+    const second = yield* read(yield* backendClient.send(one("POST", new Uint8Array(50_000))));
     return [first, second];
   };
   expect(await run(read2())).toEqual(["ok end", "ok end"]);
--- a/test/proxy/upstream/closing-responses.test.ts
+++ b/test/proxy/upstream/closing-responses.test.ts
@@ -38,33 +38,33 @@
     const piece = yield* opened.next();
     if (typeof piece === "string") return { bytes, last: piece };
     bytes += piece.length;
-    yield* Clock.rest(clock, 5);
+    yield* Clock.sleep(clock, 5);
   }
   opened.cancel();
   return { bytes, last: "given up" };
 };
 
 const received = (server: Server, most = Infinity): Promise<{ bytes: number; last: string }> => {
-  const backEnds = BackendClient.http(clock, {
+  const backendClient = BackendClient.http(clock, {
     proof: "request",
     pacers: LinkPacers.of(clock, linkMbps),
   });
   return new Promise((done, fail) =>
     Task.start(
       (function* () {
-        const opened = yield* backEnds.send({
+        const opened = yield* backendClient.send({
           address: `127.0.0.1:${portOf(server)}`,
           service: "issues",
           pool: "one",
-          job: { method: "GET", path: "/", headers: {}, body: new Uint8Array() },
+          request: { method: "GET", path: "/", headers: {}, body: new Uint8Array() },
           untilMs: clock.nowMs() + 20_000,
-          mayStill: () => true,
+          maySend: () => true,
         });
         if (typeof opened === "string") return { bytes: 0, last: opened };
         const outcome = yield* read(opened, most);
         // What the library raises, it raises once the connection has ended.
-        yield* Clock.rest(clock, 200);
-        backEnds.close();
+        yield* Clock.sleep(clock, 200);
+        backendClient.close();
         server.close();
         return outcome;
       })(),
--- a/test/proxy/upstream/paced-backends.test.ts
+++ b/test/proxy/upstream/paced-backends.test.ts
@@ -23,18 +23,18 @@
   readonly tookMs: number;
 }
 
-const sent = (backEnds: BackendClient, port: number, path: string, body = new Uint8Array()) =>
+const sent = (backendClient: BackendClient, port: number, path: string, body = new Uint8Array()) =>
   new Promise<Outcome>((done, fail) =>
     Task.start(
       (function* () {
         const startedMs = clock.nowMs();
-        const opened = yield* backEnds.send({
+        const opened = yield* backendClient.send({
           address: `127.0.0.1:${port}`,
           service: "issues",
           pool: "one",
-          job: { method: body.length > 0 ? "POST" : "GET", path, headers: {}, body },
+          request: { method: body.length > 0 ? "POST" : "GET", path, headers: {}, body },
           untilMs: startedMs + 20_000,
-          mayStill: () => true,
+          maySend: () => true,
         });
         if (typeof opened === "string") return { text: opened, bytes: 0, tookMs: 0 };
         const pieces: Uint8Array[] = [];
@@ -59,10 +59,10 @@
   );
   const port = await serving(server);
   const pacers = LinkPacers.of(clock, linkMbps);
-  const backEnds = BackendClient.http(clock, { proof: "request", pacers });
+  const backendClient = BackendClient.http(clock, { proof: "request", pacers });
   const ended: string[] = [];
   const noted = async (path: string): Promise<Outcome> => {
-    const outcome = await sent(backEnds, port, path);
+    const outcome = await sent(backendClient, port, path);
     ended.push(path);
     return outcome;
   };
@@ -77,7 +77,7 @@
   const tookMs = [first?.tookMs ?? 0, second?.tookMs ?? 0].sort((one, other) => one - other);
   expect(tookMs[0]).toBeGreaterThan(linkMs * 0.4);
   expect(tookMs[1]).toBeGreaterThan(linkMs * 0.75);
-  backEnds.close();
+  backendClient.close();
   server.close();
   server.closeAllConnections();
 });
@@ -95,13 +95,13 @@
   });
   const port = await serving(server);
   const pacers = LinkPacers.of(clock, linkMbps);
-  const backEnds = BackendClient.http(clock, { proof: "request", pacers });
-  const outcome = sent(backEnds, port, "/", body);
+  const backendClient = BackendClient.http(clock, { proof: "request", pacers });
+  const outcome = sent(backendClient, port, "/", body);
   await new Promise((done) => setTimeout(done, 50));
   expect(pacers.egress.queueMs).toBeLessThanOrEqual(30);
   expect((await outcome).text).toBe("200000 200000");
   expect((await outcome).tookMs).toBeGreaterThan((200_000 / usableBytesPerMs) * 0.7);
-  backEnds.close();
+  backendClient.close();
   server.close();
   server.closeAllConnections();
 });
@@ -110,14 +110,14 @@
   const largeBytes = 300_000;
   const server = createServer((_incoming, outgoing) => outgoing.end(Buffer.alloc(largeBytes, "x")));
   const port = await serving(server);
-  const backEnds = BackendClient.http(clock, {
+  const backendClient = BackendClient.http(clock, {
     proof: "request",
     pacers: LinkPacers.of(clock, 100),
   });
-  const all = Array.from({ length: 40 }, (_none, place) => sent(backEnds, port, `/${place}`));
+  const all = Array.from({ length: 40 }, (_none, place) => sent(backendClient, port, `/${place}`));
   for (const { text, bytes } of await Promise.all(all))
     expect({ text, bytes }).toEqual({ text: "end", bytes: largeBytes });
-  backEnds.close();
+  backendClient.close();
   server.close();
   server.closeAllConnections();
 });
--- a/test/replication/bootstrap/cluster-bootstrap.test.ts
+++ b/test/replication/bootstrap/cluster-bootstrap.test.ts
@@ -2,7 +2,7 @@
 import { configText, FleetStage } from "../fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
-  stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
+  stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 const fleets = (stage: FleetStage): string[] => [
   ...new Set(stage.disks.map((machine) => stage.fleetOf(machine))),
 ];
@@ -109,7 +109,7 @@
     stage.until(() => others.some((machine) => stage.fleetOf(machine) !== ""), 3000);
     const chosen =
       others
-        .map((machine) => machine.daemon?.recorder?.attendance.voters ?? [])
+        .map((machine) => machine.daemon?.replicationNode?.bootstrapStatus.voters ?? [])
         .find((voters) => voters.length > 0) ?? [];
     if (!chosen.includes(missed.peer) || stage.fleetOf(missed) !== "") continue;
     stage.kill(stage.at(0));
--- a/test/replication/bootstrap/restore-as-only-voter.test.ts
+++ b/test/replication/bootstrap/restore-as-only-voter.test.ts
@@ -30,20 +30,23 @@
   for (const machine of lost) machine.disk?.wipe();
   simulation.boot(kept);
   wait(3000);
-  expect(kept.daemon?.recorder?.status).toMatchObject({
+  expect(kept.daemon?.replicationNode?.status).toMatchObject({
     role: "leader",
     voters: [kept.settings.peers],
   });
   for (const machine of lost) simulation.boot(machine);
   wait(12_000);
-  expect(kept.daemon?.recorder?.status.voters).toHaveLength(3);
-  expect(lost.map(({ daemon }) => daemon?.recorder?.status.state)).toEqual(["formed", "formed"]);
+  expect(kept.daemon?.replicationNode?.status.voters).toHaveLength(3);
+  expect(lost.map(({ daemon }) => daemon?.replicationNode?.status.state)).toEqual([
+    "formed",
+    "formed",
+  ]);
   simulation.kill(kept);
   wait(3000);
-  expect(lost.some(({ daemon }) => daemon?.recorder?.hasGrant)).toBe(true);
+  expect(lost.some(({ daemon }) => daemon?.replicationNode?.holdsLease)).toBe(true);
   simulation.start(simulation.day.readBack());
   wait(3000);
-  expect(simulation.ledger.of("readBack").map(({ text }) => text)).toEqual(
-    simulation.ledger.of("accepted").map(({ text }) => text),
+  expect(simulation.recorder.of("readBack").map(({ text }) => text)).toEqual(
+    simulation.recorder.of("accepted").map(({ text }) => text),
   );
 });
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -8,7 +8,7 @@
 
 const diskMb = 64;
 const isLed = (stage: FleetStage) => (): boolean =>
-  stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
+  stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 
 /** Has the leader accept configs one after another, and keeps their texts. */
 class Changes {
@@ -29,8 +29,8 @@
 
   /** One change; tells how it ended within five seconds. */
   accept(): string {
-    const recorder = this.stage.leader.daemon?.recorder;
-    if (!recorder) return "no leader";
+    const replicationNode = this.stage.leader.daemon?.replicationNode;
+    if (!replicationNode) return "no leader";
     const text = this.config.next();
     const deed = LogCommand.text({
       kind: "config",
@@ -44,7 +44,7 @@
     const outcomes: string[] = [];
     this.stage.start(
       (function* () {
-        const proposed = yield* recorder.propose(deed);
+        const proposed = yield* replicationNode.propose(deed);
         outcomes.push(typeof proposed === "string" ? proposed : proposed.outcome);
       })(),
     );
@@ -57,12 +57,12 @@
 
 /** How a read of a version ends at a machine. */
 const readAt = (stage: FleetStage, machine: StageMachine, sequence: number): string => {
-  const { recorder } = machine.daemon ?? {};
+  const { replicationNode } = machine.daemon ?? {};
   const reads: string[] = [];
-  if (!recorder) return "no recorder";
+  if (!replicationNode) return "no recorder";
   stage.start(
     (function* () {
-      const read = yield* recorder.config(sequence);
+      const read = yield* replicationNode.readConfig(sequence);
       reads.push(read.kind === "found" ? read.config.text : read.kind);
     })(),
   );
@@ -73,8 +73,13 @@
 /** How the operators' port of a machine answers for a version. */
 const versionAt = (stage: FleetStage, machine: StageMachine, version: number): number => {
   const codes: number[] = [];
-  machine.daemon?.operators.put({
-    job: { method: "GET", target: `/config/${version}`, headers: {}, body: new Uint8Array() },
+  machine.daemon?.operators.emit({
+    clientRequest: {
+      method: "GET",
+      target: `/config/${version}`,
+      headers: {},
+      body: new Uint8Array(),
+    },
     give: ({ code }) => codes.push(code),
   });
   stage.until(() => codes.length > 0, 10_000);
@@ -201,24 +206,24 @@
     disk.poke(`history-${file}`, Buffer.concat(records));
   }
   const newest = files * 64 + 1;
-  const book = new StateMachine();
-  book.configs = [accepted(newest, config.next())];
-  book.recent = book.configs.map(({ sequence, changeId, acceptedAt }) => ({
+  const stateMachine = new StateMachine();
+  stateMachine.configs = [accepted(newest, config.next())];
+  stateMachine.recent = stateMachine.configs.map(({ sequence, changeId, acceptedAt }) => ({
     sequence,
     changeId,
     acceptedAt,
   }));
-  const standing: DurableState = {
+  const durableState: DurableState = {
     fleet: "f",
     rejoining: "",
     term: 1,
     votedFor: "",
     lastIndex: newest,
     lastTerm: 1,
-    book: book.checkpoint({ voters: [peer], learners: [] }),
+    book: stateMachine.snapshot({ voters: [peer], learners: [] }),
     entries: [],
   };
-  stage.start(new LogStore(disk).checkpoint(standing));
+  stage.start(new LogStore(disk).writeSnapshot(durableState));
   stage.wait(200);
   return newest;
 };
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -5,14 +5,15 @@
 import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
-  stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
+  stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 
 /** The state machine with as many keys as are kept at most and names that deflate badly: 20 MB of text. */
-const fullestBook = (): { book: StateMachine; lastIndex: number } => {
+const fullestBook = (): { stateMachine: StateMachine; lastIndex: number } => {
   const random = RandomDraw.of(21);
-  const book = new StateMachine();
+  const stateMachine = new StateMachine();
   let index = 0;
-  const apply = (deed: LogCommand): unknown => book.apply((index += 1), LogCommand.text(deed));
+  const apply = (command: LogCommand): unknown =>
+    stateMachine.apply((index += 1), LogCommand.text(command));
   apply({
     kind: "config",
     expected: 0,
@@ -29,7 +30,7 @@
     const name = Array.from({ length: 22 }, word).join("").slice(0, 230);
     apply({ kind: "claim", scope, bodyHash: "a".repeat(64), job, holders: [name] });
   }
-  return { book, lastIndex: index };
+  return { stateMachine, lastIndex: index };
 };
 const fullest = fullestBook();
 
@@ -38,20 +39,27 @@
   const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2], { bootstrap: false });
   const voters = stage.disks.map(({ peer }) => peer);
   const members = { voters, learners: [] };
-  const standing = { fleet: "f", rejoining: "", term: 1, votedFor: "", lastTerm: 1, entries: [] };
+  const durableState = {
+    fleet: "f",
+    rejoining: "",
+    term: 1,
+    votedFor: "",
+    lastTerm: 1,
+    entries: [],
+  };
   const first = new StateMachine();
-  first.configs = fullest.book.configs;
+  first.configs = fullest.stateMachine.configs;
   const whole: DurableState = {
-    ...standing,
+    ...durableState,
     lastIndex: fullest.lastIndex,
-    book: fullest.book.checkpoint(members),
+    book: fullest.stateMachine.snapshot(members),
   };
-  const old: DurableState = { ...standing, lastIndex: 1, book: first.checkpoint(members) };
+  const old: DurableState = { ...durableState, lastIndex: 1, book: first.snapshot(members) };
   const [one, two, behind] = stage.disks;
   if (!one || !two || !behind) throw new Error("A machine is missing.");
   for (const machine of stage.disks)
     if (machine.disk)
-      stage.start(new LogStore(machine.disk).checkpoint(machine === behind ? old : whole));
+      stage.start(new LogStore(machine.disk).writeSnapshot(machine === behind ? old : whole));
   stage.wait(500);
   const others = [one, two];
   return { stage, others, behind, totalBytes: Buffer.byteLength(whole.book) };
@@ -61,7 +69,7 @@
 const holdsAll = ({ behind }: Staged): boolean =>
   (behind.record?.committed ?? 0) >= fullest.lastIndex;
 const receivedOf = (machine: StageMachine): number =>
-  machine.daemon?.recorder?.receivedSnapshotBytes ?? 0;
+  machine.daemon?.replicationNode?.receivedSnapshotBytes ?? 0;
 
 /** Whether the one that was behind leads and takes changes with each of the others alone. */
 const leadsInTurn = ({ stage, others, behind }: Staged, newest: number): void => {
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -37,7 +37,7 @@
   }
 
   get record() {
-    return this.daemon?.recorder?.status;
+    return this.daemon?.replicationNode?.status;
   }
 }
 
@@ -45,7 +45,7 @@
 export interface MachineLife {
   readonly gate: EventGate;
   readonly clock: Clock;
-  readonly wire: Network;
+  readonly network: Network;
 }
 
 /** Daemons on a virtual network: `d` is a machine with a disk, `e` one without; each letter pair names kind and zone. */
@@ -89,44 +89,44 @@
 
   /** The machine that leads and may answer. */
   get leader(): StageMachine {
-    const leader = this.disks.find(({ daemon }) => daemon?.recorder?.hasGrant === true);
+    const leader = this.disks.find(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
     if (!leader) throw new Error("Nobody leads.");
     return leader;
   }
 
   /** The fleets whose record is held, by machine. */
   fleetOf(machine: StageMachine): string {
-    return machine.daemon?.recorder?.attendance.fleet ?? "";
+    return machine.daemon?.replicationNode?.bootstrapStatus.fleet ?? "";
   }
 
   boot(machine: StageMachine, more: Partial<Settings> = {}): void {
     if (machine.daemon) return;
     machine.settings = { ...machine.settings, ...more };
-    const { gate, clock, wire } = this.lifeOf(machine);
+    const { gate, clock, network } = this.lifeOf(machine);
     machine.gate = gate;
     machine.disk?.restart(clock);
     const name = machine.settings.machine;
-    const world = virtualRuntime({
+    const runtime = virtualRuntime({
       clock,
-      wire,
+      network,
       disk: machine.disk,
       random: this.random,
       lines: (line) => this.lines.push(`${this.time.nowMs().toFixed(0)} ${name} ${line}`),
     });
-    machine.daemon = new Daemon(world, machine.settings, this.daemonOptions());
+    machine.daemon = new Daemon(runtime, machine.settings, this.daemonOptions());
     this.start(machine.daemon.start());
   }
 
   /** What its daemons are told besides their settings. */
   protected daemonOptions(): DaemonOptions {
-    return { backEnds: unreachableBackends };
+    return { backendClient: unreachableBackends };
   }
 
   /** What a machine's next life runs on. */
   protected lifeOf({ settings }: StageMachine): MachineLife {
     const gate = new EventGate();
     const clock = gate.clock(this.time.clock());
-    return { gate, clock, wire: this.network.wire(settings.machine, gate) };
+    return { gate, clock, network: this.network.wire(settings.machine, gate) };
   }
 
   bootAll(): void {
@@ -173,8 +173,8 @@
   /** Has the leader accept a config; tells whether it was acknowledged within five seconds. */
   commit(sequence: number): boolean {
     const outcomes: boolean[] = [];
-    const recorder = this.leader.daemon?.recorder;
-    if (!recorder) return false;
+    const replicationNode = this.leader.daemon?.replicationNode;
+    if (!replicationNode) return false;
     const text = LogCommand.text({
       kind: "config",
       expected: sequence - 1,
@@ -186,7 +186,7 @@
     });
     this.start(
       (function* () {
-        const outcome = yield* recorder.propose(text);
+        const outcome = yield* replicationNode.propose(text);
         outcomes.push(typeof outcome === "object" && outcome.outcome.includes("accepted"));
       })(),
     );
@@ -197,11 +197,11 @@
   /** The text of an accepted config, as a machine's recorder finds it. */
   config(machine: StageMachine, sequence: number): string | undefined {
     const texts: Array<string | undefined> = [];
-    const recorder = machine.daemon?.recorder;
-    if (!recorder) return undefined;
+    const replicationNode = machine.daemon?.replicationNode;
+    if (!replicationNode) return undefined;
     this.start(
       (function* () {
-        const read = yield* recorder.config(sequence);
+        const read = yield* replicationNode.readConfig(sequence);
         texts.push(read.kind === "found" ? read.config.text : undefined);
       })(),
     );
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -82,7 +82,7 @@
   const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
   simulation.begin();
   wait(3000);
-  while (simulation.ledger.of("accepted").length < 230) {
+  while (simulation.recorder.of("accepted").length < 230) {
     simulation.start(simulation.day.putConfig());
     wait(40);
   }
@@ -97,7 +97,7 @@
   two.disk.poke("configs-1", bent);
   simulation.boot(two);
   wait(8000);
-  expect([one, two].map(({ daemon }) => daemon?.recorder?.status.state)).toEqual([
+  expect([one, two].map(({ daemon }) => daemon?.replicationNode?.status.state)).toEqual([
     "formed",
     "formed",
   ]);
@@ -109,8 +109,10 @@
   wait(4000);
   simulation.start(simulation.day.readBack());
   wait(60_000);
-  expect(simulation.ledger.of("readBack")).toHaveLength(230);
-  expect(checkRules(simulation.ledger).filter(({ rule }) => rule.includes("accepted"))).toEqual([]);
+  expect(simulation.recorder.of("readBack")).toHaveLength(230);
+  expect(checkRules(simulation.recorder).filter(({ rule }) => rule.includes("accepted"))).toEqual(
+    [],
+  );
   const slots = ["slot-a", "slot-b"].map((name) => two.disk?.peek(name).length ?? 0);
   expect(Math.max(...slots)).toBeLessThan(150_000);
 });
--- a/test/replication/log/log-store.test.ts
+++ b/test/replication/log/log-store.test.ts
@@ -5,7 +5,7 @@
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../../src/simulation/virtual-disk.js";
 
-const standing: DurableState = {
+const durableState: DurableState = {
   fleet: "f",
   rejoining: "",
   term: 1,
@@ -38,7 +38,7 @@
   const { disk, run } = setUp();
   const store = new LogStore(disk);
   expect(run(store.load())).toEqual({ kind: "empty" });
-  run(store.checkpoint(standing));
+  run(store.writeSnapshot(durableState));
   for (let index = 1; index <= 3; index += 1)
     run(store.append([{ kind: "entry", index, term: 1, text: `e${index}` }]));
   run(
@@ -70,7 +70,7 @@
   const store = new LogStore(disk);
   run(store.load());
   const entries = [1, 2].map((index) => ({ index, term: 1, text: `e${index}` }));
-  run(store.checkpoint({ ...standing, entries }));
+  run(store.writeSnapshot({ ...durableState, entries }));
   run(
     store.append([
       { kind: "entry", index: 2, term: 1, text: "e2" },
@@ -92,10 +92,10 @@
     const { disk, run } = setUp();
     const store = new LogStore(disk);
     run(store.load());
-    run(store.checkpoint(standing));
+    run(store.writeSnapshot(durableState));
     run(store.append([{ kind: "entry", index: 1, term: 1, text: "a" }]));
     if (round % 2 === 0)
-      run(store.checkpoint({ ...standing, entries: [{ index: 1, term: 1, text: "a" }] }));
+      run(store.writeSnapshot({ ...durableState, entries: [{ index: 1, term: 1, text: "a" }] }));
     for (const name of run(disk.list())) {
       if (random() < 0.5) continue;
       const bytes = disk.peek(name);
@@ -118,7 +118,7 @@
       run(again.clear());
       expect(run(new LogStore(disk).load()).kind).toBe("damaged");
     }
-    run(again.checkpoint(standing));
+    run(again.writeSnapshot(durableState));
     expect(run(new LogStore(disk).load())).toMatchObject({
       kind: "whole",
       standing: { entries: [] },
@@ -131,7 +131,7 @@
   const { disk, run } = setUp();
   const store = new LogStore(disk);
   run(store.load());
-  run(store.checkpoint(standing));
+  run(store.writeSnapshot(durableState));
   run(store.append([{ kind: "entry", index: 1, term: 1, text: "kept" }]));
   disk.poke("slot-a", Buffer.from("half a slo"));
   const loaded = run(new LogStore(disk).load());
