--- a/test/replication/membership/membership-leave.test.ts
+++ b/test/replication/membership/membership-leave.test.ts
@@ -2,7 +2,7 @@
 import { configText, FleetStage, type StageMachine } from "../fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
-  stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
+  stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 const later = { bootstrap: false };
 const catchUpMs = 4000;
 const graceMs = 6000;
--- a/test/replication/membership/membership-policy.test.ts
+++ b/test/replication/membership/membership-policy.test.ts
@@ -8,7 +8,7 @@
 const waits = {
   answersWithinMs: 500,
   replaceAfterMs: 1000,
-  provenAfterMs: 4000,
+  responsiveAfterMs: 4000,
   forgetAfterMs: 60_000,
 };
 const well: MemberProgress = { silentMs: 60, answered: true, provenMs: 1000, matchedIndex: 100 };
--- a/test/replication/replacement.test.ts
+++ b/test/replication/replacement.test.ts
@@ -3,7 +3,7 @@
 import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
-  stage.disks.some(({ daemon }) => daemon?.recorder?.hasGrant === true);
+  stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 const later = { bootstrap: false };
 const catchUpMs = 4000;
 /** What a real process takes of `catchUpMs` for its own start, and a margin. */
@@ -91,7 +91,7 @@
   bootSuccessor(stage, successor);
   stage.wait(300);
   const { daemon } = stage.leader;
-  if (daemon?.recorder) stage.start(daemon.recorder.yieldLeadership());
+  if (daemon?.replicationNode) stage.start(daemon.replicationNode.yieldLeadership());
   stage.until(() => isVoter(stage, successor), catchUpMs - startMs);
   expect(stage.leader.record?.voters).toHaveLength(3);
 });
@@ -143,7 +143,7 @@
     for (let count = 0; count < 2500; count += 1)
       stage.start(
         (function* () {
-          outcomes.push(yield* daemon?.recorder?.propose(text) ?? []);
+          outcomes.push(yield* daemon?.replicationNode?.propose(text) ?? []);
         })(),
       );
     stage.until(() => outcomes.length === 2500, 10_000);
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -18,8 +18,8 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-type AppendAsk = DecodedMessage<typeof RpcMethod.append.ask>;
-type VoteAsk = DecodedMessage<typeof RpcMethod.vote.ask>;
+type AppendAsk = DecodedMessage<typeof RpcMethod.append.request>;
+type VoteAsk = DecodedMessage<typeof RpcMethod.vote.request>;
 
 const [own, second, third] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
 const note = (index: number, term: number): Entry => ({
@@ -39,7 +39,7 @@
   const worldOf = (place: string): Runtime =>
     virtualRuntime({
       clock: time.clock(),
-      wire: network.wire(place, new EventGate()),
+      network: network.wire(place, new EventGate()),
       disk,
       random: RandomDraw.of(2),
     });
@@ -53,19 +53,19 @@
     seeds: () => seeds,
   };
   const begin = (): ReplicationNode => {
-    const world = worldOf("own");
-    const link = new RpcEndpoint(world, own);
-    const recorder = new ReplicationNode(
-      world,
-      link,
+    const runtime = worldOf("own");
+    const rpc = new RpcEndpoint(runtime, own);
+    const replicationNode = new ReplicationNode(
+      runtime,
+      rpc,
       place,
-      ReplicationTimeouts.usual,
+      ReplicationTimeouts.defaults,
       new StateMachine(),
       new LogStore(disk),
     );
-    Task.start(link.listen(), fail);
-    Task.start(recorder.own(), fail);
-    return recorder;
+    Task.start(rpc.listen(), fail);
+    Task.start(replicationNode.run(), fail);
+    return replicationNode;
   };
   const player = new RpcEndpoint(worldOf("player"), second);
   player.serve(RpcMethod.meet, function* () {
@@ -85,22 +85,22 @@
   Task.start(player.listen(), fail);
   const ask = <A, R>(kind: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
     const returns: Array<R | undefined> = [];
-    Task.start(player.ask(own, kind, asked, waitMs), fail, (ret) => returns.push(ret));
+    Task.start(player.call(own, kind, asked, waitMs), fail, (ret) => returns.push(ret));
     time.runUntil(time.nowMs() + waitMs);
     return returns[0];
   };
   if (formed) {
-    const standing: DurableState = {
+    const durableState: DurableState = {
       fleet: "f",
       rejoining: "",
       term: 1,
       votedFor: "",
       lastIndex: 0,
       lastTerm: 0,
-      book: new StateMachine().checkpoint({ voters: seeds, learners: [] }),
+      book: new StateMachine().snapshot({ voters: seeds, learners: [] }),
       entries: [note(1, 1)],
     };
-    Task.start(new LogStore(disk).checkpoint(standing), fail);
+    Task.start(new LogStore(disk).writeSnapshot(durableState), fail);
     time.runUntil(100);
   }
   return { time, disk, begin, ask };
@@ -160,9 +160,9 @@
 
 test("trace: an emptied recorder neither votes nor counts until its own mark is committed", () => {
   const { time, begin, ask } = stage(false);
-  const recorder = begin();
+  const replicationNode = begin();
   time.runUntil(400);
-  expect(recorder.status.state).toBe("rejoining");
+  expect(replicationNode.status.state).toBe("rejoining");
   expect(ask(RpcMethod.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
   expect(ask(RpcMethod.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
     fits: true,
@@ -179,7 +179,7 @@
   const mark = {
     index: 4,
     term: 5,
-    text: JSON.stringify({ kind: "rejoined", machine: own, nonce: recorder.nonce }),
+    text: JSON.stringify({ kind: "rejoined", machine: own, nonce: replicationNode.nonce }),
   };
   ask(RpcMethod.append, append(5, 3, 5, [mark], 4));
   expect(ask(RpcMethod.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
@@ -199,11 +199,11 @@
 test("a request of entries is waited for as long as a slow link takes for it", () => {
   const entries = [{ index: 1, term: 1, text: "x".repeat(4 * 1024 * 1024) }];
   const ask = append(1, 0, 0, entries);
-  expect(appendTimeoutMs({ ...ask, entries: [] }, ReplicationTimeouts.usual)).toBe(
-    ReplicationTimeouts.usual.electionMinMs,
+  expect(appendTimeoutMs({ ...ask, entries: [] }, ReplicationTimeouts.defaults)).toBe(
+    ReplicationTimeouts.defaults.electionMinMs,
   );
   // A link of 5 Mbit/s takes 625 bytes in a millisecond.
-  expect(appendTimeoutMs(ask, ReplicationTimeouts.usual)).toBeGreaterThan(
+  expect(appendTimeoutMs(ask, ReplicationTimeouts.defaults)).toBeGreaterThan(
     (4 * 1024 * 1024) / 625 + 300,
   );
 });
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -18,32 +18,32 @@
     throw error;
   };
   const gates = new Map<string, InstanceType<typeof EventGate>>();
-  const linkAt = (address: string): { world: Runtime; link: RpcEndpoint } => {
+  const linkAt = (address: string): { runtime: Runtime; rpc: RpcEndpoint } => {
     const gate = new EventGate();
     gates.set(address, gate);
-    const world = virtualRuntime({
+    const runtime = virtualRuntime({
       clock: gate.clock(time.clock()),
-      wire: network.wire(address, gate),
+      network: network.wire(address, gate),
       random: RandomDraw.of(4),
     });
-    const link = new RpcEndpoint(world, address);
-    Task.start(link.listen(), fail);
-    return { world, link };
+    const rpc = new RpcEndpoint(runtime, address);
+    Task.start(rpc.listen(), fail);
+    return { runtime, rpc };
   };
   const [root, ...others] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map((address) => {
-    const { world, link } = linkAt(address);
+    const { runtime, rpc } = linkAt(address);
     const collector = new CountAggregator(
-      world,
-      link,
+      runtime,
+      rpc,
       RequestCountsFormat.usual,
       address,
       `i-${address}`,
       () => "10.0.0.1:1",
     );
-    Task.start(collector.own(2000), fail);
+    Task.start(collector.run(2000), fail);
     return { address, collector };
   });
-  const { world, link } = linkAt("10.0.0.9:1");
+  const { runtime, rpc } = linkAt("10.0.0.9:1");
   const counts = new RequestCounts(RequestCountsFormat.usual);
   const [left, right] = others;
   if (!root || !left || !right) throw new Error("A collector is missing.");
@@ -54,7 +54,7 @@
   let most = 0;
   for (let atMs = 0; atMs < 60_000; atMs += 20) {
     time.runUntil(atMs);
-    counts.countTry(1, false, time.nowMs());
+    counts.countAttempt(1, false, time.nowMs());
     counted += 1;
     if (atMs === 20_000 || atMs === 34_000) {
       if (atMs === 34_000) {
@@ -78,10 +78,10 @@
         isHurried: false,
       });
       Task.start(
-        link.ask(
+        rpc.call(
           parent,
           RpcMethod.push,
-          { text, sketches: counts.encode(world.clock.nowMs()) },
+          { text, sketches: counts.encode(runtime.clock.nowMs()) },
           1500,
         ),
         fail,
--- a/test/retry-budget/request-counts.test.ts
+++ b/test/retry-budget/request-counts.test.ts
@@ -5,7 +5,7 @@
 
 test("counts travel between clocks that disagree, and cut bytes are refused", () => {
   const own = new RequestCounts(RequestCountsFormat.usual);
-  for (let at = 0; at < 5000; at += 5) own.countTry(3, at % 50 === 0, 70_000 + at);
+  for (let at = 0; at < 5000; at += 5) own.countAttempt(3, at % 50 === 0, 70_000 + at);
   const bytes = own.encode(75_000);
   const far = RequestCounts.decode(bytes, RequestCountsFormat.usual, 999_999_123, 40);
   const merged = RequestCounts.merge([far, far], RequestCountsFormat.usual, 999_999_123);
--- a/test/retry-budget/retry-budget.test.ts
+++ b/test/retry-budget/retry-budget.test.ts
@@ -33,7 +33,7 @@
         if (nowMs > edge.diesMs) edges[at] = bear();
         if (nowMs % 200 === 0 && random() < 0.9) {
           const report = { number: edge.number, capacities: edge.budget.capacities };
-          const wished = new Map([["s", edge.budget.wished("s", nowMs)]]);
+          const wished = new Map([["s", edge.budget.requested("s", nowMs)]]);
           const polled = (): { number: string; capacities: Map<string, number> } => {
             holders.add(edge.name);
             return allowance.grant(edge.name, report, wished, ["s"], nowMs);
@@ -60,7 +60,7 @@
           random() < (nowMs < stopsMs ? 0.3 : 0.8) &&
           edge.budget.take("s", undefined, nowMs) === "granted"
         ) {
-          if (random() < 0.1) edge.budget.giveBack("s", nowMs);
+          if (random() < 0.1) edge.budget.refund("s", nowMs);
           else furthers.push(nowMs);
         }
       });
@@ -86,7 +86,7 @@
   for (const expected of ["granted", "granted", "granted", "guard"])
     expect(budget.take("s", { part: 9, taken: 1 }, 5000)).toBe(expected);
   expect(short).toBeGreaterThan(0);
-  budget.giveBack("s", 5000);
+  budget.refund("s", 5000);
   expect(budget.take("s", undefined, 5050)).toBe("granted");
   expect(budget.take("s", undefined, 15_000)).toBe("guard");
   expect(budget.take("s", undefined, 16_200)).toBe("granted");
--- a/test/retry-budget/retry-rules.test.ts
+++ b/test/retry-budget/retry-rules.test.ts
@@ -28,7 +28,7 @@
           const granted = allowance.grant(
             edge.name,
             { number: edge.number, capacities: edge.budget.capacities },
-            new Map([["s", edge.budget.wished("s", nowMs)]]),
+            new Map([["s", edge.budget.requested("s", nowMs)]]),
             ["s"],
             nowMs,
           );
--- a/test/rpc/frame.test.ts
+++ b/test/rpc/frame.test.ts
@@ -41,8 +41,8 @@
 test("random and truncated bytes are refused as such, by frames and by every kind", async () => {
   const random = RandomDraw.of(9);
   const coders = Object.values(RpcMethod).flatMap((kind) => [
-    reader(kind.ask),
-    reader(kind.return),
+    reader(kind.request),
+    reader(kind.response),
   ]);
   let refused = 0;
   for (let round = 0; round < 3000; round += 1) {
--- a/test/rpc/rpc-endpoint.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -17,20 +17,20 @@
     throw error;
   };
   const linkAt = (address: string, newest: number): RpcEndpoint => {
-    const link = new RpcEndpoint(
+    const rpc = new RpcEndpoint(
       virtualRuntime({
         clock: time.clock(),
-        wire: network.wire(address, new EventGate()),
+        network: network.wire(address, new EventGate()),
         random: RandomDraw.of(2),
       }),
       address,
       newest,
     );
-    link.serve(RpcMethod.handOver, function* ({ term }) {
+    rpc.serve(RpcMethod.handOver, function* ({ term }) {
       return { taken: term === 7 };
     });
-    Task.start(link.listen(), fail);
-    return link;
+    Task.start(rpc.listen(), fail);
+    return rpc;
   };
   const ask = (
     from: RpcEndpoint,
@@ -38,7 +38,7 @@
     waitMs = 500,
   ): boolean | undefined => {
     const returns: Array<boolean | undefined> = [];
-    Task.start(from.ask(to.self, RpcMethod.handOver, { term: 7 }, waitMs), fail, (ret) =>
+    Task.start(from.call(to.self, RpcMethod.handOver, { term: 7 }, waitMs), fail, (ret) =>
       returns.push(ret?.taken),
     );
     time.runUntil(time.nowMs() + waitMs + 100);
@@ -68,9 +68,9 @@
   const heard: string[] = [];
   Task.start(
     (function* () {
-      const channel = yield* network.wire("stranger", new EventGate()).connect(one.self);
-      channel?.send(Buffer.from("GET / HTTP/1.1\r\n\r\n"));
-      const word = yield* (channel?.incoming ?? new Queue<Uint8Array | "closed">()).take();
+      const connection = yield* network.wire("stranger", new EventGate()).connect(one.self);
+      connection?.send(Buffer.from("GET / HTTP/1.1\r\n\r\n"));
+      const word = yield* (connection?.incoming ?? new Queue<Uint8Array | "closed">()).take();
       heard.push(word === "closed" ? "closed" : "bytes");
     })(),
     (error) => {
@@ -88,17 +88,17 @@
   const asking = linkAt("10.0.0.1:1", 3);
   const slow = linkAt("10.0.0.2:1", 3);
   slow.serve(RpcMethod.handOver, function* () {
-    yield* Clock.rest(time.clock(), 700);
+    yield* Clock.sleep(time.clock(), 700);
     return { taken: true };
   });
   const gone = { self: "10.0.0.9:1" };
   const sinceMs = time.nowMs();
   expect(ask(asking, slow)).toBeUndefined();
-  expect(asking.isOutOfReach(slow.self, sinceMs)).toBe(false);
+  expect(asking.isUnreachable(slow.self, sinceMs)).toBe(false);
   expect(ask(asking, gone)).toBeUndefined();
   time.runUntil(time.nowMs() + 2000);
-  expect(asking.isOutOfReach(gone.self, sinceMs)).toBe(true);
-  expect(asking.isOutOfReach(gone.self, time.nowMs())).toBe(false);
+  expect(asking.isUnreachable(gone.self, sinceMs)).toBe(true);
+  expect(asking.isUnreachable(gone.self, time.nowMs())).toBe(false);
 });
 
 test("a peer that rested for long and then answers late, as an overloaded one does, is not out of reach", () => {
@@ -107,13 +107,13 @@
   const slow = linkAt("10.0.0.2:1", 3);
   expect(ask(asking, slow)).toBe(true);
   slow.serve(RpcMethod.handOver, function* () {
-    yield* Clock.rest(time.clock(), 600);
+    yield* Clock.sleep(time.clock(), 600);
     return { taken: true };
   });
   for (let round = 0; round < 10; round += 1) {
     time.runUntil(time.nowMs() + 5000);
     expect(ask(asking, slow, 200)).toBeUndefined();
-    expect(asking.isOutOfReach(slow.self, 0)).toBe(false);
+    expect(asking.isUnreachable(slow.self, 0)).toBe(false);
   }
 });
 
@@ -128,8 +128,8 @@
   ] as const;
   for (const [from, to] of ways) network.cut(from, to);
   while (time.nowMs() < sinceMs + 2500) ask(asking, peer, 200);
-  expect(asking.isOutOfReach(peer.self, sinceMs)).toBe(true);
+  expect(asking.isUnreachable(peer.self, sinceMs)).toBe(true);
   for (const [from, to] of ways) network.mend(from, to);
   while (ask(asking, peer, 200) === undefined && time.nowMs() < sinceMs + 9000);
-  expect(asking.isOutOfReach(peer.self, sinceMs)).toBe(false);
+  expect(asking.isUnreachable(peer.self, sinceMs)).toBe(false);
 });
--- a/test/simulation/control-plane-days.test.ts
+++ b/test/simulation/control-plane-days.test.ts
@@ -32,25 +32,25 @@
   ...new Set(day.breaches.map(({ rule }: RuleViolation) => rule)),
 ];
 const acceptedIn = (
-  orders: readonly ConfigCommandRecord[],
+  commands: readonly ConfigCommandRecord[],
   fromMs: number,
   untilMs: number,
 ): number =>
-  orders.filter(
+  commands.filter(
     ({ outcome, endMs }) => outcome === "accepted" && endMs >= fromMs && endMs < untilMs,
   ).length;
 
 const sides = ["cutMemberForLong", "cutMemberOutwardForLong", "cutMemberInwardForLong"];
 test.each(sides)("a member is cut off for 20 s while operators race on both sides: %s", (fault) => {
   const day = dayOf(fault);
-  const { ledger } = day.simulation;
-  const cuts = ledger.of("memberCut");
+  const { recorder } = day.simulation;
+  const cuts = recorder.of("memberCut");
   expect(day.breaches).toEqual([]);
   expect(cuts.length).toBeGreaterThan(0);
   for (const { atMs, endMs, daemon } of cuts) {
     for (let fromMs = atMs; fromMs < endMs; fromMs += ackMs)
-      expect(acceptedIn(ledger.configOrders, fromMs, fromMs + ackMs)).toBeGreaterThan(0);
-    const inside: CommandAttempt[] = ledger.configOrders
+      expect(acceptedIn(recorder.configOrders, fromMs, fromMs + ackMs)).toBeGreaterThan(0);
+    const inside: CommandAttempt[] = recorder.configOrders
       .flatMap(({ attempts }) => attempts)
       .filter((one) => one.daemon === daemon && one.startMs >= atMs && one.endMs < endMs);
     expect(inside.length).toBeGreaterThan(5);
@@ -60,14 +60,16 @@
 
 test("eight orders race for a number, answers are lost, and who acknowledged loses power", () => {
   const day = dayOf("loseOperatorAnswers", { profile: Profile.all.kovacic });
-  const { ledger } = day.simulation;
+  const { recorder } = day.simulation;
   expect(day.breaches).toEqual([]);
-  expect(ledger.of("killed").length).toBeGreaterThan(3);
-  const again = ledger.configOrders.filter(
+  expect(recorder.of("killed").length).toBeGreaterThan(3);
+  const again = recorder.configOrders.filter(
     ({ outcome, attempts }) => outcome === "accepted" && attempts.length > 1,
   );
   expect(again.length).toBeGreaterThan(2);
-  expect(ledger.configOrders.filter(({ outcome }) => outcome === "lost").length).toBeGreaterThan(8);
+  expect(recorder.configOrders.filter(({ outcome }) => outcome === "lost").length).toBeGreaterThan(
+    8,
+  );
 });
 
 const replacements = [
@@ -81,40 +83,40 @@
   "members are lost as soon as that is allowed, again and again: $fault, $profile.name",
   ({ fault, profile }) => {
     const day = dayOf(fault, { profile });
-    const { ledger } = day.simulation;
+    const { recorder } = day.simulation;
     expect(day.breaches).toEqual([]);
-    expect(ledger.of("membersLost").length).toBeGreaterThan(3);
-    const orders = ledger.of("orderedDuring");
-    expect(orders.length).toBe(ledger.of("membersLost").length);
-    expect(orders.filter(({ waitedMs }) => waitedMs > ackMs)).toEqual([]);
+    expect(recorder.of("membersLost").length).toBeGreaterThan(3);
+    const commands = recorder.of("orderedDuring");
+    expect(commands.length).toBe(recorder.of("membersLost").length);
+    expect(commands.filter(({ waitedMs }) => waitedMs > ackMs)).toEqual([]);
   },
 );
 
 test("a member was away for 300 changes when the others are lost in turn", () => {
   const day = dayOf("changeWhileMemberIsAway");
-  const { ledger } = day.simulation;
+  const { recorder } = day.simulation;
   expect(day.breaches).toEqual([]);
-  expect(ledger.of("accepted").length).toBeGreaterThan(300);
-  const orders = ledger.of("orderedDuring");
-  expect(orders.length).toBeGreaterThan(1);
-  expect(orders.filter(({ waitedMs }) => waitedMs > ackMs)).toEqual([]);
+  expect(recorder.of("accepted").length).toBeGreaterThan(300);
+  const commands = recorder.of("orderedDuring");
+  expect(commands.length).toBeGreaterThan(1);
+  expect(commands.filter(({ waitedMs }) => waitedMs > ackMs)).toEqual([]);
 });
 
 test("all are killed at once, and a member that is behind by 60 changes is back before the others", () => {
   const day = dayOf("restartAllWithMemberBehind");
-  const orders = day.simulation.ledger.of("orderedDuring");
+  const commands = day.simulation.recorder.of("orderedDuring");
   expect(day.breaches).toEqual([]);
-  expect(orders.length).toBeGreaterThan(0);
-  expect(orders.filter(({ waitedMs }) => waitedMs > ackMs)).toEqual([]);
+  expect(commands.length).toBeGreaterThan(0);
+  expect(commands.filter(({ waitedMs }) => waitedMs > ackMs)).toEqual([]);
 });
 
 test("answers come garbled, twice, late or not at all while edges stop and addresses change hands", () => {
   const day = dayOf("garbleDuringStops", { rateFactor: 0.15 });
-  const { ledger } = day.simulation;
+  const { recorder } = day.simulation;
   expect(day.breaches).toEqual([]);
-  expect(ledger.of("stopped").length).toBeGreaterThan(2);
-  expect(ledger.of("left").length).toBeGreaterThan(1);
-  expect(ledger.of("reused").length).toBeGreaterThan(1);
+  expect(recorder.of("stopped").length).toBeGreaterThan(2);
+  expect(recorder.of("left").length).toBeGreaterThan(1);
+  expect(recorder.of("reused").length).toBeGreaterThan(1);
 });
 
 test("with a fixed 10 s until a lost voter is replaced, the second loss leaves no majority", () => {
@@ -122,7 +124,7 @@
   expect(brokenRules(day)).toContain("most requests are served 15 s after a fault");
 });
 test("with a leader that answers without asking its majority, a cut leader shows what is old", () => {
-  const day = dayOf("cutMemberForLong", { waits: { leaderGrantMs: 60_000 } });
+  const day = dayOf("cutMemberForLong", { waits: { leaderLeaseMs: 60_000 } });
   expect(brokenRules(day)).toContain("operators see one register of configs");
 });
 test("with votes for whoever stands, a member that is behind leads with an old state", () => {
--- a/test/simulation/invariant-checker.test.ts
+++ b/test/simulation/invariant-checker.test.ts
@@ -46,72 +46,72 @@
     },
   });
 const clean = (): EventRecorder => {
-  const ledger = new EventRecorder();
+  const recorder = new EventRecorder();
   for (const number of [1, 2]) {
     const [atMs, text] = [(number - 1) * 1000, configText(number)];
-    ledger.world.push(
+    recorder.world.push(
       { kind: "sent", atMs, probe: number, text },
       { kind: "accepted", atMs, sequence: number, probe: number, text },
     );
   }
   for (const base of [0, 1])
-    Object.assign(ledger.order({ startMs: base * 1000, base, probe: base + 1 }), {
+    Object.assign(recorder.order({ startMs: base * 1000, base, probe: base + 1 }), {
       outcome: "accepted",
       version: base + 1,
       endMs: base * 1000 + 50,
     });
-  ledger.callers.push(call({}));
-  ledger.runs.push(ran({}));
-  ledger.endMs = 60_000;
-  return ledger;
+  recorder.callers.push(call({}));
+  recorder.runs.push(ran({}));
+  recorder.endMs = 60_000;
+  return recorder;
 };
-const planted: Record<string, (ledger: EventRecorder) => void> = {
-  "a key runs once in a minute": (ledger) =>
-    ledger.runs.push(
+const planted: Record<string, (recorder: EventRecorder) => void> = {
+  "a key runs once in a minute": (recorder) =>
+    recorder.runs.push(
       ran({ caller: "a", method: "POST", key: "k" }),
       ran({ caller: "b", method: "POST", key: "k", atMs: 60_000 }),
     ),
-  "a return is the caller's own, whole and stamped": (ledger) =>
-    ledger.callers.push(call({ id: "c2", bodyOf: "c1" })),
-  "what is told to try later never runs": (ledger) => ledger.callers.push(call({ code: 503 })),
-  "what may not be repeated runs once": (ledger) =>
-    ledger.runs.push(
+  "a return is the caller's own, whole and stamped": (recorder) =>
+    recorder.callers.push(call({ id: "c2", bodyOf: "c1" })),
+  "what is told to try later never runs": (recorder) => recorder.callers.push(call({ code: 503 })),
+  "what may not be repeated runs once": (recorder) =>
+    recorder.runs.push(
       ran({ caller: "c3", method: "POST" }),
       ran({ caller: "c3", method: "POST", atMs: 9000 }),
     ),
-  "repeats stay under a fifth plus seventy in ten seconds": (ledger) => {
-    for (let at = 0; at < 72; at += 1) ledger.runs.push(ran({ atMs: 5021 + at }));
+  "repeats stay under a fifth plus seventy in ten seconds": (recorder) => {
+    for (let at = 0; at < 72; at += 1) recorder.runs.push(ran({ atMs: 5021 + at }));
   },
-  "a leaving back end gets no work two seconds on": (ledger) =>
-    ledger.world.push({ kind: "left", atMs: 3000, address: "b1", service: "s", incarnation: 1 }),
-  "no request meets a config older than two seconds": (ledger) =>
-    ledger.callers.push(call({ path: "/probe/1" })),
-  "a daemon never slips back to an older config": (ledger) =>
-    ledger.callers.push(
+  "a leaving back end gets no work two seconds on": (recorder) =>
+    recorder.world.push({ kind: "left", atMs: 3000, address: "b1", service: "s", incarnation: 1 }),
+  "no request meets a config older than two seconds": (recorder) =>
+    recorder.callers.push(call({ path: "/probe/1" })),
+  "a daemon never slips back to an older config": (recorder) =>
+    recorder.callers.push(
       call({ path: "/probe/2", sentMs: 1500, endedMs: 1600 }),
       call({ path: "/probe/1", sentMs: 1900 }),
     ),
-  "no request reaches a service that was never allowed": (ledger) =>
-    ledger.runs.push(ran({ service: "other" })),
-  "only accepted configs are in force, and none is lost": (ledger) =>
-    ledger.world.push({ kind: "readBack", atMs: 9000, sequence: 2, text: undefined }),
-  "operators see one register of configs": (ledger) =>
-    ledger.configReads.push({ startMs: 2000, endMs: 2010, version: 1 }),
-  "a stop finishes the work in hand": (ledger) => {
-    ledger.world.push({ kind: "stopped", atMs: 5010, daemon: "e1", endedMs: 5200 });
-    ledger.callers.push(call({ code: 0, broke: "broken" }));
+  "no request reaches a service that was never allowed": (recorder) =>
+    recorder.runs.push(ran({ service: "other" })),
+  "only accepted configs are in force, and none is lost": (recorder) =>
+    recorder.world.push({ kind: "readBack", atMs: 9000, sequence: 2, text: undefined }),
+  "operators see one register of configs": (recorder) =>
+    recorder.configReads.push({ startMs: 2000, endMs: 2010, version: 1 }),
+  "a stop finishes the work in hand": (recorder) => {
+    recorder.world.push({ kind: "stopped", atMs: 5010, daemon: "e1", endedMs: 5200 });
+    recorder.callers.push(call({ code: 0, broke: "broken" }));
   },
-  "most requests are served 15 s after a fault": (ledger) => {
-    ledger.world.push({ kind: "recovered", atMs: 10_000 });
-    ledger.callers.push(call({ sentMs: 30_000, code: 503, id: "c9" }));
+  "most requests are served 15 s after a fault": (recorder) => {
+    recorder.world.push({ kind: "recovered", atMs: 10_000 });
+    recorder.callers.push(call({ sentMs: 30_000, code: 503, id: "c9" }));
   },
 };
 test.each(Object.keys(rules))(
   "the judge of '%s' catches a planted breach and passes a clean run",
   (rule) => {
     expect(checkRules(clean())).toEqual([]);
-    const ledger = clean();
-    planted[rule]?.(ledger);
-    expect(checkRules(ledger).map((breach) => breach.rule)).toEqual([rule]);
+    const recorder = clean();
+    planted[rule]?.(recorder);
+    expect(checkRules(recorder).map((breach) => breach.rule)).toEqual([rule]);
   },
 );
--- a/test/simulation/simulated-day.test.ts
+++ b/test/simulation/simulated-day.test.ts
@@ -66,10 +66,10 @@
     atOnce: 1,
   });
   expect(day.breaches).toEqual([]);
-  const asked = day.simulation.ledger.callers.filter(
+  const asked = day.simulation.recorder.callers.filter(
     ({ sentMs, path, broke }) =>
       sentMs >= 8000 &&
-      sentMs < day.simulation.ledger.endMs &&
+      sentMs < day.simulation.recorder.endMs &&
       !path.startsWith("/probe/") &&
       broke !== "hungUp",
   );
--- a/test/simulation/virtual-backends.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -22,7 +22,7 @@
     const edge =
       simulation.machines.find(({ settings }) => settings.callers !== undefined)?.settings
         .machine ?? "";
-    const leavers = simulation.standIns.filter(({ service }) => service === "issues");
+    const leavers = simulation.testBackends.filter(({ service }) => service === "issues");
     for (const leaver of leavers) simulation.start(simulation.day.leave(leaver));
     for (const { settings } of simulation.machines) {
       simulation.network.cut(settings.machine, edge);
@@ -46,13 +46,13 @@
       wait(10);
     }
     wait(4000);
-    expect(simulation.ledger.of("left")).toHaveLength(leavers.length);
+    expect(simulation.recorder.of("left")).toHaveLength(leavers.length);
     expect(
-      simulation.ledger.runs.filter(({ caller }) => caller.startsWith("late-")).length,
+      simulation.recorder.runs.filter(({ caller }) => caller.startsWith("late-")).length,
     ).toBeGreaterThan(50);
-    expect(checkRules(simulation.ledger)).toEqual([]);
+    expect(checkRules(simulation.recorder)).toEqual([]);
     withdrawn +=
-      simulation.machines.find(({ settings }) => settings.machine === edge)?.daemon?.door.tally
+      simulation.machines.find(({ settings }) => settings.machine === edge)?.daemon?.proxy.tally
         .byCode[503] ?? 0;
   }
   expect(withdrawn).toBeGreaterThan(10);
@@ -62,28 +62,28 @@
   const time = new VirtualClock();
   const clock = time.clock();
   const network = new VirtualNetwork(clock, RandomDraw.of(1));
-  const ledger = new EventRecorder();
-  const standIn = new TestBackend("b:1", "a", "s", ledger, RandomDraw.of(2), new Map());
-  const backEnds = virtualBackends({
+  const recorder = new EventRecorder();
+  const testBackend = new TestBackend("b:1", "a", "s", recorder, RandomDraw.of(2), new Map());
+  const backendClient = virtualBackends({
     place: "edge",
     gate: new EventGate(),
     own: clock,
     clock,
     network,
     random: RandomDraw.of(3),
-    standInAt: () => standIn,
+    standInAt: () => testBackend,
   });
   const ends: string[] = [];
   const send = (untilMs: number): void =>
     Task.start(
       (function* () {
-        const opened = yield* backEnds.send({
+        const opened = yield* backendClient.send({
           address: "b:1",
           service: "s",
           pool: "p",
-          job: { method: "GET", path: "/x", headers: {}, body: new Uint8Array() },
+          request: { method: "GET", path: "/x", headers: {}, body: new Uint8Array() },
           untilMs,
-          mayStill: () => true,
+          maySend: () => true,
         });
         if (typeof opened === "string") return opened;
         while (typeof (yield* opened.next()) !== "string");
@@ -99,16 +99,16 @@
   network.cut("b:1", "edge");
   send(1500);
   time.runUntil(2000);
-  expect([ends, ledger.runs.length]).toEqual([["returned", "late"], 2]);
+  expect([ends, recorder.runs.length]).toEqual([["returned", "late"], 2]);
   network.heal();
   send(2600);
   time.runUntil(2500);
   network.cut("edge", "b:1");
   send(3000);
   time.runUntil(4000);
-  expect([ends.at(-1), ledger.runs.length]).toEqual(["late", 3]);
+  expect([ends.at(-1), recorder.runs.length]).toEqual(["late", 3]);
   network.heal();
   time.runUntil(6000);
-  expect(ledger.runs.at(-1)?.heldMs).toBeGreaterThan(1000);
-  expect(ledger.runs.length).toBe(4);
+  expect(recorder.runs.at(-1)?.heldMs).toBeGreaterThan(1000);
+  expect(recorder.runs.length).toBe(4);
 });
--- a/test/state/state-machine.test.ts
+++ b/test/state/state-machine.test.ts
@@ -3,9 +3,9 @@
 
 const members = { voters: ["a"], learners: [] };
 test("one of two racing configs loses, a repeated change id gets its first outcome, and a checkpoint keeps all", () => {
-  const book = new StateMachine();
+  const stateMachine = new StateMachine();
   const put = (index: number, expected: number, changeId: string) =>
-    book.apply(
+    stateMachine.apply(
       index,
       LogCommand.text({
         kind: "config",
@@ -23,8 +23,8 @@
     { accepted: 1 },
   ]);
   const copy = new StateMachine();
-  expect(copy.restore(book.checkpoint(members))).toEqual(members);
-  expect(copy.checkpoint(members)).toBe(book.checkpoint(members));
+  expect(copy.restore(stateMachine.snapshot(members))).toEqual(members);
+  expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
 });
 const holders = ["10.0.0.1:7000", "10.0.0.2:7000"];
 const claimOf = (job: string, replaces?: string): LogCommand => ({
@@ -36,9 +36,9 @@
   ...(replaces === undefined ? {} : { replaces }),
 });
 test("a key is one job's until it is released or forgotten, and says who knows the outcome", () => {
-  const book = new StateMachine();
-  const apply = (index: number, deed: LogCommand): unknown =>
-    JSON.parse(book.apply(index, LogCommand.text(deed)));
+  const stateMachine = new StateMachine();
+  const apply = (index: number, command: LogCommand): unknown =>
+    JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
   expect(apply(1, claimOf("one"))).toEqual({ claimed: true });
   expect(apply(2, claimOf("one"))).toEqual({ claimed: true });
   const held = { bodyHash: "h", job: "one", verdict: "inHand", holders, atIndex: 1 };
@@ -51,9 +51,9 @@
   expect(apply(9, claimOf("three"))).toEqual({ claimed: true });
 });
 test("a claim is taken over from the request that it names, and from no other", () => {
-  const book = new StateMachine();
-  const apply = (index: number, deed: LogCommand): unknown =>
-    JSON.parse(book.apply(index, LogCommand.text(deed)));
+  const stateMachine = new StateMachine();
+  const apply = (index: number, command: LogCommand): unknown =>
+    JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
   apply(1, claimOf("one"));
   expect(apply(2, claimOf("two", "zero"))).toMatchObject({ held: { job: "one" } });
   expect(apply(3, claimOf("two", "one"))).toEqual({ claimed: true });
@@ -63,29 +63,29 @@
   expect(apply(7, claimOf("three"))).toMatchObject({ held: { job: "two" } });
 });
 test("a claim that a former build settled stays settled when it arrives again", () => {
-  const book = new StateMachine();
-  const apply = (index: number, deed: LogCommand): unknown =>
-    JSON.parse(book.apply(index, LogCommand.text(deed)));
+  const stateMachine = new StateMachine();
+  const apply = (index: number, command: LogCommand): unknown =>
+    JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
   apply(1, claimOf("one"));
   apply(2, { kind: "settle", scope: "k", job: "one", verdict: "ran" });
   expect(apply(3, claimOf("one"))).toEqual({ claimed: true });
   expect(apply(4, claimOf("other"))).toMatchObject({ held: { verdict: "ran", holders } });
 });
 test("entries and copies of a former build, which hold responses themselves, are taken without them", () => {
-  const book = new StateMachine();
+  const stateMachine = new StateMachine();
   const claim = { kind: "claim", scope: "k", bodyHash: "h", job: "one" };
   const response = { code: 201, headers: {}, body: "x".repeat(64 * 1024) };
   const settle = { kind: "settle", scope: "k", job: "one", verdict: "ran", return: response };
-  book.apply(1, JSON.stringify(claim));
-  book.apply(2, JSON.stringify(settle));
-  expect(book.checkpoint(members).length).toBeLessThan(1000);
+  stateMachine.apply(1, JSON.stringify(claim));
+  stateMachine.apply(2, JSON.stringify(settle));
+  expect(stateMachine.snapshot(members).length).toBeLessThan(1000);
   const copy = new StateMachine();
-  const former: unknown = JSON.parse(book.checkpoint(members));
+  const former: unknown = JSON.parse(stateMachine.snapshot(members));
   if (typeof former !== "object" || former === null) throw new Error("The copy is no object.");
   const atIndex = 1;
   const held = { bodyHash: "h", job: "one", verdict: "ran", return: response, atIndex };
   copy.restore(JSON.stringify({ ...former, returns: ["k"], keys: [{ scope: "k", claim: held }] }));
-  expect(copy.checkpoint(members)).toBe(book.checkpoint(members));
+  expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
   expect(JSON.parse(copy.apply(3, JSON.stringify({ ...claim, job: "other" })))).toEqual({
     held: { bodyHash: "h", job: "one", verdict: "ran", atIndex },
   });
