--- a/.ci/closingLine.js
+++ b/.ci/closing-line.js
@@ -1,4 +1,4 @@
-import { knownRed } from "../tools/knownRed.mjs";
+import { knownRed } from "../tools/known-red.mjs";
 
 /** Ends vitest's report with one plain line that says how many tests passed and failed. */
 export default class ClosingLine {
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,17 +1,21 @@
+import checkFile from "eslint-plugin-check-file";
 import jsdoc from "eslint-plugin-jsdoc";
 import tseslint from "typescript-eslint";
 
-/** Limits of length and complexity: warnings until every folder meets them, then errors. */
-const sizeLimits = {
-  "max-lines": ["warn", { max: 350, skipBlankLines: true, skipComments: true }],
-  "max-lines-per-function": ["warn", { max: 60, skipBlankLines: true, skipComments: true }],
-  complexity: ["warn", 12],
-};
+/** Folders that meet the limits of size and complexity: there a violation is an error. */
+const finishedFolders = ["src/sketch", "src/load-balancing"];
+
+/** Limits of length and complexity, at a severity. */
+const sizeLimits = (severity) => ({
+  "max-lines": [severity, { max: 350, skipBlankLines: true, skipComments: true }],
+  "max-lines-per-function": [severity, { max: 60, skipBlankLines: true, skipComments: true }],
+  complexity: [severity, 12],
+});
 
-/** A doc comment on every exported item: a warning until every folder has them. */
+/** A doc comment on every exported item. */
 const docComments = {
   "jsdoc/require-jsdoc": [
-    "warn",
+    "error",
     {
       publicOnly: true,
       require: { ArrowFunctionExpression: true, ClassDeclaration: true, MethodDefinition: false },
@@ -20,6 +24,19 @@
   ],
 };
 
+/** File names in kebab-case; `name.test.ts` counts as `name`. */
+const fileNames = {
+  "check-file/filename-naming-convention": [
+    "error",
+    { "**/*.{ts,mjs,js}": "KEBAB_CASE" },
+    { ignoreMiddleExtensions: true },
+  ],
+  "check-file/folder-naming-convention": [
+    "error",
+    { "{src,test,platform,tools}/**/": "KEBAB_CASE" },
+  ],
+};
+
 export default tseslint.config(
   { ignores: ["dist/", "target/", "node_modules/", "data/"] },
   ...tseslint.configs.recommended,
@@ -37,9 +54,18 @@
       "require-yield": "off",
     },
   },
+  {
+    files: ["{src,test,platform,tools}/**/*.{ts,mjs}"],
+    plugins: { "check-file": checkFile },
+    rules: fileNames,
+  },
   {
     files: ["src/**/*.ts", "platform/**/*.ts"],
     plugins: { jsdoc },
-    rules: { ...sizeLimits, ...docComments },
+    rules: { ...sizeLimits("warn"), ...docComments },
+  },
+  {
+    files: finishedFolders.map((folder) => `${folder}/**/*.ts`),
+    rules: sizeLimits("error"),
   },
 );
--- a/test/tools/check-words.test.ts
+++ b/test/tools/check-words.test.ts
@@ -13,7 +13,7 @@
     for (const folder of foldersDone()) mkdirSync(join(root, folder), { recursive: true });
     const [first] = foldersDone();
     writeFileSync(join(root, first ?? "", "planted.ts"), source);
-    const ran = spawnSync(process.execPath, ["tools/checkWords.mjs"], {
+    const ran = spawnSync(process.execPath, ["tools/check-words.mjs"], {
       cwd: root,
       encoding: "utf8",
     });
@@ -24,7 +24,7 @@
 };
 
 const foldersDone = (): string[] => {
-  const list: unknown = JSON.parse(readFileSync("tools/withdrawnWords.json", "utf8"));
+  const list: unknown = JSON.parse(readFileSync("tools/withdrawn-words.json", "utf8"));
   return create(list, type({ folders: array(string()) })).folders;
 };
 
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -1,5 +1,5 @@
 import { defineConfig } from "vitest/config";
-import { greenPattern } from "./tools/knownRed.mjs";
+import { greenPattern } from "./tools/known-red.mjs";
 
 const testNamePattern = greenPattern();
 
@@ -7,7 +7,7 @@
   test: {
     include: ["test/**/*.test.ts"],
     testTimeout: 120_000,
-    reporters: ["default", "./.ci/closingLine.js"],
+    reporters: ["default", "./.ci/closing-line.js"],
     ...(testNamePattern ? { testNamePattern } : {}),
   },
 });
