--- a/src/control-plane/control-plane.ts
+++ b/src/control-plane/control-plane.ts
@@ -411,7 +411,7 @@
 
   private *enterText(text: string): Task<string> {
     const proposed = yield* this.replicationNode.propose(text);
-    return typeof proposed === "string" ? failureResponse(proposed) : proposed.outcome;
+    return proposed.kind === "committed" ? proposed.outcome : failureResponse(proposed.kind);
   }
 
   private tell(command: LogCommand, ended: (outcome: string) => void = () => undefined): void {
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -163,15 +163,15 @@
     });
     if (this.roles.includes("recorder") && runtime.disk) {
       const stateMachine = new StateMachine();
-      this.replicationNode = new ReplicationNode(
+      this.replicationNode = new ReplicationNode({
         runtime,
-        this.rpc,
+        rpc: this.rpc,
         location,
-        { ...bounds.replicationTimeouts, ...options.waits },
+        timeouts: { ...bounds.replicationTimeouts, ...options.waits },
         stateMachine,
-        new LogStore(runtime.disk, historyQuotaBytes(settings.limits?.diskMb)),
-        this.bootstrap,
-      );
+        store: new LogStore(runtime.disk, historyQuotaBytes(settings.limits?.diskMb)),
+        bootstrap: this.bootstrap,
+      });
       this.controlPlane = new ControlPlane(
         runtime,
         this.replicationNode,
--- /dev/null
+++ b/src/replication/leadership/election-driver.ts
@@ -0,0 +1,158 @@
+/** Runs a node while it doesn't lead: election timeouts, votes and campaigns. */
+import {
+  abandonElection,
+  acceptLeadershipTransfer,
+  isStillCampaigning,
+  onElectionTimeout,
+  startElection,
+  startPreVote,
+} from "../../consensus/election.js";
+import {
+  countVote,
+  decideVote,
+  type ReceivedVote,
+  type VoteReply,
+  type VoteRequest,
+} from "../../consensus/vote.js";
+import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
+import type { Logger } from "../../runtime/logger.js";
+import { Runtime } from "../../runtime/runtime.js";
+import type { Task } from "../../runtime/task.js";
+import type { ConsensusOwner } from "../consensus-owner.js";
+import type { LogWriter } from "../log/log-writer.js";
+import type { NodeEvent, NodeEventQueue } from "../node-event.js";
+import type { ReplicationTimeouts } from "../replication-timeouts.js";
+
+/** What an election driver works with. */
+export interface ElectionDriverOptions {
+  readonly runtime: Runtime;
+  readonly rpc: RpcEndpoint;
+  readonly log: Logger;
+  readonly consensus: ConsensusOwner;
+  readonly events: NodeEventQueue;
+  readonly writer: LogWriter;
+  readonly timeouts: ReplicationTimeouts;
+  /** Processes one event of the node. */
+  readonly handle: (event: NodeEvent) => void;
+}
+
+/** The node as a follower, a candidate and a voter. */
+export class ElectionDriver {
+  private readonly options: ElectionDriverOptions;
+
+  constructor(options: ElectionDriverOptions) {
+    this.options = options;
+  }
+
+  /** Follows until this node campaigns. */
+  *runFollower(): Task {
+    const { runtime, consensus, events, handle } = this.options;
+    const { clock } = runtime;
+    let deadlineMs = consensus.current.lastLeaderContactMs + this.electionTimeoutMs();
+    while (consensus.current.role === "follower") {
+      const event = yield* events.takeUntil(clock, deadlineMs);
+      const lastContactMs = consensus.current.lastLeaderContactMs;
+      if (event) handle(event);
+      if (consensus.current.lastLeaderContactMs !== lastContactMs)
+        deadlineMs = consensus.current.lastLeaderContactMs + this.electionTimeoutMs();
+      else if (clock.nowMs() >= deadlineMs) {
+        this.onTimeout(lastContactMs);
+        if (consensus.current.role === "follower")
+          deadlineMs = clock.nowMs() + this.electionTimeoutMs();
+      }
+    }
+  }
+
+  /** Campaigns until an election is won or lost, or its time is over. */
+  *runCandidate(isPreVote: boolean): Task {
+    const { runtime, consensus, events, handle } = this.options;
+    const { clock } = runtime;
+    const { role } = consensus.current;
+    if (isPreVote) this.requestPreVotes();
+    else this.campaign();
+    const deadlineMs = clock.nowMs() + this.electionTimeoutMs();
+    while (consensus.current.role === role) {
+      const event = yield* events.takeUntil(clock, deadlineMs);
+      if (event) handle(event);
+      if (consensus.current.role === role && clock.nowMs() >= deadlineMs)
+        consensus.update(abandonElection(consensus.current, consensus.context));
+    }
+  }
+
+  /** Decides on another member's request for a vote. */
+  onVoteRequest(request: VoteRequest, respond: (reply: VoteReply) => void): void {
+    const { consensus, writer } = this.options;
+    const decision = decideVote(consensus.current, request, consensus.context);
+    const { state, records, replyAfterSync, reply } = decision;
+    consensus.update(state);
+    if (replyAfterSync) writer.append([...records], () => respond(reply));
+    else respond(reply);
+  }
+
+  /** Counts a vote, or a refusal, of this node's own election. */
+  onVote(received: ReceivedVote): void {
+    const { consensus, runtime } = this.options;
+    consensus.update(countVote(consensus.current, received, runtime.clock.nowMs()));
+  }
+
+  /** Accepts the leadership that the leader of a term offers, unless this node can't; returns whether it did. */
+  acceptLeadership(term: number): boolean {
+    const { consensus } = this.options;
+    const state = acceptLeadershipTransfer(consensus.current, term, consensus.context);
+    if (state === undefined) return false;
+    consensus.update(state);
+    return true;
+  }
+
+  private electionTimeoutMs(): number {
+    const { runtime, timeouts } = this.options;
+    const { electionMinMs, electionMaxMs } = timeouts;
+    return electionMinMs + runtime.random() * (electionMaxMs - electionMinMs);
+  }
+
+  private onTimeout(lastContactMs: number): void {
+    const { runtime, log, consensus } = this.options;
+    const { knownLeader } = consensus.current;
+    consensus.update(onElectionTimeout(consensus.current, consensus.context));
+    if (consensus.current.role === "follower") return;
+    log.info("election timeout", {
+      leader: knownLeader,
+      unheardMs: Math.round(runtime.clock.nowMs() - lastContactMs),
+    });
+  }
+
+  private requestPreVotes(): void {
+    const { consensus } = this.options;
+    const { state, request } = startPreVote(consensus.current);
+    consensus.update(state);
+    this.requestVotes(request);
+  }
+
+  private campaign(): void {
+    const { consensus, writer } = this.options;
+    const { state, records, request } = startElection(consensus.current);
+    consensus.update(state);
+    writer.append([...records], () => {
+      if (isStillCampaigning(consensus.current, request.term)) this.requestVotes(request);
+    });
+  }
+
+  private requestVotes(request: VoteRequest): void {
+    const { runtime, consensus, events } = this.options;
+    const { self } = consensus.current;
+    const { isPreVote, term } = request;
+    const reply: VoteReply = { term, granted: true };
+    events.put({ kind: "voteReceived", received: { peer: self, isPreVote, term, reply } });
+    for (const peer of consensus.current.members.voters.filter((voter) => voter !== self))
+      Runtime.start(runtime, "record", this.requestVote(peer, request));
+  }
+
+  private *requestVote(peer: string, request: VoteRequest): Task {
+    const { rpc, events, timeouts } = this.options;
+    const reply = yield* rpc.call(peer, RpcMethod.vote, request, timeouts.electionMinMs);
+    if (!reply) return;
+    const { isPreVote, term } = request;
+    events.put({ kind: "voteReceived", received: { peer, isPreVote, term, reply } });
+  }
+}
--- /dev/null
+++ b/src/replication/leadership/peer-replicator.ts
@@ -0,0 +1,132 @@
+/** Replicates the leader's log to one other member, by entries, heartbeats and snapshots. */
+import {
+  appendRequestFor,
+  appendTimeoutMs,
+  initialProgress,
+  needsSnapshot,
+  progressAfter,
+  type Progress,
+} from "../../consensus/replication.js";
+import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
+import type { Clock } from "../../runtime/clock.js";
+import type { Queue } from "../../runtime/queue.js";
+import type { Task } from "../../runtime/task.js";
+import type { ConsensusOwner } from "../consensus-owner.js";
+import type { NodeEventSink, SnapshotPieceResponse } from "../node-event.js";
+import type { ReplicationTimeouts } from "../replication-timeouts.js";
+import type {
+  SharedSnapshot,
+  SnapshotMessage,
+  SnapshotSender,
+} from "../snapshot/snapshot-sender.js";
+
+/** What one append request carries at most, unless a single entry is larger. */
+export const APPEND_BATCH_LIMIT = { entries: 1024, bytes: 256 * 1024 };
+/** How long the reply to a snapshot, or to a piece of one, is awaited. */
+const SNAPSHOT_TIMEOUT_MS = 5000;
+
+/** What a replicator works with. */
+export interface PeerReplicatorOptions {
+  readonly peer: string;
+  /** The term of the leadership that the replicator serves. */
+  readonly term: number;
+  /** Wakes the replicator before its next heartbeat. */
+  readonly wakeup: Queue<true>;
+  readonly clock: Clock;
+  readonly rpc: RpcEndpoint;
+  readonly consensus: ConsensusOwner;
+  readonly events: NodeEventSink;
+  readonly timeouts: ReplicationTimeouts;
+  readonly snapshotSender: SnapshotSender;
+  readonly makeSnapshot: () => SharedSnapshot;
+}
+
+/** The replication to one peer during one term. */
+export class PeerReplicator {
+  private readonly options: PeerReplicatorOptions;
+  private progress: Progress;
+  /** Whether the last request was answered: a snapshot goes only to a responsive member. */
+  private isResponsive = false;
+
+  constructor(options: PeerReplicatorOptions) {
+    this.options = options;
+    this.progress = initialProgress(options.consensus.current);
+  }
+
+  /** Replicates until this node no longer leads in the term, or the peer is no longer a member. */
+  *run(): Task {
+    const { peer, term, wakeup, clock, consensus, timeouts } = this.options;
+    while (consensus.isLeadingIn(term) && consensus.isMember(peer)) {
+      const sendsSnapshot = this.isResponsive && needsSnapshot(consensus.current, this.progress);
+      const hasMore = sendsSnapshot ? yield* this.sendSnapshot() : yield* this.sendEntries();
+      if (hasMore) continue;
+      wakeup.drain();
+      yield* wakeup.takeUntil(clock, clock.nowMs() + timeouts.heartbeatMs);
+    }
+  }
+
+  /** Sends entries or a heartbeat; returns whether the next request is due at once. */
+  private *sendEntries(): Task<boolean> {
+    const { peer, term, clock, rpc, consensus, events, timeouts } = this.options;
+    const sentMs = clock.nowMs();
+    const { baseIndex } = consensus.current.log;
+    const sent = { ...this.progress, next: Math.max(this.progress.next, baseIndex + 1) };
+    const request = appendRequestFor(consensus.current, sent, APPEND_BATCH_LIMIT);
+    const timeoutMs = appendTimeoutMs(request, timeouts);
+    const reply = yield* rpc.call(peer, RpcMethod.append, request, timeoutMs);
+    if (reply && reply.term > term) events.put({ kind: "newerTermSeen", term: reply.term });
+    if (reply?.term !== term) return false;
+    const { fits, counts } = reply;
+    const matched = fits ? reply.matched : 0;
+    events.put({ kind: "acknowledged", acknowledgment: { peer, term, sentMs, matched, counts } });
+    this.isResponsive = true;
+    this.progress = progressAfter(sent, reply);
+    return !fits || consensus.current.log.lastIndex >= this.progress.next;
+  }
+
+  /** Sends the next part of the snapshot; returns whether the next request is due at once. */
+  private *sendSnapshot(): Task<boolean> {
+    const installedIndex = yield* this.transferSnapshot();
+    this.isResponsive = installedIndex !== undefined;
+    if (installedIndex !== undefined && installedIndex > 0)
+      this.progress = { ...this.progress, next: installedIndex + 1 };
+    return this.isResponsive;
+  }
+
+  /** Returns the index up to which the peer holds the log, 0 while the transfer advances, `undefined` where it didn't. */
+  private *transferSnapshot(): Task<number | undefined> {
+    const { peer, term, clock, consensus, events, snapshotSender, makeSnapshot } = this.options;
+    const sentMs = clock.nowMs();
+    const { baseIndex } = consensus.current.log;
+    const message = snapshotSender.next(peer, baseIndex, sentMs, makeSnapshot);
+    const reply = yield* this.callWithSnapshot(message);
+    if (reply && reply.term > term) events.put({ kind: "newerTermSeen", term: reply.term });
+    if (reply?.term !== term) {
+      snapshotSender.lost(peer);
+      return undefined;
+    }
+    const { matched, counts } = reply;
+    events.put({ kind: "acknowledged", acknowledgment: { peer, term, sentMs, matched, counts } });
+    const isInstalled = matched >= message.snapshot.identity.lastIndex;
+    if (isInstalled) {
+      snapshotSender.ended(peer);
+      return matched;
+    }
+    if (message.kind === "whole") return undefined;
+    return snapshotSender.answered(peer, reply.receivedBytes, clock.nowMs()) ? 0 : undefined;
+  }
+
+  private *callWithSnapshot(message: SnapshotMessage): Task<SnapshotPieceResponse | undefined> {
+    const { peer, term, rpc, consensus } = this.options;
+    const leader = consensus.current.self;
+    if (message.kind === "piece") {
+      const piece = { term, leader, ...message.piece };
+      return yield* rpc.call(peer, RpcMethod.snapshotPiece, piece, SNAPSHOT_TIMEOUT_MS);
+    }
+    const { lastIndex, lastTerm } = message.snapshot.identity;
+    const whole = { term, leader, lastIndex, lastTerm, text: message.snapshot.text };
+    const reply = yield* rpc.call(peer, RpcMethod.checkpoint, whole, SNAPSHOT_TIMEOUT_MS);
+    return reply && { ...reply, receivedBytes: 0 };
+  }
+}
--- /dev/null
+++ b/src/replication/log/follower-log.ts
@@ -0,0 +1,43 @@
+/** Accepts a leader's entries into the own log. */
+import {
+  acknowledgeAppend,
+  decideAppend,
+  type AppendReply,
+  type AppendRequest,
+} from "../../consensus/append.js";
+import type { ConsensusOwner } from "../consensus-owner.js";
+import type { LogApplier } from "./log-applier.js";
+import type { LogWriter } from "./log-writer.js";
+
+/** What a follower's log works with. */
+export interface FollowerLogOptions {
+  readonly consensus: ConsensusOwner;
+  readonly writer: LogWriter;
+  readonly applier: LogApplier;
+}
+
+/** The log of a follower, as its leader sees it. */
+export class FollowerLog {
+  private readonly options: FollowerLogOptions;
+
+  constructor(options: FollowerLogOptions) {
+    this.options = options;
+  }
+
+  /** Appends a leader's entries and acknowledges them once they are on disk, or refuses them. */
+  onAppend(request: AppendRequest, respond: (reply: AppendReply) => void): void {
+    const { consensus, writer, applier } = this.options;
+    const decision = decideAppend(consensus.current, request, consensus.context);
+    consensus.update(decision.state);
+    if (decision.kind === "refuse") return respond(decision.reply);
+    const { records, mustSync, pending } = decision;
+    const acknowledge = (): void => {
+      const acknowledged = acknowledgeAppend(consensus.current, pending, consensus.context);
+      consensus.update(acknowledged.state);
+      respond(acknowledged.reply);
+    };
+    if (mustSync) writer.append([...records], acknowledge);
+    else acknowledge();
+    applier.advance(consensus.current);
+  }
+}
--- a/src/simulation/simulated-day.ts
+++ b/src/simulation/simulated-day.ts
@@ -122,7 +122,7 @@
     served: servedPart(recorder, settleMs, recorder.endMs),
     requests: recorder.callers.length,
     configs: recorder.of("accepted").length,
-    elections: simulation.lines.filter((line) => line.includes("Leads the record")).length,
+    elections: simulation.lines.filter((line) => line.includes("leader elected")).length,
     worstRepeats: Math.max(
       0,
       ...[...worstRepeats(recorder).values()].map(({ further, allowed }) => further / allowed),
--- a/test/cluster-view/command-forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -5,7 +5,7 @@
 
 /** Whether the newest leader has seen all edges. */
 const edgesSeen = (stage: FleetStage): boolean => {
-  const at = stage.lines.findLastIndex((line) => line.includes("Leads the record."));
+  const at = stage.lines.findLastIndex((line) => line.includes("leader elected"));
   const since = stage.lines.slice(at).filter((line) => line.includes("A machine shows itself."));
   return stage.machines
     .filter(({ disk }) => !disk)
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -333,7 +333,8 @@
     const { replicationNode } = this.member.daemon ?? {};
     if (!replicationNode) throw new Error("The member doesn't run.");
     const proposed = runOn(this.time, replicationNode.propose(text));
-    if (typeof proposed === "string") throw new Error(`The entry was not taken: ${proposed}.`);
+    if (proposed.kind !== "committed")
+      throw new Error(`The entry was not taken: ${proposed.kind}.`);
     return proposed.outcome;
   }
 
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -35,7 +35,7 @@
 
   /** How often another machine has come to lead. */
   get changesOfLeader(): number {
-    return this.lines.filter((line) => line.includes("Leads the record.")).length;
+    return this.lines.filter((line) => line.includes("leader elected")).length;
   }
 
   protected override lifeOf(machine: StageMachine): MachineLife {
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -45,7 +45,7 @@
     this.stage.start(
       (function* () {
         const proposed = yield* replicationNode.propose(deed);
-        outcomes.push(typeof proposed === "string" ? proposed : proposed.outcome);
+        outcomes.push(proposed.kind === "committed" ? proposed.outcome : proposed.kind);
       })(),
     );
     this.stage.until(() => outcomes.length > 0, 5000);
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -186,8 +186,8 @@
     });
     this.start(
       (function* () {
-        const outcome = yield* replicationNode.propose(text);
-        outcomes.push(typeof outcome === "object" && outcome.outcome.includes("accepted"));
+        const result = yield* replicationNode.propose(text);
+        outcomes.push(result.kind === "committed" && result.outcome.includes("accepted"));
       })(),
     );
     this.until(() => outcomes.length > 0, 5000);
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -5,11 +5,8 @@
 import type { Runtime } from "../../src/runtime/runtime.js";
 import { StateMachine } from "../../src/state/state-machine.js";
 import { appendTimeoutMs, countWithinLimit } from "../../src/consensus/replication.js";
-import {
-  appendBatchLimit,
-  ReplicationNode,
-  ReplicationTimeouts,
-} from "../../src/replication/replication-node.js";
+import { ReplicationNode, ReplicationTimeouts } from "../../src/replication/replication-node.js";
+import { APPEND_BATCH_LIMIT } from "../../src/replication/leadership/peer-replicator.js";
 import { type DurableState, LogStore } from "../../src/replication/log/log-store.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
@@ -55,14 +52,14 @@
   const begin = (): ReplicationNode => {
     const runtime = worldOf("own");
     const rpc = new RpcEndpoint(runtime, own);
-    const replicationNode = new ReplicationNode(
+    const replicationNode = new ReplicationNode({
       runtime,
       rpc,
-      place,
-      ReplicationTimeouts.defaults,
-      new StateMachine(),
-      new LogStore(disk),
-    );
+      location: place,
+      timeouts: ReplicationTimeouts.defaults,
+      stateMachine: new StateMachine(),
+      store: new LogStore(disk),
+    });
     Task.start(rpc.listen(), fail);
     Task.start(replicationNode.run(), fail);
     return replicationNode;
@@ -189,10 +186,10 @@
   const entries = (bytes: number, count: number): Entry[] =>
     Array.from({ length: count }, (_, at) => ({ index: at + 1, term: 1, text: "x".repeat(bytes) }));
   expect([
-    countWithinLimit(entries(10, 2000), appendBatchLimit),
-    countWithinLimit(entries(64 * 1024, 300), appendBatchLimit),
-    countWithinLimit(entries(9 * 1024 * 1024, 3), appendBatchLimit),
-    countWithinLimit([], appendBatchLimit),
+    countWithinLimit(entries(10, 2000), APPEND_BATCH_LIMIT),
+    countWithinLimit(entries(64 * 1024, 300), APPEND_BATCH_LIMIT),
+    countWithinLimit(entries(9 * 1024 * 1024, 3), APPEND_BATCH_LIMIT),
+    countWithinLimit([], APPEND_BATCH_LIMIT),
   ]).toEqual([1024, 4, 1, 0]);
 });
 
