--- a/src/consensus/member-rights.ts
+++ b/src/consensus/member-rights.ts
@@ -12,7 +12,7 @@
   /** Its disk can't be read. */
   | "damaged"
   /** It has written the new log's first state, but does not know yet that all voters have. */
-  | "unborn"
+  | "forming"
   /** Its disk holds the log. */
   | "formed";
 
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -107,7 +107,7 @@
     this.seeds = settings.seeds;
     this.forwarder = new CommandForwarder(runtime, this.rpc, () => [
       ...this.seeds,
-      ...this.bootstrap.recorders,
+      ...this.bootstrap.knownNodes,
     ]);
     const location: NodeLocation = {
       self: settings.peers,
--- a/src/replication/bootstrap/cluster-bootstrap.ts
+++ b/src/replication/bootstrap/cluster-bootstrap.ts
@@ -1,72 +1,81 @@
+/**
+ * Brings the daemons of a fleet together. Where the whole fleet starts for the first time, the first seed chooses the members
+ * of the replicated log and has them form it; an empty node that finds a formed log rejoins it.
+ */
+import type { Members } from "../../consensus/members.js";
+import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { RpcMethod } from "../../rpc/rpc-method.js";
-import type { DecodedMessage, RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { Clock } from "../../runtime/clock.js";
 import type { Logger } from "../../runtime/logger.js";
-import { Task } from "../../runtime/task.js";
 import { Runtime } from "../../runtime/runtime.js";
-import type { Members } from "../../consensus/members.js";
+import { Task } from "../../runtime/task.js";
+import {
+  encodePeerState,
+  hasFormed,
+  type BootstrapMember,
+  type BootstrapStatus,
+  type PeerState,
+  type PeerStatus,
+  type ProbeRequest,
+  type ProbeResponse,
+} from "./bootstrap-status.js";
 import { NodeLocation } from "./node-location.js";
+import { PeerProber, PROBE_TIMEOUT_MS } from "./peer-prober.js";
 
-/** How a recorder stands when it is met: unborn is what was formed, but not yet by all of its voters. */
-export interface BootstrapStatus extends Members {
-  readonly state: "loading" | "empty" | "damaged" | "unborn" | "formed";
-  readonly fleet: string;
-}
-
-/** A recorder as its daemon's meeting sees it. */
-export interface BootstrapMember {
-  readonly bootstrapStatus: BootstrapStatus;
-  /** Writes on an empty disk which fleet's record this is and who its members are. */
-  form(fleet: string, members: Members): Task;
-  /** All voters of this fleet have formed. */
-  open(fleet: string): void;
-  /** Begins to learn the record of a fleet that was formed by others. */
-  rejoin(fleet: string, members: Members): Task;
-}
-
-/** What a daemon knows besides: who leads, and which recorders there are. */
+/** What a daemon knows besides: who leads, and which nodes of the replicated log there are. */
 export interface ClusterHints {
   leader(): string;
   recorders(): readonly string[];
 }
 
-type Ask = DecodedMessage<typeof RpcMethod.meet.request>;
-type Met = DecodedMessage<typeof RpcMethod.meet.response>;
+/** How long the reply of a node that is to form the log is awaited; it writes to its disk first. */
+const FORM_TIMEOUT_MS = 2000;
+/** The shortest time between two rounds of probes before the log is formed; the longest is twice that. */
+const ROUND_INTERVAL_MS = 100;
+/** How often a loading node looks whether it has loaded. */
+const LOADING_INTERVAL_MS = ROUND_INTERVAL_MS / 5;
+/** The time until the next round once daemons were discovered that haven't been probed. */
+const DISCOVERY_INTERVAL_MS = 10;
+/** The time between two probes of the seeds once the log is formed. */
+const FORMED_INTERVAL_MS = 1000;
+/** How long a daemon that probed this one counts as present. */
+const PRESENCE_MS = 3000;
+/** How many discovered addresses are retained. */
+const MAX_DISCOVERED = 64;
+/** How long the initiator waits for more candidates to choose from, where all seeds reply and where some don't. */
+const CANDIDATE_WAIT_MS = { all: 500, some: 3000 };
+/** How long the initiator stays with the members that it chose. */
+const FORMATION_TIMEOUT_MS = 10_000;
+/** The shortest time between two warnings that the bootstrap waits. */
+const WARNING_INTERVAL_MS = 5000;
 
-const askMs = 300;
-const formMs = 2000;
-const roundMs = 100;
-/** How long the next round waits once others were named that have not been met. */
-const newNamesMs = 10;
-const helloMs = 1000;
-const freshMs = 3000;
-const contactsHeld = 64;
-/** How long the founder waits for more to choose from, where all seeds return and where some don't. */
-const settleMs = { all: 500, some: 3000 };
-/** How long a founder keeps to what it has begun to form. */
-const keepMs = 10_000;
-const tellMs = 5000;
-
-const isIn = (one: Met | undefined, fleet: string): boolean =>
-  one !== undefined && one.fleet === fleet && (one.state === "unborn" || one.state === "formed");
+/** The members that an initiator chose, and when. */
+interface Formation {
+  readonly fleet: string;
+  readonly members: Members;
+  readonly startedMs: number;
+}
 
-/** Where the daemons of a fleet meet: tells who this one is, brings recorders together and forms their record. */
+/** The bootstrap of one daemon: replies to probes, probes others, and forms, opens or rejoins the log. */
 export class ClusterBootstrap {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
   private readonly location: NodeLocation;
   private readonly hints: ClusterHints;
   private readonly log: Logger;
+  private readonly prober: PeerProber;
+  /** Names this process, so that what was meant for an earlier one isn't carried out. */
   private readonly incarnation: string;
-  /** Recorders that showed themselves, and when. */
-  private readonly shown = new Map<string, number>();
-  private named: string[] = [];
+  /** Nodes that probed this daemon, and when. */
+  private readonly presentSinceMs = new Map<string, number>();
+  /** Addresses that were named in the statuses of the last round. */
+  private discovered: string[] = [];
   private member: BootstrapMember | undefined;
-  /** Set once a record is known to exist: then none is formed any more. */
-  private recordKnown = false;
-  private enoughSinceMs: number | undefined;
-  private begun: { fleet: string; members: Members; atMs: number } | undefined;
-  private toldMs = -Infinity;
+  /** Set once a formed log is known to exist: from then on none is initiated. */
+  private isLogKnown = false;
+  private candidatesSinceMs: number | undefined;
+  private formation: Formation | undefined;
+  private lastWarningMs = -Infinity;
 
   constructor(
     runtime: Runtime,
@@ -79,85 +88,109 @@
     this.location = location;
     this.hints = hints;
     this.log = runtime.loggers.component("record");
+    this.prober = new PeerProber(runtime, rpc, location.self);
     this.incarnation = Runtime.nonce(runtime);
   }
 
-  /** Has a recorder take part; before the meeting begins. */
-  attend(member: BootstrapMember): void {
+  /** Has a node take part; called before the bootstrap runs. */
+  register(member: BootstrapMember): void {
     this.member = member;
   }
 
-  /** The recorders known here: members of the record, and those that showed themselves lately. */
-  get recorders(): string[] {
+  /** The addresses of the nodes known here: members of the log, and those that probed this daemon lately. */
+  get knownNodes(): string[] {
     const nowMs = this.runtime.clock.nowMs();
-    for (const [peer, atMs] of this.shown) if (nowMs - atMs > freshMs) this.shown.delete(peer);
+    for (const [peer, probedMs] of this.presentSinceMs)
+      if (nowMs - probedMs > PRESENCE_MS) this.presentSinceMs.delete(peer);
     const { voters, learners } = this.member?.bootstrapStatus ?? { voters: [], learners: [] };
-    return [...new Set([...voters, ...learners, ...this.shown.keys()])];
+    return [...new Set([...voters, ...learners, ...this.presentSinceMs.keys()])];
   }
 
-  /** Serves those who meet this daemon. */
+  /** Serves the probes of other daemons. */
   serve(): void {
-    const answer = (ask: Ask): Task<Met> => this.answering(ask);
-    this.rpc.serve(RpcMethod.meet, (ask) => answer(ask));
+    const respond = (request: ProbeRequest): Task<ProbeResponse> => this.onProbe(request);
+    this.rpc.serve(RpcMethod.meet, (request) => respond(request));
   }
 
-  /** Meets others for as long as the daemon runs. */
+  /** Probes others for as long as the daemon runs. */
   *run(): Task {
+    const { clock } = this.runtime;
     for (;;) {
-      const state = this.state;
-      if (state === "loading") yield* Clock.sleep(this.runtime.clock, roundMs / 5);
+      const { state } = this;
+      if (state === "loading") yield* Clock.sleep(clock, LOADING_INTERVAL_MS);
       else if (state === "formed") {
-        this.recordKnown = true;
-        yield* this.meetAll(this.location.seeds());
-        yield* Clock.sleep(this.runtime.clock, helloMs);
+        this.isLogKnown = true;
+        yield* this.prober.probeAll(this.location.seeds(), this.probeRequest);
+        yield* Clock.sleep(clock, FORMED_INTERVAL_MS);
       } else {
-        const known = this.named;
-        if (state !== "none" || this.mayFound) yield* this.round();
-        const isNew = this.named.some((peer) => !known.includes(peer));
-        const restMs = isNew ? newNamesMs : roundMs * (1 + this.runtime.random());
-        yield* Clock.sleep(this.runtime.clock, restMs);
+        const known = this.discovered;
+        if (state !== "none" || this.mayInitiate) yield* this.runRound();
+        const isNew = this.discovered.some((peer) => !known.includes(peer));
+        const intervalMs = isNew
+          ? DISCOVERY_INTERVAL_MS
+          : ROUND_INTERVAL_MS * (1 + this.runtime.random());
+        yield* Clock.sleep(clock, intervalMs);
       }
     }
   }
 
-  private get state(): BootstrapStatus["state"] | "none" {
+  private get state(): PeerState {
     return this.member?.bootstrapStatus.state ?? "none";
   }
 
-  private get mayFound(): boolean {
+  /** Whether this daemon may choose the members of a new log. */
+  private get mayInitiate(): boolean {
     const { founds, self } = this.location;
     return (
       founds &&
       this.location.seeds()[0] === self &&
-      !this.recordKnown &&
+      !this.isLogKnown &&
       this.hints.leader() === "" &&
       (this.state === "none" || this.state === "empty")
     );
   }
 
-  private *answering(ask: Ask): Task<Met> {
-    if (ask.peer) this.shown.set(ask.peer, this.runtime.clock.nowMs());
-    if (ask.fleet && ask.open) this.member?.open(ask.fleet);
-    else if (
-      this.member &&
-      ask.fleet &&
-      ask.incarnation === this.incarnation &&
+  private *onProbe(request: ProbeRequest): Task<ProbeResponse> {
+    if (request.peer) this.presentSinceMs.set(request.peer, this.runtime.clock.nowMs());
+    if (request.fleet && request.open) this.member?.open(request.fleet);
+    else if (this.member && this.isFormRequest(request))
+      yield* this.member.form(request.fleet, request);
+    return this.probeResponse;
+  }
+
+  private isFormRequest({ fleet, incarnation }: ProbeRequest): boolean {
+    return (
+      fleet !== "" &&
+      incarnation === this.incarnation &&
       this.location.founds &&
       this.state === "empty"
-    )
-      yield* this.member.form(ask.fleet, ask);
-    return this.answer;
+    );
+  }
+
+  private get probeRequest(): ProbeRequest {
+    return {
+      peer: this.member ? this.location.self : "",
+      fleet: "",
+      incarnation: "",
+      voters: [],
+      learners: [],
+      open: false,
+    };
+  }
+
+  private get probeResponse(): ProbeResponse {
+    const { state, ...status } = this.ownStatus;
+    return { ...status, state: encodePeerState(state) };
   }
 
-  private get answer(): Met {
+  private get ownStatus(): PeerStatus & { state: BootstrapStatus["state"] | "none" } {
     const { machine, zone, founds } = this.location;
     const { state, fleet, voters, learners } = this.member?.bootstrapStatus ?? {
-      state: "none",
+      state: "none" as const,
       fleet: "",
       voters: [],
       learners: [],
     };
-    const recorders = [...new Set([...this.recorders, ...this.hints.recorders()])];
     return {
       machine,
       zone,
@@ -168,166 +201,160 @@
       incarnation: this.incarnation,
       voters: [...voters],
       learners: [...learners],
-      recorders,
+      recorders: [...new Set([...this.knownNodes, ...this.hints.recorders()])],
     };
   }
 
-  /** Meets all that are known; then rejoins, forms or opens, or waits. */
-  private *round(): Task {
+  /** Probes all that are known; then rejoins, forms or opens the log, or waits. */
+  private *runRound(): Task {
     const seeds = this.location.seeds();
-    const peers = new Set([...seeds, ...this.recorders, ...this.hints.recorders(), ...this.named]);
-    // One that is empty has only to find a formed record; the dead among those it asks must not cost it time.
-    const enough = (one: Met): boolean => this.state === "empty" && one.state === "formed";
-    const met = yield* this.meetAll([...peers], enough);
-    this.named = [
-      ...new Set([...met.values()].flatMap((one) => [one.leader, ...one.recorders, ...one.voters])),
-    ]
-      .filter((peer) => peer !== "")
-      .slice(0, contactsHeld);
+    const peers = new Set([
+      ...seeds,
+      ...this.knownNodes,
+      ...this.hints.recorders(),
+      ...this.discovered,
+    ]);
+    // An empty node has only to find a formed log; daemons that don't reply must not cost it time.
+    const suffices = (status: PeerStatus): boolean =>
+      this.state === "empty" && status.state === "formed";
+    const statuses = yield* this.prober.probeAll([...peers], this.probeRequest, suffices);
+    this.discover(statuses);
     const own = this.member?.bootstrapStatus;
     if (own?.state === "formed") return;
-    const formed = [...met.values()].find((one) => one.state === "formed");
-    if (formed || [...met.values()].some((one) => one.leader !== "")) this.recordKnown = true;
-    if (this.member) met.set(this.location.self, this.answer);
-    if (own?.state === "unborn") return yield* this.unborn(own, met);
+    const all = [...statuses.values()];
+    const formed = all.find(({ state }) => state === "formed");
+    if (formed || all.some(({ leader }) => leader !== "")) this.isLogKnown = true;
+    if (this.member) statuses.set(this.location.self, this.ownStatus);
+    if (own?.state === "forming") return yield* this.continueForming(own, statuses);
     if (this.member && formed) return yield* this.member.rejoin(formed.fleet, formed);
-    if (this.mayFound) return yield* this.found(seeds, met);
-    this.tell("Waiting for a record to be formed or found.", { met: met.size });
+    if (this.mayInitiate) return yield* this.initiate(seeds, statuses);
+    this.warnWaiting("waiting for a formed log", { probed: statuses.size });
   }
 
-  private *unborn(own: BootstrapStatus, met: Map<string, Met>): Task {
-    const other = [...met.values()].find(
-      (one) =>
-        one.state === "formed" &&
-        one.fleet !== own.fleet &&
-        one.voters.some((voter) => own.voters.includes(voter)),
+  private discover(statuses: ReadonlyMap<string, PeerStatus>): void {
+    const named = [...statuses.values()].flatMap(({ leader, recorders, voters }) => [
+      leader,
+      ...recorders,
+      ...voters,
+    ]);
+    this.discovered = [...new Set(named)].filter((peer) => peer !== "").slice(0, MAX_DISCOVERED);
+  }
+
+  /** Completes what was formed here, unless one of its voters has formed another log meanwhile. */
+  private *continueForming(own: BootstrapStatus, statuses: Map<string, PeerStatus>): Task {
+    const other = [...statuses.values()].find(
+      ({ state, fleet, voters }) =>
+        state === "formed" &&
+        fleet !== own.fleet &&
+        voters.some((voter) => own.voters.includes(voter)),
     );
-    if (other && this.member) {
-      this.log.warn(
-        "What was formed here can't be any more, since one of its voters formed another record.",
-        { fleet: own.fleet, other: other.fleet },
-      );
-      return yield* this.member.rejoin(other.fleet, other);
-    }
-    yield* this.complete(own.fleet, own, met);
+    if (!other || !this.member) return yield* this.complete(own.fleet, own, statuses);
+    this.log.warn("formation abandoned", { fleet: own.fleet, other: other.fleet });
+    yield* this.member.rejoin(other.fleet, other);
   }
 
-  private *found(seeds: readonly string[], met: Map<string, Met>): Task {
+  /** Completes a formation under way, else chooses the members of a new log once there are enough candidates. */
+  private *initiate(seeds: readonly string[], statuses: Map<string, PeerStatus>): Task {
     const nowMs = this.runtime.clock.nowMs();
-    const [unborn] = [...met.values()]
-      .filter((one) => one.state === "unborn")
+    const [forming] = [...statuses.values()]
+      .filter(({ state }) => state === "forming")
       .sort((a, b) => (a.fleet < b.fleet ? -1 : 1));
-    if (unborn) return yield* this.complete(unborn.fleet, unborn, met);
-    if (this.begun && nowMs - this.begun.atMs < keepMs)
-      return yield* this.complete(this.begun.fleet, this.begun.members, met);
-    this.begun = undefined;
-    const damaged = [...met.values()].some((one) => one.state === "damaged");
-    const candidates = [...met]
-      .filter(([, one]) => one.state === "empty" && one.founds)
+    if (forming) return yield* this.complete(forming.fleet, forming, statuses);
+    if (this.formation && nowMs - this.formation.startedMs < FORMATION_TIMEOUT_MS)
+      return yield* this.complete(this.formation.fleet, this.formation.members, statuses);
+    this.formation = undefined;
+    const members = this.chooseMembers(statuses);
+    if (!members) {
+      this.candidatesSinceMs = undefined;
+      return;
+    }
+    this.candidatesSinceMs ??= nowMs;
+    const haveAll = seeds.every((seed) => seed === this.location.self || statuses.has(seed));
+    const waitMs = haveAll ? CANDIDATE_WAIT_MS.all : CANDIDATE_WAIT_MS.some;
+    if (nowMs - this.candidatesSinceMs < waitMs) return;
+    const fleet = Runtime.nonce(this.runtime);
+    this.formation = { fleet, members, startedMs: nowMs };
+    this.log.info("forming the log", { fleet, ...members });
+    yield* this.complete(fleet, members, statuses);
+  }
+
+  private chooseMembers(statuses: ReadonlyMap<string, PeerStatus>): Members | undefined {
+    const damaged = [...statuses.values()].some(({ state }) => state === "damaged");
+    const candidates = [...statuses]
+      .filter(([, { state, founds }]) => state === "empty" && founds)
       .map(([peer, { machine, zone }]) => ({ peer, machine, zone }));
     const members = damaged ? undefined : NodeLocation.choose(this.location, candidates);
-    if (!members) {
-      this.enoughSinceMs = undefined;
-      return this.tell("Waiting for enough recorders to form the record.", {
+    if (!members)
+      this.warnWaiting("waiting for candidates to form the log", {
         candidates: candidates.map(({ machine }) => machine),
         voters: NodeLocation.voters(this.location),
         damaged,
       });
-    }
-    this.enoughSinceMs ??= nowMs;
-    const haveAll = seeds.every((seed) => seed === this.location.self || met.has(seed));
-    if (nowMs - this.enoughSinceMs < (haveAll ? settleMs.all : settleMs.some)) return;
-    this.begun = { fleet: Runtime.nonce(this.runtime), members, atMs: nowMs };
-    this.log.info("Forms the fleet's record.", {
-      fleet: this.begun.fleet,
-      voters: members.voters,
-      learners: members.learners,
-    });
-    yield* this.complete(this.begun.fleet, members, met);
+    return members;
   }
 
   /**
-   * Has the members of a fleet form its record, and opens it once all voters have. None is asked to form unless every voter
-   * was met, and none of them had opened: an emptied voter must not come back as if it had never acknowledged anything.
+   * Has the members of a fleet form its log, and opens it once all voters have. None is requested to form unless every voter
+   * replied, and none of them had opened: an emptied voter must not come back as if it had never acknowledged anything.
    */
-  private *complete(fleet: string, { voters, learners }: Members, met: Map<string, Met>): Task {
+  private *complete(fleet: string, members: Members, statuses: Map<string, PeerStatus>): Task {
     const { member } = this;
-    const { self } = this.location;
-    const opened = [...met.values()].some((one) => one.fleet === fleet && one.state === "formed");
-    if (opened) return member?.open(fleet);
-    if (voters.some((voter) => !isIn(met.get(voter), fleet) && met.get(voter)?.state !== "empty"))
-      return this.tell("Waiting for the voters of the record that is being formed.", {
-        fleet,
-        voters,
-      });
-    if (this.location.founds) {
-      const asks: Task[] = [];
-      for (const peer of [...voters, ...learners]) {
-        const one = met.get(peer);
-        if (one?.state !== "empty") continue;
-        if (peer !== self)
-          asks.push(
-            this.meet(
-              peer,
-              { ...this.hello, fleet, incarnation: one.incarnation, voters, learners },
-              formMs,
-              met,
-            ),
-          );
-        else if (member) asks.push(member.form(fleet, { voters, learners }));
-      }
-      yield* Task.all((task) => Runtime.start(this.runtime, "record", task), asks);
-      if (member) met.set(self, this.answer);
-    }
-    if (!voters.every((voter) => isIn(met.get(voter), fleet))) return;
-    this.recordKnown = true;
-    member?.open(fleet);
-    const open = { ...this.hello, fleet, open: true };
-    for (const peer of [...voters, ...learners])
-      if (peer !== self) Runtime.start(this.runtime, "record", this.meet(peer, open, askMs, met));
-  }
-
-  private get hello(): Ask {
-    return {
-      peer: this.member ? this.location.self : "",
-      fleet: "",
-      incarnation: "",
-      voters: [],
-      learners: [],
-      open: false,
+    const { voters } = members;
+    const isOpen = ({ fleet: id, state }: PeerStatus): boolean =>
+      id === fleet && state === "formed";
+    if ([...statuses.values()].some(isOpen)) return member?.open(fleet);
+    const isUnavailable = (voter: string): boolean => {
+      const status = statuses.get(voter);
+      return !hasFormed(status, fleet) && status?.state !== "empty";
     };
+    if (voters.some(isUnavailable))
+      return this.warnWaiting("waiting for the voters to form the log", { fleet, voters });
+    if (this.location.founds) yield* this.requestForming(fleet, members, statuses);
+    if (!voters.every((voter) => hasFormed(statuses.get(voter), fleet))) return;
+    this.isLogKnown = true;
+    member?.open(fleet);
+    this.requestOpening(fleet, members, statuses);
   }
 
-  private *meet(peer: string, ask: Ask, waitMs: number, met: Map<string, Met>): Task {
-    const ret = yield* this.rpc.call(peer, RpcMethod.meet, ask, waitMs);
-    if (ret) met.set(peer, ret);
+  /** Has all empty members of a fleet form its log, this node among them. */
+  private *requestForming(
+    fleet: string,
+    { voters, learners }: Members,
+    statuses: Map<string, PeerStatus>,
+  ): Task {
+    const { member, prober } = this;
+    const { self } = this.location;
+    const tasks: Task[] = [];
+    for (const peer of [...voters, ...learners]) {
+      const status = statuses.get(peer);
+      if (status?.state !== "empty") continue;
+      const { incarnation } = status;
+      const request = { ...this.probeRequest, fleet, incarnation, voters, learners };
+      if (peer !== self) tasks.push(prober.probe(peer, request, FORM_TIMEOUT_MS, statuses));
+      else if (member) tasks.push(member.form(fleet, { voters, learners }));
+    }
+    yield* Task.all((task) => Runtime.start(this.runtime, "record", task), tasks);
+    if (member) statuses.set(self, this.ownStatus);
   }
 
-  /** Meets many at once, and gives what they returned by their addresses; ends early once one of them is enough. */
-  private *meetAll(
-    peers: readonly string[],
-    enough: (one: Met) => boolean = () => false,
-  ): Task<Map<string, Met>> {
-    const met = new Map<string, Met>();
-    const { hello } = this;
-    const others = peers.filter((peer) => peer !== this.location.self);
-    let open = others.length;
-    if (open === 0) return met;
-    yield* Task.wait<boolean>((done) => {
-      for (const peer of others)
-        Runtime.start(this.runtime, "record", this.meet(peer, hello, askMs, met), () => {
-          open -= 1;
-          const one = met.get(peer);
-          if (open === 0 || (one && enough(one))) done(true);
-        });
-    });
-    return met;
+  /** Tells all other members that all voters have formed the log. */
+  private requestOpening(
+    fleet: string,
+    { voters, learners }: Members,
+    statuses: Map<string, PeerStatus>,
+  ): void {
+    const request = { ...this.probeRequest, fleet, open: true };
+    const others = [...voters, ...learners].filter((peer) => peer !== this.location.self);
+    for (const peer of others) {
+      const opening = this.prober.probe(peer, request, PROBE_TIMEOUT_MS, statuses);
+      Runtime.start(this.runtime, "record", opening);
+    }
   }
 
-  private tell(what: string, details: Record<string, unknown>): void {
+  private warnWaiting(message: string, fields: Record<string, unknown>): void {
     const nowMs = this.runtime.clock.nowMs();
-    if (nowMs - this.toldMs < tellMs) return;
-    this.toldMs = nowMs;
-    this.log.warn(what, details);
+    if (nowMs - this.lastWarningMs < WARNING_INTERVAL_MS) return;
+    this.lastWarningMs = nowMs;
+    this.log.warn(message, fields);
   }
 }
--- a/src/replication/bootstrap/node-formation.ts
+++ b/src/replication/bootstrap/node-formation.ts
@@ -10,7 +10,7 @@
 import type { ConsensusOwner } from "../consensus-owner.js";
 import type { DurableState, LoadResult, LogStore } from "../log/log-store.js";
 import type { LogWriter } from "../log/log-writer.js";
-import type { BootstrapMember, BootstrapStatus } from "./cluster-bootstrap.js";
+import type { BootstrapMember, BootstrapStatus } from "./bootstrap-status.js";
 
 /** What a node's formation works with. */
 export interface NodeFormationOptions {
@@ -27,7 +27,7 @@
 /** The owner of a node's stage: which fleet's log it has, and how far it is formed. */
 export class NodeFormation implements BootstrapMember {
   private readonly options: NodeFormationOptions;
-  private storedStage: Exclude<MemberStage, "unborn"> = "loading";
+  private storedStage: Exclude<MemberStage, "forming"> = "loading";
   private fleetId = "";
   /** Whether all voters are known to have formed the log. */
   private isOpen = false;
@@ -50,7 +50,7 @@
   }
 
   get stage(): MemberStage {
-    return this.isUnopened ? "unborn" : this.storedStage;
+    return this.isForming ? "forming" : this.storedStage;
   }
 
   /** The status that other nodes receive during bootstrap. */
@@ -72,7 +72,7 @@
 
   /** Waits until this node's log is formed and, as far as it was formed anew, all voters have formed it. */
   *waitUntilOpen(): Task {
-    if (!this.isFormed || this.isUnopened) yield* this.opened.take();
+    if (!this.isFormed || this.isForming) yield* this.opened.take();
   }
 
   *form(fleet: string, { voters, learners }: Members): Task {
@@ -85,14 +85,14 @@
   }
 
   open(fleet: string): void {
-    if (!this.isUnopened || this.isWriting || fleet !== this.fleetId) return;
+    if (!this.isForming || this.isWriting || fleet !== this.fleetId) return;
     this.isOpen = true;
     this.opened.putOnce(true);
   }
 
   *rejoin(fleet: string, { voters, learners }: Members): Task {
     const { runtime, log } = this.options;
-    if (this.isWriting || (this.isFormed && !this.isUnopened)) return;
+    if (this.isWriting || (this.isFormed && !this.isForming)) return;
     const durableState = this.emptyState(fleet, Runtime.nonce(runtime), { voters, learners });
     yield* this.write(durableState);
     log.warn("rejoin started", { fleet });
@@ -101,7 +101,7 @@
   }
 
   /** Whether the log was formed here, but not yet by all of its voters as far as is known. */
-  private get isUnopened(): boolean {
+  private get isForming(): boolean {
     const { term, log, rejoinNonce } = this.options.consensus.current;
     return this.isFormed && !this.isOpen && term === 0 && log.lastIndex === 0 && rejoinNonce === "";
   }
--- /dev/null
+++ b/src/replication/bootstrap/peer-prober.ts
@@ -0,0 +1,56 @@
+/** Probes other daemons for their bootstrap status. */
+import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
+import { Runtime } from "../../runtime/runtime.js";
+import { Task } from "../../runtime/task.js";
+import { decodePeerStatus, type PeerStatus, type ProbeRequest } from "./bootstrap-status.js";
+
+/** How long the reply to a probe is awaited. */
+export const PROBE_TIMEOUT_MS = 300;
+
+/** Sends probes; each reply is added to a map of statuses by address. */
+export class PeerProber {
+  private readonly runtime: Runtime;
+  private readonly rpc: RpcEndpoint;
+  private readonly self: string;
+
+  constructor(runtime: Runtime, rpc: RpcEndpoint, self: string) {
+    this.runtime = runtime;
+    this.rpc = rpc;
+    this.self = self;
+  }
+
+  /** Probes one daemon; adds its status where it replies in time. */
+  *probe(
+    peer: string,
+    request: ProbeRequest,
+    timeoutMs: number,
+    statuses: Map<string, PeerStatus>,
+  ): Task {
+    const response = yield* this.rpc.call(peer, RpcMethod.meet, request, timeoutMs);
+    if (response) statuses.set(peer, decodePeerStatus(response));
+  }
+
+  /** Probes many daemons at once, save this one; ends once all are done, or one status suffices. */
+  *probeAll(
+    peers: readonly string[],
+    request: ProbeRequest,
+    suffices: (status: PeerStatus) => boolean = () => false,
+  ): Task<Map<string, PeerStatus>> {
+    const statuses = new Map<string, PeerStatus>();
+    const others = peers.filter((peer) => peer !== this.self);
+    let pendingCount = others.length;
+    if (pendingCount === 0) return statuses;
+    yield* Task.wait<boolean>((done) => {
+      for (const peer of others) {
+        const probing = this.probe(peer, request, PROBE_TIMEOUT_MS, statuses);
+        Runtime.start(this.runtime, "record", probing, () => {
+          pendingCount -= 1;
+          const status = statuses.get(peer);
+          if (pendingCount === 0 || (status && suffices(status))) done(true);
+        });
+      }
+    });
+    return statuses;
+  }
+}
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -12,7 +12,8 @@
 import { StepTimer } from "../runtime/step-timer.js";
 import { Task } from "../runtime/task.js";
 import type { StateMachine } from "../state/state-machine.js";
-import { ClusterBootstrap, type BootstrapStatus } from "./bootstrap/cluster-bootstrap.js";
+import { encodePeerState, type BootstrapStatus } from "./bootstrap/bootstrap-status.js";
+import { ClusterBootstrap } from "./bootstrap/cluster-bootstrap.js";
 import { NodeFormation } from "./bootstrap/node-formation.js";
 import type { NodeLocation } from "./bootstrap/node-location.js";
 import { ConsensusOwner } from "./consensus-owner.js";
@@ -130,13 +131,13 @@
       formation,
       snapshots: installer,
       replaceAfterMs: timeouts.replaceAfterMs,
-      contacts: () => [...bootstrap.recorders, ...location.seeds()],
+      contacts: () => [...bootstrap.knownNodes, ...location.seeds()],
     });
     this.elections = new ElectionDriver(shared);
     const leaderParts = { leaderLog, replication, proposals, membership };
     this.leadership = new LeaderDriver({ ...shared, ...leaderParts });
     this.history = this.createHistory();
-    bootstrap.attend(formation);
+    bootstrap.register(formation);
   }
 
   /** The leader's address as far as this node knows, or an empty text. */
@@ -158,7 +159,7 @@
   get status() {
     const { role, term, committedIndex, log, members } = this.state;
     return {
-      state: this.nonce !== "" ? "rejoining" : this.formation.stage,
+      state: this.nonce !== "" ? "rejoining" : encodePeerState(this.formation.stage),
       role,
       term,
       leader: this.leader,
@@ -304,7 +305,7 @@
       others: () => [
         this.state.knownLeader,
         ...this.state.members.learners,
-        ...bootstrap.recorders,
+        ...bootstrap.knownNodes,
       ],
       unkeptBytes: timeouts.snapshotBytes,
       kept: (upToSequence) => events.put({ kind: "historyPersisted", upToSequence }),
--- a/test/consensus/member-rights.test.ts
+++ b/test/consensus/member-rights.test.ts
@@ -38,7 +38,7 @@
   ["loading", { stage: "loading" }, ["forward"]],
   ["empty", { stage: "empty" }, ["form", "forward"]],
   ["damaged", { stage: "damaged" }, ["forward"]],
-  ["unborn", { stage: "unborn" }, ["forward"]],
+  ["forming", { stage: "forming" }, ["forward"]],
   ["rejoining", { isRejoining: true }, ["takePart", "forward"]],
   [
     "rejoining, hears the leader",
@@ -98,7 +98,7 @@
   "loading",
   "empty",
   "damaged",
-  "unborn",
+  "forming",
   "formed",
 ];
 const either = [false, true];
--- a/test/replication/bootstrap/cluster-bootstrap.test.ts
+++ b/test/replication/bootstrap/cluster-bootstrap.test.ts
@@ -72,7 +72,9 @@
     for (const machine of stage.machines.slice(0, -1)) stage.boot(machine);
     stage.wait(8000);
     expect(fleets(stage)).toEqual([""]);
-    expect(stage.lines.some((line) => line.includes("Waiting for enough recorders"))).toBe(true);
+    expect(
+      stage.lines.some((line) => line.includes("waiting for candidates to form the log")),
+    ).toBe(true);
     stage.bootAll();
     stage.until(isLed(stage), 5000);
     expect(stage.leader.record?.voters).toHaveLength(3);
