--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -60,7 +60,7 @@
         syncedIndex: Math.min(state.syncedIndex, log.lastIndex),
         truncations: state.truncations + 1,
       });
-      records.push({ kind: "cut", index: entry.index });
+      records.push({ kind: "truncate", index: entry.index });
     }
     state = withMembersIn({ ...state, log: state.log.plus([entry]) }, [entry]);
     records.push({ kind: "entry", ...entry });
--- a/src/model-checker/model-disk.ts
+++ b/src/model-checker/model-disk.ts
@@ -17,7 +17,7 @@
   switch (record.kind) {
     case "vote":
       return { ...content, term: record.term, votedFor: record.text };
-    case "cut":
+    case "truncate":
       return { ...content, entries: content.entries.filter(({ index }) => index < record.index) };
     case "entry": {
       const term = Math.max(content.term, record.term);
--- a/src/replication/bootstrap/node-formation.ts
+++ b/src/replication/bootstrap/node-formation.ts
@@ -62,7 +62,7 @@
   /** Restores what was loaded from the disk; clears the disk where it is damaged. */
   *restore(loaded: LoadResult): Task {
     const { log, store, writer } = this.options;
-    if (loaded.kind === "whole") return this.adopt(loaded.standing);
+    if (loaded.kind === "loaded") return this.adopt(loaded.state);
     if (loaded.kind === "damaged") {
       log.warn("disk damaged, rejoining with an empty disk", { why: loaded.why });
       yield* writer.persist(() => store.clear());
@@ -109,12 +109,12 @@
   private emptyState(fleet: string, rejoinNonce: string, members: Members): DurableState {
     return {
       fleet,
-      rejoining: rejoinNonce,
+      rejoinNonce,
       term: 0,
       votedFor: "",
       lastIndex: 0,
       lastTerm: 0,
-      book: this.options.stateMachine.snapshot(members),
+      snapshot: this.options.stateMachine.snapshot(members),
       entries: [],
     };
   }
@@ -128,16 +128,17 @@
 
   private adopt(durableState: DurableState): void {
     const { consensus, stateMachine, onRestored } = this.options;
-    const { fleet, rejoining, term, votedFor, lastIndex, lastTerm, entries, book } = durableState;
+    const { fleet, rejoinNonce, term, votedFor, lastIndex, lastTerm, entries, snapshot } =
+      durableState;
     this.fleetId = fleet;
     consensus.update(
       restoredState(consensus.current, {
         term,
         votedFor,
-        rejoinNonce: rejoining,
+        rejoinNonce,
         lastIndex,
         lastTerm,
-        members: stateMachine.restore(book),
+        members: stateMachine.restore(snapshot),
         entries,
       }),
     );
--- a/src/replication/bootstrap/restore-as-only-voter.ts
+++ b/src/replication/bootstrap/restore-as-only-voter.ts
@@ -17,8 +17,8 @@
   if (loaded.kind === "empty") return { kind: "refused", why: "The data folder holds no record." };
   if (loaded.kind === "damaged")
     return { kind: "refused", why: `The record here is damaged: ${loaded.why}` };
-  const { standing: durableState } = loaded;
-  if (durableState.rejoining !== "")
+  const { state: durableState } = loaded;
+  if (durableState.rejoinNonce !== "")
     return {
       kind: "refused",
       why: "This recorder was learning the record anew and may lack a part of it.",
--- a/src/replication/log/log-writer.ts
+++ b/src/replication/log/log-writer.ts
@@ -1,122 +1,160 @@
+/** The owner of a member's disk: writes one after another, many records in one sync, and retries after a failure. */
+import type { LogRecord } from "../../consensus/log-record.js";
 import { Clock } from "../../runtime/clock.js";
 import { DiskError } from "../../runtime/disk.js";
-import { Queue } from "../../runtime/queue.js";
 import type { Logger } from "../../runtime/logger.js";
+import { Queue } from "../../runtime/queue.js";
 import { Task } from "../../runtime/task.js";
 import { DiskReclaimer } from "./disk-reclaimer.js";
-import type { LogRecord } from "../../consensus/log-record.js";
 import type { DurableState, LogStore } from "./log-store.js";
 
-type Order =
-  | { records: LogRecord[]; done: () => void }
-  | { standing: DurableState; done: () => void }
-  | { attempt: () => Task; done: (succeeded: boolean) => void };
+/** Records that are to be appended to the log. */
+interface AppendRequest {
+  readonly kind: "append";
+  readonly records: readonly LogRecord[];
+  readonly onDone: () => void;
+}
 
-const retryMs = 200;
+type WriteRequest =
+  | AppendRequest
+  | { readonly kind: "snapshot"; readonly state: DurableState; readonly onDone: () => void }
+  | {
+      readonly kind: "attempt";
+      readonly write: () => Task;
+      readonly onDone: (succeeded: boolean) => void;
+    };
 
-/** The owner of a recorder's disk: writes in order, many changes in one sync, and tries again after a breakdown. */
+/** The time between two attempts of a write that fails. */
+const RETRY_INTERVAL_MS = 200;
+
+/** Writes to a log store in the order of the requests. */
 export class LogWriter {
   private readonly clock: Clock;
   private readonly store: LogStore;
   private readonly log: Logger;
-  private readonly queue = new Queue<Order>();
-  private readonly roomMaker: DiskReclaimer;
-  private sinceMs: number | undefined;
-  /** Why the disk takes nothing now, or nothing. */
-  failure: string | undefined;
-  /** How many syncs have ended, and how many changes they carried. */
-  syncs = 0;
-  written = 0;
+  private readonly queue = new Queue<WriteRequest>();
+  private readonly reclaimer: DiskReclaimer;
+  private busySinceMs: number | undefined;
+  private lastFailure: string | undefined;
+  private syncCount = 0;
+  private recordCount = 0;
 
   constructor(clock: Clock, store: LogStore, log: Logger) {
     this.clock = clock;
     this.store = store;
     this.log = log;
-    this.roomMaker = new DiskReclaimer(clock, store.history, log);
+    this.reclaimer = new DiskReclaimer(clock, store.history, log);
+  }
+
+  /** Why the disk refuses writes now; `undefined` where it accepts them. */
+  get failure(): string | undefined {
+    return this.lastFailure;
+  }
+
+  /** How many syncs have ended. */
+  get syncs(): number {
+    return this.syncCount;
+  }
+
+  /** How many records have been written. */
+  get written(): number {
+    return this.recordCount;
   }
 
   /** How long the oldest write has been waiting. */
   get waitingMs(): number {
-    return this.sinceMs === undefined ? 0 : this.clock.nowMs() - this.sinceMs;
+    return this.busySinceMs === undefined ? 0 : this.clock.nowMs() - this.busySinceMs;
   }
 
+  /** The size of the log after the newest snapshot. */
   get addedBytes(): number {
     return this.store.addedBytes;
   }
 
-  append(records: LogRecord[], done: () => void): void {
-    this.queue.put({ records, done });
+  /** Appends records; `onDone` is called once they are durable. */
+  append(records: readonly LogRecord[], onDone: () => void): void {
+    this.queue.put({ kind: "append", records, onDone });
   }
 
-  writeSnapshot(durableState: DurableState, done: () => void): void {
-    this.queue.put({ standing: durableState, done });
+  /** Writes a durable state as a snapshot; `onDone` is called once it is durable. */
+  writeSnapshot(state: DurableState, onDone: () => void): void {
+    this.queue.put({ kind: "snapshot", state, onDone });
   }
 
-  /** Does what may fail without consequence, once, in its turn; tells whether the disk took it. */
-  attempt(attempt: () => Task, done: (succeeded: boolean) => void): void {
-    this.queue.put({ attempt, done });
+  /** Makes one attempt of a write that may fail without consequence; `onDone` receives whether it succeeded. */
+  attempt(write: () => Task, onDone: (succeeded: boolean) => void): void {
+    this.queue.put({ kind: "attempt", write, onDone });
   }
 
+  /** Processes requests for as long as the daemon runs. */
   *run(): Task {
     for (;;) {
       const first = yield* this.queue.take();
-      this.sinceMs = this.clock.nowMs();
-      let group: Array<{ records: LogRecord[]; done: () => void }> = [];
-      for (const command of [first, ...this.queue.drain()]) {
-        if ("records" in command) group.push(command);
+      this.busySinceMs = this.clock.nowMs();
+      let appends: AppendRequest[] = [];
+      for (const request of [first, ...this.queue.drain()]) {
+        if (request.kind === "append") {
+          appends.push(request);
+          continue;
+        }
+        yield* this.appendAll(appends);
+        appends = [];
+        if (request.kind === "attempt") request.onDone(yield* this.tryOnce(request.write));
         else {
-          yield* this.appendGroup(group);
-          group = [];
-          if ("attempt" in command) command.done(yield* this.tryOnce(command.attempt));
-          else {
-            yield* this.persist(() => this.store.writeSnapshot(command.standing));
-            command.done();
-          }
+          yield* this.persist(() => this.store.writeSnapshot(request.state));
+          request.onDone();
         }
       }
-      yield* this.appendGroup(group);
-      this.sinceMs = undefined;
+      yield* this.appendAll(appends);
+      this.busySinceMs = undefined;
     }
   }
 
-  /** Nobody waits for such a write, so that a disk that refuses it is not told as one that takes nothing. */
+  /** Retries a write until it succeeds. */
+  *persist(write: () => Task): Task {
+    for (;;) {
+      try {
+        yield* write();
+        this.onSuccess();
+        return;
+      } catch (error) {
+        if (!(error instanceof DiskError)) throw error;
+        if (yield* this.reclaimer.refused()) continue;
+        this.onFailure(error);
+        yield* Clock.sleep(this.clock, RETRY_INTERVAL_MS);
+      }
+    }
+  }
+
+  /** Nobody waits for such a write, so that its failure is not reported as one of the disk. */
   private *tryOnce(write: () => Task): Task<boolean> {
     try {
       yield* write();
       return true;
     } catch (error) {
       if (!(error instanceof DiskError)) throw error;
-      yield* this.roomMaker.refused();
+      yield* this.reclaimer.refused();
       return false;
     }
   }
 
-  private *appendGroup(group: Array<{ records: LogRecord[]; done: () => void }>): Task {
-    const records = group.flatMap((command) => command.records);
+  private *appendAll(requests: readonly AppendRequest[]): Task {
+    const records = requests.flatMap((request) => request.records);
     if (records.length > 0) yield* this.persist(() => this.store.append(records));
-    this.written += records.length;
-    for (const command of group) command.done();
+    this.recordCount += records.length;
+    for (const { onDone } of requests) onDone();
   }
 
-  /** Does a piece of work on the disk, again and again until it is done. */
-  *persist(write: () => Task): Task {
-    for (;;) {
-      try {
-        yield* write();
-        this.syncs += 1;
-        if (this.failure !== undefined) this.log.info("The disk takes writes again.");
-        this.failure = undefined;
-        this.roomMaker.accepted();
-        return;
-      } catch (error) {
-        if (!(error instanceof DiskError)) throw error;
-        if (yield* this.roomMaker.refused()) continue;
-        const why = error.cause instanceof Error ? error.cause.message : error.message;
-        if (this.failure === undefined)
-          this.log.warn("The disk takes no writes; nothing is acknowledged.", { why });
-        this.failure = why;
-        yield* Clock.sleep(this.clock, retryMs);
-      }
-    }
+  private onSuccess(): void {
+    this.syncCount += 1;
+    if (this.lastFailure !== undefined) this.log.info("disk writes recovered");
+    this.lastFailure = undefined;
+    this.reclaimer.accepted();
+  }
+
+  private onFailure(error: DiskError): void {
+    const why = error.cause instanceof Error ? error.cause.message : error.message;
+    if (this.lastFailure === undefined) this.log.warn("disk write failed", { why });
+    this.lastFailure = why;
   }
 }
--- a/src/replication/snapshot/snapshot-installer.ts
+++ b/src/replication/snapshot/snapshot-installer.ts
@@ -83,12 +83,12 @@
     const { lastIndex, lastTerm, text } = request;
     const durableState: DurableState = {
       fleet: formation.fleet,
-      rejoining: rejoinNonce,
+      rejoinNonce,
       term,
       votedFor,
       lastIndex,
       lastTerm,
-      book: text,
+      snapshot: text,
       entries: [...entries],
     };
     const members = stateMachine.restore(text);
--- a/src/replication/snapshot/snapshot-part-file.ts
+++ b/src/replication/snapshot/snapshot-part-file.ts
@@ -1,11 +1,12 @@
+/** The file of the pieces of a snapshot that is being received. */
 import * as r from "restructure";
 import { decodeExactly } from "../../rpc/frame.js";
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
-import { withChecksum, CHECKSUM_HEADER_BYTES, readChecksummed } from "../log/checksum.js";
+import { readRecords, withChecksum } from "../log/checksum.js";
 import type { SnapshotPiece } from "./snapshot-sender.js";
 
-const name = "snapshot-part";
+const FILE_NAME = "snapshot-part";
 
 const pieceLayout = new r.Struct({
   lastIndex: r.uint32,
@@ -17,8 +18,8 @@
 });
 
 /**
- * The pieces of a snapshot that is being received, on disk, so that a restarted member goes on where it was. Nothing is
- * promised by it: the text is checked as a whole before it is installed, and what is torn or missing is sent again.
+ * The received pieces of a snapshot on disk, so that a restarted member continues the transfer. Nothing depends on the file:
+ * the text is checked as a whole before it is installed, and what is incomplete or missing is sent again.
  */
 export class SnapshotPartFile {
   private readonly disk: Disk;
@@ -28,39 +29,31 @@
     this.disk = disk;
   }
 
-  /** Adds a piece; the first one of a snapshot replaces what is there. */
+  /** Adds a piece; the first one of a snapshot replaces the file. */
   *add(piece: SnapshotPiece): Task {
     const { lastIndex, lastTerm, totalBytes, checksum, offset, bytes } = piece;
     const record = withChecksum(
       pieceLayout.toBuffer({ lastIndex, lastTerm, totalBytes, checksum, offset, bytes }),
     );
-    if (offset === 0) yield* this.disk.write(name, record);
-    else yield* this.disk.append(name, record);
+    if (offset === 0) yield* this.disk.write(FILE_NAME, record);
+    else yield* this.disk.append(FILE_NAME, record);
   }
 
-  /** Reads the pieces that are there, up to the first that is torn. */
+  /** Reads the pieces in the file, up to the first that is incomplete. */
   *load(names: readonly string[]): Task {
     this.loaded = [];
-    if (!names.includes(name)) return;
-    const bytes = Buffer.from((yield* this.disk.read(name)) ?? Buffer.alloc(0));
-    let at = 0;
-    for (
-      let body = readChecksummed(bytes, at);
-      body !== undefined;
-      body = readChecksummed(bytes, at)
-    ) {
-      this.loaded.push(decodeExactly(pieceLayout, body));
-      at += CHECKSUM_HEADER_BYTES + body.length;
-    }
+    if (!names.includes(FILE_NAME)) return;
+    const bytes = Buffer.from((yield* this.disk.read(FILE_NAME)) ?? Buffer.alloc(0));
+    for (const { body } of readRecords(bytes)) this.loaded.push(decodeExactly(pieceLayout, body));
   }
 
-  /** Gives what was loaded, once. */
+  /** Returns the loaded pieces, once. */
   takeLoaded(): readonly SnapshotPiece[] {
     return this.loaded.splice(0);
   }
 
-  /** Removes what is there. */
+  /** Removes the file, if there is one. */
   *remove(): Task {
-    if ((yield* this.disk.list()).includes(name)) yield* this.disk.remove(name);
+    if ((yield* this.disk.list()).includes(FILE_NAME)) yield* this.disk.remove(FILE_NAME);
   }
 }
--- a/src/replication/snapshot/snapshot-writer.ts
+++ b/src/replication/snapshot/snapshot-writer.ts
@@ -76,7 +76,7 @@
     writer.writeSnapshot(durableState, () => {
       this.isWriting = false;
       log.info("snapshot written", {
-        bytes: durableState.book.length,
+        bytes: durableState.snapshot.length,
         madeInMs: Math.round(madeMs - startedMs),
         writtenInMs: Math.round(runtime.clock.nowMs() - madeMs),
       });
@@ -91,12 +91,14 @@
     const members = membersAt(consensus.current, lastIndex);
     return {
       fleet: formation.fleet,
-      rejoining: completesRejoin ? "" : rejoinNonce,
+      rejoinNonce: completesRejoin ? "" : rejoinNonce,
       term,
       votedFor,
       lastIndex,
       lastTerm: log.termAt(lastIndex) ?? 0,
-      book: steps.run("makeSnapshot", () => stateMachine.snapshot(members, store.history.newest)),
+      snapshot: steps.run("makeSnapshot", () =>
+        stateMachine.snapshot(members, store.history.newest),
+      ),
       entries: log.entriesFrom(lastIndex + 1),
     };
   }
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -118,11 +118,11 @@
 });
 
 /** Loads a data folder the way a restarted member does. */
-const load = (stage: DiskStage): { store: LogStore; standing: DurableState } => {
+const load = (stage: DiskStage): { store: LogStore; state: DurableState } => {
   const store = new LogStore(stage.disk);
   const loaded = stage.run(store.load());
-  if (loaded.kind !== "whole") throw new Error(`The data folder is ${loaded.kind}.`);
-  return { store, standing: loaded.standing };
+  if (loaded.kind !== "loaded") throw new Error(`The data folder is ${loaded.kind}.`);
+  return { store, state: loaded.state };
 };
 
 /** All configurations that the history files hold, up to the newest. */
@@ -138,7 +138,7 @@
 /** What a data folder says to a member that opens it, snapshot and log entries together. */
 export const readStored = (files: Files, changeIds: readonly string[] = []) => {
   const stage = new DiskStage(files);
-  const { store, standing: durableState } = load(stage);
+  const { store, state: durableState } = load(stage);
   const partial = store.snapshotPart.takeLoaded().map((piece) => ({
     lastIndex: piece.lastIndex,
     lastTerm: piece.lastTerm,
@@ -148,9 +148,9 @@
     text: brief(inflateRawSync(piece.bytes).toString("utf8")),
   }));
   const stateMachine = new StateMachine();
-  const hasSnapshot = durableState.book !== "{}";
+  const hasSnapshot = durableState.snapshot !== "{}";
   const { voters, learners } = hasSnapshot
-    ? stateMachine.restore(durableState.book)
+    ? stateMachine.restore(durableState.snapshot)
     : { voters: [], learners: [] };
   const outcomes = hasSnapshot
     ? durableState.entries.map(
@@ -159,7 +159,7 @@
     : [];
   return {
     cluster: durableState.fleet,
-    rejoinMark: durableState.rejoining,
+    rejoinMark: durableState.rejoinNonce,
     term: durableState.term,
     votedFor: durableState.votedFor,
     snapshotIndex: durableState.lastIndex,
@@ -179,12 +179,12 @@
  * the log entry that set them does, so that this entry is read again too.
  */
 export const rewrittenSnapshot = (files: Files): { stored: string; rewritten: string } => {
-  const { standing: durableState } = load(new DiskStage(files));
+  const { state: durableState } = load(new DiskStage(files));
   const stateMachine = new StateMachine();
-  const { voters, learners } = stateMachine.restore(durableState.book);
+  const { voters, learners } = stateMachine.restore(durableState.snapshot);
   const members = Members.in(LogCommand.text({ kind: "members", voters, learners }));
   if (!members) throw new Error("A membership entry isn't read as one.");
-  return { stored: durableState.book, rewritten: stateMachine.snapshot(members) };
+  return { stored: durableState.snapshot, rewritten: stateMachine.snapshot(members) };
 };
 
 /** What the present code takes a stored configuration for. */
@@ -192,14 +192,14 @@
 
 /** The texts of the stored log entries, each with the text that the present code writes for what it read. */
 export const rewrittenEntries = (files: Files): Array<{ stored: string; rewritten: string }> =>
-  load(new DiskStage(files)).standing.entries.map(({ text }) => ({
+  load(new DiskStage(files)).state.entries.map(({ text }) => ({
     stored: text,
     rewritten: LogCommand.text(LogCommand.read(text)),
   }));
 
 /** The kinds of the log entries of a data folder, by their stored texts. */
 export const entryKinds = (files: Files): string[] => {
-  const kinds = load(new DiskStage(files)).standing.entries.map(
+  const kinds = load(new DiskStage(files)).state.entries.map(
     ({ text }) => /^\{"kind":"(\w+)"/.exec(text)?.[1] ?? "none",
   );
   return [...new Set(kinds)].sort();
@@ -232,12 +232,12 @@
 
 const durableState: DurableState = {
   fleet: "cluster-1",
-  rejoining: "mark-1",
+  rejoinNonce: "mark-1",
   term: 4,
   votedFor: "10.0.0.2:7000",
   lastIndex: 20,
   lastTerm: 3,
-  book: "{}",
+  snapshot: "{}",
   entries: [{ index: 21, term: 4, text: "entry 21" }],
 };
 
@@ -257,7 +257,7 @@
     store.append([
       { kind: "entry", index: 22, term: 4, text: "entry 22, é" },
       { kind: "entry", index: 23, term: 4, text: "entry 23" },
-      { kind: "cut", index: 23 },
+      { kind: "truncate", index: 23 },
       { kind: "vote", term: 5, text: "10.0.0.3:7000" },
     ]),
   );
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -215,12 +215,12 @@
   }));
   const durableState: DurableState = {
     fleet: "f",
-    rejoining: "",
+    rejoinNonce: "",
     term: 1,
     votedFor: "",
     lastIndex: newest,
     lastTerm: 1,
-    book: stateMachine.snapshot({ voters: [peer], learners: [] }),
+    snapshot: stateMachine.snapshot({ voters: [peer], learners: [] }),
     entries: [],
   };
   stage.start(new LogStore(disk).writeSnapshot(durableState));
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -41,7 +41,7 @@
   const members = { voters, learners: [] };
   const durableState = {
     fleet: "f",
-    rejoining: "",
+    rejoinNonce: "",
     term: 1,
     votedFor: "",
     lastTerm: 1,
@@ -52,9 +52,9 @@
   const whole: DurableState = {
     ...durableState,
     lastIndex: fullest.lastIndex,
-    book: fullest.stateMachine.snapshot(members),
+    snapshot: fullest.stateMachine.snapshot(members),
   };
-  const old: DurableState = { ...durableState, lastIndex: 1, book: first.snapshot(members) };
+  const old: DurableState = { ...durableState, lastIndex: 1, snapshot: first.snapshot(members) };
   const [one, two, behind] = stage.disks;
   if (!one || !two || !behind) throw new Error("A machine is missing.");
   for (const machine of stage.disks)
@@ -62,7 +62,7 @@
       stage.start(new LogStore(machine.disk).writeSnapshot(machine === behind ? old : whole));
   stage.wait(500);
   const others = [one, two];
-  return { stage, others, behind, totalBytes: Buffer.byteLength(whole.book) };
+  return { stage, others, behind, totalBytes: Buffer.byteLength(whole.snapshot) };
 };
 type Staged = ReturnType<typeof stageWithOneBehind>;
 
--- a/test/replication/log/log-store.test.ts
+++ b/test/replication/log/log-store.test.ts
@@ -7,12 +7,12 @@
 
 const durableState: DurableState = {
   fleet: "f",
-  rejoining: "",
+  rejoinNonce: "",
   term: 1,
   votedFor: "",
   lastIndex: 0,
   lastTerm: 0,
-  book: "{}",
+  snapshot: "{}",
   entries: [],
 };
 const setUp = () => {
@@ -43,7 +43,7 @@
     run(store.append([{ kind: "entry", index, term: 1, text: `e${index}` }]));
   run(
     store.append([
-      { kind: "cut", index: 3 },
+      { kind: "truncate", index: 3 },
       { kind: "vote", term: 4, text: "x" },
     ]),
   );
@@ -52,9 +52,9 @@
   for (let size = bytes.length; size >= 0; size -= 1) {
     disk.poke(name, bytes.subarray(0, size));
     const loaded = run(new LogStore(disk).load());
-    expect(loaded.kind).toBe("whole");
-    if (loaded.kind === "whole" && size === bytes.length)
-      expect([loaded.standing.entries.map((entry) => entry.text), loaded.standing.term]).toEqual([
+    expect(loaded.kind).toBe("loaded");
+    if (loaded.kind === "loaded" && size === bytes.length)
+      expect([loaded.state.entries.map((entry) => entry.text), loaded.state.term]).toEqual([
         ["e1", "e2"],
         4,
       ]);
@@ -78,7 +78,7 @@
     ]),
   );
   const loaded = run(new LogStore(disk).load());
-  expect(loaded.kind === "whole" && loaded.standing.entries.map((entry) => entry.index)).toEqual([
+  expect(loaded.kind === "loaded" && loaded.state.entries.map((entry) => entry.index)).toEqual([
     1, 2, 3,
   ]);
   run(store.append([{ kind: "entry", index: 5, term: 1, text: "e5" }]));
@@ -120,11 +120,11 @@
     }
     run(again.writeSnapshot(durableState));
     expect(run(new LogStore(disk).load())).toMatchObject({
-      kind: "whole",
-      standing: { entries: [] },
+      kind: "loaded",
+      state: { entries: [] },
     });
   }
-  expect([...seen].sort()).toEqual(["damaged", "whole"]);
+  expect([...seen].sort()).toEqual(["damaged", "loaded"]);
 });
 
 test("a checkpoint cut midway leaves the older slot and its log in force", () => {
@@ -135,7 +135,7 @@
   run(store.append([{ kind: "entry", index: 1, term: 1, text: "kept" }]));
   disk.poke("slot-a", Buffer.from("half a slo"));
   const loaded = run(new LogStore(disk).load());
-  expect(loaded.kind === "whole" && loaded.standing.entries.map((entry) => entry.text)).toEqual([
+  expect(loaded.kind === "loaded" && loaded.state.entries.map((entry) => entry.text)).toEqual([
     "kept",
   ]);
 });
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -89,12 +89,12 @@
   if (formed) {
     const durableState: DurableState = {
       fleet: "f",
-      rejoining: "",
+      rejoinNonce: "",
       term: 1,
       votedFor: "",
       lastIndex: 0,
       lastTerm: 0,
-      book: new StateMachine().snapshot({ voters: seeds, learners: [] }),
+      snapshot: new StateMachine().snapshot({ voters: seeds, learners: [] }),
       entries: [note(1, 1)],
     };
     Task.start(new LogStore(disk).writeSnapshot(durableState), fail);
