--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -45,7 +45,7 @@
     this.stage.start(
       (function* () {
         const proposed = yield* replicationNode.propose(deed);
-        outcomes.push(typeof proposed === "string" ? proposed : proposed.outcome);
+        outcomes.push(proposed.kind === "committed" ? proposed.outcome : proposed.kind);
       })(),
     );
     this.stage.until(() => outcomes.length > 0, 5000);
@@ -215,12 +215,12 @@
   }));
   const durableState: DurableState = {
     fleet: "f",
-    rejoining: "",
+    rejoinNonce: "",
     term: 1,
     votedFor: "",
     lastIndex: newest,
     lastTerm: 1,
-    book: stateMachine.snapshot({ voters: [peer], learners: [] }),
+    snapshot: stateMachine.snapshot({ voters: [peer], learners: [] }),
     entries: [],
   };
   stage.start(new LogStore(disk).writeSnapshot(durableState));
