--- a/src/control-plane/command-metrics.ts
+++ b/src/control-plane/command-metrics.ts
@@ -1,20 +1,21 @@
+/** Counts and durations of the commands that a leader processes, logged periodically. */
 import type { Clock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/logger.js";
 
-/** How often a leader tells what it carried out. */
-const periodMs = 5000;
+/** The interval between two log lines. */
+const REPORT_INTERVAL_MS = 5000;
 
-interface Figures {
-  count: number;
-  sumMs: number;
-  mostMs: number;
+interface KindMetrics {
+  readonly count: number;
+  readonly sumMs: number;
+  readonly maxMs: number;
 }
 
-/** Counts the commands that a leader carries out, by kind, with the time that each took until its answer; logs them now and then. */
+/** Counts the commands that a leader processes, by kind, with the time of each until its response; logs them periodically. */
 export class CommandMetrics {
   private readonly clock: Clock;
   private readonly log: Logger;
-  private readonly byKind = new Map<string, Figures>();
+  private readonly byKind = new Map<string, KindMetrics>();
   private sinceMs: number;
 
   constructor(clock: Clock, log: Logger) {
@@ -23,30 +24,27 @@
     this.sinceMs = clock.nowMs();
   }
 
-  /** Notes one that was begun at a moment of the clock and is answered now. */
+  /** Takes in a command that began at `startedMs` of the clock and is responded to now. */
   note(kind: string, startedMs: number): void {
     const nowMs = this.clock.nowMs();
-    const tookMs = nowMs - startedMs;
-    const { count, sumMs, mostMs } = this.byKind.get(kind) ?? { count: 0, sumMs: 0, mostMs: 0 };
+    const durationMs = nowMs - startedMs;
+    const { count, sumMs, maxMs } = this.byKind.get(kind) ?? { count: 0, sumMs: 0, maxMs: 0 };
     this.byKind.set(kind, {
       count: count + 1,
-      sumMs: sumMs + tookMs,
-      mostMs: Math.max(mostMs, tookMs),
+      sumMs: sumMs + durationMs,
+      maxMs: Math.max(maxMs, durationMs),
     });
-    if (nowMs - this.sinceMs >= periodMs) this.tell(nowMs);
+    if (nowMs - this.sinceMs >= REPORT_INTERVAL_MS) this.report(nowMs);
   }
 
-  private tell(nowMs: number): void {
-    const kinds = [...this.byKind].map(([kind, { count, sumMs, mostMs }]) => ({
+  private report(nowMs: number): void {
+    const kinds = [...this.byKind].map(([kind, { count, sumMs, maxMs }]) => ({
       kind,
       count,
       meanMs: Math.round(sumMs / count),
-      mostMs: Math.round(mostMs),
+      maxMs: Math.round(maxMs),
     }));
-    this.log.info("Commands carried out as the leader.", {
-      forMs: Math.round(nowMs - this.sinceMs),
-      kinds,
-    });
+    this.log.info("command metrics", { periodMs: Math.round(nowMs - this.sinceMs), kinds });
     this.byKind.clear();
     this.sinceMs = nowMs;
   }
--- /dev/null
+++ b/src/control-plane/config-version-lookup.ts
@@ -0,0 +1,65 @@
+/** Finds accepted configurations by their version, where the history is read by sequence. */
+import type { LeaderReplica } from "./leader-log.js";
+import { versionOf, type AcceptedConfig, type StateMachine } from "../state/state-machine.js";
+import type { Task } from "../runtime/task.js";
+
+/** The result of a lookup. */
+export type ConfigLookup =
+  | { readonly kind: "found"; readonly config: AcceptedConfig }
+  /** No configuration was accepted under this version. */
+  | { readonly kind: "missing" }
+  /** It may have been accepted, and was removed since for lack of disk space. */
+  | { readonly kind: "removed" }
+  /** No member that was reached has it, and not all were reached. */
+  | { readonly kind: "unknown" };
+
+type RecentConfig = StateMachine["recent"][number];
+
+/** Looks up accepted configurations by version. */
+export class ConfigVersionLookup {
+  private readonly stateMachine: StateMachine;
+  private readonly replica: Pick<LeaderReplica, "readConfig">;
+
+  constructor(stateMachine: StateMachine, replica: Pick<LeaderReplica, "readConfig">) {
+    this.stateMachine = stateMachine;
+    this.replica = replica;
+  }
+
+  /** The configuration of a version below the active one's; `newestSequence` is the active one's sequence. */
+  *find(version: number, newestSequence: number): Task<ConfigLookup> {
+    const recent = this.recentFrom(version);
+    if (!recent) return yield* this.search(version, newestSequence);
+    if (versionOf(recent) !== version) return { kind: "missing" };
+    const read = yield* this.replica.readConfig(recent.sequence);
+    return read.kind === "noLongerKept" ? { kind: "removed" } : read;
+  }
+
+  /** The first recent configuration of the version or above; `undefined` where an older one may be of the version. */
+  private recentFrom(version: number): RecentConfig | undefined {
+    const { recent } = this.stateMachine;
+    const index = recent.findIndex((config) => versionOf(config) >= version);
+    const found = recent[index];
+    return found && (index > 0 || versionOf(found) === version) ? found : undefined;
+  }
+
+  /** Searches the older configurations by bisection: versions rise with the sequences. */
+  private *search(version: number, newestSequence: number): Task<ConfigLookup> {
+    let low = 1;
+    let high = Math.min(version, this.stateMachine.recent[0]?.sequence ?? newestSequence);
+    let isLowRemoved = false;
+    while (low <= high) {
+      const middle = version === high ? high : Math.floor((low + high) / 2);
+      const read = yield* this.replica.readConfig(middle);
+      if (read.kind === "unknown") return read;
+      if (read.kind === "found" && versionOf(read.config) === version) return read;
+      const isRemoved = read.kind === "noLongerKept";
+      if (isRemoved || versionOf(read.config) < version) {
+        low = middle + 1;
+        isLowRemoved = isRemoved;
+      } else {
+        high = middle - 1;
+      }
+    }
+    return { kind: isLowRemoved ? "removed" : "missing" };
+  }
+}
--- a/src/control-protocol/command.ts
+++ b/src/control-protocol/command.ts
@@ -282,11 +282,4 @@
   },
 };
 
-/** A return that says that a command wasn't carried out, or perhaps wasn't, in a word. */
-export const failureResponse = (word: string): string => JSON.stringify({ breakdown: word });
-
-/** Whether a return only says that the command wasn't carried out, or perhaps wasn't. */
-export const isFailureResponse = (text: string): boolean => text.startsWith('{"breakdown":');
-
-/** A leader's refusal of what it can't carry out in time. It says so at once, and asking again would only add to its work. */
-export const overloadedResponse = failureResponse("overloaded");
+export { failureResponse, isFailureResponse, overloadedResponse } from "./command-response.js";
--- a/test/cluster-view/command-forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -6,7 +6,7 @@
 /** Whether the newest leader has seen all edges. */
 const edgesSeen = (stage: FleetStage): boolean => {
   const at = stage.lines.findLastIndex((line) => line.includes("Leads the record."));
-  const since = stage.lines.slice(at).filter((line) => line.includes("A machine shows itself."));
+  const since = stage.lines.slice(at).filter((line) => line.includes("daemon appeared"));
   return stage.machines
     .filter(({ disk }) => !disk)
     .every(({ settings }) => since.some((line) => line.includes(`"${settings.machine}"`)));
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -142,7 +142,7 @@
   for (const { gate } of lost) gate.kill();
   for (const gone of backEnds.slice(0, 4)) announcing.delete(gone);
   stage.wait(9000);
-  const silent = stage.lines.filter((line) => line.includes("A machine fell silent."));
+  const silent = stage.lines.filter((line) => line.includes("daemon unresponsive"));
   expect(lost.filter(({ name }) => silent.some((line) => line.includes(`"${name}"`)))).toHaveLength(
     lost.length,
   );
