--- /dev/null
+++ b/src/state/registration.ts
@@ -0,0 +1,72 @@
+/** Registrations of backends: their stored shape, which is also the one that travels. */
+import { boolean, defaulted, number, object, string, type Infer } from "superstruct";
+
+/** The stored shape of a registration. */
+export const registrationShape = object({
+  address: string(),
+  service: string(),
+  zone: string(),
+  warmth: number(),
+  /** The index of the log entry that made this registration; unique among registrations. */
+  number: number(),
+  /** Whether the backend left, was drained or expired; retained for a while, so that a late heartbeat can't revive it. */
+  leaving: boolean(),
+  /** The index of the log entry by which it left, or 0. */
+  leftAt: number(),
+  /** Whether an operator drained it: no heartbeat revives it. */
+  drained: boolean(),
+  /** One life of a backend; empty where the backend names none. */
+  instance: defaulted(string(), ""),
+  /** How many requests the backend processes concurrently; 0 where that is unknown. */
+  capacity: defaulted(number(), 0),
+  /** How much longer the backend expected to be slow when it registered, in milliseconds. */
+  warmMs: defaulted(number(), 0),
+  /** The sequence of the heartbeat that made this registration among those of its instance. */
+  order: defaulted(number(), 0),
+});
+
+/** A backend's registration, as replicated. */
+export type Registration = Infer<typeof registrationShape>;
+
+const hasBackendFields = (value: object): boolean =>
+  "address" in value &&
+  typeof value.address === "string" &&
+  "service" in value &&
+  typeof value.service === "string" &&
+  "zone" in value &&
+  typeof value.zone === "string" &&
+  "instance" in value &&
+  typeof value.instance === "string";
+
+const hasLifecycleFields = (value: object): boolean =>
+  "number" in value &&
+  typeof value.number === "number" &&
+  "leaving" in value &&
+  typeof value.leaving === "boolean" &&
+  "leftAt" in value &&
+  typeof value.leftAt === "number" &&
+  "drained" in value &&
+  typeof value.drained === "boolean";
+
+const hasCapacityFields = (value: object): boolean =>
+  "warmth" in value &&
+  typeof value.warmth === "number" &&
+  "capacity" in value &&
+  typeof value.capacity === "number" &&
+  "warmMs" in value &&
+  typeof value.warmMs === "number" &&
+  "order" in value &&
+  typeof value.order === "number";
+
+const isRegistration = (value: unknown): value is Registration =>
+  typeof value === "object" &&
+  value !== null &&
+  hasBackendFields(value) &&
+  hasLifecycleFields(value) &&
+  hasCapacityFields(value);
+
+export const Registration = {
+  /** Whether a value is a list of complete registrations; it travels often, so that plain code checks it. */
+  areAll: (value: unknown): value is Registration[] =>
+    Array.isArray(value) && value.every(isRegistration),
+};
