--- a/src/control-plane/claim-service.ts
+++ b/src/control-plane/claim-service.ts
@@ -3,11 +3,9 @@
 import { completed, type CommandResult } from "../control-protocol/command-response.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
-import {
-  MAX_IDEMPOTENCY_CLAIMS,
-  type LogCommand,
-  type StateMachine,
-} from "../state/state-machine.js";
+import { MAX_IDEMPOTENCY_CLAIMS } from "../state/idempotency-claim-table.js";
+import type { LogCommand } from "../state/log-command.js";
+import type { StateMachine } from "../state/state-machine.js";
 import { ClaimAdmission } from "./claim-admission.js";
 import type { LeaderLog } from "./leader-log.js";
 
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -6,7 +6,8 @@
   type ConfigItem,
   type NumberedConfig,
 } from "../configuration/config-items.js";
-import { COMPRESSION_THRESHOLD_CHARS, type ConfigUpdate } from "../control-protocol/command.js";
+import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/compressed-text.js";
+import type { ConfigUpdate } from "../control-protocol/leased-view.js";
 import { ChangeBuffer } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
--- a/src/control-plane/config-version-lookup.ts
+++ b/src/control-plane/config-version-lookup.ts
@@ -1,6 +1,7 @@
 /** Finds accepted configurations by their version, where the history is read by sequence. */
 import type { LeaderReplica } from "./leader-log.js";
-import { versionOf, type AcceptedConfig, type StateMachine } from "../state/state-machine.js";
+import { versionOf, type AcceptedConfig } from "../state/accepted-config.js";
+import type { StateMachine } from "../state/state-machine.js";
 import type { Task } from "../runtime/task.js";
 
 /** The result of a lookup. */
--- a/src/control-plane/daemon-registry.ts
+++ b/src/control-plane/daemon-registry.ts
@@ -1,5 +1,6 @@
 /** The daemons of the cluster as the leader observes them by their watch requests. */
-import type { ControlPlanePeers, DaemonInfo } from "../control-protocol/command.js";
+import type { ControlPlanePeers } from "../control-protocol/leased-view.js";
+import type { DaemonInfo } from "../control-protocol/watch-request.js";
 import { edgePlacementsOf, type EdgePlacement } from "../control-protocol/edge-placement.js";
 import { itemHash } from "../configuration/set-digest.js";
 import type { Logger } from "../runtime/logger.js";
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -1,7 +1,8 @@
-import type { StateMachine, Registration } from "../state/state-machine.js";
+import type { StateMachine } from "../state/state-machine.js";
+import type { Registration } from "../state/registration.js";
 import { TextCompression } from "../runtime/text-compression.js";
 import { registrationHash } from "../cluster-view/endpoint-replica.js";
-import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/command.js";
+import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/compressed-text.js";
 import { ChangeBuffer } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
--- a/src/control-plane/endpoint-registry.ts
+++ b/src/control-plane/endpoint-registry.ts
@@ -1,10 +1,13 @@
 /** The registrations of backends at the leader: heartbeats, deregistration, expiry, refused connections and tombstones. */
 import { create, literal, number, optional, type } from "superstruct";
-import type { Command, WatchRequest } from "../control-protocol/command.js";
+import type { Command } from "../control-protocol/command.js";
+import type { WatchRequest } from "../control-protocol/watch-request.js";
 import { completed, type CommandResult } from "../control-protocol/command-response.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
-import type { LogCommand, Registration, StateMachine } from "../state/state-machine.js";
+import type { LogCommand } from "../state/log-command.js";
+import type { Registration } from "../state/registration.js";
+import type { StateMachine } from "../state/state-machine.js";
 import type { ControlPlaneTimeouts } from "./control-plane-timeouts.js";
 import type { EndpointChangeLog } from "./endpoint-change-log.js";
 import { HeartbeatTable } from "./heartbeat-table.js";
--- a/src/control-plane/heartbeat-table.ts
+++ b/src/control-plane/heartbeat-table.ts
@@ -1,5 +1,6 @@
 /** When backends were last heard of: the leader's own observations, which aren't replicated. */
-import type { Registration, StateMachine } from "../state/state-machine.js";
+import type { Registration } from "../state/registration.js";
+import type { StateMachine } from "../state/state-machine.js";
 
 /** When a backend last sent a heartbeat and when it last left, by the leader's clock. */
 export interface BackendTimes {
--- a/src/control-plane/large-view-limiter.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -1,4 +1,4 @@
-import type { WatchRequest } from "../control-protocol/command.js";
+import type { WatchRequest } from "../control-protocol/watch-request.js";
 
 interface SentView {
   /** What the daemon knew when it asked. */
--- a/src/control-plane/leader-log.ts
+++ b/src/control-plane/leader-log.ts
@@ -8,7 +8,7 @@
 import type { ReplicationNode } from "../replication/replication-node.js";
 import { Runtime } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
-import { LogCommand } from "../state/state-machine.js";
+import { LogCommand } from "../state/log-command.js";
 
 /** The result where this member doesn't hold the leader's lease, so that it must not respond. */
 export const NO_LEASE: FailedCommand = failed("noGrant");
--- a/src/control-plane/lease-manager.ts
+++ b/src/control-plane/lease-manager.ts
@@ -1,14 +1,13 @@
 /** Responds to watch requests with leased views: what changed of the configuration, the endpoints and the cluster. */
-import {
-  COMPRESSION_THRESHOLD_CHARS,
-  WatchRequest,
-  type LeasedView,
-} from "../control-protocol/command.js";
+import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/compressed-text.js";
+import { WatchRequest } from "../control-protocol/watch-request.js";
+import type { LeasedView } from "../control-protocol/leased-view.js";
 import { encodeCommandResult } from "../control-protocol/command-response.js";
 import type { Runtime } from "../runtime/runtime.js";
 import type { StepTimer } from "../runtime/step-timer.js";
 import type { Task } from "../runtime/task.js";
-import type { LogCommand, StateMachine } from "../state/state-machine.js";
+import type { LogCommand } from "../state/log-command.js";
+import type { StateMachine } from "../state/state-machine.js";
 import type { ConfigChangeLog } from "./config-change-log.js";
 import type { ControlPlaneTimeouts } from "./control-plane-timeouts.js";
 import type { DaemonRegistry } from "./daemon-registry.js";
--- a/src/control-plane/quota-service.ts
+++ b/src/control-plane/quota-service.ts
@@ -1,7 +1,8 @@
 /** Retry capacity at the leader: which edges may hold a part of it, as agreed in the replicated log. */
-import type { DaemonInfo, WatchRequest } from "../control-protocol/command.js";
+import type { DaemonInfo, WatchRequest } from "../control-protocol/watch-request.js";
 import { Runtime } from "../runtime/runtime.js";
-import type { LogCommand, StateMachine } from "../state/state-machine.js";
+import type { LogCommand } from "../state/log-command.js";
+import type { StateMachine } from "../state/state-machine.js";
 import type { LeaderLog } from "./leader-log.js";
 import type { RetryCapacityAllocator } from "./retry-capacity-allocator.js";
 
--- a/src/control-protocol/compressed-text.ts
+++ b/src/control-protocol/compressed-text.ts
@@ -1,7 +1,10 @@
+/** Texts that travel between daemons, compressed where they are long, since the links of small machines are slow. */
 import { TextCompression } from "../runtime/text-compression.js";
-import { COMPRESSION_THRESHOLD_CHARS } from "./command.js";
 
-/** A text in an answer between daemons: as it is, or packed where it is long, since links of small machines are slow. */
+/** The length beyond which a text travels compressed, in characters. */
+export const COMPRESSION_THRESHOLD_CHARS = 4096;
+
+/** A text in a response, plain or compressed; the field names travel. */
 export interface CompressedText {
   readonly text?: string | undefined;
   /** Deflated, in base 64. */
@@ -15,7 +18,7 @@
       ? { packedText: TextCompression.compress(text) }
       : { text },
 
-  /** The text again; raises an error where it was packed and can't be read. */
+  /** The text itself; throws an error where it was compressed and can't be read. */
   read: ({ text, packedText }: CompressedText): string =>
     packedText === undefined ? (text ?? "") : TextCompression.decompress(packedText),
 };
--- a/src/control-protocol/edge-placement.ts
+++ b/src/control-protocol/edge-placement.ts
@@ -1,18 +1,20 @@
+/** The placement of edges: which place each edge has among all, from which it follows which backends it uses. */
 import { number, object, type Infer } from "superstruct";
 
-/** The shape of an edge's place as it travels. */
+/** The shape of an edge's placement as it travels. */
 export const edgePlacementShape = object({
-  /** The place among the edges of the same zone, from 0, and how many those are. */
+  /** The index among the edges of the same zone, from 0. */
   zoneIndex: number(),
+  /** How many edges there are in the same zone. */
   zoneCount: number(),
   /** How many edges there are in all zones. */
   count: number(),
 });
 
-/** An edge's place among all that send requests to backends; from it follows which backends it uses. */
+/** An edge's placement among all that send requests to backends. */
 export type EdgePlacement = Infer<typeof edgePlacementShape>;
 
-/** A machine that may send requests to backends. */
+/** A daemon that may be an edge. */
 export interface PlacedDaemon {
   readonly name: string;
   readonly zone: string;
@@ -22,20 +24,20 @@
 
 const isEdge = ({ roles, draining }: PlacedDaemon): boolean => roles.includes("edge") && !draining;
 
-/** Gives every edge its place by name, so that one that restarts has the same place and few places move when one goes. */
+/** The placements of all edges, in the order of their names: a restart changes none, and one that leaves changes few. */
 export const edgePlacementsOf = (
-  machines: Iterable<PlacedDaemon>,
+  daemons: Iterable<PlacedDaemon>,
 ): ReadonlyMap<string, EdgePlacement> => {
-  const edges = [...machines].filter(isEdge).sort((a, b) => (a.name < b.name ? -1 : 1));
+  const edges = [...daemons].filter(isEdge).sort((a, b) => (a.name < b.name ? -1 : 1));
   const zoneCounts = new Map<string, number>();
   for (const { zone } of edges) zoneCounts.set(zone, (zoneCounts.get(zone) ?? 0) + 1);
-  const seen = new Map<string, number>();
-  const places = new Map<string, EdgePlacement>();
+  const placedInZone = new Map<string, number>();
+  const placements = new Map<string, EdgePlacement>();
   for (const { name, zone } of edges) {
-    const zoneIndex = seen.get(zone) ?? 0;
-    seen.set(zone, zoneIndex + 1);
+    const zoneIndex = placedInZone.get(zone) ?? 0;
+    placedInZone.set(zone, zoneIndex + 1);
     const zoneCount = zoneCounts.get(zone) ?? 0;
-    places.set(name, { zoneIndex, zoneCount, count: edges.length });
+    placements.set(name, { zoneIndex, zoneCount, count: edges.length });
   }
-  return places;
+  return placements;
 };
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -5,9 +5,11 @@
 import { ConfigReplica } from "../../src/cluster-view/config-replica.js";
 import { ConfigItems } from "../../src/configuration/config-items.js";
 import { RouteTable } from "../../src/cluster-view/route-table.js";
-import { WatchRequest, type LeasedView } from "../../src/control-protocol/command.js";
+import { WatchRequest } from "../../src/control-protocol/watch-request.js";
+import type { LeasedView } from "../../src/control-protocol/leased-view.js";
 import { RpcMethod } from "../../src/rpc/rpc-method.js";
-import { StateMachine, LogCommand } from "../../src/state/state-machine.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { LogCommand } from "../../src/state/log-command.js";
 import { stage } from "./control-plane-stage.js";
 
 /** A state machine with configurations in force, and the views that a leader makes of them. */
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -2,13 +2,13 @@
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
 import { Command } from "../../src/control-protocol/command.js";
-import { ControlPlaneTimeouts } from "../../src/control-plane/control-plane.js";
-import type { Registration } from "../../src/state/state-machine.js";
+import { ControlPlaneTimeouts } from "../../src/control-plane/control-plane-timeouts.js";
+import type { Registration } from "../../src/state/registration.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { Profile } from "../../src/simulation/profile.js";
 import { Simulation, type SimulatedMachine } from "../../src/simulation/simulation.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
-import { WatchRequest } from "../../src/control-protocol/command.js";
+import { WatchRequest } from "../../src/control-protocol/watch-request.js";
 
 export const address = "10.9.0.1:80";
 export const service = "issues";
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -2,9 +2,12 @@
 import { expect, test } from "vitest";
 import { EndpointChangeLog } from "../../src/control-plane/endpoint-change-log.js";
 import { EndpointReplica } from "../../src/cluster-view/endpoint-replica.js";
-import { WatchRequest, type LeasedView } from "../../src/control-protocol/command.js";
+import { WatchRequest } from "../../src/control-protocol/watch-request.js";
+import type { LeasedView } from "../../src/control-protocol/leased-view.js";
 import { ChangeBuffer } from "../../src/control-plane/change-buffer.js";
-import { StateMachine, LogCommand, type Registration } from "../../src/state/state-machine.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { LogCommand } from "../../src/state/log-command.js";
+import type { Registration } from "../../src/state/registration.js";
 import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { service, stage } from "./control-plane-stage.js";
 
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -5,7 +5,7 @@
 import { DelayedNetwork } from "./delayed-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { LargeViewLimiter } from "../../src/control-plane/large-view-limiter.js";
-import type { WatchRequest } from "../../src/control-protocol/command.js";
+import type { WatchRequest } from "../../src/control-protocol/watch-request.js";
 import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { FleetStage } from "../replication/fleet-stage.js";
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -5,7 +5,7 @@
   type PlacedDaemon,
 } from "../../src/control-protocol/edge-placement.js";
 import { CommandForwarder } from "../../src/cluster-view/command-forwarder.js";
-import { WatchRequest } from "../../src/control-protocol/command.js";
+import { WatchRequest } from "../../src/control-protocol/watch-request.js";
 import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
--- a/test/state/state-machine.test.ts
+++ b/test/state/state-machine.test.ts
@@ -1,5 +1,6 @@
 import { expect, test } from "vitest";
-import { StateMachine, LogCommand } from "../../src/state/state-machine.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { LogCommand } from "../../src/state/log-command.js";
 
 const members = { voters: ["a"], learners: [] };
 test("one of two racing configs loses, a repeated change id gets its first outcome, and a checkpoint keeps all", () => {
