--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -1,4 +1,4 @@
-import { BackendClient } from "../proxy/upstream/backend-client.js";
+import { HttpBackendClient } from "../proxy/upstream/http-backend-client.js";
 import { ProxyRequest } from "../proxy/proxy-request.js";
 import { ClientResponse } from "../proxy/request-outcome.js";
 import { Network } from "../runtime/network.js";
@@ -42,7 +42,7 @@
   const clock = Clock.real();
   const wire = Network.tcp();
   const pacers = LinkPacers.of(clock, settings.limits?.linkMbps);
-  const backendClient = BackendClient.http(clock, { proof: adapter?.headerNames.proof, pacers });
+  const backendClient = new HttpBackendClient(clock, { proof: adapter?.headerNames.proof, pacers });
   return new Promise<number>((end) => {
     const fail = (error: unknown): void => {
       log.error("The daemon can't run.", error);
--- a/src/proxy/attempt-runner.ts
+++ b/src/proxy/attempt-runner.ts
@@ -73,16 +73,22 @@
     const requestId = this.requestIdOf(attempt);
     loadBalancer.began(registration, startedMs, route.name);
     const opened = yield* backendClient.send(this.backendAttempt(attempt, requestId, startedMs));
-    if (opened === "refused" || opened === "foreign") clusterView.noteRefused(registration);
-    if (opened === "withdrawn") {
+    if (opened.kind === "failed" && (opened.cause === "refused" || opened.cause === "foreign"))
+      clusterView.noteRefused(registration);
+    if (opened.kind === "failed" && opened.cause === "withdrawn") {
       loadBalancer.withdrew(registration, clock.nowMs());
       return { outcome: outcomeOfFailure("withdrawn", RETRY_AFTER_MS.soon), isSent: false };
     }
-    const isSent = typeof opened !== "string" || outcomeRuleOf(opened).isSent;
+    const isSent = opened.kind === "opened" || outcomeRuleOf(opened.cause).isSent;
     const outcome =
-      typeof opened === "string"
-        ? outcomeOfFailure(opened, RETRY_AFTER_MS.soon)
-        : yield* responseForwarder.forward(opened, { context, route, registration, requestId });
+      opened.kind === "failed"
+        ? outcomeOfFailure(opened.cause, RETRY_AFTER_MS.soon)
+        : yield* responseForwarder.forward(opened.response, {
+            context,
+            route,
+            registration,
+            requestId,
+          });
     this.reportEnd(attempt, outcome, startedMs);
     return { outcome, isSent };
   }
--- a/src/simulation/unreachable-backends.ts
+++ b/src/simulation/unreachable-backends.ts
@@ -1,9 +1,9 @@
-import type { BackendClient } from "../proxy/upstream/backend-client.js";
+import { openFailure, type BackendClient } from "../proxy/upstream/backend-client.js";
 
 /** Where no back end listens. */
 export const unreachableBackends: BackendClient = {
   *send() {
-    return "refused";
+    return openFailure("refused");
   },
   retainPools: () => undefined,
   close: () => undefined,
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -1,5 +1,7 @@
 import {
   CONNECT_TIMEOUT_MS,
+  openedResponse,
+  openFailure,
   type BackendClient,
   type BackendAttempt,
   type OpenResult,
@@ -126,14 +128,14 @@
         cancel();
         gate.pass(() => done(opened));
       };
-      const cancel = clock.after(untilMs - own.nowMs(), () => give("late"));
+      const cancel = clock.after(untilMs - own.nowMs(), () => give(openFailure("late")));
       const back = (opened: OpenResult): void =>
         network.deliver(
           address,
           place,
           gate,
           () => give(opened),
-          () => give("lost"),
+          () => give(openFailure("lost")),
         );
       const sentMs = clock.nowMs();
       const tripMs = network.tripMs();
@@ -142,16 +144,16 @@
         address,
         outside,
         () => {
-          if (!isWhole(line)) return back("lost");
+          if (!isWhole(line)) return back(openFailure("lost"));
           const reply = testBackend.run(
             job,
             clock.nowMs(),
             Math.max(0, clock.nowMs() - sentMs - tripMs),
           );
           line.hear = (first) => back(replied(line, first, pool));
-          clock.after(reply.waitMs, () => answer(line, reply, () => back("lost")));
+          clock.after(reply.waitMs, () => answer(line, reply, () => back(openFailure("lost"))));
         },
-        () => give("lost"),
+        () => give(openFailure("lost")),
         tripMs,
       );
     });
@@ -173,7 +175,7 @@
     const { address } = line.standIn;
     const body = reply.body.subarray(0, reply.cutAt ?? reply.body.length);
     let at = 0;
-    return {
+    return openedResponse({
       code: reply.code,
       headers: reply.headers,
       *next() {
@@ -198,7 +200,7 @@
         return piece;
       },
       cancel: () => undefined,
-    };
+    });
   };
 
   const rest = (line: Line, pool: string): void => {
@@ -214,10 +216,10 @@
       let line = resting.pop();
       while (line?.isOver) line = resting.pop();
       const ready = line ?? (yield* proven(one));
-      if (typeof ready === "string") return ready;
+      if (typeof ready === "string") return openFailure(ready);
       if (!one.maySend()) {
         rest(ready, one.pool);
-        return "withdrawn";
+        return openFailure("withdrawn");
       }
       return yield* sent(ready, one);
     },
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -1,5 +1,9 @@
 import { expect, test } from "vitest";
-import type { BackendClient } from "../../src/proxy/upstream/backend-client.js";
+import {
+  openedResponse,
+  openFailure,
+  type BackendClient,
+} from "../../src/proxy/upstream/backend-client.js";
 import type { ClientConnection } from "../../src/proxy/proxy-request.js";
 import type { DaemonOptions } from "../../src/daemon/daemon.js";
 import { Clock } from "../../src/runtime/clock.js";
@@ -53,10 +57,10 @@
 /** Backends that answer each request after some work with a body of usual size. */
 const answering = (clock: Clock): BackendClient => ({
   *send({ request: job, maySend: mayStill }) {
-    if (!mayStill()) return "withdrawn";
+    if (!mayStill()) return openFailure("withdrawn");
     yield* Clock.sleep(clock, workMs);
     const pieces = [Buffer.alloc(responseBytes, "r")];
-    return {
+    return openedResponse({
       code: 200,
       headers: {
         "try-id": job.headers["try-id"] ?? "",
@@ -67,7 +71,7 @@
         return pieces.shift() ?? "end";
       },
       cancel: () => undefined,
-    };
+    });
   },
   retainPools: () => undefined,
   close: () => undefined,
--- a/test/platform/proxy-stage.ts
+++ b/test/platform/proxy-stage.ts
@@ -1,9 +1,10 @@
 import { headerNames } from "../../platform/dialect.js";
-import type {
-  BackendClient,
-  BackendResponse,
-  BackendAttempt,
-  OpenResult,
+import {
+  openedResponse,
+  openFailure,
+  type BackendAttempt,
+  type BackendClient,
+  type OpenResult,
 } from "../../src/proxy/upstream/backend-client.js";
 import type { ClientConnection, ProxyRequest } from "../../src/proxy/proxy-request.js";
 import type { ClientResponse } from "../../src/proxy/request-outcome.js";
@@ -325,8 +326,8 @@
     const { clock } = this;
     yield* Clock.sleep(clock, 1);
     const why = this.before(address);
-    if (why !== undefined) return why;
-    if (!mayStill()) return "withdrawn";
+    if (why !== undefined) return openFailure(why);
+    if (!mayStill()) return openFailure("withdrawn");
     const sent: Sent = {
       address,
       atMs: clock.nowMs(),
@@ -340,14 +341,14 @@
     const act = this.act(sent, this.sent.length - 1);
     if (act === "late") {
       yield* Clock.sleep(clock, untilMs - clock.nowMs());
-      return "late";
+      return openFailure("late");
     }
     yield* Clock.sleep(clock, act === "lost" ? 3 : (act.waitMs ?? 3));
-    if (act === "lost") return "lost";
+    if (act === "lost") return openFailure("lost");
     const left = [...act.pieces];
     const { code, headers, pieceMs = 0 } = act;
     let isCancelled = false;
-    const ret: BackendResponse = {
+    return openedResponse({
       code,
       headers,
       *next() {
@@ -357,7 +358,6 @@
       cancel: () => {
         isCancelled = true;
       },
-    };
-    return ret;
+    });
   }
 }
--- a/test/platform/raw-stage.ts
+++ b/test/platform/raw-stage.ts
@@ -1,4 +1,5 @@
-import { BackendClient } from "../../src/proxy/upstream/backend-client.js";
+import { HttpBackendClient } from "../../src/proxy/upstream/http-backend-client.js";
+import type { BackendClient } from "../../src/proxy/upstream/backend-client.js";
 import { DoorStage, type Seen } from "./proxy-stage.js";
 import { RawBackEnd, type RawRequest } from "./raw-backend.js";
 
@@ -26,7 +27,7 @@
     const opened: BackendClient[] = [];
     const stage = DoorStage.ready(0, {
       backEnds: (clock) => {
-        const connections = BackendClient.http(clock, { proof: "request" });
+        const connections = new HttpBackendClient(clock, { proof: "request" });
         opened.push(connections);
         return connections;
       },
--- a/test/proxy/upstream/backend-deadline.test.ts
+++ b/test/proxy/upstream/backend-deadline.test.ts
@@ -1,116 +1,89 @@
 import { createServer, type Socket } from "node:net";
-import { afterEach, expect, test } from "vitest";
-import { BackendClient, type OpenResult } from "../../../src/proxy/upstream/backend-client.js";
-import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
+import { afterEach, describe, expect, test } from "vitest";
+import type { OpenResult } from "../../../src/proxy/upstream/backend-client.js";
+import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
 import { Clock } from "../../../src/runtime/clock.js";
 import { LinkPacers } from "../../../src/runtime/link-pacer.js";
-import { Task } from "../../../src/runtime/task.js";
+import type { Task } from "../../../src/runtime/task.js";
+import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
+import { attemptAt, ignoreErrors, listen, readText, run } from "./http-fixtures.js";
+
+/** The timeout of the attempts of `send`, by the clock that a test advances. */
+const TIMEOUT_MS = 150;
+/** How long real sockets are given to pass bytes on. */
+const SETTLE_MS = 50;
+const CHUNKED_HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
 const clock = Clock.real();
-const closing: Array<() => void> = [];
+const cleanups: Array<() => void> = [];
 afterEach(() => {
-  for (const close of closing.splice(0)) close();
+  for (const cleanup of cleanups.splice(0)) cleanup();
 });
 
-/** A back end that hands each connection's first bytes to a test. */
-const backend = async (act: (socket: Socket) => void): Promise<string> => {
+/** A backend that hands each connection to a test once its first bytes came. */
+const backend = async (onRequest: (socket: Socket) => void): Promise<string> => {
   const server = createServer((socket) => {
-    socket.on("error", () => undefined);
-    socket.once("data", () => act(socket));
-    closing.push(() => socket.destroy());
+    ignoreErrors(socket).once("data", () => onRequest(socket));
+    cleanups.push(() => socket.destroy());
   });
-  await new Promise<void>((done) => server.listen(0, "127.0.0.1", done));
-  closing.push(() => server.close());
-  const bound = server.address();
-  if (bound === null || typeof bound !== "object") throw new Error("The port has no number.");
-  return `127.0.0.1:${bound.port}`;
+  cleanups.push(() => server.close());
+  return listen(server);
 };
 
-const run = <T>(task: Task<T>): Promise<T> =>
-  new Promise((done, fail) => Task.start(task, fail, done));
-
-/** When the tries of `send` are given up, by the clock that a test moves on. */
-const deadlineMs = 150;
-
-/** Sends one request over a real connection, its deadline on a clock that only the test moves on. */
+/** Sends one request over a real connection, its deadline on a clock that only the test advances. */
 const send = (address: string, time: VirtualClock): Promise<OpenResult> => {
   const virtual = time.clock();
-  const backendClient = BackendClient.http(virtual, { proof: "request" });
-  closing.push(() => backendClient.close());
-  return run(
-    backendClient.send({
-      address,
-      service: "any",
-      pool: "any",
-      request: { method: "GET", path: "/", headers: {}, body: new Uint8Array() },
-      untilMs: virtual.nowMs() + deadlineMs,
-      maySend: () => true,
-    }),
-  );
+  const client = new HttpBackendClient(virtual, { proof: "request" });
+  cleanups.push(() => client.close());
+  return run(client.send(attemptAt(address, virtual.nowMs() + TIMEOUT_MS)));
 };
 
-/** Reads a response to its end. */
-const read = function* (opened: OpenResult): Task<string> {
-  if (typeof opened === "string") return opened;
-  let text = "";
-  for (;;) {
-    const piece = yield* opened.next();
-    if (typeof piece === "string") return `${text} ${piece}`;
-    text += Buffer.from(piece).toString();
-  }
-};
-
-const chunkedHead = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-
-test("a body that its reader takes up only after the deadline is cut short, never whole with a hole in it", async () => {
-  const sockets: Socket[] = [];
-  const address = await backend((socket) => {
-    sockets.push(socket);
-    socket.write(`${chunkedHead}5\r\nfirst\r\n`);
+describe("deadline of an attempt", () => {
+  test("a body that is read only after the deadline is cut short, never complete with a gap", async () => {
+    const sockets: Socket[] = [];
+    const address = await backend((socket) => {
+      sockets.push(socket);
+      socket.write(`${CHUNKED_HEAD}5\r\nfirst\r\n`);
+    });
+    const time = new VirtualClock();
+    const result = await send(address, time);
+    expect(result.kind).toBe("opened");
+    await run(Clock.sleep(clock, SETTLE_MS));
+    time.runUntil(TIMEOUT_MS + 10);
+    sockets[0]?.write("6\r\nsecond\r\n0\r\n\r\n");
+    await run(Clock.sleep(clock, SETTLE_MS));
+    expect(await run(readText(result))).toMatch(/cut$/);
   });
-  const time = new VirtualClock();
-  const opened = await send(address, time);
-  expect(typeof opened).toBe("object");
-  await run(Clock.sleep(clock, 50));
-  time.runUntil(deadlineMs + 10);
-  sockets[0]?.write("6\r\nsecond\r\n0\r\n\r\n");
-  await run(Clock.sleep(clock, 50));
-  expect(await run(read(opened))).toMatch(/cut$/);
-});
 
-test("a reader that waits for the rest of a body hears at the deadline that it is cut", async () => {
-  const address = await backend((socket) => {
-    socket.write(`${chunkedHead}5\r\nfirst\r\n`);
+  test("a reader that waits for the rest of a body is notified at the deadline that it is cut", async () => {
+    const address = await backend((socket) => {
+      socket.write(`${CHUNKED_HEAD}5\r\nfirst\r\n`);
+    });
+    const time = new VirtualClock();
+    const text = run(readText(await send(address, time)));
+    await run(Clock.sleep(clock, SETTLE_MS));
+    time.runUntil(TIMEOUT_MS + 10);
+    expect(await text).toBe("first cut");
   });
-  const time = new VirtualClock();
-  const opened = await send(address, time);
-  const whole = run(read(opened));
-  await run(Clock.sleep(clock, 50));
-  time.runUntil(deadlineMs + 10);
-  expect(await whole).toBe("first cut");
 });
 
-test("a body that never began to leave on a connection that ended is no longer counted on the link", async () => {
-  const answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-  const address = await backend((socket) => {
-    socket.write(answer.repeat(2));
-  });
-  const pacers = LinkPacers.of(clock, 100);
-  const backendClient = BackendClient.http(clock, { proof: "request", pacers });
-  closing.push(() => backendClient.close());
-  const one = (method: string, body: Uint8Array) => ({
-    address,
-    service: "any",
-    pool: "any",
-    request: { method, path: "/", headers: {}, body },
-    untilMs: clock.nowMs() + 20_000,
-    maySend: () => true,
+describe("accounting on the link", () => {
+  test("a body that was never sent on a connection that ended is no longer counted", async () => {
+    const response = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+    const address = await backend((socket) => {
+      socket.write(response.repeat(2));
+    });
+    const pacers = LinkPacers.of(clock, 100);
+    const client = new HttpBackendClient(clock, { proof: "request", pacers });
+    cleanups.push(() => client.close());
+    const untilMs = clock.nowMs() + 20_000;
+    const large = { method: "POST", body: new Uint8Array(50_000) };
+    const sendBoth = function* (): Task<string[]> {
+      const first = yield* readText(yield* client.send(attemptAt(address, untilMs)));
+      const second = yield* readText(yield* client.send(attemptAt(address, untilMs, large)));
+      return [first, second];
+    };
+    expect(await run(sendBoth())).toEqual(["ok end", "ok end"]);
+    await expect.poll(() => pacers.egress.bulkBytes).toBe(0);
   });
-  const read2 = function* (): Task<string[]> {
-    const first = yield* read(yield* backendClient.send(one("GET", new Uint8Array())));
-    const second = yield* read(yield* backendClient.send(one("POST", new Uint8Array(50_000))));
-    return [first, second];
-  };
-  expect(await run(read2())).toEqual(["ok end", "ok end"]);
-  await expect.poll(() => pacers.egress.bulkBytes).toBe(0);
 });
--- a/test/simulation/virtual-backends.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -85,8 +85,8 @@
           untilMs,
           maySend: () => true,
         });
-        if (typeof opened === "string") return opened;
-        while (typeof (yield* opened.next()) !== "string");
+        if (opened.kind === "failed") return opened.cause;
+        while (typeof (yield* opened.response.next()) !== "string");
         return "returned";
       })(),
       (error) => {
