--- a/src/cluster-view/active-route.ts
+++ b/src/cluster-view/active-route.ts
@@ -1,15 +1,16 @@
+/** A route in the form in which requests are served by it, with all defaults filled in. */
 import type { Config } from "../configuration/config.js";
 
 type Route = Config["routes"][string];
 
-/** Where one kind of request goes: a route as the daemons use it. */
+/** A route of the configuration in force, prepared for serving. */
 export interface ActiveRoute {
   readonly name: string;
   /** The host in lower case, or undefined for any. */
   readonly host: string | undefined;
-  /** The services that serve it, with their weights. */
+  /** The services that serve its requests, with their weights. */
   readonly splits: ReadonlyArray<{ readonly service: string; readonly weight: number }>;
-  /** The first of its services, or the only one. */
+  /** The first of its services. */
   readonly service: string;
   readonly methods: ReadonlySet<string> | undefined;
   readonly path: string;
@@ -18,17 +19,21 @@
   readonly isDownload: boolean;
   readonly repeatable: boolean;
   readonly keyed: boolean;
-  /** The largest number of back ends that one request may be sent to. */
+  /** The largest number of backends that one request may be sent to. */
   readonly attempts: number;
+  /** One less than `attempts`. */
   readonly furtherTries: number;
+  /** How long a request may take before it is answered with a timeout. */
   readonly giveUpMs: number;
+  /** The latency target, by which the load balancer judges backends. */
   readonly goalMs: number;
-  /** The rank of its requests, 0 the highest. */
+  /** The priority of its requests, 0 the highest. */
   readonly priority: number;
   readonly stampHeader: string;
+  /** How many requests a daemon may have in flight at one backend. */
   readonly inHandLimit: number;
-  /** A service by weight, for a draw from 0 up to 1. */
+  /** Chooses a service by weight; `draw` is a random number from 0 up to, but not including, 1. */
   choose(draw: number): string;
-  /** Whether requests may go to a service. */
+  /** Whether the route sends requests to a service. */
   takes(service: string): boolean;
 }
--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -1,95 +1,73 @@
-import { RpcMethod } from "../rpc/rpc-method.js";
-import { Clock } from "../runtime/clock.js";
-import { Queue } from "../runtime/queue.js";
+/** What a daemon knows of the cluster: configuration, endpoints and control plane, and its lease to serve by them. */
+import { Config } from "../configuration/config.js";
+import {
+  WatchRequest,
+  type ControlPlanePeers,
+  type DaemonInfo,
+  type LeasedView,
+} from "../control-protocol/command.js";
+import type { EdgePlacement } from "../control-protocol/edge-placement.js";
 import type { Logger } from "../runtime/logger.js";
+import type { Runtime } from "../runtime/runtime.js";
 import { StepTimer } from "../runtime/step-timer.js";
 import type { Task } from "../runtime/task.js";
-import type { Runtime } from "../runtime/runtime.js";
 import type { Registration } from "../state/state-machine.js";
-import { Config } from "../configuration/config.js";
+import type { CommandForwarder } from "./command-forwarder.js";
 import { ConfigReplica } from "./config-replica.js";
+import { EndpointIndex } from "./endpoint-index.js";
 import { EndpointReplica } from "./endpoint-replica.js";
-import type { EdgePlacement } from "../control-protocol/edge-placement.js";
-import type { CommandForwarder } from "./command-forwarder.js";
-import { RouteTable } from "./route-table.js";
 import {
-  WatchRequest,
-  type LeasedView,
-  type ControlPlanePeers,
-  type DaemonInfo,
-  type Command,
-} from "../control-protocol/command.js";
+  HeartbeatTracker,
+  type AcceptedHeartbeat,
+  type BackendHeartbeat,
+  type KnownRegistration,
+} from "./heartbeat-tracker.js";
 import type { RetryCapacities } from "./retry-capacities.js";
+import { RetryCapacityReplica } from "./retry-capacity-replica.js";
+import { RouteTable } from "./route-table.js";
+import { ServingLease } from "./serving-lease.js";
+import { DEFAULT_WATCH_TIMEOUT_MS, WatchLoop, type PreparedWatch } from "./watch-loop.js";
 
-/** How long a poll is waited for until it is sent again, where bounds don't say otherwise. */
-const usualPollWaitMs = 450;
-/** How old an announcement may be and still be told as heard. */
-const heardForMs = 2000;
-/** How many orders are remembered beyond those of instances in the directory. */
-const spareOrders = 1000;
-/** How long a hurried poll waits after the last one. */
-const hurriedPollMs = 40;
-
-/** What a back end says of itself in an announcement. */
-export type BackendHeartbeat = Omit<Extract<Command, { kind: "announce" }>, "kind" | "seen">;
-
-/** What a daemon answers to an announcement that needs no leader. */
-export interface KnownRegistration {
-  contract: number;
-  state: "known" | "overtaken";
-  announceMs: number;
-}
+export type { BackendHeartbeat, KnownRegistration } from "./heartbeat-tracker.js";
 
-/** What announced itself at this daemon: the newest order, and when. */
-interface AnnouncedHere {
-  readonly order: number;
-  readonly atMs: number;
-}
+const isSamePlacement = (one: EdgePlacement | undefined, other: EdgePlacement): boolean =>
+  one?.count === other.count &&
+  one.zoneIndex === other.zoneIndex &&
+  one.zoneCount === other.zoneCount;
 
-/** What a daemon knows of the fleet, and until when it may serve by it. */
+/** A daemon's view of the cluster, brought up to date by watch requests to the leader. */
 export class ClusterView {
-  private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
   private readonly machine: () => DaemonInfo;
-  private readonly budget: RetryCapacities;
   private readonly log: Logger;
+  private readonly clock: Runtime["clock"];
   private readonly steps: StepTimer;
-  private untilMs = -Infinity;
+  private readonly lease: ServingLease;
+  private readonly watchLoop: WatchLoop;
+  private readonly endpoints = new EndpointReplica();
+  private readonly index = new EndpointIndex();
+  private readonly heartbeats = new HeartbeatTracker();
+  private readonly config = new ConfigReplica();
+  private readonly retryCapacities: RetryCapacityReplica;
+  /** Names of services and routes by their numbers, also of those that are no longer in force. */
+  private readonly names = new Map<number, string>();
   private lastSentMs = -Infinity;
-  private heard = false;
-  private readonly directory = new EndpointReplica();
-  private byService = new Map<string, Registration[]>();
-  private byAddress = new Map<string, Registration>();
-  private byInstance = new Map<string, Registration>();
-  /** The numbers of the contracts that stand, as far as is known here. */
-  private durableState = new Set<number>();
-  /** What announced itself here and is yet to be told to the leader, by contract. */
-  private readonly announced = new Map<number, AnnouncedHere>();
-  /** The newest order heard here of each instance. */
-  private readonly commands = new Map<string, number>();
-  private announceMs = 1000;
-  /** Hears of all contracts whenever the directory has changed. */
+  private membersDigest = "";
+  private placement: EdgePlacement | undefined;
+  /** Called with all registrations whenever they have changed. */
   onEndpoints: (registrations: readonly Registration[]) => void = () => undefined;
-  /** Hears that there is a lease and a config to serve by, where one was missing. */
+  /** Called when there is a lease and a configuration to serve by, where one was missing. */
   onLease: () => void = () => undefined;
-  /** Hears of this edge's place among all edges, whenever it has changed. */
-  onPlace: (place: EdgePlacement) => void = () => undefined;
-  /** Hears of each config that comes into force here. */
+  /** Called with this edge's placement among all edges whenever it has changed. */
+  onPlace: (placement: EdgePlacement) => void = () => undefined;
+  /** Called with the routes of each configuration that comes into force here. */
   onConfig: (routeTable: RouteTable) => void = () => undefined;
-  private readonly config = new ConfigReplica();
-  private readonly names = new Map<number, string>();
+  /** The routes of the configuration in force. */
   routeTable = new RouteTable(Config.empty);
   collectors: ControlPlanePeers["collectors"] = [];
-  /** Where members of the log that don't lead serve operators. */
+  /** Admin addresses of members of the replicated log that don't lead. */
   memberOperators: readonly string[] = [];
-  private membersDigest = "";
-  private place: EdgePlacement | undefined;
-  /** What the grant of capacities says that `grantNumber` names. */
-  private toldCapacities: ReadonlyMap<string, number> = new Map();
-  private refused: Registration[] = [];
-  private grantNumber = "";
-  private readonly nudge = new Queue<true>();
-  /** How many polls were sent, and how many brought a grant. */
+  /** How many watch requests were sent, and how many responses renewed the lease. */
   polls = 0;
   grants = 0;
 
@@ -99,28 +77,31 @@
     machine: () => DaemonInfo,
     budget: RetryCapacities,
   ) {
-    this.runtime = runtime;
     this.forwarder = forwarder;
     this.machine = machine;
-    this.budget = budget;
-    this.log = runtime.loggers.component("contract");
+    this.clock = runtime.clock;
+    this.log = runtime.loggers.component("cluster-view");
     this.steps = new StepTimer(runtime.clock, this.log);
-    budget.onShort = () => {
-      this.nudge.putOnce(true);
-    };
+    this.lease = new ServingLease(runtime.clock);
+    this.retryCapacities = new RetryCapacityReplica(budget);
+    this.watchLoop = new WatchLoop(runtime, forwarder, {
+      prepareWatch: (sentMs) => this.prepareWatch(sentMs),
+      onWatchEnded: () => this.checkExpiry(),
+    });
+    budget.onShort = () => this.watchLoop.expedite();
   }
 
-  /** Whether this daemon may serve now: its view is proven fresh. */
+  /** Whether this daemon may serve now: its view is proven recent. */
   get holdsLease(): boolean {
-    return this.runtime.clock.nowMs() < this.untilMs;
+    return this.lease.isHeld;
   }
 
-  /** The newest change of the directory that is known here. */
+  /** The newest change of the endpoints that is known here. */
   get directorySequence(): number {
-    return this.directory.sequence;
+    return this.endpoints.sequence;
   }
 
-  /** The sequence of the config that is in force here; 0 for none yet. */
+  /** The sequence of the configuration that is in force here; 0 for none yet. */
   get configSequence(): number {
     return this.config.sequence;
   }
@@ -129,73 +110,47 @@
     return this.holdsLease && this.configSequence > 0;
   }
 
-  /** For how long the lease to serve has been over; 0 while it holds. */
+  /** Milliseconds since the lease to serve ended; 0 while it is in force. */
   get expiredForMs(): number {
-    return Math.max(0, this.runtime.clock.nowMs() - this.untilMs);
+    return this.lease.expiredForMs;
   }
 
-  /** For how long the lease to serve still holds; negative once it is over. */
+  /** Milliseconds until the lease to serve ends; negative once it has. */
   get leaseLeftMs(): number {
-    return this.untilMs - this.runtime.clock.nowMs();
+    return this.lease.remainingMs;
   }
 
-  /** The back ends under contract for a service that aren't leaving. */
+  /** The registered backends of a service that aren't leaving. */
   backendsOf(service: string): readonly Registration[] {
-    return this.byService.get(service) ?? [];
+    return this.index.ofService(service);
   }
 
-  /** Whether a contract still stands, as far as is known here. */
+  /** Whether a registration is still in force, as far as is known here. */
   isRegistered(registration: Registration): boolean {
-    return this.durableState.has(registration.number);
+    return this.index.isActive(registration.number);
   }
 
-  /** The contract of an instance, which may be leaving. */
+  /** The registration of an instance, which may be leaving. */
   registrationOf(instance: string): Registration | undefined {
-    return this.byInstance.get(instance);
+    return this.index.ofInstance(instance);
   }
 
+  /** Names of the services that have registered backends. */
   get services(): string[] {
-    return [...this.byService.keys()];
+    return this.index.services;
   }
 
-  /** Answers an announcement that changes nothing; the leader hears of it with the next poll. `undefined` where the leader must be asked. */
-  acceptHeartbeat({
-    address,
-    service,
-    zone,
-    instance = "",
-    capacity = 0,
-    order,
-    draining = false,
-  }: BackendHeartbeat): KnownRegistration | undefined {
-    const known = this.byAddress.get(address);
-    const isSame = known?.instance === instance && known.service === service;
-    if (draining) return undefined;
-    if (instance !== "" && order !== undefined) {
-      if (order < (this.commands.get(instance) ?? 0))
-        return {
-          contract: isSame ? known.number : 0,
-          state: "overtaken",
-          announceMs: this.announceMs,
-        };
-      this.noteOrder(instance, order);
-    }
-    if (
-      !this.holdsLease ||
-      !isSame ||
-      known.zone !== zone ||
-      known.capacity !== capacity ||
-      !this.durableState.has(known.number)
-    )
-      return undefined;
-    this.announced.set(known.number, {
-      order: Math.max(order ?? 0, this.announced.get(known.number)?.order ?? 0),
-      atMs: this.runtime.clock.nowMs(),
+  /** The response to a heartbeat that changes nothing, which the next watch request reports; `undefined` where the leader has to decide. */
+  acceptHeartbeat(heartbeat: BackendHeartbeat): KnownRegistration | undefined {
+    const registration = this.index.atAddress(heartbeat.address);
+    return this.heartbeats.accept(heartbeat, {
+      registration,
+      mayAccept: this.holdsLease && registration !== undefined && this.isRegistered(registration),
+      nowMs: this.clock.nowMs(),
     });
-    return { contract: known.number, state: "known", announceMs: this.announceMs };
   }
 
-  /** The number that the record gave to a service or a route. */
+  /** The number that the replicated log assigned to a service or a route. */
   idOf(kind: "service" | "route", name: string): number | undefined {
     return this.config.numbers.get(`${kind} ${name}`);
   }
@@ -205,70 +160,59 @@
     return this.names.get(number);
   }
 
-  /** Hears that nobody listens at a contract's address; the leader is told with the next poll. */
+  /** Notes that a registration's address refused a connection; the next watch request reports it. */
   noteRefused(registration: Registration): void {
-    if (this.refused.some(({ number }) => number === registration.number)) return;
-    this.refused.push(registration);
-    this.arrange();
+    if (this.index.addRefused(registration)) this.rebuildIndex();
   }
 
-  /** Polls for as long as the daemon runs; one that isn't answered within `waitMs` is sent again. */
-  *run(pollMs: number, waitMs = usualPollWaitMs): Task {
-    for (;;) {
-      const sentMs = this.runtime.clock.nowMs();
-      const text = this.poll(sentMs);
-      const told = new Map(this.announced);
-      this.lastSentMs = sentMs;
-      const receive = (ret: string): void => this.receive(ret, sentMs, told);
-      const ret = yield* this.forwarder.once(RpcMethod.poll, text, waitMs, {
-        waitMs: RpcMethod.poll.waitMs,
-        take: receive,
-      });
-      if (ret !== undefined) receive(ret);
-      if (this.heard && !this.holdsLease) {
-        this.heard = false;
-        this.log.warn("The grant is over; requests are dropped until a new one comes.");
-      }
-      yield* Clock.sleep(this.runtime.clock, ret === undefined ? 50 : hurriedPollMs);
-      if (ret !== undefined) yield* this.nudge.takeUntil(this.runtime.clock, sentMs + pollMs);
-    }
+  /** Sends watch requests for as long as the daemon runs; one without a response within `waitMs` is sent again. */
+  run(pollMs: number, waitMs = DEFAULT_WATCH_TIMEOUT_MS): Task {
+    return this.watchLoop.run(pollMs, waitMs);
   }
 
-  /** Takes what a poll returned, which may come after its time: its lease counts from the poll's sending. */
-  private receive(ret: string, sentMs: number, told: ReadonlyMap<number, AnnouncedHere>): void {
-    const view = WatchRequest.readReturn(ret);
-    if (!view.granted) return;
-    this.take(view, sentMs);
-    for (const [number, one] of told)
-      if (this.announced.get(number) === one) this.announced.delete(number);
-    if (!this.holdsLease) this.nudge.putOnce(true);
+  private prepareWatch(sentMs: number): PreparedWatch {
+    this.polls += 1;
+    if (this.lease.isOverdue(sentMs, this.retryCapacities.graceMs))
+      this.retryCapacities.clear(sentMs);
+    this.heartbeats.expire(sentMs);
+    const reported = this.heartbeats.snapshot();
+    const text = JSON.stringify(this.watchRequest(reported, sentMs));
+    this.lastSentMs = sentMs;
+    return { text, receive: (response) => this.receive(response, sentMs, reported) };
   }
 
-  private poll(nowMs: number): string {
-    this.polls += 1;
-    if (nowMs > this.untilMs + this.budget.rules.windowMs / 2) {
-      this.toldCapacities = new Map();
-      this.budget.setCapacities(this.toldCapacities, nowMs);
-      this.grantNumber = "";
-    }
-    for (const [number, { atMs }] of this.announced)
-      if (nowMs - atMs > heardForMs) this.announced.delete(number);
-    const watchRequest: WatchRequest = {
+  private watchRequest(
+    reported: ReadonlyMap<number, AcceptedHeartbeat>,
+    nowMs: number,
+  ): WatchRequest {
+    return {
       machine: this.machine(),
       configSequence: this.config.knownSequence,
-      directorySequence: this.directory.knownSequence,
-      grantNumber: this.grantNumber,
-      capacities: [...this.budget.capacities]
-        .filter(([, capacity]) => capacity > 0)
-        .map(([service, capacity]) => ({ service, capacity })),
-      wished: this.services
-        .map((service) => ({ service, count: this.budget.requested(service, nowMs) }))
-        .filter(({ count }) => count > 0),
+      directorySequence: this.endpoints.knownSequence,
+      grantNumber: this.retryCapacities.allotmentNumber,
+      capacities: this.retryCapacities.capacities,
+      wished: this.retryCapacities.requested(this.services, nowMs),
       membersDigest: this.membersDigest,
-      refused: this.refused.map(({ address, number }) => ({ address, number })),
-      heard: [...this.announced].map(([number, { order }]) => ({ number, order })),
+      refused: this.index.refused.map(({ address, number }) => ({ address, number })),
+      heard: [...reported].map(([number, { order }]) => ({ number, order })),
     };
-    return JSON.stringify(watchRequest);
+  }
+
+  /** Takes a response, which may come after its request's timeout: the lease counts from when the request was sent. */
+  private receive(
+    response: string,
+    sentMs: number,
+    reported: ReadonlyMap<number, AcceptedHeartbeat>,
+  ): void {
+    const view = WatchRequest.readReturn(response);
+    if (!view.granted) return;
+    this.take(view, sentMs);
+    this.heartbeats.acknowledge(reported);
+    if (!this.holdsLease) this.watchLoop.expedite();
+  }
+
+  private checkExpiry(): void {
+    if (this.lease.markExpired()) this.log.warn("lease expired");
   }
 
   private take(view: LeasedView, sentMs: number): void {
@@ -276,35 +220,33 @@
       view.configSequence < this.configSequence ||
       view.directorySequence < this.directorySequence
     ) {
-      this.log.warn("A view older than the one in hand was refused.", {
-        sequence: view.configSequence,
-      });
+      this.log.warn("outdated view refused", { sequence: view.configSequence });
       return;
     }
     const couldServe = this.canServe;
-    if (!this.takeCopies(view)) return;
-    this.announceMs = view.announceMs ?? this.announceMs;
+    if (!this.takeReplicas(view)) return;
+    this.heartbeats.intervalMs = view.announceMs ?? this.heartbeats.intervalMs;
     if (view.members) this.takeMembers(view.members);
-    if (view.place) this.takePlace(view.place);
-    // The leader takes a later poll as proof that the capacities of the ones before weren't taken.
-    if (sentMs === this.lastSentMs) this.takeCapacities(view);
-    this.untilMs = Math.max(this.untilMs, sentMs + view.grantMs);
+    if (view.place) this.takePlacement(view.place);
+    // The leader takes a later request as proof that the capacities in responses to earlier ones weren't taken.
+    if (sentMs === this.lastSentMs) this.retryCapacities.take(view, this.clock.nowMs());
+    this.lease.extend(sentMs + view.grantMs);
     if (!this.holdsLease) return;
     if (!couldServe && this.canServe) this.onLease();
     this.grants += 1;
-    if (!this.heard) this.log.info("Granted.", { sequence: view.configSequence });
-    this.heard = true;
+    if (this.lease.markAcquired())
+      this.log.info("lease acquired", { sequence: view.configSequence });
   }
 
-  /** Brings the copies up to a view; tells whether they are what the leader has. */
-  private takeCopies(view: LeasedView): boolean {
-    const directory = this.steps.run("copyDirectory", () => this.directory.take(view));
+  /** Brings the replicas up to a view; returns whether they are what the leader has. */
+  private takeReplicas(view: LeasedView): boolean {
+    const directory = this.steps.run("copyDirectory", () => this.endpoints.take(view));
     const config = this.steps.run("copyConfig", () => this.config.take(view));
-    if (directory === "changed") this.steps.run("takeDirectory", () => this.takeDirectory());
+    if (directory === "changed") this.steps.run("takeDirectory", () => this.takeEndpoints());
     if (config === "changed") this.steps.run("takeConfig", () => this.takeConfig());
     if (directory !== "differs" && config !== "differs")
       return directory !== "outdated" && config !== "outdated";
-    this.log.warn("A copy differs from the leader's; the whole is asked for.", {
+    this.log.warn("replica differs from leader, full copy requested", {
       directory,
       config,
       sequence: view.configSequence,
@@ -319,19 +261,10 @@
     this.forwarder.setMembers(recorders);
   }
 
-  private takePlace(place: EdgePlacement): void {
-    const { count, zoneIndex, zoneCount } = this.place ?? {};
-    if (count === place.count && zoneIndex === place.zoneIndex && zoneCount === place.zoneCount)
-      return;
-    this.place = place;
-    this.onPlace(place);
-  }
-
-  private takeCapacities({ capacities, grantNumber }: LeasedView): void {
-    if (capacities)
-      this.toldCapacities = new Map(capacities.map(({ service, capacity }) => [service, capacity]));
-    this.budget.setCapacities(this.toldCapacities, this.runtime.clock.nowMs());
-    this.grantNumber = grantNumber;
+  private takePlacement(placement: EdgePlacement): void {
+    if (isSamePlacement(this.placement, placement)) return;
+    this.placement = placement;
+    this.onPlace(placement);
   }
 
   private takeConfig(): void {
@@ -340,43 +273,23 @@
     this.onConfig(this.routeTable);
   }
 
-  private takeDirectory(): void {
-    const { registrations } = this.directory;
-    const numbers = new Set(registrations.map(({ number }) => number));
-    this.refused = this.refused.filter(({ number }) => numbers.has(number));
-    this.arrange();
+  private takeEndpoints(): void {
+    const { registrations } = this.endpoints;
+    this.index.retainRefused(registrations);
+    this.rebuildIndex();
     this.onEndpoints(registrations);
   }
 
-  /** Arranges the directory in the ways in which it is looked up. */
-  private arrange(): void {
-    const refused = new Set(this.refused.map(({ number }) => number));
-    this.byService = new Map();
-    this.byAddress = new Map();
-    this.byInstance = new Map();
-    this.durableState = new Set();
-    const { registrations } = this.directory;
-    for (const registration of registrations) {
-      const { address, service, instance, number, leaving } = registration;
-      this.byAddress.set(address, registration);
-      if (instance !== "" && (!leaving || !this.byInstance.has(instance)))
-        this.byInstance.set(instance, registration);
-      if (leaving || refused.has(number)) continue;
-      this.durableState.add(number);
-      const known = this.byService.get(service);
-      if (known) known.push(registration);
-      else this.byService.set(service, [registration]);
-    }
-    if (this.commands.size <= registrations.length + spareOrders) return;
-    for (const instance of this.commands.keys())
-      if (!this.byInstance.has(instance)) this.commands.delete(instance);
-  }
-
-  private noteOrder(instance: string, order: number): void {
-    this.commands.set(instance, Math.max(order, this.commands.get(instance) ?? 0));
+  private rebuildIndex(): void {
+    const { registrations } = this.endpoints;
+    this.index.rebuild(registrations);
+    this.heartbeats.limitOrders(
+      registrations.length,
+      (instance) => this.index.ofInstance(instance) !== undefined,
+    );
   }
 }
 
-/** The name of the connections under one contract. */
+/** The name of the connection pool of one registration. */
 export const connectionPoolKey = (registration: Registration): string =>
   `${registration.address} ${registration.number}`;
--- a/src/cluster-view/command-forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -1,3 +1,4 @@
+/** The way of commands and watch requests from any daemon to the leader. */
 import { RpcMethod } from "../rpc/rpc-method.js";
 import type { DecodedMessage, LateResponse, RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import { Clock } from "../runtime/clock.js";
@@ -11,136 +12,154 @@
   overloadedResponse,
 } from "../control-protocol/command.js";
 
-type Asked = DecodedMessage<typeof RpcMethod.command.request>;
-type Returned = DecodedMessage<typeof RpcMethod.command.response>;
+type ForwardedMethod = typeof RpcMethod.command | typeof RpcMethod.poll;
+type LeaderRequest = DecodedMessage<typeof RpcMethod.command.request>;
+type LeaderResponse = DecodedMessage<typeof RpcMethod.command.response>;
 
-/** What a recorder offers a forwarder: itself as the leader, or the way to it. */
+/** What a voter or learner knows of the leadership: whether it leads itself, and who leads otherwise. */
 export interface LeadershipSource {
   readonly leads: boolean;
+  /** Address of the leader; empty where none is known. */
   readonly leader: string;
 }
 
-const oneAskMs = 700;
-/** How many bytes of a command a slow link takes in a millisecond at the least. */
-const slowBytesMs = 100;
-/** How long one that isn't known to lead is waited for, before another is asked too. */
-const strangerMs = 200;
-/** How long one that was silent is asked after the others only. */
-const silentMs = 3000;
-/** How often one that forwards on looks whether another leads by now. */
-const lookMs = 20;
-const notLeader = failureResponse("notLeader");
+/** How long one attempt waits for its response, besides what its bytes take. */
+const ATTEMPT_TIMEOUT_MS = 700;
+/** How many bytes of a command even a slow link takes in a millisecond. */
+const SLOW_LINK_BYTES_PER_MS = 100;
+/** How long a peer that isn't known to lead may take, before another is tried. */
+const UNCONFIRMED_TIMEOUT_MS = 200;
+/** How long a peer that didn't respond is tried only after the others. */
+const UNRESPONSIVE_MS = 3000;
+/** How often a peer that forwards to the leader checks whether another one leads by now. */
+const LEADER_CHECK_INTERVAL_MS = 20;
+/** How long a command pauses between attempts, at most. */
+const RETRY_PAUSE_MS = 40;
+const NOT_LEADER = failureResponse("notLeader");
+
+const attemptTimeoutMs = (text: string): number =>
+  ATTEMPT_TIMEOUT_MS + text.length / SLOW_LINK_BYTES_PER_MS;
 
 const endingOf = (text: string | undefined): ForwardAttempt["ending"] => {
   if (text === undefined) return "silent";
-  if (text === notLeader) return "notLeader";
+  if (text === NOT_LEADER) return "notLeader";
   return isFailureResponse(text) ? "failed" : "answered";
 };
 
-/** One ask on the way of a command: whom, how it ended, and how long that took. */
+/** One attempt to bring a command to the leader, as it is reported to operators. */
 export interface ForwardAttempt {
   readonly peer: string;
   readonly ending: "answered" | "silent" | "notLeader" | "failed";
   readonly tookMs: number;
 }
 
-/** Brings commands and polls to whoever leads, through any daemon. */
+/** Where the next attempt goes. */
+interface Hop {
+  readonly peer: string;
+  /** Whether the peer is to forward it to a leader that isn't reached from here. */
+  readonly isRelay: boolean;
+}
+
+/** What follows upon an attempt: another one, or the end with or without a response. */
+type NextStep = { readonly hop: Hop } | { readonly ended: string | undefined };
+
+const GIVE_UP: NextStep = { ended: undefined };
+
+/** Brings commands and watch requests to the leader, through any daemon. */
 export class CommandForwarder {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
   private readonly contacts: () => readonly string[];
-  private known: readonly string[] = [];
-  private isRecorder = false;
-  /** Who was silent, and until when others go before them. */
-  private readonly silentUntilMs = new Map<string, number>();
-  /** Who forwards on to a leader that isn't reached from here, or nobody. */
-  private way = "";
-  /** Who led when last heard. */
+  private knownMembers: readonly string[] = [];
+  private isMember = false;
+  /** Peers that didn't respond, and until when others are tried before them. */
+  private readonly unresponsiveUntilMs = new Map<string, number>();
+  /** The peer that forwards to a leader that isn't reached from here; empty for none. */
+  private relay = "";
+  /** The leader as last known; empty for none. */
   leader = "";
 
-  /** Finds the leader through recorders that are known, or through any daemons that `contacts` names. */
+  /** Finds the leader through members of the replicated log that are known, or through any daemons that `contacts` names. */
   constructor(runtime: Runtime, rpc: RpcEndpoint, contacts: () => readonly string[]) {
     this.runtime = runtime;
     this.rpc = rpc;
     this.contacts = contacts;
   }
 
-  /** Learns which recorders there are. */
-  setMembers(recorders: readonly string[]): void {
-    this.known = recorders;
+  /** Replaces the known members of the replicated log. */
+  setMembers(members: readonly string[]): void {
+    this.knownMembers = members;
   }
 
-  /** The recorders as last heard of. */
+  /** The members of the replicated log as last known. */
   get members(): readonly string[] {
-    return this.known;
+    return this.knownMembers;
   }
 
-  /** Serves both kinds where there is no recorder: tells who leads, as far as is known here. */
+  /** Serves both methods at a daemon that is no member: it responds with the leader as far as it is known here. */
   serveWay(): void {
-    const way = (): Returned => ({ leader: this.leader, text: notLeader });
-    for (const kind of [RpcMethod.command, RpcMethod.poll])
-      this.rpc.serve(kind, function* () {
-        return way();
+    const response = (): LeaderResponse => ({ leader: this.leader, text: NOT_LEADER });
+    for (const method of [RpcMethod.command, RpcMethod.poll])
+      this.rpc.serve(method, function* () {
+        return response();
       });
   }
 
-  /** Serves a kind at a recorder: here if it leads, else forwarded on once. */
+  /** Serves a method at a member: handled here if it leads, else forwarded once. */
   serve(
-    kind: typeof RpcMethod.command | typeof RpcMethod.poll,
+    method: ForwardedMethod,
     leadership: LeadershipSource,
     handle: (text: string) => Task<string>,
   ): void {
     const { rpc } = this;
-    this.isRecorder = true;
-    const forward = (leader: string, text: string): Task<Returned | undefined> =>
-      this.forwardOn(kind, leader, text, leadership);
-    rpc.serve(kind, function* (ask: Asked): Task<Returned> {
+    this.isMember = true;
+    const forward = (leader: string, text: string): Task<LeaderResponse | undefined> =>
+      this.forwardToLeader(method, leader, text, leadership);
+    rpc.serve(method, function* ({ forwarded, text }: LeaderRequest): Task<LeaderResponse> {
       const { leader } = leadership;
-      if (leadership.leads) return { leader, text: yield* handle(ask.text) };
-      if (!ask.forwarded && leader && leader !== rpc.self) {
-        const ret = yield* forward(leader, ask.text);
-        if (ret) return ret;
-        if (leadership.leads) return { leader: rpc.self, text: yield* handle(ask.text) };
-        return { leader: leadership.leader, text: notLeader };
-      }
-      return { leader, text: notLeader };
+      if (leadership.leads) return { leader, text: yield* handle(text) };
+      if (forwarded || !leader || leader === rpc.self) return { leader, text: NOT_LEADER };
+      const response = yield* forward(leader, text);
+      if (response) return response;
+      if (leadership.leads) return { leader: rpc.self, text: yield* handle(text) };
+      return { leader: leadership.leader, text: NOT_LEADER };
     });
   }
 
-  /** Asks the leader on another's behalf; nothing once it turns out that another one leads. */
-  private *forwardOn(
-    kind: typeof RpcMethod.command | typeof RpcMethod.poll,
+  /** Sends a request to the leader on another daemon's behalf; `undefined` once another one turns out to lead. */
+  private *forwardToLeader(
+    method: ForwardedMethod,
     leader: string,
     text: string,
     leadership: LeadershipSource,
-  ): Task<Returned | undefined> {
+  ): Task<LeaderResponse | undefined> {
     const { clock } = this.runtime;
-    const ended = new Queue<Returned>();
+    const responses = new Queue<LeaderResponse>();
     Runtime.start(
       this.runtime,
-      "contract",
+      "cluster-view",
       this.rpc.call(
         leader,
-        kind,
+        method,
         { forwarded: true, text },
-        Math.max("waitMs" in kind ? kind.waitMs : 0, oneAskMs + text.length / slowBytesMs),
+        Math.max("waitMs" in method ? method.waitMs : 0, attemptTimeoutMs(text)),
       ),
-      (ret) => ended.put(ret ?? { leader, text: failureResponse("unknown") }),
+      (response) => responses.put(response ?? { leader, text: failureResponse("unknown") }),
     );
     for (;;) {
-      const ret = yield* ended.takeUntil(clock, clock.nowMs() + lookMs);
-      if (ret) return ret;
+      const response = yield* responses.takeUntil(clock, clock.nowMs() + LEADER_CHECK_INTERVAL_MS);
+      if (response) return response;
       if (leadership.leads || (leadership.leader !== "" && leadership.leader !== leader))
         return undefined;
     }
   }
 
   /**
-   * Asks the leader, by the way that last worked; then by others, until one returns or `waitMs` are over. With `late`, what
-   * the leader returns after that is handed on too. `attempts` hears of each ask.
+   * Sends a request to the leader: by the way that last worked, then by others, until one responds or `waitMs` are over. With
+   * `late`, a response of the leader after that is passed on too. `attempts` is called after each attempt.
    */
   *once(
-    kind: typeof RpcMethod.command | typeof RpcMethod.poll,
+    method: ForwardedMethod,
     text: string,
     waitMs: number,
     late?: LateResponse<string>,
@@ -148,112 +167,135 @@
   ): Task<string | undefined> {
     const { clock } = this.runtime;
     const untilMs = clock.nowMs() + waitMs;
-    const asked = new Set<string>();
-    let forwards = this.way !== "";
-    let target = this.way || this.leader || this.next(asked);
-    while (target !== "" && clock.nowMs() < untilMs) {
-      asked.add(target);
-      const leads = target === this.leader;
+    const tried = new Set<string>();
+    let hop = this.firstHop(tried);
+    while (hop.peer !== "" && clock.nowMs() < untilMs) {
+      const { peer, isRelay } = hop;
+      tried.add(peer);
+      const isLeader = peer === this.leader;
       const sentMs = clock.nowMs();
-      const ret = yield* this.rpc.call(
-        target,
-        kind,
-        { forwarded: !forwards, text },
-        Math.min(untilMs - clock.nowMs(), leads || forwards ? waitMs : strangerMs),
-        late && this.lateFrom(target, late),
+      const response = yield* this.rpc.call(
+        peer,
+        method,
+        { forwarded: !isRelay, text },
+        Math.min(untilMs - clock.nowMs(), isLeader || isRelay ? waitMs : UNCONFIRMED_TIMEOUT_MS),
+        late && this.lateFrom(peer, late),
       );
       attempts?.({
-        peer: target,
-        ending: endingOf(ret?.text),
+        peer,
+        ending: endingOf(response?.text),
         tookMs: Math.round(clock.nowMs() - sentMs),
       });
-      if (ret === undefined) {
-        if (leads && this.rpc.hasHeardFrom(target, sentMs)) return undefined;
-        if (leads || forwards) this.leader = "";
-        if (!forwards) this.noteSilent(target);
-        this.way = "";
-        forwards = false;
-        target = this.next(asked);
-        continue;
-      }
-      this.silentUntilMs.delete(target);
-      if (!isFailureResponse(ret.text) || ret.text === overloadedResponse) {
-        this.leader = ret.leader;
-        this.way = ret.leader !== target && this.isSilent(ret.leader) ? target : "";
-        return ret.text;
-      }
-      const named = ret.text === notLeader && ret.leader !== target ? ret.leader : "";
-      this.way = "";
-      this.leader = "";
-      if (named === "" || (forwards && this.isSilent(named))) return undefined;
-      forwards = this.isSilent(named);
-      if (!forwards && asked.has(named)) return undefined;
-      if (!forwards) this.leader = named;
-      if (!forwards) target = named;
+      const step: NextStep = response
+        ? this.afterResponse(hop, response, tried)
+        : this.afterTimeout(hop, isLeader, sentMs, tried);
+      if ("ended" in step) return step.ended;
+      hop = step.hop;
     }
     return undefined;
   }
 
-  /** Takes what comes after its time: a return of the leader, or only who leads. */
-  private lateFrom(target: string, late: LateResponse<string>): LateResponse<Returned> {
+  private firstHop(tried: ReadonlySet<string>): Hop {
+    return {
+      peer: this.relay || this.leader || this.nextPeer(tried),
+      isRelay: this.relay !== "",
+    };
+  }
+
+  /** A leader that is merely slow isn't tried again; otherwise the way is forgotten and another peer is tried. */
+  private afterTimeout(
+    { peer, isRelay }: Hop,
+    isLeader: boolean,
+    sentMs: number,
+    tried: ReadonlySet<string>,
+  ): NextStep {
+    if (isLeader && this.rpc.hasHeardFrom(peer, sentMs)) return GIVE_UP;
+    if (isLeader || isRelay) this.leader = "";
+    if (!isRelay) this.markUnresponsive(peer);
+    this.relay = "";
+    return { hop: { peer: this.nextPeer(tried), isRelay: false } };
+  }
+
+  private afterResponse(
+    { peer, isRelay }: Hop,
+    { leader, text }: LeaderResponse,
+    tried: ReadonlySet<string>,
+  ): NextStep {
+    this.unresponsiveUntilMs.delete(peer);
+    if (!isFailureResponse(text) || text === overloadedResponse) {
+      this.leader = leader;
+      this.relay = leader !== peer && this.isUnresponsive(leader) ? peer : "";
+      return { ended: text };
+    }
+    const namedLeader = text === NOT_LEADER && leader !== peer ? leader : "";
+    this.relay = "";
+    this.leader = "";
+    if (namedLeader === "") return GIVE_UP;
+    if (this.isUnresponsive(namedLeader))
+      return isRelay ? GIVE_UP : { hop: { peer, isRelay: true } };
+    if (tried.has(namedLeader)) return GIVE_UP;
+    this.leader = namedLeader;
+    return { hop: { peer: namedLeader, isRelay: false } };
+  }
+
+  /** Takes a response after its timeout: that of the leader, or only who leads. */
+  private lateFrom(peer: string, late: LateResponse<string>): LateResponse<LeaderResponse> {
     return {
       waitMs: late.waitMs,
       take: ({ leader, text }) => {
-        this.silentUntilMs.delete(target);
+        this.unresponsiveUntilMs.delete(peer);
         if (this.leader === "") this.leader = leader;
         if (!isFailureResponse(text)) late.take(text);
       },
     };
   }
 
-  private noteSilent(target: string): void {
-    this.silentUntilMs.set(target, this.runtime.clock.nowMs() + silentMs);
+  private markUnresponsive(peer: string): void {
+    this.unresponsiveUntilMs.set(peer, this.runtime.clock.nowMs() + UNRESPONSIVE_MS);
   }
 
-  private isSilent(target: string): boolean {
-    return (this.silentUntilMs.get(target) ?? -Infinity) > this.runtime.clock.nowMs();
+  private isUnresponsive(peer: string): boolean {
+    return (this.unresponsiveUntilMs.get(peer) ?? -Infinity) > this.runtime.clock.nowMs();
   }
 
-  /** Whom to ask where the leader isn't known: recorders before others, those that were silent last. */
-  private next(asked: ReadonlySet<string>): string {
-    const isOpen = (peer: string): boolean =>
-      !asked.has(peer) && (this.isRecorder || peer !== this.rpc.self);
-    const known = this.known.filter(isOpen);
-    const all = [...new Set([...known, ...this.contacts().filter(isOpen)])];
-    for (const peer of this.silentUntilMs.keys())
-      if (!this.isSilent(peer)) this.silentUntilMs.delete(peer);
+  /** A random peer to try where the leader isn't known: members before others, unresponsive ones last; empty for none. */
+  private nextPeer(tried: ReadonlySet<string>): string {
+    const isUntried = (peer: string): boolean =>
+      !tried.has(peer) && (this.isMember || peer !== this.rpc.self);
+    const members = this.knownMembers.filter(isUntried);
+    const all = [...new Set([...members, ...this.contacts().filter(isUntried)])];
+    for (const peer of this.unresponsiveUntilMs.keys())
+      if (!this.isUnresponsive(peer)) this.unresponsiveUntilMs.delete(peer);
     const pools = [
-      known.filter((peer) => !this.isSilent(peer)),
-      all.filter((peer) => !this.isSilent(peer)),
+      members.filter((peer) => !this.isUnresponsive(peer)),
+      all.filter((peer) => !this.isUnresponsive(peer)),
       all,
     ];
-    const pool = pools.find((one) => one.length > 0) ?? [];
+    const pool = pools.find((peers) => peers.length > 0) ?? [];
     return pool[Math.floor(this.runtime.random() * pool.length)] ?? "";
   }
 
-  /** Has a command carried out. Each is safe to repeat, so it is, until `waitMs` are over: then its fate is unknown. */
+  /** Has a command carried out. It is safe to repeat, so it is sent until `waitMs` are over; `undefined` where its outcome is unknown. */
   *command(
     command: Command,
     waitMs: number,
     attempts?: (attempt: ForwardAttempt) => void,
   ): Task<string | undefined> {
-    const untilMs = this.runtime.clock.nowMs() + waitMs;
+    const { clock } = this.runtime;
+    const untilMs = clock.nowMs() + waitMs;
     const text = Command.text(command);
     for (;;) {
-      const leftMs = untilMs - this.runtime.clock.nowMs();
+      const leftMs = untilMs - clock.nowMs();
       if (leftMs <= 0) return undefined;
-      const ret = yield* this.once(
+      const response = yield* this.once(
         RpcMethod.command,
         text,
-        Math.min(oneAskMs + text.length / slowBytesMs, leftMs),
+        Math.min(attemptTimeoutMs(text), leftMs),
         undefined,
         attempts,
       );
-      if (ret !== undefined) return ret;
-      yield* Clock.sleep(
-        this.runtime.clock,
-        Math.min(40, Math.max(0, untilMs - this.runtime.clock.nowMs())),
-      );
+      if (response !== undefined) return response;
+      yield* Clock.sleep(clock, Math.min(RETRY_PAUSE_MS, Math.max(0, untilMs - clock.nowMs())));
     }
   }
 }
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -1,6 +1,7 @@
+/** A daemon's replica of the configuration, and the digest by which it is compared with the leader's. */
 import { TextCompression } from "../runtime/text-compression.js";
 import { Config, ConfigReader } from "../configuration/config.js";
-import type { ReplicaUpdate } from "./replica-update.js";
+import { changesEffect, type ReplicaUpdate } from "./replica-update.js";
 import {
   ConfigItems,
   type ConfigSection,
@@ -9,109 +10,115 @@
 import { WatchRequest, type ConfigUpdate, type LeasedView } from "../control-protocol/command.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-const without = <T>(section: Record<string, T>, gone: ReadonlySet<string>): Record<string, T> =>
-  gone.size === 0
+const without = <T>(section: Record<string, T>, names: ReadonlySet<string>): Record<string, T> =>
+  names.size === 0
     ? section
-    : Object.fromEntries(Object.entries(section).filter(([name]) => !gone.has(name)));
+    : Object.fromEntries(Object.entries(section).filter(([name]) => !names.has(name)));
 
-/** A daemon's copy of the configuration in force: taken whole or kept up by items, and compared with the leader's digest. */
+/** The names of a section's items among some keys. */
+const namesIn = (section: ConfigSection, keys: readonly string[]): ReadonlySet<string> =>
+  new Set(
+    keys
+      .map((key) => ConfigItems.named(key))
+      .filter((item) => item?.section === section)
+      .map((item) => item?.name ?? ""),
+  );
+
+/** The full configuration that a view carries, if it carries one. */
+const fullText = ({ config, packedConfig }: LeasedView): string | undefined =>
+  config ?? (packedConfig === undefined ? undefined : TextCompression.decompress(packedConfig));
+
+/** A configuration after the items of an update were put and removed. */
+const updatedConfig = (config: Config, { put, removed }: ConfigUpdate): Config => {
+  const keptLimits = removed.includes(ConfigItems.limitsKey) ? undefined : config.limits;
+  const limits = put.limits ?? keptLimits;
+  return {
+    services: { ...without(config.services, namesIn("services", removed)), ...put.services },
+    routes: { ...without(config.routes, namesIn("routes", removed)), ...put.routes },
+    goals: { ...without(config.goals ?? {}, namesIn("goals", removed)), ...put.goals },
+    ...(limits ? { limits } : {}),
+  };
+};
+
+/** A daemon's replica of the configuration in force: replaced in full or updated by items, and compared with the leader's digest. */
 export class ConfigReplica {
   private readonly reader = new ConfigReader();
-  private held: NumberedConfig = { config: Config.empty, numbers: new Map() };
+  private current: NumberedConfig = { config: Config.empty, numbers: new Map() };
   private hashes = new Map<string, bigint>();
   private setDigest = new SetDigest();
-  private isSound = true;
-  /** The sequence of the configuration that is held; 0 for none yet. */
+  /** Whether the replica is what the leader had at its sequence, as far as is known. */
+  isConsistent = true;
+  /** The sequence of the configuration; 0 for none yet. */
   sequence = 0;
 
-  /** The sequence to ask by: none where the copy was found to differ, so that the whole comes. */
+  /** The sequence to request changes from; 0 requests a full copy, also where the replica was found to differ. */
   get knownSequence(): number {
-    return this.isSound ? this.sequence : 0;
+    return this.isConsistent ? this.sequence : 0;
   }
 
-  /** The configuration that is held. */
+  /** The configuration; empty until the first was received. */
   get config(): Config {
-    return this.held.config;
+    return this.current.config;
   }
 
   /** The numbers of services and routes. */
   get numbers(): ReadonlyMap<string, number> {
-    return this.held.numbers;
+    return this.current.numbers;
   }
 
-  /** Takes what a view tells. Where the copy differs afterwards, the view must not be served by. */
+  /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
   take(view: LeasedView): ReplicaUpdate {
-    const text =
-      view.config ??
-      (view.packedConfig === undefined ? undefined : TextCompression.decompress(view.packedConfig));
+    const text = fullText(view);
     if (text !== undefined) {
-      this.takeWhole(this.reader.read(text), view.numbers ?? {});
+      this.replaceAll(this.reader.read(text), view.numbers ?? {});
       this.sequence = view.configSequence;
-      this.isSound = true;
+      this.isConsistent = true;
       return "changed";
     }
-    const isNews = view.configSequence !== this.sequence;
-    const update = isNews ? WatchRequest.configUpdate(view) : undefined;
-    if (isNews && this.isSound && update !== undefined && update.base < this.sequence)
-      return "outdated";
-    if (isNews && update?.base !== this.sequence) return this.differ();
-    if (update) this.takeUpdate(update);
+    const update =
+      view.configSequence === this.sequence ? undefined : WatchRequest.configUpdate(view);
+    const effect = changesEffect(this, view.configSequence, update?.base);
+    if (effect === "outdated" || effect === "same") return effect;
+    if (effect === "differs") return this.markInconsistent();
+    if (update) this.applyUpdate(update);
     const digest = view.configDigest;
-    if (
-      isNews &&
-      digest !== undefined &&
-      digest !== ConfigItems.digest(this.setDigest, this.config)
-    )
-      return this.differ();
+    if (digest !== undefined && digest !== ConfigItems.digest(this.setDigest, this.config))
+      return this.markInconsistent();
     this.sequence = view.configSequence;
-    return isNews ? "changed" : "same";
+    return effect;
   }
 
-  private differ(): "differs" {
-    this.isSound = false;
+  private markInconsistent(): "differs" {
+    this.isConsistent = false;
     return "differs";
   }
 
-  private takeWhole(config: Config, numbers: Record<string, number>): void {
-    this.held = { config, numbers: new Map(Object.entries(numbers)) };
+  private replaceAll(config: Config, numbers: Record<string, number>): void {
+    this.current = { config, numbers: new Map(Object.entries(numbers)) };
     this.hashes = new Map();
     this.setDigest = new SetDigest();
-    for (const item of ConfigItems.all(this.held)) this.put(item.key, ConfigItems.hash(item));
+    for (const item of ConfigItems.all(this.current)) this.put(item.key, ConfigItems.hash(item));
   }
 
-  private takeUpdate({ put, removed, numbers }: ConfigUpdate): void {
-    const gone = new Set(removed);
-    for (const key of gone) this.drop(key);
+  private applyUpdate(update: ConfigUpdate): void {
+    const { put, removed, numbers } = update;
+    for (const key of new Set(removed)) this.drop(key);
     for (const item of ConfigItems.all({ config: put, numbers: new Map(Object.entries(numbers)) }))
       this.put(item.key, ConfigItems.hash(item));
-    const { config } = this.held;
-    const limits = put.limits ?? (gone.has(ConfigItems.limitsKey) ? undefined : config.limits);
-    const namesGone = (section: ConfigSection): ReadonlySet<string> =>
-      new Set(
-        removed
-          .map((key) => ConfigItems.named(key))
-          .filter((one) => one?.section === section)
-          .map((one) => one?.name ?? ""),
-      );
-    this.held = {
-      config: {
-        services: { ...without(config.services, namesGone("services")), ...put.services },
-        routes: { ...without(config.routes, namesGone("routes")), ...put.routes },
-        goals: { ...without(config.goals ?? {}, namesGone("goals")), ...put.goals },
-        ...(limits ? { limits } : {}),
-      },
-      numbers: this.numbersAfter(gone, numbers),
+    this.current = {
+      config: updatedConfig(this.config, update),
+      numbers: this.updatedNumbers(removed, numbers),
     };
   }
 
-  private numbersAfter(
-    gone: ReadonlySet<string>,
+  private updatedNumbers(
+    removedKeys: readonly string[],
     numbers: Record<string, number>,
   ): ReadonlyMap<string, number> {
-    const after = new Map(this.held.numbers);
-    for (const key of gone) after.delete(ConfigItems.numberedName(key) ?? "");
-    for (const [name, number] of Object.entries(numbers)) after.set(name, number);
-    return after;
+    const updated = new Map(this.current.numbers);
+    for (const key of removedKeys) updated.delete(ConfigItems.numberedName(key) ?? "");
+    for (const [name, number] of Object.entries(numbers)) updated.set(name, number);
+    return updated;
   }
 
   private put(key: string, hash: bigint): void {
--- a/src/cluster-view/endpoint-replica.ts
+++ b/src/cluster-view/endpoint-replica.ts
@@ -1,94 +1,97 @@
+/** A daemon's replica of all registrations, and the digest by which it is compared with the leader's. */
 import type { Registration } from "../state/state-machine.js";
-import type { ReplicaUpdate } from "./replica-update.js";
+import { changesEffect, type ReplicaUpdate } from "./replica-update.js";
 import type { LeasedView } from "../control-protocol/command.js";
 import { itemHash, SetDigest } from "../configuration/set-digest.js";
 
 /** The hash of a registration: over its number and all of its state. */
-export const registrationHash = (one: Registration): bigint =>
+export const registrationHash = (registration: Registration): bigint =>
   itemHash(
     JSON.stringify([
-      one.address,
-      one.service,
-      one.zone,
-      one.warmth,
-      one.number,
-      one.leaving,
-      one.leftAt,
-      one.drained,
-      one.instance,
-      one.capacity,
-      one.warmMs,
-      one.order,
+      registration.address,
+      registration.service,
+      registration.zone,
+      registration.warmth,
+      registration.number,
+      registration.leaving,
+      registration.leftAt,
+      registration.drained,
+      registration.instance,
+      registration.capacity,
+      registration.warmMs,
+      registration.order,
     ]),
   );
 
-type DirectoryPart = Pick<
+type EndpointsOfView = Pick<
   LeasedView,
   "directory" | "directoryChanges" | "directoryDigest" | "directorySequence"
 >;
 
-/** A daemon's copy of the directory: taken whole or kept up by changes, and compared with the leader's digest. */
+/** A daemon's replica of the registrations: replaced in full or updated by changes, and compared with the leader's digest. */
 export class EndpointReplica {
-  private table = new Map<string, Registration>();
+  private byAddress = new Map<string, Registration>();
   private setDigest = new SetDigest();
-  /** The newest sequence of the directory that was taken here. */
+  /** The sequence of the newest change that was applied here; -1 for none. */
   sequence = -1;
-  private isSound = true;
+  /** Whether the replica is what the leader had at its sequence, as far as is known. */
+  isConsistent = true;
 
-  /** The sequence to ask by: none where the copy was found to differ, so that the whole comes. */
+  /** The sequence to request changes from; -1 requests a full copy, also where the replica was found to differ. */
   get knownSequence(): number {
-    return this.isSound ? this.sequence : -1;
+    return this.isConsistent ? this.sequence : -1;
   }
 
   /** All registrations, also those that are leaving. */
   get registrations(): readonly Registration[] {
-    return [...this.table.values()];
+    return [...this.byAddress.values()];
   }
 
-  /** Takes what a view tells. Where the copy differs afterwards, the view must not be served by. */
-  take(view: DirectoryPart): ReplicaUpdate {
+  /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
+  take(view: EndpointsOfView): ReplicaUpdate {
     if (view.directory) {
-      this.takeWhole(view.directory);
+      this.replaceAll(view.directory);
       this.sequence = view.directorySequence;
-      this.isSound = true;
+      this.isConsistent = true;
       return "changed";
     }
     const changes = view.directoryChanges;
-    const isNews = view.directorySequence !== this.sequence;
-    if (isNews && this.isSound && changes !== undefined && changes.base < this.sequence)
-      return "outdated";
-    if (isNews && changes?.base !== this.sequence) return this.differ();
-    if (isNews && changes) this.takeChanges(changes.put, changes.removed);
+    const effect = changesEffect(this, view.directorySequence, changes?.base);
+    if (effect === "outdated") return effect;
+    if (effect === "differs") return this.markInconsistent();
+    if (effect === "changed" && changes) this.applyChanges(changes.put, changes.removed);
     this.sequence = view.directorySequence;
     if (view.directoryDigest !== undefined && view.directoryDigest !== this.setDigest.text)
-      return this.differ();
-    return isNews ? "changed" : "same";
+      return this.markInconsistent();
+    return effect;
   }
 
-  private differ(): "differs" {
-    this.isSound = false;
+  private markInconsistent(): "differs" {
+    this.isConsistent = false;
     return "differs";
   }
 
-  private takeWhole(registrations: readonly Registration[]): void {
-    this.table = new Map(registrations.map((one) => [one.address, one]));
+  private replaceAll(registrations: readonly Registration[]): void {
+    this.byAddress = new Map(
+      registrations.map((registration) => [registration.address, registration]),
+    );
     this.setDigest = new SetDigest();
-    for (const one of registrations) this.setDigest.add(registrationHash(one));
+    for (const registration of registrations) this.setDigest.add(registrationHash(registration));
   }
 
-  private takeChanges(put: readonly Registration[], removed: readonly string[]): void {
+  private applyChanges(put: readonly Registration[], removed: readonly string[]): void {
     for (const address of removed) this.remove(address);
-    for (const one of put) {
-      this.remove(one.address);
-      this.table.set(one.address, one);
-      this.setDigest.add(registrationHash(one));
+    for (const registration of put) {
+      this.remove(registration.address);
+      this.byAddress.set(registration.address, registration);
+      this.setDigest.add(registrationHash(registration));
     }
   }
 
   private remove(address: string): void {
-    const former = this.table.get(address);
+    const former = this.byAddress.get(address);
     if (!former) return;
     this.setDigest.remove(registrationHash(former));
-    this.table.delete(address);
+    this.byAddress.delete(address);
   }
 }
--- a/src/cluster-view/path-index.ts
+++ b/src/cluster-view/path-index.ts
@@ -1,66 +1,67 @@
+/** Look-up of routes by path in time that doesn't grow with their number. */
 import type { ActiveRoute } from "./active-route.js";
 
-const add = (table: Map<string, ActiveRoute[]>, route: ActiveRoute): void => {
+const addTo = (table: Map<string, ActiveRoute[]>, route: ActiveRoute): void => {
   const known = table.get(route.path);
   if (known) known.push(route);
   else table.set(route.path, [route]);
 };
 
-/** The mappings of one host by their paths, found by look-ups alone, whatever their number. */
+/** The routes of one host by path. */
 export class PathIndex {
   private readonly exact = new Map<string, ActiveRoute[]>();
-  /** Prefixes that end in a slash. */
+  /** Prefixes that end in a slash, and the length of the longest. */
   private readonly folders = new Map<string, ActiveRoute[]>();
   private longestFolder = 0;
-  /** Prefixes that end within a segment, and their lengths, the longest first. */
+  /** Prefixes that end within a segment, and their lengths in descending order. */
   private readonly stems = new Map<string, ActiveRoute[]>();
   private stemLengths: number[] = [];
 
   add(route: ActiveRoute): void {
-    if (!route.isPrefix) return add(this.exact, route);
+    if (!route.isPrefix) return addTo(this.exact, route);
     const { length } = route.path;
     if (route.path.endsWith("/")) {
-      add(this.folders, route);
+      addTo(this.folders, route);
       this.longestFolder = Math.max(this.longestFolder, length);
       return;
     }
-    add(this.stems, route);
+    addTo(this.stems, route);
     if (!this.stemLengths.includes(length))
       this.stemLengths = [...this.stemLengths, length].sort((a, b) => b - a);
   }
 
-  /** The mapping that fits a path most exactly and takes the method. */
+  /** The most specific route that matches a path and a method. */
   find(method: string, path: string): ActiveRoute | undefined {
-    const takes = (route: ActiveRoute): boolean =>
+    const allows = (route: ActiveRoute): boolean =>
       route.methods === undefined || route.methods.has(method);
-    const exact = this.exact.get(path)?.find(takes);
+    const exact = this.exact.get(path)?.find(allows);
     if (exact) return exact;
-    const folder = this.folder(path, takes);
-    const stem = this.stem(path, takes);
-    return folder && stem
-      ? folder.path.length > stem.path.length
-        ? folder
-        : stem
-      : (folder ?? stem);
+    const folder = this.findFolder(path, allows);
+    const stem = this.findStem(path, allows);
+    if (!folder || !stem) return folder ?? stem;
+    return folder.path.length > stem.path.length ? folder : stem;
   }
 
-  private folder(path: string, takes: (route: ActiveRoute) => boolean): ActiveRoute | undefined {
+  private findFolder(
+    path: string,
+    allows: (route: ActiveRoute) => boolean,
+  ): ActiveRoute | undefined {
     if (this.longestFolder === 0) return undefined;
     for (
-      let at = path.lastIndexOf("/", this.longestFolder - 1);
-      at >= 0;
-      at = at === 0 ? -1 : path.lastIndexOf("/", at - 1)
+      let slash = path.lastIndexOf("/", this.longestFolder - 1);
+      slash >= 0;
+      slash = slash === 0 ? -1 : path.lastIndexOf("/", slash - 1)
     ) {
-      const found = this.folders.get(path.slice(0, at + 1))?.find(takes);
+      const found = this.folders.get(path.slice(0, slash + 1))?.find(allows);
       if (found) return found;
     }
     return undefined;
   }
 
-  private stem(path: string, takes: (route: ActiveRoute) => boolean): ActiveRoute | undefined {
+  private findStem(path: string, allows: (route: ActiveRoute) => boolean): ActiveRoute | undefined {
     for (const length of this.stemLengths) {
       const found =
-        length <= path.length ? this.stems.get(path.slice(0, length))?.find(takes) : undefined;
+        length <= path.length ? this.stems.get(path.slice(0, length))?.find(allows) : undefined;
       if (found) return found;
     }
     return undefined;
--- a/src/cluster-view/retry-capacities.ts
+++ b/src/cluster-view/retry-capacities.ts
@@ -1,11 +1,13 @@
-/** What an edge holds of each service's further tries, as its view of the fleet tells and learns it. */
+/** What the cluster view needs of the retry budget, so that it doesn't depend on that. */
+
+/** An edge's capacities for retries, by service. */
 export interface RetryCapacities {
   readonly rules: { readonly windowMs: number };
   readonly capacities: ReadonlyMap<string, number>;
-  /** Hears that a capacity is nearly spent. */
+  /** Called when a capacity is nearly used up. */
   onShort: () => void;
-  /** How many further tries were wished for in the last window. */
+  /** How many retries of a service were requested in the last window. */
   requested(service: string, nowMs: number): number;
-  /** Takes what the leader granted; a service that isn't named has none. */
+  /** Replaces the capacities by those that the leader allotted; a service that isn't named has none. */
   setCapacities(capacities: ReadonlyMap<string, number>, nowMs: number): void;
 }
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -1,128 +1,163 @@
+/** The routes of one configuration, and the look-up of the one that serves a request. */
 import { Config, safeMethods, trafficSplitOf } from "../configuration/config.js";
 import type { ActiveRoute } from "./active-route.js";
 import { PathIndex } from "./path-index.js";
 
 type Route = Config["routes"][string];
+type Goal = NonNullable<Config["goals"]>[string];
 
-/** A service as the daemons use it. */
+/** The settings of a service. */
 export type ActiveService = Config["services"][string];
 
-const usual = {
+/** What a route or its service is served by where the configuration doesn't say. */
+const DEFAULTS = {
   giveUpMs: 5000,
   goalMs: 1000,
   furtherTries: 1,
   stampHeader: "x-daledoor-stamp",
-  inHand: 200,
+  inHandLimit: 200,
   priority: 5,
 };
 
 /** A host's name as hosts are compared: in lower case, without a port. */
 export const hostName = (host: string): string => host.toLowerCase().replace(/:\d*$/, "");
 
-const repeatableBy = (route: Route): boolean =>
-  route.repeat === undefined
-    ? (route.match.methods ?? ["POST"]).every((method) => safeMethods.has(method))
-    : route.repeat === "safe";
-
 const chooseFrom = (splits: ActiveRoute["splits"], draw: number): string => {
   const served = splits.filter(({ weight }) => weight > 0);
   let left = draw * served.reduce((sum, { weight }) => sum + weight, 0);
   return served.find(({ weight }) => (left -= weight) < 0)?.service ?? served.at(-1)?.service ?? "";
 };
 
-const ofName = <T>(section: Record<string, T>, name: string): T | undefined =>
+/** An item of a section by its own name, whatever objects inherit. */
+const ownItem = <T>(section: Record<string, T>, name: string): T | undefined =>
   Object.hasOwn(section, name) ? section[name] : undefined;
 
-const mappingOf = (config: Config, name: string, route: Route): ActiveRoute => {
-  const isPrefix = route.match.path.endsWith("*");
+/** Which requests a route matches. */
+const matchOf = ({
+  match: { host, methods, path },
+}: Route): Pick<ActiveRoute, "host" | "methods" | "path" | "isPrefix"> => {
+  const isPrefix = path.endsWith("*");
+  return {
+    host: host === undefined ? undefined : hostName(host),
+    methods: methods ? new Set<string>(methods) : undefined,
+    path: isPrefix ? path.slice(0, -1) : path,
+    isPrefix,
+  };
+};
+
+/** Whether a route without a kind may be sent twice: by its own word, or by its methods. */
+const isRepeatable = ({ match, repeat }: Route): boolean =>
+  repeat === undefined
+    ? (match.methods ?? ["POST"]).every((method) => safeMethods.has(method))
+    : repeat === "safe";
+
+/** Which of a route's requests may be sent again. */
+const semanticsOf = (
+  route: Route,
+): Pick<ActiveRoute, "kind" | "isDownload" | "repeatable" | "keyed"> => {
+  const { kind } = route;
+  if (kind !== undefined)
+    return {
+      kind,
+      isDownload: kind === "download",
+      repeatable: kind === "safe" || kind === "download",
+      keyed: kind === "idempotent",
+    };
+  const repeatable = isRepeatable(route);
+  const keyed = route.keyed ?? false;
+  const unkeyedKind = repeatable ? "safe" : "unsafe";
+  return { kind: keyed ? "idempotent" : unkeyedKind, isDownload: false, repeatable, keyed };
+};
+
+/** How long requests of a route may take, and how often they may be sent. */
+const targetsOf = (
+  route: Route,
+  goal: Goal | undefined,
+): Pick<ActiveRoute, "attempts" | "furtherTries" | "giveUpMs" | "goalMs" | "priority"> => {
+  const furtherTries =
+    route.attempts === undefined
+      ? (goal?.furtherTries ?? DEFAULTS.furtherTries)
+      : route.attempts - 1;
+  return {
+    attempts: furtherTries + 1,
+    furtherTries,
+    giveUpMs: route.giveUpMs ?? DEFAULTS.giveUpMs,
+    goalMs: goal?.latencyMs ?? DEFAULTS.goalMs,
+    priority: route.priority ?? DEFAULTS.priority,
+  };
+};
+
+const activeRoute = (config: Config, name: string, route: Route): ActiveRoute => {
   const splits = trafficSplitOf(route);
   const service = splits[0]?.service ?? "";
-  const shape = ofName(config.services, service);
-  const goal = ofName(config.goals ?? {}, name);
-  const repeatable =
-    route.kind === undefined
-      ? repeatableBy(route)
-      : route.kind === "safe" || route.kind === "download";
-  const keyed = route.kind === undefined ? (route.keyed ?? false) : route.kind === "idempotent";
-  const furtherTries =
-    route.attempts === undefined ? (goal?.furtherTries ?? usual.furtherTries) : route.attempts - 1;
+  const settings = ownItem(config.services, service);
   return {
     name,
-    host: route.match.host === undefined ? undefined : hostName(route.match.host),
+    ...matchOf(route),
+    ...semanticsOf(route),
+    ...targetsOf(route, ownItem(config.goals ?? {}, name)),
     splits,
     service,
-    methods: route.match.methods ? new Set<string>(route.match.methods) : undefined,
-    path: isPrefix ? route.match.path.slice(0, -1) : route.match.path,
-    isPrefix,
-    kind: route.kind ?? (keyed ? "idempotent" : repeatable ? "safe" : "unsafe"),
-    isDownload: route.kind === "download",
-    repeatable,
-    keyed,
-    attempts: furtherTries + 1,
-    furtherTries,
-    giveUpMs: route.giveUpMs ?? usual.giveUpMs,
-    goalMs: goal?.latencyMs ?? usual.goalMs,
-    priority: route.priority ?? usual.priority,
-    stampHeader: shape?.stampHeader ?? usual.stampHeader,
-    inHandLimit: shape?.inHand ?? usual.inHand,
+    stampHeader: settings?.stampHeader ?? DEFAULTS.stampHeader,
+    inHandLimit: settings?.inHand ?? DEFAULTS.inHandLimit,
     choose: (draw) => (splits.length > 1 ? chooseFrom(splits, draw) : service),
-    takes: (wanted) => splits.some((one) => one.service === wanted && one.weight > 0),
+    takes: (wanted) => splits.some((split) => split.service === wanted && split.weight > 0),
   };
 };
 
-/** All mappings of one config, the most exact first. */
+/** All routes of one configuration. */
 export class RouteTable {
   private readonly hosts = new Map<string, PathIndex>();
   private readonly anyHost = new PathIndex();
   private readonly byName = new Map<string, ActiveRoute>();
+  /** All routes, in the order of the configuration. */
   readonly all: readonly ActiveRoute[];
   readonly limits: NonNullable<Config["limits"]>;
   private readonly config: Config;
 
-  /** Reads a config; what is the same as in a former one, by identity of its items, is taken over from that. */
+  /** Prepares a configuration; routes whose items are identical to those of a former table are taken over from that. */
   constructor(config: Config, former?: RouteTable) {
     this.limits = config.limits ?? {};
     this.config = config;
     this.all = Object.entries(config.routes).map(
-      ([name, route]) => former?.sameIn(config, name) ?? mappingOf(config, name, route),
+      ([name, route]) => former?.unchangedIn(config, name) ?? activeRoute(config, name, route),
     );
     for (const route of this.all) this.byName.set(route.name, route);
-    for (const route of this.all) if (!route.isPrefix) this.index(route.host).add(route);
+    for (const route of this.all) if (!route.isPrefix) this.indexOf(route.host).add(route);
     for (const route of this.all
       .filter(({ isPrefix }) => isPrefix)
       .sort((a, b) => (a.name < b.name ? -1 : 1)))
-      this.index(route.host).add(route);
+      this.indexOf(route.host).add(route);
   }
 
-  /** The mapping of a request: one for its host before one for any, then the longest match. */
+  /** The route of a request: one for its host before one for any, then the most specific path. */
   find(method: string, path: string, host = ""): ActiveRoute | undefined {
-    const ofHost =
-      this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(hostName(host));
-    return ofHost?.find(method, path) ?? this.anyHost.find(method, path);
+    const index = this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(hostName(host));
+    return index?.find(method, path) ?? this.anyHost.find(method, path);
   }
 
-  /** The mapping of a route's name. */
+  /** The route of a name. */
   named(name: string): ActiveRoute | undefined {
     return this.byName.get(name);
   }
 
-  /** A service of this config by its name. */
+  /** A service of this configuration by its name. */
   service(name: string): ActiveService | undefined {
-    return ofName(this.config.services, name);
+    return ownItem(this.config.services, name);
   }
 
-  /** The mapping of a route, if all that it is made of is the same in another config. */
-  private sameIn(config: Config, name: string): ActiveRoute | undefined {
+  /** The route of a name, if all items that it is made from are identical in another configuration. */
+  private unchangedIn(config: Config, name: string): ActiveRoute | undefined {
     const route = this.byName.get(name);
-    const isSame =
+    const isUnchanged =
       route !== undefined &&
       config.routes[name] === this.config.routes[name] &&
-      ofName(config.goals ?? {}, name) === ofName(this.config.goals ?? {}, name) &&
-      ofName(config.services, route.service) === this.service(route.service);
-    return isSame ? route : undefined;
+      ownItem(config.goals ?? {}, name) === ownItem(this.config.goals ?? {}, name) &&
+      ownItem(config.services, route.service) === this.service(route.service);
+    return isUnchanged ? route : undefined;
   }
 
-  private index(host: string | undefined): PathIndex {
+  private indexOf(host: string | undefined): PathIndex {
     if (host === undefined) return this.anyHost;
     const known = this.hosts.get(host);
     if (known) return known;
--- a/test/cluster-view/command-forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -5,14 +5,16 @@
 
 /** Whether the newest leader has seen all edges. */
 const edgesSeen = (stage: FleetStage): boolean => {
-  const at = stage.lines.findLastIndex((line) => line.includes("Leads the record."));
-  const since = stage.lines.slice(at).filter((line) => line.includes("A machine shows itself."));
+  const electedIndex = stage.lines.findLastIndex((line) => line.includes("Leads the record."));
+  const since = stage.lines
+    .slice(electedIndex)
+    .filter((line) => line.includes("A machine shows itself."));
   return stage.machines
     .filter(({ disk }) => !disk)
     .every(({ settings }) => since.some((line) => line.includes(`"${settings.machine}"`)));
 };
 
-test("a daemon whose seeds are all edges finds the leader, also after it changed", () => {
+test("a daemon whose seeds are all edges finds the leader, also after a new one was elected", () => {
   const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "e:d"], [0, 1, 2]);
   const late = stage.at(6);
   for (const machine of stage.machines) if (machine !== late) stage.boot(machine);
@@ -27,12 +29,12 @@
   expect(stage.until(() => edgesSeen(stage), 2000)).toBeLessThan(200);
 });
 
-test("where the leader's machine is cut off from all, the next leader has all edges within a second of the cut", () => {
-  const worst: number[] = [];
-  for (let restMs = 0; restMs < 200; restMs += 20) {
+test("when the leader is partitioned from all machines, the next leader has seen all edges within a second", () => {
+  const takeoverMs: number[] = [];
+  for (let offsetMs = 0; offsetMs < 200; offsetMs += 20) {
     const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c"], [0, 1, 2]);
     stage.bootAll();
-    stage.wait(4000 + restMs);
+    stage.wait(4000 + offsetMs);
     const former = stage.leader;
     for (const machine of stage.machines) if (machine !== former) stage.cut(former, machine);
     const next = (): boolean =>
@@ -40,12 +42,12 @@
         (machine) => machine !== former && machine.daemon?.replicationNode?.holdsLease === true,
       );
     const ledMs = stage.until(next, 3000);
-    worst.push(ledMs + stage.until(() => edgesSeen(stage), 2000));
+    takeoverMs.push(ledMs + stage.until(() => edgesSeen(stage), 2000));
   }
-  expect(worst.filter((ms) => ms >= 1000)).toEqual([]);
+  expect(takeoverMs.filter((ms) => ms >= 1000)).toEqual([]);
 });
 
-test("an edge that is cut off from the leader alone is served through another recorder", () => {
+test("an edge that is partitioned from the leader alone keeps its lease through another member", () => {
   const stage = new FleetStage(["e:a", "e:b", "d:a", "d:b", "d:c"], [0, 1]);
   stage.bootAll();
   stage.wait(4000);
--- a/test/cluster-view/route-table.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -4,7 +4,8 @@
 import { RouteTable } from "../../src/cluster-view/route-table.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
-const find = (
+/** The route that a linear search finds. */
+const searchAll = (
   all: readonly ActiveRoute[],
   method: string,
   path: string,
@@ -22,7 +23,7 @@
     .sort((a, b) => rank(b) - rank(a))[0];
 };
 
-test("3,000 routes over hosts: each request finds the same one as a search through all of them", () => {
+test("among 3,000 routes over several hosts, a request finds the same one as a linear search does", () => {
   const random = RandomDraw.of(7);
   const pick = <T>(from: readonly T[]): T | undefined => from[Math.floor(random() * from.length)];
   const words = ["a", "ab", "b", "c1", "lepu270", "d.e"];
@@ -31,7 +32,7 @@
   const hosts = [undefined, "One.example", "two.example", "three.example", "four.example"];
   const routes: Config["routes"] = {};
   const taken = new Set<string>();
-  for (let at = 0; taken.size < 3000; at += 1) {
+  for (let index = 0; taken.size < 3000; index += 1) {
     const host = pick(hosts);
     const own = path();
     const ends =
@@ -40,7 +41,7 @@
     const key = `${host} ${ends}`;
     if (taken.has(key)) continue;
     taken.add(key);
-    routes[`r-${at}`] = {
+    routes[`r-${index}`] = {
       match: { path: ends, ...(host === undefined ? {} : { host }), ...methods },
       service: "s",
     };
@@ -48,7 +49,7 @@
   const routeTable = new RouteTable({ services: { s: {} }, routes });
   let found = 0;
   for (let round = 0; round < 3000; round += 1) {
-    const asked = [
+    const request = [
       random() < 0.5 ? "GET" : "POST",
       `${path()}${random() < 0.3 ? "/" : ""}`,
       pick([
@@ -60,17 +61,17 @@
         "",
       ]) ?? "",
     ] as const;
-    const expected = find(routeTable.all, ...asked);
-    expect(routeTable.find(...asked)?.name, asked.join(" ")).toBe(expected?.name);
+    const expected = searchAll(routeTable.all, ...request);
+    expect(routeTable.find(...request)?.name, request.join(" ")).toBe(expected?.name);
     found += expected ? 1 : 0;
   }
   expect(found).toBeGreaterThan(1000);
   expect(routeTable.find("GET", "/".repeat(100_000), "two.example")?.name).toBe(
-    find(routeTable.all, "GET", "/".repeat(100_000), "two.example")?.name,
+    searchAll(routeTable.all, "GET", "/".repeat(100_000), "two.example")?.name,
   );
 });
 
-test("a host goes before none, a longer prefix before a shorter one, and a host's own prefix must match", () => {
+test("a route for the host precedes one for any host, and a longer prefix a shorter one", () => {
   const routeTable = new RouteTable({
     services: { s: {} },
     routes: {
@@ -91,7 +92,7 @@
   ]).toEqual(["own", "deep", "any", "any", undefined, undefined]);
 });
 
-test("a split is drawn by weight, and a weight of 0 is never drawn", () => {
+test("a service is chosen by weight, and one of weight 0 never", () => {
   const split = [
     { service: "none", weight: 0 },
     { service: "much", weight: 90 },
@@ -105,8 +106,8 @@
     routes: { r: { match: { path: "/*" }, split } },
   }).named("r");
   const counts = new Map<string, number>();
-  for (let at = 0; at < 10_000; at += 1) {
-    const service = route?.choose(at / 10_000) ?? "";
+  for (let index = 0; index < 10_000; index += 1) {
+    const service = route?.choose(index / 10_000) ?? "";
     counts.set(service, (counts.get(service) ?? 0) + 1);
   }
   expect(Object.fromEntries(counts)).toEqual({ much: 9000, few: 950, rare: 50 });
@@ -121,7 +122,7 @@
   expect([route?.service, route?.splits]).toEqual(["none", split]);
 });
 
-test("a kind decides what is repeatable and keyed, whatever the methods and the older fields say", () => {
+test("the kind of a route decides whether it is repeatable and keyed, whatever its methods and older fields say", () => {
   const route = (more: Partial<Config["routes"][string]>): Config["routes"][string] => ({
     match: { path: "/*", methods: ["POST"] },
     service: "s",
@@ -148,7 +149,7 @@
   ]);
 });
 
-test("attempts count the first try too, and limits and services are at hand", () => {
+test("attempts include the first one, and limits and services can be looked up", () => {
   const routeTable = new RouteTable({
     services: { s: { keepsKeys: true } },
     routes: {
@@ -179,7 +180,7 @@
   ]).toEqual([{ idleMs: 9 }, { keepsKeys: true }, undefined, undefined]);
 });
 
-test("the most exact mapping that takes the method is found", () => {
+test("the most specific route that allows the method is found", () => {
   const routeTable = new RouteTable({
     services: { a: {}, b: {} },
     routes: {
