--- a/src/retry-budget/count-aggregator.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -1,341 +1,286 @@
-import {
-  array,
-  boolean,
-  literal,
-  number,
-  object,
-  optional,
-  string,
-  union,
-  type Infer,
-} from "superstruct";
-import type { DecodedMessage, RpcEndpoint } from "../rpc/rpc-endpoint.js";
+/** A collector of the tree that merges the request counts of all edges. */
 import { RpcMethod } from "../rpc/rpc-method.js";
+import type { DecodedMessage, RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import { Clock } from "../runtime/clock.js";
-import { Queue } from "../runtime/queue.js";
 import type { Logger } from "../runtime/logger.js";
-import { fastValidator } from "../runtime/fast-validator.js";
-import type { Task } from "../runtime/task.js";
+import { Queue } from "../runtime/queue.js";
 import type { Runtime } from "../runtime/runtime.js";
-import { RequestCounts, type RequestCountsFormat } from "./request-counts.js";
+import type { Task } from "../runtime/task.js";
 import { SketchMismatchError } from "../sketch/ecm-sketch.js";
+import { ChildAssignments } from "./child-assignments.js";
+import {
+  AggregatedCounts,
+  childKey,
+  CountPush,
+  EXPEDITED_PUSH_MS,
+  isSameChild,
+  isSameProcess,
+  ROUTE_COUNTS_INTERVAL_MS,
+  senderOf,
+  type ChildReport,
+  type CountCoverage,
+} from "./count-messages.js";
+import { RequestCounts, type RequestCountsFormat } from "./request-counts.js";
 
-/** How often routes travel along with tries. */
-export const ROUTE_COUNTS_INTERVAL_MS = 10_000;
-
-/** How long a hurried push waits after the last one. */
-export const EXPEDITED_PUSH_MS = 250;
-
-const childShape = object({ machine: string(), incarnation: string(), parentSequence: number() });
-
-/** An edge as the tree counts it: a process, and how often it has changed its parent. */
-export type ChildReport = Infer<typeof childShape>;
-
-const pushShape = object({
-  from: string(),
-  incarnation: string(),
-  tier: union([literal("edge"), literal("collector")]),
-  push: number(),
-  parentSequence: number(),
-  halfTripMs: number(),
-  /** A collector's children that its sketch holds, and those that it would like to hold. */
-  includes: array(childShape),
-  wants: array(childShape),
-  /** Set where further tries are wished for, so that counts had better come soon. */
-  isHurried: boolean(),
-});
-
-/** What goes up with a sketch. */
-export type CountPush = Infer<typeof pushShape>;
-
-const downShape = object({
-  taken: string(),
-  /** Children the root lets this collector hold. */
-  granted: array(childShape),
-  /** The child's last push that the returned sketch holds. */
-  includedPush: optional(number()),
-  coverage: object({ edges: number(), oldestMs: number() }),
-  /** How long ago the returned sketch was made. */
-  sinceMs: optional(number()),
-});
-
-/** What comes down with the fleet's sketch. */
-export type AggregatedCounts = Infer<typeof downShape>;
+type PushRequest = DecodedMessage<typeof RpcMethod.push.request>;
+type PushResponse = DecodedMessage<typeof RpcMethod.push.response>;
 
-const readDown = fastValidator(downShape);
-const readPush = fastValidator(pushShape);
+const NO_COVERAGE: CountCoverage = { edges: 0, oldestMs: 0 };
 
-export const AggregatedCounts = {
-  read: (text: string): AggregatedCounts => readDown(JSON.parse(text)),
-};
+/** The newest push of a child. */
+interface ReceivedPush {
+  readonly push: CountPush;
+  readonly counts: RequestCounts;
+  readonly atMs: number;
+}
 
-interface Kept {
-  push: CountPush;
-  counts: RequestCounts;
-  atMs: number;
+/** The cluster's counts as last received from the root. */
+interface ClusterCounts {
+  readonly counts: RequestCounts;
+  readonly atMs: number;
+  readonly coverage: CountCoverage;
+  /** The last push of each child that the counts include. */
+  readonly includedPushes: ReadonlyMap<string, number>;
 }
 
-interface FleetCounts {
-  counts: RequestCounts;
-  atMs: number;
-  coverage: AggregatedCounts["coverage"];
-  included: Map<string, number>;
+/** The cluster's counts as they are returned to edges, encoded once for all of them. */
+interface EncodedCounts {
+  readonly source: RequestCounts | undefined;
+  readonly withRoutes: boolean;
+  readonly bytes: Uint8Array;
+  readonly atMs: number;
 }
 
-const sameChild = (a: ChildReport, b: ChildReport): boolean =>
-  a.machine === b.machine &&
-  a.incarnation === b.incarnation &&
-  a.parentSequence === b.parentSequence;
+/** A push to the root that is yet to be encoded. */
+interface PreparedPush {
+  readonly push: CountPush;
+  readonly counts: RequestCounts;
+  readonly includedPushes: ReadonlyMap<string, number>;
+  readonly sentMs: number;
+}
 
 /** Merges the sketches of its children; at the leader it is the root, elsewhere it pushes to the root. */
 export class CountAggregator {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
-  private readonly form: RequestCountsFormat;
+  private readonly format: RequestCountsFormat;
   private readonly self: string;
   private readonly incarnation: string;
   private readonly leader: () => string;
   private readonly log: Logger;
-  /** Edges that push here, by machine and process. */
-  private readonly children = new Map<string, Kept>();
-  private granted: ChildReport[] = [];
-  /** At the root: what collectors pushed, and which collector counts which edge. */
-  private readonly collectors = new Map<string, Kept>();
-  private readonly countedBy = new Map<
-    string,
-    { child: ChildReport; collector: string; atMs: number }
-  >();
-  private fleet: FleetCounts | undefined;
-  private pushes = 0;
-  private routesMs = -Infinity;
-  /** The fleet's counts as they go down to edges, made once for all of them. */
-  private packed:
-    | { of: RequestCounts | undefined; withRoutes: boolean; bytes: Uint8Array; atMs: number }
-    | undefined;
+  /** The newest push of each edge that pushes here, by process. */
+  private readonly edges = new Map<string, ReceivedPush>();
+  /** Edges that the root lets this collector include. */
+  private granted: readonly ChildReport[] = [];
+  /** At the root: the newest acceptable push of each collector. */
+  private readonly collectors = new Map<string, ReceivedPush>();
+  private readonly assignments = new ChildAssignments();
+  private cluster: ClusterCounts | undefined;
+  private encoded: EncodedCounts | undefined;
+  private lastPush = 0;
+  private routesSentMs = -Infinity;
   private halfTripMs = 0;
-  private readonly nudge = new Queue<true>();
-  /** Children refused for what they sent. */
+  private readonly expedited = new Queue<true>();
+  /** How many pushes were refused for what they carried. */
   refused = 0;
 
+  /** `self` is this daemon's peer address, `leader` gives that of the leader or an empty text. */
   constructor(
     runtime: Runtime,
     rpc: RpcEndpoint,
-    form: RequestCountsFormat,
+    format: RequestCountsFormat,
     self: string,
     incarnation: string,
     leader: () => string,
   ) {
     this.runtime = runtime;
     this.rpc = rpc;
-    this.form = form;
+    this.format = format;
     this.self = self;
     this.incarnation = incarnation;
     this.leader = leader;
-    this.log = runtime.loggers.component("traffic");
-    rpc.serve(RpcMethod.push, (ask) => this.taking(ask));
+    this.log = runtime.loggers.component("retry-budget");
+    const handle = (request: PushRequest): PushResponse => this.handlePush(request);
+    rpc.serve(RpcMethod.push, function* (request) {
+      return handle(request);
+    });
   }
 
-  /** The fleet's counts as last heard, and what they cover. */
-  get latest():
-    { counts: RequestCounts; ageMs: number; coverage: AggregatedCounts["coverage"] } | undefined {
-    return (
-      this.fleet && {
-        counts: this.fleet.counts,
-        ageMs: this.runtime.clock.nowMs() - this.fleet.atMs,
-        coverage: this.fleet.coverage,
-      }
-    );
+  /** The cluster's counts as last received, and what they cover. */
+  get latest(): { counts: RequestCounts; ageMs: number; coverage: CountCoverage } | undefined {
+    if (!this.cluster) return undefined;
+    const { counts, atMs, coverage } = this.cluster;
+    return { counts, ageMs: this.runtime.clock.nowMs() - atMs, coverage };
   }
 
-  /** Merges and pushes at its own pace. */
+  /** Pushes the merged counts to the root every `pushMs`, or sooner where a child expedites it. */
   *run(pushMs: number): Task {
+    const { clock } = this.runtime;
     for (;;) {
-      const startedMs = this.runtime.clock.nowMs();
-      yield* Clock.sleep(this.runtime.clock, EXPEDITED_PUSH_MS);
-      const isHurried =
-        (yield* this.nudge.takeUntil(this.runtime.clock, startedMs + pushMs)) !== undefined;
-      this.forget();
-      const children = [...this.children.values()].map(({ push }) => CountAggregator.childOf(push));
-      const isGranted = (child: ChildReport): boolean =>
-        this.granted.some((one) => sameChild(one, child));
-      const nowMs = this.runtime.clock.nowMs();
-      const held = [...this.children.values()].filter(({ push }) =>
-        isGranted(CountAggregator.childOf(push)),
-      );
-      const withRoutes = nowMs - this.routesMs >= ROUTE_COUNTS_INTERVAL_MS;
-      if (withRoutes) this.routesMs = nowMs;
-      const merged = RequestCounts.merge(
-        held.map(({ counts }) => counts),
-        this.form,
-        nowMs,
-        withRoutes,
-      );
-      const included = new Map(
-        held.map(({ push }) => [`${push.from} ${push.incarnation}`, push.push]),
-      );
-      this.pushes += 1;
-      const push: CountPush = {
-        from: this.self,
-        incarnation: this.incarnation,
-        tier: "collector",
-        push: this.pushes,
-        parentSequence: 0,
-        halfTripMs: this.halfTripMs,
-        includes: children.filter(isGranted),
-        wants: children.filter((child) => !isGranted(child)),
-        isHurried,
-      };
+      const startedMs = clock.nowMs();
+      yield* Clock.sleep(clock, EXPEDITED_PUSH_MS);
+      const expedited = yield* this.expedited.takeUntil(clock, startedMs + pushMs);
+      const prepared = this.preparePush(expedited !== undefined);
       const leader = this.leader();
       if (!leader) continue;
-      const ask = { text: JSON.stringify(push), sketches: merged.encode(nowMs) };
-      const ret =
-        leader === this.self
-          ? this.take(ask)
-          : yield* this.rpc.call(leader, RpcMethod.push, ask, pushMs);
-      if (!ret) continue;
-      this.halfTripMs = leader === this.self ? 0 : (this.runtime.clock.nowMs() - nowMs) / 2;
-      const down = AggregatedCounts.read(ret.text);
-      if (down.taken !== "") continue;
-      this.granted = down.granted;
-      this.fleet = {
-        counts: RequestCounts.decode(
-          ret.sketches,
-          this.form,
-          this.runtime.clock.nowMs(),
-          this.halfTripMs,
-        ).withRoutesOf(this.fleet?.counts),
-        atMs: this.runtime.clock.nowMs(),
-        coverage: down.coverage,
-        included,
+      const request = {
+        text: JSON.stringify(prepared.push),
+        sketches: prepared.counts.encode(prepared.sentMs),
       };
+      const isRoot = leader === this.self;
+      const response = isRoot
+        ? this.handlePush(request)
+        : yield* this.rpc.call(leader, RpcMethod.push, request, pushMs);
+      if (!response) continue;
+      this.halfTripMs = isRoot ? 0 : (clock.nowMs() - prepared.sentMs) / 2;
+      this.receive(response, prepared.includedPushes);
     }
   }
 
-  private static childOf({ from, incarnation, parentSequence }: CountPush): ChildReport {
-    return { machine: from, incarnation, parentSequence };
+  private preparePush(isExpedited: boolean): PreparedPush {
+    this.expire();
+    const isGranted = (child: ChildReport): boolean =>
+      this.granted.some((one) => isSameChild(one, child));
+    const children = [...this.edges.values()].map(({ push }) => senderOf(push));
+    const sentMs = this.runtime.clock.nowMs();
+    const included = [...this.edges.values()].filter(({ push }) => isGranted(senderOf(push)));
+    const withRoutes = sentMs - this.routesSentMs >= ROUTE_COUNTS_INTERVAL_MS;
+    if (withRoutes) this.routesSentMs = sentMs;
+    const counts = RequestCounts.merge(
+      included.map((received) => received.counts),
+      this.format,
+      sentMs,
+      withRoutes,
+    );
+    this.lastPush += 1;
+    const push: CountPush = {
+      from: this.self,
+      incarnation: this.incarnation,
+      tier: "collector",
+      push: this.lastPush,
+      parentSequence: 0,
+      halfTripMs: this.halfTripMs,
+      includes: children.filter(isGranted),
+      wants: children.filter((child) => !isGranted(child)),
+      isHurried: isExpedited,
+    };
+    const includedPushes = new Map(
+      included.map((received) => [childKey(senderOf(received.push)), received.push.push]),
+    );
+    return { push, counts, includedPushes, sentMs };
   }
 
-  private *taking(
-    ask: DecodedMessage<typeof RpcMethod.push.request>,
-  ): Task<DecodedMessage<typeof RpcMethod.push.response>> {
-    return this.take(ask);
+  private receive(response: PushResponse, includedPushes: ReadonlyMap<string, number>): void {
+    const { taken, granted, coverage } = AggregatedCounts.read(response.text);
+    if (taken !== "") return;
+    this.granted = granted;
+    const nowMs = this.runtime.clock.nowMs();
+    this.cluster = {
+      counts: RequestCounts.decode(
+        response.sketches,
+        this.format,
+        nowMs,
+        this.halfTripMs,
+      ).withRoutesOf(this.cluster?.counts),
+      atMs: nowMs,
+      coverage,
+      includedPushes,
+    };
   }
 
-  private take(
-    ask: DecodedMessage<typeof RpcMethod.push.request>,
-  ): DecodedMessage<typeof RpcMethod.push.response> {
-    const nothing = { edges: 0, oldestMs: 0 };
+  private handlePush(request: PushRequest): PushResponse {
     const nowMs = this.runtime.clock.nowMs();
-    let kept: Kept;
+    let received: ReceivedPush;
     try {
-      const push = readPush(JSON.parse(ask.text));
-      kept = {
-        push,
-        atMs: nowMs,
-        counts: RequestCounts.decode(ask.sketches, this.form, nowMs, push.halfTripMs),
-      };
+      const push = CountPush.read(request.text);
+      const counts = RequestCounts.decode(request.sketches, this.format, nowMs, push.halfTripMs);
+      received = { push, counts, atMs: nowMs };
     } catch (error) {
       if (!(error instanceof SketchMismatchError)) throw error;
       this.refused += 1;
-      this.log.warn("A child's sketch was refused.", { why: error.message });
-      const down: AggregatedCounts = { taken: error.message, granted: [], coverage: nothing };
-      return { text: JSON.stringify(down), sketches: new Uint8Array() };
+      this.log.warn("sketch refused", { why: error.message });
+      const refusal: AggregatedCounts = {
+        taken: error.message,
+        granted: [],
+        coverage: NO_COVERAGE,
+      };
+      return { text: JSON.stringify(refusal), sketches: new Uint8Array() };
     }
-    return kept.push.tier === "edge" ? this.takeEdge(kept) : this.takeCollector(kept);
+    return received.push.tier === "edge"
+      ? this.handleEdge(received)
+      : this.handleCollector(received);
   }
 
-  private takeEdge(kept: Kept): DecodedMessage<typeof RpcMethod.push.response> {
-    const { push } = kept;
-    const name = `${push.from} ${push.incarnation}`;
-    const known = this.children.get(name);
-    if (!known || known.push.push <= push.push)
-      this.children.set(name, { ...kept, counts: kept.counts.withRoutesOf(known?.counts) });
-    if (push.isHurried) this.nudge.putOnce(true);
-    const fleet = this.fleet;
-    const includedPush = fleet?.included.get(name);
-    const down: AggregatedCounts = {
+  private handleEdge(received: ReceivedPush): PushResponse {
+    const { push, counts } = received;
+    const key = childKey(senderOf(push));
+    const former = this.edges.get(key);
+    if (!former || former.push.push <= push.push)
+      this.edges.set(key, { ...received, counts: counts.withRoutesOf(former?.counts) });
+    if (push.isHurried) this.expedited.putOnce(true);
+    const includedPush = this.cluster?.includedPushes.get(key);
+    const { bytes, atMs } = this.encodeCluster(counts.hasRoutes);
+    const response: AggregatedCounts = {
       taken: "",
       granted: [],
       ...(includedPush === undefined ? {} : { includedPush }),
-      coverage: fleet?.coverage ?? { edges: 0, oldestMs: 0 },
-    };
-    const { bytes, atMs } = this.pack(fleet?.counts, kept.counts.hasRoutes);
-    return {
-      text: JSON.stringify({ ...down, sinceMs: this.runtime.clock.nowMs() - atMs }),
-      sketches: bytes,
+      coverage: this.cluster?.coverage ?? NO_COVERAGE,
+      sinceMs: this.runtime.clock.nowMs() - atMs,
     };
+    return { text: JSON.stringify(response), sketches: bytes };
   }
 
-  private pack(
-    of: RequestCounts | undefined,
-    withRoutes: boolean,
-  ): { bytes: Uint8Array; atMs: number } {
-    if (this.packed && this.packed.of === of && this.packed.withRoutes === withRoutes)
-      return this.packed;
+  private encodeCluster(withRoutes: boolean): EncodedCounts {
+    const source = this.cluster?.counts;
+    if (this.encoded?.source === source && this.encoded?.withRoutes === withRoutes)
+      return this.encoded;
     const atMs = this.runtime.clock.nowMs();
-    this.packed = {
-      of,
-      withRoutes,
-      atMs,
-      bytes: (of ?? new RequestCounts(this.form)).encode(atMs, withRoutes),
-    };
-    return this.packed;
+    const bytes = (source ?? new RequestCounts(this.format)).encode(atMs, withRoutes);
+    this.encoded = { source, withRoutes, atMs, bytes };
+    return this.encoded;
   }
 
-  private takeCollector(kept: Kept): DecodedMessage<typeof RpcMethod.push.response> {
-    const { push } = kept;
+  private handleCollector(received: ReceivedPush): PushResponse {
+    const { push, counts } = received;
     const nowMs = this.runtime.clock.nowMs();
-    this.forget();
-    const granted: ChildReport[] = [];
-    for (const child of [...push.includes, ...push.wants]) {
-      const name = `${child.machine} ${child.incarnation}`;
-      const counted = this.countedBy.get(name);
-      const mine = counted?.collector === push.from;
-      const moved =
-        counted !== undefined && !mine && counted.child.parentSequence < child.parentSequence;
-      const stillHeld =
-        counted &&
-        this.collectors
-          .get(counted.collector)
-          ?.push.includes.some(
-            (one) => one.machine === child.machine && one.incarnation === child.incarnation,
-          );
-      if (counted === undefined || mine || (moved && !stillHeld)) {
-        this.countedBy.set(name, { child, collector: push.from, atMs: nowMs });
-        granted.push(child);
-      } else if (moved) counted.child = { ...counted.child, parentSequence: -1 };
-    }
-    const revoked = push.includes.filter((child) => {
-      const counted = this.countedBy.get(`${child.machine} ${child.incarnation}`);
-      return counted?.collector !== push.from || counted.child.parentSequence === -1;
-    });
+    this.expire();
+    const { granted, isAcceptable } = this.assignments.decide(
+      push,
+      (collector, child) => this.includes(collector, child),
+      nowMs,
+    );
     const former = this.collectors.get(push.from);
-    const { hasRoutes } = kept.counts;
-    if (revoked.length === 0)
-      this.collectors.set(push.from, { ...kept, counts: kept.counts.withRoutesOf(former?.counts) });
+    if (isAcceptable)
+      this.collectors.set(push.from, { ...received, counts: counts.withRoutesOf(former?.counts) });
     const merged = RequestCounts.merge(
-      [...this.collectors.values()].map(({ counts }) => counts),
-      this.form,
+      [...this.collectors.values()].map((one) => one.counts),
+      this.format,
       nowMs,
-      hasRoutes,
-    );
-    const edges = [...this.collectors.values()].reduce(
-      (sum, one) => sum + one.push.includes.length,
-      0,
+      counts.hasRoutes,
     );
-    const oldestMs = Math.max(0, ...[...this.collectors.values()].map(({ atMs }) => nowMs - atMs));
-    const down: AggregatedCounts = {
-      taken: "",
-      granted: granted.filter((child) => !revoked.some((one) => sameChild(one, child))),
-      coverage: { edges, oldestMs },
+    const response: AggregatedCounts = { taken: "", granted, coverage: this.coverage(nowMs) };
+    return { text: JSON.stringify(response), sketches: merged.encode(nowMs) };
+  }
+
+  /** Whether the newest acceptable push of a collector includes a child. */
+  private includes(collector: string, child: ChildReport): boolean {
+    const included = this.collectors.get(collector)?.push.includes ?? [];
+    return included.some((one) => isSameProcess(one, child));
+  }
+
+  private coverage(nowMs: number): CountCoverage {
+    const received = [...this.collectors.values()];
+    return {
+      edges: received.reduce((sum, { push }) => sum + push.includes.length, 0),
+      oldestMs: Math.max(0, ...received.map(({ atMs }) => nowMs - atMs)),
     };
-    return { text: JSON.stringify(down), sketches: merged.encode(nowMs) };
   }
 
-  private forget(): void {
-    const oldMs = this.runtime.clock.nowMs() - this.form.tries.windowMs;
-    for (const table of [this.children, this.collectors])
-      for (const [name, { atMs }] of table) if (atMs < oldMs) table.delete(name);
-    for (const [name, { atMs }] of this.countedBy) if (atMs < oldMs) this.countedBy.delete(name);
+  /** Forgets what is older than the window of the sketches. */
+  private expire(): void {
+    const sinceMs = this.runtime.clock.nowMs() - this.format.tries.windowMs;
+    for (const received of [this.edges, this.collectors])
+      for (const [key, { atMs }] of received) if (atMs < sinceMs) received.delete(key);
+    this.assignments.expire(sinceMs);
   }
 }
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -1,3 +1,4 @@
+/** The request counts of an edge, and its exchange with the tree of collectors. */
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import { RpcMethod } from "../rpc/rpc-method.js";
@@ -12,193 +13,237 @@
   AggregatedCounts,
   EXPEDITED_PUSH_MS,
   ROUTE_COUNTS_INTERVAL_MS,
+  type CountCoverage,
   type CountPush,
-} from "./count-aggregator.js";
-import { RequestCounts, type RequestCountsFormat } from "./request-counts.js";
-
-/** Which part of what is left may be taken before the next counts come: others take theirs meanwhile, some of it not yet counted. */
-const roundPart = 0.5;
-/** The parts of the window in which the sketch holds further tries against first ones. */
-const stretches = [0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.65, 0.8, 1];
-/** How many further tries of each daemon are taken for granted when what is left is parted. */
-const evenTries = 1;
-/** An edge's own counts, and the fleet's as they last came down the tree. */
+} from "./count-messages.js";
+import { RequestCounts, type AttemptCounts, type RequestCountsFormat } from "./request-counts.js";
+
+/** Which part of its quota a daemon may use before the next counts arrive: the others use theirs meanwhile, and not all of that is counted yet. */
+const ROUND_PART = 0.5;
+/** The parts of the window in which the sketch compares retries with first attempts. */
+const WINDOW_PARTS = [0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.65, 0.8, 1];
+/** How many retries each daemon is assumed to take when quotas are allotted. */
+const ASSUMED_RETRIES = 1;
+/** How far the time between pushes varies, as a part of it, around its mean. */
+const PUSH_JITTER = { min: 0.9, range: 0.2 };
+
+/** The process that counts, and its zone. */
+export interface EdgeIdentity {
+  readonly machine: string;
+  readonly incarnation: string;
+  readonly zone: string;
+}
+
+/** The cluster's attempts on a service in the retry window, how old the counts are, and how many edges they cover. */
+export interface ClusterAttemptCounts extends AttemptCounts {
+  readonly ageMs: number;
+  readonly edges: number;
+}
+
+/** A push that was sent, whose counts may be included in those that come down. */
+interface SentPush {
+  readonly push: number;
+  readonly atMs: number;
+}
+
+/** An edge's own counts, and the cluster's as they last came down the tree. */
 export class EdgeCounts {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
-  private readonly form: RequestCountsFormat;
+  private readonly format: RequestCountsFormat;
   private readonly clusterView: ClusterView;
-  private readonly self: { machine: string; incarnation: string; zone: string };
+  private readonly self: EdgeIdentity;
   private readonly rules: RetryRules;
   private readonly log: Logger;
   private readonly own: RequestCounts;
-  private fleet:
-    { counts: RequestCounts; atMs: number; coverage: AggregatedCounts["coverage"] } | undefined;
+  private cluster:
+    | { readonly counts: RequestCounts; readonly atMs: number; readonly coverage: CountCoverage }
+    | undefined;
   private parent = "";
   private parentSequence = 0;
-  private pushes: Array<{ push: number; atMs: number }> = [];
+  private sentPushes: SentPush[] = [];
   private lastPush = 0;
-  private readonly nudge = new Queue<true>();
+  private readonly expedited = new Queue<true>();
+  /** When the last push was sent that the cluster's counts include. */
   private includedMs = -Infinity;
   private halfTripMs = 0;
-  private routesMs = -Infinity;
+  private routesSentMs = -Infinity;
 
   constructor(
     runtime: Runtime,
     rpc: RpcEndpoint,
-    form: RequestCountsFormat,
+    format: RequestCountsFormat,
     clusterView: ClusterView,
-    self: { machine: string; incarnation: string; zone: string },
+    self: EdgeIdentity,
     rules: RetryRules = defaultRetryRules,
   ) {
     this.runtime = runtime;
     this.rpc = rpc;
-    this.form = form;
+    this.format = format;
     this.clusterView = clusterView;
     this.self = self;
     this.rules = rules;
-    this.log = runtime.loggers.component("traffic");
-    this.own = new RequestCounts(form);
+    this.log = runtime.loggers.component("retry-budget");
+    this.own = new RequestCounts(format);
   }
 
-  /** The fleet's counts as last heard. */
-  get latest():
-    { counts: RequestCounts; ageMs: number; coverage: AggregatedCounts["coverage"] } | undefined {
-    return (
-      this.fleet && {
-        counts: this.fleet.counts,
-        ageMs: this.runtime.clock.nowMs() - this.fleet.atMs,
-        coverage: this.fleet.coverage,
-      }
-    );
+  /** The cluster's counts as last received. */
+  get latest(): { counts: RequestCounts; ageMs: number; coverage: CountCoverage } | undefined {
+    if (!this.cluster) return undefined;
+    const { counts, atMs, coverage } = this.cluster;
+    return { counts, ageMs: this.runtime.clock.nowMs() - atMs, coverage };
   }
 
+  /** Counts a request on a route. */
   countRoute(route: number): void {
     this.own.countRoute(route, this.runtime.clock.nowMs());
   }
 
-  countAttempt(service: string, isFurther: boolean): void {
+  /** Counts an attempt that is sent to a backend of a service. */
+  countAttempt(service: string, isRetry: boolean): void {
     const number = this.clusterView.idOf("service", service);
-    if (number !== undefined) this.own.countAttempt(number, isFurther, this.runtime.clock.nowMs());
+    if (number !== undefined) this.own.countAttempt(number, isRetry, this.runtime.clock.nowMs());
   }
 
   /**
-   * What the fleet's sketch leaves this daemon of a service's further tries, and how many it took since. In every stretch of the
-   * window that is looked at, the fleet may take the pool and what its first tries earned; of what is left, each daemon has the part
-   * that it took of the fleet's further tries lately, and what its own first tries earned since.
+   * What the cluster's sketch leaves this daemon of a service's retries, and how many it took since. In each examined part of the
+   * window, the cluster may take the pool and what its first attempts earned. Of what is left, each daemon has the part that it
+   * took of the cluster's retries lately, and what its own first attempts earned since.
    */
   remainingQuota(service: string): SketchQuota | undefined {
     const number = this.clusterView.idOf("service", service);
-    if (number === undefined || !this.fleet) return undefined;
-    const { counts, coverage } = this.fleet;
+    if (number === undefined || !this.cluster) return undefined;
+    const { counts, coverage } = this.cluster;
     const { sketch, windowMs } = this.rules;
     const nowMs = this.runtime.clock.nowMs();
-    let left = sketch.pool;
-    for (const part of stretches) {
-      const { first, further } = counts.ofService(number, nowMs, part * windowMs);
-      left = Math.min(left, sketch.pool + sketch.earned * first - further);
+    let remaining = sketch.pool;
+    for (const windowPart of WINDOW_PARTS) {
+      const { first, further } = counts.ofService(number, nowMs, windowPart * windowMs);
+      remaining = Math.min(remaining, sketch.pool + sketch.earned * first - further);
     }
-    const since = this.own.ofService(number, nowMs, Math.min(windowMs, nowMs - this.includedMs));
-    const own = this.own.ofService(number, nowMs, windowMs).further - since.further;
-    const all = counts.ofService(number, nowMs, windowMs).further;
-    const part = Math.min(
+    const since = this.ownSinceIncluded(number, nowMs);
+    const ownRetries = this.own.ofService(number, nowMs, windowMs).further - since.further;
+    const clusterRetries = counts.ofService(number, nowMs, windowMs).further;
+    const ownPart = Math.min(
       1,
-      (own + evenTries) / (Math.max(own, all) + evenTries * Math.max(1, coverage.edges)),
+      (ownRetries + ASSUMED_RETRIES) /
+        (Math.max(ownRetries, clusterRetries) + ASSUMED_RETRIES * Math.max(1, coverage.edges)),
     );
-    return { part: left * part * roundPart + sketch.earned * since.first, taken: since.further };
+    return {
+      part: remaining * ownPart * ROUND_PART + sketch.earned * since.first,
+      taken: since.further,
+    };
   }
 
-  /** First and further tries of a service across the fleet in the retry window, with this daemon's own since. */
-  ofService(
-    service: string,
-  ): { first: number; further: number; ageMs: number; edges: number } | undefined {
+  /** First attempts and retries of a service across the cluster in the retry window, with this daemon's own since. */
+  ofService(service: string): ClusterAttemptCounts | undefined {
     const number = this.clusterView.idOf("service", service);
-    if (number === undefined || !this.fleet) return undefined;
+    if (number === undefined || !this.cluster) return undefined;
     const nowMs = this.runtime.clock.nowMs();
-    const { windowMs } = this.rules;
-    const fleet = this.fleet.counts.ofService(number, nowMs, windowMs);
-    const since = this.own.ofService(number, nowMs, Math.min(windowMs, nowMs - this.includedMs));
+    const cluster = this.cluster.counts.ofService(number, nowMs, this.rules.windowMs);
+    const since = this.ownSinceIncluded(number, nowMs);
     return {
-      first: fleet.first + since.first,
-      further: fleet.further + since.further,
+      first: cluster.first + since.first,
+      further: cluster.further + since.further,
       ageMs: nowMs - this.includedMs,
-      edges: this.fleet.coverage.edges,
+      edges: this.cluster.coverage.edges,
     };
   }
 
-  /** Has the next push go sooner, since further tries are wished for. */
+  /** Has the next push sent sooner, since retries are requested. */
   expedite(): void {
-    this.nudge.putOnce(true);
+    this.expedited.putOnce(true);
   }
 
-  /** Pushes to the zone's collector, or to another where it has none, for as long as the daemon runs; sooner where it is hurried. */
+  /** Pushes to a collector about every `pushMs` for as long as the daemon runs, or sooner where expedited. */
   *run(pushMs: number): Task {
+    const { clock } = this.runtime;
     for (;;) {
-      const startedMs = this.runtime.clock.nowMs();
-      yield* Clock.sleep(this.runtime.clock, EXPEDITED_PUSH_MS);
-      const isHurried =
-        (yield* this.nudge.takeUntil(
-          this.runtime.clock,
-          startedMs + pushMs * (0.9 + this.runtime.random() * 0.2),
-        )) !== undefined;
-      const nowMs = this.runtime.clock.nowMs();
-      this.own.expire(nowMs);
-      const withRoutes = nowMs - this.routesMs >= ROUTE_COUNTS_INTERVAL_MS;
+      const startedMs = clock.nowMs();
+      yield* Clock.sleep(clock, EXPEDITED_PUSH_MS);
+      const jitter = PUSH_JITTER.min + this.runtime.random() * PUSH_JITTER.range;
+      const expedited = yield* this.expedited.takeUntil(clock, startedMs + pushMs * jitter);
+      const sentMs = clock.nowMs();
+      this.own.expire(sentMs);
+      const withRoutes = sentMs - this.routesSentMs >= ROUTE_COUNTS_INTERVAL_MS;
       const parent = this.chooseParent();
       if (!parent) continue;
-      this.lastPush += 1;
-      const push: CountPush = {
-        from: this.self.machine,
-        incarnation: this.self.incarnation,
-        tier: "edge",
-        push: this.lastPush,
-        parentSequence: this.parentSequence,
-        halfTripMs: this.halfTripMs,
-        includes: [],
-        wants: [],
-        isHurried,
-      };
-      this.pushes.push({ push: this.lastPush, atMs: nowMs });
-      this.pushes = this.pushes.filter(({ atMs }) => atMs > nowMs - this.form.tries.windowMs);
-      const ret = yield* this.rpc.call(
+      const push = this.nextPush(expedited !== undefined, sentMs);
+      const response = yield* this.rpc.call(
         parent,
         RpcMethod.push,
-        { text: JSON.stringify(push), sketches: this.own.encode(nowMs, withRoutes) },
+        { text: JSON.stringify(push), sketches: this.own.encode(sentMs, withRoutes) },
         pushMs,
       );
-      const heardMs = this.runtime.clock.nowMs();
-      if (!ret) {
+      const receivedMs = clock.nowMs();
+      if (!response) {
         this.parent = "";
         continue;
       }
-      this.halfTripMs = (heardMs - nowMs) / 2;
-      if (withRoutes) this.routesMs = nowMs;
-      const down = AggregatedCounts.read(ret.text);
-      if (down.taken !== "") {
-        this.log.warn("The collector refused this daemon's sketch.", { why: down.taken });
-        continue;
-      }
-      if (down.includedPush !== undefined)
-        this.includedMs =
-          this.pushes.find(({ push: number }) => number === down.includedPush)?.atMs ?? -Infinity;
-      this.fleet = {
-        counts: RequestCounts.decode(
-          ret.sketches,
-          this.form,
-          heardMs,
-          this.halfTripMs + (down.sinceMs ?? 0),
-        ).withRoutesOf(this.fleet?.counts),
-        atMs: heardMs,
-        coverage: down.coverage,
-      };
+      this.halfTripMs = (receivedMs - sentMs) / 2;
+      if (withRoutes) this.routesSentMs = sentMs;
+      this.receive(AggregatedCounts.read(response.text), response.sketches, receivedMs);
     }
   }
 
+  private nextPush(isExpedited: boolean, sentMs: number): CountPush {
+    this.lastPush += 1;
+    this.sentPushes.push({ push: this.lastPush, atMs: sentMs });
+    this.sentPushes = this.sentPushes.filter(
+      ({ atMs }) => atMs > sentMs - this.format.tries.windowMs,
+    );
+    return {
+      from: this.self.machine,
+      incarnation: this.self.incarnation,
+      tier: "edge",
+      push: this.lastPush,
+      parentSequence: this.parentSequence,
+      halfTripMs: this.halfTripMs,
+      includes: [],
+      wants: [],
+      isHurried: isExpedited,
+    };
+  }
+
+  private receive(
+    { taken, includedPush, coverage, sinceMs = 0 }: AggregatedCounts,
+    sketches: Uint8Array,
+    receivedMs: number,
+  ): void {
+    if (taken !== "") {
+      this.log.warn("sketch refused by collector", { why: taken });
+      return;
+    }
+    if (includedPush !== undefined)
+      this.includedMs =
+        this.sentPushes.find(({ push }) => push === includedPush)?.atMs ?? -Infinity;
+    const counts = RequestCounts.decode(
+      sketches,
+      this.format,
+      receivedMs,
+      this.halfTripMs + sinceMs,
+    );
+    this.cluster = {
+      counts: counts.withRoutesOf(this.cluster?.counts),
+      atMs: receivedMs,
+      coverage,
+    };
+  }
+
+  /** This daemon's own attempts on a service that the cluster's counts don't include yet. */
+  private ownSinceIncluded(serviceNumber: number, nowMs: number): AttemptCounts {
+    const rangeMs = Math.min(this.rules.windowMs, nowMs - this.includedMs);
+    return this.own.ofService(serviceNumber, nowMs, rangeMs);
+  }
+
+  /** The collector to push to: the former one while it is there, else a random one of the own zone, or of all zones. */
   private chooseParent(): string {
-    const near = this.clusterView.collectors.filter(({ zone }) => zone === this.self.zone);
-    const choice = near.length > 0 ? near : this.clusterView.collectors;
-    if (choice.some(({ peer }) => peer === this.parent)) return this.parent;
-    const chosen = choice[Math.floor(this.runtime.random() * choice.length)]?.peer ?? "";
+    const { collectors } = this.clusterView;
+    const inZone = collectors.filter(({ zone }) => zone === this.self.zone);
+    const candidates = inZone.length > 0 ? inZone : collectors;
+    if (candidates.some(({ peer }) => peer === this.parent)) return this.parent;
+    const index = Math.floor(this.runtime.random() * candidates.length);
+    const chosen = candidates[index]?.peer ?? "";
     if (chosen !== this.parent) this.parentSequence += 1;
     this.parent = chosen;
     return chosen;
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -1,167 +1,178 @@
+/** Sketches of how often services were sent attempts and routes were requested, and their layout as they travel. */
 import * as r from "restructure";
 import { decodeExactly } from "../rpc/frame.js";
 import { ID_LIMIT } from "../state/id-allocator.js";
-import { DyadicSketch } from "../sketch/dyadic-sketch.js";
+import { DyadicSketch, type HeavyItem } from "../sketch/dyadic-sketch.js";
 import { EcmSketch, SketchMismatchError, type SketchFormat } from "../sketch/ecm-sketch.js";
 import { stampOf } from "../sketch/exponential-histogram.js";
 
-/** The window in which a service's repeats are held against its requests. */
+/** The default window in which a service's retries are compared with its requests. */
 export const RETRY_WINDOW_MS = 10_000;
 
-/** The longest window of a sketch: stamps wrap around. */
-const longestWindowMs = 32_000;
+/** The longest window of a sketch: its stamps wrap around. */
+const MAX_WINDOW_MS = 32_000;
 
-/** What every sketch of the fleet has in common. */
+/** What all sketches of a cluster have in common. */
 export interface RequestCountsFormat {
+  /** The sketch of attempts by service. */
   readonly tries: SketchFormat;
+  /** The sketch of requests by route. */
   readonly routes: SketchFormat;
+  /** How many bits the number of a route has. */
   readonly routeBits: number;
 }
 
 export const RequestCountsFormat = {
-  /** Ours: a window twice the budget's, so that late counts still fall inside; as many routes as can have a number. */
+  /** The default: a window twice the retry budget's, so that late counts still fall inside, and as many routes as there are numbers. */
   usual: {
     tries: { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 1 },
     routes: { epsilon: 0.2, delta: 0.1, windowMs: 20_000, seed: 101 },
     routeBits: Math.log2(ID_LIMIT),
   },
 
-  /** The usual form, for another window of the budget; as long as the stamps allow. */
-  forWindow(retryMs: number): RequestCountsFormat {
+  /** The default format for another window of the retry budget; as long as the stamps allow. */
+  forWindow(retryWindowMs: number): RequestCountsFormat {
     const { tries, routes, routeBits } = RequestCountsFormat.usual;
-    const windowMs = Math.min(2 * retryMs, longestWindowMs);
+    const windowMs = Math.min(2 * retryWindowMs, MAX_WINDOW_MS);
     return { tries: { ...tries, windowMs }, routes: { ...routes, windowMs }, routeBits };
   },
 };
 
-const form = new r.Struct({
+/** First attempts and retries of a service. */
+export interface AttemptCounts {
+  readonly first: number;
+  readonly further: number;
+}
+
+const formatStruct = new r.Struct({
   epsilon: r.double,
   delta: r.double,
   windowMs: r.uint32,
   seed: r.uint32,
 });
-const histogram = new r.Struct({
+const histogramStruct = new r.Struct({
   floorAge: r.uint16,
   levels: new r.Array(new r.Array(r.uint16, r.uint16), r.uint8),
 });
-const sketch = new r.Struct({
-  form,
-  cells: new r.Array(new r.Struct({ cell: r.uint32, histogram }), r.uint16),
+const sketchStruct = new r.Struct({
+  format: formatStruct,
+  cells: new r.Array(new r.Struct({ cell: r.uint32, histogram: histogramStruct }), r.uint16),
 });
-const counts = new r.Struct({ tries: sketch, routes: new r.Array(sketch, r.uint8) });
+const countsStruct = new r.Struct({
+  attempts: sketchStruct,
+  routes: new r.Array(sketchStruct, r.uint8),
+});
+
+/** The item that stands for a service's first attempts or its retries in the sketch of attempts. */
+const attemptItem = (serviceNumber: number, isRetry: boolean): number =>
+  serviceNumber * 2 + (isRetry ? 1 : 0);
 
-/** First and further tries by service and requests by route, in a sliding window. */
+/** First attempts and retries by service and requests by route, in a sliding window. */
 export class RequestCounts {
-  readonly form: RequestCountsFormat;
-  private readonly tries: EcmSketch;
+  readonly format: RequestCountsFormat;
+  private readonly attempts: EcmSketch;
   private readonly routes: DyadicSketch;
-  /** Whether requests by route are among them: they travel less often than tries do. */
+  /** Whether requests by route are included: they travel less often than attempts do. */
   readonly hasRoutes: boolean;
 
   constructor(
-    form: RequestCountsFormat,
-    tries?: EcmSketch,
-    routes?: DyadicSketch,
+    format: RequestCountsFormat,
+    attempts = new EcmSketch(format.tries),
+    routes = new DyadicSketch(format.routes, format.routeBits),
     hasRoutes = true,
   ) {
-    this.form = form;
-    this.tries = tries ?? new EcmSketch(form.tries);
-    this.routes = routes ?? new DyadicSketch(form.routes, form.routeBits);
+    this.format = format;
+    this.attempts = attempts;
+    this.routes = routes;
     this.hasRoutes = hasRoutes;
   }
 
-  /** These tries with the routes of counts that came before, where these came without. */
+  /** These counts with the routes of former ones, where these have none. */
   withRoutesOf(former: RequestCounts | undefined): RequestCounts {
     return this.hasRoutes || !former
       ? this
-      : new RequestCounts(this.form, this.tries, former.routes, former.hasRoutes);
+      : new RequestCounts(this.format, this.attempts, former.routes, former.hasRoutes);
   }
 
-  /** Counts a try sent to a backend of a service. */
-  countAttempt(service: number, isFurther: boolean, nowMs: number): void {
-    this.tries.add(service * 2 + (isFurther ? 1 : 0), stampOf(nowMs));
+  /** Counts an attempt sent to a backend of a service. */
+  countAttempt(service: number, isRetry: boolean, nowMs: number): void {
+    this.attempts.add(attemptItem(service, isRetry), stampOf(nowMs));
   }
 
-  /** Counts a request taken on a route. */
+  /** Counts a request on a route. */
   countRoute(route: number, nowMs: number): void {
     this.routes.add(route, stampOf(nowMs));
   }
 
-  /** First and further tries of a service in the last `rangeMs`. */
-  ofService(service: number, nowMs: number, rangeMs: number): { first: number; further: number } {
+  /** First attempts and retries of a service in the last `rangeMs`. */
+  ofService(service: number, nowMs: number, rangeMs: number): AttemptCounts {
     const now = stampOf(nowMs);
     return {
-      first: this.tries.estimate(service * 2, now, rangeMs),
-      further: this.tries.estimate(service * 2 + 1, now, rangeMs),
+      first: this.attempts.estimate(attemptItem(service, false), now, rangeMs),
+      further: this.attempts.estimate(attemptItem(service, true), now, rangeMs),
     };
   }
 
-  /** Routes that make up at least `phi` of all requests in the last `rangeMs`, by number. */
-  heavyRoutes(
-    phi: number,
-    nowMs: number,
-    rangeMs: number,
-  ): Array<{ item: number; estimate: number }> {
+  /** Routes that make up at least the part `phi` of all requests in the last `rangeMs`, by number. */
+  heavyRoutes(phi: number, nowMs: number, rangeMs: number): HeavyItem[] {
     return this.routes.heavy(phi, stampOf(nowMs), rangeMs);
   }
 
+  /** Drops what is older than the window. */
   expire(nowMs: number): void {
-    this.tries.expire(stampOf(nowMs));
+    this.attempts.expire(stampOf(nowMs));
     this.routes.expire(stampOf(nowMs));
   }
 
-  /** As they travel, with or without routes. */
+  /** The bytes that travel, with or without routes. */
   encode(nowMs: number, withRoutes = true): Uint8Array {
     const now = stampOf(nowMs);
-    return counts.toBuffer({
-      tries: this.tries.aged(now),
+    return countsStruct.toBuffer({
+      attempts: this.attempts.aged(now),
       routes: withRoutes && this.hasRoutes ? this.routes.aged(now) : [],
     });
   }
 
-  /** Reads counts that were on their way for `olderMs`; those of another form are refused. */
+  /** Decodes counts that were in transit for `olderMs`. Throws a `SketchMismatchError` for those of another format. */
   static decode(
     bytes: Uint8Array,
-    form: RequestCountsFormat,
+    format: RequestCountsFormat,
     nowMs: number,
     olderMs: number,
   ): RequestCounts {
-    const held = decodeExactly(counts, bytes);
+    const decoded = decodeExactly(countsStruct, bytes);
     const now = stampOf(nowMs);
-    const tries = EcmSketch.ofAged(held.tries, form.tries, now, olderMs);
-    if (held.routes.length === 0) return new RequestCounts(form, tries, undefined, false);
-    if (held.routes.length !== form.routeBits)
+    const attempts = EcmSketch.ofAged(decoded.attempts, format.tries, now, olderMs);
+    if (decoded.routes.length === 0) return new RequestCounts(format, attempts, undefined, false);
+    if (decoded.routes.length !== format.routeBits)
       throw new SketchMismatchError("The sketch has another number of levels.");
     return new RequestCounts(
-      form,
-      tries,
-      DyadicSketch.ofAged(held.routes, form.routes, form.routeBits, now, olderMs),
+      format,
+      attempts,
+      DyadicSketch.ofAged(decoded.routes, format.routes, format.routeBits, now, olderMs),
     );
   }
 
+  /** Merges counts; without routes, where those of the inputs aren't wanted. */
   static merge(
     inputs: RequestCounts[],
-    form: RequestCountsFormat,
+    format: RequestCountsFormat,
     nowMs: number,
     withRoutes = true,
   ): RequestCounts {
     const now = stampOf(nowMs);
-    const tries = (): EcmSketch =>
-      EcmSketch.merge(
-        inputs.map((input) => input.tries),
-        form.tries,
-        now,
-      );
-    if (!withRoutes) return new RequestCounts(form, tries(), undefined, false);
-    return new RequestCounts(
-      form,
-      tries(),
-      DyadicSketch.merge(
-        inputs.flatMap((input) => (input.hasRoutes ? [input.routes] : [])),
-        form.routes,
-        form.routeBits,
-        now,
-      ),
+    const attempts = EcmSketch.merge(
+      inputs.map((input) => input.attempts),
+      format.tries,
+      now,
+    );
+    if (!withRoutes) return new RequestCounts(format, attempts, undefined, false);
+    const routes = DyadicSketch.merge(
+      inputs.flatMap((input) => (input.hasRoutes ? [input.routes] : [])),
+      format.routes,
+      format.routeBits,
+      now,
     );
+    return new RequestCounts(format, attempts, routes);
   }
 }
--- a/src/retry-budget/retry-budget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -1,3 +1,4 @@
+/** The decision whether a retry may be sent, by the sketch of the cluster and an exact local guard. */
 import { RetryRules } from "./retry-rules.js";
 import { RETRY_WINDOW_MS } from "./request-counts.js";
 
@@ -10,49 +11,58 @@
   guard: defaultStrictRule,
 } = defaultRetryRules;
 
-const slotMs = 100;
+const SLOT_MS = 100;
+/** How much longer than the window slots are retained: clocks run at their own pace, and a lossy network may bring retries closer together than they were sent. */
+const RETENTION_MARGIN_MS = 1000;
+/** A capacity with less than this left is nearly used up. */
+const SHORT_CAPACITY = 2;
 
+/** What happened in one slot of time. */
 interface Slot {
-  at: number;
+  /** Number of the slot since the clock's zero. */
+  readonly index: number;
   requests: number;
-  further: number;
-  wished: number;
+  retries: number;
+  /** Retries that were requested, whether they were allowed or not. */
+  requested: number;
 }
 
+/** A service's capacity and its slots, oldest first. */
 interface Account {
   capacity: number;
-  slots: Slot[];
+  readonly slots: Slot[];
 }
 
-/** What the sketch leaves this daemon of a service's further tries, and what it took since. */
+/** What the sketch leaves this daemon of a service's retries, and what it took since. */
 export interface SketchQuota {
   readonly part: number;
   readonly taken: number;
 }
 
+const slotIndex = (nowMs: number): number => Math.floor(nowMs / SLOT_MS);
+
 /**
- * Decides on further tries: by the fleet's sketch, with an exact guard behind it. The guard is a capacity that the leader
- * granted, and what this daemon's own requests earned: in no stretch of the window may more be taken than both together.
+ * Decides on retries: by the cluster's sketch, with an exact guard behind it. The guard is a capacity that the leader allotted,
+ * and what this daemon's own requests earned: in no part of the window may more be taken than both together.
  */
 export class RetryBudget {
   readonly rules: RetryRules;
   private readonly accounts = new Map<string, Account>();
-  /** Longer than the window, since clocks run at their own pace and a lossy network brings tries closer together than they were sent. */
-  private readonly heldSlots: number;
-  /** Hears that a capacity is nearly spent. */
+  private readonly retainedSlots: number;
+  /** Called when a capacity is nearly used up. */
   onShort: () => void = () => undefined;
 
   constructor(rules: RetryRules = defaultRetryRules) {
     this.rules = rules;
-    this.heldSlots = Math.ceil((rules.windowMs + 1000) / slotMs);
+    this.retainedSlots = Math.ceil((rules.windowMs + RETENTION_MARGIN_MS) / SLOT_MS);
   }
 
-  /** Counts a request that was taken, which earns a part of a further try. */
+  /** Counts a request, which earns a part of a retry. */
   countFirst(service: string, nowMs: number): void {
     this.slot(this.account(service), nowMs).requests += 1;
   }
 
-  /** Takes leave for one further try, or tells who refused it. */
+  /** Takes one retry out of the budget, or returns what refused it. */
   take(
     service: string,
     sketch: SketchQuota | undefined,
@@ -60,73 +70,78 @@
   ): "granted" | "sketch" | "guard" {
     const account = this.account(service);
     const slot = this.slot(account, nowMs);
-    slot.wished += 1;
-    const left = account.capacity - this.used(account);
-    if (left < 2) this.onShort();
+    slot.requested += 1;
+    const remaining = account.capacity - this.used(account);
+    if (remaining < SHORT_CAPACITY) this.onShort();
     if (sketch && sketch.taken + 1 > sketch.part) return "sketch";
-    if (left < 1) return "guard";
-    slot.further += 1;
+    if (remaining < 1) return "guard";
+    slot.retries += 1;
     return "granted";
   }
 
-  /** A further try that was granted at some moment reached nobody. */
+  /** Gives back a retry that was taken at `takenMs` and not sent. */
   refund(service: string, takenMs: number): void {
-    const at = Math.floor(takenMs / slotMs);
-    const slot = this.account(service).slots.find((one) => one.at === at);
-    if (slot && slot.further > 0) slot.further -= 1;
+    const index = slotIndex(takenMs);
+    const slot = this.account(service).slots.find((one) => one.index === index);
+    if (slot && slot.retries > 0) slot.retries -= 1;
   }
 
-  /** How many further tries were wished for in the last window. */
+  /** How many retries were requested in the last window. */
   requested(service: string, nowMs: number): number {
     const account = this.account(service);
     this.slot(account, nowMs);
-    return account.slots.reduce((sum, { wished }) => sum + wished, 0);
+    return account.slots.reduce((sum, { requested }) => sum + requested, 0);
   }
 
-  /** Takes what the leader granted; a service that isn't named has none. What was used up in the window can't be taken away before it is over. */
+  /** Takes the capacities that the leader allotted; a service that isn't named has none. What is used in the window can't be taken away before it is over. */
   setCapacities(capacities: ReadonlyMap<string, number>, nowMs: number): void {
     for (const service of new Set([...this.accounts.keys(), ...capacities.keys()])) {
       const account = this.account(service);
       this.slot(account, nowMs);
-      const granted = capacities.get(service) ?? 0;
+      const allotted = capacities.get(service) ?? 0;
       account.capacity =
-        granted >= account.capacity
-          ? granted
-          : Math.max(granted, Math.min(account.capacity, this.used(account)));
+        allotted >= account.capacity
+          ? allotted
+          : Math.max(allotted, Math.min(account.capacity, this.used(account)));
     }
   }
 
+  /** The capacities in force, by service. */
   get capacities(): Map<string, number> {
     return new Map([...this.accounts].map(([service, { capacity }]) => [service, capacity]));
   }
 
-  /** The most that any stretch up to now took beyond what it earned; within a slot the takes count as later than the earning before and earlier than the one after. */
+  /**
+   * The largest number of retries that any span up to now has beyond what it earned. Within a slot, retries count as later than
+   * the requests of the slots before and earlier than its own.
+   */
   private used(account: Account): number {
     let sum = 0;
-    let most = 0;
-    for (let at = account.slots.length - 1; at >= 0; at -= 1) {
-      const slot = account.slots[at];
+    let largest = 0;
+    for (let index = account.slots.length - 1; index >= 0; index -= 1) {
+      const slot = account.slots[index];
       if (!slot) break;
-      most = Math.max(most, sum + slot.further);
-      sum += slot.further - this.rules.guard.earned * slot.requests;
+      largest = Math.max(largest, sum + slot.retries);
+      sum += slot.retries - this.rules.guard.earned * slot.requests;
     }
-    return most;
+    return largest;
   }
 
   private account(service: string): Account {
     const known = this.accounts.get(service);
     if (known) return known;
-    const account = { capacity: 0, slots: [] };
+    const account: Account = { capacity: 0, slots: [] };
     this.accounts.set(service, account);
     return account;
   }
 
+  /** The slot of a moment, made where it is missing; slots that are too old are dropped. */
   private slot({ slots }: Account, nowMs: number): Slot {
-    const at = Math.floor(nowMs / slotMs);
-    while ((slots[0]?.at ?? at) < at - this.heldSlots) slots.shift();
+    const index = slotIndex(nowMs);
+    while ((slots[0]?.index ?? index) < index - this.retainedSlots) slots.shift();
     const last = slots.at(-1);
-    if (last && last.at >= at) return last;
-    const slot = { at, requests: 0, further: 0, wished: 0 };
+    if (last && last.index >= index) return last;
+    const slot: Slot = { index, requests: 0, retries: 0, requested: 0 };
     slots.push(slot);
     return slot;
   }
--- a/src/retry-budget/retry-rules.ts
+++ b/src/retry-budget/retry-rules.ts
@@ -1,22 +1,26 @@
-/** How many further tries a service may take: a part for each request, and a pool besides. */
+/** The rules for how many retries a service may take in a window. */
+
+/** How many retries a service may take: a part for each request, and a pool besides. */
 export interface RetryRule {
+  /** Retries that each request earns. */
   readonly earned: number;
+  /** Retries in each window beyond those earned. */
   readonly pool: number;
 }
 
-/** The rule for further tries, and the stricter ones by which it is kept. */
+/** The rule for retries, and the stricter ones by which it is enforced. */
 export interface RetryRules {
   readonly rule: RetryRule;
-  /** What the sketch decides by on the ordinary path. */
+  /** What the sketch, which is approximate, decides by. */
   readonly sketch: RetryRule;
-  /** What the exact guard allows at most, between the sketch's limits and the rule's. */
+  /** What the exact guard allows: more than the sketch's rule, less than the rule itself. */
   readonly guard: RetryRule;
-  /** The window in which a service's further tries are held against its requests. */
+  /** The window in which a service's retries are compared with its requests. */
   readonly windowMs: number;
 }
 
 export const RetryRules = {
-  /** The rules that keep a ratio and a number of extra tries in every window. */
+  /** The rules by which each window has at most `ratio` retries for each request, and `extra` more. */
   of(ratio: number, extra: number, windowMs: number): RetryRules {
     return {
       rule: { earned: ratio, pool: extra },
--- a/src/sketch/dyadic-sketch.ts
+++ b/src/sketch/dyadic-sketch.ts
@@ -8,14 +8,14 @@
 
 /** One sketch for each power of two: finds the items that make up a given part of a window. */
 export class DyadicSketch {
-  readonly form: SketchFormat;
+  readonly format: SketchFormat;
   readonly bits: number;
   private readonly levels: EcmSketch[];
 
-  constructor(form: SketchFormat, bits: number, levels?: EcmSketch[]) {
-    this.form = form;
+  constructor(format: SketchFormat, bits: number, levels?: EcmSketch[]) {
+    this.format = format;
     this.bits = bits;
-    this.levels = levels ?? Array.from({ length: bits }, () => new EcmSketch(form));
+    this.levels = levels ?? Array.from({ length: bits }, () => new EcmSketch(format));
   }
 
   add(item: number, stamp: number): void {
@@ -60,31 +60,31 @@
 
   static ofAged(
     aged: AgedSketch[],
-    form: SketchFormat,
+    format: SketchFormat,
     bits: number,
     now: number,
     olderMs: number,
   ): DyadicSketch {
     return new DyadicSketch(
-      form,
+      format,
       bits,
-      aged.slice(0, bits).map((sketch) => EcmSketch.ofAged(sketch, form, now, olderMs)),
+      aged.slice(0, bits).map((sketch) => EcmSketch.ofAged(sketch, format, now, olderMs)),
     );
   }
 
   static merge(
     inputs: DyadicSketch[],
-    form: SketchFormat,
+    format: SketchFormat,
     bits: number,
     now: number,
   ): DyadicSketch {
     const levels = Array.from({ length: bits }, (_, level) =>
       EcmSketch.merge(
         inputs.flatMap((input) => input.levels.slice(level, level + 1)),
-        form,
+        format,
         now,
       ),
     );
-    return new DyadicSketch(form, bits, levels);
+    return new DyadicSketch(format, bits, levels);
   }
 }
--- a/src/sketch/ecm-sketch.ts
+++ b/src/sketch/ecm-sketch.ts
@@ -3,7 +3,7 @@
 
 const { h32 } = await xxhash();
 
-/** How many items' cells are remembered for one form. */
+/** How many items' cells are remembered for one format. */
 const knownItems = 4096;
 const knownCells = new Map<string, Map<number, readonly number[]>>();
 
@@ -17,7 +17,7 @@
 
 /** A sketch as it travels. */
 export interface AgedSketch {
-  form: SketchFormat;
+  format: SketchFormat;
   cells: Array<{ cell: number; histogram: AgedHistogram }>;
 }
 
@@ -34,20 +34,20 @@
 
 /** A Count-Min array whose cells are exponential histograms: frequencies of items in a sliding window. */
 export class EcmSketch {
-  readonly form: SketchFormat;
+  readonly format: SketchFormat;
   readonly width: number;
   readonly depth: number;
   readonly cellEpsilon: number;
   private readonly cells = new Map<number, ExponentialHistogram>();
-  /** The cells of items seen before, for all sketches of a form. */
+  /** The cells of items seen before, for all sketches of a format. */
   private readonly known: Map<number, readonly number[]>;
 
-  constructor(form: SketchFormat) {
-    this.form = form;
-    this.cellEpsilon = Math.sqrt(form.epsilon + 1) - 1;
+  constructor(format: SketchFormat) {
+    this.format = format;
+    this.cellEpsilon = Math.sqrt(format.epsilon + 1) - 1;
     this.width = Math.ceil(Math.E / this.cellEpsilon);
-    this.depth = Math.ceil(Math.log(1 / form.delta));
-    const name = `${form.seed} ${this.width} ${this.depth}`;
+    this.depth = Math.ceil(Math.log(1 / format.delta));
+    const name = `${format.seed} ${this.width} ${this.depth}`;
     const known = knownCells.get(name) ?? new Map<number, readonly number[]>();
     knownCells.set(name, known);
     this.known = known;
@@ -58,7 +58,7 @@
     for (const cell of this.cellsOf(item)) {
       let histogram = this.cells.get(cell);
       if (!histogram) {
-        histogram = new ExponentialHistogram(this.cellEpsilon, this.form.windowMs);
+        histogram = new ExponentialHistogram(this.cellEpsilon, this.format.windowMs);
         this.cells.set(cell, histogram);
       }
       histogram.add(stamp);
@@ -93,33 +93,33 @@
   aged(now: number): AgedSketch {
     this.expire(now);
     return {
-      form: this.form,
+      format: this.format,
       cells: [...this.cells].map(([cell, histogram]) => ({ cell, histogram: histogram.aged(now) })),
     };
   }
 
-  /** A sketch from its aged form; `olderMs` is how long it has been on its way. */
-  static ofAged(aged: AgedSketch, form: SketchFormat, now: number, olderMs: number): EcmSketch {
-    if (!SketchFormat.same(aged.form, form))
+  /** A sketch from its aged format; `olderMs` is how long it has been on its way. */
+  static ofAged(aged: AgedSketch, format: SketchFormat, now: number, olderMs: number): EcmSketch {
+    if (!SketchFormat.same(aged.format, format))
       throw new SketchMismatchError("The sketch has other dimensions.");
-    const sketch = new EcmSketch(form);
+    const sketch = new EcmSketch(format);
     for (const { cell, histogram } of aged.cells) {
       if (cell >= sketch.width * sketch.depth)
         throw new SketchMismatchError("The sketch has a cell too many.");
       sketch.cells.set(
         cell,
-        ExponentialHistogram.ofAged(histogram, sketch.cellEpsilon, form.windowMs, now, olderMs),
+        ExponentialHistogram.ofAged(histogram, sketch.cellEpsilon, format.windowMs, now, olderMs),
       );
     }
     return sketch;
   }
 
   /** Merges cell by cell. */
-  static merge(inputs: EcmSketch[], form: SketchFormat, now: number): EcmSketch {
-    const merged = new EcmSketch(form);
+  static merge(inputs: EcmSketch[], format: SketchFormat, now: number): EcmSketch {
+    const merged = new EcmSketch(format);
     const byCell = new Map<number, ExponentialHistogram[]>();
     for (const input of inputs) {
-      if (!SketchFormat.same(input.form, form))
+      if (!SketchFormat.same(input.format, format))
         throw new SketchMismatchError("The sketch has other dimensions.");
       for (const [cell, histogram] of input.cells) {
         const held = byCell.get(cell);
@@ -131,7 +131,7 @@
       const histogram = ExponentialHistogram.merge(
         histograms,
         merged.cellEpsilon,
-        form.windowMs,
+        format.windowMs,
         now,
       );
       if (!histogram.isEmpty) merged.cells.set(cell, histogram);
@@ -144,7 +144,7 @@
     if (known) return known;
     const cells = Array.from(
       { length: this.depth },
-      (_, row) => row * this.width + (h32(String(item), this.form.seed + row) % this.width),
+      (_, row) => row * this.width + (h32(String(item), this.format.seed + row) % this.width),
     );
     if (this.known.size >= knownItems) this.known.clear();
     this.known.set(item, cells);
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -20,7 +20,7 @@
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import type { Task } from "../../src/runtime/task.js";
 import type { Connection, Network } from "../../src/runtime/network.js";
-import { AggregatedCounts } from "../../src/retry-budget/count-aggregator.js";
+import { AggregatedCounts } from "../../src/retry-budget/count-messages.js";
 import { RequestCounts, RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
 import { FleetStage, type MachineLife, type StageMachine } from "../replication/fleet-stage.js";
 import { historyPiece, recordTexts, runOn } from "./stored-data.js";
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -11,14 +11,14 @@
 import { CountAggregator } from "../../src/retry-budget/count-aggregator.js";
 import { RequestCounts, RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
 
-test("an edge that moves to another collector, or whose collector dies, is never counted twice", () => {
+test("an edge that changes its collector, also because that crashed, is never counted twice", () => {
   const time = new VirtualClock();
   const network = new VirtualNetwork(time.clock(), RandomDraw.of(3));
   const fail = (error: unknown): void => {
     throw error;
   };
   const gates = new Map<string, InstanceType<typeof EventGate>>();
-  const linkAt = (address: string): { runtime: Runtime; rpc: RpcEndpoint } => {
+  const endpointAt = (address: string): { runtime: Runtime; rpc: RpcEndpoint } => {
     const gate = new EventGate();
     gates.set(address, gate);
     const runtime = virtualRuntime({
@@ -31,7 +31,7 @@
     return { runtime, rpc };
   };
   const [root, ...others] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map((address) => {
-    const { runtime, rpc } = linkAt(address);
+    const { runtime, rpc } = endpointAt(address);
     const collector = new CountAggregator(
       runtime,
       rpc,
@@ -43,7 +43,7 @@
     Task.start(collector.run(2000), fail);
     return { address, collector };
   });
-  const { runtime, rpc } = linkAt("10.0.0.9:1");
+  const { runtime, rpc } = endpointAt("10.0.0.9:1");
   const counts = new RequestCounts(RequestCountsFormat.usual);
   const [left, right] = others;
   if (!root || !left || !right) throw new Error("A collector is missing.");
@@ -51,7 +51,7 @@
   let parentSequence = 1;
   let push = 0;
   let counted = 0;
-  let most = 0;
+  let largest = 0;
   for (let atMs = 0; atMs < 60_000; atMs += 20) {
     time.runUntil(atMs);
     counts.countAttempt(1, false, time.nowMs());
@@ -89,12 +89,12 @@
     }
     const latest = root.collector.latest;
     if (!latest || atMs < 12_000) continue;
-    const seen = latest.counts.ofService(1, time.nowMs(), 10_000).first;
-    most = Math.max(most, seen);
+    const estimate = latest.counts.ofService(1, time.nowMs(), 10_000).first;
+    largest = Math.max(largest, estimate);
   }
   expect(counted).toBe(3000);
-  expect(most).toBeGreaterThan(250);
-  expect(most).toBeLessThan(450);
+  expect(largest).toBeGreaterThan(250);
+  expect(largest).toBeLessThan(450);
   expect(root.collector.latest?.counts.ofService(1, time.nowMs(), 10_000).first).toBeGreaterThan(
     250,
   );
--- a/test/retry-budget/retry-budget.test.ts
+++ b/test/retry-budget/retry-budget.test.ts
@@ -4,80 +4,79 @@
 import { RetryBudget, defaultRetryRule } from "../../src/retry-budget/retry-budget.js";
 import { RETRY_WINDOW_MS } from "../../src/retry-budget/request-counts.js";
 
-test("in any window the guard alone keeps the rule, whatever edges come and die, leaders change, callers stop and reports are late", () => {
+test("the guard alone enforces the rule in every window, though edges start and crash, leaders change, clients stop and reports are late", () => {
   let taken = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
     const random = RandomDraw.of(seed);
-    const allowance = new RetryQuotas();
+    const quotas = new RetryQuotas();
     const holders = new Set<string>();
-    allowance.lead(0, `l${seed}`, holders);
-    let born = 0;
-    const bear = () => ({
-      name: `e${(born += 1)}`,
+    quotas.lead(0, `l${seed}`, holders);
+    let started = 0;
+    const start = () => ({
+      name: `e${(started += 1)}`,
       number: "",
       budget: new RetryBudget(),
-      diesMs: random() * (seed % 4 === 0 ? 6000 : 120_000),
-      grantedUntilMs: -Infinity,
+      crashMs: random() * (seed % 4 === 0 ? 6000 : 120_000),
+      leaseUntilMs: -Infinity,
     });
-    const edges = Array.from({ length: 6 }, bear);
+    const edges = Array.from({ length: 6 }, start);
     const requests: number[] = [];
-    const furthers: number[] = [];
+    const retries: number[] = [];
     const late: Array<{ atMs: number; run: () => void }> = [];
     const stopsMs = seed % 3 === 0 ? 20_000 : Infinity;
     for (let nowMs = 0; nowMs < 50_000; nowMs += 20) {
       if (nowMs % (seed % 2 === 0 ? 7000 : 25_000) === 6980)
-        allowance.lead(nowMs, `l${seed}-${nowMs}`, new Set(holders));
+        quotas.lead(nowMs, `l${seed}-${nowMs}`, new Set(holders));
       for (const one of late.splice(0).filter((item) => item.atMs > nowMs || (item.run(), false)))
         late.push(one);
-      edges.forEach((edge, at) => {
-        if (nowMs > edge.diesMs) edges[at] = bear();
+      edges.forEach((edge, index) => {
+        if (nowMs > edge.crashMs) edges[index] = start();
         if (nowMs % 200 === 0 && random() < 0.9) {
           const report = { number: edge.number, capacities: edge.budget.capacities };
-          const wished = new Map([["s", edge.budget.requested("s", nowMs)]]);
-          const polled = (): { number: string; capacities: Map<string, number> } => {
+          const requested = new Map([["s", edge.budget.requested("s", nowMs)]]);
+          const allot = (): { number: string; capacities: Map<string, number> } => {
             holders.add(edge.name);
-            return allowance.grant(edge.name, report, wished, ["s"], nowMs);
+            return quotas.grant(edge.name, report, requested, ["s"], nowMs);
           };
-          if (random() < 0.1)
-            late.push({ atMs: nowMs + random() * 3000, run: () => void polled() });
+          if (random() < 0.1) late.push({ atMs: nowMs + random() * 3000, run: () => void allot() });
           else {
-            const granted = polled();
+            const allotted = allot();
             if (random() < 0.9) {
-              edge.number = granted.number;
-              edge.budget.setCapacities(granted.capacities, nowMs);
-              edge.grantedUntilMs = nowMs + 1600;
+              edge.number = allotted.number;
+              edge.budget.setCapacities(allotted.capacities, nowMs);
+              edge.leaseUntilMs = nowMs + 1600;
             }
           }
         }
-        if (nowMs > edge.grantedUntilMs + 5000) edge.budget.setCapacities(new Map(), nowMs);
-        const isCrowded = nowMs < stopsMs && (seed % 5 !== 0 || at === 0);
-        if (isCrowded && random() < 0.4) {
+        if (nowMs > edge.leaseUntilMs + 5000) edge.budget.setCapacities(new Map(), nowMs);
+        const hasTraffic = nowMs < stopsMs && (seed % 5 !== 0 || index === 0);
+        if (hasTraffic && random() < 0.4) {
           edge.budget.countFirst("s", nowMs);
           requests.push(nowMs);
         }
         if (
-          nowMs < edge.grantedUntilMs &&
+          nowMs < edge.leaseUntilMs &&
           random() < (nowMs < stopsMs ? 0.3 : 0.8) &&
           edge.budget.take("s", undefined, nowMs) === "granted"
         ) {
           if (random() < 0.1) edge.budget.refund("s", nowMs);
-          else furthers.push(nowMs);
+          else retries.push(nowMs);
         }
       });
     }
     for (let from = 0; from < 50_000; from += 100) {
       const inWindow = (times: number[]): number =>
         times.filter((atMs) => atMs >= from && atMs < from + RETRY_WINDOW_MS).length;
-      expect(inWindow(furthers)).toBeLessThanOrEqual(
+      expect(inWindow(retries)).toBeLessThanOrEqual(
         defaultRetryRule.earned * inWindow(requests) + defaultRetryRule.pool,
       );
     }
-    taken += furthers.length;
+    taken += retries.length;
   }
   expect(taken).toBeGreaterThan(40 * 150);
 });
 
-test("the sketch decides before the guard does, and what is spent comes back once the window is over", () => {
+test("the sketch decides before the guard, and used capacity returns once the window is over", () => {
   const budget = new RetryBudget();
   let short = 0;
   budget.onShort = () => (short += 1);
--- a/test/retry-budget/retry-rules.test.ts
+++ b/test/retry-budget/retry-rules.test.ts
@@ -4,7 +4,7 @@
 import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
 import { RetryRules } from "../../src/retry-budget/retry-rules.js";
 
-test("with other figures than the usual ones the guard keeps the rule in every window", () => {
+test("with other settings than the defaults the guard enforces the rule in every window", () => {
   for (const [ratio, extra, windowMs] of [
     [0.1, 20, 4000],
     [0, 30, 10_000],
@@ -13,41 +13,41 @@
   ] as const) {
     const rules = RetryRules.of(ratio, extra, windowMs);
     const random = RandomDraw.of(extra + 1);
-    const allowance = new RetryQuotas(rules, 800);
-    allowance.lead(0, "l", new Set());
-    const edges = [1, 2, 3].map((at) => ({
-      name: `e${at}`,
+    const quotas = new RetryQuotas(rules, 800);
+    quotas.lead(0, "l", new Set());
+    const edges = [1, 2, 3].map((index) => ({
+      name: `e${index}`,
       number: "",
       budget: new RetryBudget(rules),
     }));
     const requests: number[] = [];
-    const furthers: number[] = [];
+    const retries: number[] = [];
     for (let nowMs = 0; nowMs < 60_000; nowMs += 20) {
       for (const edge of edges) {
         if (nowMs % 200 === 0) {
-          const granted = allowance.grant(
+          const allotted = quotas.grant(
             edge.name,
             { number: edge.number, capacities: edge.budget.capacities },
             new Map([["s", edge.budget.requested("s", nowMs)]]),
             ["s"],
             nowMs,
           );
-          edge.number = granted.number;
-          edge.budget.setCapacities(granted.capacities, nowMs);
+          edge.number = allotted.number;
+          edge.budget.setCapacities(allotted.capacities, nowMs);
         }
         if (random() < 0.4) {
           edge.budget.countFirst("s", nowMs);
           requests.push(nowMs);
         }
         if (random() < 0.6 && edge.budget.take("s", undefined, nowMs) === "granted")
-          furthers.push(nowMs);
+          retries.push(nowMs);
       }
     }
     for (let from = 0; from < 60_000; from += 100) {
       const inWindow = (times: number[]): number =>
         times.filter((atMs) => atMs >= from && atMs < from + windowMs).length;
-      expect(inWindow(furthers)).toBeLessThanOrEqual(ratio * inWindow(requests) + extra);
+      expect(inWindow(retries)).toBeLessThanOrEqual(ratio * inWindow(requests) + extra);
     }
-    expect(furthers.length).toBeGreaterThan(extra);
+    expect(retries.length).toBeGreaterThan(extra);
   }
 });
