--- a/src/admin/config-archive.ts
+++ b/src/admin/config-archive.ts
@@ -1,3 +1,4 @@
+/** The archive of accepted configs: a Git repository beside the log, for operators to read; nothing depends on it. */
 import { existsSync, promises as files } from "node:fs";
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
@@ -6,72 +7,75 @@
 import { Queue } from "../runtime/queue.js";
 import { Task } from "../runtime/task.js";
 
-/** Loaded only where configs are kept. */
+/** Loaded on first use only, since most daemons have no archive. */
 const loadGit = async () => (await import("isomorphic-git")).default;
 
-const author = { name: "daledoor", email: "record@daledoor.invalid" };
-const fileName = "config.json";
-const messageOf = (config: AcceptedConfig): string =>
+const AUTHOR = { name: "daledoor", email: "record@daledoor.invalid" };
+const CONFIG_FILE_NAME = "config.json";
+const GIT_FILE_SYSTEM = { promises: files };
+
+const commitMessage = (config: AcceptedConfig): string =>
   `Config ${config.sequence}\n\nChange: ${config.changeId}\nAccepted: ${config.acceptedAt}\n`;
 
-/** A Git repository in which accepted configs are also kept, one commit each; never on the path of acceptance. */
+/** Commits accepted configs to a Git repository, one commit each, in the background. */
 export class ConfigArchive {
   private readonly folder: string;
   private readonly log: Logger;
   private readonly queue = new Queue<AcceptedConfig>();
-  private newest = 0;
+  /** The sequence of the last config that was committed. */
+  private archivedSequence = 0;
 
-  constructor(folder: string, log: Logger) {
-    this.folder = join(folder, "configs");
+  /** The repository is the folder `configs` in the data folder. */
+  constructor(dataFolder: string, log: Logger) {
+    this.folder = join(dataFolder, "configs");
     this.log = log;
   }
 
-  /** Takes note of an accepted config; it is kept when there is time. */
-  keep(config: AcceptedConfig): void {
+  /** Queues an accepted config, to be committed by `run`. */
+  enqueue(config: AcceptedConfig): void {
     this.queue.put(config);
   }
 
-  /** Keeps configs one after another; what can't be kept is told and left out. */
+  /** Commits queued configs one after another; one that fails is logged and skipped. */
   *run(): Task {
-    const begun = yield* Task.fromPromise(this.begin());
-    if ("error" in begun)
-      return this.log.warn("The archive of configs can't be opened; none are kept in it.", {
-        why: String(begun.error),
-      });
+    const opened = yield* Task.fromPromise(this.open());
+    if ("error" in opened)
+      return this.log.warn("config archive unavailable", { why: String(opened.error) });
     for (;;) {
       const config = yield* this.queue.take();
-      if (config.sequence <= this.newest) continue;
-      const kept = yield* Task.fromPromise(this.commit(config));
-      if ("error" in kept)
-        this.log.warn("A config could not be kept in the archive.", {
+      if (config.sequence <= this.archivedSequence) continue;
+      const committed = yield* Task.fromPromise(this.commit(config));
+      if ("error" in committed)
+        this.log.warn("config not archived", {
           sequence: config.sequence,
-          why: String(kept.error),
+          why: String(committed.error),
         });
-      else this.newest = config.sequence;
+      else this.archivedSequence = config.sequence;
     }
   }
 
-  private async begin(): Promise<void> {
+  private async open(): Promise<void> {
     await mkdir(this.folder, { recursive: true });
     const git = await loadGit();
     if (!existsSync(join(this.folder, ".git")))
-      await git.init({ fs: { promises: files }, dir: this.folder, defaultBranch: "main" });
-    const [last] = await git
-      .log({ fs: { promises: files }, dir: this.folder, depth: 1 })
+      await git.init({ fs: GIT_FILE_SYSTEM, dir: this.folder, defaultBranch: "main" });
+    const [lastCommit] = await git
+      .log({ fs: GIT_FILE_SYSTEM, dir: this.folder, depth: 1 })
       .catch(() => []);
-    this.newest = Number(/^Config (\d+)/.exec(last?.commit.message ?? "")?.[1] ?? 0);
+    const sequence = /^Config (\d+)/.exec(lastCommit?.commit.message ?? "")?.[1];
+    this.archivedSequence = Number(sequence ?? 0);
   }
 
   private async commit(config: AcceptedConfig): Promise<void> {
     const git = await loadGit();
     const parsed: unknown = JSON.parse(config.text);
-    await writeFile(join(this.folder, fileName), `${JSON.stringify(parsed, null, 2)}\n`);
-    await git.add({ fs: { promises: files }, dir: this.folder, filepath: fileName });
+    await writeFile(join(this.folder, CONFIG_FILE_NAME), `${JSON.stringify(parsed, null, 2)}\n`);
+    await git.add({ fs: GIT_FILE_SYSTEM, dir: this.folder, filepath: CONFIG_FILE_NAME });
     await git.commit({
-      fs: { promises: files },
+      fs: GIT_FILE_SYSTEM,
       dir: this.folder,
-      message: messageOf(config),
-      author,
+      message: commitMessage(config),
+      author: AUTHOR,
     });
   }
 }
--- a/src/admin/query-parser.ts
+++ b/src/admin/query-parser.ts
@@ -1,145 +1,165 @@
-/** A line of the operators' language, understood. */
+/** The parser of the operators' query language: one line, read word by word. */
+
+/** A parsed query. */
 export type Query =
   | { kind: "showService"; service: string }
   | { kind: "showRoutes" }
   | { kind: "showHeavyRoutes" }
   | { kind: "showShares" }
   | { kind: "showMachines" }
-  | { kind: "showBackEnds" }
+  | { kind: "showBackends" }
   | { kind: "whyShare"; address: string }
   | { kind: "whyRoute"; route: string }
   | { kind: "moveRoute"; route: string; service: string }
-  | { kind: "setGoal"; route: string; latencyMs: number; furtherTries: number | undefined }
-  | { kind: "drainBackEnd"; address: string }
+  | { kind: "setGoal"; route: string; latencyMs: number; retryLimit: number | undefined }
+  | { kind: "drainBackend"; address: string }
   | { kind: "explain" };
 
-/** The word that was not understood, and what would have been. */
+/** The first unexpected word of a line, and what was expected; sent to the client as it is. */
 export interface QueryFault {
   word: string;
   expected: string;
 }
 
-/** Raised at the first word that isn't understood. */
-class WordError extends Error {
+/** The forms of all queries, as shown to operators. */
+export const QUERY_FORMS: readonly string[] = [
+  "show service NAME",
+  "show routes",
+  "show heavy routes",
+  "show shares",
+  "show machines",
+  "show backends",
+  "why share IP:PORT",
+  "why route NAME",
+  "move route NAME to SERVICE",
+  "set goal ROUTE 250ms [tries 2]",
+  "drain backend IP:PORT",
+  "explain",
+];
+
+/** Thrown at the first unexpected word. */
+class QuerySyntaxError extends Error {
+  readonly code = "QUERY_SYNTAX";
   readonly fault: QueryFault;
+
   constructor(fault: QueryFault) {
     super(`"${fault.word}" is not understood; expected ${fault.expected}.`);
     this.fault = fault;
   }
 }
 
-class Words {
+/** The words of a line, taken from the front. */
+class WordReader {
   private readonly words: string[];
+
   constructor(line: string) {
     this.words = line.trim().split(/\s+/).filter(Boolean);
   }
 
-  one(expected: string, takes: (word: string) => boolean = () => true): string {
+  /** The next word, which has to match. */
+  next(expected: string, matches: (word: string) => boolean = () => true): string {
     const word = this.words.shift();
-    if (word === undefined || !takes(word))
-      throw new WordError({ word: word ?? "(end of line)", expected });
+    if (word === undefined || !matches(word))
+      throw new QuerySyntaxError({ word: word ?? "(end of line)", expected });
     return word;
   }
 
-  of(...choices: string[]): string {
-    return this.one(choices.map((choice) => `"${choice}"`).join(" or "), (word) =>
-      choices.includes(word),
-    );
+  /** The next word, which has to be one of several. */
+  oneOf(...choices: string[]): string {
+    const expected = choices.map((choice) => `"${choice}"`).join(" or ");
+    return this.next(expected, (word) => choices.includes(word));
   }
 
-  get isOver(): boolean {
+  get isAtEnd(): boolean {
     return this.words.length === 0;
   }
 
-  end(): void {
-    if (!this.isOver) this.one("the end of the line", () => false);
+  expectEnd(): void {
+    if (!this.isAtEnd) this.next("the end of the line", () => false);
   }
 }
 
-const isAddress = (word: string): boolean => /^\S+:\d{1,5}$/.test(word);
+const routeName = (words: WordReader): string => words.next("the name of a route");
+
+const serviceName = (words: WordReader): string => words.next("the name of a service");
+
+const backendAddress = (words: WordReader): string =>
+  words.next("the address of a back end, IP:port", (word) => /^\S+:\d{1,5}$/.test(word));
+
+const parseShow = (words: WordReader): Query => {
+  switch (words.oneOf("service", "routes", "heavy", "shares", "machines", "backends")) {
+    case "service":
+      return { kind: "showService", service: serviceName(words) };
+    case "routes":
+      return { kind: "showRoutes" };
+    case "heavy":
+      words.oneOf("routes");
+      return { kind: "showHeavyRoutes" };
+    case "shares":
+      return { kind: "showShares" };
+    case "machines":
+      return { kind: "showMachines" };
+    default:
+      return { kind: "showBackends" };
+  }
+};
+
+const parseWhy = (words: WordReader): Query =>
+  words.oneOf("share", "route") === "share"
+    ? { kind: "whyShare", address: backendAddress(words) }
+    : { kind: "whyRoute", route: routeName(words) };
 
-const read = (words: Words): Query => {
-  switch (words.of("show", "why", "move", "set", "drain", "explain")) {
+const parseMove = (words: WordReader): Query => {
+  words.oneOf("route");
+  const route = routeName(words);
+  words.oneOf("to");
+  return { kind: "moveRoute", route, service: serviceName(words) };
+};
+
+const parseSet = (words: WordReader): Query => {
+  words.oneOf("goal");
+  const route = routeName(words);
+  const latency = words.next("a latency such as 250ms", (word) => /^[1-9]\d{0,5}ms$/.test(word));
+  const latencyMs = Number(latency.slice(0, -"ms".length));
+  if (words.isAtEnd) return { kind: "setGoal", route, latencyMs, retryLimit: undefined };
+  words.oneOf("tries");
+  const retryLimit = Number(
+    words.next("a number of further tries from 0 to 5", (word) => /^[0-5]$/.test(word)),
+  );
+  return { kind: "setGoal", route, latencyMs, retryLimit };
+};
+
+const parseDrain = (words: WordReader): Query => {
+  words.oneOf("backend");
+  return { kind: "drainBackend", address: backendAddress(words) };
+};
+
+const parseWords = (words: WordReader): Query => {
+  switch (words.oneOf("show", "why", "move", "set", "drain", "explain")) {
     case "show":
-      switch (words.of("service", "routes", "heavy", "shares", "machines", "backends")) {
-        case "service":
-          return { kind: "showService", service: words.one("the name of a service") };
-        case "routes":
-          return { kind: "showRoutes" };
-        case "heavy":
-          words.of("routes");
-          return { kind: "showHeavyRoutes" };
-        case "shares":
-          return { kind: "showShares" };
-        case "machines":
-          return { kind: "showMachines" };
-        default:
-          return { kind: "showBackEnds" };
-      }
+      return parseShow(words);
     case "why":
-      return words.of("share", "route") === "share"
-        ? { kind: "whyShare", address: words.one("the address of a back end, IP:port", isAddress) }
-        : { kind: "whyRoute", route: words.one("the name of a route") };
-    case "move": {
-      words.of("route");
-      const route = words.one("the name of a route");
-      words.of("to");
-      return { kind: "moveRoute", route, service: words.one("the name of a service") };
-    }
-    case "set": {
-      words.of("goal");
-      const route = words.one("the name of a route");
-      const latencyMs = Number(
-        words.one("a latency such as 250ms", (word) => /^[1-9]\d{0,5}ms$/.test(word)).slice(0, -2),
-      );
-      if (words.isOver) return { kind: "setGoal", route, latencyMs, furtherTries: undefined };
-      words.of("tries");
-      return {
-        kind: "setGoal",
-        route,
-        latencyMs,
-        furtherTries: Number(
-          words.one("a number of further tries from 0 to 5", (word) => /^[0-5]$/.test(word)),
-        ),
-      };
-    }
+      return parseWhy(words);
+    case "move":
+      return parseMove(words);
+    case "set":
+      return parseSet(words);
     case "drain":
-      words.of("backend");
-      return {
-        kind: "drainBackEnd",
-        address: words.one("the address of a back end, IP:port", isAddress),
-      };
+      return parseDrain(words);
     default:
       return { kind: "explain" };
   }
 };
 
-export const Query = {
-  /** Understands one line, or tells the word it stumbled over. */
-  read(line: string): { query: Query } | { fault: QueryFault } {
-    try {
-      const words = new Words(line);
-      const query = read(words);
-      words.end();
-      return { query };
-    } catch (error) {
-      if (error instanceof WordError) return { fault: error.fault };
-      throw error;
-    }
-  },
-
-  forms: [
-    "show service NAME",
-    "show routes",
-    "show heavy routes",
-    "show shares",
-    "show machines",
-    "show backends",
-    "why share IP:PORT",
-    "why route NAME",
-    "move route NAME to SERVICE",
-    "set goal ROUTE 250ms [tries 2]",
-    "drain backend IP:PORT",
-    "explain",
-  ],
+/** Parses one line into a query, or reports its first unexpected word. */
+export const parseQuery = (line: string): { query: Query } | { fault: QueryFault } => {
+  try {
+    const words = new WordReader(line);
+    const query = parseWords(words);
+    words.expectEnd();
+    return { query };
+  } catch (error) {
+    if (error instanceof QuerySyntaxError) return { fault: error.fault };
+    throw error;
+  }
 };
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -13,7 +13,7 @@
   type RestoreResult,
 } from "../replication/bootstrap/restore-as-only-voter.js";
 import { Config, type ValidationFault } from "../configuration/config.js";
-import { Query } from "../admin/query-parser.js";
+import { QUERY_FORMS } from "../admin/query-parser.js";
 
 const exit = { well: 0, broken: 1, usage: 2, refused: 3, unreachable: 4 };
 
@@ -194,7 +194,7 @@
   .command("ask <...words>", "Ask or order in the small language")
   .option("--at <ip:port>", atOption, { default: atDefault })
   .example(
-    `  daledoor ask show service checklists\n${Query.forms.map((form) => `  daledoor ask ${form}`).join("\n")}`,
+    `  daledoor ask show service checklists\n${QUERY_FORMS.map((form) => `  daledoor ask ${form}`).join("\n")}`,
   )
   .action((words: string[], options: { at: string }) => {
     ending = send(options.at, "POST", "/ask", words.join(" "));
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -82,7 +82,7 @@
   private readonly clusterView: ClusterView;
   private readonly loadBalancer: LoadBalancer;
   private readonly edgeCounts: EdgeCounts;
-  private readonly desk: AdminApi;
+  private readonly adminApi: AdminApi;
   readonly proxy: HttpProxy;
   private readonly outcomes: OutcomeReplicator;
   readonly replicationNode: ReplicationNode | undefined;
@@ -181,7 +181,7 @@
       );
       stateMachine.onApplied((command) => {
         if (command.kind === "config" && stateMachine.activeConfig)
-          this.archive?.keep(stateMachine.activeConfig);
+          this.archive?.enqueue(stateMachine.activeConfig);
       });
     }
     if (this.roles.includes("collector"))
@@ -193,20 +193,20 @@
         this.incarnation,
         () => this.replicationNode?.leader || this.forwarder.leader,
       );
-    this.desk = new AdminApi(
-      runtime,
-      this.forwarder,
-      this.clusterView,
-      this.loadBalancer,
-      pacers.egress,
-      settings.operators,
-      {
+    this.adminApi = new AdminApi(runtime, {
+      forwarder: this.forwarder,
+      clusterView: this.clusterView,
+      loadBalancer: this.loadBalancer,
+      egress: pacers.egress,
+      ownAddress: settings.operators,
+      daemon: {
         status: () => this.status(),
         notReady: () => this.notReady(),
         counts: () => this.collector?.latest ?? this.edgeCounts.latest,
       },
-      bounds,
-    );
+      changeTimeoutMs: bounds.orderMs,
+      retryRules: bounds.budget,
+    });
   }
 
   /** Starts all tasks; ends once the daemon listens for its peers. */
@@ -216,7 +216,7 @@
       Runtime.start(runtime, "door", this.proxy.handle(clientRequest, client)),
     );
     this.operators.subscribe(runtime.clock.scheduler, ({ clientRequest, give }) =>
-      Runtime.start(runtime, "operator", this.desk.handle(clientRequest), give),
+      Runtime.start(runtime, "operator", this.adminApi.handle(clientRequest), give),
     );
     if (replicationNode && controlPlane) {
       const leadership = {
--- a/test/admin/config-archive.test.ts
+++ b/test/admin/config-archive.test.ts
@@ -9,7 +9,7 @@
 import { ConfigArchive } from "../../src/admin/config-archive.js";
 import type { AcceptedConfig } from "../../src/state/state-machine.js";
 
-test("configs are kept one commit each, and once only after a restart", async () => {
+test("commits each config once, also across a restart", async () => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-archive-"));
   const log = LoggerFactory.toLines(() => undefined).component("operator");
   const config = (sequence: number): AcceptedConfig => ({
@@ -25,7 +25,7 @@
     );
   const run = async (sequences: number[], expected: number): Promise<void> => {
     const archive = new ConfigArchive(folder, log);
-    for (const sequence of sequences) archive.keep(config(sequence));
+    for (const sequence of sequences) archive.enqueue(config(sequence));
     Task.start(archive.run(), (error) => {
       throw error;
     });
