--- a/src/daemon/adapter.ts
+++ b/src/daemon/adapter.ts
@@ -1,17 +1,19 @@
+/** The interface of a platform adapter, which translates between daledoor's HTTP formats and those of a platform. */
 import type { HeaderNames } from "../proxy/header-names.js";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
 
-/** A request in the product's own words, and the way back to those of whoever sent it. */
+/** An admin request in daledoor's format, with the translation of its response. */
 export interface TranslatedRequest {
   readonly clientRequest: ProxyRequest;
+  /** The response in the platform's format. */
   back(response: ClientResponse): ClientResponse;
 }
 
-/** Where the product meets a platform that has words of its own; it translates and decides nothing. */
+/** Translates for a platform with formats of its own; it makes no decisions. */
 export interface Adapter {
-  /** The headers of callers and back ends. */
+  /** The headers exchanged with clients and backends. */
   readonly headerNames: HeaderNames;
-  /** What operators, back ends and whoever asks for readiness say; a return where it can't be understood. */
+  /** Translates admin requests and readiness checks; a response where a request can't be translated. */
   readonly control: { into(clientRequest: ProxyRequest): TranslatedRequest | ClientResponse };
 }
--- a/src/daemon/bound-settings.ts
+++ b/src/daemon/bound-settings.ts
@@ -1,42 +1,45 @@
+/** The bounds as they are spelled in a daemon's settings. */
 import { max, min, number, object, optional, type Infer } from "superstruct";
 
-const ms = max(min(number(), 0), 86_400_000);
+const MAX_DURATION_MS = 86_400_000;
+const durationMs = max(min(number(), 0), MAX_DURATION_MS);
 
-/** The shape of the bounds in a daemon's settings. */
+/** The shape of the bounds in a daemon's settings; all durations in milliseconds. */
 export const boundsShape = object({
-  /** From an accepted config until no daemon serves by an older one. */
-  applyMs: optional(ms),
-  /** From a back end's leave until no request is sent to it. */
-  drainMs: optional(ms),
-  /** How long a daemon that was out of touch may take to be held to the other bounds again. */
-  contactMs: optional(ms),
-  /** How long a daemon that is told to stop may still run. */
-  graceMs: optional(ms),
-  /** Within which an operator's change is acknowledged. */
-  ackMs: optional(ms),
-  /** How long a key stands for one operation. */
-  keyWindowMs: optional(ms),
-  /** Further tries per request of a service, in any window. */
+  /** From the acceptance of a config until no daemon serves an older one. */
+  applyMs: optional(durationMs),
+  /** From a backend's deregistration until no request is sent to it. */
+  drainMs: optional(durationMs),
+  /** How long a daemon may take to meet the other bounds again after a lost connection. */
+  contactMs: optional(durationMs),
+  /** How long a daemon may run after a stop signal. */
+  graceMs: optional(durationMs),
+  /** From an operator's change to its acknowledgment. */
+  ackMs: optional(durationMs),
+  /** How long an idempotency key identifies one operation. */
+  keyWindowMs: optional(durationMs),
+  /** Retries per request of a service, in any window. */
   retryRatio: optional(number()),
-  retryWindowMs: optional(ms),
-  /** Further tries of a service in any window besides. */
+  retryWindowMs: optional(durationMs),
+  /** Retries of a service in any window beyond that ratio. */
   retryExtra: optional(number()),
-  /** Within which a fleet that was down serves again. */
-  recoveryMs: optional(ms),
-  /** After which an ended back end's address may serve another service. */
-  addressReuseMs: optional(ms),
-  /** How far machines' wall clocks may be apart. */
-  skewMs: optional(ms),
-  /** How long a machine that returns may take to catch up. */
-  catchUpMs: optional(ms),
-  /** How late a request may arrive at a daemon that ends. */
-  lossSlackMs: optional(ms),
-  staleMs: optional(ms),
+  /** How long a fleet may take to serve again after an outage. */
+  recoveryMs: optional(durationMs),
+  /** After which the address of a removed backend may be used by another service. */
+  addressReuseMs: optional(durationMs),
+  /** The largest difference between machines' wall clocks. */
+  skewMs: optional(durationMs),
+  /** How long a returning machine may take to catch up. */
+  catchUpMs: optional(durationMs),
+  /** How late a request may arrive at a stopping daemon. */
+  lossSlackMs: optional(durationMs),
+  /** How long an edge may serve with an expired lease; none by default. */
+  staleMs: optional(durationMs),
 });
 
-/** What a daemon's settings say of the bounds it is held to. */
+/** The settings that the timeouts of a daemon are derived from. */
 export interface BoundSettings {
   readonly bounds?: Infer<typeof boundsShape> | undefined;
-  /** How often back ends announce themselves. */
+  /** How often backends send heartbeats. */
   readonly heartbeatMs?: number | undefined;
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,3 +1,4 @@
+/** One daemon put together: the replicated log, the control plane, the proxy and the admin API, by the roles of its machine. */
 import { CommandForwarder } from "../cluster-view/command-forwarder.js";
 import type { RouteTable } from "../cluster-view/route-table.js";
 import type { DaemonInfo } from "../control-protocol/command.js";
@@ -6,11 +7,9 @@
 import type { BackendClient } from "../proxy/upstream/backend-client.js";
 import { HeaderNames } from "../proxy/header-names.js";
 import { HttpProxy } from "../proxy/http-proxy.js";
-import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
 import { ExpiredLeasePolicy } from "../proxy/expired-lease-policy.js";
 import { OutcomeReplicator } from "../proxy/idempotency/outcome-replicator.js";
 import { OutcomeCache } from "../proxy/idempotency/outcome-cache.js";
-import type { ClientResponse } from "../proxy/request-outcome.js";
 import { RpcMethod } from "../rpc/rpc-method.js";
 import { RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import type { ConfigArchive } from "../admin/config-archive.js";
@@ -19,7 +18,7 @@
 import { historyQuotaBytes } from "../replication/history/history-quota.js";
 import { ClusterBootstrap } from "../replication/bootstrap/cluster-bootstrap.js";
 import type { NodeLocation } from "../replication/bootstrap/node-location.js";
-import { ReplicationNode, type ReplicationTimeouts } from "../replication/replication-node.js";
+import { ReplicationNode } from "../replication/replication-node.js";
 import { LogStore } from "../replication/log/log-store.js";
 import { RetryQuotas } from "../retry-budget/retry-quotas.js";
 import { RetryBudget } from "../retry-budget/retry-budget.js";
@@ -27,52 +26,34 @@
 import { EdgeCounts } from "../retry-budget/edge-counts.js";
 import { LoadBalancer } from "../load-balancing/load-balancer.js";
 import { Bounds } from "./bounds.js";
+import type { DaemonOptions, IncomingAdminRequest, IncomingRequest } from "./daemon-options.js";
 import { Clock } from "../runtime/clock.js";
-import { LinkPacers } from "../runtime/link-pacer.js";
+import { LinkPacers, type LinkPacer } from "../runtime/link-pacer.js";
 import type { Logger } from "../runtime/logger.js";
 import { Settings, type Role } from "./settings.js";
 import { EventStream } from "../runtime/event-stream.js";
 import type { Task } from "../runtime/task.js";
 import { Runtime } from "../runtime/runtime.js";
 
-/** A caller's request as it arrives. */
-export interface IncomingRequest {
-  readonly clientRequest: ProxyRequest;
-  readonly client: ClientConnection;
-}
-
-/** An operator's or back end's request as it arrives. */
-export interface IncomingAdminRequest {
-  readonly clientRequest: ProxyRequest;
-  readonly give: (response: ClientResponse) => void;
-}
+export type { DaemonOptions, IncomingAdminRequest, IncomingRequest } from "./daemon-options.js";
 
-/** What a daemon may be told besides its settings. */
-export interface DaemonOptions {
-  /** The back ends as this machine reaches them. */
-  readonly backendClient: BackendClient;
-  /** Where accepted configs are also kept, on a machine with a disk. */
-  readonly archive?: ConfigArchive | undefined;
-  /** The headers by which it speaks with callers and back ends. */
-  readonly headerNames?: HeaderNames;
-  /** Both directions of the machine's link, where its rate is to be kept. */
-  readonly pacers?: LinkPacers;
-  /** Waits of the record that differ from what the bounds make of them. */
-  readonly waits?: Partial<ReplicationTimeouts>;
-}
-
-const pushMs = 2000;
+/** How often request counts are pushed to their aggregator. */
+const COUNTS_PUSH_INTERVAL_MS = 2000;
+/** How often a draining daemon checks whether requests are still unfinished. */
+const DRAIN_CHECK_INTERVAL_MS = 20;
+const DEFAULT_TOLERANCE = { machines: 1, zones: 0 };
 
-/** One machine's daemon: its roles, the links to its peers, and what it serves. */
+/** The daemon of one machine. */
 export class Daemon {
+  /** Requests to the proxy, as they arrive. */
   readonly callers = new EventStream<IncomingRequest>();
+  /** Requests to the admin API, as they arrive. */
   readonly operators = new EventStream<IncomingAdminRequest>();
   private readonly runtime: Runtime;
   private readonly settings: Settings;
   private readonly bounds: Bounds;
-  private readonly roles: Role[];
-  private readonly log: Logger;
   private readonly archive: ConfigArchive | undefined;
+  /** The name of this process, unique over restarts. */
   private readonly incarnation: string;
   private readonly rpc: RpcEndpoint;
   private readonly forwarder: CommandForwarder;
@@ -87,10 +68,10 @@
   private readonly outcomes: OutcomeReplicator;
   readonly replicationNode: ReplicationNode | undefined;
   private readonly controlPlane: ControlPlane | undefined;
-  private readonly collector: CountAggregator | undefined;
-  private draining = false;
-  /** Hears what callers may send, whenever a config says so. */
-  onLimits: (limits: RouteTable["limits"]) => void = () => undefined;
+  private readonly countAggregator: CountAggregator | undefined;
+  private isDraining = false;
+  /** Called with the limits on clients' requests whenever a config sets them. */
+  onRequestLimits: (limits: RouteTable["limits"]) => void = () => undefined;
 
   constructor(runtime: Runtime, settings: Settings, options: DaemonOptions) {
     const bounds = Bounds.of(settings);
@@ -99,55 +80,23 @@
     this.archive = options.archive;
     this.bounds = bounds;
     this.budget = new RetryBudget(bounds.budget);
-    this.roles = Settings.roles(settings);
-    this.log = runtime.loggers.component("machine");
     this.incarnation = Runtime.nonce(runtime);
     const pacers = options.pacers ?? LinkPacers.of(runtime.clock, settings.limits?.linkMbps);
     this.rpc = new RpcEndpoint(runtime, settings.peers, undefined, pacers);
     this.seeds = settings.seeds;
-    this.forwarder = new CommandForwarder(runtime, this.rpc, () => [
-      ...this.seeds,
-      ...this.bootstrap.recorders,
-    ]);
-    const location: NodeLocation = {
-      self: settings.peers,
-      machine: settings.machine,
-      zone: settings.zone,
-      founds: settings.bootstrap ?? true,
-      tolerate: settings.tolerate ?? { machines: 1, zones: 0 },
-      seeds: () => this.seeds,
-    };
-    this.bootstrap = new ClusterBootstrap(runtime, this.rpc, location, {
-      leader: () => this.replicationNode?.leader || this.forwarder.leader,
-      recorders: () => this.forwarder.members,
-    });
-    this.clusterView = new ClusterView(runtime, this.forwarder, () => this.machine(), this.budget);
-    this.loadBalancer = new LoadBalancer(settings.zone, () => runtime.random());
-    this.clusterView.onLease = () => this.proxy.leased();
-    this.clusterView.onPlace = (place) => this.loadBalancer.setPlace(place);
-    this.clusterView.onConfig = ({ limits }) => this.onLimits(limits);
-    this.clusterView.onEndpoints = (registrations) => {
-      options.backendClient.retainPools(new Set(registrations.map(connectionPoolKey)));
-      this.loadBalancer.setBackends(registrations, runtime.clock.nowMs());
-    };
-    const self = { machine: settings.machine, incarnation: this.incarnation, zone: settings.zone };
-    this.edgeCounts = new EdgeCounts(
+    this.forwarder = this.createForwarder();
+    const location = this.nodeLocation();
+    this.bootstrap = this.createBootstrap(location);
+    this.clusterView = new ClusterView(
       runtime,
-      this.rpc,
-      bounds.counts,
-      this.clusterView,
-      self,
-      bounds.budget,
-    );
-    this.outcomes = new OutcomeReplicator(
-      this.rpc,
-      new OutcomeCache(runtime.clock, bounds.controlPlaneTimeouts.keyMs),
-      () => ({
-        members: this.clusterView.collectors,
-        leader: this.forwarder.leader,
-        zone: settings.zone,
-      }),
+      this.forwarder,
+      () => this.daemonInfo(),
+      this.budget,
     );
+    this.loadBalancer = new LoadBalancer(settings.zone, () => runtime.random());
+    this.observeClusterView(options.backendClient);
+    this.edgeCounts = this.createEdgeCounts();
+    this.outcomes = this.createOutcomeReplicator();
     this.proxy = new HttpProxy(runtime, {
       clusterView: this.clusterView,
       backendClient: options.backendClient,
@@ -179,39 +128,15 @@
         bounds.controlPlaneTimeouts,
         new RetryQuotas(bounds.budget, bounds.leaseMs),
       );
-      stateMachine.onApplied((command) => {
-        if (command.kind === "config" && stateMachine.activeConfig)
-          this.archive?.enqueue(stateMachine.activeConfig);
-      });
+      this.archiveConfigs(stateMachine);
     }
-    if (this.roles.includes("collector"))
-      this.collector = new CountAggregator(
-        runtime,
-        this.rpc,
-        bounds.counts,
-        settings.peers,
-        this.incarnation,
-        () => this.replicationNode?.leader || this.forwarder.leader,
-      );
-    this.adminApi = new AdminApi(runtime, {
-      forwarder: this.forwarder,
-      clusterView: this.clusterView,
-      loadBalancer: this.loadBalancer,
-      egress: pacers.egress,
-      ownAddress: settings.operators,
-      daemon: {
-        status: () => this.status(),
-        notReady: () => this.notReady(),
-        counts: () => this.collector?.latest ?? this.edgeCounts.latest,
-      },
-      changeTimeoutMs: bounds.orderMs,
-      retryRules: bounds.budget,
-    });
+    if (this.roles.includes("collector")) this.countAggregator = this.createCountAggregator();
+    this.adminApi = this.createAdminApi(pacers.egress);
   }
 
-  /** Starts all tasks; ends once the daemon listens for its peers. */
+  /** Starts all tasks; returns once the daemon listens for its peers. */
   *start(): Task {
-    const { runtime, controlPlane, replicationNode, collector } = this;
+    const { runtime, controlPlane, replicationNode, countAggregator } = this;
     this.callers.subscribe(runtime.clock.scheduler, ({ clientRequest, client }) =>
       Runtime.start(runtime, "door", this.proxy.handle(clientRequest, client)),
     );
@@ -247,16 +172,18 @@
       "contract",
       this.clusterView.run(this.bounds.pollMs, this.bounds.pollWaitMs),
     );
-    if (collector) Runtime.start(runtime, "zone", collector.run(pushMs));
-    if (this.roles.includes("edge")) Runtime.start(runtime, "zone", this.edgeCounts.run(pushMs));
-    this.log.info("Runs.", { roles: this.roles, zone: this.settings.zone });
+    if (countAggregator)
+      Runtime.start(runtime, "zone", countAggregator.run(COUNTS_PUSH_INTERVAL_MS));
+    if (this.roles.includes("edge"))
+      Runtime.start(runtime, "zone", this.edgeCounts.run(COUNTS_PUSH_INTERVAL_MS));
+    this.log.info("daemon started", { roles: this.roles, zone: this.settings.zone });
   }
 
-  /** Finishes the work in hand and takes no more; ends when all is done or the time for it is over. */
-  *drain(closeToCallers: () => void = () => undefined): Task {
+  /** Finishes the requests in progress and accepts no more; returns when all are finished or the drain timeout is over. */
+  *drain(closeToClients: () => void = () => undefined): Task {
     const startedMs = this.runtime.clock.nowMs();
-    this.draining = true;
-    this.log.info("Draining.", { inHand: this.proxy.unfinished });
+    this.isDraining = true;
+    this.log.info("drain started", { unfinishedRequests: this.proxy.unfinished });
     const { serveOnMs, abandonMs, retireMs } = this.bounds;
     const { replicationNode } = this;
     if (replicationNode) {
@@ -265,25 +192,25 @@
     }
     yield* Clock.sleep(this.runtime.clock, startedMs + serveOnMs - this.runtime.clock.nowMs());
     this.proxy.close();
-    closeToCallers();
+    closeToClients();
     while (this.proxy.unfinished > 0 && this.runtime.clock.nowMs() - startedMs < abandonMs)
-      yield* Clock.sleep(this.runtime.clock, 20);
+      yield* Clock.sleep(this.runtime.clock, DRAIN_CHECK_INTERVAL_MS);
     if (this.proxy.unfinished > 0)
-      this.log.warn("Stops with work unfinished; it is given up on.", {
-        inHand: this.proxy.unfinished,
+      this.log.warn("drain timeout exceeded", {
+        unfinishedRequests: this.proxy.unfinished,
       });
     this.proxy.abandon();
     if (replicationNode) yield* replicationNode.retire(startedMs + retireMs);
     if (this.proxy.unfinished > 0) return;
-    this.log.info("Drained.");
+    this.log.info("drain completed");
   }
 
-  /** Peer addresses of other daemons, from now on. */
+  /** Replaces the peer addresses through which other daemons are found. */
   setSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
-  /** The config this daemon serves by, and whether it may serve now. */
+  /** The active config of this daemon, and whether its lease is valid. */
   get standing(): { configSequence: number; isGranted: boolean } {
     return {
       configSequence: this.clusterView.configSequence,
@@ -291,28 +218,130 @@
     };
   }
 
-  /** The name of this process, which no other ever has. */
+  /** The name of this process, unique over restarts. */
   get name(): string {
     return this.incarnation;
   }
 
-  /** What the fleet's sketch tells this edge of a service's tries in the window, with its own since. */
+  /** The fleet's counts of a service's requests and retries in the window, with this edge's own since. */
   toldTries(service: string): ReturnType<EdgeCounts["ofService"]> {
     return this.edgeCounts.ofService(service);
   }
 
+  private get roles(): Role[] {
+    return Settings.roles(this.settings);
+  }
+
+  private get log(): Logger {
+    return this.runtime.loggers.component("machine");
+  }
+
+  private nodeLocation(): NodeLocation {
+    const { peers, machine, zone, bootstrap, tolerate } = this.settings;
+    return {
+      self: peers,
+      machine,
+      zone,
+      founds: bootstrap ?? true,
+      tolerate: tolerate ?? DEFAULT_TOLERANCE,
+      seeds: () => this.seeds,
+    };
+  }
+
+  private createForwarder(): CommandForwarder {
+    const contacts = () => [...this.seeds, ...this.bootstrap.recorders];
+    return new CommandForwarder(this.runtime, this.rpc, contacts);
+  }
+
+  private createBootstrap(location: NodeLocation): ClusterBootstrap {
+    return new ClusterBootstrap(this.runtime, this.rpc, location, {
+      leader: () => this.replicationNode?.leader || this.forwarder.leader,
+      recorders: () => this.forwarder.members,
+    });
+  }
+
+  private archiveConfigs(stateMachine: StateMachine): void {
+    stateMachine.onApplied((command) => {
+      if (command.kind === "config" && stateMachine.activeConfig)
+        this.archive?.enqueue(stateMachine.activeConfig);
+    });
+  }
+
+  /** Passes updates of the cluster view on to the parts that depend on it. */
+  private observeClusterView(backendClient: BackendClient): void {
+    this.clusterView.onLease = () => this.proxy.leased();
+    this.clusterView.onPlace = (place) => this.loadBalancer.setPlace(place);
+    this.clusterView.onConfig = ({ limits }) => this.onRequestLimits(limits);
+    this.clusterView.onEndpoints = (registrations) => {
+      backendClient.retainPools(new Set(registrations.map(connectionPoolKey)));
+      this.loadBalancer.setBackends(registrations, this.runtime.clock.nowMs());
+    };
+  }
+
+  private createEdgeCounts(): EdgeCounts {
+    const { machine, zone } = this.settings;
+    return new EdgeCounts(
+      this.runtime,
+      this.rpc,
+      this.bounds.counts,
+      this.clusterView,
+      { machine, incarnation: this.incarnation, zone },
+      this.bounds.budget,
+    );
+  }
+
+  private createOutcomeReplicator(): OutcomeReplicator {
+    return new OutcomeReplicator(
+      this.rpc,
+      new OutcomeCache(this.runtime.clock, this.bounds.controlPlaneTimeouts.keyMs),
+      () => ({
+        members: this.clusterView.collectors,
+        leader: this.forwarder.leader,
+        zone: this.settings.zone,
+      }),
+    );
+  }
+
+  private createCountAggregator(): CountAggregator {
+    return new CountAggregator(
+      this.runtime,
+      this.rpc,
+      this.bounds.counts,
+      this.settings.peers,
+      this.incarnation,
+      () => this.replicationNode?.leader || this.forwarder.leader,
+    );
+  }
+
+  private createAdminApi(egress: LinkPacer): AdminApi {
+    return new AdminApi(this.runtime, {
+      forwarder: this.forwarder,
+      clusterView: this.clusterView,
+      loadBalancer: this.loadBalancer,
+      egress,
+      ownAddress: this.settings.operators,
+      daemon: {
+        status: () => this.status(),
+        notReady: () => this.notReady(),
+        counts: () => this.countAggregator?.latest ?? this.edgeCounts.latest,
+      },
+      changeTimeoutMs: this.bounds.orderMs,
+      retryRules: this.bounds.budget,
+    });
+  }
+
   private lapsedLease(): ExpiredLeasePolicy {
     const { forwarder, rpc } = this;
-    const core = {
+    const members = {
       get members() {
         return forwarder.members;
       },
       isOutOfReach: (member: string, sinceMs: number) => rpc.isUnreachable(member, sinceMs),
     };
-    return new ExpiredLeasePolicy(this.runtime.clock, core, this.bounds.figures);
+    return new ExpiredLeasePolicy(this.runtime.clock, members, this.bounds.figures);
   }
 
-  private machine(): DaemonInfo {
+  private daemonInfo(): DaemonInfo {
     const { machine, zone, peers, operators } = this.settings;
     return {
       name: machine,
@@ -320,20 +349,20 @@
       roles: this.roles,
       peer: peers,
       incarnation: this.incarnation,
-      draining: this.draining,
+      draining: this.isDraining,
       operators,
     };
   }
 
   private notReady(): string {
-    if (this.draining) return "draining";
+    if (this.isDraining) return "draining";
     if (!this.clusterView.holdsLease) return "no fresh grant";
     return "";
   }
 
   private status(): Record<string, unknown> {
     return {
-      ...this.machine(),
+      ...this.daemonInfo(),
       ready: this.notReady() === "",
       granted: this.clusterView.holdsLease,
       configSequence: this.clusterView.configSequence,
@@ -348,8 +377,11 @@
             capacities: Object.fromEntries(this.budget.capacities),
           }
         : null,
-      collector: this.collector
-        ? { refused: this.collector.refused, coverage: this.collector.latest?.coverage ?? null }
+      collector: this.countAggregator
+        ? {
+            refused: this.countAggregator.refused,
+            coverage: this.countAggregator.latest?.coverage ?? null,
+          }
         : null,
     };
   }
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -1,171 +1,166 @@
+/** Runs the daemon of this machine as a process: opens what it needs, reloads settings, and drains on a signal. */
+import { ConfigArchive } from "../admin/config-archive.js";
 import { BackendClient } from "../proxy/upstream/backend-client.js";
-import { ProxyRequest } from "../proxy/proxy-request.js";
-import { ClientResponse } from "../proxy/request-outcome.js";
+import { Clock } from "../runtime/clock.js";
+import { Disk } from "../runtime/disk.js";
+import { EventStream } from "../runtime/event-stream.js";
+import { LinkPacers } from "../runtime/link-pacer.js";
+import { LoggerFactory, type Logger } from "../runtime/logger.js";
 import { Network } from "../runtime/network.js";
-import { ConfigArchive } from "../admin/config-archive.js";
+import type { Runtime } from "../runtime/runtime.js";
+import { Task } from "../runtime/task.js";
 import type { Adapter } from "./adapter.js";
 import { Bounds } from "./bounds.js";
-import { Clock } from "../runtime/clock.js";
 import { Daemon } from "./daemon.js";
-import { Disk } from "../runtime/disk.js";
-import { HttpServer } from "./http-server.js";
-import { LinkPacers } from "../runtime/link-pacer.js";
-import { LoggerFactory } from "../runtime/logger.js";
+import { HttpServers } from "./http-servers.js";
 import { monitorProcess } from "./process-monitor.js";
-import { Settings } from "./settings.js";
-import { SettingsError } from "./settings-error.js";
+import type { Settings } from "./settings.js";
 import { SettingsFile } from "./settings-file.js";
-import { EventStream } from "../runtime/event-stream.js";
-import { Task } from "../runtime/task.js";
-import { Runtime } from "../runtime/runtime.js";
+import { SettingsReloader } from "./settings-reloader.js";
 
 /** How a daemon is run besides its settings. */
 export interface ServeOptions {
-  /** Where the daemon serves a platform that has words of its own. */
+  /** Translates for a platform whose headers and admin requests have another form. */
   readonly adapter?: Adapter;
-  /** Whether accepted configs are also kept in a Git repository. */
+  /** Whether accepted configs are archived in a Git repository. */
   readonly archive?: boolean;
 }
 
-/** How often the settings file is looked at. */
-const lookMs = 1000;
-const configBodyBytes = 64 * 1024 * 1024;
+/** How often a draining process checks whether responses are still being written. */
+const RESPONSE_CHECK_INTERVAL_MS = 20;
+/** How long the last bytes of responses have to leave before connections are closed. */
+const CLOSE_DELAY_MS = 50;
 
-/** Runs the daemon of this machine until it is told to stop; ends with the exit code. */
-export const serve = async (
-  file: SettingsFile,
-  { adapter, archive: isArchived = false }: ServeOptions = {},
-): Promise<number> => {
-  let settings = file.read();
-  const logbook = LoggerFactory.create(settings.machine, settings.logLevel ?? "info");
-  const log = logbook.component("machine");
-  const clock = Clock.real();
-  const wire = Network.tcp();
-  const pacers = LinkPacers.of(clock, settings.limits?.linkMbps);
-  const backendClient = BackendClient.http(clock, { proof: adapter?.headerNames.proof, pacers });
-  return new Promise<number>((end) => {
-    const fail = (error: unknown): void => {
-      log.error("The daemon can't run.", error);
-      end(1);
-    };
-    const life = function* (): Task<number> {
-      const disk =
-        settings.dataFolder === undefined ? undefined : yield* Disk.open(settings.dataFolder);
-      const broken = (part: string, error: unknown): void => {
-        logbook.component(part).error("A task broke off; the daemon ends.", error);
-        end(1);
-      };
-      const archive =
-        settings.dataFolder !== undefined && isArchived
-          ? new ConfigArchive(settings.dataFolder, logbook.component("operator"))
-          : undefined;
-      const runtime: Runtime = {
-        clock,
-        network: wire,
-        disk,
-        loggers: logbook,
-        onTaskFailure: broken,
-        random: Math.random,
-        wallTime: () => new Date(),
-      };
-      const daemon = new Daemon(runtime, settings, {
-        backendClient,
-        archive,
-        pacers,
-        ...(adapter ? { headerNames: adapter.headerNames } : {}),
-      });
-      const control = (takes: (clientRequest: ProxyRequest) => boolean): HttpServer => {
-        const server = new HttpServer(
-          (clientRequest, client) => {
-            const read = adapter
-              ? adapter.control.into(clientRequest)
-              : { clientRequest, back: (response: ClientResponse) => response };
-            if ("code" in read) client.respond(read);
-            else if (takes(read.clientRequest))
-              daemon.operators.emit({
-                clientRequest: read.clientRequest,
-                give: (response) => client.respond(read.back(response)),
-              });
-            else
-              client.respond(ClientResponse.json(404, { error: "Only readiness is served here." }));
-          },
-          { egress: pacers.egress, transferClass: "control" },
-        );
-        server.bound({ bodyBytes: configBodyBytes });
-        return server;
-      };
-      const callers = new HttpServer(
-        (clientRequest, client) => daemon.callers.emit({ clientRequest, client }),
-        {
-          wholeOnly: false,
-          egress: pacers.egress,
-        },
-      );
-      const operators = control(() => true);
-      const readiness = control(
-        (clientRequest) =>
-          clientRequest.method === "GET" && ProxyRequest.path(clientRequest) === "/ready",
-      );
-      daemon.onLimits = (limits) => callers.bound(limits);
-      yield* daemon.start();
-      yield* operators.listen(settings.operators);
-      if (settings.ready !== undefined) yield* readiness.listen(settings.ready);
-      const callersAt = Settings.roles(settings).includes("edge") ? settings.callers : undefined;
-      if (callersAt !== undefined) yield* callers.listen(callersAt);
+type Signal = "SIGTERM" | "SIGINT" | "SIGHUP";
 
-      const readAgain = (): void => {
-        try {
-          const after = file.read();
-          const { applied, needRestart } = Settings.difference(settings, after);
-          if (applied.includes("logLevel")) logbook.setLevel(after.logLevel ?? "info");
-          if (applied.includes("seeds")) daemon.setSeeds(after.seeds);
-          log.info("Settings were read again.", { applied, needRestart });
-          settings = { ...settings, logLevel: after.logLevel ?? "info", seeds: after.seeds };
-        } catch (error) {
-          log.warn("The settings on file have faults; the old ones stay.", {
-            faults: error instanceof SettingsError ? error.faults : String(error),
-          });
-        }
-      };
-      const looking = function* (): Task {
-        for (;;) {
-          yield* Clock.sleep(clock, lookMs);
-          if (file.hasChanged) readAgain();
-        }
-      };
-      Task.start(looking(), fail);
-      Task.start(monitorProcess(clock, log), fail);
-      const signals = new EventStream<"SIGTERM" | "SIGINT" | "SIGHUP">();
-      for (const name of ["SIGTERM", "SIGINT", "SIGHUP"] as const)
-        process.on(name, () => signals.emit(name));
+const processSignals = (): EventStream<Signal> => {
+  const signals = new EventStream<Signal>();
+  for (const name of ["SIGTERM", "SIGINT", "SIGHUP"] as const)
+    process.on(name, () => signals.emit(name));
+  return signals;
+};
+
+/** A daemon's process, from its settings to its exit code. */
+class DaemonProcess {
+  private readonly file: SettingsFile;
+  private readonly options: ServeOptions;
+  private readonly settings: Settings;
+  private readonly loggers: ReturnType<typeof LoggerFactory.create>;
+  private readonly log: Logger;
+  private readonly clock: Clock;
+  private readonly network: ReturnType<typeof Network.tcp>;
+  private readonly pacers: LinkPacers;
+  private readonly backendClient: BackendClient;
+  private readonly exit: (code: number) => void;
+
+  constructor(file: SettingsFile, options: ServeOptions, exit: (code: number) => void) {
+    this.file = file;
+    this.options = options;
+    this.exit = exit;
+    this.settings = file.read();
+    const { machine, logLevel, limits } = this.settings;
+    this.loggers = LoggerFactory.create(machine, logLevel ?? "info");
+    this.log = this.loggers.component("machine");
+    this.clock = Clock.real();
+    this.network = Network.tcp();
+    this.pacers = LinkPacers.of(this.clock, limits?.linkMbps);
+    this.backendClient = BackendClient.http(this.clock, {
+      proof: options.adapter?.headerNames.proof,
+      pacers: this.pacers,
+    });
+  }
+
+  /** Starts the process; `exit` is called when it ends. */
+  start(): void {
+    Task.start(this.run(), this.fail, this.exit);
+  }
+
+  private readonly fail = (error: unknown): void => {
+    this.log.error("daemon failed", error);
+    this.exit(1);
+  };
+
+  private *run(): Task<number> {
+    const { clock, settings } = this;
+    const runtime = yield* this.openRuntime();
+    const daemon = this.createDaemon(runtime);
+    const servers = new HttpServers(daemon, settings, this.pacers.egress, this.options.adapter);
+    yield* daemon.start();
+    yield* servers.listen();
+    const reloader = new SettingsReloader(
+      this.file,
+      settings,
+      (after, applied) => {
+        if (applied.includes("logLevel")) this.loggers.setLevel(after.logLevel ?? "info");
+        if (applied.includes("seeds")) daemon.setSeeds(after.seeds);
+      },
+      this.log,
+    );
+    Task.start(reloader.run(clock), this.fail);
+    Task.start(monitorProcess(clock, this.log), this.fail);
+    const signals = processSignals();
+    signals.subscribe(clock.scheduler, (name) => {
+      if (name === "SIGHUP") reloader.reload();
+    });
+    yield* Task.wait<Signal>((done) =>
       signals.subscribe(clock.scheduler, (name) => {
-        if (name === "SIGHUP") readAgain();
-      });
-      yield* Task.wait<string>((done) =>
-        signals.subscribe(clock.scheduler, (name) => {
-          if (name !== "SIGHUP") done(name);
-        }),
-      );
-      const untilMs = clock.nowMs() + Bounds.of(settings).abandonMs;
-      callers.partWithCallers();
-      yield* daemon.drain(() => {
-        if (callersAt !== undefined) callers.close();
-      });
-      while (callers.unfinished > 0 && clock.nowMs() < untilMs) yield* Clock.sleep(clock, 20);
-      yield* Clock.sleep(clock, 50);
-      callers.end();
-      for (const server of [operators, readiness]) {
-        server.close();
-        server.end();
-      }
-      wire.close();
-      backendClient.close();
-      return 0;
+        if (name !== "SIGHUP") done(name);
+      }),
+    );
+    yield* this.drain(daemon, servers);
+    servers.close();
+    this.network.close();
+    this.backendClient.close();
+    return 0;
+  }
+
+  private *drain(daemon: Daemon, servers: HttpServers): Task {
+    const { clock } = this;
+    const deadlineMs = clock.nowMs() + Bounds.of(this.settings).abandonMs;
+    servers.closeClientConnections();
+    yield* daemon.drain(() => servers.stopAcceptingClients());
+    while (servers.hasUnfinishedResponses && clock.nowMs() < deadlineMs)
+      yield* Clock.sleep(clock, RESPONSE_CHECK_INTERVAL_MS);
+    yield* Clock.sleep(clock, CLOSE_DELAY_MS);
+  }
+
+  private *openRuntime(): Task<Runtime> {
+    const { dataFolder } = this.settings;
+    const disk = dataFolder === undefined ? undefined : yield* Disk.open(dataFolder);
+    return {
+      clock: this.clock,
+      network: this.network,
+      disk,
+      loggers: this.loggers,
+      onTaskFailure: (component, error) => {
+        this.loggers.component(component).error("task failed", error);
+        this.exit(1);
+      },
+      random: Math.random,
+      wallTime: () => new Date(),
     };
-    Task.start(life(), fail, end);
-  });
-};
+  }
+
+  private createDaemon(runtime: Runtime): Daemon {
+    const { adapter, archive: isArchived = false } = this.options;
+    const { dataFolder } = this.settings;
+    const archive =
+      dataFolder !== undefined && isArchived
+        ? new ConfigArchive(dataFolder, this.loggers.component("operator"))
+        : undefined;
+    return new Daemon(runtime, this.settings, {
+      backendClient: this.backendClient,
+      archive,
+      pacers: this.pacers,
+      ...(adapter ? { headerNames: adapter.headerNames } : {}),
+    });
+  }
+}
+
+/** Runs the daemon of this machine until a signal stops it; resolves to the exit code. Throws a SettingsError where the settings have faults. */
+export const serve = async (file: SettingsFile, options: ServeOptions = {}): Promise<number> =>
+  new Promise<number>((exit) => new DaemonProcess(file, options, exit).start());
 
-/** Runs the daemon that a file in the product's own words describes, with flags laid over it. */
+/** Runs the daemon described by a settings file in daledoor's own format, with flags overriding its fields. */
 export const run = (file: string | undefined, flags: Record<string, unknown>): Promise<number> =>
   serve(SettingsFile.own(file, flags), { archive: true });
--- a/src/daemon/settings-file.ts
+++ b/src/daemon/settings-file.ts
@@ -1,8 +1,9 @@
+/** The settings file: reading, checking and detecting changes. */
 import { readFileSync } from "node:fs";
 import { Settings } from "./settings.js";
 import { SettingsError } from "./settings-error.js";
 
-const json = (text: string, path: string): unknown => {
+const parseJson = (text: string, path: string): unknown => {
   try {
     const value: unknown = JSON.parse(text);
     return value;
@@ -13,21 +14,24 @@
   }
 };
 
-/** The file that settings are read from, again where it has changed. */
+/** A file that settings are read from, repeatedly while a daemon runs. */
 export class SettingsFile {
   private readonly path: string | undefined;
   private readonly translate: (text: string, path: string) => unknown;
   private text: string | undefined;
 
-  /** Without a path, the settings are what is laid over nothing. */
-  constructor(path: string | undefined, translate: (text: string, path: string) => unknown = json) {
+  /** `translate` turns the file's text into daledoor's own format; without a path it is given an empty object. */
+  constructor(
+    path: string | undefined,
+    translate: (text: string, path: string) => unknown = parseJson,
+  ) {
     this.path = path;
     this.translate = translate;
   }
 
-  /** Reads and checks the settings whole; raises their faults. */
+  /** Reads and checks the settings; throws a SettingsError with all their faults. */
   read(): Settings {
-    if (this.path === undefined) return SettingsFile.checked(this.translate("{}", ""));
+    if (this.path === undefined) return SettingsFile.validated(this.translate("{}", ""));
     try {
       this.text = readFileSync(this.path, "utf8");
     } catch (error) {
@@ -38,10 +42,10 @@
         },
       ]);
     }
-    return SettingsFile.checked(this.translate(this.text, this.path));
+    return SettingsFile.validated(this.translate(this.text, this.path));
   }
 
-  /** Whether the file now holds something else than when it was read last. */
+  /** Whether the file's text differs from what was last read; false where it can't be read. */
   get hasChanged(): boolean {
     if (this.path === undefined) return false;
     try {
@@ -51,17 +55,17 @@
     }
   }
 
-  /** JSON in the product's own words, with flags laid over it. */
-  static own(path: string | undefined, flags: Record<string, unknown>): SettingsFile {
-    return new SettingsFile(path, (text, at) => {
-      const value = json(text, at);
+  /** A file in daledoor's own format, with flags overriding its fields. */
+  static own(file: string | undefined, flags: Record<string, unknown>): SettingsFile {
+    return new SettingsFile(file, (text, path) => {
+      const value = parseJson(text, path);
       return typeof value === "object" && value !== null && !Array.isArray(value)
         ? { ...value, ...flags }
         : value;
     });
   }
 
-  private static checked(value: unknown): Settings {
+  private static validated(value: unknown): Settings {
     const checked = Settings.check(value);
     if ("faults" in checked) throw new SettingsError(checked.faults);
     return checked.settings;
--- /dev/null
+++ b/src/daemon/settings-reloader.ts
@@ -0,0 +1,54 @@
+/** Reloads the settings file while the daemon runs: on a change of the file, or on request. */
+import { Clock } from "../runtime/clock.js";
+import type { Logger } from "../runtime/logger.js";
+import type { Task } from "../runtime/task.js";
+import { SettingsError } from "./settings-error.js";
+import type { SettingsFile } from "./settings-file.js";
+import { Settings } from "./settings.js";
+
+/** How often the settings file is checked for changes. */
+const FILE_CHECK_INTERVAL_MS = 1000;
+
+/** Applies what can change at run time, and logs what needs a restart. */
+export class SettingsReloader {
+  private readonly file: SettingsFile;
+  private readonly apply: (settings: Settings, changedNames: readonly string[]) => void;
+  private readonly log: Logger;
+  private settings: Settings;
+
+  /** `apply` is called with the new settings and the names of those that changed and apply at once. */
+  constructor(
+    file: SettingsFile,
+    settings: Settings,
+    apply: (settings: Settings, changedNames: readonly string[]) => void,
+    log: Logger,
+  ) {
+    this.file = file;
+    this.settings = settings;
+    this.apply = apply;
+    this.log = log;
+  }
+
+  /** Reloads the file whenever it has changed. */
+  *run(clock: Clock): Task {
+    for (;;) {
+      yield* Clock.sleep(clock, FILE_CHECK_INTERVAL_MS);
+      if (this.file.hasChanged) this.reload();
+    }
+  }
+
+  /** Reads the file again; settings with faults are logged and the former ones stay. */
+  reload(): void {
+    try {
+      const after = this.file.read();
+      const { applied, needRestart } = Settings.difference(this.settings, after);
+      this.apply(after, applied);
+      this.log.info("settings reloaded", { applied, needRestart });
+      this.settings = { ...this.settings, logLevel: after.logLevel ?? "info", seeds: after.seeds };
+    } catch (error) {
+      this.log.warn("settings reload failed", {
+        faults: error instanceof SettingsError ? error.faults : String(error),
+      });
+    }
+  }
+}
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -1,3 +1,4 @@
+/** The settings of one daemon: their shape, validation, and which of them can change at run time. */
 import { isIP } from "node:net";
 import {
   array,
@@ -22,68 +23,70 @@
 import { Bounds } from "./bounds.js";
 import { boundsShape } from "./bound-settings.js";
 
-const word = define<string>(
+const nameShape = define<string>(
   "word",
   (value) =>
     (typeof value === "string" && /^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/.test(value)) ||
     "Expected a name of letters, digits, dots and dashes",
 );
-const address = define<string>("address", (value) => {
+const addressShape = define<string>("address", (value) => {
   if (typeof value !== "string") return "Expected an address of the form IP:port";
   const { host, port } = Address.parts(value);
   return (
-    (isIP(host) !== 0 && Number.isInteger(port) && port > 0 && port < 65_536) ||
+    (isIP(host) !== 0 && Number.isInteger(port) && port > 0 && port <= MAX_PORT) ||
     "Expected an address of the form IP:port"
   );
 });
-const ms = max(min(number(), 0), 86_400_000);
-const amount = min(number(), 0);
+const MAX_DURATION_MS = 86_400_000;
+const MAX_PORT = 65_535;
+const durationMs = max(min(number(), 0), MAX_DURATION_MS);
+const quantity = min(number(), 0);
 
-const shape = object({
-  machine: word,
-  zone: word,
-  region: optional(word),
-  zones: optional(record(word, word)),
-  callers: optional(address),
-  operators: address,
-  peers: address,
-  ready: optional(address),
-  seeds: size(array(address), 1, 9),
+const settingsShape = object({
+  machine: nameShape,
+  zone: nameShape,
+  region: optional(nameShape),
+  zones: optional(record(nameShape, nameShape)),
+  callers: optional(addressShape),
+  operators: addressShape,
+  peers: addressShape,
+  ready: optional(addressShape),
+  seeds: size(array(addressShape), 1, 9),
   roles: optional(nonempty(array(enums(["edge", "recorder", "collector"])))),
   dataFolder: optional(nonempty(string())),
   logLevel: optional(enums(["debug", "info", "warn", "error"])),
-  /** Whether the whole fleet starts for the first time, so that a record may be formed. */
+  /** Whether the fleet starts for the first time, so that a replicated log may be formed. */
   bootstrap: optional(boolean()),
-  /** What may be lost at the same moment while all bounds hold. */
+  /** How many machines and zones may fail at the same time without a bound being exceeded. */
   tolerate: optional(object({ machines: min(integer(), 0), zones: min(integer(), 0) })),
-  /** How often back ends announce themselves. */
-  heartbeatMs: optional(ms),
-  /** What this machine can bear. */
+  /** How often backends send heartbeats. */
+  heartbeatMs: optional(durationMs),
+  /** The resources of this machine. */
   limits: optional(
     object({
-      memoryMb: optional(amount),
-      descriptors: optional(amount),
-      diskMb: optional(amount),
-      cpu: optional(amount),
-      linkMbps: optional(amount),
+      memoryMb: optional(quantity),
+      descriptors: optional(quantity),
+      diskMb: optional(quantity),
+      cpu: optional(quantity),
+      linkMbps: optional(quantity),
     }),
   ),
   bounds: optional(boundsShape),
 });
 
-/** One daemon's place: its name, zone, addresses, seeds and roles, and the bounds it is held to. */
-export type Settings = Infer<typeof shape>;
+/** The settings of one daemon: its name, zone, addresses, seeds, roles and bounds. */
+export type Settings = Infer<typeof settingsShape>;
 
-/** What a daemon may be. */
+/** A role of a daemon: it proxies requests, replicates the log, or aggregates request counts. */
 export type Role = NonNullable<Settings["roles"]>[number];
 
-/** Settings that can change while a daemon runs. */
-const changeable: ReadonlyArray<keyof Settings> = ["logLevel", "seeds"];
+/** The settings that apply at once when they change; all others need a restart. */
+const RELOADABLE_NAMES: ReadonlyArray<keyof Settings> = ["logLevel", "seeds"];
 
 export const Settings = {
-  /** Reads and checks settings whole. */
+  /** Validates settings and reports all faults at once. */
   check(value: unknown): { settings: Settings } | { faults: ValidationFault[] } {
-    const [error, settings] = validate(value, shape);
+    const [error, settings] = validate(value, settingsShape);
     if (error) return { faults: validationFaults(error.failures()) };
     const faults: ValidationFault[] = [];
     const roles = Settings.roles(settings);
@@ -96,10 +99,13 @@
       });
     if (new Set(settings.seeds).size !== settings.seeds.length)
       faults.push({ path: "seeds", expected: "addresses that differ" });
-    const own = [settings.callers, settings.operators, settings.peers, settings.ready].filter(
-      (one) => one !== undefined,
-    );
-    if (new Set(own).size !== own.length)
+    const ownAddresses = [
+      settings.callers,
+      settings.operators,
+      settings.peers,
+      settings.ready,
+    ].filter((ownAddress) => ownAddress !== undefined);
+    if (new Set(ownAddresses).size !== ownAddresses.length)
       faults.push({
         path: "peers",
         expected: "an address of its own for callers, operators, peers and readiness",
@@ -108,23 +114,24 @@
     return faults.length > 0 ? { faults } : { settings };
   },
 
-  /** The roles that are set, or those the machine can bear. */
+  /** The roles that are set, by default those that the machine's disk allows. */
   roles(settings: Settings): Role[] {
     return (
       settings.roles ?? (settings.dataFolder === undefined ? ["edge"] : ["recorder", "collector"])
     );
   },
 
-  /** What differs, parted into what applies at once and what needs a restart. */
+  /** The names of the settings that differ: those that apply at once and those that need a restart. */
   difference(before: Settings, after: Settings): { applied: string[]; needRestart: string[] } {
     const names = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort();
-    const pick = (settings: Settings, name: string): string =>
+    const valueOf = (settings: Settings, name: string): string =>
       JSON.stringify(Object.entries(settings).find(([key]) => key === name)?.[1] ?? null);
-    const differing = names.filter((name) => pick(before, name) !== pick(after, name));
-    const isChangeable = (name: string): boolean => changeable.some((one) => one === name);
+    const changedNames = names.filter((name) => valueOf(before, name) !== valueOf(after, name));
+    const isReloadable = (name: string): boolean =>
+      RELOADABLE_NAMES.some((reloadable) => reloadable === name);
     return {
-      applied: differing.filter(isChangeable),
-      needRestart: differing.filter((name) => !isChangeable(name)),
+      applied: changedNames.filter(isReloadable),
+      needRestart: changedNames.filter((name) => !isReloadable(name)),
     };
   },
 };
