--- a/src/state/idempotency-claim-table.ts
+++ b/src/state/idempotency-claim-table.ts
@@ -1,24 +1,12 @@
 /** Idempotency claims: which request has each idempotency key, and which daemons know its outcome. */
 import { array, define, string } from "superstruct";
+import type { IdempotencyClaim } from "./idempotency-claim.js";
 import type { LogCommandOf } from "./log-command.js";
 import type { LogOutcome } from "./log-outcome.js";
 
 /** How many claims are retained; beyond that new ones are refused, so that a snapshot fits a frame and is made within a lease. */
 export const MAX_IDEMPOTENCY_CLAIMS = 40_000;
 
-/** The claim of an idempotency key; the field names are stored and travel. */
-export interface IdempotencyClaim {
-  bodyHash: string;
-  /** The request that has the key. */
-  job: string;
-  /** How the request ended, where a former build recorded it here; else `inHand`. */
-  verdict: "inHand" | "ran" | "mayHaveRun";
-  /** The daemons that know the outcome of the request, which isn't replicated. */
-  holders?: readonly string[];
-  /** The index of the log entry that made the claim. */
-  atIndex: number;
-}
-
 /** A claim under its scope: the idempotency key and what it applies to. */
 export interface StoredClaim {
   readonly scope: string;
--- a/src/state/log-outcome.ts
+++ b/src/state/log-outcome.ts
@@ -1,5 +1,5 @@
 /** The outcomes of log commands, as their proposers get them in JSON. */
-import type { IdempotencyClaim } from "./idempotency-claim-table.js";
+import type { IdempotencyClaim } from "./idempotency-claim.js";
 
 /** What applying a log command resulted in; the field names travel. */
 export type LogOutcome =
--- a/src/state/state-machine.ts
+++ b/src/state/state-machine.ts
@@ -23,7 +23,8 @@
   versionOf,
   type AcceptedConfig,
 } from "./accepted-config.js";
-export { MAX_IDEMPOTENCY_CLAIMS, type IdempotencyClaim } from "./idempotency-claim-table.js";
+export type { IdempotencyClaim } from "./idempotency-claim.js";
+export { MAX_IDEMPOTENCY_CLAIMS } from "./idempotency-claim-table.js";
 export { LogCommand } from "./log-command.js";
 export { Registration } from "./registration.js";
 export { MAX_TOMBSTONES } from "./tombstone-table.js";
