--- a/src/state/state-machine.ts
+++ b/src/state/state-machine.ts
@@ -4,11 +4,8 @@
 import type { AcceptedConfig } from "./accepted-config.js";
 import { ConfigTable, configTableShape, type RecentConfig } from "./config-table.js";
 import { IdAllocator } from "./id-allocator.js";
-import {
-  claimsShape,
-  IdempotencyClaimTable,
-  type IdempotencyClaim,
-} from "./idempotency-claim-table.js";
+import type { IdempotencyClaim } from "./idempotency-claim.js";
+import { claimsShape, IdempotencyClaimTable } from "./idempotency-claim-table.js";
 import { Journal, journalShape, type JournalEntry } from "./journal.js";
 import { LogCommand, type LogCommandOf } from "./log-command.js";
 import type { LogOutcome } from "./log-outcome.js";
