--- a/src/control-plane/change-buffer.ts
+++ b/src/control-plane/change-buffer.ts
@@ -1,50 +1,55 @@
-/** What a kept change weighs beside the names of its items. */
-const changeOverheadBytes = 64;
+/** A bounded buffer of the last changes of a table, so that updates can be sent in place of the whole table. */
+
+/** What a buffered change weighs beside the keys of its items. */
+const CHANGE_OVERHEAD_BYTES = 64;
+
+/** How much the changes of a table may weigh by default; beyond that the oldest are dropped. */
+export const DEFAULT_MAX_CHANGE_BYTES = 1024 * 1024;
 
 interface Change {
   readonly sequence: number;
   readonly keys: readonly string[];
-  readonly bytes: number;
+  readonly sizeBytes: number;
 }
 
-/** The names of the items that the last changes of a table touched, by the table's sequence; bounded by bytes. */
+/** The keys of the items that the last changes of a table touched, by the table's sequence. */
 export class ChangeBuffer {
   private changes: Change[] = [];
-  /** The sequence of the table before the oldest change that is kept. */
-  private base: number;
-  private keptBytes = 0;
-  private readonly mostBytes: number;
+  /** The sequence of the table before the oldest buffered change. */
+  private baseSequence: number;
+  private sizeBytes = 0;
+  private readonly maxBytes: number;
 
-  /** Begins with a table as it is under `sequence`. */
-  constructor(sequence: number, mostBytes: number) {
-    this.base = sequence;
-    this.mostBytes = mostBytes;
+  /** Begins with a table as it is under `sequence`; buffers changes up to `maxBytes`. */
+  constructor(sequence: number, maxBytes: number) {
+    this.baseSequence = sequence;
+    this.maxBytes = maxBytes;
   }
 
-  /** Keeps which items changed when the table came to `sequence`; lets the oldest changes go beyond the bound. */
+  /** Adds the keys of the items that changed when the table came to `sequence`; drops the oldest changes beyond the limit. */
   note(sequence: number, keys: readonly string[]): void {
-    const bytes = keys.reduce((sum, key) => sum + key.length, changeOverheadBytes);
-    this.changes.push({ sequence, keys, bytes });
-    this.keptBytes += bytes;
+    const sizeBytes = keys.reduce((sum, key) => sum + key.length, CHANGE_OVERHEAD_BYTES);
+    this.changes.push({ sequence, keys, sizeBytes });
+    this.sizeBytes += sizeBytes;
     let dropped = 0;
     for (const change of this.changes) {
-      if (this.keptBytes <= this.mostBytes) break;
-      this.keptBytes -= change.bytes;
-      this.base = change.sequence;
+      if (this.sizeBytes <= this.maxBytes) break;
+      this.sizeBytes -= change.sizeBytes;
+      this.baseSequence = change.sequence;
       dropped += 1;
     }
     if (dropped > 0) this.changes = this.changes.slice(dropped);
   }
 
-  /** The items that may differ from a table under `sequence`; `undefined` where that table isn't known any more. */
+  /** The keys of the items that may differ from the table under `sequence`; `undefined` where that is no longer known. */
   since(sequence: number): ReadonlySet<string> | undefined {
     const keys = new Set<string>();
-    for (let at = this.changes.length - 1; at >= 0; at -= 1) {
-      const change = this.changes[at];
+    for (let index = this.changes.length - 1; index >= 0; index -= 1) {
+      const change = this.changes[index];
       if (!change || change.sequence < sequence) return undefined;
       if (change.sequence === sequence) return keys;
       for (const key of change.keys) keys.add(key);
     }
-    return this.base === sequence ? keys : undefined;
+    return this.baseSequence === sequence ? keys : undefined;
   }
 }
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -1,3 +1,4 @@
+/** The updates of the configuration that leased views contain. */
 import type { StateMachine } from "../state/state-machine.js";
 import { TextCompression } from "../runtime/text-compression.js";
 import { Config } from "../configuration/config.js";
@@ -8,91 +9,93 @@
 } from "../configuration/config-items.js";
 import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/compressed-text.js";
 import type { ConfigUpdate } from "../control-protocol/leased-view.js";
-import { ChangeBuffer } from "./change-buffer.js";
+import { ChangeBuffer, DEFAULT_MAX_CHANGE_BYTES } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-/** How many bytes the names of changed items may take; beyond that the oldest changes are forgotten. */
-const keptChangeBytes = 1024 * 1024;
-/** In the list of changes: stands before the key of an item that was removed. */
-const removedMark = "-";
+/** The prefix of the key of a removed item among the keys of changed items. */
+const REMOVED_PREFIX = "-";
 
-interface Known {
+/** The key of the part with the whole configuration. */
+const WHOLE = -1;
+
+/** An item that was observed, with its hash. */
+interface ObservedItem {
   readonly value: ConfigItem["value"];
   readonly hash: bigint;
 }
 
-const emptyConfig: NumberedConfig = { config: Config.empty, numbers: new Map() };
+const EMPTY_CONFIG: NumberedConfig = { config: Config.empty, numbers: new Map() };
 
-/** Whether the routes of a config are in the order that a daemon has after it removed some of the former ones and put others at the end. */
-const keepsOrder = (
+/** Whether the order of routes is the one that a daemon has after it removed some of the former ones and added others at the end. */
+const isOrderPreserved = (
   former: Config["routes"],
   next: Config["routes"],
   removed: ReadonlySet<string>,
 ): boolean => {
   const names = Object.keys(next);
-  let at = 0;
+  let index = 0;
   for (const name of Object.keys(former)) {
     if (removed.has(ConfigItems.key("routes", name))) continue;
-    if (names[at] !== name) return false;
-    at += 1;
+    if (names[index] !== name) return false;
+    index += 1;
   }
   return names
-    .slice(at)
-    .every((name) => !Object.hasOwn(former, name) || isBackAgain(name, removed));
+    .slice(index)
+    .every((name) => !Object.hasOwn(former, name) || isAddedAgain(name, removed));
 };
 
-/** A route that was removed and put anew stands at the end. */
-const isBackAgain = (name: string, removed: ReadonlySet<string>): boolean =>
+/** Whether a route was removed and added again, so that it stands at the end. */
+const isAddedAgain = (name: string, removed: ReadonlySet<string>): boolean =>
   removed.has(ConfigItems.key("routes", name));
 
-/** What polls are told of the configuration in force: the items that changed since the sequence that a daemon knows, or all. */
+/** What views contain of the active configuration: the items that changed since the sequence that a daemon has, or all. */
 export class ConfigChangeLog {
   private readonly stateMachine: StateMachine;
-  private readonly read: () => Config;
-  private current = emptyConfig;
+  private readonly readActive: () => Config;
+  private current = EMPTY_CONFIG;
   private currentSequence = 0;
-  private items = new Map<string, Known>();
+  private items = new Map<string, ObservedItem>();
   private setDigest = new SetDigest();
-  private recent = new ChangeBuffer(0, keptChangeBytes);
-  /** The parts of views that were made for the present sequence, by the sequence that a daemon knows. */
-  private readonly parts = new Map<number, string>();
+  private changes = new ChangeBuffer(0, DEFAULT_MAX_CHANGE_BYTES);
+  /** The parts of views under the present sequence, by the sequence that the daemon has; the whole configuration under `WHOLE`. */
+  private readonly viewParts = new Map<number, string>();
   private serviceNames: string[] = [];
   private digestText = "";
 
-  /** Follows the configuration in force, which `read` gives as it was parsed. */
-  constructor(stateMachine: StateMachine, read: () => Config) {
+  /** Follows the active configuration, which `readActive` returns parsed. */
+  constructor(stateMachine: StateMachine, readActive: () => Config) {
     this.stateMachine = stateMachine;
-    this.read = read;
+    this.readActive = readActive;
   }
 
-  /** The services of the configuration in force. */
+  /** The services of the active configuration. */
   get services(): readonly string[] {
     this.observe();
     return this.serviceNames;
   }
 
-  /** Forgets everything, as one that leads anew: the next look takes the configuration in force as the first. */
+  /** Forgets all observations, at the begin of a term: the next one takes the active configuration as the first. */
   reset(): void {
-    this.current = emptyConfig;
+    this.current = EMPTY_CONFIG;
     this.currentSequence = 0;
     this.items = new Map();
     this.setDigest = new SetDigest();
-    this.recent = new ChangeBuffer(0, keptChangeBytes);
-    this.parts.clear();
+    this.changes = new ChangeBuffer(0, DEFAULT_MAX_CHANGE_BYTES);
+    this.viewParts.clear();
   }
 
-  /** The part of a view that brings a daemon from the sequence that it knows to the one in force. */
-  viewPart(known: number): string {
+  /** The part of a view that updates a daemon from the sequence that it has to the active one. */
+  viewPart(fromSequence: number): string {
     this.observe();
-    const former = this.parts.get(known);
-    if (former !== undefined) return former;
-    const touched = this.recent.since(known);
-    const told =
+    const cached = this.viewParts.get(fromSequence);
+    if (cached !== undefined) return cached;
+    const touched = this.changes.since(fromSequence);
+    const content =
       touched && touched.size < this.items.size / 2
-        ? this.changesPart(known, touched)
+        ? this.changesPart(fromSequence, touched)
         : this.wholePart();
-    const part = `${told},"configDigest":"${this.digestText}"`;
-    this.parts.set(known, part);
+    const part = `${content},"configDigest":"${this.digestText}"`;
+    this.viewParts.set(fromSequence, part);
     return part;
   }
 
@@ -105,7 +108,7 @@
     };
     this.putTouched(update, touched);
     for (const key of touched) {
-      if (key.startsWith(removedMark)) update.removed.push(key.slice(removedMark.length));
+      if (key.startsWith(REMOVED_PREFIX)) update.removed.push(key.slice(REMOVED_PREFIX.length));
       const name = ConfigItems.numberedName(key) ?? "";
       const number = this.current.numbers.get(name);
       if (number !== undefined) update.numbers[name] = number;
@@ -132,44 +135,47 @@
   }
 
   private wholePart(): string {
-    const whole = this.parts.get(-1);
-    if (whole !== undefined) return whole;
+    const cached = this.viewParts.get(WHOLE);
+    if (cached !== undefined) return cached;
     const text = JSON.stringify(ConfigItems.wholeForEdges(this.current.config));
     const config =
       text.length > COMPRESSION_THRESHOLD_CHARS
         ? `"packedConfig":"${TextCompression.compress(text)}"`
         : `"config":${JSON.stringify(text)}`;
     const part = `${config},"numbers":${JSON.stringify(Object.fromEntries(this.current.numbers))}`;
-    this.parts.set(-1, part);
+    this.viewParts.set(WHOLE, part);
     return part;
   }
 
-  /** Takes notice of the configuration in force: what differs from the last look has changed since. */
+  /** Compares the active configuration with the one of the last observation; what differs has changed since. */
   private observe(): void {
     const sequence = this.stateMachine.activeConfig?.sequence ?? 0;
     if (sequence === this.currentSequence) return;
-    const next = { config: this.read(), numbers: new Map(this.stateMachine.idAllocator.inForce) };
+    const next = {
+      config: this.readActive(),
+      numbers: new Map(this.stateMachine.idAllocator.inForce),
+    };
     const isFirst = this.currentSequence === 0;
     const touched = this.takeItems(next);
     const removed = new Set(
       touched
-        .filter((key) => key.startsWith(removedMark))
-        .map((key) => key.slice(removedMark.length)),
+        .filter((key) => key.startsWith(REMOVED_PREFIX))
+        .map((key) => key.slice(REMOVED_PREFIX.length)),
     );
-    const isInOrder = keepsOrder(this.current.config.routes, next.config.routes, removed);
+    const isInOrder = isOrderPreserved(this.current.config.routes, next.config.routes, removed);
     this.current = next;
     this.currentSequence = sequence;
-    this.parts.clear();
+    this.viewParts.clear();
     this.digestText = ConfigItems.digest(this.setDigest, next.config);
     this.serviceNames = Object.keys(next.config.services);
-    if (isFirst || !isInOrder) this.recent = new ChangeBuffer(sequence, keptChangeBytes);
-    else this.recent.note(sequence, touched);
+    if (isFirst || !isInOrder) this.changes = new ChangeBuffer(sequence, DEFAULT_MAX_CHANGE_BYTES);
+    else this.changes.note(sequence, touched);
   }
 
-  /** Takes over all items, and tells the keys of those that changed or went. */
+  /** Takes over all items; returns the keys of those that changed or were removed. */
   private takeItems(next: NumberedConfig): string[] {
     const touched: string[] = [];
-    const present = new Map<string, Known>();
+    const present = new Map<string, ObservedItem>();
     for (const item of ConfigItems.all(next)) {
       const former = this.items.get(item.key);
       if (former?.value === item.value) {
@@ -185,7 +191,7 @@
     }
     for (const [key, { hash }] of this.items) {
       if (present.has(key)) continue;
-      touched.push(`${removedMark}${key}`);
+      touched.push(`${REMOVED_PREFIX}${key}`);
       this.setDigest.remove(hash);
     }
     this.items = present;
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -1,67 +1,67 @@
+/** The updates of the endpoints that leased views contain. */
 import type { StateMachine } from "../state/state-machine.js";
 import type { Registration } from "../state/registration.js";
 import { TextCompression } from "../runtime/text-compression.js";
 import { registrationHash } from "../cluster-view/endpoint-replica.js";
 import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/compressed-text.js";
-import { ChangeBuffer } from "./change-buffer.js";
+import { ChangeBuffer, DEFAULT_MAX_CHANGE_BYTES } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-/** How many bytes the names of changed registrations may take; beyond that the oldest changes are forgotten. */
-const keptChangeBytes = 1024 * 1024;
+/** The key of the part with all registrations: the sequence of a daemon that has none yet. */
+const WHOLE = -1;
 
 /**
- * What polls are told of the directory: the registrations that changed since the sequence that a daemon knows, or all of them.
- * It follows the state machine on every member of the replicated log, so that a new leader knows the same changes as the one
- * before.
+ * What views contain of the registrations: those that changed since the sequence that a daemon has, or all of them. It follows
+ * the state machine on every member of the replicated log, so that a new leader knows the same changes as the former one.
  */
 export class EndpointChangeLog {
   private readonly stateMachine: StateMachine;
-  private table: StateMachine["registrations"];
-  private tableSequence: number;
-  private readonly recent: ChangeBuffer;
+  private registrations: StateMachine["registrations"];
+  private observedSequence: number;
+  private readonly changes: ChangeBuffer;
   private readonly hashes = new Map<string, bigint>();
   private readonly byNumber = new Map<number, Registration>();
   private readonly setDigest = new SetDigest();
-  /** The parts of views that were made for the present sequence, by the sequence that a daemon knows. */
-  private readonly parts = new Map<number, string>();
+  /** The parts of views under the present sequence, by the sequence that the daemon has; the whole table under `WHOLE`. */
+  private readonly viewParts = new Map<number, string>();
 
   constructor(stateMachine: StateMachine) {
     this.stateMachine = stateMachine;
-    this.table = stateMachine.registrations.clear();
-    this.tableSequence = 0;
-    this.recent = new ChangeBuffer(0, keptChangeBytes);
+    this.registrations = stateMachine.registrations.clear();
+    this.observedSequence = 0;
+    this.changes = new ChangeBuffer(0, DEFAULT_MAX_CHANGE_BYTES);
     stateMachine.onApplied(() => this.observe());
   }
 
-  /** The directory's newest sequence. */
+  /** The newest sequence of the registrations. */
   get sequence(): number {
     this.observe();
-    return this.tableSequence;
+    return this.observedSequence;
   }
 
-  /** The digest that a daemon's copy must have under this sequence. */
+  /** The digest that a daemon's replica must have under this sequence. */
   get digest(): string {
     this.observe();
     return this.setDigest.text;
   }
 
-  /** The registration of a number. */
+  /** The registration under a number. */
   registration(number: number): Registration | undefined {
     this.observe();
     return this.byNumber.get(number);
   }
 
-  /** The part of a view that brings a daemon from the sequence that it knows to the newest one. */
-  viewPart(known: number): string {
+  /** The part of a view that updates a daemon from the sequence that it has to the newest one. */
+  viewPart(fromSequence: number): string {
     this.observe();
-    const former = this.parts.get(known);
-    if (former !== undefined) return former;
-    const touched = this.recent.since(known);
+    const cached = this.viewParts.get(fromSequence);
+    if (cached !== undefined) return cached;
+    const touched = this.changes.since(fromSequence);
     const part =
-      touched && touched.size < this.table.size
-        ? this.changesPart(known, touched)
+      touched && touched.size < this.registrations.size
+        ? this.changesPart(fromSequence, touched)
         : this.wholePart();
-    this.parts.set(known, part);
+    this.viewParts.set(fromSequence, part);
     return part;
   }
 
@@ -69,7 +69,7 @@
     const put: Registration[] = [];
     const removed: string[] = [];
     for (const address of touched) {
-      const registration = this.table.get(address);
+      const registration = this.registrations.get(address);
       if (registration) put.push(registration);
       else removed.push(address);
     }
@@ -77,48 +77,48 @@
   }
 
   private wholePart(): string {
-    const whole = this.parts.get(-1);
-    if (whole !== undefined) return whole;
-    const text = JSON.stringify([...this.table.values()]);
+    const cached = this.viewParts.get(WHOLE);
+    if (cached !== undefined) return cached;
+    const text = JSON.stringify([...this.registrations.values()]);
     const part =
       text.length > COMPRESSION_THRESHOLD_CHARS
         ? `"packedDirectory":"${TextCompression.compress(text)}"`
         : `"directory":${text}`;
-    this.parts.set(-1, part);
+    this.viewParts.set(WHOLE, part);
     return part;
   }
 
-  /** Takes notice of the tables as they are now: what differs from the last time has changed since. */
+  /** Compares the registrations with those of the last observation; what differs has changed since. */
   private observe(): void {
-    const { registrations, endpointSequence: directorySequence } = this.stateMachine;
-    if (registrations === this.table && directorySequence === this.tableSequence) return;
+    const { registrations, endpointSequence } = this.stateMachine;
+    if (registrations === this.registrations && endpointSequence === this.observedSequence) return;
     const touched: string[] = [];
     for (const [address, registration] of registrations) {
-      const former = this.table.get(address);
+      const former = this.registrations.get(address);
       if (former === registration) continue;
       touched.push(address);
-      this.forget(former);
-      this.know(registration);
+      this.remove(former);
+      this.add(registration);
     }
-    for (const [address, former] of this.table) {
+    for (const [address, former] of this.registrations) {
       if (registrations.has(address)) continue;
       touched.push(address);
-      this.forget(former);
+      this.remove(former);
     }
-    this.table = registrations;
-    this.tableSequence = directorySequence;
-    this.parts.clear();
-    this.recent.note(directorySequence, touched);
+    this.registrations = registrations;
+    this.observedSequence = endpointSequence;
+    this.viewParts.clear();
+    this.changes.note(endpointSequence, touched);
   }
 
-  private know(registration: Registration): void {
+  private add(registration: Registration): void {
     const hash = registrationHash(registration);
     this.hashes.set(registration.address, hash);
     this.setDigest.add(hash);
     this.byNumber.set(registration.number, registration);
   }
 
-  private forget(registration: Registration | undefined): void {
+  private remove(registration: Registration | undefined): void {
     if (!registration) return;
     this.setDigest.remove(this.hashes.get(registration.address) ?? 0n);
     this.hashes.delete(registration.address);
--- a/src/control-plane/large-view-limiter.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -1,50 +1,51 @@
+/** Limits how often a large view is sent to a daemon that requests it again before it has arrived. */
 import type { WatchRequest } from "../control-protocol/watch-request.js";
 
 interface SentView {
-  /** What the daemon knew when it asked. */
-  readonly known: string;
+  /** The state of the daemon when it sent the request. */
+  readonly daemonState: string;
   readonly sentMs: number;
-  /** For how long it counts as under way. */
-  readonly waitMs: number;
+  /** For how long the view counts as in transit. */
+  readonly transitMs: number;
 }
 
-/** How often the wait for a view that didn't arrive is doubled at most. */
-const mostDoublings = 4;
+/** How often the transit time of a view that didn't arrive is doubled. */
+const MAX_DOUBLINGS = 4;
 
-const knownOf = ({ machine, configSequence, directorySequence }: WatchRequest): string =>
+const daemonStateOf = ({ machine, configSequence, directorySequence }: WatchRequest): string =>
   `${machine.incarnation} ${configSequence} ${directorySequence}`;
 
 /**
- * The large views that are under way to daemons. Over a thin link one may take longer than a poll is waited for; the same view
- * isn't sent again to whoever asks again meanwhile, since each would hold up the next, for ever.
+ * The large views that are in transit to daemons. Over a slow link one may take longer than the timeout of a watch request; the
+ * same view isn't sent again to a daemon that retries meanwhile, since each would delay the next, for ever.
  */
 export class LargeViewLimiter {
   private readonly sent = new Map<string, SentView>();
-  private readonly firstWaitMs: number;
+  private readonly initialTransitMs: number;
 
-  /** After `firstWaitMs` a view that wasn't taken is sent again, then after twice that, and so on. */
-  constructor(firstWaitMs: number) {
-    this.firstWaitMs = firstWaitMs;
+  /** A view that didn't arrive is sent again after `initialTransitMs`, then after twice that, and so on. */
+  constructor(initialTransitMs: number) {
+    this.initialTransitMs = initialTransitMs;
   }
 
-  /** Whether a view for what this daemon knows was sent a short while ago. */
-  isUnderWay(watchRequest: WatchRequest, nowMs: number): boolean {
-    const sent = this.sent.get(watchRequest.machine.name);
-    return sent?.known === knownOf(watchRequest) && nowMs - sent.sentMs < sent.waitMs;
+  /** Whether a view for this state of the daemon was sent a short while ago. */
+  isUnderWay(request: WatchRequest, nowMs: number): boolean {
+    const sent = this.sent.get(request.machine.name);
+    return sent?.daemonState === daemonStateOf(request) && nowMs - sent.sentMs < sent.transitMs;
   }
 
   /** Notes that a large view is sent now. */
-  note(watchRequest: WatchRequest, nowMs: number): void {
-    const known = knownOf(watchRequest);
-    const former = this.sent.get(watchRequest.machine.name);
-    const waitMs =
-      former?.known === known
-        ? Math.min(2 * former.waitMs, this.firstWaitMs * 2 ** mostDoublings)
-        : this.firstWaitMs;
-    this.sent.set(watchRequest.machine.name, { known, sentMs: nowMs, waitMs });
+  note(request: WatchRequest, nowMs: number): void {
+    const daemonState = daemonStateOf(request);
+    const former = this.sent.get(request.machine.name);
+    const transitMs =
+      former?.daemonState === daemonState
+        ? Math.min(2 * former.transitMs, this.initialTransitMs * 2 ** MAX_DOUBLINGS)
+        : this.initialTransitMs;
+    this.sent.set(request.machine.name, { daemonState, sentMs: nowMs, transitMs });
   }
 
-  /** Forgets all, as one that leads anew. */
+  /** Forgets all views, at the begin of a term. */
   reset(): void {
     this.sent.clear();
   }
--- a/src/control-plane/retry-capacity-allocator.ts
+++ b/src/control-plane/retry-capacity-allocator.ts
@@ -1,8 +1,10 @@
-/** The leader's table of which edge holds how much of each service's further tries. */
+/** What the control plane needs of the allocation of retry capacity; src/retry-budget implements it. */
+
+/** The leader's allocation of each service's retry capacity among the edges. */
 export interface RetryCapacityAllocator {
-  /** A new leader begins, with the edges that may hold something. */
+  /** Begins a term at `nowMs` under the leader's name, with the edges that may hold capacity. */
   lead(nowMs: number, leaderName: string, expected: ReadonlySet<string>): void;
-  /** The capacities of one edge, given what it holds and how many further tries it wished for lately. */
+  /** Allocates the capacities of one edge, given those that it holds and its recent demand for retries by service. */
   grant(
     edge: string,
     report: { readonly number: string; readonly capacities: Map<string, number> },
@@ -10,6 +12,6 @@
     services: readonly string[],
     nowMs: number,
   ): { number: string; capacities: Map<string, number> };
-  /** The edges that were expected or heard and can hold nothing any more. */
+  /** The edges among `known` whose capacities have lapsed. */
   past(nowMs: number, known: Iterable<string>): string[];
 }
--- a/src/state/config-payload.ts
+++ b/src/state/config-payload.ts
@@ -1,22 +1,23 @@
+/** The form in which a log entry carries the text of a configuration: whole or as a delta, compressed where it is long. */
 import { optional, string } from "superstruct";
 import { TextCompression } from "../runtime/text-compression.js";
 import { TextDelta, textDeltaShape } from "./text-delta.js";
 
-/** How long a delta or a text may be in the log and still be written as it is; longer ones are deflated. */
-const longTextLength = 4096;
+/** The length beyond which a text or a delta is stored compressed, in characters. */
+const COMPRESSION_THRESHOLD_CHARS = 4096;
 
-/** The fields by which an entry of the log carries the text of a configuration; exactly one of them is set. */
+/** The stored fields of a configuration's text in a log entry; exactly one of them is set. */
 export const configPayloadFields = {
   text: optional(string()),
   /** The whole text, deflated, in base 64. */
   packedText: optional(string()),
-  /** The change since the configuration in force that the entry builds on. */
+  /** The delta from the active configuration that the entry builds on. */
   delta: optional(textDeltaShape),
-  /** The same as JSON, deflated, in base 64. */
+  /** The delta as JSON, deflated, in base 64. */
   packedDelta: optional(string()),
 };
 
-/** The text of a configuration as an entry of the log carries it. */
+/** The text of a configuration as a log entry carries it. */
 export interface ConfigPayload {
   readonly text?: string | undefined;
   readonly packedText?: string | undefined;
@@ -24,19 +25,23 @@
   readonly packedDelta?: string | undefined;
 }
 
-/** A configuration's text, and the delta that made it where that is known. */
+/** A configuration's text, and the delta that made it, where the entry carried one. */
 export interface DecodedConfigText {
   readonly text: string;
   readonly delta?: TextDelta;
 }
 
-/** Raised when an entry's text can't be put together; a member that meets one must not go on. */
-export class ConfigPayloadError extends Error {}
+/** Raised when the text of a log entry can't be restored; the member must not go on. */
+export class ConfigPayloadError extends Error {
+  readonly code = "INVALID_CONFIG_PAYLOAD";
+}
 
-const wholeText = (text: string): ConfigPayload =>
-  text.length > longTextLength ? { packedText: TextCompression.compress(text) } : { text };
+const textPayload = (text: string): ConfigPayload =>
+  text.length > COMPRESSION_THRESHOLD_CHARS
+    ? { packedText: TextCompression.compress(text) }
+    : { text };
 
-const deltaIn = ({ delta, packedDelta }: ConfigPayload): TextDelta | undefined =>
+const deltaOf = ({ delta, packedDelta }: ConfigPayload): TextDelta | undefined =>
   packedDelta === undefined
     ? delta
     : textDeltaShape.create(JSON.parse(TextCompression.decompress(packedDelta)));
@@ -45,23 +50,23 @@
   (text ?? packedText ?? packedDelta ?? "").length;
 
 export const ConfigPayload = {
-  /** The shorter of a text itself and its change since the former one, deflated where it is long. */
+  /** The shorter of a text and its delta from the former text, compressed where it is long. */
   of(former: string | undefined, text: string): ConfigPayload {
-    if (former === undefined) return wholeText(text);
+    if (former === undefined) return textPayload(text);
     const delta = TextDelta.between(former, text);
     const json = JSON.stringify(delta);
-    if (json.length <= longTextLength) return { delta };
-    const packed = { packedDelta: TextCompression.compress(json) };
-    const whole = wholeText(text);
-    return lengthOf(packed) < lengthOf(whole) ? packed : whole;
+    if (json.length <= COMPRESSION_THRESHOLD_CHARS) return { delta };
+    const compressed = { packedDelta: TextCompression.compress(json) };
+    const whole = textPayload(text);
+    return lengthOf(compressed) < lengthOf(whole) ? compressed : whole;
   },
 
-  /** The text again; `former` is the one that the entry builds on. */
-  read(recorded: ConfigPayload, former: string | undefined): DecodedConfigText {
-    if (recorded.text !== undefined) return { text: recorded.text };
-    if (recorded.packedText !== undefined)
-      return { text: TextCompression.decompress(recorded.packedText) };
-    const delta = deltaIn(recorded);
+  /** The text itself; `former` is the one that the entry builds on. */
+  read(payload: ConfigPayload, former: string | undefined): DecodedConfigText {
+    if (payload.text !== undefined) return { text: payload.text };
+    if (payload.packedText !== undefined)
+      return { text: TextCompression.decompress(payload.packedText) };
+    const delta = deltaOf(payload);
     if (delta === undefined || former === undefined)
       throw new ConfigPayloadError("An entry holds no text of a configuration, or no base for it.");
     return { text: TextDelta.apply(former, delta), delta };
--- a/src/state/id-allocator.ts
+++ b/src/state/id-allocator.ts
@@ -1,7 +1,9 @@
-/** How many names can have a number at a time: as many as the sketch of routes tells apart. */
+/** Allocates numeric ids to the names of services and routes; sketches count by them. */
+
+/** One above the largest id: as many as the sketch of routes distinguishes. */
 export const ID_LIMIT = 2 ** 16;
 
-/** How names of services and routes stand: in force, lately out of force, and numbers that are free again. */
+/** The stored state: ids by name in use, ids by name out of use, ids that can be allocated again, and the next new id. */
 export interface IdAllocatorState {
   inForce: Array<[name: string, number: number]>;
   resting: Array<[name: string, number: number]>;
@@ -9,90 +11,99 @@
   next: number;
 }
 
-/** What a configuration changes of the names in force. */
+/** The names that a configuration brings into use and takes out of use. */
 export interface NameChanges {
   readonly added: string[];
   readonly removed: string[];
 }
 
 /**
- * Gives each name in force a number of its own. A number whose name is out of force rests until the leader says that no window
- * holds it any more; only then may another name have it.
+ * Allocates an id to each name in use. An id whose name goes out of use rests until the leader says that no window counts by it
+ * any more; only then can it be allocated to another name.
  */
 export class IdAllocator {
-  private names = new Map<string, number>();
-  private rests = new Map<string, number>();
+  private active = new Map<string, number>();
+  private restingIds = new Map<string, number>();
   private free: number[] = [];
-  private next = 1;
+  private nextId = 1;
 
-  /** The names in force that have a number. */
+  /** The ids of the names in use. */
   get inForce(): ReadonlyMap<string, number> {
-    return this.names;
+    return this.active;
   }
 
-  /** The numbers that wait until no window holds them. */
+  /** The ids that rest until no window counts by them. */
   get resting(): ReadonlySet<number> {
-    return new Set(this.rests.values());
+    return new Set(this.restingIds.values());
   }
 
+  /** The stored state. */
   get state(): IdAllocatorState {
-    return { inForce: [...this.names], resting: [...this.rests], free: this.free, next: this.next };
+    return {
+      inForce: [...this.active],
+      resting: [...this.restingIds],
+      free: this.free,
+      next: this.nextId,
+    };
   }
 
+  /** Takes over a stored state. */
   restore({ inForce, resting, free, next }: IdAllocatorState): void {
-    this.names = new Map(inForce);
-    this.rests = new Map(resting);
+    this.active = new Map(inForce);
+    this.restingIds = new Map(resting);
     this.free = [...free];
-    this.next = next;
+    this.nextId = next;
   }
 
-  /** The name by which a service is numbered. */
+  /** The name under which a service has its id. */
   static serviceName(service: string): string {
     return `service ${service}`;
   }
 
-  /** The name by which a route is numbered. */
+  /** The name under which a route has its id. */
   static routeName(route: string): string {
     return `route ${route}`;
   }
 
-  /** A config with these names comes in force; numbers that were said to be rested are free. */
+  /** Applies a configuration with these names; `rested` are ids that can be allocated again. */
   adopt(names: readonly string[], rested: readonly number[]): void {
     const wanted = new Set(names);
-    const removed = [...this.names.keys()].filter((name) => !wanted.has(name));
+    const removed = [...this.active.keys()].filter((name) => !wanted.has(name));
     this.change({ added: [...wanted], removed }, rested);
   }
 
-  /** Some names come into force and others go; numbers that were said to be rested are free. */
+  /** Applies the changes of names; `rested` are ids that can be allocated again. */
   change({ added, removed }: NameChanges, rested: readonly number[]): void {
     this.release(rested);
     for (const name of removed) this.rest(name);
-    for (const name of added) this.number(name);
+    for (const name of added) this.allocate(name);
   }
 
   private release(rested: readonly number[]): void {
     if (rested.length === 0) return;
-    const free = new Set(rested);
-    for (const [name, number] of this.rests) {
-      if (!free.has(number)) continue;
-      this.rests.delete(name);
-      this.free.push(number);
+    const released = new Set(rested);
+    for (const [name, id] of this.restingIds) {
+      if (!released.has(id)) continue;
+      this.restingIds.delete(name);
+      this.free.push(id);
     }
   }
 
   private rest(name: string): void {
-    const number = this.names.get(name);
-    if (number === undefined) return;
-    this.names.delete(name);
-    this.rests.set(name, number);
+    const id = this.active.get(name);
+    if (id === undefined) return;
+    this.active.delete(name);
+    this.restingIds.set(name, id);
   }
 
-  private number(name: string): void {
-    if (this.names.has(name)) return;
-    const number =
-      this.rests.get(name) ?? this.free.pop() ?? (this.next < ID_LIMIT ? this.next++ : undefined);
-    if (number === undefined) return;
-    this.rests.delete(name);
-    this.names.set(name, number);
+  private allocate(name: string): void {
+    if (this.active.has(name)) return;
+    const id =
+      this.restingIds.get(name) ??
+      this.free.pop() ??
+      (this.nextId < ID_LIMIT ? this.nextId++ : undefined);
+    if (id === undefined) return;
+    this.restingIds.delete(name);
+    this.active.set(name, id);
   }
 }
--- a/src/state/text-delta.ts
+++ b/src/state/text-delta.ts
@@ -1,124 +1,133 @@
+/** Deltas between texts: a text as copies from a base text and inserted text. */
 import { array, number, string, tuple, union, type Infer } from "superstruct";
 
-/** The shape of one step: a stretch of the base that is copied (from, length), or text that is new. */
+/** The stored shape of a step: a range of the base that is copied (start, length), or text that is inserted. */
 const stepShape = union([tuple([number(), number()]), string()]);
 
-/** The shape of a delta as it is stored. */
+/** The stored shape of a delta. */
 export const textDeltaShape = array(stepShape);
 
 type Step = Infer<typeof stepShape>;
 
-/** How a text is put together from a base: stretches of the base and new text, in order. */
+/** The steps that make a text from its base, in order. */
 export type TextDelta = Step[];
 
-/** The length of the blocks of the base that are looked for in the new text. */
-const blockLength = 32;
+/** A range of a text: from an index up to another one, exclusive. */
+interface Range {
+  readonly from: number;
+  readonly to: number;
+}
 
-/** The factor of the rolling hash of a block: the hash of the characters c0 to cn is c0 f^n + ... + cn, in 32 bits. */
-const hashFactor = 0x01000193;
-/** The factor by which a block's first character stands in its hash. */
-const firstFactor = Array.from({ length: blockLength - 1 }).reduce<number>(
-  (power) => Math.imul(power, hashFactor),
+/** The length of the blocks of the base that are searched in the text, in characters. */
+const BLOCK_CHARS = 32;
+
+/** The factor of a block's rolling hash: the hash of the characters c0 to cn is c0 f^n + ... + cn, in 32 bits. */
+const HASH_FACTOR = 0x01000193;
+/** The factor of a block's first character in its hash. */
+const FIRST_CHAR_FACTOR = Array.from({ length: BLOCK_CHARS - 1 }).reduce<number>(
+  (power) => Math.imul(power, HASH_FACTOR),
   1,
 );
 
-/** The hash of the block of a text that begins at a place. */
+/** The hash of the block of a text that begins at an index. */
 const blockHash = (text: string, from: number): number => {
   let hash = 0;
-  for (let at = from; at < from + blockLength; at += 1)
-    hash = (Math.imul(hash, hashFactor) + text.charCodeAt(at)) | 0;
+  for (let index = from; index < from + BLOCK_CHARS; index += 1)
+    hash = (Math.imul(hash, HASH_FACTOR) + text.charCodeAt(index)) | 0;
   return hash;
 };
 
-/** The hash of the block one place further on than that of a hash. */
+/** The hash of the block that begins one character after the block with `hash` at an index. */
 const nextHash = (hash: number, text: string, from: number): number => {
-  const rest = (hash - Math.imul(text.charCodeAt(from), firstFactor)) | 0;
-  return (Math.imul(rest, hashFactor) + text.charCodeAt(from + blockLength)) | 0;
+  const rest = (hash - Math.imul(text.charCodeAt(from), FIRST_CHAR_FACTOR)) | 0;
+  return (Math.imul(rest, HASH_FACTOR) + text.charCodeAt(from + BLOCK_CHARS)) | 0;
 };
 
-/** Where each block of a stretch of the base begins, by its hash; of those with equal hashes the first. */
-const blocksOf = (base: string, from: number, to: number): Map<number, number> => {
+/** The index of each block of a range of the base by its hash; of those with equal hashes the first. */
+const blocksOf = (base: string, { from, to }: Range): Map<number, number> => {
   const blocks = new Map<number, number>();
-  for (let at = from; at + blockLength <= to; at += blockLength) {
-    const hash = blockHash(base, at);
-    if (!blocks.has(hash)) blocks.set(hash, at);
+  for (let index = from; index + BLOCK_CHARS <= to; index += BLOCK_CHARS) {
+    const hash = blockHash(base, index);
+    if (!blocks.has(hash)) blocks.set(hash, index);
   }
   return blocks;
 };
 
-/** How many characters two texts share from two places on. */
-const sharedFrom = (base: string, baseAt: number, text: string, textAt: number): number => {
+/** How many characters two texts have in common from two indexes on. */
+const commonLengthFrom = (
+  base: string,
+  baseIndex: number,
+  text: string,
+  textIndex: number,
+): number => {
   let length = 0;
-  const most = Math.min(base.length - baseAt, text.length - textAt);
-  while (length < most && base.charCodeAt(baseAt + length) === text.charCodeAt(textAt + length))
+  const maxLength = Math.min(base.length - baseIndex, text.length - textIndex);
+  while (
+    length < maxLength &&
+    base.charCodeAt(baseIndex + length) === text.charCodeAt(textIndex + length)
+  )
     length += 1;
   return length;
 };
 
-/** How many characters two texts share before two places, at most so many. */
-const sharedBefore = (
+/** How many characters two texts have in common before two indexes, up to `maxLength`. */
+const commonLengthBefore = (
   base: string,
-  baseAt: number,
+  baseIndex: number,
   text: string,
-  textAt: number,
-  most: number,
+  textIndex: number,
+  maxLength: number,
 ): number => {
   let length = 0;
   while (
-    length < Math.min(most, baseAt) &&
-    base.charCodeAt(baseAt - length - 1) === text.charCodeAt(textAt - length - 1)
+    length < Math.min(maxLength, baseIndex) &&
+    base.charCodeAt(baseIndex - length - 1) === text.charCodeAt(textIndex - length - 1)
   )
     length += 1;
   return length;
 };
 
-/** The steps for a stretch of the text, found by the blocks of a stretch of the base. */
-const stepsBetween = (
-  base: string,
-  baseRange: { from: number; to: number },
-  text: string,
-  textRange: { from: number; to: number },
-): Step[] => {
+/** The steps for a range of the text, found by the blocks of a range of the base. */
+const stepsBetween = (base: string, baseRange: Range, text: string, textRange: Range): Step[] => {
   const steps: Step[] = [];
-  let newFrom = textRange.from;
-  let at = textRange.from;
+  /** Where the text begins for which there is no step yet. */
+  let pendingFrom = textRange.from;
+  let index = textRange.from;
   const blocks =
-    textRange.to - at < blockLength
-      ? new Map<number, number>()
-      : blocksOf(base, baseRange.from, baseRange.to);
-  let hash = blocks.size > 0 ? blockHash(text, at) : 0;
-  while (blocks.size > 0 && at + blockLength <= textRange.to) {
-    const blockAt = blocks.get(hash);
-    const shared = blockAt === undefined ? 0 : sharedFrom(base, blockAt, text, at);
-    if (blockAt === undefined || shared < blockLength) {
-      hash = nextHash(hash, text, at);
-      at += 1;
+    textRange.to - index < BLOCK_CHARS ? new Map<number, number>() : blocksOf(base, baseRange);
+  let hash = blocks.size > 0 ? blockHash(text, index) : 0;
+  while (blocks.size > 0 && index + BLOCK_CHARS <= textRange.to) {
+    const blockIndex = blocks.get(hash);
+    const common = blockIndex === undefined ? 0 : commonLengthFrom(base, blockIndex, text, index);
+    if (blockIndex === undefined || common < BLOCK_CHARS) {
+      hash = nextHash(hash, text, index);
+      index += 1;
       continue;
     }
-    const before = sharedBefore(base, blockAt, text, at, at - newFrom);
-    const after = Math.min(shared, textRange.to - at);
-    if (at - before > newFrom) steps.push(text.slice(newFrom, at - before));
-    steps.push([blockAt - before, before + after]);
-    at += after;
-    newFrom = at;
-    hash = blockHash(text, at);
+    const before = commonLengthBefore(base, blockIndex, text, index, index - pendingFrom);
+    const after = Math.min(common, textRange.to - index);
+    if (index - before > pendingFrom) steps.push(text.slice(pendingFrom, index - before));
+    steps.push([blockIndex - before, before + after]);
+    index += after;
+    pendingFrom = index;
+    hash = blockHash(text, index);
   }
-  if (newFrom < textRange.to) steps.push(text.slice(newFrom, textRange.to));
+  if (pendingFrom < textRange.to) steps.push(text.slice(pendingFrom, textRange.to));
   return steps;
 };
 
 export const TextDelta = {
-  /** The delta that makes a text from a base: short where most of the text stands in the base. */
+  /** The delta that makes a text from a base: short where most of the text occurs in the base. */
   between(base: string, text: string): TextDelta {
-    const first = sharedFrom(base, 0, text, 0);
-    const most = Math.min(base.length, text.length) - first;
-    const last = sharedBefore(base, base.length, text, text.length, most);
-    const steps = stepsBetween(base, { from: first, to: base.length - last }, text, {
-      from: first,
-      to: text.length - last,
+    const prefix = commonLengthFrom(base, 0, text, 0);
+    const maxSuffix = Math.min(base.length, text.length) - prefix;
+    const suffix = commonLengthBefore(base, base.length, text, text.length, maxSuffix);
+    const steps = stepsBetween(base, { from: prefix, to: base.length - suffix }, text, {
+      from: prefix,
+      to: text.length - suffix,
     });
-    if (first > 0) steps.unshift([0, first]);
-    if (last > 0) steps.push([base.length - last, last]);
+    if (prefix > 0) steps.unshift([0, prefix]);
+    if (suffix > 0) steps.push([base.length - suffix, suffix]);
     return steps;
   },
 
