--- a/src/configuration/config-items.ts
+++ b/src/configuration/config-items.ts
@@ -1,16 +1,17 @@
+/** The items of a configuration: the units in which it changes, travels and is compared. */
 import type { Config } from "./config.js";
 import { itemHash, SetDigest } from "./set-digest.js";
 
 /** The sections of a configuration whose items have names. */
-const sections = ["services", "routes", "goals"] as const;
+const SECTIONS = ["services", "routes", "goals"] as const;
 
 /** A section of a configuration whose items have names. */
-export type ConfigSection = (typeof sections)[number];
+export type ConfigSection = (typeof SECTIONS)[number];
 
-const limitsKey = "limits";
-const numberPrefix = "number ";
+const LIMITS_KEY = "limits";
+const ID_KEY_PREFIX = "number ";
 
-/** One item of a configuration: its key among all items, and what is hashed of it. */
+/** An item of a configuration: its key, unique among all items, and its value. */
 export interface ConfigItem {
   readonly key: string;
   readonly value: object | number;
@@ -24,46 +25,48 @@
     Object.entries(section).map(([name, item]) => [name, ConfigItems.forEdges(item)]),
   );
 
-/** A configuration and the numbers of its services and routes, as edges hold them. */
+/** A configuration with the ids of its services and routes, as edges have them. */
 export interface NumberedConfig {
   readonly config: Config;
   readonly numbers: ReadonlyMap<string, number>;
 }
 
-/** Items of configurations: what changes, travels and is compared by itself. What an adapter keeps with items stays behind. */
+/** Operations on the items of configurations. Edges get items without the data that adapters store with them. */
 export const ConfigItems = {
-  sections,
-  limitsKey,
+  /** The sections whose items have names. */
+  sections: SECTIONS,
+  /** The key of the limits. */
+  limitsKey: LIMITS_KEY,
 
   /** The key of a named item. */
   key: (section: ConfigSection, name: string): string => `${section} ${name}`,
 
-  /** The key of a number that a service or a route has. */
-  numberKey: (name: string): string => `${numberPrefix}${name}`,
+  /** The key of the id of a service or route. */
+  numberKey: (name: string): string => `${ID_KEY_PREFIX}${name}`,
 
-  /** The section and the name behind a key; `undefined` for limits and numbers. */
+  /** The section and the name of a key; `undefined` for limits and ids. */
   named(key: string): { section: ConfigSection; name: string } | undefined {
-    const section = sections.find((one) => key.startsWith(`${one} `));
+    const section = SECTIONS.find((name) => key.startsWith(`${name} `));
     return section && { section, name: key.slice(section.length + 1) };
   },
 
-  /** The service's or route's name behind the key of a number. */
+  /** The service's or route's name of the key of an id. */
   numberedName: (key: string): string | undefined =>
-    key.startsWith(numberPrefix) ? key.slice(numberPrefix.length) : undefined,
+    key.startsWith(ID_KEY_PREFIX) ? key.slice(ID_KEY_PREFIX.length) : undefined,
 
-  /** All items of a configuration, with its numbers. */
+  /** All items of a configuration, with its ids. */
   *all({ config, numbers }: NumberedConfig): Iterable<ConfigItem> {
-    for (const section of sections)
+    for (const section of SECTIONS)
       for (const [name, value] of Object.entries(sectionOf(config, section)))
         yield { key: ConfigItems.key(section, name), value };
-    if (config.limits) yield { key: limitsKey, value: config.limits };
+    if (config.limits) yield { key: LIMITS_KEY, value: config.limits };
     for (const [name, value] of numbers) yield { key: ConfigItems.numberKey(name), value };
   },
 
-  /** An item without what an adapter keeps with it. */
+  /** An item without the data that an adapter stores with it. */
   forEdges: <T extends object>(item: T): T => ({ ...item, origin: undefined }),
 
-  /** A whole configuration without what adapters keep with it. */
+  /** A configuration without the data that adapters store with it. */
   wholeForEdges: ({ services, routes, goals, limits }: Config): Config => ({
     services: itemsForEdges(services),
     routes: itemsForEdges(routes),
@@ -71,13 +74,13 @@
     ...(limits ? { limits: ConfigItems.forEdges(limits) } : {}),
   }),
 
-  /** The hash of an item, over all that edges know of it. */
+  /** The hash of an item, over all that edges get of it. */
   hash: ({ key, value }: ConfigItem): bigint =>
     itemHash(
       `${key} ${typeof value === "number" ? value : JSON.stringify(ConfigItems.forEdges(value))}`,
     ),
 
-  /** The digest of a configuration: of its items, and of the order of its routes, by which the first of two alike wins. */
+  /** The digest of a configuration: of its items and of the order of its routes, since the first of several matches is used. */
   digest(items: SetDigest, config: Config): string {
     const order = itemHash(Object.keys(config.routes).join(" "));
     return `${items.text}-${order.toString(16)}`;
--- a/src/configuration/config-serializer.ts
+++ b/src/configuration/config-serializer.ts
@@ -1,13 +1,14 @@
-import type { Config } from "./config.js";
+/** Serializes configurations, reusing the texts of items that were serialized before. */
+import type { Config } from "./config-shape.js";
 
-/** The texts of items that were written before: items are never changed once they are read. */
-const written = new WeakMap<object, string>();
+/** The texts of items that were serialized before: an item is never changed once it has been read. */
+const itemTexts = new WeakMap<object, string>();
 
 const itemText = (item: object): string => {
-  const known = written.get(item);
-  if (known !== undefined) return known;
+  const cached = itemTexts.get(item);
+  if (cached !== undefined) return cached;
   const text = JSON.stringify(item);
-  written.set(item, text);
+  itemTexts.set(item, text);
   return text;
 };
 
@@ -21,8 +22,8 @@
 };
 
 /**
- * A configuration as JSON, the same text that `JSON.stringify` gives. Its items are written once each, so that a change of a few
- * of them costs little, however many there are.
+ * A configuration as JSON, the same text that `JSON.stringify` returns. Each item is serialized once, so that a change of a few
+ * items costs little, however many there are.
  */
 export const configText = (config: Config): string => {
   const fields: string[] = [];
--- a/src/configuration/set-digest.ts
+++ b/src/configuration/set-digest.ts
@@ -1,28 +1,29 @@
+/** Hashes of items and digests of sets of items, by which replicas are compared. */
 import xxhash from "xxhash-wasm";
 
 const { h64 } = await xxhash();
 
-/** The hash of one item, made of everything that two copies of it must have alike. */
+/** The 64-bit hash of an item's text, which contains everything in which two replicas of the item must agree. */
 export const itemHash = (text: string): bigint => h64(text);
 
 /**
- * A digest of a set of items, kept up at the cost of what changes: the sum of the items' hashes modulo 2^64. Two sets with the
- * same digest are taken for the same.
+ * A digest of a set of items that is updated in proportion to the changes: the sum of the items' hashes modulo 2^64. Two sets
+ * with the same digest are considered equal.
  */
 export class SetDigest {
   private sum = 0n;
 
-  /** Counts an item in. */
+  /** Adds an item by its hash. */
   add(hash: bigint): void {
     this.sum = BigInt.asUintN(64, this.sum + hash);
   }
 
-  /** Counts an item out that was counted in. */
+  /** Removes an item that was added. */
   remove(hash: bigint): void {
     this.sum = BigInt.asUintN(64, this.sum - hash);
   }
 
-  /** The digest as it travels. */
+  /** The digest as it travels, in hexadecimal. */
   get text(): string {
     return this.sum.toString(16);
   }
--- a/src/configuration/validated.ts
+++ b/src/configuration/validated.ts
@@ -1,3 +1,4 @@
+/** Shapes with fast guards: plain code that decides the common case, so that only refused values go through superstruct. */
 import {
   array,
   define,
@@ -17,8 +18,8 @@
 
 type Guard = (value: unknown) => boolean;
 
-/** A guard that looks at each object once: what is read from outside is never changed afterwards. */
-const passedOnce = (guard: Guard): Guard => {
+/** A guard that checks each object once: values that were read from outside are never changed afterwards. */
+const memoized = (guard: Guard): Guard => {
   const passed = new WeakSet();
   return (value) => {
     if (typeof value !== "object" || value === null) return guard(value);
@@ -39,14 +40,16 @@
 const fieldsOf = <T>({ schema }: Struct<T, Record<string, object>>): Map<string, Guard> =>
   new Map(Object.entries(schema).map(([name, struct]) => [name, guardOf(struct)]));
 
-/** Shapes beside each of which stands a plain guard: what passes it is good, what doesn't is checked by the shape itself, which tells why. */
+/** Builders of shapes with a guard each: a value that passes the guard is valid; the shape itself says why another isn't. */
 export const Validated = {
+  /** A value that a guard decides. */
   leaf: <T>(type: string, guard: Guard, expected: string): Struct<T, null> =>
     guarded(
       define<T>(type, (value) => guard(value) || `Expected ${expected}`),
       guard,
     ),
 
+  /** A text that matches a pattern. */
   text: (type: string, pattern: RegExp, expected: string): Struct<string, null> =>
     Validated.leaf<string>(
       type,
@@ -54,6 +57,7 @@
       expected,
     ),
 
+  /** An integer within limits, inclusive. */
   within: (low: number, high: number) =>
     guarded(
       max(min(integer(), low), high),
@@ -61,17 +65,21 @@
         typeof value === "number" && Number.isInteger(value) && value >= low && value <= high,
     ),
 
+  /** A boolean. */
   flag: () =>
     Validated.leaf<boolean>("boolean", (value) => typeof value === "boolean", "true or false"),
 
+  /** One of some words. */
   one: <const T extends readonly [string, ...string[]]>(words: T) =>
     guarded(enums(words), (value) => words.some((word) => word === value)),
 
+  /** An optional value. */
   maybe: <T, S>(struct: Struct<T, S>): Struct<T | undefined, S> => {
     const guard = guardOf(struct);
     return guarded(optional(struct), (value) => value === undefined || guard(value));
   },
 
+  /** A list that isn't empty. */
   many: <T, S>(struct: Struct<T, S>) => {
     const guard = guardOf(struct);
     return guarded(
@@ -80,26 +88,26 @@
     );
   },
 
-  /** Gives an object's shape the guard that its fields make. */
+  /** An object, guarded by the guards of its fields. */
   whole: <T, S extends Record<string, object>>(struct: Struct<T, S>): Struct<T, S> => {
     const fields = fieldsOf(struct);
-    const needed = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
+    const required = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
     return guarded(
       struct,
       (value) =>
         isObject(value) &&
-        needed.every((name) => Object.hasOwn(value, name)) &&
+        required.every((name) => Object.hasOwn(value, name)) &&
         Object.keys(value).every((name) => fields.get(name)?.(value[name]) ?? false),
     );
   },
 
-  /** A section of named items. */
+  /** A record of named items. */
   section: <T>(
     name: Struct<string, null>,
     item: Struct<T, unknown>,
   ): Struct<Record<string, T>, null> => {
     const isName = guardOf(name);
-    const isItem = passedOnce(guardOf(item));
+    const isItem = memoized(guardOf(item));
     return guarded(
       record(name, item),
       (value) =>
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "vitest";
 import { control } from "../../platform/control.js";
-import { Config, ConfigChecker, applyItemChanges } from "../../src/configuration/config.js";
+import { Config, applyItemChanges } from "../../src/configuration/config.js";
 import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
 import { ClientResponse } from "../../src/proxy/request-outcome.js";
 import type { TranslatedRequest } from "../../src/daemon/adapter.js";
@@ -218,7 +218,7 @@
     routes: { x: productRoute(body, "x"), z: productRoute(body, "z") },
     goals: { x: null, z: { latencyMs: 250 } },
   };
-  const after = new ConfigChecker().check(
+  const after = Config.check(
     applyItemChanges(before, items, { routes: ["y"], services: ["two"], goals: [] }),
   );
   if ("faults" in after) throw new Error(JSON.stringify(after.faults));
