--- a/test/configuration/config-serializer.test.ts
+++ b/test/configuration/config-serializer.test.ts
@@ -1,5 +1,5 @@
 import fc from "fast-check";
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { applyItemChanges, Config } from "../../src/configuration/config.js";
 import { configText } from "../../src/configuration/config-serializer.js";
 
@@ -28,17 +28,27 @@
 /** A fast-check record has undefined fields and no prototype; what is read from a wire hasn't. */
 const asRead = (value: unknown): Record<string, never> => JSON.parse(JSON.stringify(value));
 
-test("the text of a configuration is the one that JSON.stringify gives, after any changes", () => {
-  fc.assert(
-    fc.property(fc.array(put, { maxLength: 5 }), fc.array(name, { maxLength: 4 }), (puts, gone) => {
-      let config: Record<string, unknown> = { services: { one: {} }, routes: {} };
-      for (const one of puts) {
-        config = applyItemChanges(config, asRead(one), { services: [], routes: gone, goals: gone });
-        const checked = Config.check(config);
-        if ("faults" in checked) continue;
-        expect(configText(checked.config)).toBe(JSON.stringify(checked.config));
-      }
-    }),
-    { seed: 11, numRuns: 300 },
-  );
+describe("configText", () => {
+  test("the text of a configuration equals that of JSON.stringify, after any changes", () => {
+    fc.assert(
+      fc.property(
+        fc.array(put, { maxLength: 5 }),
+        fc.array(name, { maxLength: 4 }),
+        (puts, gone) => {
+          let config: Record<string, unknown> = { services: { one: {} }, routes: {} };
+          for (const one of puts) {
+            config = applyItemChanges(config, asRead(one), {
+              services: [],
+              routes: gone,
+              goals: gone,
+            });
+            const checked = Config.check(config);
+            if ("faults" in checked) continue;
+            expect(configText(checked.config)).toBe(JSON.stringify(checked.config));
+          }
+        },
+      ),
+      { seed: 11, numRuns: 300 },
+    );
+  });
 });
--- a/test/configuration/config.test.ts
+++ b/test/configuration/config.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import {
   applyItemChanges,
   Config,
@@ -56,190 +56,208 @@
   routes: { ...copy().routes, plain: { ...copy().routes.plain, ...change } },
 });
 
-test("a config with everything that one may hold is taken, and read as it was sent", () => {
-  expect(Config.check(copy())).toEqual({ config: whole });
-  expect(new ConfigReader().read(JSON.stringify(whole))).toEqual(whole);
-});
+describe("Config", () => {
+  test("a configuration with every field is accepted, and read as it was sent", () => {
+    expect(Config.check(copy())).toEqual({ config: whole });
+    expect(new ConfigReader().read(JSON.stringify(whole))).toEqual(whole);
+  });
 
-test.each<[string, unknown, string[]]>([
-  ["an unknown service", withRoute({ service: "nowhere" }), ["routes.plain.service"]],
-  [
-    "a service that only every object has",
-    withRoute({ service: "constructor" }),
-    ["routes.plain.service"],
-  ],
-  [
-    "an unknown service in a split",
-    withRoute({
-      service: undefined,
-      split: [
-        { service: "b", weight: 1 },
-        { service: "nowhere", weight: 1 },
-      ],
-    }),
-    ["routes.plain.split.1.service"],
-  ],
-  [
-    "a weight below 0",
-    withRoute({ service: undefined, split: [{ service: "b", weight: -0.1 }] }),
-    ["routes.plain.split.0.weight"],
-  ],
-  [
-    "weights that are all 0",
-    withRoute({ service: undefined, split: [{ service: "b", weight: 0 }] }),
-    ["routes.plain.split"],
-  ],
-  ["a split of nothing", withRoute({ service: undefined, split: [] }), ["routes.plain.split"]],
-  [
-    "both a service and a split",
-    withRoute({ split: [{ service: "b", weight: 1 }] }),
-    ["routes.plain.service"],
-  ],
-  ["neither a service nor a split", withRoute({ service: undefined }), ["routes.plain.service"]],
-  ["a time over ten minutes", withRoute({ giveUpMs: 600_001 }), ["routes.plain.giveUpMs"]],
-  ["no attempts", withRoute({ attempts: 0 }), ["routes.plain.attempts"]],
-  ["too many attempts", withRoute({ attempts: 11 }), ["routes.plain.attempts"]],
-  ["an unknown kind", withRoute({ kind: "risky" }), ["routes.plain.kind"]],
-  ["a rank out of bounds", withRoute({ priority: 10 }), ["routes.plain.priority"]],
-  [
-    "a host with a port",
-    withRoute({ match: { path: "/", host: "a:80" } }),
-    ["routes.plain.match.host"],
-  ],
-  ["a limit that is no number", { ...copy(), limits: { bodyBytes: "much" } }, ["limits.bodyBytes"]],
-  ["an unknown limit", { ...copy(), limits: { patience: 1 } }, ["limits.patience"]],
-  [
-    "a name that is too long",
-    { ...copy(), services: { ...copy().services, ["n".repeat(101)]: {} } },
-    [`services.${"n".repeat(101)}`],
-  ],
-  [
-    "a name that no object should have",
-    { ...copy(), services: { ...copy().services, ["__proto__"]: {} } },
-    ["services.__proto__"],
-  ],
-  ["a goal of no route", { ...copy(), goals: { toString: { latencyMs: 1 } } }, ["goals.toString"]],
-])("%s is refused, and the place is told", (_, value, paths) => {
-  expect(pathsOf(value)).toEqual(paths);
-});
+  test.each<[string, unknown, string[]]>([
+    ["an unknown service", withRoute({ service: "nowhere" }), ["routes.plain.service"]],
+    [
+      "a service that only every object has",
+      withRoute({ service: "constructor" }),
+      ["routes.plain.service"],
+    ],
+    [
+      "an unknown service in a split",
+      withRoute({
+        service: undefined,
+        split: [
+          { service: "b", weight: 1 },
+          { service: "nowhere", weight: 1 },
+        ],
+      }),
+      ["routes.plain.split.1.service"],
+    ],
+    [
+      "a weight below 0",
+      withRoute({ service: undefined, split: [{ service: "b", weight: -0.1 }] }),
+      ["routes.plain.split.0.weight"],
+    ],
+    [
+      "weights that are all 0",
+      withRoute({ service: undefined, split: [{ service: "b", weight: 0 }] }),
+      ["routes.plain.split"],
+    ],
+    ["a split of nothing", withRoute({ service: undefined, split: [] }), ["routes.plain.split"]],
+    [
+      "both a service and a split",
+      withRoute({ split: [{ service: "b", weight: 1 }] }),
+      ["routes.plain.service"],
+    ],
+    ["neither a service nor a split", withRoute({ service: undefined }), ["routes.plain.service"]],
+    ["a time over ten minutes", withRoute({ giveUpMs: 600_001 }), ["routes.plain.giveUpMs"]],
+    ["no attempts", withRoute({ attempts: 0 }), ["routes.plain.attempts"]],
+    ["too many attempts", withRoute({ attempts: 11 }), ["routes.plain.attempts"]],
+    ["an unknown kind", withRoute({ kind: "risky" }), ["routes.plain.kind"]],
+    ["a rank out of bounds", withRoute({ priority: 10 }), ["routes.plain.priority"]],
+    [
+      "a host with a port",
+      withRoute({ match: { path: "/", host: "a:80" } }),
+      ["routes.plain.match.host"],
+    ],
+    [
+      "a limit that is no number",
+      { ...copy(), limits: { bodyBytes: "much" } },
+      ["limits.bodyBytes"],
+    ],
+    ["an unknown limit", { ...copy(), limits: { patience: 1 } }, ["limits.patience"]],
+    [
+      "a name that is too long",
+      { ...copy(), services: { ...copy().services, ["n".repeat(101)]: {} } },
+      [`services.${"n".repeat(101)}`],
+    ],
+    [
+      "a name that no object should have",
+      { ...copy(), services: { ...copy().services, ["__proto__"]: {} } },
+      ["services.__proto__"],
+    ],
+    [
+      "a goal of no route",
+      { ...copy(), goals: { toString: { latencyMs: 1 } } },
+      ["goals.toString"],
+    ],
+  ])("%s is refused with its path", (_, value, paths) => {
+    expect(pathsOf(value)).toEqual(paths);
+  });
 
-test("items are put whole or removed, and a removed route takes its goal along", () => {
-  const none = { services: [], routes: [], goals: [] };
-  const put = applyItemChanges(
-    whole,
-    { routes: { plain: { match: { path: "/z" }, service: "b", origin: { text: "new" } } } },
-    none,
-  );
-  expect(put).toEqual({
-    ...whole,
-    routes: {
-      ...whole.routes,
-      plain: { match: { path: "/z" }, service: "b", origin: { text: "new" } },
-    },
+  test("items are replaced as a whole or removed, and a route's goal is removed with it", () => {
+    const none = { services: [], routes: [], goals: [] };
+    const put = applyItemChanges(
+      whole,
+      { routes: { plain: { match: { path: "/z" }, service: "b", origin: { text: "new" } } } },
+      none,
+    );
+    expect(put).toEqual({
+      ...whole,
+      routes: {
+        ...whole.routes,
+        plain: { match: { path: "/z" }, service: "b", origin: { text: "new" } },
+      },
+    });
+    const removed = applyItemChanges(whole, {}, { ...none, routes: ["plain", "not there"] });
+    expect(removed).toEqual({
+      ...whole,
+      routes: { "R-1.a_B": whole.routes["R-1.a_B"] },
+      goals: {},
+    });
+    expect(
+      applyItemChanges(whole, { goals: { plain: null }, limits: { idleMs: 5 } }, none),
+    ).toEqual({
+      ...whole,
+      goals: {},
+      limits: { idleMs: 5 },
+    });
+    expect(applyItemChanges(whole, { limits: null }, none)).not.toHaveProperty("limits");
+    expect(pathsOf(applyItemChanges(whole, {}, { ...none, services: ["b"] }))).toEqual([
+      "routes.R-1.a_B.split.1.service",
+      "routes.plain.service",
+    ]);
+    expect(pathsOf(applyItemChanges(whole, { services: { ["__proto__"]: {} } }, none))).toEqual([
+      "services.__proto__",
+    ]);
   });
-  const removed = applyItemChanges(whole, {}, { ...none, routes: ["plain", "not there"] });
-  expect(removed).toEqual({ ...whole, routes: { "R-1.a_B": whole.routes["R-1.a_B"] }, goals: {} });
-  expect(applyItemChanges(whole, { goals: { plain: null }, limits: { idleMs: 5 } }, none)).toEqual({
-    ...whole,
-    goals: {},
-    limits: { idleMs: 5 },
+
+  test("whatever part of a configuration is altered, the fast guard accepts exactly what the shapes accept", () => {
+    const random = RandomDraw.of(3);
+    const junk = [
+      null,
+      -1,
+      0.5,
+      1e308,
+      "",
+      "x y",
+      "GET",
+      true,
+      [],
+      [null],
+      {},
+      { service: "b" },
+      undefined,
+      "/a/*",
+      ["GET", "FETCH"],
+    ];
+    const bend = (value: unknown, depth: number): unknown => {
+      if (depth === 0 || typeof value !== "object" || value === null)
+        return junk[Math.floor(random() * junk.length)];
+      const entries: Array<[string, unknown]> = Object.entries(value);
+      const at = Math.floor(random() * (entries.length + 1));
+      const bent = entries.map<[string, unknown]>(([key, one], place) =>
+        place === at ? [key, bend(one, depth - 1)] : [key, one],
+      );
+      if (at === entries.length) bent.push([random() < 0.5 ? "extra" : "origin", 1]);
+      return Array.isArray(value) ? bent.map(([, one]) => one) : Object.fromEntries(bent);
+    };
+    let refused = 0;
+    for (let round = 0; round < 4000; round += 1) {
+      const value = bend(whole, 1 + Math.floor(random() * 5));
+      const slow = configShape.is(value);
+      expect(Validated.passes(configShape, value), JSON.stringify(value)).toBe(slow);
+      refused += slow ? 0 : 1;
+    }
+    expect(refused).toBeGreaterThan(1000);
+    expect(refused).toBeLessThan(3900);
   });
-  expect(applyItemChanges(whole, { limits: null }, none)).not.toHaveProperty("limits");
-  expect(pathsOf(applyItemChanges(whole, {}, { ...none, services: ["b"] }))).toEqual([
-    "routes.R-1.a_B.split.1.service",
-    "routes.plain.service",
-  ]);
-  expect(pathsOf(applyItemChanges(whole, { services: { ["__proto__"]: {} } }, none))).toEqual([
-    "services.__proto__",
-  ]);
-});
 
-test("whatever part of a config is bent, the quick guard passes just what the shapes take", () => {
-  const random = RandomDraw.of(3);
-  const junk = [
-    null,
-    -1,
-    0.5,
-    1e308,
-    "",
-    "x y",
-    "GET",
-    true,
-    [],
-    [null],
-    {},
-    { service: "b" },
-    undefined,
-    "/a/*",
-    ["GET", "FETCH"],
-  ];
-  const bend = (value: unknown, depth: number): unknown => {
-    if (depth === 0 || typeof value !== "object" || value === null)
-      return junk[Math.floor(random() * junk.length)];
-    const entries: Array<[string, unknown]> = Object.entries(value);
-    const at = Math.floor(random() * (entries.length + 1));
-    const bent = entries.map<[string, unknown]>(([key, one], place) =>
-      place === at ? [key, bend(one, depth - 1)] : [key, one],
-    );
-    if (at === entries.length) bent.push([random() < 0.5 ? "extra" : "origin", 1]);
-    return Array.isArray(value) ? bent.map(([, one]) => one) : Object.fromEntries(bent);
+  const good = {
+    services: { sightings: {} },
+    routes: {
+      post: { match: { methods: ["POST"], path: "/sightings" }, service: "sightings", keyed: true },
+    },
+    goals: { post: { latencyMs: 200 } },
   };
-  let refused = 0;
-  for (let round = 0; round < 4000; round += 1) {
-    const value = bend(whole, 1 + Math.floor(random() * 5));
-    const slow = configShape.is(value);
-    expect(Validated.passes(configShape, value), JSON.stringify(value)).toBe(slow);
-    refused += slow ? 0 : 1;
-  }
-  expect(refused).toBeGreaterThan(1000);
-  expect(refused).toBeLessThan(3900);
-});
-
-const good = {
-  services: { sightings: {} },
-  routes: {
-    post: { match: { methods: ["POST"], path: "/sightings" }, service: "sightings", keyed: true },
-  },
-  goals: { post: { latencyMs: 200 } },
-};
-test("a config is refused whole with every fault and its path", () => {
-  expect(Config.check(good)).toEqual({ config: good });
-  const checked = Config.check({
-    ...good,
-    goals: { post: { latencyMs: -3 }, ghost: { latencyMs: 5 } },
-    extra: 1,
+  test("a configuration is refused with all faults and their paths", () => {
+    expect(Config.check(good)).toEqual({ config: good });
+    const checked = Config.check({
+      ...good,
+      goals: { post: { latencyMs: -3 }, ghost: { latencyMs: 5 } },
+      extra: 1,
+    });
+    expect("faults" in checked && checked.faults.map((fault) => fault.path).sort()).toEqual([
+      "extra",
+      "goals.post.latencyMs",
+    ]);
+    const semantic = Config.check({
+      ...good,
+      routes: { post: { match: { path: "/x" }, service: "nowhere", repeat: "safe" } },
+      goals: { ghost: { latencyMs: 5 } },
+    });
+    expect("faults" in semantic && semantic.faults.map((fault) => fault.path)).toEqual([
+      "routes.post.service",
+      "routes.post.repeat",
+      "goals.ghost",
+    ]);
   });
-  expect("faults" in checked && checked.faults.map((fault) => fault.path).sort()).toEqual([
-    "extra",
-    "goals.post.latencyMs",
-  ]);
-  const semantic = Config.check({
-    ...good,
-    routes: { post: { match: { path: "/x" }, service: "nowhere", repeat: "safe" } },
-    goals: { ghost: { latencyMs: 5 } },
+
+  test("a reader of accepted configurations is independent of those that it read before", () => {
+    const reader = new ConfigReader();
+    const more = {
+      ...good,
+      routes: { ...good.routes, late: { match: { path: "/late" }, service: "sightings" } },
+      goals: { post: { latencyMs: 90 } },
+    };
+    for (const config of [good, more, good, { services: {}, routes: {}, goals: {} }, more])
+      expect(reader.read(JSON.stringify(config))).toEqual(config);
+    expect(() =>
+      reader.read(JSON.stringify({ ...good, goals: { post: { latencyMs: -1 } } })),
+    ).toThrow();
   });
-  expect("faults" in semantic && semantic.faults.map((fault) => fault.path)).toEqual([
-    "routes.post.service",
-    "routes.post.repeat",
-    "goals.ghost",
-  ]);
-});
-test("a reader of accepted configs reads each as it stands, whatever came before", () => {
-  const reader = new ConfigReader();
-  const more = {
-    ...good,
-    routes: { ...good.routes, late: { match: { path: "/late" }, service: "sightings" } },
-    goals: { post: { latencyMs: 90 } },
-  };
-  for (const config of [good, more, good, { services: {}, routes: {}, goals: {} }, more])
-    expect(reader.read(JSON.stringify(config))).toEqual(config);
-  expect(() =>
-    reader.read(JSON.stringify({ ...good, goals: { post: { latencyMs: -1 } } })),
-  ).toThrow();
-});
-test("a merge patch adds, changes and removes", () => {
-  expect(mergePatch({ a: { b: 1, c: 2 }, d: [1] }, { a: { b: null, e: 3 }, d: [2] })).toEqual({
-    a: { c: 2, e: 3 },
-    d: [2],
+
+  test("a merge patch adds, changes and removes", () => {
+    expect(mergePatch({ a: { b: 1, c: 2 }, d: [1] }, { a: { b: null, e: 3 }, d: [2] })).toEqual({
+      a: { c: 2, e: 3 },
+      d: [2],
+    });
   });
 });
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -1,5 +1,5 @@
 import fc from "fast-check";
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { applyItemChanges, Config, mergePatch } from "../../src/configuration/config.js";
 import { ConfigChangeLog } from "../../src/control-plane/config-change-log.js";
 import { ConfigReplica } from "../../src/cluster-view/config-replica.js";
@@ -64,7 +64,7 @@
     const view = WatchRequest.readReturn(
       `{"granted":true,"grantMs":1,"configSequence":${sequence},"directorySequence":0,"grantNumber":"","capacities":[]${part}}`,
     );
-    if (!view.granted) throw new Error("The view grants nothing.");
+    if (!view.granted) throw new Error("The response is no view.");
     return view;
   }
 }
@@ -75,10 +75,10 @@
   return value;
 };
 
-const expectSame = (copy: ConfigReplica, leader: Leader): void => {
-  expect(plain(copy.config)).toEqual(plain(leader.config));
-  expect(Object.keys(copy.config.routes)).toEqual(Object.keys(leader.config.routes));
-  expect(Object.fromEntries(copy.numbers)).toEqual(
+const expectSame = (replica: ConfigReplica, leader: Leader): void => {
+  expect(plain(replica.config)).toEqual(plain(leader.config));
+  expect(Object.keys(replica.config.routes)).toEqual(Object.keys(leader.config.routes));
+  expect(Object.fromEntries(replica.numbers)).toEqual(
     Object.fromEntries(leader.stateMachine.idAllocator.inForce),
   );
 };
@@ -112,150 +112,149 @@
   fc.constant((leader: Leader) => leader.changes.reset()),
 );
 
-test("copies that follow by items, now and then, are what is in force, by digest too", () => {
-  fc.assert(
-    fc.property(fc.array(fc.tuple(step, fc.nat(7)), { maxLength: 30 }), (steps) => {
-      const leader = new Leader();
-      leader.enter({ services: { a: {}, b: {}, 7: {} }, routes: {}, goals: {} });
-      const copies = [0, 1, 2].map(() => new ConfigReplica());
-      for (const [change, polling] of steps) {
-        change(leader);
-        for (const [bit, copy] of copies.entries()) {
-          if ((polling >> bit) % 2 === 0) continue;
-          if (copy.take(leader.view(copy.knownSequence)) === "differs")
-            expect(copy.take(leader.view(copy.knownSequence))).toBe("changed");
-          expectSame(copy, leader);
-          expect(copy.sequence).toBe(leader.stateMachine.activeConfig?.sequence);
+describe("ConfigChangeLog", () => {
+  test("replicas that apply updates at times equal the active configuration, by digest too", () => {
+    fc.assert(
+      fc.property(fc.array(fc.tuple(step, fc.nat(7)), { maxLength: 30 }), (steps) => {
+        const leader = new Leader();
+        leader.enter({ services: { a: {}, b: {}, 7: {} }, routes: {}, goals: {} });
+        const replicas = [0, 1, 2].map(() => new ConfigReplica());
+        for (const [change, polling] of steps) {
+          change(leader);
+          for (const [bit, replica] of replicas.entries()) {
+            if ((polling >> bit) % 2 === 0) continue;
+            if (replica.take(leader.view(replica.knownSequence)) === "differs")
+              expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+            expectSame(replica, leader);
+            expect(replica.sequence).toBe(leader.stateMachine.activeConfig?.sequence);
+          }
         }
-      }
-    }),
-    { numRuns: 400 },
-  );
-});
+      }),
+      { numRuns: 400 },
+    );
+  });
 
-const large = (routes: number): unknown => ({
-  services: Object.fromEntries(["one", "two", "three"].map((name) => [name, { inHand: 20 }])),
-  routes: Object.fromEntries(
-    Array.from({ length: routes }, (_, at) => [
-      `route-${at}`,
-      {
-        match: { methods: ["GET"], path: `/things/${at}/*`, host: "api.example" },
-        service: ["one", "two", "three"][at % 3],
-        kind: "safe",
-        origin: { meta: { name: `route-${at}`, owner: "somebody" }, spec: { deadline: "900ms" } },
-      },
-    ]),
-  ),
-  goals: {},
-});
+  const large = (routes: number): unknown => ({
+    services: Object.fromEntries(["one", "two", "three"].map((name) => [name, { inHand: 20 }])),
+    routes: Object.fromEntries(
+      Array.from({ length: routes }, (_, at) => [
+        `route-${at}`,
+        {
+          match: { methods: ["GET"], path: `/things/${at}/*`, host: "api.example" },
+          service: ["one", "two", "three"][at % 3],
+          kind: "safe",
+          origin: { meta: { name: `route-${at}`, owner: "somebody" }, spec: { deadline: "900ms" } },
+        },
+      ]),
+    ),
+    goals: {},
+  });
 
-test("one changed route of 1,400 travels in some hundred bytes, and what didn't change stays the same objects", () => {
-  const leader = new Leader();
-  leader.enter(large(1400));
-  const copy = new ConfigReplica();
-  expect(copy.take(leader.view(copy.knownSequence))).toBe("changed");
-  const former = new RouteTable(copy.config);
-  const untouched = copy.config.routes["route-8"];
-  leader.patch({ routes: { "route-7": { service: "two" } } });
-  leader.patch({ routes: { late: { match: { path: "/late" }, service: "one" }, "route-9": null } });
-  const view = leader.view(copy.knownSequence);
-  expect(JSON.stringify(view).length).toBeLessThan(700);
-  expect(copy.take(view)).toBe("changed");
-  expectSame(copy, leader);
-  expect(copy.config.routes["route-8"]).toBe(untouched);
-  const routeTable = new RouteTable(copy.config, former);
-  expect(routeTable.named("route-8")).toBe(former.named("route-8"));
-  expect(routeTable.named("route-7")?.service).toBe("two");
-  expect(routeTable.find("GET", "/late")?.name).toBe("late");
-  expect(routeTable.find("GET", "/things/9/x", "api.example")).toBeUndefined();
-});
+  test("one changed route of 1,400 takes a few hundred bytes, and unchanged items stay the same objects", () => {
+    const leader = new Leader();
+    leader.enter(large(1400));
+    const replica = new ConfigReplica();
+    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    const former = new RouteTable(replica.config);
+    const untouched = replica.config.routes["route-8"];
+    leader.patch({ routes: { "route-7": { service: "two" } } });
+    leader.patch({
+      routes: { late: { match: { path: "/late" }, service: "one" }, "route-9": null },
+    });
+    const view = leader.view(replica.knownSequence);
+    expect(JSON.stringify(view).length).toBeLessThan(700);
+    expect(replica.take(view)).toBe("changed");
+    expectSame(replica, leader);
+    expect(replica.config.routes["route-8"]).toBe(untouched);
+    const routeTable = new RouteTable(replica.config, former);
+    expect(routeTable.named("route-8")).toBe(former.named("route-8"));
+    expect(routeTable.named("route-7")?.service).toBe("two");
+    expect(routeTable.find("GET", "/late")?.name).toBe("late");
+    expect(routeTable.find("GET", "/things/9/x", "api.example")).toBeUndefined();
+  });
 
-test("a copy that differs grants nothing, keeps its sequence and asks for the whole, which mends it", () => {
-  const leader = new Leader();
-  leader.enter(large(20));
-  const copy = new ConfigReplica();
-  copy.take(leader.view(copy.knownSequence));
-  leader.patch({ routes: { "route-7": { service: "two" } } });
-  const view = leader.view(copy.knownSequence);
-  expect(view.configChanges).toBeDefined();
-  expect(copy.take({ ...view, configDigest: "0-0" })).toBe("differs");
-  expect([copy.sequence, copy.knownSequence]).toEqual([1, 0]);
-  expect(copy.take(leader.view(copy.knownSequence))).toBe("changed");
-  expectSame(copy, leader);
-  leader.patch({ routes: { "route-8": { service: "two" } } });
-  const missed = leader.view(copy.knownSequence);
-  leader.patch({ routes: { "route-9": { service: "two" } } });
-  expect(copy.take(leader.view(3))).toBe("differs");
-  expect(copy.take(missed)).toBe("changed");
-});
+  test("a replica whose digest differs keeps its sequence, requests the complete configuration and recovers by it", () => {
+    const leader = new Leader();
+    leader.enter(large(20));
+    const replica = new ConfigReplica();
+    replica.take(leader.view(replica.knownSequence));
+    leader.patch({ routes: { "route-7": { service: "two" } } });
+    const view = leader.view(replica.knownSequence);
+    expect(view.configChanges).toBeDefined();
+    expect(replica.take({ ...view, configDigest: "0-0" })).toBe("differs");
+    expect([replica.sequence, replica.knownSequence]).toEqual([1, 0]);
+    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expectSame(replica, leader);
+    leader.patch({ routes: { "route-8": { service: "two" } } });
+    const missed = leader.view(replica.knownSequence);
+    leader.patch({ routes: { "route-9": { service: "two" } } });
+    expect(replica.take(leader.view(3))).toBe("differs");
+    expect(replica.take(missed)).toBe("changed");
+  });
 
-test("changes since a state that the copy has left behind grant nothing, and don't have the whole asked for", () => {
-  const leader = new Leader();
-  leader.enter(large(20));
-  const copy = new ConfigReplica();
-  copy.take(leader.view(copy.knownSequence));
-  const former = copy.knownSequence;
-  leader.patch({ routes: { "route-7": { service: "two" } } });
-  expect(copy.take(leader.view(former))).toBe("changed");
-  leader.patch({ routes: { "route-8": { service: "two" } } });
-  expect(copy.take(leader.view(former))).toBe("outdated");
-  expect([copy.sequence, copy.knownSequence]).toEqual([2, 2]);
-  expect(copy.take(leader.view(copy.knownSequence))).toBe("changed");
-  expectSame(copy, leader);
-});
+  test("an update of a configuration older than the replica's is outdated and requests nothing", () => {
+    const leader = new Leader();
+    leader.enter(large(20));
+    const replica = new ConfigReplica();
+    replica.take(leader.view(replica.knownSequence));
+    const former = replica.knownSequence;
+    leader.patch({ routes: { "route-7": { service: "two" } } });
+    expect(replica.take(leader.view(former))).toBe("changed");
+    leader.patch({ routes: { "route-8": { service: "two" } } });
+    expect(replica.take(leader.view(former))).toBe("outdated");
+    expect([replica.sequence, replica.knownSequence]).toEqual([2, 2]);
+    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expectSame(replica, leader);
+  });
 
-test("routes in another order travel whole, since the first of two alike wins", () => {
-  const leader = new Leader();
-  const alike = { match: { path: "/x" }, service: "one" };
-  leader.enter({ services: { one: {} }, routes: { a: alike, b: alike, c: alike, d: alike } });
-  const copy = new ConfigReplica();
-  copy.take(leader.view(copy.knownSequence));
-  leader.enter({ services: { one: {} }, routes: { b: alike, a: alike, c: alike, d: alike } });
-  expect(leader.view(copy.knownSequence).config).toBeDefined();
-  expect(copy.take(leader.view(copy.knownSequence))).toBe("changed");
-  expect(new RouteTable(copy.config).find("GET", "/x")?.name).toBe("b");
-});
+  test("reordered routes are sent as a complete configuration, since the first of several matches is used", () => {
+    const leader = new Leader();
+    const alike = { match: { path: "/x" }, service: "one" };
+    leader.enter({ services: { one: {} }, routes: { a: alike, b: alike, c: alike, d: alike } });
+    const replica = new ConfigReplica();
+    replica.take(leader.view(replica.knownSequence));
+    leader.enter({ services: { one: {} }, routes: { b: alike, a: alike, c: alike, d: alike } });
+    expect(leader.view(replica.knownSequence).config).toBeDefined();
+    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(new RouteTable(replica.config).find("GET", "/x")?.name).toBe("b");
+  });
 
-test("edges of a fleet follow a storm of patches by items, also over a change of leader", () => {
-  const {
-    simulation,
-    exchange,
-    poll: watchRequest,
-    pollText,
-    leader,
-    wait,
-    daemons,
-  } = stage({ holdMs: 50 });
-  const [one] = daemons(1);
-  const send = (method: string, target: string, body: unknown): void => {
-    one?.daemon?.operators.emit({
-      clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
-      give: () => undefined,
+  test("edges apply a series of patches by items, also across a change of leader", () => {
+    const { simulation, exchange, watch, watchRequestText, leader, wait, daemons } = stage({
+      holdMs: 50,
     });
-    wait(300);
-  };
-  const config = large(300);
-  send("PUT", "/config", config);
-  const { directorySequence, configSequence } = watchRequest();
-  expect(configSequence).toBeGreaterThan(0);
-  send("PATCH", "/config", { routes: { "route-3": { service: "three" } } });
-  const text =
-    exchange(RpcMethod.poll, pollText({ directorySequence, configSequence }))[0]?.text ?? "";
-  expect(text).toContain('"configChanges"');
-  expect(text).toContain('"route-3"');
-  expect(text).not.toContain('"route-4"');
-  const known = watchRequest({ directorySequence, configSequence });
-  simulation.kill(leader());
-  wait(3000);
-  for (let at = 0; at < 4; at += 1)
-    send("PATCH", "/config", { routes: { [`route-${at}`]: { service: "three" } } });
-  const after = watchRequest({ directorySequence: known.directorySequence, configSequence });
-  expect(after.configSequence).toBe(known.configSequence + 4);
-  for (const machine of simulation.machines) {
-    if (!machine.daemon) continue;
-    expect(machine.daemon.standing).toEqual({
-      configSequence: after.configSequence,
-      isGranted: true,
-    });
-  }
+    const [one] = daemons(1);
+    const send = (method: string, target: string, body: unknown): void => {
+      one?.daemon?.operators.emit({
+        clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
+        give: () => undefined,
+      });
+      wait(300);
+    };
+    const config = large(300);
+    send("PUT", "/config", config);
+    const { directorySequence, configSequence } = watch();
+    expect(configSequence).toBeGreaterThan(0);
+    send("PATCH", "/config", { routes: { "route-3": { service: "three" } } });
+    const text =
+      exchange(RpcMethod.poll, watchRequestText({ directorySequence, configSequence }))[0]?.text ??
+      "";
+    expect(text).toContain('"configChanges"');
+    expect(text).toContain('"route-3"');
+    expect(text).not.toContain('"route-4"');
+    const known = watch({ directorySequence, configSequence });
+    simulation.kill(leader());
+    wait(3000);
+    for (let at = 0; at < 4; at += 1)
+      send("PATCH", "/config", { routes: { [`route-${at}`]: { service: "three" } } });
+    const after = watch({ directorySequence: known.directorySequence, configSequence });
+    expect(after.configSequence).toBe(known.configSequence + 4);
+    for (const machine of simulation.machines) {
+      if (!machine.daemon) continue;
+      expect(machine.daemon.standing).toEqual({
+        configSequence: after.configSequence,
+        isGranted: true,
+      });
+    }
+  });
 });
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -1,3 +1,4 @@
+/** A simulated fleet for tests of the control plane: commands and watch requests sent to its leader from outside. */
 import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { Task } from "../../src/runtime/task.js";
@@ -13,21 +14,22 @@
 export const address = "10.9.0.1:80";
 export const service = "issues";
 
-/** What a daemon's operators' port returned. */
-export interface Told {
+/** The response of a daemon's admin API. */
+export interface AdminResponse {
   code: number;
   text: string;
 }
 
-const usual = { ...ControlPlaneTimeouts.defaults };
+/** The defaults, which `stage` overrides for the fleets that it creates. */
+const defaults = { ...ControlPlaneTimeouts.defaults };
 
 export const fail = (error: unknown): void => {
   throw error;
 };
 
-/** A simulated fleet whose own back ends are still, and a stranger's link to it. */
-export const stage = (terms: Partial<ControlPlaneTimeouts> = {}, seed = 1) => {
-  Object.assign(ControlPlaneTimeouts.defaults, usual, terms);
+/** A simulated fleet whose own backends send no heartbeats, and an RPC endpoint outside it. */
+export const stage = (timeouts: Partial<ControlPlaneTimeouts> = {}, seed = 1) => {
+  Object.assign(ControlPlaneTimeouts.defaults, defaults, timeouts);
   const simulation = new Simulation(Profile.all.rastro, seed, 0.0001);
   for (const testBackend of simulation.testBackends) testBackend.isAnnouncing = false;
   simulation.begin();
@@ -41,26 +43,26 @@
   const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
   const leader = (): SimulatedMachine => {
     const found = simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease);
-    if (!found) throw new Error("Nobody leads.");
+    if (!found) throw new Error("There is no leader.");
     return found;
   };
   const exchange = (
     kind: typeof RpcMethod.command | typeof RpcMethod.poll,
     text: string,
-    within = 300,
+    waitMs = 300,
   ) => {
-    const returns: Array<{ text: string; atMs: number }> = [];
+    const responses: Array<{ text: string; atMs: number }> = [];
     Task.start(
       rpc.call(leader().settings.peers, kind, { forwarded: true, text }, 2000),
       fail,
-      (ret) => returns.push({ text: ret?.text ?? "", atMs: simulation.time.nowMs() }),
+      (response) => responses.push({ text: response?.text ?? "", atMs: simulation.time.nowMs() }),
     );
-    wait(within);
-    return returns;
+    wait(waitMs);
+    return responses;
   };
   const command = (sent: Command): string =>
     exchange(RpcMethod.command, Command.text(sent))[0]?.text ?? "";
-  const announce = (
+  const heartbeat = (
     instance: string,
     more: Partial<Extract<Command, { kind: "announce" }>> = {},
   ): string =>
@@ -74,7 +76,7 @@
       instance,
       ...more,
     });
-  const pollText = (more: Partial<WatchRequest> = {}): string =>
+  const watchRequestText = (more: Partial<WatchRequest> = {}): string =>
     JSON.stringify({
       machine: {
         name: "stranger",
@@ -92,22 +94,24 @@
       refused: [],
       ...more,
     });
-  const watchRequest = (more: Partial<WatchRequest> = {}) => {
-    const view = WatchRequest.readReturn(exchange(RpcMethod.poll, pollText(more))[0]?.text ?? "");
+  const watch = (more: Partial<WatchRequest> = {}) => {
+    const view = WatchRequest.readReturn(
+      exchange(RpcMethod.poll, watchRequestText(more))[0]?.text ?? "",
+    );
     if (!view.granted) throw new Error(view.why);
     return view;
   };
-  const registration = (at = address): Registration | undefined =>
-    watchRequest().directory?.find((one) => one.address === at);
+  const registration = (ofAddress = address): Registration | undefined =>
+    watch().directory?.find((one) => one.address === ofAddress);
   const daemons = (count: number): SimulatedMachine[] =>
     simulation.machines.filter(({ settings }) => settings.callers !== undefined).slice(0, count);
   const post = (
     machine: SimulatedMachine | undefined,
     path: string,
     body: unknown,
-    within = 300,
-  ): Told => {
-    const told: Told[] = [];
+    waitMs = 300,
+  ): AdminResponse => {
+    const responses: AdminResponse[] = [];
     machine?.daemon?.operators.emit({
       clientRequest: {
         method: "POST",
@@ -115,23 +119,24 @@
         headers: {},
         body: Buffer.from(JSON.stringify(body)),
       },
-      give: ({ code, body: bytes }) => told.push({ code, text: Buffer.from(bytes).toString() }),
+      give: ({ code, body: bytes }) =>
+        responses.push({ code, text: Buffer.from(bytes).toString() }),
     });
-    wait(within);
-    return told[0] ?? { code: 0, text: "" };
+    wait(waitMs);
+    return responses[0] ?? { code: 0, text: "" };
   };
   return {
     simulation,
-    world: runtime,
-    link: rpc,
+    runtime,
+    rpc,
     wait,
     leader,
-    order: command,
-    announce,
+    command,
+    heartbeat,
     exchange,
-    poll: watchRequest,
-    pollText,
-    contract: registration,
+    watch,
+    watchRequestText,
+    registration,
     daemons,
     post,
   };
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { Command } from "../../src/control-protocol/command.js";
 import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
@@ -8,49 +8,51 @@
 import { Simulation } from "../../src/simulation/simulation.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-test("an announcement that was overtaken by the back end's leave, or by another service at its address, changes nothing", () => {
-  const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
-  simulation.begin();
-  simulation.time.runUntil(5000);
-  const fail = (error: unknown): void => {
-    throw error;
-  };
-  const runtime = virtualRuntime({
-    clock: simulation.clock,
-    network: simulation.network.wire("late", new EventGate()),
-    random: simulation.random,
+describe("ControlPlane", () => {
+  test("a heartbeat that is older than the backend's deregistration, or than another service at its address, changes nothing", () => {
+    const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
+    simulation.begin();
+    simulation.time.runUntil(5000);
+    const fail = (error: unknown): void => {
+      throw error;
+    };
+    const runtime = virtualRuntime({
+      clock: simulation.clock,
+      network: simulation.network.wire("late", new EventGate()),
+      random: simulation.random,
+    });
+    const rpc = new RpcEndpoint(runtime, "late");
+    const leader =
+      simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease)?.settings
+        .peers ?? "";
+    const command = (sent: Command): string => {
+      const returns: string[] = [];
+      Task.start(
+        rpc.call(leader, RpcMethod.command, { forwarded: true, text: Command.text(sent) }, 2000),
+        fail,
+        (ret) => returns.push(ret?.text ?? ""),
+      );
+      simulation.time.runUntil(simulation.time.nowMs() + 200);
+      return returns[0] ?? "";
+    };
+    const [one] = simulation.testBackends;
+    if (!one) throw new Error("There is no backend.");
+    one.isAnnouncing = false;
+    const { address, service, zone } = one;
+    const late: Command = {
+      kind: "announce",
+      address,
+      service,
+      zone,
+      warmth: 1,
+      seen: Number(/"directorySequence":(\d+)/.exec(command({ kind: "fleet" }))?.[1] ?? "0"),
+    };
+    expect(command({ kind: "leave", address, service })).toBe('{"known":true}');
+    simulation.time.runUntil(simulation.time.nowMs() + 4000);
+    expect(command(late)).toContain('"overtaken"');
+    const fresh = { ...late, seen: 1_000_000 };
+    expect(command({ ...fresh, service: "triage" })).toContain('"taken"');
+    expect(command(late)).toContain('"overtaken"');
+    expect(command(fresh)).toContain('"taken"');
   });
-  const rpc = new RpcEndpoint(runtime, "late");
-  const leader =
-    simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease)?.settings.peers ??
-    "";
-  const command = (sent: Command): string => {
-    const returns: string[] = [];
-    Task.start(
-      rpc.call(leader, RpcMethod.command, { forwarded: true, text: Command.text(sent) }, 2000),
-      fail,
-      (ret) => returns.push(ret?.text ?? ""),
-    );
-    simulation.time.runUntil(simulation.time.nowMs() + 200);
-    return returns[0] ?? "";
-  };
-  const [one] = simulation.testBackends;
-  if (!one) throw new Error("There is no back end.");
-  one.isAnnouncing = false;
-  const { address, service, zone } = one;
-  const late: Command = {
-    kind: "announce",
-    address,
-    service,
-    zone,
-    warmth: 1,
-    seen: Number(/"directorySequence":(\d+)/.exec(command({ kind: "fleet" }))?.[1] ?? "0"),
-  };
-  expect(command({ kind: "leave", address, service })).toBe('{"known":true}');
-  simulation.time.runUntil(simulation.time.nowMs() + 4000);
-  expect(command(late)).toContain('"overtaken"');
-  const fresh = { ...late, seen: 1_000_000 };
-  expect(command({ ...fresh, service: "triage" })).toContain('"taken"');
-  expect(command(late)).toContain('"overtaken"');
-  expect(command(fresh)).toContain('"taken"');
 });
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { Bounds } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
@@ -12,19 +12,19 @@
 const many = 24;
 const services = 3;
 
-interface Hollow {
+interface TestDaemon {
   readonly daemon: PollingDaemon;
   readonly gate: EventGate;
   readonly wire: DelayedNetwork;
   readonly name: string;
 }
 
-const hollows = (stage: FleetStage, count: number): Hollow[] =>
+const pollingDaemons = (stage: FleetStage, count: number): TestDaemon[] =>
   Array.from({ length: count }, (_, at) => {
     const zone = zoneOf(at, spread);
     const gate = new EventGate();
     const clock = gate.clock(stage.time.clock());
-    const name = `hollow-${at}`;
+    const name = `daemon-${at}`;
     const wire = new DelayedNetwork(stage.network.wire(name, gate), clock, () =>
       oneWayMs(zone, "zone-1", spread),
     );
@@ -44,150 +44,152 @@
     throw error;
   });
 
-const sumOf = (all: readonly Hollow[], of: (one: Hollow) => number): number =>
+const sumOf = (all: readonly TestDaemon[], of: (one: TestDaemon) => number): number =>
   all.reduce((sum, one) => sum + of(one), 0);
 
-test("polling daemons poll, push counts and take views at the configured rates", () => {
-  const stage = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-  stage.bootAll();
-  stage.wait(4000);
-  const all = hollows(stage, many);
-  stage.until(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
-  expect(all.filter(({ daemon }) => daemon.clusterView.holdsLease)).toHaveLength(many);
-  stage.wait(6000);
+describe("control traffic", () => {
+  test("daemons send watch requests, push counts and receive views at the configured rates", () => {
+    const stage = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    stage.bootAll();
+    stage.wait(4000);
+    const all = pollingDaemons(stage, many);
+    stage.until(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
+    expect(all.filter(({ daemon }) => daemon.clusterView.holdsLease)).toHaveLength(many);
+    stage.wait(6000);
 
-  const before = {
-    polls: sumOf(all, ({ daemon }) => daemon.clusterView.polls),
-    grants: sumOf(all, ({ daemon }) => daemon.clusterView.grants),
-    out: sumOf(all, ({ wire }) => wire.totals.messagesOut),
-    back: sumOf(all, ({ wire }) => wire.totals.messagesIn),
-  };
-  stage.wait(4000);
-  const polls = sumOf(all, ({ daemon }) => daemon.clusterView.polls) - before.polls;
-  const out = sumOf(all, ({ wire }) => wire.totals.messagesOut) - before.out;
-  const { pollMs, controlPlaneTimeouts } = Bounds.of({});
-  const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
-  expect(polls).toBeGreaterThan(
-    many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.holdMs + farMs + 50)),
-  );
-  expect(polls).toBeLessThanOrEqual(many * Math.ceil(4000 / pollMs + 1));
-  expect(
-    Math.abs(polls - (sumOf(all, ({ daemon }) => daemon.clusterView.grants) - before.grants)),
-  ).toBeLessThanOrEqual(many);
-  // Nothing goes out but polls and one push every two seconds.
-  expect(out - polls).toBeGreaterThanOrEqual(many);
-  expect(out - polls).toBeLessThanOrEqual(many * 3);
-  expect(
-    Math.abs(out - (sumOf(all, ({ wire }) => wire.totals.messagesIn) - before.back)),
-  ).toBeLessThanOrEqual(2 * many);
-  expect(Math.max(...all.map(({ daemon }) => daemon.coverage))).toBe(many);
-});
-
-test("configurations reach polling daemons in order; silent machines are logged by name, silent backends removed", () => {
-  const stage = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-  stage.bootAll();
-  stage.wait(4000);
-  const all = hollows(stage, many);
-  stage.until(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
-
-  const backEnds = Array.from({ length: 30 }, (_, at) => ({
-    address: `10.8.0.${at + 1}:80`,
-    service: `service-${at % services}`,
-    zone: zoneOf(at, spread),
-  }));
-  const announcing = new Set(backEnds);
-  const heard = { known: 0, unknown: 0 };
-  const announce = function* (at: number): Task {
-    const backend = backEnds[at];
-    if (!backend) return;
-    for (let round = 0; announcing.has(backend); round += 1) {
-      const daemon = all[(at + round) % (many - 6)]?.daemon;
-      if (daemon && (yield* daemon.hear(backend))) heard.known += 1;
-      else heard.unknown += 1;
-      yield* Task.wait<boolean>((done) => stage.time.clock().after(1000, () => done(true)));
-    }
-  };
-  for (const at of backEnds.keys()) run(announce(at));
-  const known = ({ daemon }: Hollow): number =>
-    daemon.clusterView.services.reduce(
-      (sum, service) => sum + daemon.clusterView.backendsOf(service).length,
-      0,
+    const before = {
+      polls: sumOf(all, ({ daemon }) => daemon.clusterView.polls),
+      grants: sumOf(all, ({ daemon }) => daemon.clusterView.grants),
+      out: sumOf(all, ({ wire }) => wire.totals.messagesOut),
+      back: sumOf(all, ({ wire }) => wire.totals.messagesIn),
+    };
+    stage.wait(4000);
+    const polls = sumOf(all, ({ daemon }) => daemon.clusterView.polls) - before.polls;
+    const out = sumOf(all, ({ wire }) => wire.totals.messagesOut) - before.out;
+    const { pollMs, controlPlaneTimeouts } = Bounds.of({});
+    const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
+    expect(polls).toBeGreaterThan(
+      many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.holdMs + farMs + 50)),
     );
-  stage.until(() => all.every((one) => known(one) === backEnds.length), 8000);
-  expect(all.map(known)).toEqual(all.map(() => backEnds.length));
+    expect(polls).toBeLessThanOrEqual(many * Math.ceil(4000 / pollMs + 1));
+    expect(
+      Math.abs(polls - (sumOf(all, ({ daemon }) => daemon.clusterView.grants) - before.grants)),
+    ).toBeLessThanOrEqual(many);
+    // Only watch requests are sent, and one push every two seconds.
+    expect(out - polls).toBeGreaterThanOrEqual(many);
+    expect(out - polls).toBeLessThanOrEqual(many * 3);
+    expect(
+      Math.abs(out - (sumOf(all, ({ wire }) => wire.totals.messagesIn) - before.back)),
+    ).toBeLessThanOrEqual(2 * many);
+    expect(Math.max(...all.map(({ daemon }) => daemon.coverage))).toBe(many);
+  });
 
-  const seen = new Map(all.map(({ name }) => [name, [0]]));
-  for (let sequence = 1; sequence <= 3; sequence += 1) {
-    const first = all[sequence];
-    if (first)
-      run(
-        first.daemon.order({
-          kind: "put",
-          changeId: `change-${sequence}`,
-          value: configOf({ services, routes: 9 }, sequence),
-        }),
-      );
-    stage.until(() => {
-      for (const { name, daemon } of all) {
-        const one = seen.get(name);
-        if (one && one.at(-1) !== daemon.clusterView.configSequence)
-          one.push(daemon.clusterView.configSequence);
-      }
-      return all.every(({ daemon }) => daemon.clusterView.configSequence === sequence);
-    }, 5000);
-  }
-  expect([...seen.values()]).toEqual(all.map(() => [0, 1, 2, 3]));
+  test("configurations reach daemons in order; unresponsive daemons are logged by name, backends without heartbeats removed", () => {
+    const stage = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    stage.bootAll();
+    stage.wait(4000);
+    const all = pollingDaemons(stage, many);
+    stage.until(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
 
-  const lost = all.slice(-6);
-  for (const { gate } of lost) gate.kill();
-  for (const gone of backEnds.slice(0, 4)) announcing.delete(gone);
-  stage.wait(9000);
-  const silent = stage.lines.filter((line) => line.includes("daemon unresponsive"));
-  expect(lost.filter(({ name }) => silent.some((line) => line.includes(`"${name}"`)))).toHaveLength(
-    lost.length,
-  );
-  expect(silent).toHaveLength(lost.length);
-  const left = all.slice(0, -6);
-  expect(left.map(known)).toEqual(left.map(() => backEnds.length - 4));
-  expect(heard.unknown).toBe(0);
-});
+    const backEnds = Array.from({ length: 30 }, (_, at) => ({
+      address: `10.8.0.${at + 1}:80`,
+      service: `service-${at % services}`,
+      zone: zoneOf(at, spread),
+    }));
+    const announcing = new Set(backEnds);
+    const heard = { known: 0, unknown: 0 };
+    const heartbeat = function* (at: number): Task {
+      const backend = backEnds[at];
+      if (!backend) return;
+      for (let round = 0; announcing.has(backend); round += 1) {
+        const daemon = all[(at + round) % (many - 6)]?.daemon;
+        if (daemon && (yield* daemon.heartbeat(backend))) heard.known += 1;
+        else heard.unknown += 1;
+        yield* Task.wait<boolean>((done) => stage.time.clock().after(1000, () => done(true)));
+      }
+    };
+    for (const at of backEnds.keys()) run(heartbeat(at));
+    const known = ({ daemon }: TestDaemon): number =>
+      daemon.clusterView.services.reduce(
+        (sum, service) => sum + daemon.clusterView.backendsOf(service).length,
+        0,
+      );
+    stage.until(() => all.every((one) => known(one) === backEnds.length), 8000);
+    expect(all.map(known)).toEqual(all.map(() => backEnds.length));
 
-test("a delayed network keeps the order of what it carries and counts it", () => {
-  const stage = new FleetStage([], []);
-  const clock = stage.time.clock();
-  const gate = new EventGate();
-  const far = new DelayedNetwork(stage.network.wire("far", gate), clock, () => 0);
-  const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
-  const got: string[] = [];
-  run(
-    far.listen("10.0.0.9:1", (connection) => {
-      const hear = function* (): Task {
-        for (;;) {
-          const piece = yield* connection.incoming.take();
-          if (piece === "closed") return;
-          got.push(Buffer.from(piece).toString());
-          connection.send(piece);
+    const seen = new Map(all.map(({ name }) => [name, [0]]));
+    for (let sequence = 1; sequence <= 3; sequence += 1) {
+      const first = all[sequence];
+      if (first)
+        run(
+          first.daemon.command({
+            kind: "put",
+            changeId: `change-${sequence}`,
+            value: configOf({ services, routes: 9 }, sequence),
+          }),
+        );
+      stage.until(() => {
+        for (const { name, daemon } of all) {
+          const one = seen.get(name);
+          if (one && one.at(-1) !== daemon.clusterView.configSequence)
+            one.push(daemon.clusterView.configSequence);
         }
-      };
-      run(hear());
-    }),
-  );
-  const back: string[] = [];
-  const speak = function* (): Task {
-    const connection = yield* near.connect("10.0.0.9:1");
-    if (!connection) return;
-    for (const word of ["a", "bb", "ccc"]) connection.send(Buffer.from(word));
-    for (;;) {
-      const piece = yield* connection.incoming.take();
-      if (piece === "closed") return;
-      back.push(Buffer.from(piece).toString());
+        return all.every(({ daemon }) => daemon.clusterView.configSequence === sequence);
+      }, 5000);
     }
-  };
-  run(speak());
-  stage.wait(60);
-  expect(got).toEqual([]);
-  stage.wait(2000);
-  expect(got).toEqual(["a", "bb", "ccc"]);
-  expect(back).toEqual(["a", "bb", "ccc"]);
-  expect(near.totals).toEqual({ bytesIn: 6, bytesOut: 6, messagesIn: 3, messagesOut: 3 });
+    expect([...seen.values()]).toEqual(all.map(() => [0, 1, 2, 3]));
+
+    const killed = all.slice(-6);
+    for (const { gate } of killed) gate.kill();
+    for (const gone of backEnds.slice(0, 4)) announcing.delete(gone);
+    stage.wait(9000);
+    const unresponsive = stage.lines.filter((line) => line.includes("daemon unresponsive"));
+    expect(
+      killed.filter(({ name }) => unresponsive.some((line) => line.includes(`"${name}"`))),
+    ).toHaveLength(killed.length);
+    expect(unresponsive).toHaveLength(killed.length);
+    const left = all.slice(0, -6);
+    expect(left.map(known)).toEqual(left.map(() => backEnds.length - 4));
+    expect(heard.unknown).toBe(0);
+  });
+
+  test("a delayed network preserves the order of messages and counts them", () => {
+    const stage = new FleetStage([], []);
+    const clock = stage.time.clock();
+    const gate = new EventGate();
+    const far = new DelayedNetwork(stage.network.wire("far", gate), clock, () => 0);
+    const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
+    const got: string[] = [];
+    run(
+      far.listen("10.0.0.9:1", (connection) => {
+        const hear = function* (): Task {
+          for (;;) {
+            const piece = yield* connection.incoming.take();
+            if (piece === "closed") return;
+            got.push(Buffer.from(piece).toString());
+            connection.send(piece);
+          }
+        };
+        run(hear());
+      }),
+    );
+    const back: string[] = [];
+    const speak = function* (): Task {
+      const connection = yield* near.connect("10.0.0.9:1");
+      if (!connection) return;
+      for (const word of ["a", "bb", "ccc"]) connection.send(Buffer.from(word));
+      for (;;) {
+        const piece = yield* connection.incoming.take();
+        if (piece === "closed") return;
+        back.push(Buffer.from(piece).toString());
+      }
+    };
+    run(speak());
+    stage.wait(60);
+    expect(got).toEqual([]);
+    stage.wait(2000);
+    expect(got).toEqual(["a", "bb", "ccc"]);
+    expect(back).toEqual(["a", "bb", "ccc"]);
+    expect(near.totals).toEqual({ bytesIn: 6, bytesOut: 6, messagesIn: 3, messagesOut: 3 });
+  });
 });
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -1,5 +1,5 @@
 import fc from "fast-check";
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { EndpointChangeLog } from "../../src/control-plane/endpoint-change-log.js";
 import { EndpointReplica } from "../../src/cluster-view/endpoint-replica.js";
 import { WatchRequest } from "../../src/control-protocol/watch-request.js";
@@ -19,7 +19,7 @@
       ...(known === changes.sequence ? [] : [changes.viewPart(known)]),
     ].join(",")}}`,
   );
-  if (!view.granted) throw new Error("The view grants nothing.");
+  if (!view.granted) throw new Error("The response is no view.");
   return view;
 };
 
@@ -51,111 +51,108 @@
     .map((one): LogCommand => ({ kind: "end", why: "test", ...one })),
 );
 
-test("copies that follow by changes, now and then, are what the state machine holds, by digest too", () => {
-  fc.assert(
-    fc.property(fc.array(fc.tuple(command, fc.nat(7)), { maxLength: 40 }), (steps) => {
-      const stateMachine = new StateMachine();
-      const changes = new EndpointChangeLog(stateMachine);
-      const copies = [0, 1, 2].map(() => new EndpointReplica());
-      for (const [at, [one, polling]] of steps.entries()) {
-        stateMachine.apply(at + 1, LogCommand.text(one));
-        for (const [bit, copy] of copies.entries()) {
-          if ((polling >> bit) % 2 === 0) continue;
-          expect(copy.take(viewOf(changes, copy.knownSequence))).not.toBe("differs");
-          expect(sorted(copy.registrations)).toEqual(sorted(stateMachine.registrations.values()));
-          expect(copy.sequence).toBe(stateMachine.endpointSequence);
+describe("EndpointChangeLog", () => {
+  test("replicas that apply updates at times equal the state machine's registrations, by digest too", () => {
+    fc.assert(
+      fc.property(fc.array(fc.tuple(command, fc.nat(7)), { maxLength: 40 }), (steps) => {
+        const stateMachine = new StateMachine();
+        const changes = new EndpointChangeLog(stateMachine);
+        const replicas = [0, 1, 2].map(() => new EndpointReplica());
+        for (const [at, [one, polling]] of steps.entries()) {
+          stateMachine.apply(at + 1, LogCommand.text(one));
+          for (const [bit, replica] of replicas.entries()) {
+            if ((polling >> bit) % 2 === 0) continue;
+            expect(replica.take(viewOf(changes, replica.knownSequence))).not.toBe("differs");
+            expect(sorted(replica.registrations)).toEqual(
+              sorted(stateMachine.registrations.values()),
+            );
+            expect(replica.sequence).toBe(stateMachine.endpointSequence);
+          }
         }
-      }
-    }),
-    { numRuns: 300 },
-  );
-});
+      }),
+      { numRuns: 300 },
+    );
+  });
 
-test("a copy that differs is found by the digest, grants nothing and asks for the whole, which mends it", () => {
-  const stateMachine = new StateMachine();
-  const changes = new EndpointChangeLog(stateMachine);
-  const announce = (index: number, at: string, capacity: number): void => {
-    const one: LogCommand = {
-      kind: "contract",
-      address: at,
-      service,
-      zone: "z",
-      warmth: 1,
-      capacity,
+  test("a replica whose digest differs is detected, requests all registrations and recovers by them", () => {
+    const stateMachine = new StateMachine();
+    const changes = new EndpointChangeLog(stateMachine);
+    const heartbeat = (index: number, at: string, capacity: number): void => {
+      const one: LogCommand = {
+        kind: "contract",
+        address: at,
+        service,
+        zone: "z",
+        warmth: 1,
+        capacity,
+      };
+      stateMachine.apply(index, LogCommand.text(one));
     };
-    stateMachine.apply(index, LogCommand.text(one));
-  };
-  for (let index = 1; index <= 8; index += 1) announce(index, `10.0.0.${index}:80`, 1);
-  const copy = new EndpointReplica();
-  copy.take(viewOf(changes, -1));
-  announce(9, "10.0.0.2:80", 4);
-  const view = viewOf(changes, copy.knownSequence);
-  const put = view.directoryChanges?.put ?? [];
-  expect(put).toHaveLength(1);
-  const bent = {
-    ...view,
-    directoryChanges: { base: 8, put: put.map((one) => ({ ...one, capacity: 3 })), removed: [] },
-  };
-  expect(copy.take(bent)).toBe("differs");
-  expect(copy.knownSequence).toBe(-1);
-  expect(copy.take(viewOf(changes, copy.knownSequence))).toBe("changed");
-  expect(sorted(copy.registrations)).toEqual(sorted(stateMachine.registrations.values()));
-  expect(copy.knownSequence).toBe(9);
-  announce(10, "10.0.0.2:80", 5);
-  const skipped = viewOf(changes, copy.knownSequence);
-  announce(11, "10.0.0.3:80", 5);
-  expect(copy.take(viewOf(changes, 10))).toBe("differs");
-  expect(copy.take(skipped)).toBe("changed");
-});
-
-test("the last changes are bounded by bytes: what is older than those is answered as unknown", () => {
-  const recent = new ChangeBuffer(5, 400);
-  for (let sequence = 6; sequence < 16; sequence += 1) recent.note(sequence, [`item-${sequence}`]);
-  expect(recent.since(15)).toEqual(new Set());
-  expect(recent.since(13)).toEqual(new Set(["item-14", "item-15"]));
-  expect(recent.since(5)).toBeUndefined();
-  expect(recent.since(99)).toBeUndefined();
-  expect([10, 11, 12].map((sequence) => recent.since(sequence)?.size)).toEqual([5, 4, 3]);
-  expect(recent.since(9)).toBeUndefined();
-  recent.note(20, ["x".repeat(1000)]);
-  expect(recent.since(20)).toEqual(new Set());
-  expect(recent.since(15)).toBeUndefined();
-});
+    for (let index = 1; index <= 8; index += 1) heartbeat(index, `10.0.0.${index}:80`, 1);
+    const replica = new EndpointReplica();
+    replica.take(viewOf(changes, -1));
+    heartbeat(9, "10.0.0.2:80", 4);
+    const view = viewOf(changes, replica.knownSequence);
+    const put = view.directoryChanges?.put ?? [];
+    expect(put).toHaveLength(1);
+    const bent = {
+      ...view,
+      directoryChanges: { base: 8, put: put.map((one) => ({ ...one, capacity: 3 })), removed: [] },
+    };
+    expect(replica.take(bent)).toBe("differs");
+    expect(replica.knownSequence).toBe(-1);
+    expect(replica.take(viewOf(changes, replica.knownSequence))).toBe("changed");
+    expect(sorted(replica.registrations)).toEqual(sorted(stateMachine.registrations.values()));
+    expect(replica.knownSequence).toBe(9);
+    heartbeat(10, "10.0.0.2:80", 5);
+    const skipped = viewOf(changes, replica.knownSequence);
+    heartbeat(11, "10.0.0.3:80", 5);
+    expect(replica.take(viewOf(changes, 10))).toBe("differs");
+    expect(replica.take(skipped)).toBe("changed");
+  });
 
-test("a poll that knows the directory before gets what changed, a few hundred bytes, from a new leader too", () => {
-  const {
-    simulation,
-    announce,
-    exchange,
-    poll: watchRequest,
-    pollText,
-    leader,
-    wait,
-    contract: registration,
-  } = stage({
-    holdMs: 50,
+  test("the change buffer is limited by bytes: changes since an older sequence are unknown", () => {
+    const recent = new ChangeBuffer(5, 400);
+    for (let sequence = 6; sequence < 16; sequence += 1)
+      recent.note(sequence, [`item-${sequence}`]);
+    expect(recent.since(15)).toEqual(new Set());
+    expect(recent.since(13)).toEqual(new Set(["item-14", "item-15"]));
+    expect(recent.since(5)).toBeUndefined();
+    expect(recent.since(99)).toBeUndefined();
+    expect([10, 11, 12].map((sequence) => recent.since(sequence)?.size)).toEqual([5, 4, 3]);
+    expect(recent.since(9)).toBeUndefined();
+    recent.note(20, ["x".repeat(1000)]);
+    expect(recent.since(20)).toEqual(new Set());
+    expect(recent.since(15)).toBeUndefined();
   });
-  for (let at = 0; at < 8; at += 1) announce(`life-${at}`, { address: `10.9.1.${at}:80` });
-  const known = watchRequest();
-  announce("late", { address: "10.9.2.1:80" });
-  const { directorySequence, configSequence } = known;
-  const bytesOf = (sequence: number): number => {
-    const text = exchange(
-      RpcMethod.poll,
-      pollText({ directorySequence: sequence, configSequence }),
-      600,
-    )[0]?.text;
-    expect(text).toContain('"granted":true');
-    return text?.length ?? 0;
-  };
-  const unchangedBytes = bytesOf(watchRequest().directorySequence);
-  expect(bytesOf(directorySequence) - unchangedBytes).toBeLessThan(400);
-  expect(watchRequest({ directorySequence }).directoryChanges?.put).toHaveLength(1);
 
-  simulation.kill(leader());
-  wait(2500);
-  const later = watchRequest({ directorySequence, configSequence });
-  expect(later.directory).toBeUndefined();
-  expect(later.directoryChanges?.put.map(({ instance: life }) => life)).toContain("late");
-  expect(registration("10.9.1.7:80")).toMatchObject({ instance: "life-7" });
+  test("a watch request with the sequence before gets only the changes, a few hundred bytes, from a new leader too", () => {
+    const { simulation, heartbeat, exchange, watch, watchRequestText, leader, wait, registration } =
+      stage({
+        holdMs: 50,
+      });
+    for (let at = 0; at < 8; at += 1) heartbeat(`life-${at}`, { address: `10.9.1.${at}:80` });
+    const known = watch();
+    heartbeat("late", { address: "10.9.2.1:80" });
+    const { directorySequence, configSequence } = known;
+    const bytesOf = (sequence: number): number => {
+      const text = exchange(
+        RpcMethod.poll,
+        watchRequestText({ directorySequence: sequence, configSequence }),
+        600,
+      )[0]?.text;
+      expect(text).toContain('"granted":true');
+      return text?.length ?? 0;
+    };
+    const unchangedBytes = bytesOf(watch().directorySequence);
+    expect(bytesOf(directorySequence) - unchangedBytes).toBeLessThan(400);
+    expect(watch({ directorySequence }).directoryChanges?.put).toHaveLength(1);
+
+    simulation.kill(leader());
+    wait(2500);
+    const later = watch({ directorySequence, configSequence });
+    expect(later.directory).toBeUndefined();
+    expect(later.directoryChanges?.put.map(({ instance: life }) => life)).toContain("late");
+    expect(registration("10.9.1.7:80")).toMatchObject({ instance: "life-7" });
+  });
 });
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { Bounds } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
@@ -11,7 +11,7 @@
 import { FleetStage } from "../replication/fleet-stage.js";
 import { stage } from "./control-plane-stage.js";
 
-const pollOf = (incarnation: string, configSequence: number): WatchRequest => ({
+const watchRequestOf = (incarnation: string, configSequence: number): WatchRequest => ({
   machine: { name: "m", zone: "z", roles: [], peer: "p", incarnation, draining: false },
   configSequence,
   directorySequence: 1,
@@ -21,76 +21,78 @@
   refused: [],
 });
 
-test("a large view is under way for a while, for twice that the next time, and not for another process or state", () => {
-  const views = new LargeViewLimiter(1000);
-  expect(views.isUnderWay(pollOf("one", 0), 0)).toBe(false);
-  views.note(pollOf("one", 0), 0);
-  expect(views.isUnderWay(pollOf("one", 0), 999)).toBe(true);
-  expect(views.isUnderWay(pollOf("two", 0), 999)).toBe(false);
-  expect(views.isUnderWay(pollOf("one", 1), 999)).toBe(false);
-  expect(views.isUnderWay(pollOf("one", 0), 1000)).toBe(false);
-  views.note(pollOf("one", 0), 1000);
-  expect(views.isUnderWay(pollOf("one", 0), 2999)).toBe(true);
-  expect(views.isUnderWay(pollOf("one", 0), 3000)).toBe(false);
-  views.note(pollOf("one", 1), 3000);
-  expect(views.isUnderWay(pollOf("one", 1), 4000)).toBe(false);
-  views.note(pollOf("one", 1), 4000);
-  views.reset();
-  expect(views.isUnderWay(pollOf("one", 1), 4001)).toBe(false);
-});
+describe("LargeViewLimiter", () => {
+  test("a large view is in transit for a while, for twice that the next time, and not for another incarnation or state", () => {
+    const views = new LargeViewLimiter(1000);
+    expect(views.isUnderWay(watchRequestOf("one", 0), 0)).toBe(false);
+    views.note(watchRequestOf("one", 0), 0);
+    expect(views.isUnderWay(watchRequestOf("one", 0), 999)).toBe(true);
+    expect(views.isUnderWay(watchRequestOf("two", 0), 999)).toBe(false);
+    expect(views.isUnderWay(watchRequestOf("one", 1), 999)).toBe(false);
+    expect(views.isUnderWay(watchRequestOf("one", 0), 1000)).toBe(false);
+    views.note(watchRequestOf("one", 0), 1000);
+    expect(views.isUnderWay(watchRequestOf("one", 0), 2999)).toBe(true);
+    expect(views.isUnderWay(watchRequestOf("one", 0), 3000)).toBe(false);
+    views.note(watchRequestOf("one", 1), 3000);
+    expect(views.isUnderWay(watchRequestOf("one", 1), 4000)).toBe(false);
+    views.note(watchRequestOf("one", 1), 4000);
+    views.reset();
+    expect(views.isUnderWay(watchRequestOf("one", 1), 4001)).toBe(false);
+  });
 
-test("the leader sends a large view once to whoever asks again at once", () => {
-  const { exchange, pollText, poll: watchRequest, daemons, wait } = stage({ holdMs: 50 });
-  const [one] = daemons(1);
-  const draw = RandomDraw.of(7);
-  const routes = Object.fromEntries(
-    Array.from({ length: 600 }, () => [
-      `route-${draw()}`,
-      { match: { path: `/${draw()}` }, service: "s" },
-    ]),
-  );
-  one?.daemon?.operators.emit({
-    clientRequest: {
-      method: "PUT",
-      target: "/config",
-      headers: {},
-      body: Buffer.from(JSON.stringify({ services: { s: {} }, routes })),
-    },
-    give: () => undefined,
+  test("the leader sends a large view once to a daemon that retries at once", () => {
+    const { exchange, watchRequestText, watch, daemons, wait } = stage({ holdMs: 50 });
+    const [one] = daemons(1);
+    const draw = RandomDraw.of(7);
+    const routes = Object.fromEntries(
+      Array.from({ length: 600 }, () => [
+        `route-${draw()}`,
+        { match: { path: `/${draw()}` }, service: "s" },
+      ]),
+    );
+    one?.daemon?.operators.emit({
+      clientRequest: {
+        method: "PUT",
+        target: "/config",
+        headers: {},
+        body: Buffer.from(JSON.stringify({ services: { s: {} }, routes })),
+      },
+      give: () => undefined,
+    });
+    wait(600);
+    const first = exchange(RpcMethod.poll, watchRequestText())[0]?.text ?? "";
+    expect(first).toContain('"packedConfig"');
+    for (let round = 0; round < 3; round += 1)
+      expect(exchange(RpcMethod.poll, watchRequestText())[0]?.text).toContain("under way");
+    expect(watch({ configSequence: 1 }).configSequence).toBe(1);
+    wait(1600);
+    expect(exchange(RpcMethod.poll, watchRequestText())[0]?.text).toContain('"packedConfig"');
   });
-  wait(600);
-  const first = exchange(RpcMethod.poll, pollText())[0]?.text ?? "";
-  expect(first).toContain('"packedConfig"');
-  for (let round = 0; round < 3; round += 1)
-    expect(exchange(RpcMethod.poll, pollText())[0]?.text).toContain("under way");
-  expect(watchRequest({ configSequence: 1 }).configSequence).toBe(1);
-  wait(1600);
-  expect(exchange(RpcMethod.poll, pollText())[0]?.text).toContain('"packedConfig"');
-});
 
-test("a daemon whose views take longer than a poll is waited for has its lease from the poll's sending", () => {
-  const fleet = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-  fleet.bootAll();
-  fleet.wait(4000);
-  const gate = new EventGate();
-  const clock = gate.clock(fleet.time.clock());
-  const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
-  const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
-  const bounds = Bounds.of({});
-  const daemon = new PollingDaemon(
-    runtime,
-    { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
-    [fleet.at(0).peer],
-    bounds,
-  );
-  daemon.start();
-  fleet.wait(6000);
-  expect(2 * 350).toBeGreaterThan(bounds.pollWaitMs);
-  let granted = 0;
-  for (let at = 0; at < 100; at += 1) {
-    fleet.wait(40);
-    if (daemon.clusterView.holdsLease) granted += 1;
-    expect(daemon.clusterView.leaseLeftMs).toBeLessThanOrEqual(bounds.leaseMs - 700);
-  }
-  expect(granted).toBeGreaterThan(95);
+  test("a daemon whose views take longer than the request timeout has its lease from the sending of the request", () => {
+    const fleet = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    fleet.bootAll();
+    fleet.wait(4000);
+    const gate = new EventGate();
+    const clock = gate.clock(fleet.time.clock());
+    const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
+    const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
+    const bounds = Bounds.of({});
+    const daemon = new PollingDaemon(
+      runtime,
+      { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
+      [fleet.at(0).peer],
+      bounds,
+    );
+    daemon.start();
+    fleet.wait(6000);
+    expect(2 * 350).toBeGreaterThan(bounds.pollWaitMs);
+    let granted = 0;
+    for (let at = 0; at < 100; at += 1) {
+      fleet.wait(40);
+      if (daemon.clusterView.holdsLease) granted += 1;
+      expect(daemon.clusterView.leaseLeftMs).toBeLessThanOrEqual(bounds.leaseMs - 700);
+    }
+    expect(granted).toBeGreaterThan(95);
+  });
 });
--- a/test/control-plane/polling-daemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -10,7 +10,7 @@
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
 /** Name, zone and peer address of a polling daemon. */
-export interface DaemonPlace {
+export interface PollingDaemonInfo {
   readonly machine: string;
   readonly zone: string;
   readonly peer: string;
@@ -23,10 +23,10 @@
   readonly zone: string;
 }
 
-const pushMs = 2000;
-const noticeWaitMs = 900;
+const PUSH_INTERVAL_MS = 2000;
+const COMMAND_TIMEOUT_MS = 900;
 
-/** The control half of an edge: it polls the leader for views and pushes its request counts, and serves no requests. */
+/** The control part of an edge: it sends watch requests and pushes its request counts, and serves no requests. */
 export class PollingDaemon {
   readonly clusterView: ClusterView;
   private readonly runtime: Runtime;
@@ -34,14 +34,14 @@
   private readonly edgeCounts: EdgeCounts;
   private readonly pollMs: number;
   private readonly pollWaitMs: number;
-  /** When the directory last changed here. */
+  /** How often the registrations changed here. */
   directoryChanges = 0;
 
-  constructor(runtime: Runtime, place: DaemonPlace, seeds: readonly string[], bounds: Bounds) {
+  constructor(runtime: Runtime, info: PollingDaemonInfo, seeds: readonly string[], bounds: Bounds) {
     const incarnation = Runtime.nonce(runtime);
-    const rpc = new RpcEndpoint(runtime, place.peer);
+    const rpc = new RpcEndpoint(runtime, info.peer);
     const budget = new RetryBudget(bounds.budget);
-    const loadBalancer = new LoadBalancer(place.zone, () => runtime.random());
+    const loadBalancer = new LoadBalancer(info.zone, () => runtime.random());
     this.runtime = runtime;
     this.pollMs = bounds.pollMs;
     this.pollWaitMs = bounds.pollWaitMs;
@@ -50,10 +50,10 @@
       runtime,
       this.forwarder,
       () => ({
-        name: place.machine,
-        zone: place.zone,
+        name: info.machine,
+        zone: info.zone,
         roles: ["edge"],
-        peer: place.peer,
+        peer: info.peer,
         incarnation,
         draining: false,
       }),
@@ -68,32 +68,32 @@
       rpc,
       bounds.counts,
       this.clusterView,
-      { machine: place.machine, incarnation, zone: place.zone },
+      { machine: info.machine, incarnation, zone: info.zone },
       bounds.budget,
     );
   }
 
-  /** Begins to poll and to push. */
+  /** Starts the watch requests and the pushes. */
   start(): void {
     Runtime.start(this.runtime, "contract", this.clusterView.run(this.pollMs, this.pollWaitMs));
-    Runtime.start(this.runtime, "zone", this.edgeCounts.run(pushMs));
+    Runtime.start(this.runtime, "zone", this.edgeCounts.run(PUSH_INTERVAL_MS));
   }
 
-  /** Which part of the fleet its counts cover. */
+  /** How many edges the newest counts cover. */
   get coverage(): number {
     return this.edgeCounts.latest?.coverage.edges ?? 0;
   }
 
-  /** Has the leader carry out an order. */
-  *order(command: Command): Task<string | undefined> {
-    return yield* this.forwarder.command(command, noticeWaitMs);
+  /** Sends a command to the leader; `undefined` where there was no response in time. */
+  *command(command: Command): Task<string | undefined> {
+    return yield* this.forwarder.command(command, COMMAND_TIMEOUT_MS);
   }
 
-  /** Hears a back end's announcement once, as the operators' port does; tells whether it is known. */
-  *hear(backend: BackendAddress): Task<boolean> {
+  /** Processes a backend's heartbeat, as the admin API does; returns whether the backend is registered. */
+  *heartbeat(backend: BackendAddress): Task<boolean> {
     if (this.clusterView.acceptHeartbeat({ ...backend, warmth: 1 })) return true;
     return (
-      (yield* this.order({
+      (yield* this.command({
         kind: "announce",
         ...backend,
         warmth: 1,
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { Bounds } from "../../src/daemon/bounds.js";
 import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
@@ -11,66 +11,71 @@
 
 const servicesCount = 40;
 
-test("an idle daemon's polls and views don't grow with services: without wishes none is named", () => {
-  const fleet = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-  fleet.bootAll();
-  fleet.wait(4000);
-  const gate = new EventGate();
-  const clock = gate.clock(fleet.time.clock());
-  const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
-  const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
-  const daemon = new PollingDaemon(
-    runtime,
-    { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
-    [fleet.at(0).peer],
-    Bounds.of({}),
-  );
-  daemon.start();
-  fleet.wait(2000);
-  const run = (task: Task<unknown>): void =>
-    Task.start(task, (error) => {
-      throw error;
-    });
-  const bytesInASecond = (): { out: number; in: number } => {
-    const before = { ...wire.totals };
-    fleet.wait(2500);
-    return {
-      out: (wire.totals.bytesOut - before.bytesOut) / 2.5,
-      in: (wire.totals.bytesIn - before.bytesIn) / 2.5,
-    };
-  };
-  const bare = bytesInASecond();
-  for (let at = 0; at < servicesCount; at += 1)
-    run(
-      daemon.hear({
-        address: `10.8.0.${at + 1}:80`,
-        service: `service-${at}`,
-        zone: "zone-1",
-      }),
+describe("watch traffic", () => {
+  test("an idle daemon's requests and views don't grow with the number of services: only demand names them", () => {
+    const fleet = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    fleet.bootAll();
+    fleet.wait(4000);
+    const gate = new EventGate();
+    const clock = gate.clock(fleet.time.clock());
+    const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
+    const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
+    const daemon = new PollingDaemon(
+      runtime,
+      { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
+      [fleet.at(0).peer],
+      Bounds.of({}),
     );
-  fleet.wait(1000);
-  expect(daemon.clusterView.services.length).toBe(servicesCount);
-  const many = bytesInASecond();
-  expect(many.out - bare.out).toBeLessThan(servicesCount * 10);
-  expect(many.in - bare.in).toBeLessThan(servicesCount * 10);
-});
+    daemon.start();
+    fleet.wait(2000);
+    const run = (task: Task<unknown>): void =>
+      Task.start(task, (error) => {
+        throw error;
+      });
+    const bytesInASecond = (): { out: number; in: number } => {
+      const before = { ...wire.totals };
+      fleet.wait(2500);
+      return {
+        out: (wire.totals.bytesOut - before.bytesOut) / 2.5,
+        in: (wire.totals.bytesIn - before.bytesIn) / 2.5,
+      };
+    };
+    const bare = bytesInASecond();
+    for (let at = 0; at < servicesCount; at += 1)
+      run(
+        daemon.heartbeat({
+          address: `10.8.0.${at + 1}:80`,
+          service: `service-${at}`,
+          zone: "zone-1",
+        }),
+      );
+    fleet.wait(1000);
+    expect(daemon.clusterView.services.length).toBe(servicesCount);
+    const many = bytesInASecond();
+    expect(many.out - bare.out).toBeLessThan(servicesCount * 10);
+    expect(many.in - bare.in).toBeLessThan(servicesCount * 10);
+  });
 
-test("members and capacities that a poll names aren't told again", () => {
-  const { poll: watchRequest, exchange, pollText } = stage({ holdMs: 50 });
-  const first = watchRequest();
-  const { members, grantNumber, configSequence, directorySequence } = first;
-  expect(members?.recorders.length).toBeGreaterThan(2);
-  expect(members?.collectors.length).toBeGreaterThan(2);
-  const known = { configSequence, directorySequence, grantNumber };
-  const text = exchange(
-    RpcMethod.poll,
-    pollText({ ...known, membersDigest: members?.digest }),
-    600,
-  )[0]?.text;
-  expect(text).toContain('"granted":true');
-  expect(text).not.toMatch(/"members"|"capacities"/);
-  expect(text?.length).toBeLessThan(260);
-  const other = exchange(RpcMethod.poll, pollText({ ...known, membersDigest: "another" }), 600)[0]
-    ?.text;
-  expect(other).toContain('"members"');
+  test("members and capacities that a request names aren't sent again", () => {
+    const { watch, exchange, watchRequestText } = stage({ holdMs: 50 });
+    const first = watch();
+    const { members, grantNumber, configSequence, directorySequence } = first;
+    expect(members?.recorders.length).toBeGreaterThan(2);
+    expect(members?.collectors.length).toBeGreaterThan(2);
+    const known = { configSequence, directorySequence, grantNumber };
+    const text = exchange(
+      RpcMethod.poll,
+      watchRequestText({ ...known, membersDigest: members?.digest }),
+      600,
+    )[0]?.text;
+    expect(text).toContain('"granted":true');
+    expect(text).not.toMatch(/"members"|"capacities"/);
+    expect(text?.length).toBeLessThan(260);
+    const other = exchange(
+      RpcMethod.poll,
+      watchRequestText({ ...known, membersDigest: "another" }),
+      600,
+    )[0]?.text;
+    expect(other).toContain('"members"');
+  });
 });
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import {
   edgePlacementsOf,
   type EdgePlacement,
@@ -20,67 +20,69 @@
   ...more,
 });
 
-test("edges have places by name within their zone; members without the role and those that drain have none", () => {
-  const places = edgePlacementsOf([
-    edge("c", "z"),
-    edge("a", "z"),
-    edge("b", "y"),
-    edge("d", "z", { draining: true }),
-    edge("e", "y", { roles: ["recorder"] }),
-  ]);
-  expect(Object.fromEntries(places)).toEqual({
-    a: { zoneIndex: 0, zoneCount: 2, count: 3 },
-    c: { zoneIndex: 1, zoneCount: 2, count: 3 },
-    b: { zoneIndex: 0, zoneCount: 1, count: 3 },
+describe("edgePlacementsOf", () => {
+  test("edges are placed by name within their zone; daemons without the role and draining ones aren't placed", () => {
+    const places = edgePlacementsOf([
+      edge("c", "z"),
+      edge("a", "z"),
+      edge("b", "y"),
+      edge("d", "z", { draining: true }),
+      edge("e", "y", { roles: ["recorder"] }),
+    ]);
+    expect(Object.fromEntries(places)).toEqual({
+      a: { zoneIndex: 0, zoneCount: 2, count: 3 },
+      c: { zoneIndex: 1, zoneCount: 2, count: 3 },
+      b: { zoneIndex: 0, zoneCount: 1, count: 3 },
+    });
   });
-});
 
-/** What the leader tells an edge of its place, if anything. */
-const toldPlace = (stage: FleetStage, name: string, zone: string): EdgePlacement | undefined => {
-  const told: Array<EdgePlacement | undefined> = [];
-  const peer = "10.0.9.7:7000";
-  const runtime = virtualRuntime({
-    clock: stage.time.clock(),
-    network: stage.network.wire(`poll-${stage.time.nowMs()}`, new EventGate()),
-    random: stage.random,
-  });
-  const rpc = new RpcEndpoint(runtime, peer);
-  const forwarder = new CommandForwarder(runtime, rpc, () =>
-    stage.disks.map((machine) => machine.peer),
-  );
-  const watchRequest: WatchRequest = {
-    machine: { name, zone, roles: ["edge"], peer, incarnation: "1", draining: false },
-    configSequence: -1,
-    directorySequence: -2,
-    grantNumber: "",
-    capacities: [],
-    wished: [],
-    refused: [],
+  /** What the leader tells an edge of its place, if anything. */
+  const toldPlace = (stage: FleetStage, name: string, zone: string): EdgePlacement | undefined => {
+    const told: Array<EdgePlacement | undefined> = [];
+    const peer = "10.0.9.7:7000";
+    const runtime = virtualRuntime({
+      clock: stage.time.clock(),
+      network: stage.network.wire(`poll-${stage.time.nowMs()}`, new EventGate()),
+      random: stage.random,
+    });
+    const rpc = new RpcEndpoint(runtime, peer);
+    const forwarder = new CommandForwarder(runtime, rpc, () =>
+      stage.disks.map((machine) => machine.peer),
+    );
+    const watchRequest: WatchRequest = {
+      machine: { name, zone, roles: ["edge"], peer, incarnation: "1", draining: false },
+      configSequence: -1,
+      directorySequence: -2,
+      grantNumber: "",
+      capacities: [],
+      wished: [],
+      refused: [],
+    };
+    stage.start(
+      (function* () {
+        const text = yield* forwarder.once(RpcMethod.poll, JSON.stringify(watchRequest), 450);
+        const view = text === undefined ? undefined : WatchRequest.readReturn(text);
+        told.push(view?.granted === true ? view.place : undefined);
+      })(),
+    );
+    stage.until(() => told.length > 0, 2000);
+    return told[0];
   };
-  stage.start(
-    (function* () {
-      const text = yield* forwarder.once(RpcMethod.poll, JSON.stringify(watchRequest), 450);
-      const view = text === undefined ? undefined : WatchRequest.readReturn(text);
-      told.push(view?.granted === true ? view.place : undefined);
-    })(),
-  );
-  stage.until(() => told.length > 0, 2000);
-  return told[0];
-};
 
-test("a leader tells places once it has led for a lease, and counts edges that fell silent no longer", () => {
-  const stage = new FleetStage(["d:a", "d:b", "d:c", "e:a", "e:b", "e:c", "e:a"], [0, 1, 2]);
-  stage.bootAll();
-  stage.wait(6000);
-  expect(toldPlace(stage, "edge-0", "a")).toEqual({ zoneIndex: 0, zoneCount: 3, count: 5 });
-  const former = stage.leader;
-  stage.kill(former);
-  stage.until(
-    () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
-    5000,
-  );
-  expect(toldPlace(stage, "edge-0", "a")).toBeUndefined();
-  stage.kill(stage.at(6));
-  stage.wait(6000);
-  expect(toldPlace(stage, "edge-0", "a")).toEqual({ zoneIndex: 0, zoneCount: 2, count: 4 });
+  test("a leader sends placements once it has led for a lease, and excludes unresponsive edges", () => {
+    const stage = new FleetStage(["d:a", "d:b", "d:c", "e:a", "e:b", "e:c", "e:a"], [0, 1, 2]);
+    stage.bootAll();
+    stage.wait(6000);
+    expect(toldPlace(stage, "edge-0", "a")).toEqual({ zoneIndex: 0, zoneCount: 3, count: 5 });
+    const former = stage.leader;
+    stage.kill(former);
+    stage.until(
+      () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+      5000,
+    );
+    expect(toldPlace(stage, "edge-0", "a")).toBeUndefined();
+    stage.kill(stage.at(6));
+    stage.wait(6000);
+    expect(toldPlace(stage, "edge-0", "a")).toEqual({ zoneIndex: 0, zoneCount: 2, count: 4 });
+  });
 });
--- a/test/state/state-machine.test.ts
+++ b/test/state/state-machine.test.ts
@@ -1,93 +1,99 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { StateMachine } from "../../src/state/state-machine.js";
 import { LogCommand } from "../../src/state/log-command.js";
 
 const members = { voters: ["a"], learners: [] };
-test("one of two racing configs loses, a repeated change id gets its first outcome, and a checkpoint keeps all", () => {
-  const stateMachine = new StateMachine();
-  const put = (index: number, expected: number, changeId: string) =>
-    stateMachine.apply(
-      index,
-      LogCommand.text({
-        kind: "config",
-        expected,
-        changeId,
-        acceptedAt: "",
-        text: `{"n":"${changeId}"}`,
-        services: ["s"],
-        routes: ["r"],
-      }),
+describe("StateMachine", () => {
+  test("one of two concurrent configurations is rejected, a retried change gets its first outcome, and a snapshot contains all", () => {
+    const stateMachine = new StateMachine();
+    const put = (index: number, expected: number, changeId: string) =>
+      stateMachine.apply(
+        index,
+        LogCommand.text({
+          kind: "config",
+          expected,
+          changeId,
+          acceptedAt: "",
+          text: `{"n":"${changeId}"}`,
+          services: ["s"],
+          routes: ["r"],
+        }),
+      );
+    expect(
+      [put(1, 0, "x"), put(2, 0, "y"), put(3, 0, "x")].map((text) => JSON.parse(text)),
+    ).toEqual([{ accepted: 1 }, { lost: 1 }, { accepted: 1 }]);
+    const copy = new StateMachine();
+    expect(copy.restore(stateMachine.snapshot(members))).toEqual(members);
+    expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
+  });
+  const holders = ["10.0.0.1:7000", "10.0.0.2:7000"];
+  const claimOf = (job: string, replaces?: string): LogCommand => ({
+    kind: "claim",
+    scope: "k",
+    bodyHash: "h",
+    job,
+    holders,
+    ...(replaces === undefined ? {} : { replaces }),
+  });
+
+  test("an idempotency key is claimed by one request until it is released or expires, and names who knows the outcome", () => {
+    const stateMachine = new StateMachine();
+    const apply = (index: number, command: LogCommand): unknown =>
+      JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
+    expect(apply(1, claimOf("one"))).toEqual({ claimed: true });
+    expect(apply(2, claimOf("one"))).toEqual({ claimed: true });
+    const held = { bodyHash: "h", job: "one", verdict: "inHand", holders, atIndex: 1 };
+    expect(apply(3, claimOf("two"))).toEqual({ held });
+    apply(4, { kind: "release", scope: "k", job: "two" });
+    expect(apply(5, claimOf("two"))).toEqual({ held });
+    apply(6, { kind: "release", scope: "k", job: "one" });
+    expect(apply(7, claimOf("two"))).toEqual({ claimed: true });
+    apply(8, { kind: "forget", scopes: ["k"], upTo: 7 });
+    expect(apply(9, claimOf("three"))).toEqual({ claimed: true });
+  });
+
+  test("a claim is taken over from the request that it replaces, and from no other", () => {
+    const stateMachine = new StateMachine();
+    const apply = (index: number, command: LogCommand): unknown =>
+      JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
+    apply(1, claimOf("one"));
+    expect(apply(2, claimOf("two", "zero"))).toMatchObject({ held: { job: "one" } });
+    expect(apply(3, claimOf("two", "one"))).toEqual({ claimed: true });
+    expect(apply(4, claimOf("three", "one"))).toMatchObject({ held: { job: "two" } });
+    expect(apply(5, claimOf("one"))).toMatchObject({ held: { job: "two" } });
+    apply(6, { kind: "release", scope: "k", job: "one" });
+    expect(apply(7, claimOf("three"))).toMatchObject({ held: { job: "two" } });
+  });
+
+  test("a claim that a former build settled stays settled when it arrives again", () => {
+    const stateMachine = new StateMachine();
+    const apply = (index: number, command: LogCommand): unknown =>
+      JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
+    apply(1, claimOf("one"));
+    apply(2, { kind: "settle", scope: "k", job: "one", verdict: "ran" });
+    expect(apply(3, claimOf("one"))).toEqual({ claimed: true });
+    expect(apply(4, claimOf("other"))).toMatchObject({ held: { verdict: "ran", holders } });
+  });
+
+  test("log entries and snapshots of a former build, which contain responses, are read without them", () => {
+    const stateMachine = new StateMachine();
+    const claim = { kind: "claim", scope: "k", bodyHash: "h", job: "one" };
+    const response = { code: 201, headers: {}, body: "x".repeat(64 * 1024) };
+    const settle = { kind: "settle", scope: "k", job: "one", verdict: "ran", return: response };
+    stateMachine.apply(1, JSON.stringify(claim));
+    stateMachine.apply(2, JSON.stringify(settle));
+    expect(stateMachine.snapshot(members).length).toBeLessThan(1000);
+    const copy = new StateMachine();
+    const former: unknown = JSON.parse(stateMachine.snapshot(members));
+    if (typeof former !== "object" || former === null) throw new Error("The copy is no object.");
+    const atIndex = 1;
+    const held = { bodyHash: "h", job: "one", verdict: "ran", return: response, atIndex };
+    copy.restore(
+      JSON.stringify({ ...former, returns: ["k"], keys: [{ scope: "k", claim: held }] }),
     );
-  expect([put(1, 0, "x"), put(2, 0, "y"), put(3, 0, "x")].map((text) => JSON.parse(text))).toEqual([
-    { accepted: 1 },
-    { lost: 1 },
-    { accepted: 1 },
-  ]);
-  const copy = new StateMachine();
-  expect(copy.restore(stateMachine.snapshot(members))).toEqual(members);
-  expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
-});
-const holders = ["10.0.0.1:7000", "10.0.0.2:7000"];
-const claimOf = (job: string, replaces?: string): LogCommand => ({
-  kind: "claim",
-  scope: "k",
-  bodyHash: "h",
-  job,
-  holders,
-  ...(replaces === undefined ? {} : { replaces }),
-});
-test("a key is one job's until it is released or forgotten, and says who knows the outcome", () => {
-  const stateMachine = new StateMachine();
-  const apply = (index: number, command: LogCommand): unknown =>
-    JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
-  expect(apply(1, claimOf("one"))).toEqual({ claimed: true });
-  expect(apply(2, claimOf("one"))).toEqual({ claimed: true });
-  const held = { bodyHash: "h", job: "one", verdict: "inHand", holders, atIndex: 1 };
-  expect(apply(3, claimOf("two"))).toEqual({ held });
-  apply(4, { kind: "release", scope: "k", job: "two" });
-  expect(apply(5, claimOf("two"))).toEqual({ held });
-  apply(6, { kind: "release", scope: "k", job: "one" });
-  expect(apply(7, claimOf("two"))).toEqual({ claimed: true });
-  apply(8, { kind: "forget", scopes: ["k"], upTo: 7 });
-  expect(apply(9, claimOf("three"))).toEqual({ claimed: true });
-});
-test("a claim is taken over from the request that it names, and from no other", () => {
-  const stateMachine = new StateMachine();
-  const apply = (index: number, command: LogCommand): unknown =>
-    JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
-  apply(1, claimOf("one"));
-  expect(apply(2, claimOf("two", "zero"))).toMatchObject({ held: { job: "one" } });
-  expect(apply(3, claimOf("two", "one"))).toEqual({ claimed: true });
-  expect(apply(4, claimOf("three", "one"))).toMatchObject({ held: { job: "two" } });
-  expect(apply(5, claimOf("one"))).toMatchObject({ held: { job: "two" } });
-  apply(6, { kind: "release", scope: "k", job: "one" });
-  expect(apply(7, claimOf("three"))).toMatchObject({ held: { job: "two" } });
-});
-test("a claim that a former build settled stays settled when it arrives again", () => {
-  const stateMachine = new StateMachine();
-  const apply = (index: number, command: LogCommand): unknown =>
-    JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
-  apply(1, claimOf("one"));
-  apply(2, { kind: "settle", scope: "k", job: "one", verdict: "ran" });
-  expect(apply(3, claimOf("one"))).toEqual({ claimed: true });
-  expect(apply(4, claimOf("other"))).toMatchObject({ held: { verdict: "ran", holders } });
-});
-test("entries and copies of a former build, which hold responses themselves, are taken without them", () => {
-  const stateMachine = new StateMachine();
-  const claim = { kind: "claim", scope: "k", bodyHash: "h", job: "one" };
-  const response = { code: 201, headers: {}, body: "x".repeat(64 * 1024) };
-  const settle = { kind: "settle", scope: "k", job: "one", verdict: "ran", return: response };
-  stateMachine.apply(1, JSON.stringify(claim));
-  stateMachine.apply(2, JSON.stringify(settle));
-  expect(stateMachine.snapshot(members).length).toBeLessThan(1000);
-  const copy = new StateMachine();
-  const former: unknown = JSON.parse(stateMachine.snapshot(members));
-  if (typeof former !== "object" || former === null) throw new Error("The copy is no object.");
-  const atIndex = 1;
-  const held = { bodyHash: "h", job: "one", verdict: "ran", return: response, atIndex };
-  copy.restore(JSON.stringify({ ...former, returns: ["k"], keys: [{ scope: "k", claim: held }] }));
-  expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
-  expect(JSON.parse(copy.apply(3, JSON.stringify({ ...claim, job: "other" })))).toEqual({
-    held: { bodyHash: "h", job: "one", verdict: "ran", atIndex },
+    expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
+    expect(JSON.parse(copy.apply(3, JSON.stringify({ ...claim, job: "other" })))).toEqual({
+      held: { bodyHash: "h", job: "one", verdict: "ran", atIndex },
+    });
   });
 });
