--- /dev/null
+++ b/test/control-plane/delayed-network.test.ts
@@ -0,0 +1,52 @@
+import { describe, expect, test } from "vitest";
+import { EventGate } from "../../src/simulation/event-gate.js";
+import { Task } from "../../src/runtime/task.js";
+import { FleetStage } from "../replication/fleet-stage.js";
+import { DelayedNetwork } from "./delayed-network.js";
+
+const run = (task: Task<unknown>): void =>
+  Task.start(task, (error) => {
+    throw error;
+  });
+
+describe("DelayedNetwork", () => {
+  test("it preserves the order of messages and counts them", () => {
+    const stage = new FleetStage([], []);
+    const clock = stage.time.clock();
+    const gate = new EventGate();
+    const far = new DelayedNetwork(stage.network.wire("far", gate), clock, () => 0);
+    const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
+    const got: string[] = [];
+    run(
+      far.listen("10.0.0.9:1", (connection) => {
+        const echo = function* (): Task {
+          for (;;) {
+            const piece = yield* connection.incoming.take();
+            if (piece === "closed") return;
+            got.push(Buffer.from(piece).toString());
+            connection.send(piece);
+          }
+        };
+        run(echo());
+      }),
+    );
+    const back: string[] = [];
+    const speak = function* (): Task {
+      const connection = yield* near.connect("10.0.0.9:1");
+      if (!connection) return;
+      for (const word of ["a", "bb", "ccc"]) connection.send(Buffer.from(word));
+      for (;;) {
+        const piece = yield* connection.incoming.take();
+        if (piece === "closed") return;
+        back.push(Buffer.from(piece).toString());
+      }
+    };
+    run(speak());
+    stage.wait(60);
+    expect(got).toEqual([]);
+    stage.wait(2000);
+    expect(got).toEqual(["a", "bb", "ccc"]);
+    expect(back).toEqual(["a", "bb", "ccc"]);
+    expect(near.totals).toEqual({ bytesIn: 6, bytesOut: 6, messagesIn: 3, messagesOut: 3 });
+  });
+});
