--- a/src/control-plane/control-plane-timeouts.ts
+++ b/src/control-plane/control-plane-timeouts.ts
@@ -24,17 +24,18 @@
   tombstoneMs: number;
 }
 
-export const ControlPlaneTimeouts = {
-  defaults: {
-    leaseMs: 1600,
-    heartbeatMs: 1000,
-    expiryMs: 4300,
-    leaveHoldMs: 2500,
-    purgeMs: 30_000,
-    keyMs: 120_000,
-    silentMs: 2500,
-    idRestMs: 60_000,
-    holdMs: 320,
-    tombstoneMs: 600_000,
-  },
+/** The defaults. */
+const defaults: ControlPlaneTimeouts = {
+  leaseMs: 1600,
+  heartbeatMs: 1000,
+  expiryMs: 4300,
+  leaveHoldMs: 2500,
+  purgeMs: 30_000,
+  keyMs: 120_000,
+  silentMs: 2500,
+  idRestMs: 60_000,
+  holdMs: 320,
+  tombstoneMs: 600_000,
 };
+
+export const ControlPlaneTimeouts = { defaults };
