--- a/src/control-plane/control-plane.ts
+++ b/src/control-plane/control-plane.ts
@@ -784,7 +784,7 @@
         ? newest
         : yield* this.ofVersion(wanted, newest.sequence);
     if (found === "unknown") return failureResponse("unknown");
-    if (found === "noLongerKept") return this.granted(() => ({ found: null, noLongerKept: true }));
+    if (found === "removed") return this.granted(() => ({ found: null, noLongerKept: true }));
     if (!found) return this.granted(() => ({ found: null }));
     return this.granted(() => ({
       found: {
@@ -808,7 +808,7 @@
   private *ofVersion(
     version: number,
     newest: number,
-  ): Task<AcceptedConfig | "noLongerKept" | "unknown" | undefined> {
+  ): Task<AcceptedConfig | "removed" | "unknown" | undefined> {
     const { recent } = this.stateMachine;
     const at = recent.findIndex((one) => versionOf(one) >= version);
     const known =
@@ -828,13 +828,13 @@
       const read = yield* this.replicationNode.readConfig(middle);
       if (read.kind === "unknown") return "unknown";
       if (read.kind === "found" && versionOf(read.config) === version) return read.config;
-      const isBelow = read.kind === "noLongerKept" || versionOf(read.config) < version;
+      const isBelow = read.kind === "removed" || versionOf(read.config) < version;
       if (isBelow) {
         low = middle + 1;
-        isLowGone = read.kind === "noLongerKept";
+        isLowGone = read.kind === "removed";
       } else high = middle - 1;
     }
-    return isLowGone ? "noLongerKept" : undefined;
+    return isLowGone ? "removed" : undefined;
   }
 
   /** Takes a member in that holds this fleet's record, and was removed while it was away. */
--- a/src/replication/history/config-history.ts
+++ b/src/replication/history/config-history.ts
@@ -1,16 +1,26 @@
+/** The accepted configs on a member's disk. */
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
 import type { AcceptedConfig } from "../../state/state-machine.js";
-import { HistoryFormat, type HistoryLayout } from "./history-format.js";
+import {
+  encodeCompleteConfig,
+  encodeNextConfig,
+  measureRecords,
+  readConfigs,
+  type HistoryLayout,
+} from "./history-format.js";
 
-/** How many configs one file holds at most: more take less room, since only the first is whole, but longer to read back. Former builds' files hold so many, save the last. */
+/**
+ * How many configs one file has at most: more take less room, since only the first is complete, but longer to read back.
+ * Files of former builds have so many, save the last.
+ */
 export const CONFIGS_PER_FILE = 64;
-/** A file is at most this part of what the history may take, unless a single config is larger. */
-const filesInLimit = 16;
-/** No file is closed because of its size before it has this many bytes. */
-const leastFileBytes = 64 * 1024;
-/** How much text one piece of the history carries, unless a single config is larger. */
-const pieceTextBytes = 1024 * 1024;
+/** A file takes at most this part of the quota, unless a single config is larger. */
+const MAX_QUOTA_PART_PER_FILE = 1 / 16;
+/** No file is full because of its size before it has this many bytes. */
+const MIN_FULL_FILE_BYTES = 64 * 1024;
+/** How much text one piece that travels carries, unless a single config is larger. */
+const MAX_PIECE_TEXT_BYTES = 1024 * 1024;
 
 /** Sequences from the first to the last, both included. */
 export interface SequenceRange {
@@ -23,25 +33,27 @@
   readonly name: string;
   readonly layout: HistoryLayout;
   readonly first: number;
-  /** How many configs it holds; until the file was measured, as many as its place allows. */
+  /** How many configs it has; until the file was measured, as many as fit before the next file. */
   count: number;
   /** How long it is, once it was measured. */
   bytes: number | undefined;
-  /** Whether fewer configs were read from it than it should hold. */
+  /** Whether fewer configs were read from it than it should have. */
   isDamaged: boolean;
 }
 
-const lastOf = ({ first, count }: HistoryFile): number => first + count - 1;
-const formerName = /^history-(\d+)$/;
-const currentName = /^configs-(\d+)$/;
+const lastSequenceOf = ({ first, count }: HistoryFile): number => first + count - 1;
+const FORMER_NAME = /^history-(\d+)$/;
+const CURRENT_NAME = /^configs-(\d+)$/;
 
-const fileOf = (name: string): HistoryFile | undefined => {
-  const unread = { name, count: 0, bytes: undefined, isDamaged: false };
-  const former = formerName.exec(name)?.[1];
+const fileFromName = (name: string): HistoryFile | undefined => {
+  const unmeasured = { name, count: 0, bytes: undefined, isDamaged: false };
+  const former = FORMER_NAME.exec(name)?.[1];
   if (former !== undefined)
-    return { ...unread, layout: "whole", first: Number(former) * CONFIGS_PER_FILE + 1 };
-  const first = currentName.exec(name)?.[1];
-  return first === undefined ? undefined : { ...unread, layout: "changes", first: Number(first) };
+    return { ...unmeasured, layout: "complete", first: Number(former) * CONFIGS_PER_FILE + 1 };
+  const first = CURRENT_NAME.exec(name)?.[1];
+  return first === undefined
+    ? undefined
+    : { ...unmeasured, layout: "deltas", first: Number(first) };
 };
 
 /**
@@ -51,116 +63,123 @@
  */
 export class ConfigHistory {
   private readonly disk: Disk;
-  /** How many bytes all files together may take; it shrinks when the disk proved full. */
-  private limitBytes: number;
+  /** How many bytes all files together may take; it shrinks when the disk was full. */
+  private quotaBytes: number;
   /** By their first sequences, upward. */
   private files: HistoryFile[] = [];
-  /** The config that was added last and its file, to which the next one is added as a change. */
+  /** The config that was added last and its file, to which the next one is added as a delta. */
   private tail: { file: HistoryFile; config: AcceptedConfig } | undefined;
-  /** The newest config that this member removed for lack of room, or 0. */
-  letGoUpTo = 0;
+  private lastRemoved = 0;
 
-  constructor(disk: Disk, limitBytes = Infinity) {
+  constructor(disk: Disk, quotaBytes = Infinity) {
     this.disk = disk;
-    this.limitBytes = limitBytes;
+    this.quotaBytes = quotaBytes;
   }
 
+  /** Whether a file of this name belongs to a history. */
   static isName(name: string): boolean {
-    return formerName.test(name) || currentName.test(name);
+    return FORMER_NAME.test(name) || CURRENT_NAME.test(name);
+  }
+
+  /** The sequence of the newest config that this member removed for lack of room, or 0. */
+  get removedUpTo(): number {
+    return this.lastRemoved;
   }
 
-  /** The newest config that is kept, or 0. */
+  /** The sequence of the newest stored config, or 0. */
   get newest(): number {
     const last = this.files.at(-1);
-    return last ? lastOf(last) : 0;
+    return last ? lastSequenceOf(last) : 0;
   }
 
-  /** How many bytes the files take that were measured. */
+  /** The size of all files that were measured. */
   get bytes(): number {
     return this.files.reduce((sum, { bytes = 0 }) => sum + bytes, 0);
   }
 
-  /** Whether older configs may still be added without others having to go. */
+  /** Whether older configs may still be added without the removal of others. */
   get hasRoom(): boolean {
-    return this.bytes < (this.limitBytes * 3) / 4;
+    return this.bytes < (this.quotaBytes * 3) / 4;
   }
 
-  /** Whether a file was found to hold fewer configs than it should. */
+  /** Whether a file was found to have fewer configs than it should. */
   get isDamaged(): boolean {
     return this.files.some((file) => file.isDamaged);
   }
 
-  /** Reads which files there are, and how far the newest goes; what is torn or damaged at its end is cut. */
+  /** Finds the files among a disk's names, and measures the newest; what is incomplete or damaged at its end is cut off. */
   *load(names: string[]): Task {
     this.tail = undefined;
     this.files = names
-      .map(fileOf)
+      .map(fileFromName)
       .filter((file) => file !== undefined)
       .sort((a, b) => a.first - b.first);
-    for (const [at, file] of this.files.entries()) {
-      const next = this.files[at + 1];
+    for (const [position, file] of this.files.entries()) {
+      const next = this.files[position + 1];
       file.count = next ? Math.min(CONFIGS_PER_FILE, next.first - file.first) : 0;
     }
     for (let last = this.files.at(-1); last && last.bytes === undefined; last = this.files.at(-1))
       yield* this.measure(last);
   }
 
-  /** Measures every file that was not yet; where one is damaged the rest of it is cut off, and what went so is told. */
+  /** Measures every file that was not yet; cuts off what follows damage, and returns the sequences that were lost. */
   *check(): Task<SequenceRange[]> {
     const damaged: SequenceRange[] = [];
     for (const file of [...this.files]) {
       if (file.bytes !== undefined && !file.isDamaged) continue;
-      const last = lastOf(file);
+      const last = lastSequenceOf(file);
       const wasCut = yield* this.measure(file);
-      if (wasCut && lastOf(file) < last) damaged.push({ from: lastOf(file) + 1, to: last });
+      if (wasCut && lastSequenceOf(file) < last)
+        damaged.push({ from: lastSequenceOf(file) + 1, to: last });
     }
     return damaged;
   }
 
-  /** Adds configs in the order of their sequences; what is kept already is passed over. They last once this has ended. */
+  /** Adds configs in the order of their sequences, save those that are stored already. They are durable once this has ended. */
   *add(configs: readonly AcceptedConfig[]): Task {
-    const lacking = configs.filter(({ sequence }) => !this.fileWith(sequence));
-    for (let at = 0; at < lacking.length;) at += yield* this.addSome(lacking.slice(at));
+    const missing = configs.filter(({ sequence }) => !this.fileWith(sequence));
+    for (let added = 0; added < missing.length;)
+      added += yield* this.addToFile(missing.slice(added));
   }
 
-  /** Removes the oldest files until the rest is within what the history may take; tells what went. */
+  /** Removes the oldest files until the rest is within the quota; returns the sequences that were removed. */
   *shrink(): Task<SequenceRange | undefined> {
     let from: number | undefined;
-    while (this.bytes > this.limitBytes && this.files.length > 1) {
+    while (this.bytes > this.quotaBytes && this.files.length > 1) {
       const range = yield* this.removeOldest();
       from ??= range?.from;
     }
-    return from === undefined ? undefined : { from, to: this.letGoUpTo };
+    return from === undefined ? undefined : { from, to: this.lastRemoved };
   }
 
-  /** Makes room on a full disk by removing the oldest file, never the newest; the history takes no more than the rest from then on. */
-  *makeRoom(): Task<SequenceRange | undefined> {
+  /** Removes the oldest file of a full disk, never the newest; the quota is what the rest takes from then on. */
+  *reclaim(): Task<SequenceRange | undefined> {
     const range = yield* this.removeOldest();
-    if (range) this.limitBytes = Math.min(this.limitBytes, this.bytes);
+    if (range) this.quotaBytes = Math.min(this.quotaBytes, this.bytes);
     return range;
   }
 
-  /** One config; `undefined` where it isn't kept here or is damaged. */
+  /** Reads one config; `undefined` where it isn't stored here or is damaged. */
   *read(sequence: number): Task<AcceptedConfig | undefined> {
-    for (const config of yield* this.from(sequence, () => true)) return config;
+    for (const config of yield* this.readFrom(sequence, () => true)) return config;
     return undefined;
   }
 
-  /** Configs from a sequence on that follow one another, as they travel. */
+  /** Reads configs from a sequence on that follow one another, as they travel. */
   *piece(from: number): Task<Uint8Array> {
     let textBytes = 0;
-    const configs = yield* this.from(from, ({ text }) => {
+    const configs = yield* this.readFrom(from, ({ text }) => {
       textBytes += text.length;
-      return textBytes >= pieceTextBytes;
+      return textBytes >= MAX_PIECE_TEXT_BYTES;
     });
     return ConfigHistory.pack(configs);
   }
 
-  /** The newest sequences below one that are not kept here, as a range without a gap; `undefined` where none is missing. */
+  /** The newest sequences below one that are not stored here, as a range without a gap; `undefined` where none is missing. */
   missingBelow(sequence: number): SequenceRange | undefined {
     let to = sequence - 1;
     for (const file of [...this.files].reverse()) {
-      if (lastOf(file) < to) return { from: lastOf(file) + 1, to };
+      if (lastSequenceOf(file) < to) return { from: lastSequenceOf(file) + 1, to };
       to = Math.min(to, file.first - 1);
     }
     return to < 1 ? undefined : { from: 1, to };
@@ -171,8 +190,8 @@
     const pieces: Buffer[] = [];
     let textBytes = 0;
     for (const config of configs) {
-      if (pieces.length > 0 && textBytes + config.text.length > pieceTextBytes) break;
-      pieces.push(HistoryFormat.whole(config));
+      if (pieces.length > 0 && textBytes + config.text.length > MAX_PIECE_TEXT_BYTES) break;
+      pieces.push(encodeCompleteConfig(config));
       textBytes += config.text.length;
     }
     return Buffer.concat(pieces);
@@ -180,29 +199,29 @@
 
   /** Reads what another sent; nothing where it doesn't begin with the wanted config. */
   static unpack(bytes: Uint8Array, from: number): AcceptedConfig[] {
-    return [...HistoryFormat.read(Buffer.from(bytes), from, "whole")];
+    return [...readConfigs(Buffer.from(bytes), from, "complete")];
   }
 
   private fileWith(sequence: number): HistoryFile | undefined {
-    return this.files.find((file) => file.first <= sequence && sequence <= lastOf(file));
+    return this.files.find((file) => file.first <= sequence && sequence <= lastSequenceOf(file));
   }
 
   private get fileBytes(): number {
-    return Math.max(leastFileBytes, this.limitBytes / filesInLimit);
+    return Math.max(MIN_FULL_FILE_BYTES, this.quotaBytes * MAX_QUOTA_PART_PER_FILE);
   }
 
-  /** Adds what fits into one file, and tells how many configs that were. */
-  private *addSome(configs: readonly AcceptedConfig[]): Task<number> {
+  /** Adds what fits into one file; returns how many configs that were. */
+  private *addToFile(configs: readonly AcceptedConfig[]): Task<number> {
     const [first] = configs;
     if (!first) return 0;
-    const { file, former } = yield* this.fileFor(first.sequence);
+    const { file, previous } = yield* this.fileFor(first.sequence);
     const records: Buffer[] = [];
-    let last = former;
+    let last = previous;
     let bytes = file.bytes ?? 0;
     for (const config of configs) {
       const isFull = file.count + records.length >= CONFIGS_PER_FILE || bytes > this.fileBytes;
       if (last && (isFull || config.sequence !== last.sequence + 1)) break;
-      const record = HistoryFormat.following(last, config);
+      const record = encodeNextConfig(last, config);
       records.push(record);
       bytes += record.length;
       last = config;
@@ -221,73 +240,75 @@
     this.files = [...this.files, file].sort((a, b) => a.first - b.first);
   }
 
-  /** The file that takes the config of a sequence, and the config before it in that file; what a broken addition left is cut. */
+  /** The file to which a sequence is added, and the config before it in that file; what a failed addition left is cut off. */
   private *fileFor(
     sequence: number,
-  ): Task<{ file: HistoryFile; former: AcceptedConfig | undefined }> {
+  ): Task<{ file: HistoryFile; previous: AcceptedConfig | undefined }> {
     const before = this.fileWith(sequence - 1);
-    if (before && this.goesOn(before, sequence)) {
-      if (this.tail?.file === before) return { file: before, former: this.tail.config };
+    if (before && this.canAppend(before, sequence)) {
+      if (this.tail?.file === before) return { file: before, previous: this.tail.config };
       yield* this.measure(before);
-      const former = this.goesOn(before, sequence) ? yield* this.read(sequence - 1) : undefined;
-      if (former) return { file: before, former };
+      const previous = this.canAppend(before, sequence)
+        ? yield* this.read(sequence - 1)
+        : undefined;
+      if (previous) return { file: before, previous };
     }
     const file: HistoryFile = {
       name: `configs-${sequence}`,
-      layout: "changes",
+      layout: "deltas",
       first: sequence,
       count: 0,
       bytes: 0,
       isDamaged: false,
     };
-    return { file, former: undefined };
+    return { file, previous: undefined };
   }
 
-  /** Whether a file can take the config of a sequence as its next one. */
-  private goesOn(file: HistoryFile, sequence: number): boolean {
+  /** Whether the config of a sequence can be the next one of a file. */
+  private canAppend(file: HistoryFile, sequence: number): boolean {
     return (
-      file.layout === "changes" &&
-      lastOf(file) + 1 === sequence &&
+      file.layout === "deltas" &&
+      lastSequenceOf(file) + 1 === sequence &&
       file.count < CONFIGS_PER_FILE &&
       (file.bytes ?? 0) <= this.fileBytes
     );
   }
 
   /** Reads configs of one file from a sequence on, until one of them is enough. */
-  private *from(
+  private *readFrom(
     sequence: number,
     isEnough: (config: AcceptedConfig) => boolean,
   ): Task<AcceptedConfig[]> {
     const file = this.fileWith(sequence);
     if (!file) return [];
-    const last = lastOf(file);
+    const last = lastSequenceOf(file);
     const bytes = Buffer.from((yield* this.disk.read(file.name)) ?? Buffer.alloc(0));
     const found: AcceptedConfig[] = [];
-    let read = file.first - 1;
-    for (const config of HistoryFormat.read(bytes, file.first, file.layout)) {
+    let lastRead = file.first - 1;
+    for (const config of readConfigs(bytes, file.first, file.layout)) {
       if (config.sequence > last) break;
-      read = config.sequence;
-      if (read < sequence) continue;
+      lastRead = config.sequence;
+      if (lastRead < sequence) continue;
       found.push(config);
       if (isEnough(config)) return found;
     }
-    if (read < last && this.files.includes(file)) file.isDamaged = true;
+    if (lastRead < last && this.files.includes(file)) file.isDamaged = true;
     return found;
   }
 
-  /** Reads how many configs a file holds and cuts off what is torn or damaged after them; tells whether anything was. */
+  /** Counts the configs of a file and cuts off what is incomplete or damaged after them; returns whether anything was. */
   private *measure(file: HistoryFile): Task<boolean> {
     const bytes = Buffer.from((yield* this.disk.read(file.name)) ?? Buffer.alloc(0));
-    const { count, wholeBytes } = HistoryFormat.measure(bytes);
-    if (wholeBytes < bytes.length) yield* this.disk.truncate(file.name, wholeBytes);
+    const { count, intactBytes } = measureRecords(bytes);
+    if (intactBytes < bytes.length) yield* this.disk.truncate(file.name, intactBytes);
     file.count = count;
-    file.bytes = wholeBytes;
+    file.bytes = intactBytes;
     file.isDamaged = false;
     if (count === 0) {
       this.files = this.files.filter((one) => one !== file);
       yield* this.disk.remove(file.name);
     }
-    return wholeBytes < bytes.length;
+    return intactBytes < bytes.length;
   }
 
   private *removeOldest(): Task<SequenceRange | undefined> {
@@ -295,7 +316,7 @@
     if (!oldest || others.length === 0) return undefined;
     yield* this.disk.remove(oldest.name);
     this.files = this.files.filter((file) => file !== oldest);
-    this.letGoUpTo = Math.max(this.letGoUpTo, lastOf(oldest));
-    return { from: oldest.first, to: lastOf(oldest) };
+    this.lastRemoved = Math.max(this.lastRemoved, lastSequenceOf(oldest));
+    return { from: oldest.first, to: lastSequenceOf(oldest) };
   }
 }
--- a/src/replication/history/history-format.ts
+++ b/src/replication/history/history-format.ts
@@ -1,92 +1,83 @@
+/** The layout of the files in which accepted configs are stored, and of the pieces in which they travel. */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
-import { create, omit, assign, object } from "superstruct";
+import { assign, create, object, omit } from "superstruct";
 import {
   acceptedConfigShape,
   storedConfig,
   type AcceptedConfig,
 } from "../../state/state-machine.js";
-import { withChecksum, CHECKSUM_HEADER_BYTES, readChecksummed } from "../log/checksum.js";
 import { TextDelta, textDeltaShape } from "../../state/text-delta.js";
+import { readRecords, withChecksum } from "../log/checksum.js";
 
 /**
- * The layout of a history file. `whole`: each record is a config by itself (files of former builds, and pieces that travel).
- * `changes`: the first record is whole, each later one is the change of the text since the record before it.
+ * The layout of a history file. `complete`: each record is a complete config (files of former builds, and pieces that
+ * travel). `deltas`: the first record is complete, each later one is the change of the text since the record before it.
  */
-export type HistoryLayout = "whole" | "changes";
+export type HistoryLayout = "complete" | "deltas";
 
-const changeShape = assign(omit(acceptedConfigShape, ["text"]), object({ delta: textDeltaShape }));
+const deltaShape = assign(omit(acceptedConfigShape, ["text"]), object({ delta: textDeltaShape }));
 
-/** The level that takes a third of the usual one's time, for a few hundredths more bytes. */
-const deflateLevel = 3;
+/** The level that takes a third of the default one's time, for a few hundredths more bytes. */
+const DEFLATE_LEVEL = 3;
 
-const sealedJson = (value: unknown): Buffer =>
-  Buffer.from(
-    withChecksum(
-      deflateRawSync(Buffer.from(JSON.stringify(value), "utf8"), { level: deflateLevel }),
-    ),
-  );
+const encodeRecord = (value: unknown): Buffer => {
+  const json = Buffer.from(JSON.stringify(value), "utf8");
+  return Buffer.from(withChecksum(deflateRawSync(json, { level: DEFLATE_LEVEL })));
+};
 
-const jsonOf = (body: Buffer): unknown => {
+const decodeRecord = (body: Buffer): unknown => {
   const value: unknown = JSON.parse(inflateRawSync(body).toString("utf8"));
   return value;
 };
 
-/** The record of a change upon the config before it. */
-const encodeChange = (former: AcceptedConfig, config: AcceptedConfig): Buffer => {
+const encodeDelta = (previous: AcceptedConfig, config: AcceptedConfig): Buffer => {
   const { text, delta, ...rest } = config;
-  return sealedJson({ ...rest, delta: delta ?? TextDelta.between(former.text, text) });
+  return encodeRecord({ ...rest, delta: delta ?? TextDelta.between(previous.text, text) });
 };
 
-const decodeChange = (former: AcceptedConfig, body: Buffer): AcceptedConfig => {
-  const { delta, ...rest } = create(jsonOf(body), changeShape);
-  return { ...rest, text: TextDelta.apply(former.text, delta) };
+const decodeDelta = (previous: AcceptedConfig, body: Buffer): AcceptedConfig => {
+  const { delta, ...rest } = create(decodeRecord(body), deltaShape);
+  return { ...rest, text: TextDelta.apply(previous.text, delta) };
 };
 
-export const HistoryFormat = {
-  /** The record of a config by itself. */
-  whole(config: AcceptedConfig): Buffer {
-    return sealedJson(storedConfig(config));
-  },
+/** The record of a complete config. */
+export const encodeCompleteConfig = (config: AcceptedConfig): Buffer =>
+  encodeRecord(storedConfig(config));
 
-  /** The record of a config that follows another in a file of changes. */
-  following(former: AcceptedConfig | undefined, config: AcceptedConfig): Buffer {
-    return former === undefined ? HistoryFormat.whole(config) : encodeChange(former, config);
-  },
+/** The record of a config in a file of deltas, behind the previous one of that file, if any. */
+export const encodeNextConfig = (
+  previous: AcceptedConfig | undefined,
+  config: AcceptedConfig,
+): Buffer =>
+  previous === undefined ? encodeCompleteConfig(config) : encodeDelta(previous, config);
 
-  /** How many whole records begin a file, and how many bytes they take; they are counted without being inflated. */
-  measure(bytes: Buffer): { count: number; wholeBytes: number } {
-    let count = 0;
-    let at = 0;
-    for (
-      let body = readChecksummed(bytes, at);
-      body !== undefined;
-      body = readChecksummed(bytes, at)
-    ) {
-      count += 1;
-      at += CHECKSUM_HEADER_BYTES + body.length;
-    }
-    return { count, wholeBytes: at };
-  },
+/** How many intact records begin a file, and how many bytes they take; they are counted without being inflated. */
+export const measureRecords = (bytes: Buffer): { count: number; intactBytes: number } => {
+  let count = 0;
+  let intactBytes = 0;
+  for (const { endOffset } of readRecords(bytes)) {
+    count += 1;
+    intactBytes = endOffset;
+  }
+  return { count, intactBytes };
+};
 
-  /** The configs of a file one after another, from its first sequence on, until the end or the first damage. */
-  *read(bytes: Buffer, first: number, layout: HistoryLayout): Generator<AcceptedConfig, void> {
-    let former: AcceptedConfig | undefined;
-    let sequence = first;
-    let at = 0;
-    for (
-      let body = readChecksummed(bytes, at);
-      body !== undefined;
-      body = readChecksummed(bytes, at)
-    ) {
-      const config: AcceptedConfig =
-        layout === "whole" || former === undefined
-          ? create(jsonOf(body), acceptedConfigShape)
-          : decodeChange(former, body);
-      if (config.sequence !== sequence) return;
-      yield config;
-      former = config;
-      sequence += 1;
-      at += CHECKSUM_HEADER_BYTES + body.length;
-    }
-  },
+/** The configs of a file one after another, from its first sequence on, until the end or the first damage. */
+export const readConfigs = function* (
+  bytes: Buffer,
+  firstSequence: number,
+  layout: HistoryLayout,
+): Generator<AcceptedConfig, void> {
+  let previous: AcceptedConfig | undefined;
+  let sequence = firstSequence;
+  for (const { body } of readRecords(bytes)) {
+    const config: AcceptedConfig =
+      layout === "complete" || previous === undefined
+        ? create(decodeRecord(body), acceptedConfigShape)
+        : decodeDelta(previous, body);
+    if (config.sequence !== sequence) return;
+    yield config;
+    previous = config;
+    sequence += 1;
+  }
 };
--- a/src/replication/history/history-service.ts
+++ b/src/replication/history/history-service.ts
@@ -1,279 +1,276 @@
+/** Stores accepted configs on this member's disk, fetches missing ones from other members, and reads them back. */
+import type { DecodedMessage, RpcEndpoint } from "../../rpc/rpc-endpoint.js";
+import { RpcMethod } from "../../rpc/rpc-method.js";
 import { Clock } from "../../runtime/clock.js";
 import type { Logger } from "../../runtime/logger.js";
-import { Task } from "../../runtime/task.js";
 import type { Runtime } from "../../runtime/runtime.js";
-import { RpcMethod } from "../../rpc/rpc-method.js";
-import type { DecodedMessage, RpcEndpoint } from "../../rpc/rpc-endpoint.js";
+import { Task } from "../../runtime/task.js";
 import type { AcceptedConfig, StateMachine } from "../../state/state-machine.js";
-import { CONFIGS_PER_FILE, ConfigHistory, type SequenceRange } from "./config-history.js";
 import type { LogWriter } from "../log/log-writer.js";
+import { CONFIGS_PER_FILE, ConfigHistory, type SequenceRange } from "./config-history.js";
 
-const askWaitMs = 600;
-const learnMs = 200;
-/** For how long a peer whose connection failed, and that said nothing since, is not asked. */
-const failedMs = 3000;
-/** A member that learns rests this many times as long as an exchange took, so that those who are asked have time for other work. */
-const restsPerExchange = 3;
-/** Which part of the text that may wait for the disk is held in memory until it is written. */
-const keepPart = 1 / 4;
-/** Within which time members begin to keep what they hold by then. */
-const keepSpreadMs = 1000;
+/** How long a member's reply with configs is awaited. */
+const FETCH_TIMEOUT_MS = 600;
+/** The time between two fetches, beside the rest after each. */
+const FETCH_INTERVAL_MS = 200;
+/** For how long a peer whose connection failed, and that sent nothing since, is passed over. */
+const UNREACHABLE_MS = 3000;
+/** A member rests this many times as long as a fetch took, so that the other members have time for other work. */
+const RESTS_PER_FETCH = 3;
+/** The part of the pending text's limit at which configs are written to disk. */
+const PERSIST_PART = 1 / 4;
+/** Within which time members begin to write the configs that they have by then. */
+const PERSIST_SPREAD_MS = 1000;
 
-/** What became of looking for an accepted config. */
+/** The result of reading an accepted config. */
 export type ConfigRead =
   | { readonly kind: "found"; readonly config: AcceptedConfig }
   /** It was accepted, and removed since for lack of room. */
-  | { readonly kind: "noLongerKept" }
-  /** Nobody who was reached holds it, and not everybody was reached. */
+  | { readonly kind: "removed" }
+  /** No member that replied has it, and not all voters replied. */
   | { readonly kind: "unknown" };
 
-/** What the keeper of the history must know of the replicated log's member. */
+/** What the history works with. */
 export interface HistoryServiceOptions {
+  readonly runtime: Runtime;
+  readonly rpc: RpcEndpoint;
+  readonly stateMachine: StateMachine;
+  readonly history: ConfigHistory;
+  readonly writer: LogWriter;
   readonly isFormed: () => boolean;
   readonly voters: () => readonly string[];
-  /** Further peers that may hold configs. */
-  readonly others: () => readonly string[];
+  /** Further peers that may have configs. */
+  readonly otherPeers: () => readonly string[];
   /** How much text of configs may wait in memory and snapshots for a disk that refuses them. */
-  readonly unkeptBytes: number;
-  /** Hears that configs up to one need no longer be held by the state machine. */
-  readonly kept: (upTo: number) => void;
+  readonly maxPendingBytes: number;
+  /** Called where the state machine need no longer retain configs up to a sequence. */
+  readonly onReleased: (upToSequence: number) => void;
 }
 
-/** What peers returned when asked for configs. */
-interface Fetched {
+/** What other members returned when they were asked for configs. */
+interface FetchResult {
   readonly configs: readonly AcceptedConfig[];
-  /** Whether each voter said what it holds. */
-  readonly isEveryVoterHeard: boolean;
+  /** Whether each voter replied that it has none. */
+  readonly isMissingEverywhere: boolean;
 }
 
-/** Keeps accepted configs on disk, learns those that are missing from the other members, and reads them back. */
+const textBytesOf = (configs: readonly AcceptedConfig[]): number =>
+  configs.reduce((sum, { text }) => sum + text.length, 0);
+
+const ignoreResult = (): void => undefined;
+
+/** The history of accepted configs, as a member of the replicated log offers it. */
 export class HistoryService {
-  private readonly runtime: Runtime;
-  private readonly rpc: RpcEndpoint;
-  private readonly stateMachine: StateMachine;
-  private readonly history: ConfigHistory;
-  private readonly writer: LogWriter;
-  private readonly terms: HistoryServiceOptions;
+  private readonly options: HistoryServiceOptions;
   private readonly log: Logger;
-  /** Ranges that damage took and that aren't learned again yet. */
+  /** Ranges that were damaged on disk and that aren't fetched again yet. */
   private damaged: SequenceRange[] = [];
-  /** Whether configs wait for the disk to take them. */
-  private isOwing = false;
-  /** Whether configs are to be kept shortly. */
-  private isKeepPlanned = false;
-  /** Whether the disk is taking configs now. */
-  private isKeeping = false;
-  /** Whether older configs were missing when it was last looked for them. */
-  private isLacking = false;
-  /** Configs up to this one are kept by no voter. */
-  private goneUpTo = 0;
+  /** Whether the last write failed. */
+  private needsRetry = false;
+  private isPersistScheduled = false;
+  private isPersisting = false;
+  /** Whether configs were missing at the last fetch. */
+  private wasIncomplete = false;
+  /** No voter has the configs up to this sequence. */
+  private unavailableUpTo = 0;
 
-  constructor(
-    runtime: Runtime,
-    rpc: RpcEndpoint,
-    stateMachine: StateMachine,
-    history: ConfigHistory,
-    writer: LogWriter,
-    terms: HistoryServiceOptions,
-  ) {
-    this.runtime = runtime;
-    this.rpc = rpc;
-    this.stateMachine = stateMachine;
-    this.history = history;
-    this.writer = writer;
-    this.terms = terms;
-    this.log = runtime.loggers.component("record");
+  constructor(options: HistoryServiceOptions) {
+    this.options = options;
+    this.log = options.runtime.loggers.component("record");
   }
 
-  /** Returns to other members what is kept here. */
+  /** Serves the configs that are stored here to other members. */
   serve(): void {
-    this.rpc.serve(RpcMethod.history, ({ from }) => this.pieceFrom(from));
+    this.options.rpc.serve(RpcMethod.history, ({ from }) => this.pieceFrom(from));
   }
 
-  /** The keeper's own task: measures what the disk holds, then learns what is missing, newest first. */
+  /** Measures the stored files, then fetches what is missing, newest first, for as long as the daemon runs. */
   *run(): Task {
+    const { runtime, history, isFormed } = this.options;
+    const { clock } = runtime;
     yield* this.check();
     for (;;) {
-      if (this.terms.isFormed()) {
-        if (this.history.isDamaged) yield* this.check();
-        if (this.isOwing) this.keep();
-        const sinceMs = this.runtime.clock.nowMs();
-        yield* this.learn();
-        const tookMs = this.runtime.clock.nowMs() - sinceMs;
-        yield* Clock.sleep(this.runtime.clock, restsPerExchange * tookMs);
+      if (isFormed()) {
+        if (history.isDamaged) yield* this.check();
+        if (this.needsRetry) this.persist();
+        const startedMs = clock.nowMs();
+        yield* this.fetchMissing();
+        const tookMs = clock.nowMs() - startedMs;
+        yield* Clock.sleep(clock, RESTS_PER_FETCH * tookMs);
       }
-      yield* Clock.sleep(this.runtime.clock, learnMs);
+      yield* Clock.sleep(clock, FETCH_INTERVAL_MS);
     }
   }
 
   /**
-   * Has the disk keep configs once those that the state machine holds have grown to a part of what may wait. Members do so at
-   * different moments: a large config takes a while to be written, and the leader needs a majority that answers meanwhile.
+   * Writes configs to disk once those in the state machine have grown to a part of what may be pending. Members do so at
+   * different moments: a large config takes a while to write, and the leader needs a responsive majority meanwhile.
    */
-  keepWhenMany(): void {
-    if (this.isKeeping || this.isKeepPlanned || !this.terms.isFormed() || !this.holdsMany) return;
-    this.isKeepPlanned = true;
-    this.runtime.clock.after(this.runtime.random() * keepSpreadMs, () => {
-      this.isKeepPlanned = false;
-      if (!this.isKeeping && this.holdsMany) this.keep();
+  persistWhenLarge(): void {
+    const { runtime, isFormed } = this.options;
+    if (this.isPersisting || this.isPersistScheduled || !isFormed() || !this.isLarge) return;
+    this.isPersistScheduled = true;
+    runtime.clock.after(runtime.random() * PERSIST_SPREAD_MS, () => {
+      this.isPersistScheduled = false;
+      if (!this.isPersisting && this.isLarge) this.persist();
     });
   }
 
-  private get holdsMany(): boolean {
-    const { configs } = this.stateMachine;
-    const bytes = configs.reduce((sum, { text }) => sum + text.length, 0);
-    return configs.length > 1 && bytes > this.terms.unkeptBytes * keepPart;
-  }
-
-  /** Has the disk keep the configs that the state machine still holds; it lets go of them once they are kept. */
-  keep(): void {
-    const { configs } = this.stateMachine;
+  /** Writes the configs in the state machine to disk; the state machine releases them then. */
+  persist(): void {
+    const { stateMachine, history, writer, onReleased } = this.options;
+    const { configs } = stateMachine;
     const newest = configs.at(-1)?.sequence ?? 0;
-    this.isOwing = false;
-    if (newest <= this.history.newest) return this.terms.kept(this.history.newest);
-    const { history } = this;
-    const add = function* (): Task {
-      yield* history.add(configs);
-    };
-    this.isKeeping = true;
-    this.writer.attempt(add, (succeeded) => {
-      this.isKeeping = false;
-      this.isOwing = !succeeded;
-      if (succeeded) this.terms.kept(newest);
-      else this.boundUnkept();
-    });
-    this.writer.attempt(
-      () => this.shrink(),
-      () => undefined,
+    this.needsRetry = false;
+    if (newest <= history.newest) return onReleased(history.newest);
+    this.isPersisting = true;
+    writer.attempt(
+      () => history.add(configs),
+      (succeeded) => {
+        this.isPersisting = false;
+        this.needsRetry = !succeeded;
+        if (succeeded) onReleased(newest);
+        else this.dropPending();
+      },
     );
+    writer.attempt(() => this.shrink(), ignoreResult);
   }
 
-  /** One accepted config, from here or from another member. */
+  /** Reads one accepted config, from here or from another member. */
   *read(sequence: number): Task<ConfigRead> {
+    const { stateMachine, history } = this.options;
     const own =
-      this.stateMachine.configs.find((config) => config.sequence === sequence) ??
-      (yield* this.history.read(sequence));
+      stateMachine.configs.find((config) => config.sequence === sequence) ??
+      (yield* history.read(sequence));
     if (own) return { kind: "found", config: own };
-    if (sequence <= this.goneUpTo) return { kind: "noLongerKept" };
-    const { configs, isEveryVoterHeard } = yield* this.fetch(sequence);
+    if (sequence <= this.unavailableUpTo) return { kind: "removed" };
+    const { configs, isMissingEverywhere } = yield* this.fetch(sequence);
     const [config] = configs;
     if (config) return { kind: "found", config };
-    return { kind: isEveryVoterHeard ? "noLongerKept" : "unknown" };
+    return { kind: isMissingEverywhere ? "removed" : "unknown" };
+  }
+
+  private get isLarge(): boolean {
+    const { stateMachine, maxPendingBytes } = this.options;
+    const { configs } = stateMachine;
+    return configs.length > 1 && textBytesOf(configs) > maxPendingBytes * PERSIST_PART;
   }
 
   private *pieceFrom(from: number): Task<DecodedMessage<typeof RpcMethod.history.response>> {
-    if (!this.terms.isFormed()) return { configs: new Uint8Array() };
-    const kept = yield* this.history.piece(from);
-    if (kept.length > 0) return { configs: kept };
-    const { configs } = this.stateMachine;
-    const at = configs.findIndex(({ sequence }) => sequence === from);
-    return { configs: at < 0 ? new Uint8Array() : ConfigHistory.pack(configs.slice(at)) };
+    const { stateMachine, history, isFormed } = this.options;
+    if (!isFormed()) return { configs: new Uint8Array() };
+    const stored = yield* history.piece(from);
+    if (stored.length > 0) return { configs: stored };
+    const { configs } = stateMachine;
+    const first = configs.findIndex(({ sequence }) => sequence === from);
+    return { configs: first < 0 ? new Uint8Array() : ConfigHistory.pack(configs.slice(first)) };
   }
 
-  /** Configs from one on, as another member holds them; followers are asked before the leader. */
-  private *fetch(from: number): Task<Fetched> {
-    const voters = this.terms.voters();
-    const heard = new Set([this.rpc.self]);
-    const asked = new Set([this.rpc.self, ""]);
-    for (const peer of [...voters, ...this.terms.others()]) {
-      if (asked.has(peer)) continue;
-      asked.add(peer);
-      if (this.isGone(peer)) continue;
-      const ret = yield* this.rpc.call(peer, RpcMethod.history, { from }, askWaitMs);
-      if (!ret) continue;
-      heard.add(peer);
-      const configs = ConfigHistory.unpack(ret.configs, from);
-      if (configs.length > 0) return { configs, isEveryVoterHeard: false };
+  /** Fetches configs from one on, as another member has them; followers are asked before the leader. */
+  private *fetch(from: number): Task<FetchResult> {
+    const { rpc, voters, otherPeers } = this.options;
+    const voterPeers = voters();
+    const replied = new Set([rpc.self]);
+    const tried = new Set([rpc.self, ""]);
+    for (const peer of [...voterPeers, ...otherPeers()]) {
+      if (tried.has(peer)) continue;
+      tried.add(peer);
+      if (this.isUnreachable(peer)) continue;
+      const response = yield* rpc.call(peer, RpcMethod.history, { from }, FETCH_TIMEOUT_MS);
+      if (!response) continue;
+      replied.add(peer);
+      const configs = ConfigHistory.unpack(response.configs, from);
+      if (configs.length > 0) return { configs, isMissingEverywhere: false };
     }
-    return { configs: [], isEveryVoterHeard: voters.every((voter) => heard.has(voter)) };
+    return { configs: [], isMissingEverywhere: voterPeers.every((voter) => replied.has(voter)) };
   }
 
-  private isGone(peer: string): boolean {
-    return this.rpc.isUnreachable(peer, this.runtime.clock.nowMs() - failedMs);
+  private isUnreachable(peer: string): boolean {
+    const { runtime, rpc } = this.options;
+    return rpc.isUnreachable(peer, runtime.clock.nowMs() - UNREACHABLE_MS);
   }
 
-  /** Learns some of the newest configs that are missing here, while there is room for them. */
-  private *learn(): Task {
-    const missing = this.missing();
+  /** Fetches some of the newest configs that are missing here, while there is room for them. */
+  private *fetchMissing(): Task {
+    const { history } = this.options;
+    const missing = this.missingRange();
     if (!missing) {
-      if (this.isLacking)
-        this.log.info("The history of configs is whole.", { newest: this.history.newest });
-      this.isLacking = false;
+      if (this.wasIncomplete) this.log.info("history complete", { newest: history.newest });
+      this.wasIncomplete = false;
       return;
     }
-    this.isLacking = true;
-    const { configs, isEveryVoterHeard } = yield* this.fetchOf(missing);
+    this.wasIncomplete = true;
+    const { configs, isMissingEverywhere } = yield* this.fetchFrom(missing);
     if (configs.length > 0)
       yield* this.insert(configs.filter(({ sequence }) => sequence <= missing.to));
-    else if (isEveryVoterHeard) this.goneUpTo = Math.max(this.goneUpTo, missing.to);
-    this.noteMended();
+    else if (isMissingEverywhere) this.unavailableUpTo = Math.max(this.unavailableUpTo, missing.to);
+    this.reportRepairs();
   }
 
-  /** Configs of a range: those of its last file from their first on, or from later on where others keep no older ones. */
-  private *fetchOf({ from, to }: SequenceRange): Task<Fetched> {
+  /** Fetches configs of a range: those of its last file from their first on, or from later on where others have no older ones. */
+  private *fetchFrom({ from, to }: SequenceRange): Task<FetchResult> {
     let first = Math.max(from, to - CONFIGS_PER_FILE + 1);
     for (;;) {
-      const fetched = yield* this.fetch(first);
-      if (fetched.configs.length > 0 || first === to) return fetched;
+      const result = yield* this.fetch(first);
+      if (result.configs.length > 0 || first === to) return result;
       first = Math.ceil((first + 1 + to) / 2);
     }
   }
 
-  /** The newest range that is missing here and may be learned. */
-  private missing(): SequenceRange | undefined {
-    const first = this.stateMachine.configs[0]?.sequence ?? 1;
-    const range = this.history.missingBelow(first);
-    const floor = Math.max(this.goneUpTo, this.history.letGoUpTo);
-    if (!range || range.to <= floor || !this.history.hasRoom) return undefined;
-    return { from: Math.max(range.from, floor + 1), to: range.to };
+  /** The newest range that is missing here and may be available elsewhere. */
+  private missingRange(): SequenceRange | undefined {
+    const { history } = this.options;
+    const range = this.missingOnDisk();
+    const removedUpTo = Math.max(this.unavailableUpTo, history.removedUpTo);
+    if (!range || range.to <= removedUpTo || !history.hasRoom) return undefined;
+    return { from: Math.max(range.from, removedUpTo + 1), to: range.to };
+  }
+
+  private missingOnDisk(): SequenceRange | undefined {
+    const { stateMachine, history } = this.options;
+    return history.missingBelow(stateMachine.configs[0]?.sequence ?? 1);
   }
 
   private *insert(configs: AcceptedConfig[]): Task {
-    const { history } = this;
-    const add = function* (): Task {
-      yield* history.add(configs);
-    };
-    yield* Task.wait<boolean>((done) => this.writer.attempt(add, done));
+    const { history, writer } = this.options;
+    yield* Task.wait<boolean>((done) => writer.attempt(() => history.add(configs), done));
   }
 
-  /** Measures files in the owner of the disk's turn, since damaged ones are cut. */
+  /** Measures the files in a turn of the disk's writer, since what is damaged is cut off. */
   private *check(): Task {
-    const { history } = this;
-    const found: SequenceRange[] = [];
+    const { history, writer } = this.options;
+    const lost: SequenceRange[] = [];
     const check = function* (): Task {
-      found.push(...(yield* history.check()));
+      lost.push(...(yield* history.check()));
     };
-    yield* Task.wait<boolean>((done) => this.writer.attempt(check, done));
-    for (const range of found) {
-      this.log.warn("A file of the history is damaged; its configs are learned from the others.", {
-        ...range,
-      });
+    yield* Task.wait<boolean>((done) => writer.attempt(check, done));
+    for (const range of lost) {
+      this.log.warn("history file damaged", { ...range });
       this.damaged.push(range);
     }
-    yield* Task.wait<boolean>((done) => this.writer.attempt(() => this.shrink(), done));
+    yield* Task.wait<boolean>((done) => writer.attempt(() => this.shrink(), done));
   }
 
-  private noteMended(): void {
-    const missing = this.history.missingBelow(this.stateMachine.configs[0]?.sequence ?? 1);
-    const isWhole = ({ from }: SequenceRange): boolean => !missing || missing.to < from;
-    for (const range of this.damaged.filter(isWhole))
-      this.log.info("A damaged file of the history is whole again.", { ...range });
-    this.damaged = this.damaged.filter((range) => !isWhole(range));
+  private reportRepairs(): void {
+    const missing = this.missingOnDisk();
+    const isRepaired = ({ from }: SequenceRange): boolean => !missing || missing.to < from;
+    for (const range of this.damaged.filter(isRepaired))
+      this.log.info("history file repaired", { ...range });
+    this.damaged = this.damaged.filter((range) => !isRepaired(range));
   }
 
   private *shrink(): Task {
-    const removed = yield* this.history.shrink();
-    if (removed)
-      this.log.info("The oldest configs of the history are no longer kept.", { ...removed });
+    const removed = yield* this.options.history.shrink();
+    if (removed) this.log.info("history quota exceeded, oldest configs removed", { ...removed });
   }
 
-  /** While the disk refuses the history, only so much text waits for it; beyond that only the newest config does. */
-  private boundUnkept(): void {
-    const { configs } = this.stateMachine;
-    const bytes = configs.reduce((sum, { text }) => sum + text.length, 0);
+  /** Bounds the text that waits for a disk that refuses it: beyond the limit only the newest config is retained. */
+  private dropPending(): void {
+    const { stateMachine, maxPendingBytes, onReleased } = this.options;
+    const { configs } = stateMachine;
     const upTo = configs.at(-2)?.sequence;
-    if (bytes <= this.terms.unkeptBytes || upTo === undefined) return;
-    this.log.warn("The disk doesn't take the history; configs are let go unkept.", { upTo });
-    this.terms.kept(upTo);
+    if (textBytesOf(configs) <= maxPendingBytes || upTo === undefined) return;
+    this.log.warn("history write failed, pending configs dropped", { upTo });
+    onReleased(upTo);
   }
 }
--- a/src/replication/log/disk-reclaimer.ts
+++ b/src/replication/log/disk-reclaimer.ts
@@ -1,22 +1,23 @@
+/** Reclaims room on a full disk. */
 import type { Clock } from "../../runtime/clock.js";
 import { DiskError } from "../../runtime/disk.js";
 import type { Logger } from "../../runtime/logger.js";
 import type { Task } from "../../runtime/task.js";
 import type { ConfigHistory } from "../history/config-history.js";
 
-/** How long a disk must go on refusing before a second file of the history is removed; doubled for each further one. */
-const firstWaitMs = 1000;
+/** The time between the removals of the first and the second file while a disk refuses writes; doubled for each further one. */
+const FIRST_INTERVAL_MS = 1000;
 
 /**
- * Gives a full disk room by removing old configs, so that the history never stands in the way of what must be written.
- * A disk may also refuse everything for a while without being full: files go one at a time, at growing intervals.
+ * Removes old configs from a full disk, so that the history never prevents what must be written. A disk may also refuse all
+ * writes for a while without being full: files are removed one at a time, at growing intervals.
  */
 export class DiskReclaimer {
   private readonly clock: Clock;
   private readonly history: ConfigHistory;
   private readonly log: Logger;
-  private waitMs = firstWaitMs;
-  private nextMs = -Infinity;
+  private intervalMs = FIRST_INTERVAL_MS;
+  private nextRemovalMs = -Infinity;
 
   constructor(clock: Clock, history: ConfigHistory, log: Logger) {
     this.clock = clock;
@@ -24,16 +25,16 @@
     this.log = log;
   }
 
-  /** A write was refused; tells whether a file was removed, so that another try is worth while. */
+  /** A write was refused; returns whether a file was removed, so that a retry may succeed. */
   *refused(): Task<boolean> {
     const nowMs = this.clock.nowMs();
-    if (nowMs < this.nextMs) return false;
-    this.nextMs = nowMs + this.waitMs;
-    this.waitMs *= 2;
+    if (nowMs < this.nextRemovalMs) return false;
+    this.nextRemovalMs = nowMs + this.intervalMs;
+    this.intervalMs *= 2;
     try {
-      const removed = yield* this.history.makeRoom();
+      const removed = yield* this.history.reclaim();
       if (!removed) return false;
-      this.log.warn("The disk is full; the oldest configs of the history are no longer kept.", {
+      this.log.warn("disk full, oldest configs removed", {
         ...removed,
       });
       return true;
@@ -43,9 +44,9 @@
     }
   }
 
-  /** The disk takes writes. */
+  /** The disk accepts writes. */
   accepted(): void {
-    this.waitMs = firstWaitMs;
-    this.nextMs = -Infinity;
+    this.intervalMs = FIRST_INTERVAL_MS;
+    this.nextRemovalMs = -Infinity;
   }
 }
--- a/src/replication/node-event.ts
+++ b/src/replication/node-event.ts
@@ -72,7 +72,7 @@
       readonly respond: (status: LeaveStatus | undefined) => void;
     }
   | { readonly kind: "rejoinPersisted" }
-  | { readonly kind: "historyPersisted"; readonly upToSequence: number };
+  | { readonly kind: "configsReleased"; readonly upToSequence: number };
 
 /** One event of a replication node. */
 export type NodeEvent = ReplicationEvent | LifecycleEvent;
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -299,25 +299,30 @@
 
   private createHistory(): HistoryService {
     const { runtime, rpc, stateMachine, store, writer, timeouts, bootstrap, events } = this;
-    const history = new HistoryService(runtime, rpc, stateMachine, store.history, writer, {
+    const history = new HistoryService({
+      runtime,
+      rpc,
+      stateMachine,
+      history: store.history,
+      writer,
       isFormed: () => this.formation.isFormed,
       voters: () => this.state.members.voters,
-      others: () => [
+      otherPeers: () => [
         this.state.knownLeader,
         ...this.state.members.learners,
         ...bootstrap.knownNodes,
       ],
-      unkeptBytes: timeouts.snapshotBytes,
-      kept: (upToSequence) => events.put({ kind: "historyPersisted", upToSequence }),
+      maxPendingBytes: timeouts.snapshotBytes,
+      onReleased: (upToSequence) => events.put({ kind: "configsReleased", upToSequence }),
     });
     stateMachine.onApplied(({ kind }) => {
-      if (kind === "config") history.keepWhenMany();
+      if (kind === "config") history.persistWhenLarge();
     });
     return history;
   }
 
   private onSnapshotQueued(lastIndex: number): void {
-    this.history.keep();
+    this.history.persist();
     this.installer.dropUpTo(lastIndex);
   }
 
@@ -376,7 +381,7 @@
         consensus.update(afterRejoin(consensus.current));
         this.log.info("rejoin completed");
         return;
-      case "historyPersisted":
+      case "configsReleased":
         this.stateMachine.releaseConfigs(event.upToSequence);
         return;
     }
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -9,7 +9,7 @@
   type AcceptedConfig,
 } from "../../src/state/state-machine.js";
 import { ConfigHistory } from "../../src/replication/history/config-history.js";
-import { HistoryFormat } from "../../src/replication/history/history-format.js";
+import { encodeCompleteConfig } from "../../src/replication/history/history-format.js";
 import { Members } from "../../src/consensus/members.js";
 import {
   withChecksum,
@@ -247,7 +247,7 @@
  */
 export const writeEverything = (): Files => {
   const stage = new DiskStage();
-  const wholes = [1, 2].map((sequence) => HistoryFormat.whole(configuration(sequence)));
+  const wholes = [1, 2].map((sequence) => encodeCompleteConfig(configuration(sequence)));
   stage.disk.poke("history-0", Buffer.concat(wholes));
   const store = new LogStore(stage.disk);
   stage.run(store.load());
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { Config } from "../../src/configuration/config.js";
 import { type AcceptedConfig, StateMachine, LogCommand } from "../../src/state/state-machine.js";
-import { HistoryFormat } from "../../src/replication/history/history-format.js";
+import { encodeCompleteConfig } from "../../src/replication/history/history-format.js";
 import { type DurableState, LogStore } from "../../src/replication/log/log-store.js";
 import { FleetStage, type StageMachine } from "./fleet-stage.js";
 import { LargeConfig } from "./large-config.js";
@@ -111,7 +111,7 @@
   stage.until(isLed(stage), 10_000);
   for (const sequence of [1, 2, 64, 65, 700, 999, 1000])
     expect(readAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
-  expect(stage.lines.filter((line) => line.includes("The disk is full"))).toEqual([]);
+  expect(stage.lines.filter((line) => line.includes("disk full"))).toEqual([]);
   expect(machine.disk?.heldBytes ?? Infinity).toBeLessThan(diskMb * 1_000_000);
 }, 300_000);
 
@@ -125,13 +125,9 @@
   while (accepted < 1400) accepted += changes.accept().includes("accepted") ? 1 : 0;
   stage.wait(5000);
   const { leader } = stage;
-  expect(
-    stage.lines.some((line) =>
-      line.includes("The oldest configs of the history are no longer kept."),
-    ),
-  ).toBe(true);
+  expect(stage.lines.some((line) => line.includes("history quota exceeded"))).toBe(true);
   for (const machine of stage.disks) {
-    expect(readAt(stage, machine, 1)).toBe("noLongerKept");
+    expect(readAt(stage, machine, 1)).toBe("removed");
     expect(readAt(stage, machine, 1400) === changes.texts[1399]).toBe(true);
     expect(readAt(stage, machine, 1200) === changes.texts[1199]).toBe(true);
     expect([1, 1200, 1400, 1401].map((version) => versionAt(stage, machine, version))).toEqual([
@@ -142,7 +138,7 @@
   for (const machine of stage.disks) stage.boot(machine, { bootstrap: false });
   stage.until(isLed(stage), 6000);
   stage.wait(3000);
-  expect(readAt(stage, leader, 1)).toBe("noLongerKept");
+  expect(readAt(stage, leader, 1)).toBe("removed");
   expect(readAt(stage, leader, 1400) === changes.texts[1399]).toBe(true);
 }, 300_000);
 
@@ -201,7 +197,7 @@
   for (let file = 0; file < files; file += 1) {
     const text = config.next();
     const records = Array.from({ length: 64 }, (_, at) =>
-      HistoryFormat.whole(accepted(file * 64 + at + 1, text)),
+      encodeCompleteConfig(accepted(file * 64 + at + 1, text)),
     );
     disk.poke(`history-${file}`, Buffer.concat(records));
   }
@@ -252,7 +248,7 @@
     const changes = new Changes(stage, config, newest + 1);
     while (changes.texts.length < 200) expect(changes.accept()).toContain("accepted");
     expect(readAt(stage, machine, changes.newest) === changes.texts.at(-1)).toBe(true);
-    expect(readAt(stage, machine, 1)).toBe("noLongerKept");
+    expect(readAt(stage, machine, 1)).toBe("removed");
     expect(JSON.parse(readAt(stage, machine, newest - 1))).toHaveProperty("routes");
     stage.kill(machine);
     stage.boot(machine);
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -2,7 +2,7 @@
 import { Task } from "../../../src/runtime/task.js";
 import type { AcceptedConfig } from "../../../src/state/state-machine.js";
 import { ConfigHistory } from "../../../src/replication/history/config-history.js";
-import { HistoryFormat } from "../../../src/replication/history/history-format.js";
+import { encodeCompleteConfig } from "../../../src/replication/history/history-format.js";
 import { TextDelta } from "../../../src/state/text-delta.js";
 import { RandomDraw } from "../../../src/simulation/random-draw.js";
 import { checkRules } from "../../../src/simulation/invariant-checker.js";
@@ -101,9 +101,7 @@
     "formed",
     "formed",
   ]);
-  expect(
-    simulation.lines.filter((line) => line.includes("damaged file of the history is whole again")),
-  ).toHaveLength(1);
+  expect(simulation.lines.filter((line) => line.includes("history file repaired"))).toHaveLength(1);
   simulation.kill(three, true);
   three.disk.wipe();
   wait(4000);
@@ -146,7 +144,7 @@
     `history-${file}`,
     Buffer.concat(
       Array.from({ length: Math.min(64, count - file * 64) }, (__, at) =>
-        HistoryFormat.whole(config(file * 64 + at + 1)),
+        encodeCompleteConfig(config(file * 64 + at + 1)),
       ),
     ),
   ]);
@@ -202,13 +200,13 @@
   const filled = history.bytes;
   const removed = run(history.shrink());
   expect(removed?.from).toBe(1);
-  expect(history.letGoUpTo).toBe(removed?.to);
+  expect(history.removedUpTo).toBe(removed?.to);
   expect(filled).toBeGreaterThan(1_000_000);
   expect(history.bytes).toBeLessThanOrEqual(1_000_000);
   expect(disk.heldBytes).toBe(history.bytes);
   expect(run(history.read(removed?.to ?? 0))).toBeUndefined();
   expect(run(history.read((removed?.to ?? 0) + 1))?.sequence).toBe((removed?.to ?? 0) + 1);
-  for (let round = 0; round < 40; round += 1) run(history.makeRoom());
+  for (let round = 0; round < 40; round += 1) run(history.reclaim());
   expect(run(history.read(60))?.sequence).toBe(60);
   expect([history.bytes > 0, history.hasRoom]).toEqual([true, false]);
 });
