--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -20,7 +20,7 @@
 /** What is to be acknowledged once it is on disk, and the term and log that it holds under. */
 export interface PendingAcknowledgment {
   readonly term: number;
-  readonly cuts: number;
+  readonly truncations: number;
   readonly counts: boolean;
   readonly matched: number;
 }
@@ -37,10 +37,10 @@
       readonly pending: PendingAcknowledgment;
     };
 
-const refused = (term: number): AppendReply => ({ term, fits: false, counts: false, matched: 0 });
+const refusal = (term: number): AppendReply => ({ term, fits: false, counts: false, matched: 0 });
 
 /** The log with a leader's entries in it: a conflicting tail goes first. */
-const merge = (
+const mergeEntries = (
   former: ConsensusState,
   entries: readonly Entry[],
   { rules }: DecisionContext,
@@ -76,7 +76,7 @@
 ): AppendDecision => {
   const { rules } = context;
   if (request.term < former.term && rules.refuseOldTerms)
-    return { kind: "refuse", state: former, reply: refused(former.term) };
+    return { kind: "refuse", state: former, reply: refusal(former.term) };
   const newTerm: LogRecord[] =
     request.term > former.term ? [{ kind: "vote", term: request.term, text: "" }] : [];
   const following = becomeFollower(former, request.term, request.leader, context.nowMs);
@@ -88,9 +88,9 @@
       : request.previousIndex <= log.lastIndex);
   if (!isKnown) {
     const matched = Math.min(log.lastIndex, request.previousIndex - 1);
-    return { kind: "refuse", state: following, reply: { ...refused(term), matched } };
+    return { kind: "refuse", state: following, reply: { ...refusal(term), matched } };
   }
-  const { state, records } = merge(following, request.entries, context);
+  const { state, records } = mergeEntries(following, request.entries, context);
   const matched = Math.max(
     request.previousIndex,
     state.log.baseIndex,
@@ -104,7 +104,7 @@
     mustSync: allRecords.length > 0 || state.syncedIndex < matched,
     pending: {
       term,
-      cuts: state.truncations,
+      truncations: state.truncations,
       counts: memberRightsOf(following, context).countForCommit,
       matched,
     },
@@ -118,7 +118,7 @@
   { rules }: Pick<DecisionContext, "rules">,
 ): boolean =>
   !rules.acknowledgeOnlyUnderSameTerm ||
-  (state.term === pending.term && state.truncations === pending.cuts);
+  (state.term === pending.term && state.truncations === pending.truncations);
 
 /** Acknowledges entries that are on disk, unless the term or the log moved on meanwhile. */
 export const acknowledgeAppend = (
@@ -127,7 +127,7 @@
   facts: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: AppendReply } => {
   const { term, counts, matched } = pending;
-  if (!isStillAcknowledgeable(state, pending, facts)) return { state, reply: refused(state.term) };
+  if (!isStillAcknowledgeable(state, pending, facts)) return { state, reply: refusal(state.term) };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, matched) },
     reply: { term, fits: true, counts, matched },
--- a/src/consensus/commit.ts
+++ b/src/consensus/commit.ts
@@ -8,7 +8,7 @@
 };
 
 /** Up to where each member holds the leader's log on disk, as far as the leader knows. */
-const heldBy = (state: ConsensusState, member: string): number =>
+const syncedIndexOf = (state: ConsensusState, member: string): number =>
   member === state.self ? state.syncedIndex : (state.matched.get(member) ?? 0);
 
 /**
@@ -21,7 +21,7 @@
 ): ConsensusState => {
   const { members } = state;
   const counted = rules.countOnlyVoters ? members.voters : [...members.voters, ...members.learners];
-  const index = reachedByMajority(members, (member) => heldBy(state, member), counted) ?? 0;
+  const index = reachedByMajority(members, (member) => syncedIndexOf(state, member), counted) ?? 0;
   if (index <= state.committedIndex) return state;
   const isOwnTerm = state.log.termAt(index) === state.term;
   return isOwnTerm || !rules.commitOnlyOwnTerm ? commitUpTo(state, index) : state;
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -13,7 +13,7 @@
   role: memberRightsOf(state, context).stand ? "preCandidate" : state.role,
 });
 
-const requestOf = (
+const voteRequestOf = (
   state: ConsensusState,
   term: number,
   isPreVote: boolean,
@@ -32,7 +32,7 @@
   state: ConsensusState,
 ): { readonly state: ConsensusState; readonly request: VoteRequest } => ({
   state: { ...state, votes: new Set(), isLeadershipTransfer: false },
-  request: requestOf(state, state.term + 1, true, false),
+  request: voteRequestOf(state, state.term + 1, true, false),
 });
 
 /** A candidate's new term and vote for itself; the request goes out once the records are on disk. */
@@ -56,7 +56,7 @@
   return {
     state,
     records: [{ kind: "vote", term, text: state.self }],
-    request: requestOf(state, term, false, former.isLeadershipTransfer),
+    request: voteRequestOf(state, term, false, former.isLeadershipTransfer),
   };
 };
 
--- a/src/consensus/lease.ts
+++ b/src/consensus/lease.ts
@@ -1,7 +1,7 @@
 import { reachedByMajority } from "./quorum.js";
 import type { ConsensusState, DecisionContext } from "./state.js";
 
-type LeaseFacts = Pick<DecisionContext, "nowMs" | "timeouts" | "rules">;
+type LeaseContext = Pick<DecisionContext, "nowMs" | "timeouts" | "rules">;
 
 /**
  * Until when the leader's lease lasts: a majority acknowledged heartbeats that were sent less than `leaderGrantMs`
@@ -10,7 +10,7 @@
  */
 export const leaseUntilMs = (
   state: ConsensusState,
-  { nowMs, timeouts: waits }: LeaseFacts,
+  { nowMs, timeouts: waits }: LeaseContext,
 ): number => {
   const sentMs = reachedByMajority(state.members, (voter) =>
     voter === state.self
@@ -21,7 +21,7 @@
 };
 
 /** Whether this member leads under a lease that lasts, in a term of which an entry is committed. */
-export const hasLease = (state: ConsensusState, facts: LeaseFacts): boolean =>
+export const hasLease = (state: ConsensusState, facts: LeaseContext): boolean =>
   state.role === "leader" &&
   (state.committedIndex >= state.leadingSinceIndex || !facts.rules.answerOnlyInCommittedTerm) &&
   facts.nowMs < leaseUntilMs(state, facts);
--- a/src/consensus/members.ts
+++ b/src/consensus/members.ts
@@ -1,16 +1,16 @@
 import { array, create, enums, object, string, type Infer } from "superstruct";
 
-const shape = object({
+const membersShape = object({
   kind: enums(["members"]),
   voters: array(string()),
   learners: array(string()),
 });
 
 /** Who votes on the record and who only learns it. */
-export type Members = Omit<Infer<typeof shape>, "kind">;
+export type Members = Omit<Infer<typeof membersShape>, "kind">;
 
 export const Members = {
   /** The members that an entry of the record sets, or undefined where it sets none. */
   in: (text: string): Members | undefined =>
-    text.startsWith('{"kind":"members"') ? create(JSON.parse(text), shape) : undefined,
+    text.startsWith('{"kind":"members"') ? create(JSON.parse(text), membersShape) : undefined,
 };
--- a/src/consensus/rejoin.ts
+++ b/src/consensus/rejoin.ts
@@ -1,14 +1,14 @@
 import { create, enums, object, string, type Infer } from "superstruct";
 import type { ConsensusState, DecisionContext } from "./state.js";
 
-const markShape = object({ kind: enums(["rejoined"]), machine: string(), nonce: string() });
+const markerShape = object({ kind: enums(["rejoined"]), machine: string(), nonce: string() });
 
 /** The entry whose commit ends a member's rejoining. */
-export type RejoinMarker = Infer<typeof markShape>;
+export type RejoinMarker = Infer<typeof markerShape>;
 
 /** The mark that an entry sets, or undefined where it sets none. */
 export const rejoinMarkerIn = (text: string): RejoinMarker | undefined =>
-  text.startsWith('{"kind":"rejoined"') ? create(JSON.parse(text), markShape) : undefined;
+  text.startsWith('{"kind":"rejoined"') ? create(JSON.parse(text), markerShape) : undefined;
 
 /** The entry that marks a member's rejoining under a nonce. */
 export const rejoinMarkerEntryText = (machine: string, nonce: string): string =>
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -56,7 +56,7 @@
 };
 
 /** How many bytes of entries a slow link takes in a millisecond at the least. */
-const slowLinkBytesPerMs = 100;
+const SLOW_LINK_BYTES_PER_MS = 100;
 
 /**
  * How long a leader waits for the answer to a request before it sends again: a heartbeat's wait, and what the entries take on
@@ -67,7 +67,7 @@
   { electionMinMs }: Pick<ElectionTimeouts, "electionMinMs">,
 ): number => {
   const sentBytes = entries.reduce((bytes, { text }) => bytes + text.length, 0);
-  return electionMinMs + sentBytes / slowLinkBytesPerMs;
+  return electionMinMs + sentBytes / SLOW_LINK_BYTES_PER_MS;
 };
 
 /** What a leader knows after an answer of its own term. */
--- a/src/consensus/state.ts
+++ b/src/consensus/state.ts
@@ -79,7 +79,7 @@
   readonly entries: readonly Entry[];
 }
 
-const nobody: Members = { voters: [], learners: [] };
+const NO_MEMBERS: Members = { voters: [], learners: [] };
 
 /** The state with the members that its log sets. */
 export const withMembersOfLog = (state: ConsensusState): ConsensusState => {
@@ -117,8 +117,8 @@
   term: 0,
   votedFor: "",
   log: ReplicatedLog.of(0, 0),
-  baseMembers: nobody,
-  members: nobody,
+  baseMembers: NO_MEMBERS,
+  members: NO_MEMBERS,
   membersIndex: 0,
   committedIndex: 0,
   syncedIndex: 0,
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -429,20 +429,20 @@
       self: this.name,
       voters: members.voters,
       learners: members.learners,
-      leaving: new Set(),
+      stopping: new Set(),
       wantedVoters: settings.wantedVoters,
       committedIndex,
       progressOf: (member) =>
         member === this.name
-          ? { silentMs: 0, answered: true, provenMs: 0, matchedIndex: syncedIndex }
+          ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchedIndex: syncedIndex }
           : {
-              silentMs: now - Math.max(since, ackedSentMs.get(member) ?? since),
-              answered: ackedSentMs.has(member),
-              provenMs: now - (this.state.responsiveSinceMs.get(member) ?? now),
+              unresponsiveMs: now - Math.max(since, ackedSentMs.get(member) ?? since),
+              hasAcknowledged: ackedSentMs.has(member),
+              responsiveMs: now - (this.state.responsiveSinceMs.get(member) ?? now),
               matchedIndex: matched.get(member) ?? 0,
             },
-      waits: {
-        answersWithinMs: settings.waits.electionMaxMs,
+      timeouts: {
+        responsiveWithinMs: settings.waits.electionMaxMs,
         replaceAfterMs: settings.replaceAfterMs,
         responsiveAfterMs: settings.provenAfterMs,
         forgetAfterMs: settings.forgetAfterMs,
@@ -612,7 +612,7 @@
         kind: "acknowledgeSnapshot",
         to: from,
         askId,
-        pending: { term, cuts, counts, matched: lastIndex },
+        pending: { term, truncations: cuts, counts, matched: lastIndex },
         heldIndex: lastIndex + entries.length,
       },
     });
--- a/src/replication/leadership/leader-replication.ts
+++ b/src/replication/leadership/leader-replication.ts
@@ -64,7 +64,7 @@
 
   /** The index after which the log must be retained for transfers under way, if there are any. */
   retainedIndex(nowMs: number): number | undefined {
-    return this.snapshotSender.heldIndex(nowMs);
+    return this.snapshotSender.retainedIndex(nowMs);
   }
 
   private *replicate(peer: string, term: number, wakeup: Queue<true>): Task {
@@ -85,7 +85,7 @@
     yield* replicator.run();
     if (this.wakeups.get(peer) !== wakeup) return;
     this.wakeups.delete(peer);
-    snapshotSender.ended(peer);
+    snapshotSender.end(peer);
   }
 
   private makeSnapshot(): SharedSnapshot {
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -99,22 +99,22 @@
     const { peer, term, clock, consensus, events, snapshotSender, makeSnapshot } = this.options;
     const sentMs = clock.nowMs();
     const { baseIndex } = consensus.current.log;
-    const message = snapshotSender.next(peer, baseIndex, sentMs, makeSnapshot);
+    const message = snapshotSender.nextMessage(peer, baseIndex, sentMs, makeSnapshot);
     const reply = yield* this.callWithSnapshot(message);
     if (reply && reply.term > term) events.put({ kind: "newerTermSeen", term: reply.term });
     if (reply?.term !== term) {
-      snapshotSender.lost(peer);
+      snapshotSender.onNoReply(peer);
       return undefined;
     }
     const { matched, counts } = reply;
     events.put({ kind: "acknowledged", acknowledgment: { peer, term, sentMs, matched, counts } });
     const isInstalled = matched >= message.snapshot.identity.lastIndex;
     if (isInstalled) {
-      snapshotSender.ended(peer);
+      snapshotSender.end(peer);
       return matched;
     }
-    if (message.kind === "whole") return undefined;
-    return snapshotSender.answered(peer, reply.receivedBytes, clock.nowMs()) ? 0 : undefined;
+    if (message.kind === "complete") return undefined;
+    return snapshotSender.onReply(peer, reply.receivedBytes, clock.nowMs()) ? 0 : undefined;
   }
 
   private *callWithSnapshot(message: SnapshotMessage): Task<SnapshotPieceResponse | undefined> {
--- a/src/replication/membership/membership-join.ts
+++ b/src/replication/membership/membership-join.ts
@@ -1,3 +1,4 @@
+/** Asks the leader to make this node a member whenever it has to be one. */
 import { RpcMethod } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { Clock } from "../../runtime/clock.js";
@@ -5,108 +6,115 @@
 import type { Task } from "../../runtime/task.js";
 import { Runtime } from "../../runtime/runtime.js";
 
-/** How long an answer is waited for at most: the leader may have to commit two entries on slow disks. */
-const askMs = 2000;
-/** How often those contacts are asked again that have answered, until the leader has taken the member in. */
-const retryMs = 150;
-/** In how many rounds no leader is reached before one that answered is asked to forward the request. */
-const roundsUntilForwarded = 4;
-/** How long a member that was taken in waits for what it asked for, before it asks again. */
-const settleMs = 2000;
-/** How often a member looks whether it has to ask. */
-const lookMs = 250;
-/** How often a member that waits looks whether it has what it waits for. */
-const stepMs = 10;
+/** How long a response is awaited: the leader may have to commit two entries on slow disks. */
+const REQUEST_TIMEOUT_MS = 2000;
+/** The time between two rounds of requests to the contacts that owe no response. */
+const RETRY_INTERVAL_MS = 150;
+/** After so many rounds without success, the last contact that responded is asked to forward the request. */
+const ROUNDS_UNTIL_FORWARDED = 4;
+/** How long a node whose request was accepted waits for its effect before it requests again. */
+const SETTLE_TIMEOUT_MS = 2000;
+/** How often a node checks whether it has to request anything. */
+const CHECK_INTERVAL_MS = 250;
+/** How often a waiting node checks whether its condition is met. */
+const POLL_INTERVAL_MS = 10;
 
-const isTaken = (answer: string): boolean => answer.includes('"taken"');
+/** Whether a response says that the leader carried the request out; the text is the leader's JSON. */
+const isAccepted = (text: string): boolean => text.includes('"taken"');
 
-/** A member of the replicated log that may have to ask the leader to be taken in. */
+/** A node that may have to ask the leader for its membership. */
 export interface JoiningMember {
   readonly self: string;
-  /** The command that the leader must carry out for this member, or nothing while the member belongs. */
+  /** The command that the leader must carry out for this node, or nothing while it is a member. */
   readonly request: string | undefined;
-  /** How many snapshots this member was given: the entry that it waits for may be in one, where it can't be seen. */
-  readonly snapshots: number;
-  /** Addresses that may lead or know who does, the likeliest first. */
+  /** How many snapshots were installed here: one may include the awaited entry, which isn't applied by itself then. */
+  readonly installedSnapshots: number;
+  /** Addresses of nodes that may lead or know who does, the likeliest first. */
   readonly contacts: readonly string[];
 }
 
-/** Asks the leader to take this member in, whenever it has to be, over contacts of which many may be gone. */
+/** Sends the request for membership to all contacts, of which many may be unreachable, until the leader accepts it. */
 export class MembershipJoin {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
-  private readonly applicant: JoiningMember;
+  private readonly member: JoiningMember;
   private readonly log: Logger;
-  /** Contacts whose answer is still waited for. */
+  /** Contacts whose response is awaited. */
   private readonly pending = new Set<string>();
-  /** Contacts asked in this round; two that name each other as the leader must not be asked over and over. */
-  private readonly asked = new Set<string>();
-  /** The last contact that answered without having taken the request. */
-  private answered = "";
-  /** The request that the leader has carried out. */
-  private taken = "";
+  /** Contacts tried in this round; two that name each other as the leader must not be tried over and over. */
+  private readonly triedPeers = new Set<string>();
+  /** The last contact that responded without accepting the request. */
+  private lastResponder = "";
+  /** The request that the leader carried out. */
+  private acceptedRequest = "";
 
   constructor(runtime: Runtime, rpc: RpcEndpoint, applicant: JoiningMember) {
     this.runtime = runtime;
     this.rpc = rpc;
-    this.applicant = applicant;
+    this.member = applicant;
     this.log = runtime.loggers.component("record");
   }
 
   /** Runs for as long as the daemon does. */
   *run(): Task {
     for (;;) {
-      const { request } = this.applicant;
-      if (request !== undefined) yield* this.applying(request);
-      yield* Clock.sleep(this.runtime.clock, lookMs);
+      const { request } = this.member;
+      if (request !== undefined) yield* this.requestMembership(request);
+      yield* Clock.sleep(this.runtime.clock, CHECK_INTERVAL_MS);
     }
   }
 
-  /** Asks round by round until the request is taken, or another one or none is due. */
-  private *applying(request: string): Task {
+  /** Requests round by round until the leader accepts, or another request or none is due. */
+  private *requestMembership(request: string): Task {
     const { clock } = this.runtime;
-    const sinceMs = clock.nowMs();
-    const { snapshots } = this.applicant;
+    const startedMs = clock.nowMs();
+    const { installedSnapshots: snapshots } = this.member;
     let rounds = 0;
-    while (this.taken !== request && this.applicant.request === request) {
+    while (this.acceptedRequest !== request && this.member.request === request) {
       rounds += 1;
-      this.asked.clear();
-      this.askAll(request);
-      if (rounds % roundsUntilForwarded === 0) this.ask(this.answered, request, false);
-      yield* this.resting(retryMs, () => this.taken === request);
+      this.triedPeers.clear();
+      this.sendToAll(request);
+      if (rounds % ROUNDS_UNTIL_FORWARDED === 0)
+        this.sendRequest(this.lastResponder, request, false);
+      yield* this.waitUntil(RETRY_INTERVAL_MS, () => this.acceptedRequest === request);
     }
-    if (this.taken !== request) return;
-    const tookMs = Math.round(clock.nowMs() - sinceMs);
-    this.log.info("The leader has taken this member in.", { rounds, tookMs });
+    if (this.acceptedRequest !== request) return;
+    const tookMs = Math.round(clock.nowMs() - startedMs);
+    this.log.info("membership request accepted", { rounds, tookMs });
     const isOver = (): boolean =>
-      this.applicant.request !== request || this.applicant.snapshots !== snapshots;
-    yield* this.resting(settleMs, isOver);
-    this.taken = "";
+      this.member.request !== request || this.member.installedSnapshots !== snapshots;
+    yield* this.waitUntil(SETTLE_TIMEOUT_MS, isOver);
+    this.acceptedRequest = "";
   }
 
-  private *resting(forMs: number, isOver: () => boolean): Task {
+  private *waitUntil(maxMs: number, isOver: () => boolean): Task {
     const { clock } = this.runtime;
-    const untilMs = clock.nowMs() + forMs;
-    while (!isOver() && clock.nowMs() < untilMs) yield* Clock.sleep(clock, stepMs);
+    const untilMs = clock.nowMs() + maxMs;
+    while (!isOver() && clock.nowMs() < untilMs) yield* Clock.sleep(clock, POLL_INTERVAL_MS);
   }
 
-  /** Asks all contacts that don't owe an answer, so that dead ones cost no time; only the leader does what is asked. */
-  private askAll(request: string): void {
-    for (const peer of this.applicant.contacts) this.ask(peer, request, true);
+  /** Sends to all contacts at once, so that unreachable ones cost no time; only the leader carries the request out. */
+  private sendToAll(request: string): void {
+    for (const peer of this.member.contacts) this.sendRequest(peer, request, true);
   }
 
-  private ask(peer: string, request: string, forwarded: boolean): void {
-    if (peer === "" || peer === this.applicant.self || this.pending.has(peer)) return;
+  private sendRequest(peer: string, request: string, forwarded: boolean): void {
+    if (peer === "" || peer === this.member.self || this.pending.has(peer)) return;
     this.pending.add(peer);
-    this.asked.add(peer);
-    const asking = this.rpc.call(peer, RpcMethod.command, { forwarded, text: request }, askMs);
-    Runtime.start(this.runtime, "record", asking, (ret) => {
+    this.triedPeers.add(peer);
+    const calling = this.rpc.call(
+      peer,
+      RpcMethod.command,
+      { forwarded, text: request },
+      REQUEST_TIMEOUT_MS,
+    );
+    Runtime.start(this.runtime, "record", calling, (response) => {
       this.pending.delete(peer);
-      if (!ret) return;
-      if (isTaken(ret.text)) this.taken = request;
+      if (!response) return;
+      if (isAccepted(response.text)) this.acceptedRequest = request;
       else {
-        this.answered = peer;
-        if (!this.asked.has(ret.leader)) this.ask(ret.leader, request, true);
+        this.lastResponder = peer;
+        if (!this.triedPeers.has(response.leader)) this.sendRequest(response.leader, request, true);
       }
     });
   }
--- a/src/replication/membership/membership-leave.ts
+++ b/src/replication/membership/membership-leave.ts
@@ -1,3 +1,4 @@
+/** Reports to the leader that this node is about to stop, until it may. */
 import { create, object, boolean, type Infer } from "superstruct";
 import { RpcMethod } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
@@ -5,60 +6,65 @@
 import { Task } from "../../runtime/task.js";
 import type { Runtime } from "../../runtime/runtime.js";
 
-/** How long one answer of the leader is waited for; it needs no disk and no other member. */
-const askMs = 300;
-/** How often a member that stops tells the leader so; the leader forgets it unless it is told again. */
-const repeatMs = 100;
+/** How long the leader's response is awaited; it needs no disk and no other member. */
+const REPORT_TIMEOUT_MS = 300;
+/** How often a stopping node reports to the leader, which otherwise forgets it. */
+const REPORT_INTERVAL_MS = 100;
 
-const answerShape = object({
-  /** Whether the member votes, in a group that is committed. */
+const leaveStatusShape = object({
+  /** Whether the node is a voter, or a change of the members is not committed yet. */
   isVoter: boolean(),
-  /** Whether a majority of the voters holds all that the member may have acknowledged, without it. */
+  /** Whether a majority of the voters has all that the node may have acknowledged, without counting it. */
   isHeld: boolean(),
 });
 
-/** What the leader tells a member that is about to stop. */
-export type LeaveStatus = Infer<typeof answerShape>;
+/** The leader's response to a node that is about to stop. */
+export type LeaveStatus = Infer<typeof leaveStatusShape>;
 
-/** A member of the replicated log that is told to stop. */
+/** A node that is about to stop. */
 export interface LeavingMember {
   readonly self: string;
-  /** Who leads as far as is known here; an empty word where nobody does, its own address where it does. */
+  /** The known leader's address; an empty text where there is none, its own address where it leads. */
   readonly leader: string;
-  /** The last index that this member may have acknowledged. */
+  /** The last index that this node may have acknowledged. */
   readonly lastIndex: number;
 }
 
-/** Tells the leader that this member is about to stop, and learns when it may. */
+/** Reports that this node is about to stop, and receives its status. */
 export class MembershipLeave {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
-  private readonly leaver: LeavingMember;
+  private readonly member: LeavingMember;
 
   constructor(runtime: Runtime, rpc: RpcEndpoint, leaver: LeavingMember) {
     this.runtime = runtime;
     this.rpc = rpc;
-    this.leaver = leaver;
+    this.member = leaver;
   }
 
-  /** Repeats that this member leaves until the answer satisfies, or a moment of the clock has come; tells which. */
-  *until(satisfies: (answer: LeaveStatus) => boolean, untilMs: number): Task<boolean> {
+  /** Repeats the report until a status satisfies, or a moment of the clock has come; returns whether one did. */
+  *until(satisfies: (status: LeaveStatus) => boolean, untilMs: number): Task<boolean> {
     const { clock } = this.runtime;
     while (clock.nowMs() < untilMs) {
-      const answer = yield* this.telling();
-      if (answer && satisfies(answer)) return true;
-      yield* Clock.sleep(clock, Math.max(0, Math.min(repeatMs, untilMs - clock.nowMs())));
+      const status = yield* this.report();
+      if (status && satisfies(status)) return true;
+      yield* Clock.sleep(clock, Math.max(0, Math.min(REPORT_INTERVAL_MS, untilMs - clock.nowMs())));
     }
     return false;
   }
 
-  private *telling(): Task<LeaveStatus | undefined> {
-    const { leader, self, lastIndex } = this.leaver;
+  private *report(): Task<LeaveStatus | undefined> {
+    const { leader, self, lastIndex } = this.member;
     if (leader === "" || leader === self) return undefined;
     const text = JSON.stringify({ kind: "stopping", machine: self, lastIndex });
-    const ret = yield* this.rpc.call(leader, RpcMethod.command, { forwarded: true, text }, askMs);
-    return ret?.text.includes('"isHeld"') === true
-      ? create(JSON.parse(ret.text), answerShape)
+    const response = yield* this.rpc.call(
+      leader,
+      RpcMethod.command,
+      { forwarded: true, text },
+      REPORT_TIMEOUT_MS,
+    );
+    return response?.text.includes('"isHeld"') === true
+      ? create(JSON.parse(response.text), leaveStatusShape)
       : undefined;
   }
 }
--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -87,8 +87,8 @@
     if (!mayChangeMembers(consensus.current, consensus.context)) return;
     const change = MembershipPolicy.next(this.viewSince(leadingSinceMs));
     if (!change) return;
-    const { kind, member, why } = change;
-    log.warn("membership change", { change: kind, member, why });
+    const { kind, member, reason } = change;
+    log.warn("membership change", { change: kind, member, why: reason });
     this.change(MembershipPolicy.after(consensus.current.members, change));
   }
 
@@ -106,21 +106,21 @@
       self,
       voters: members.voters,
       learners: members.learners,
-      leaving: this.stoppingMembers(),
+      stopping: this.stoppingMembers(),
       wantedVoters: NodeLocation.voters(location),
       committedIndex,
       progressOf: (member) =>
         member === self
-          ? { silentMs: 0, answered: true, provenMs: 0, matchedIndex: syncedIndex }
+          ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchedIndex: syncedIndex }
           : {
-              silentMs:
+              unresponsiveMs:
                 nowMs - Math.max(leadingSinceMs, acknowledgedSentMs.get(member) ?? leadingSinceMs),
-              answered: acknowledgedSentMs.has(member),
-              provenMs: nowMs - (responsiveSinceMs.get(member) ?? nowMs),
+              hasAcknowledged: acknowledgedSentMs.has(member),
+              responsiveMs: nowMs - (responsiveSinceMs.get(member) ?? nowMs),
               matchedIndex: matched.get(member) ?? 0,
             },
-      waits: {
-        answersWithinMs: timeouts.electionMaxMs,
+      timeouts: {
+        responsiveWithinMs: timeouts.electionMaxMs,
         replaceAfterMs: timeouts.replaceAfterMs,
         responsiveAfterMs: timeouts.responsiveAfterMs,
         forgetAfterMs: timeouts.forgetAfterMs,
--- a/src/replication/membership/membership-policy.ts
+++ b/src/replication/membership/membership-policy.ts
@@ -1,34 +1,35 @@
 /**
- * Decides which member of the replicated-log group is replaced when. Pure: it sees what the leader knows at one moment and
- * names the next change of membership, one member at a time.
+ * Decides when which member of the replicated log is replaced. Pure: it reads what the leader knows at one moment and returns
+ * the next change of membership, one member at a time.
  *
- * Order matters for availability. A voter that is lost is demoted before its successor, which has just started, is promoted: of
- * 2f + 1 voters f + 1 are a majority, and so they are of the 2f that remain, so that no step needs more members than answer
- * already, nor the new one. A voter that may still come back, or still answers, is replaced the other way round where the
- * learner is proven: of 2f + 2 voters f + 2 are a majority, which are left after the loss of any f. Two groups that follow on each other differ by one voter, so any two of their majorities share a member.
+ * Order matters for availability. A lost voter is demoted before its successor, which has just started, is promoted: of 2f + 1
+ * voters f + 1 are a majority, and so they are of the 2f that remain, so that no step needs more members than are responsive
+ * already, nor the new one. A voter that may still recover, or still responds, is replaced the other way round where the
+ * learner has been responsive for long: of 2f + 2 voters f + 2 are a majority, which remain after the loss of any f. Two
+ * successive groups differ by one voter, so any two of their majorities share a member.
  */
 
-/** What the leader knows of a member since it began to lead; of itself, that it answers and what its own disk holds. */
+/** What the leader knows of a member since it began to lead; of itself, that it is responsive and what is on its own disk. */
 export interface MemberProgress {
-  /** How long ago the last request was sent that the member acknowledged; since the leader began to lead where none was. */
-  readonly silentMs: number;
-  /** Whether the member acknowledged anything under this leader; only those that hold all they ever acknowledged do. */
-  readonly answered: boolean;
+  /** The time since the last request was sent that the member acknowledged; since the leader began to lead where none was. */
+  readonly unresponsiveMs: number;
+  /** Whether the member acknowledged anything under this leader; only those that have all they ever acknowledged do. */
+  readonly hasAcknowledged: boolean;
   /** For how long the member has acknowledged this leader's requests, from the first one on. */
-  readonly provenMs: number;
-  /** Up to which index the member's log is known to be the leader's. */
+  readonly responsiveMs: number;
+  /** The index up to which the member's log is known to match the leader's. */
   readonly matchedIndex: number;
 }
 
-/** The waits that decide when a member counts as lost. */
+/** The durations that decide when a member counts as lost. */
 export interface MembershipTimeouts {
-  /** How long a member may be silent and still be taken for one that answers. */
-  readonly answersWithinMs: number;
-  /** How long a voter is silent until it is replaced. */
+  /** How long a member may be without an acknowledgment and still count as responsive. */
+  readonly responsiveWithinMs: number;
+  /** How long a voter is unresponsive until it is replaced. */
   readonly replaceAfterMs: number;
-  /** How long a learner must have answered so that its own loss would count as one more. */
+  /** How long a learner must have been responsive so that losing it would count as one more failure. */
   readonly responsiveAfterMs: number;
-  /** How long a learner is silent until it is removed from the group. */
+  /** How long a learner is unresponsive until it is removed. */
   readonly forgetAfterMs: number;
 }
 
@@ -37,102 +38,103 @@
   readonly self: string;
   readonly voters: readonly string[];
   readonly learners: readonly string[];
-  /** Members that have told the leader that they are about to stop. */
-  readonly leaving: ReadonlySet<string>;
+  /** Members that reported that they are about to stop. */
+  readonly stopping: ReadonlySet<string>;
   readonly wantedVoters: number;
   readonly committedIndex: number;
   progressOf(member: string): MemberProgress;
-  readonly waits: MembershipTimeouts;
+  readonly timeouts: MembershipTimeouts;
 }
 
 /** One change of the membership, and why it is made. */
 export type MembershipChange =
-  | { readonly kind: "promote"; readonly member: string; readonly why: string }
-  | { readonly kind: "demote"; readonly member: string; readonly why: string }
-  | { readonly kind: "remove"; readonly member: string; readonly why: string };
+  | { readonly kind: "promote"; readonly member: string; readonly reason: string }
+  | { readonly kind: "demote"; readonly member: string; readonly reason: string }
+  | { readonly kind: "remove"; readonly member: string; readonly reason: string };
 
 /** How many entries a learner may lack and still be promoted; it gets them with the next request. */
-const readyWithinEntries = 64;
+const MAX_READY_LAG_ENTRIES = 64;
 
-const majorityOf = (voters: number): number => Math.floor(voters / 2) + 1;
+const majoritySize = (voters: number): number => Math.floor(voters / 2) + 1;
 
-const answers = (view: MembershipView, member: string): boolean => {
-  const { answered, silentMs } = view.progressOf(member);
-  return answered && silentMs < view.waits.answersWithinMs;
+const isResponsive = (view: MembershipView, member: string): boolean => {
+  const { hasAcknowledged, unresponsiveMs } = view.progressOf(member);
+  return hasAcknowledged && unresponsiveMs < view.timeouts.responsiveWithinMs;
 };
 
 const isLost = (view: MembershipView, member: string): boolean =>
-  view.progressOf(member).silentMs > view.waits.replaceAfterMs;
+  view.progressOf(member).unresponsiveMs > view.timeouts.replaceAfterMs;
 
 const isReady = (view: MembershipView, learner: string): boolean =>
-  !view.leaving.has(learner) &&
-  answers(view, learner) &&
-  view.progressOf(learner).matchedIndex + readyWithinEntries >= view.committedIndex;
+  !view.stopping.has(learner) &&
+  isResponsive(view, learner) &&
+  view.progressOf(learner).matchedIndex + MAX_READY_LAG_ENTRIES >= view.committedIndex;
 
-/** Whether the members that answer are a majority of a group of voters. */
+/** Whether the responsive members are a majority of a group of voters. */
 const hasMajority = (view: MembershipView, voters: readonly string[]): boolean =>
-  voters.filter((voter) => answers(view, voter)).length >= majorityOf(voters.length);
+  voters.filter((voter) => isResponsive(view, voter)).length >= majoritySize(voters.length);
 
-const demotion = (
+const demote = (
   view: MembershipView,
   member: string,
-  why: string,
+  reason: string,
 ): MembershipChange | undefined =>
   hasMajority(
     view,
     view.voters.filter((voter) => voter !== member),
   )
-    ? { kind: "demote", member, why }
+    ? { kind: "demote", member, reason }
     : undefined;
 
-const promotion = (
+const promote = (
   view: MembershipView,
   member: string,
-  why: string,
+  reason: string,
 ): MembershipChange | undefined =>
-  hasMajority(view, [...view.voters, member]) ? { kind: "promote", member, why } : undefined;
+  hasMajority(view, [...view.voters, member]) ? { kind: "promote", member, reason } : undefined;
 
-/** A voter too many: one that leaves goes first, then one that is lost. */
-const surplus = (view: MembershipView): MembershipChange | undefined => {
-  const leaving = view.voters.find((voter) => voter !== view.self && view.leaving.has(voter));
-  if (leaving !== undefined) return demotion(view, leaving, "it leaves, and others are enough");
+/** Demotes a voter too many: one that is about to stop first, then one that is lost. */
+const removeSurplusVoter = (view: MembershipView): MembershipChange | undefined => {
+  const stopping = view.voters.find((voter) => voter !== view.self && view.stopping.has(voter));
+  if (stopping !== undefined) return demote(view, stopping, "stopping, and enough voters remain");
   const lost = view.voters.find((voter) => isLost(view, voter));
   return lost === undefined
     ? undefined
-    : demotion(view, lost, "it is silent, and others are enough");
+    : demote(view, lost, "unresponsive, and enough voters remain");
 };
 
-/** A voter that is lost or leaves gives its place to a learner that is ready. */
-const exchange = (view: MembershipView, ready: string): MembershipChange | undefined => {
+/** Replaces a voter that is lost or about to stop by a learner that is ready. */
+const replaceVoter = (view: MembershipView, ready: string): MembershipChange | undefined => {
   const lost = view.voters.find((voter) => isLost(view, voter));
-  if (lost !== undefined && view.progressOf(ready).provenMs >= view.waits.responsiveAfterMs)
-    return promotion(view, ready, `it takes the place of ${lost}, which is silent`);
+  if (lost !== undefined && view.progressOf(ready).responsiveMs >= view.timeouts.responsiveAfterMs)
+    return promote(view, ready, `replaces ${lost}, which is unresponsive`);
   if (lost !== undefined)
-    return demotion(view, lost, `it is silent, and ${ready} is ready to take its place`);
-  const leaving = view.voters.find((voter) => voter !== view.self && view.leaving.has(voter));
-  if (leaving === undefined || !view.voters.every((voter) => answers(view, voter)))
+    return demote(view, lost, `unresponsive, and ${ready} is ready to replace it`);
+  const stopping = view.voters.find((voter) => voter !== view.self && view.stopping.has(voter));
+  if (stopping === undefined || !view.voters.every((voter) => isResponsive(view, voter)))
     return undefined;
-  return promotion(view, ready, `it takes the place of ${leaving}, which leaves`);
+  return promote(view, ready, `replaces ${stopping}, which is stopping`);
 };
 
-const forgotten = (view: MembershipView): MembershipChange | undefined => {
+const removeLostLearner = (view: MembershipView): MembershipChange | undefined => {
   const member = view.learners.find(
-    (learner) => view.progressOf(learner).silentMs > view.waits.forgetAfterMs,
+    (learner) => view.progressOf(learner).unresponsiveMs > view.timeouts.forgetAfterMs,
   );
   return member === undefined
     ? undefined
-    : { kind: "remove", member, why: "it has been silent for long" };
+    : { kind: "remove", member, reason: "unresponsive for long" };
 };
 
+/** The policy by which a leader changes the members. */
 export const MembershipPolicy = {
   /** The next change of the membership, or none. */
   next(view: MembershipView): MembershipChange | undefined {
     const { voters, learners, wantedVoters } = view;
     const ready = learners.find((learner) => isReady(view, learner));
-    if (voters.length > wantedVoters) return surplus(view) ?? forgotten(view);
-    if (ready === undefined) return forgotten(view);
-    if (voters.length < wantedVoters) return promotion(view, ready, "there are too few voters");
-    return exchange(view, ready) ?? forgotten(view);
+    if (voters.length > wantedVoters) return removeSurplusVoter(view) ?? removeLostLearner(view);
+    if (ready === undefined) return removeLostLearner(view);
+    if (voters.length < wantedVoters) return promote(view, ready, "too few voters");
+    return replaceVoter(view, ready) ?? removeLostLearner(view);
   },
 
   /** The group after a change. */
@@ -153,15 +155,15 @@
     }
   },
 
-  /** Whether a majority of the voters holds what is committed, and all up to an index, without counting one of them. */
-  isHeldWithout(view: MembershipView, leaver: string, index: number): boolean {
-    const heldIndex = Math.max(view.committedIndex, index);
+  /** Whether a majority of the voters has what is committed, and all up to an index, without counting one of them. */
+  isHeldWithout(view: MembershipView, stopping: string, index: number): boolean {
+    const neededIndex = Math.max(view.committedIndex, index);
     const holders = view.voters.filter(
       (voter) =>
-        voter !== leaver &&
-        answers(view, voter) &&
-        view.progressOf(voter).matchedIndex >= heldIndex,
+        voter !== stopping &&
+        isResponsive(view, voter) &&
+        view.progressOf(voter).matchedIndex >= neededIndex,
     );
-    return holders.length >= majorityOf(view.voters.length);
+    return holders.length >= majoritySize(view.voters.length);
   },
 };
--- a/src/replication/membership/own-membership.ts
+++ b/src/replication/membership/own-membership.ts
@@ -41,7 +41,7 @@
       get request() {
         return request();
       },
-      get snapshots() {
+      get installedSnapshots() {
         return snapshots.installedCount;
       },
       get contacts() {
--- a/src/replication/snapshot/snapshot-installer.ts
+++ b/src/replication/snapshot/snapshot-installer.ts
@@ -96,7 +96,7 @@
     this.installed += 1;
     applier.onRestored(lastIndex);
     const { truncations } = consensus.current;
-    const pending = { term, cuts: truncations, counts, matched: lastIndex };
+    const pending = { term, truncations, counts, matched: lastIndex };
     writer.writeSnapshot(durableState, () => {
       const heldIndex = lastIndex + entries.length;
       const { current, context } = consensus;
--- a/src/replication/snapshot/snapshot-receiver.ts
+++ b/src/replication/snapshot/snapshot-receiver.ts
@@ -1,3 +1,4 @@
+/** Assembles a leader's snapshot from its pieces. */
 import { crc32, inflateRawSync } from "node:zlib";
 import {
   SNAPSHOT_PIECE_BYTES,
@@ -5,18 +6,18 @@
   type SnapshotPiece,
 } from "./snapshot-sender.js";
 
-/** The largest snapshot that is taken. */
-const maxSnapshotBytes = 64 * 1024 * 1024;
+/** The largest snapshot that is accepted. */
+const MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024;
 
-/** How a piece was taken: more is wanted, or the text is whole. */
+/** The result of a piece: more pieces are needed, or the text is complete. */
 export type SnapshotReceived =
   | {
       readonly kind: "partial";
       readonly receivedBytes: number;
-      /** Whether this piece was added to what is held. */
+      /** Whether this piece was added to the received ones. */
       readonly isAdded: boolean;
     }
-  | { readonly kind: "whole"; readonly text: string };
+  | { readonly kind: "complete"; readonly text: string };
 
 /** What has been received of one snapshot. */
 interface Assembly {
@@ -25,55 +26,56 @@
   receivedBytes: number;
 }
 
-const isSame = (one: SnapshotIdentity, other: SnapshotIdentity): boolean =>
+const isSameSnapshot = (one: SnapshotIdentity, other: SnapshotIdentity): boolean =>
   one.lastIndex === other.lastIndex &&
   one.lastTerm === other.lastTerm &&
   one.totalBytes === other.totalBytes &&
   one.checksum === other.checksum;
 
-/** The text of a piece, or nothing where its bytes are no piece that fits. */
-const inflated = (bytes: Uint8Array, wantedBytes: number): Buffer | undefined => {
+/** The inflated bytes of a piece, or nothing where they aren't of the expected size. */
+const inflatePiece = (bytes: Uint8Array, expectedBytes: number): Buffer | undefined => {
   try {
     const text = inflateRawSync(bytes, { maxOutputLength: SNAPSHOT_PIECE_BYTES });
-    return text.length === wantedBytes ? text : undefined;
+    return text.length === expectedBytes ? text : undefined;
   } catch {
     return undefined;
   }
 };
 
-/** Puts a snapshot together from its pieces, one snapshot at a time; the pieces are held as they came, deflated. */
+/** Receives one snapshot at a time; its pieces are retained deflated. */
 export class SnapshotReceiver {
   private assembly: Assembly | undefined;
 
-  /** How much of the snapshot that is being received is held. */
+  /** How much of the current snapshot has been received. */
   get receivedBytes(): number {
     return this.assembly?.receivedBytes ?? 0;
   }
 
-  /** Takes a piece. One that doesn't follow what is held changes nothing; one of another snapshot begins anew. */
+  /** Accepts a piece. One that doesn't follow the received ones changes nothing; one of another snapshot begins anew. */
   take(piece: SnapshotPiece): SnapshotReceived {
     const { lastIndex, lastTerm, totalBytes, checksum } = piece;
-    if (totalBytes > maxSnapshotBytes) return { kind: "partial", receivedBytes: 0, isAdded: false };
-    if (!this.assembly || !isSame(this.assembly.identity, piece))
+    if (totalBytes > MAX_SNAPSHOT_BYTES)
+      return { kind: "partial", receivedBytes: 0, isAdded: false };
+    if (!this.assembly || !isSameSnapshot(this.assembly.identity, piece))
       this.assembly = {
         identity: { lastIndex, lastTerm, totalBytes, checksum },
         pieces: [],
         receivedBytes: 0,
       };
     const { assembly } = this;
-    const wantedBytes = Math.min(SNAPSHOT_PIECE_BYTES, totalBytes - assembly.receivedBytes);
+    const expectedBytes = Math.min(SNAPSHOT_PIECE_BYTES, totalBytes - assembly.receivedBytes);
     const follows = piece.bytes.length > 0 && piece.offset === assembly.receivedBytes;
-    const isAdded = follows && inflated(piece.bytes, wantedBytes) !== undefined;
+    const isAdded = follows && inflatePiece(piece.bytes, expectedBytes) !== undefined;
     if (isAdded) {
       assembly.pieces.push(Uint8Array.from(piece.bytes));
-      assembly.receivedBytes += wantedBytes;
+      assembly.receivedBytes += expectedBytes;
     }
     if (assembly.receivedBytes < totalBytes)
       return { kind: "partial", receivedBytes: assembly.receivedBytes, isAdded };
     return this.finish(assembly);
   }
 
-  /** Drops what is held of a snapshot that ends at an index or before; tells whether there was any. */
+  /** Drops what was received of a snapshot that ends at an index or before; returns whether there was any. */
   dropUpTo(index: number): boolean {
     if (!this.assembly || this.assembly.identity.lastIndex > index) return false;
     this.assembly = undefined;
@@ -84,7 +86,7 @@
     this.assembly = undefined;
     const bytes = Buffer.concat(pieces.map((piece) => inflateRawSync(piece)));
     return crc32(bytes) === identity.checksum
-      ? { kind: "whole", text: bytes.toString("utf8") }
+      ? { kind: "complete", text: bytes.toString("utf8") }
       : { kind: "partial", receivedBytes: 0, isAdded: false };
   }
 }
--- a/src/replication/snapshot/snapshot-sender.ts
+++ b/src/replication/snapshot/snapshot-sender.ts
@@ -1,13 +1,14 @@
+/** A leader's transfers of its snapshot, in pieces, to members that are behind its log. */
 import { crc32, deflateRawSync } from "node:zlib";
 
 /** How much of a snapshot's text one piece carries. */
 export const SNAPSHOT_PIECE_BYTES = 256 * 1024;
-/** How long a snapshot and the log after it are held for transfers that come no further. */
-const idleMs = 10_000;
-/** After so many pieces without an answer, from a member that never answered one, the whole goes as one message once. */
-const unansweredPieces = 3;
+/** How long a snapshot and the log after it are retained for a transfer that doesn't advance. */
+const TRANSFER_IDLE_MS = 10_000;
+/** After so many pieces without a reply, to a member that never replied to one, the complete snapshot is sent once. */
+const PIECES_BEFORE_COMPLETE = 3;
 
-/** Which snapshot a piece belongs to; the same text at the same place in the log has the same identity. */
+/** Which snapshot a piece belongs to; the same text at the same index of the log has the same identity. */
 export interface SnapshotIdentity {
   readonly lastIndex: number;
   readonly lastTerm: number;
@@ -15,7 +16,7 @@
   readonly checksum: number;
 }
 
-/** One piece of a snapshot; without bytes it asks how much has been received. */
+/** One piece of a snapshot; without bytes it queries how much has been received. */
 export interface SnapshotPiece extends SnapshotIdentity {
   /** Where in the text the piece begins. */
   readonly offset: number;
@@ -39,51 +40,51 @@
     };
   }
 
-  /** The whole text, for members of builds that know no pieces. */
+  /** The complete text, for members of builds that know no pieces. */
   get text(): string {
     return this.bytes.toString("utf8");
   }
 
   /** The piece that begins at an offset. */
   piece(offset: number): SnapshotPiece {
-    const known = this.deflated.get(offset);
+    const cached = this.deflated.get(offset);
     const bytes =
-      known ?? deflateRawSync(this.bytes.subarray(offset, offset + SNAPSHOT_PIECE_BYTES));
+      cached ?? deflateRawSync(this.bytes.subarray(offset, offset + SNAPSHOT_PIECE_BYTES));
     this.deflated.set(offset, bytes);
     return { ...this.identity, offset, bytes };
   }
 
-  /** The question how much of this snapshot has been received. */
-  get question(): SnapshotPiece {
+  /** The query how much of this snapshot has been received. */
+  get query(): SnapshotPiece {
     return { ...this.identity, offset: 0, bytes: new Uint8Array() };
   }
 }
 
-/** How far the transfer to one member has come. */
+/** The progress of the transfer to one member. */
 interface Transfer {
   readonly snapshot: SharedSnapshot;
-  /** What the member is known to have received; nothing before it was asked. */
+  /** What the member is known to have received; `undefined` before it was queried. */
   readonly receivedBytes: number | undefined;
-  readonly answeredMs: number;
+  readonly advancedMs: number;
 }
 
-/** What is sent next: a piece, or to a member that may not know of pieces the whole in one message. */
+/** The next message: a piece, or the complete snapshot for a member that may not know of pieces. */
 export type SnapshotMessage =
   | { readonly kind: "piece"; readonly snapshot: SharedSnapshot; readonly piece: SnapshotPiece }
-  | { readonly kind: "whole"; readonly snapshot: SharedSnapshot };
+  | { readonly kind: "complete"; readonly snapshot: SharedSnapshot };
 
-/** A leader's transfers of its snapshot to members that are behind its log. It sends nothing itself. */
+/** Decides what each transfer sends next; it sends nothing itself. */
 export class SnapshotSender {
   private shared: SharedSnapshot | undefined;
   private readonly transfers = new Map<string, Transfer>();
-  private readonly answeredOnce = new Set<string>();
-  private readonly unanswered = new Map<string, number>();
+  private readonly repliedPeers = new Set<string>();
+  private readonly messagesWithoutReply = new Map<string, number>();
 
   /**
-   * What a member is sent next. The shared snapshot is used as long as the log reaches back to it, so that entries can
-   * follow it; else `make` gives a new one.
+   * The next message to a member. The shared snapshot is used as long as the log reaches back to it, so that entries can
+   * follow it; else `make` returns a new one.
    */
-  next(
+  nextMessage(
     peer: string,
     baseIndex: number,
     nowMs: number,
@@ -93,51 +94,54 @@
     const snapshot = this.shared;
     let transfer = this.transfers.get(peer);
     if (transfer?.snapshot !== snapshot) {
-      transfer = { snapshot, receivedBytes: undefined, answeredMs: nowMs };
+      transfer = { snapshot, receivedBytes: undefined, advancedMs: nowMs };
       this.transfers.set(peer, transfer);
     }
-    const count = this.unanswered.get(peer) ?? 0;
-    this.unanswered.set(peer, count + 1);
-    if (!this.answeredOnce.has(peer) && count % (unansweredPieces + 1) === unansweredPieces)
-      return { kind: "whole", snapshot };
+    const count = this.messagesWithoutReply.get(peer) ?? 0;
+    this.messagesWithoutReply.set(peer, count + 1);
+    if (
+      !this.repliedPeers.has(peer) &&
+      count % (PIECES_BEFORE_COMPLETE + 1) === PIECES_BEFORE_COMPLETE
+    )
+      return { kind: "complete", snapshot };
     const isOnePiece = snapshot.identity.totalBytes <= SNAPSHOT_PIECE_BYTES;
     const receivedBytes = transfer.receivedBytes ?? (isOnePiece ? 0 : undefined);
-    const piece = receivedBytes === undefined ? snapshot.question : snapshot.piece(receivedBytes);
+    const piece = receivedBytes === undefined ? snapshot.query : snapshot.piece(receivedBytes);
     return { kind: "piece", snapshot, piece };
   }
 
-  /** A member told how much of a snapshot it has received; tells whether the transfer came further by that. */
-  answered(peer: string, receivedBytes: number, nowMs: number): boolean {
-    this.answeredOnce.add(peer);
-    this.unanswered.delete(peer);
+  /** A member replied how much of the snapshot it has received; returns whether the transfer advanced. */
+  onReply(peer: string, receivedBytes: number, nowMs: number): boolean {
+    this.repliedPeers.add(peer);
+    this.messagesWithoutReply.delete(peer);
     const transfer = this.transfers.get(peer);
     if (!transfer) return false;
     const { totalBytes } = transfer.snapshot.identity;
     const isWithin = receivedBytes < totalBytes && receivedBytes % SNAPSHOT_PIECE_BYTES === 0;
     const nextBytes = isWithin ? receivedBytes : 0;
-    const isFurther = nextBytes > (transfer.receivedBytes ?? -1);
-    const answeredMs = isFurther ? nowMs : transfer.answeredMs;
-    this.transfers.set(peer, { ...transfer, receivedBytes: nextBytes, answeredMs });
-    return isFurther;
+    const hasAdvanced = nextBytes > (transfer.receivedBytes ?? -1);
+    const answeredMs = hasAdvanced ? nowMs : transfer.advancedMs;
+    this.transfers.set(peer, { ...transfer, receivedBytes: nextBytes, advancedMs: answeredMs });
+    return hasAdvanced;
   }
 
-  /** A piece got no answer: the member is asked anew how much it holds. */
-  lost(peer: string): void {
+  /** A message got no reply: the member is queried again how much it has received. */
+  onNoReply(peer: string): void {
     const transfer = this.transfers.get(peer);
     if (transfer) this.transfers.set(peer, { ...transfer, receivedBytes: undefined });
   }
 
   /** A member needs no snapshot any more. */
-  ended(peer: string): void {
+  end(peer: string): void {
     this.transfers.delete(peer);
-    this.unanswered.delete(peer);
+    this.messagesWithoutReply.delete(peer);
     if (this.transfers.size === 0) this.shared = undefined;
   }
 
-  /** The index after which the log must stay for transfers that go on, or nothing. */
-  heldIndex(nowMs: number): number | undefined {
-    for (const [peer, { answeredMs }] of this.transfers)
-      if (nowMs - answeredMs > idleMs) this.ended(peer);
+  /** The index after which the log must be retained for transfers under way, or nothing. */
+  retainedIndex(nowMs: number): number | undefined {
+    for (const [peer, { advancedMs: answeredMs }] of this.transfers)
+      if (nowMs - answeredMs > TRANSFER_IDLE_MS) this.end(peer);
     return this.shared?.identity.lastIndex;
   }
 }
--- a/test/replication/membership/membership-policy.test.ts
+++ b/test/replication/membership/membership-policy.test.ts
@@ -6,13 +6,23 @@
 } from "../../../src/replication/membership/membership-policy.js";
 
 const waits = {
-  answersWithinMs: 500,
+  responsiveWithinMs: 500,
   replaceAfterMs: 1000,
   responsiveAfterMs: 4000,
   forgetAfterMs: 60_000,
 };
-const well: MemberProgress = { silentMs: 60, answered: true, provenMs: 1000, matchedIndex: 100 };
-const lost: MemberProgress = { silentMs: 2000, answered: false, provenMs: 0, matchedIndex: 0 };
+const well: MemberProgress = {
+  unresponsiveMs: 60,
+  hasAcknowledged: true,
+  responsiveMs: 1000,
+  matchedIndex: 100,
+};
+const lost: MemberProgress = {
+  unresponsiveMs: 2000,
+  hasAcknowledged: false,
+  responsiveMs: 0,
+  matchedIndex: 0,
+};
 
 /** A view of a leader "a" whose members answer, but for those whose progress is given. */
 const viewOf = (
@@ -24,11 +34,11 @@
   self: "a",
   voters: [...voters],
   learners: [...learners],
-  leaving: new Set(),
+  stopping: new Set(),
   wantedVoters: 3,
   committedIndex: 100,
   progressOf: (member) => ({ ...well, ...progress[member] }),
-  waits,
+  timeouts: waits,
   ...more,
 });
 const next = (view: MembershipView): string => {
@@ -40,9 +50,9 @@
   expect(next(viewOf("abc", "d"))).toBe("none");
   expect(next(viewOf("abc", "", { c: lost }))).toBe("none");
   expect(next(viewOf("abc", "d", { c: lost, d: { matchedIndex: 10 } }))).toBe("none");
-  expect(next(viewOf("abc", "d", { c: lost, d: { answered: false } }))).toBe("none");
-  expect(next(viewOf("abc", "d", { c: lost, d: { silentMs: 600 } }))).toBe("none");
-  expect(next(viewOf("abc", "d", { c: { silentMs: 990 } }))).toBe("none");
+  expect(next(viewOf("abc", "d", { c: lost, d: { hasAcknowledged: false } }))).toBe("none");
+  expect(next(viewOf("abc", "d", { c: lost, d: { unresponsiveMs: 600 } }))).toBe("none");
+  expect(next(viewOf("abc", "d", { c: { unresponsiveMs: 990 } }))).toBe("none");
 });
 
 test("a lost voter goes first, then the learner takes its place", () => {
@@ -52,11 +62,11 @@
 });
 
 test("a lost voter, which may come back, stays until a proven learner has joined it", () => {
-  const progress = { c: lost, d: { provenMs: 4000 } };
+  const progress = { c: lost, d: { responsiveMs: 4000 } };
   expect(next(viewOf("abc", "d", progress))).toBe("promote d");
   expect(next(viewOf("abcd", "", progress))).toBe("demote c");
   expect(next(viewOf("abd", "c", progress))).toBe("none");
-  expect(next(viewOf("abc", "d", { ...progress, b: { silentMs: 600 } }))).toBe("none");
+  expect(next(viewOf("abc", "d", { ...progress, b: { unresponsiveMs: 600 } }))).toBe("none");
 });
 
 test("two lost voters of five are replaced one after the other", () => {
@@ -70,29 +80,29 @@
 });
 
 test("no change is begun that the members that answer can't commit", () => {
-  expect(next(viewOf("abc", "d", { b: { silentMs: 600 }, c: lost }))).toBe("none");
-  expect(next(viewOf("ab", "d", { b: { silentMs: 600 } }))).toBe("promote d");
-  expect(next(viewOf("abcd", "", { c: lost, d: { silentMs: 600 } }))).toBe("demote c");
-  const two = { b: { silentMs: 600 }, c: lost, d: { silentMs: 600 } };
+  expect(next(viewOf("abc", "d", { b: { unresponsiveMs: 600 }, c: lost }))).toBe("none");
+  expect(next(viewOf("ab", "d", { b: { unresponsiveMs: 600 } }))).toBe("promote d");
+  expect(next(viewOf("abcd", "", { c: lost, d: { unresponsiveMs: 600 } }))).toBe("demote c");
+  const two = { b: { unresponsiveMs: 600 }, c: lost, d: { unresponsiveMs: 600 } };
   expect(next(viewOf("abcd", "", two))).toBe("none");
 });
 
 test("a voter that leaves is replaced while all still answer: the learner goes first", () => {
-  const leaving = { leaving: new Set("c") };
-  expect(next(viewOf("abc", "d", {}, leaving))).toBe("promote d");
-  expect(next(viewOf("abcd", "", {}, leaving))).toBe("demote c");
-  expect(next(viewOf("abd", "c", {}, leaving))).toBe("none");
-  expect(next(viewOf("abc", "d", { b: { silentMs: 600 } }, leaving))).toBe("none");
-  expect(next(viewOf("abc", "", {}, leaving))).toBe("none");
+  const stopping = { stopping: new Set("c") };
+  expect(next(viewOf("abc", "d", {}, stopping))).toBe("promote d");
+  expect(next(viewOf("abcd", "", {}, stopping))).toBe("demote c");
+  expect(next(viewOf("abd", "c", {}, stopping))).toBe("none");
+  expect(next(viewOf("abc", "d", { b: { unresponsiveMs: 600 } }, stopping))).toBe("none");
+  expect(next(viewOf("abc", "", {}, stopping))).toBe("none");
 });
 
 test("a member that leaves takes no place, and the leader doesn't demote itself", () => {
-  expect(next(viewOf("abc", "d", { c: lost }, { leaving: new Set("d") }))).toBe("none");
-  expect(next(viewOf("abcd", "", {}, { leaving: new Set("a") }))).toBe("none");
+  expect(next(viewOf("abc", "d", { c: lost }, { stopping: new Set("d") }))).toBe("none");
+  expect(next(viewOf("abcd", "", {}, { stopping: new Set("a") }))).toBe("none");
 });
 
 test("a learner that is gone for good is removed", () => {
-  expect(next(viewOf("abc", "d", { d: { ...lost, silentMs: 61_000 } }))).toBe("remove d");
+  expect(next(viewOf("abc", "d", { d: { ...lost, unresponsiveMs: 61_000 } }))).toBe("remove d");
 });
 
 test("what a leaving voter holds is held without it once a majority of the voters is", () => {
@@ -103,9 +113,9 @@
   expect(MembershipPolicy.isHeldWithout(viewOf("abd", "c", { b: lost }), "c", 0)).toBe(true);
   expect(MembershipPolicy.isHeldWithout(viewOf("abc", ""), "c", 101)).toBe(false);
   // What is silent may have lost what it acknowledged before.
-  expect(MembershipPolicy.isHeldWithout(viewOf("abc", "", { b: { silentMs: 600 } }), "c", 0)).toBe(
-    false,
-  );
+  expect(
+    MembershipPolicy.isHeldWithout(viewOf("abc", "", { b: { unresponsiveMs: 600 } }), "c", 0),
+  ).toBe(false);
 });
 
 test("from any state of members and losses, each step keeps a majority that answers and ends in the wanted group", () => {
--- a/test/replication/snapshot/snapshot-pieces.test.ts
+++ b/test/replication/snapshot/snapshot-pieces.test.ts
@@ -15,7 +15,7 @@
   return `${text.slice(0, bytes - 2)}é`;
 };
 const pieceIn = (message: SnapshotMessage) => {
-  if (message.kind === "whole") throw new Error("A whole snapshot was to be sent.");
+  if (message.kind === "complete") throw new Error("A whole snapshot was to be sent.");
   return message.piece;
 };
 
@@ -26,17 +26,17 @@
   let sent = 0;
   let text = "";
   for (let round = 0; text === "" && round < 200; round += 1) {
-    const piece = pieceIn(sender.next("a", 40, round, () => snapshot));
+    const piece = pieceIn(sender.nextMessage("a", 40, round, () => snapshot));
     sent += piece.bytes.length > 0 ? 1 : 0;
     if (random() < 0.2) {
-      sender.lost("a");
+      sender.onNoReply("a");
       continue;
     }
     if (random() < 0.2) receiver.take(piece);
     const received = receiver.take(piece);
-    if (received.kind === "whole") text = received.text;
-    else if (random() < 0.2) sender.lost("a");
-    else sender.answered("a", received.receivedBytes, round);
+    if (received.kind === "complete") text = received.text;
+    else if (random() < 0.2) sender.onNoReply("a");
+    else sender.onReply("a", received.receivedBytes, round);
   }
   expect(text === snapshot.text).toBe(true);
   expect(sent).toBeLessThan(2 * Math.ceil(2_000_000 / SNAPSHOT_PIECE_BYTES));
@@ -50,14 +50,14 @@
     return new SharedSnapshot(100 * made, 1, textOf(600_000));
   };
   const of = (peer: string, baseIndex: number): number =>
-    pieceIn(sender.next(peer, baseIndex, 0, make)).lastIndex;
+    pieceIn(sender.nextMessage(peer, baseIndex, 0, make)).lastIndex;
   expect([of("a", 50), of("b", 90), of("a", 100), made]).toEqual([100, 100, 100, 1]);
-  expect(sender.heldIndex(0)).toBe(100);
-  expect([of("a", 101), made, sender.heldIndex(0)]).toEqual([200, 2, 200]);
-  sender.ended("a");
-  sender.answered("b", 0, 5000);
-  expect(sender.heldIndex(9000)).toBe(200);
-  expect(sender.heldIndex(60_000)).toBeUndefined();
+  expect(sender.retainedIndex(0)).toBe(100);
+  expect([of("a", 101), made, sender.retainedIndex(0)]).toEqual([200, 2, 200]);
+  sender.end("a");
+  sender.onReply("b", 0, 5000);
+  expect(sender.retainedIndex(9000)).toBe(200);
+  expect(sender.retainedIndex(60_000)).toBeUndefined();
 });
 
 test("another snapshot begins anew, and pieces that can't be read or don't follow change nothing", () => {
@@ -78,13 +78,13 @@
     kind: "partial",
     receivedBytes: SNAPSHOT_PIECE_BYTES,
   });
-  expect(receiver.take(other.question)).toMatchObject({ kind: "partial", receivedBytes: 0 });
+  expect(receiver.take(other.query)).toMatchObject({ kind: "partial", receivedBytes: 0 });
   for (const offset of [0, SNAPSHOT_PIECE_BYTES]) receiver.take(other.piece(offset));
   expect(receiver.take(other.piece(2 * SNAPSHOT_PIECE_BYTES))).toEqual({
-    kind: "whole",
+    kind: "complete",
     text: other.text,
   });
-  const huge = { ...one.question, totalBytes: 2 ** 31 };
+  const huge = { ...one.query, totalBytes: 2 ** 31 };
   expect(receiver.take(huge)).toMatchObject({ kind: "partial", receivedBytes: 0 });
 });
 
@@ -92,13 +92,13 @@
   const sender = new SnapshotSender();
   const make = (): SharedSnapshot => new SharedSnapshot(100, 1, "x".repeat(1000));
   const kinds = Array.from({ length: 8 }, () => {
-    const { kind } = sender.next("a", 0, 0, make);
-    sender.lost("a");
+    const { kind } = sender.nextMessage("a", 0, 0, make);
+    sender.onNoReply("a");
     return kind;
   });
-  expect(kinds.filter((kind) => kind === "whole")).toHaveLength(2);
-  sender.answered("a", 0, 0);
-  expect(Array.from({ length: 9 }, () => sender.next("a", 0, 0, make).kind).includes("whole")).toBe(
-    false,
-  );
+  expect(kinds.filter((kind) => kind === "complete")).toHaveLength(2);
+  sender.onReply("a", 0, 0);
+  expect(
+    Array.from({ length: 9 }, () => sender.nextMessage("a", 0, 0, make).kind).includes("complete"),
+  ).toBe(false);
 });
