--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -1,3 +1,4 @@
+/** How a member accepts a leader's entries and acknowledges them. */
 import type { DecodedMessage } from "../rpc/rpc-endpoint.js";
 import type { Entry, RpcMethod } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
@@ -14,10 +15,10 @@
 /** Entries from a leader, or none as a heartbeat. */
 export type AppendRequest = DecodedMessage<typeof RpcMethod.append.request>;
 
-/** The answer to entries or a heartbeat. */
+/** The reply to entries or a heartbeat. */
 export type AppendReply = DecodedMessage<typeof RpcMethod.append.response>;
 
-/** What is to be acknowledged once it is on disk, and the term and log that it holds under. */
+/** What is to be acknowledged once it is on disk, and the term and log for which that is valid. */
 export interface PendingAcknowledgment {
   readonly term: number;
   readonly truncations: number;
@@ -25,7 +26,7 @@
   readonly matched: number;
 }
 
-/** What a member does on entries: it refuses at once, or writes the records and acknowledges after the sync. */
+/** The decision on entries: refuse at once, or write the records and acknowledge after the sync. */
 export type AppendDecision =
   | { readonly kind: "refuse"; readonly state: ConsensusState; readonly reply: AppendReply }
   | {
@@ -39,7 +40,7 @@
 
 const refusal = (term: number): AppendReply => ({ term, fits: false, counts: false, matched: 0 });
 
-/** The log with a leader's entries in it: a conflicting tail goes first. */
+/** Adds a leader's entries to the log; conflicting entries are truncated first. */
 const mergeEntries = (
   former: ConsensusState,
   entries: readonly Entry[],
@@ -68,7 +69,7 @@
   return { state, records };
 };
 
-/** Which entries of a leader this member takes. */
+/** Decides which entries of a leader this member accepts. */
 export const decideAppend = (
   former: ConsensusState,
   request: AppendRequest,
@@ -111,7 +112,7 @@
   };
 };
 
-/** Whether what was written under a term and a log is still true under the present ones. */
+/** Whether what was written under a term and a log is still valid under the present ones. */
 export const isStillAcknowledgeable = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
@@ -124,10 +125,11 @@
 export const acknowledgeAppend = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
-  facts: Pick<DecisionContext, "rules">,
+  context: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: AppendReply } => {
   const { term, counts, matched } = pending;
-  if (!isStillAcknowledgeable(state, pending, facts)) return { state, reply: refusal(state.term) };
+  if (!isStillAcknowledgeable(state, pending, context))
+    return { state, reply: refusal(state.term) };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, matched) },
     reply: { term, fits: true, counts, matched },
--- a/src/consensus/commit.ts
+++ b/src/consensus/commit.ts
@@ -1,3 +1,4 @@
+/** What is committed, by what members acknowledged. */
 import { reachedByMajority } from "./quorum.js";
 import type { ConsensusState, DecisionContext } from "./state.js";
 
@@ -7,7 +8,7 @@
   return committedIndex === state.committedIndex ? state : { ...state, committedIndex };
 };
 
-/** Up to where each member holds the leader's log on disk, as far as the leader knows. */
+/** The index up to which a member has the leader's log on disk, as far as the leader knows. */
 const syncedIndexOf = (state: ConsensusState, member: string): number =>
   member === state.self ? state.syncedIndex : (state.matched.get(member) ?? 0);
 
@@ -32,25 +33,25 @@
   state: ConsensusState,
   term: number,
   index: number,
-  facts: Pick<DecisionContext, "rules">,
+  context: Pick<DecisionContext, "rules">,
 ): ConsensusState => {
   if (state.role !== "leader" || state.term !== term) return state;
   const syncedIndex = Math.max(state.syncedIndex, index);
-  return advanceCommit({ ...state, syncedIndex }, facts);
+  return advanceCommit({ ...state, syncedIndex }, context);
 };
 
 /** What a member acknowledged to the leader of a term. */
 export interface Acknowledgment {
   readonly peer: string;
   readonly term: number;
-  /** When the request that this answers was sent, on the leader's clock. */
+  /** When the acknowledged request was sent, on the leader's clock. */
   readonly sentMs: number;
   readonly matched: number;
   /** Whether the member counts, which it doesn't while it rejoins. */
   readonly counts: boolean;
 }
 
-/** Notes an acknowledgment, for what is committed and for the lease. */
+/** The leader's state after an acknowledgment, which counts for commits and for the lease. */
 export const onAcknowledgment = (
   state: ConsensusState,
   acknowledgment: Acknowledgment,
@@ -58,19 +59,19 @@
 ): ConsensusState => {
   const { peer, term, matched, counts } = acknowledgment;
   if (state.role !== "leader" || state.term !== term) return state;
-  const provenSinceMs = new Map(state.responsiveSinceMs);
+  const responsiveSinceMs = new Map(state.responsiveSinceMs);
   if (!counts) {
-    provenSinceMs.delete(peer);
-    return advanceCommit({ ...state, responsiveSinceMs: provenSinceMs }, { rules });
+    responsiveSinceMs.delete(peer);
+    return advanceCommit({ ...state, responsiveSinceMs }, { rules });
   }
-  if (!provenSinceMs.has(peer)) provenSinceMs.set(peer, nowMs);
+  if (!responsiveSinceMs.has(peer)) responsiveSinceMs.set(peer, nowMs);
   const sentMs = rules.leaseFromSending ? acknowledgment.sentMs : nowMs;
   const matchedSoFar = state.matched.get(peer) ?? 0;
   const sentSoFar = state.acknowledgedSentMs.get(peer) ?? Number.NEGATIVE_INFINITY;
   return advanceCommit(
     {
       ...state,
-      responsiveSinceMs: provenSinceMs,
+      responsiveSinceMs,
       matched: new Map(state.matched).set(peer, Math.max(matchedSoFar, matched)),
       acknowledgedSentMs: new Map(state.acknowledgedSentMs).set(peer, Math.max(sentSoFar, sentMs)),
     },
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,16 +1,17 @@
+/** How a member campaigns: pre-votes, elections and transfers of the leadership. */
 import type { LogRecord } from "./log-record.js";
 import { memberRightsOf } from "./rights.js";
 import type { ConsensusState, DecisionContext } from "./state.js";
 import type { VoteRequest } from "./vote.js";
 
-/** What a member does that has heard no leader for its election wait: it stands, where it may. */
+/** The state of a member that had no contact with a leader for its election timeout: it campaigns, where it may. */
 export const onElectionTimeout = (
   state: ConsensusState,
   context: DecisionContext,
 ): ConsensusState => ({
   ...state,
   knownLeader: "",
-  role: memberRightsOf(state, context).stand ? "preCandidate" : state.role,
+  role: memberRightsOf(state, context).campaign ? "preCandidate" : state.role,
 });
 
 const voteRequestOf = (
@@ -27,7 +28,7 @@
   handOver,
 });
 
-/** Asks who would give its vote, without a new term: a member that was cut off must not unseat a leader by coming back. */
+/** Begins a pre-vote, without a new term: a member that was partitioned must not depose a leader when it returns. */
 export const startPreVote = (
   state: ConsensusState,
 ): { readonly state: ConsensusState; readonly request: VoteRequest } => ({
@@ -35,14 +36,14 @@
   request: voteRequestOf(state, state.term + 1, true, false),
 });
 
-/** A candidate's new term and vote for itself; the request goes out once the records are on disk. */
+/** A candidate's new term and vote for itself; the request is sent once the records are on disk. */
 export interface Election {
   readonly state: ConsensusState;
   readonly records: readonly LogRecord[];
   readonly request: VoteRequest;
 }
 
-/** Stands in a new term. */
+/** Begins an election in a new term. */
 export const startElection = (former: ConsensusState): Election => {
   const term = former.term + 1;
   const state: ConsensusState = {
@@ -60,26 +61,26 @@
   };
 };
 
-/** Whether a candidate whose own vote is synced by now still stands in that term. */
+/** Whether a candidate whose own vote is on disk by now still campaigns in that term. */
 export const isStillCampaigning = (state: ConsensusState, term: number): boolean =>
   state.role === "candidate" && state.term === term;
 
-/** An election that brought no majority in its time: the member waits for its next turn, and may vote at once. */
+/** The state after an election without a majority in its time: the member follows again, and may vote at once. */
 export const abandonElection = (
   state: ConsensusState,
-  { nowMs, timeouts: waits }: DecisionContext,
+  { nowMs, timeouts }: DecisionContext,
 ): ConsensusState => ({
   ...state,
   role: "follower",
-  lastLeaderContactMs: nowMs - waits.electionMinMs,
+  lastLeaderContactMs: nowMs - timeouts.electionMinMs,
 });
 
-/** Takes the lead that the leader of this term hands over, unless this member can't. */
+/** The state of a member that accepts the leadership that its leader transfers; `undefined` where it can't. */
 export const acceptLeadershipTransfer = (
   state: ConsensusState,
   term: number,
   context: DecisionContext,
 ): ConsensusState | undefined =>
-  term === state.term && state.role === "follower" && memberRightsOf(state, context).stand
+  term === state.term && state.role === "follower" && memberRightsOf(state, context).campaign
     ? { ...state, role: "candidate", isLeadershipTransfer: true }
     : undefined;
--- a/src/consensus/follow.ts
+++ b/src/consensus/follow.ts
@@ -1,3 +1,4 @@
+/** How a member becomes a follower. */
 import type { ConsensusState } from "./state.js";
 
 /** The state of a member that follows in a term, under a leader or under none that is known. */
@@ -7,14 +8,14 @@
   leader: string,
   nowMs: number,
 ): ConsensusState => {
-  const hears = leader !== "" || state.role === "leader";
+  const hasContact = leader !== "" || state.role === "leader";
   return {
     ...state,
     term: Math.max(term, state.term),
     votedFor: term > state.term ? "" : state.votedFor,
     role: "follower",
     knownLeader: leader,
-    lastLeaderContactMs: hears ? nowMs : state.lastLeaderContactMs,
-    lastAppendMs: hears ? nowMs : state.lastAppendMs,
+    lastLeaderContactMs: hasContact ? nowMs : state.lastLeaderContactMs,
+    lastAppendMs: hasContact ? nowMs : state.lastAppendMs,
   };
 };
--- a/src/consensus/member-rights.ts
+++ b/src/consensus/member-rights.ts
@@ -1,25 +1,25 @@
 /**
- * What a member of the replicated log may do, given how whole it is. This is the only place that decides it; the
- * table in docs/control.md ("What a member may do while it is not whole") is this function in words.
+ * What a member of the replicated log may do in its state. This is the only place that decides it; the table in
+ * docs/control.md is this function in words.
  */
 
 /** How far a member's own storage is part of a formed log. */
 export type MemberStage =
   /** Its disk has not been read yet. */
   | "loading"
-  /** Its disk holds nothing. */
+  /** Its disk is empty. */
   | "empty"
   /** Its disk can't be read. */
   | "damaged"
   /** It has written the new log's first state, but does not know yet that all voters have. */
   | "forming"
-  /** Its disk holds the log. */
+  /** Its disk has the log. */
   | "formed";
 
 /** All that a member's rights depend on. */
 export interface MemberState {
   readonly stage: MemberStage;
-  /** It lost its disk and its mark has not been committed since. */
+  /** It lost its disk and its marker has not been committed since. */
   readonly isRejoining: boolean;
   /** The newest membership that it knows names it as a voter. */
   readonly isNamedVoter: boolean;
@@ -27,11 +27,11 @@
   readonly isLeader: boolean;
   /** Its process is about to end for good, as far as it knows. */
   readonly isRetired: boolean;
-  /** It takes writes, and they don't wait too long. */
-  readonly isDiskWell: boolean;
-  /** It leads, or heard a leader, gave a vote or started within the shortest election wait. */
+  /** Its disk accepts writes, and they don't wait too long. */
+  readonly isDiskHealthy: boolean;
+  /** It leads, or had contact with a leader, voted or started within the shortest election timeout. */
   readonly isBoundToLeader: boolean;
-  /** It has applied an entry of its own term, and a majority's newest answers are younger than the lease. */
+  /** It has applied an entry of its own term, and a majority acknowledged heartbeats within the lease. */
   readonly hasLease: boolean;
 }
 
@@ -39,43 +39,43 @@
 export interface MemberRights {
   /** Take part in forming a new log. */
   readonly form: boolean;
-  /** Read requests of the agreement at all; without it they are answered as if by nobody. */
+  /** Take part in elections and replication at all; without it requests are refused. */
   readonly takePart: boolean;
-  /** Say that it would vote for a candidate. */
+  /** Vote for a candidate in a pre-vote. */
   readonly preVote: boolean;
   /** Vote for a candidate. */
   readonly vote: boolean;
-  /** Vote for a candidate to whom the leader itself hands over. */
+  /** Vote for a candidate to which the leader itself transfers the leadership. */
   readonly voteOnHandOver: boolean;
   /** Become a candidate. */
-  readonly stand: boolean;
-  /** Have its copy of an entry, and its answer to a heartbeat, counted in a majority. */
+  readonly campaign: boolean;
+  /** Have its copy of an entry, and its acknowledgment of a heartbeat, counted in a majority. */
   readonly countForCommit: boolean;
   /** Append entries as the leader. */
   readonly lead: boolean;
-  /** Answer reads, polls and orders for the whole system. */
-  readonly answer: boolean;
-  /** Pass orders and polls on to the leader. */
+  /** Serve reads and commands for the whole system. */
+  readonly serve: boolean;
+  /** Forward commands and reads to the leader. */
   readonly forward: boolean;
 }
 
-/** Tells what a member in this state may do. */
+/** What a member in this state may do. */
 export const memberRights = (member: MemberState): MemberRights => {
   const takePart = member.stage === "formed";
-  const knowsWhatItPromised = takePart && !member.isRejoining;
-  const vote = knowsWhatItPromised && !member.isBoundToLeader;
-  const isWell = knowsWhatItPromised && member.isDiskWell;
+  const hasItsPromises = takePart && !member.isRejoining;
+  const vote = hasItsPromises && !member.isBoundToLeader;
+  const canWrite = hasItsPromises && member.isDiskHealthy;
   return {
     form: member.stage === "empty",
     takePart,
     preVote: vote,
     vote,
-    voteOnHandOver: knowsWhatItPromised,
-    stand: isWell && member.isNamedVoter && !member.isLeader && !member.isRetired,
-    countForCommit: knowsWhatItPromised && !member.isRetired,
-    // One that is no voter any more leads on until its removal is committed.
-    lead: isWell && member.isLeader,
-    answer: knowsWhatItPromised && member.isLeader && member.hasLease,
+    voteOnHandOver: hasItsPromises,
+    campaign: canWrite && member.isNamedVoter && !member.isLeader && !member.isRetired,
+    countForCommit: hasItsPromises && !member.isRetired,
+    // A leader that is no longer a voter leads on until its removal is committed.
+    lead: canWrite && member.isLeader,
+    serve: hasItsPromises && member.isLeader && member.hasLease,
     forward: true,
   };
 };
--- a/src/consensus/members.ts
+++ b/src/consensus/members.ts
@@ -1,3 +1,4 @@
+/** The members of the replicated log. */
 import { array, create, enums, object, string, type Infer } from "superstruct";
 
 const membersShape = object({
@@ -6,11 +7,11 @@
   learners: array(string()),
 });
 
-/** Who votes on the record and who only learns it. */
+/** Who votes on the log and who only learns it. */
 export type Members = Omit<Infer<typeof membersShape>, "kind">;
 
 export const Members = {
-  /** The members that an entry of the record sets, or undefined where it sets none. */
+  /** The members that an entry of the log sets, or undefined where it sets none. */
   in: (text: string): Members | undefined =>
     text.startsWith('{"kind":"members"') ? create(JSON.parse(text), membersShape) : undefined,
 };
--- a/src/consensus/replicated-log.ts
+++ b/src/consensus/replicated-log.ts
@@ -62,7 +62,7 @@
     return new ReplicatedLog(this.baseIndex, this.baseTerm, this.shared, length);
   }
 
-  /** The log with its base moved up to an index that it holds. */
+  /** The log with its base moved up to an index that is in it. */
   compactedTo(index: number): ReplicatedLog {
     return ReplicatedLog.of(index, this.termAt(index) ?? 0, this.entriesFrom(index + 1));
   }
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -1,3 +1,4 @@
+/** What a leader sends another member next. */
 import type { Entry } from "../rpc/rpc-method.js";
 import type { AppendReply, AppendRequest } from "./append.js";
 import type { ConsensusState, ElectionTimeouts } from "./state.js";
@@ -6,7 +7,7 @@
 export interface Progress {
   /** The next entry to send. */
   readonly next: number;
-  /** Whether the member is known to hold all before it. */
+  /** Whether the member is known to have all before it. */
   readonly isSure: boolean;
 }
 
@@ -29,16 +30,16 @@
 /** How many entries from the first on stay within a limit; at least one. */
 export const countWithinLimit = (entries: Iterable<Entry>, limit: BatchLimit): number => {
   let count = 0;
-  let heldBytes = 0;
+  let totalBytes = 0;
   for (const { text } of entries) {
-    heldBytes += text.length;
-    if (count > 0 && (count >= limit.entries || heldBytes > limit.bytes)) break;
+    totalBytes += text.length;
+    if (count > 0 && (count >= limit.entries || totalBytes > limit.bytes)) break;
     count += 1;
   }
   return count;
 };
 
-/** What a leader sends a member next: entries once their logs are known to meet, else a heartbeat that asks whether they do. */
+/** The next request to a member: entries once their logs are known to match, else a heartbeat that finds out whether they do. */
 export const appendRequestFor = (
   state: ConsensusState,
   { next, isSure }: Progress,
@@ -55,12 +56,12 @@
   };
 };
 
-/** How many bytes of entries a slow link takes in a millisecond at the least. */
+/** The rate of the slowest link for which timeouts are made. */
 const SLOW_LINK_BYTES_PER_MS = 100;
 
 /**
- * How long a leader waits for the answer to a request before it sends again: a heartbeat's wait, and what the entries take on
- * a slow link. A request that is given up sooner than it can arrive would be sent again and again, and never be answered.
+ * How long a leader waits for the reply to a request before it retries: a heartbeat's timeout, and the time of the entries on a
+ * slow link. A request that times out before it can arrive would be retried forever.
  */
 export const appendTimeoutMs = (
   { entries }: AppendRequest,
@@ -70,7 +71,7 @@
   return electionMinMs + sentBytes / SLOW_LINK_BYTES_PER_MS;
 };
 
-/** What a leader knows after an answer of its own term. */
+/** What a leader knows after a reply of its own term. */
 export const progressAfter = ({ next }: Progress, { fits, matched }: AppendReply): Progress => ({
   isSure: fits,
   next: fits ? Math.max(next, matched + 1) : Math.max(0, Math.min(next - 1, matched + 1)),
--- a/src/consensus/rights.ts
+++ b/src/consensus/rights.ts
@@ -1,16 +1,17 @@
+/** What a member may do, as a decision reads it from the consensus state. */
 import { memberRights, type MemberRights, type MemberState } from "./member-rights.js";
 import { hasLease } from "./lease.js";
 import type { ConsensusState, DecisionContext } from "./state.js";
 
-/** Whether this member leads, or heard a leader so lately that it may still answer under its lease. */
+/** Whether this member leads, or had contact with a leader so lately that the leader may still serve under its lease. */
 const isBoundToLeader = (
   state: ConsensusState,
-  { nowMs, timeouts: waits, rules }: DecisionContext,
+  { nowMs, timeouts, rules }: DecisionContext,
 ): boolean =>
-  rules.refuseVoteWhileLeaderIsHeard &&
-  (state.role === "leader" || nowMs - state.lastLeaderContactMs < waits.electionMinMs);
+  rules.refuseVoteWhileLeaderIsActive &&
+  (state.role === "leader" || nowMs - state.lastLeaderContactMs < timeouts.electionMinMs);
 
-/** What this member may do now, by how whole it is. */
+/** What this member may do now. */
 export const memberRightsOf = (state: ConsensusState, context: DecisionContext): MemberRights => {
   const { rules } = context;
   const member: MemberState = {
@@ -19,14 +20,14 @@
     isNamedVoter: state.members.voters.includes(state.self),
     isLeader: state.role === "leader",
     isRetired: context.isRetired,
-    isDiskWell: context.isDiskWell,
+    isDiskHealthy: context.isDiskHealthy,
     isBoundToLeader: isBoundToLeader(state, context),
     hasLease: hasLease(state, context),
   };
   const rights = memberRights(member);
-  if (rules.voteOnlyWhenWhole && rules.countOnlyWhenWhole) return rights;
-  const asWhole = memberRights({ ...member, isRejoining: false });
-  return rules.countOnlyWhenWhole
-    ? { ...asWhole, countForCommit: rights.countForCommit }
-    : { ...rights, countForCommit: asWhole.countForCommit };
+  if (rules.voteOnlyWhenRejoined && rules.countOnlyWhenRejoined) return rights;
+  const asRejoined = memberRights({ ...member, isRejoining: false });
+  return rules.countOnlyWhenRejoined
+    ? { ...asRejoined, countForCommit: rights.countForCommit }
+    : { ...rights, countForCommit: asRejoined.countForCommit };
 };
--- a/src/consensus/safety-rules.ts
+++ b/src/consensus/safety-rules.ts
@@ -1,27 +1,27 @@
 /**
- * The rules on which the agreement's safety rests, one by one. Production always runs with all of them; the explorer's
- * mutants take one out, to show that a breach would be found.
+ * The rules on which the safety of the consensus rests, one by one. Production always runs with all of them; the model
+ * checker's mutants remove one, to show that the violation would be found.
  */
 export interface SafetyRules {
-  /** A vote and the term it was given in are on disk before the vote is told. */
+  /** A vote and its term are on disk before the vote is sent. */
   readonly syncVoteBeforeReply: boolean;
-  /** A member gives one vote in a term. */
+  /** A member votes once in a term. */
   readonly oneVotePerTerm: boolean;
   /** No vote for a candidate whose log is older than the voter's. */
   readonly voteOnlyForUpToDateLog: boolean;
-  /** No vote within the shortest election wait of hearing a leader: that leader may still answer under its lease. */
-  readonly refuseVoteWhileLeaderIsHeard: boolean;
-  /** A restarted member behaves as if it had just heard a leader, since it may have right before it ended. */
+  /** No vote within the shortest election timeout of contact with a leader, which may still serve under its lease. */
+  readonly refuseVoteWhileLeaderIsActive: boolean;
+  /** A restarted member behaves as if it had just had contact with a leader, since it may have right before it ended. */
   readonly waitBeforeVotingAfterRestart: boolean;
-  /** A member that rejoins after its disk was lost gives no vote. */
-  readonly voteOnlyWhenWhole: boolean;
+  /** A member that rejoins after its disk was lost doesn't vote. */
+  readonly voteOnlyWhenRejoined: boolean;
   /** A member that rejoins after its disk was lost counts neither for commits nor for the lease. */
-  readonly countOnlyWhenWhole: boolean;
-  /** Only the mark with the nonce of this very rejoining ends it. */
+  readonly countOnlyWhenRejoined: boolean;
+  /** Only the marker with the nonce of this very rejoin completes it. */
   readonly rejoinOnlyByOwnNonce: boolean;
   /** A request of an older term is refused. */
   readonly refuseOldTerms: boolean;
-  /** Entries are taken only where the entry before them has the term that the leader says. */
+  /** Entries are accepted only where the entry before them has the term that the leader states. */
   readonly checkPreviousTerm: boolean;
   /** Entries that conflict with the leader's are dropped before new ones are added. */
   readonly truncateConflicts: boolean;
@@ -37,10 +37,10 @@
   readonly changeMembersOnlyInCommittedTerm: boolean;
   /** The members change only once the change before is committed. */
   readonly oneMembershipChangeAtATime: boolean;
-  /** The lease is counted from when heartbeats were sent, not from when their answers came. */
+  /** The lease is counted from when heartbeats were sent, not from when their acknowledgments arrived. */
   readonly leaseFromSending: boolean;
-  /** A leader answers only once an entry of its own term is committed, so that all older ones are. */
-  readonly answerOnlyInCommittedTerm: boolean;
+  /** A leader serves only once an entry of its own term is committed, so that all older ones are. */
+  readonly serveOnlyInCommittedTerm: boolean;
 }
 
 /** All rules in force, as production runs. */
@@ -48,10 +48,10 @@
   syncVoteBeforeReply: true,
   oneVotePerTerm: true,
   voteOnlyForUpToDateLog: true,
-  refuseVoteWhileLeaderIsHeard: true,
+  refuseVoteWhileLeaderIsActive: true,
   waitBeforeVotingAfterRestart: true,
-  voteOnlyWhenWhole: true,
-  countOnlyWhenWhole: true,
+  voteOnlyWhenRejoined: true,
+  countOnlyWhenRejoined: true,
   rejoinOnlyByOwnNonce: true,
   refuseOldTerms: true,
   checkPreviousTerm: true,
@@ -63,5 +63,5 @@
   changeMembersOnlyInCommittedTerm: true,
   oneMembershipChangeAtATime: true,
   leaseFromSending: true,
-  answerOnlyInCommittedTerm: true,
+  serveOnlyInCommittedTerm: true,
 };
--- a/src/consensus/snapshot.ts
+++ b/src/consensus/snapshot.ts
@@ -1,3 +1,4 @@
+/** How a member accepts a leader's snapshot, and compacts its log behind one. */
 import type { Entry } from "../rpc/rpc-method.js";
 import type { Members } from "./members.js";
 import { isStillAcknowledgeable, type PendingAcknowledgment } from "./append.js";
@@ -14,26 +15,26 @@
   readonly lastTerm: number;
 }
 
-/** The answer to a snapshot. */
+/** The reply to a snapshot. */
 export interface SnapshotReply {
   readonly term: number;
   readonly counts: boolean;
   readonly matched: number;
 }
 
-/** What a member does on a snapshot: it answers at once, or installs it and acknowledges after the sync. */
+/** The decision on a snapshot: reply at once, or install it and acknowledge after the sync. */
 export type SnapshotDecision =
-  | { readonly kind: "answer"; readonly state: ConsensusState; readonly reply: SnapshotReply }
+  | { readonly kind: "reply"; readonly state: ConsensusState; readonly reply: SnapshotReply }
   | {
       readonly kind: "install";
-      /** The state before the snapshot is in it. */
+      /** The state before the snapshot is installed. */
       readonly state: ConsensusState;
       readonly counts: boolean;
       /** The entries after the snapshot that stay. */
       readonly entries: readonly Entry[];
     };
 
-/** Whether a member takes a leader's snapshot. */
+/** Decides whether a member installs a leader's snapshot. */
 export const decideSnapshot = (
   former: ConsensusState,
   offer: SnapshotOffer,
@@ -41,13 +42,13 @@
 ): SnapshotDecision => {
   if (offer.term < former.term && context.rules.refuseOldTerms) {
     const reply = { term: former.term, counts: false, matched: 0 };
-    return { kind: "answer", state: former, reply };
+    return { kind: "reply", state: former, reply };
   }
   const state = becomeFollower(former, offer.term, offer.leader, context.nowMs);
   const counts = memberRightsOf(state, context).countForCommit;
   if (offer.lastIndex <= state.committedIndex) {
     const reply = { term: state.term, counts, matched: state.committedIndex };
-    return { kind: "answer", state, reply };
+    return { kind: "reply", state, reply };
   }
   const fits = state.log.termAt(offer.lastIndex) === offer.lastTerm;
   const entries = fits ? state.log.entriesFrom(offer.lastIndex + 1) : [];
@@ -74,14 +75,14 @@
 export const acknowledgeSnapshot = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
-  heldIndex: number,
-  facts: Pick<DecisionContext, "rules">,
+  syncedIndex: number,
+  context: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: SnapshotReply } => {
   const { term, counts, matched } = pending;
-  if (!isStillAcknowledgeable(state, pending, facts))
+  if (!isStillAcknowledgeable(state, pending, context))
     return { state, reply: { term: state.term, counts: false, matched: 0 } };
   return {
-    state: { ...state, syncedIndex: Math.max(state.syncedIndex, heldIndex) },
+    state: { ...state, syncedIndex: Math.max(state.syncedIndex, syncedIndex) },
     reply: { term, counts, matched },
   };
 };
--- a/src/consensus/state.ts
+++ b/src/consensus/state.ts
@@ -1,18 +1,19 @@
+/** The consensus state of one member, and what its decisions read. */
 import type { Entry } from "../rpc/rpc-method.js";
 import type { MemberStage } from "./member-rights.js";
 import { Members } from "./members.js";
 import { ReplicatedLog } from "./replicated-log.js";
 import type { SafetyRules } from "./safety-rules.js";
 
-/** What a member does in the agreement now. */
+/** The role of a member. */
 export type Role = "follower" | "preCandidate" | "candidate" | "leader";
 
-/** All that the decisions of the agreement know about one member. A value never changes; decisions give a new one. */
+/** All that decisions know about one member. A value never changes; decisions return a new one. */
 export interface ConsensusState {
   readonly self: string;
   readonly role: Role;
   readonly term: number;
-  /** Whom this member gave its vote in this term, or an empty text. */
+  /** For whom this member voted in this term, or an empty text. */
   readonly votedFor: string;
   readonly log: ReplicatedLog;
   /** The members as of the log's base. */
@@ -23,18 +24,18 @@
   readonly committedIndex: number;
   /** Up to where the log is known to be on disk. */
   readonly syncedIndex: number;
-  /** How often the log was cut or replaced; tells writes apart that began before from those after. */
+  /** How often the log was truncated or replaced; distinguishes writes that began before from those after. */
   readonly truncations: number;
-  /** The mark that must be committed before this member counts again after its disk was lost, or an empty text. */
+  /** The nonce whose marker must be committed before this member counts again after its disk was lost, or an empty text. */
   readonly rejoinNonce: string;
   readonly knownLeader: string;
-  /** When this member last heard a leader, gave a vote or started. */
+  /** When this member last had contact with a leader, voted or started. */
   readonly lastLeaderContactMs: number;
   /** When a leader last sent this member entries, a heartbeat or a snapshot, or this one led. */
   readonly lastAppendMs: number;
-  /** Who gave its vote in the election under way. */
+  /** Who voted for this member in the election under way. */
   readonly votes: ReadonlySet<string>;
-  /** Whether the election under way was asked for by the former leader. */
+  /** Whether the former leader transferred the leadership. */
   readonly isLeadershipTransfer: boolean;
   /** The first entry of this leader's own term. */
   readonly leadingSinceIndex: number;
@@ -46,12 +47,12 @@
   readonly responsiveSinceMs: ReadonlyMap<string, number>;
 }
 
-/** The waits by which members elect, on a monotonic clock. */
+/** The durations that control elections, on a monotonic clock. */
 export interface ElectionTimeouts {
   readonly heartbeatMs: number;
   readonly electionMinMs: number;
   readonly electionMaxMs: number;
-  /** How long a majority's acknowledgment lets the leader answer; shorter than the shortest election wait. */
+  /** How long a majority's acknowledgment lets the leader serve; shorter than the shortest election timeout. */
   readonly leaderLeaseMs: number;
 }
 
@@ -64,8 +65,8 @@
   readonly stage: MemberStage;
   /** Whether the process is about to end, so that what this member acknowledges can't be counted on. */
   readonly isRetired: boolean;
-  /** Whether the disk takes writes, and they don't wait too long. */
-  readonly isDiskWell: boolean;
+  /** Whether the disk accepts writes, and they don't wait too long. */
+  readonly isDiskHealthy: boolean;
 }
 
 /** What a member that has just started knows from its disk. */
@@ -135,7 +136,7 @@
   responsiveSinceMs: new Map(),
 });
 
-/** The state once what the disk holds, or what was formed or is to be rejoined, is taken over. */
+/** The state after a start, a formation or a rejoin, from what is on disk. */
 export const restoredState = (
   state: ConsensusState,
   persisted: PersistedConsensusState,
@@ -153,7 +154,7 @@
   });
 };
 
-/** When a member that has just started takes its last leader to have been heard. */
+/** The state of a restarted member, which may have had contact with a leader right before it ended. */
 export const stateAfterRestart = (
   state: ConsensusState,
   context: DecisionContext,
--- a/src/consensus/vote.ts
+++ b/src/consensus/vote.ts
@@ -1,3 +1,4 @@
+/** How a member decides on a vote, and a candidate counts votes. */
 import type { DecodedMessage } from "../rpc/rpc-endpoint.js";
 import type { RpcMethod } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
@@ -6,13 +7,13 @@
 import { memberRightsOf } from "./rights.js";
 import type { ConsensusState, DecisionContext } from "./state.js";
 
-/** A candidate's request for a vote, or in a pre-vote the question whether it would be given. */
+/** A candidate's request for a vote or a pre-vote. */
 export type VoteRequest = DecodedMessage<typeof RpcMethod.vote.request>;
 
-/** The answer to a vote request. */
+/** The reply to a vote request. */
 export type VoteReply = DecodedMessage<typeof RpcMethod.vote.response>;
 
-/** What a member does on a vote request: it takes the state, writes the records, and replies once they are synced. */
+/** The decision on a vote request: the next state, the records to write, and the reply. */
 export interface VoteDecision {
   readonly state: ConsensusState;
   readonly records: readonly LogRecord[];
@@ -33,13 +34,13 @@
   );
 };
 
-/** Who gets this member's vote. */
+/** Decides whether a candidate gets this member's vote. */
 export const decideVote = (
   state: ConsensusState,
   request: VoteRequest,
   context: DecisionContext,
 ): VoteDecision => {
-  const answerAtOnce = (granted: boolean): VoteDecision => ({
+  const replyAtOnce = (granted: boolean): VoteDecision => ({
     state,
     records: [],
     replyAfterSync: false,
@@ -49,17 +50,17 @@
   const rights = memberRightsOf(state, context);
   const voluntary = request.isPreVote ? rights.preVote : rights.vote;
   const mayVote = request.handOver ? rights.voteOnHandOver : voluntary;
-  if (!mayVote || request.term < state.term) return answerAtOnce(false);
-  if (request.isPreVote) return answerAtOnce(upToDate && request.term > state.term);
-  const heard =
+  if (!mayVote || request.term < state.term) return replyAtOnce(false);
+  if (request.isPreVote) return replyAtOnce(upToDate && request.term > state.term);
+  const voter =
     request.term > state.term ? becomeFollower(state, request.term, "", context.nowMs) : state;
   const isFree =
-    heard.votedFor === "" || heard.votedFor === request.candidate || !context.rules.oneVotePerTerm;
+    voter.votedFor === "" || voter.votedFor === request.candidate || !context.rules.oneVotePerTerm;
   const granted = upToDate && isFree;
-  const { term } = heard;
+  const { term } = voter;
   const next = granted
-    ? { ...heard, votedFor: request.candidate, lastLeaderContactMs: context.nowMs }
-    : heard;
+    ? { ...voter, votedFor: request.candidate, lastLeaderContactMs: context.nowMs }
+    : voter;
   return {
     state: next,
     records: [{ kind: "vote", term, text: next.votedFor }],
@@ -72,12 +73,12 @@
 export interface ReceivedVote {
   readonly peer: string;
   readonly isPreVote: boolean;
-  /** The term of the request that this answers. */
+  /** The term of the request. */
   readonly term: number;
   readonly reply: VoteReply;
 }
 
-/** What a candidate becomes by an answer: with a majority of votes, a candidate proper after a pre-vote, a leader after a vote. */
+/** The state of a candidate after a reply: with a majority, a candidate after a pre-vote, the leader after an election. */
 export const countVote = (
   state: ConsensusState,
   received: ReceivedVote,
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -235,7 +235,7 @@
       rules: settings.rules,
       stage: this.hasStorage ? "formed" : "empty",
       isRetired: false,
-      isDiskWell: true,
+      isDiskHealthy: true,
     };
   }
 
@@ -244,8 +244,8 @@
     return (
       this.isUp &&
       (this.appliedIndex >= this.state.leadingSinceIndex ||
-        !this.around.settings.rules.answerOnlyInCommittedTerm) &&
-      memberRightsOf(this.state, this.facts).answer
+        !this.around.settings.rules.serveOnlyInCommittedTerm) &&
+      memberRightsOf(this.state, this.facts).serve
     );
   }
 
@@ -594,7 +594,7 @@
   private onSnapshot(from: string, askId: string, request: SnapshotRequest): void {
     const decision = decideSnapshot(this.state, request, this.facts);
     this.state = decision.state;
-    if (decision.kind === "answer") {
+    if (decision.kind === "reply") {
       this.around.reply(this.name, from, askId, { kind: "snapshot", reply: decision.reply });
       return;
     }
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -147,7 +147,7 @@
 
   /** Whether this node leads under a lease and has applied all that was committed before. */
   get holdsLease(): boolean {
-    return this.applier.appliedIndex >= this.state.leadingSinceIndex && this.rights.answer;
+    return this.applier.appliedIndex >= this.state.leadingSinceIndex && this.rights.serve;
   }
 
   /** What this node may do now. */
@@ -293,7 +293,7 @@
       rules: safetyRules,
       stage: formation.stage,
       isRetired,
-      isDiskWell: writer.failure === undefined && writer.waitingMs <= timeouts.stallMs,
+      isDiskHealthy: writer.failure === undefined && writer.waitingMs <= timeouts.stallMs,
     };
   }
 
--- a/src/replication/snapshot/snapshot-installer.ts
+++ b/src/replication/snapshot/snapshot-installer.ts
@@ -57,7 +57,7 @@
     const { consensus, store, writer } = this.options;
     const decision = decideSnapshot(consensus.current, request, consensus.context);
     consensus.update(decision.state);
-    if (decision.kind === "answer") return respond({ ...decision.reply, receivedBytes: 0 });
+    if (decision.kind === "reply") return respond({ ...decision.reply, receivedBytes: 0 });
     const received = this.receiver.take(request);
     if (received.kind === "partial") {
       if (received.isAdded) writer.attempt(() => store.snapshotPart.add(request), ignoreResult);
@@ -77,7 +77,7 @@
     const { consensus, stateMachine, writer, applier, formation } = this.options;
     const decision = decideSnapshot(consensus.current, request, consensus.context);
     consensus.update(decision.state);
-    if (decision.kind === "answer") return respond(decision.reply);
+    if (decision.kind === "reply") return respond(decision.reply);
     const { counts, entries } = decision;
     const { term, votedFor, rejoinNonce } = consensus.current;
     const { lastIndex, lastTerm, text } = request;
@@ -98,9 +98,9 @@
     const { truncations } = consensus.current;
     const pending = { term, truncations, counts, matched: lastIndex };
     writer.writeSnapshot(durableState, () => {
-      const heldIndex = lastIndex + entries.length;
+      const syncedIndex = lastIndex + entries.length;
       const { current, context } = consensus;
-      const acknowledged = acknowledgeSnapshot(current, pending, heldIndex, context);
+      const acknowledged = acknowledgeSnapshot(current, pending, syncedIndex, context);
       consensus.update(acknowledged.state);
       respond(acknowledged.reply);
     });
--- a/test/consensus/member-rights.test.ts
+++ b/test/consensus/member-rights.test.ts
@@ -12,7 +12,7 @@
   isNamedVoter: true,
   isLeader: false,
   isRetired: false,
-  isDiskWell: true,
+  isDiskHealthy: true,
   isBoundToLeader: false,
   hasLease: false,
 };
@@ -24,10 +24,10 @@
   "preVote",
   "vote",
   "voteOnHandOver",
-  "stand",
+  "campaign",
   "countForCommit",
   "lead",
-  "answer",
+  "serve",
   "forward",
 ] as const satisfies ReadonlyArray<keyof MemberRights>;
 
@@ -41,14 +41,14 @@
   ["forming", { stage: "forming" }, ["forward"]],
   ["rejoining", { isRejoining: true }, ["takePart", "forward"]],
   [
-    "rejoining, hears the leader",
+    "rejoining, has contact with the leader",
     { isRejoining: true, isBoundToLeader: true },
     ["takePart", "forward"],
   ],
   [
-    "restarted within the shortest election wait, or hears a leader",
+    "restarted within the shortest election timeout, or has contact with a leader",
     { isBoundToLeader: true },
-    ["takePart", "voteOnHandOver", "stand", "countForCommit", "forward"],
+    ["takePart", "voteOnHandOver", "campaign", "countForCommit", "forward"],
   ],
   [
     "learner",
@@ -56,8 +56,8 @@
     ["takePart", "preVote", "vote", "voteOnHandOver", "countForCommit", "forward"],
   ],
   [
-    "voter whose disk takes no writes",
-    { isDiskWell: false },
+    "voter whose disk accepts no writes",
+    { isDiskHealthy: false },
     ["takePart", "preVote", "vote", "voteOnHandOver", "countForCommit", "forward"],
   ],
   [
@@ -68,23 +68,23 @@
   [
     "whole voter that hears no leader",
     {},
-    ["takePart", "preVote", "vote", "voteOnHandOver", "stand", "countForCommit", "forward"],
+    ["takePart", "preVote", "vote", "voteOnHandOver", "campaign", "countForCommit", "forward"],
   ],
   [
     "leader without a lease",
     { ...leader, hasLease: false },
     ["takePart", "voteOnHandOver", "countForCommit", "lead", "forward"],
   ],
-  ["leader", leader, ["takePart", "voteOnHandOver", "countForCommit", "lead", "answer", "forward"]],
+  ["leader", leader, ["takePart", "voteOnHandOver", "countForCommit", "lead", "serve", "forward"]],
   [
-    "leader whose disk takes no writes",
-    { ...leader, isDiskWell: false },
-    ["takePart", "voteOnHandOver", "countForCommit", "answer", "forward"],
+    "leader whose disk accepts no writes",
+    { ...leader, isDiskHealthy: false },
+    ["takePart", "voteOnHandOver", "countForCommit", "serve", "forward"],
   ],
   [
     "leader that is no voter any more",
     { ...leader, isNamedVoter: false },
-    ["takePart", "voteOnHandOver", "countForCommit", "lead", "answer", "forward"],
+    ["takePart", "voteOnHandOver", "countForCommit", "lead", "serve", "forward"],
   ],
 ];
 
@@ -111,7 +111,7 @@
     "isNamedVoter",
     "isLeader",
     "isRetired",
-    "isDiskWell",
+    "isDiskHealthy",
     "isBoundToLeader",
     "hasLease",
   ] as const)
@@ -119,7 +119,7 @@
   return states;
 };
 
-test("in every state there is, one that forgot its promises has no part in a majority, nor does one without a lease answer", () => {
+test("in every state, a member that lost its promises counts in no majority, and one without a lease serves nothing", () => {
   for (const state of allStates()) {
     const rights = memberRights(state);
     const forgot = state.isRejoining || state.stage !== "formed";
@@ -127,12 +127,12 @@
       rights.preVote ||
       rights.vote ||
       rights.voteOnHandOver ||
-      rights.stand ||
+      rights.campaign ||
       rights.countForCommit;
-    if (forgot) expect([inMajority, rights.lead, rights.answer]).toEqual([false, false, false]);
-    if (!state.hasLease || !state.isLeader) expect(rights.answer).toBe(false);
+    if (forgot) expect([inMajority, rights.lead, rights.serve]).toEqual([false, false, false]);
+    if (!state.hasLease || !state.isLeader) expect(rights.serve).toBe(false);
     if (state.isBoundToLeader) expect([rights.vote, rights.preVote]).toEqual([false, false]);
-    if (state.isRetired) expect([rights.stand, rights.countForCommit]).toEqual([false, false]);
+    if (state.isRetired) expect([rights.campaign, rights.countForCommit]).toEqual([false, false]);
     if (rights.form) expect(state.stage).toBe("empty");
     expect(rights.forward).toBe(true);
   }
--- a/test/model-checker/scenarios.test.ts
+++ b/test/model-checker/scenarios.test.ts
@@ -180,7 +180,7 @@
   ["syncVoteBeforeReply", "one leader a term", forgottenVote, 3, 0],
   ["changeMembersOnlyInCommittedTerm", "what is committed stays", changesOfTwoTerms, 4, 1],
   [
-    "countOnlyWhenWhole",
+    "countOnlyWhenRejoined",
     "no read older than an acknowledged change",
     emptiedVoterJoinsOldLeader,
     3,
