--- a/src/replication/bootstrap/node-location.ts
+++ b/src/replication/bootstrap/node-location.ts
@@ -1,12 +1,13 @@
+/** Where a node is located, and which of the candidates become the members of a new log. */
 import type { Members } from "../../consensus/members.js";
 
-/** Where a daemon stands among its peers, and what it may do for the forming of the record. */
+/** A daemon's address, machine and zone, its seeds, and whether it may form a log. */
 export interface NodeLocation {
   /** The address at which peers reach this daemon. */
   readonly self: string;
   readonly machine: string;
   readonly zone: string;
-  /** Whether the whole fleet starts for the first time, so that a record may be formed. */
+  /** Whether the whole fleet starts for the first time, so that a log may be formed. */
   readonly founds: boolean;
   /** How many machines or zones may be lost at once. */
   readonly tolerate: { readonly machines: number; readonly zones: number };
@@ -14,37 +15,43 @@
   seeds(): readonly string[];
 }
 
-/** A recorder with an empty disk, as the founder knows it. */
+/** A node with an empty disk, as the initiator knows it. */
 export interface BootstrapCandidate {
   readonly peer: string;
   readonly machine: string;
   readonly zone: string;
 }
 
-const compare = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
+const compareText = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
 
+/** The number and the choice of voters. */
 export const NodeLocation = {
-  /** How many voters the record has, so that a majority is left after the losses that are tolerated. */
+  /** How many voters the log has, so that a majority remains after the losses that are tolerated. */
   voters: ({ tolerate }: NodeLocation): number =>
     2 * Math.max(tolerate.machines, tolerate.zones) + 1,
 
-  /** Who votes and who learns: voters in turn from the zones, by name; nothing where too few or too near to each other. */
+  /** Chooses voters in turn from the zones, by name, the others as learners; nothing where there are too few nodes or zones. */
   choose(location: NodeLocation, candidates: readonly BootstrapCandidate[]): Members | undefined {
     const wanted = NodeLocation.voters(location);
     const byZone = new Map<string, BootstrapCandidate[]>();
-    for (const one of [...candidates].sort(
-      (a, b) => compare(a.zone, b.zone) || compare(a.machine, b.machine) || compare(a.peer, b.peer),
+    for (const candidate of [...candidates].sort(
+      (a, b) =>
+        compareText(a.zone, b.zone) ||
+        compareText(a.machine, b.machine) ||
+        compareText(a.peer, b.peer),
     ))
-      byZone.set(one.zone, [...(byZone.get(one.zone) ?? []), one]);
+      byZone.set(candidate.zone, [...(byZone.get(candidate.zone) ?? []), candidate]);
     const inTurn = [...byZone.values()]
-      .flatMap((zone, zoneAt) => zone.map((candidate, turn) => ({ candidate, zoneAt, turn })))
-      .sort((a, b) => a.turn - b.turn || a.zoneAt - b.zoneAt);
+      .flatMap((zone, zoneIndex) => zone.map((candidate, turn) => ({ candidate, zoneIndex, turn })))
+      .sort((a, b) => a.turn - b.turn || a.zoneIndex - b.zoneIndex);
     const chosen = inTurn.slice(0, wanted).map(({ candidate }) => candidate);
     if (chosen.length < wanted) return undefined;
-    const inZones = [...byZone.keys()]
-      .map((zone) => chosen.filter((one) => one.zone === zone).length)
+    const votersByZone = [...byZone.keys()]
+      .map((zone) => chosen.filter((candidate) => candidate.zone === zone).length)
       .sort((a, b) => b - a);
-    const lost = inZones.slice(0, location.tolerate.zones).reduce((sum, count) => sum + count, 0);
+    const lost = votersByZone
+      .slice(0, location.tolerate.zones)
+      .reduce((sum, count) => sum + count, 0);
     if (2 * (wanted - lost) <= wanted) return undefined;
     return {
       voters: chosen.map(({ peer }) => peer),
--- a/src/replication/bootstrap/restore-as-only-voter.ts
+++ b/src/replication/bootstrap/restore-as-only-voter.ts
@@ -1,15 +1,16 @@
+/** Restores a log whose majority is lost for good from one member's disk. */
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
 import { LogCommand } from "../../state/state-machine.js";
 import { LogStore } from "../log/log-store.js";
 
-/** What a restore did, or why it did nothing. */
+/** The result of a restore, or why it was refused. */
 export type RestoreResult =
   { kind: "restored"; entries: number; lastIndex: number } | { kind: "refused"; why: string };
 
 /**
- * Makes a recorder the only voter of the record, for a core that has lost its majority for good.
- * What only the lost voters had acknowledged is gone.
+ * Makes a node the only voter of its log, for a cluster that has lost its majority for good. Entries that only the lost
+ * voters had are lost.
  */
 export const restoreAsOnlyVoter = function* (disk: Disk, self: string): Task<RestoreResult> {
   const store = new LogStore(disk);
@@ -34,9 +35,9 @@
   ];
   const entries = [
     ...durableState.entries,
-    ...added.map((text, at) => ({ index: lastIndex + 1 + at, term, text })),
+    ...added.map((text, position) => ({ index: lastIndex + 1 + position, term, text })),
   ];
-  // Members of before may hold entries that are gone from here; by another name of the fleet they are not taken in as they are.
+  // Former members may have entries that are missing here; under another fleet id they can't join with them.
   const fleet = `${durableState.fleet}-${term}`;
   yield* store.writeSnapshot({ ...durableState, fleet, term, votedFor: self, entries });
   return { kind: "restored", entries: entries.length, lastIndex: lastIndex + added.length };
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -46,7 +46,7 @@
 export class PeerReplicator {
   private readonly options: PeerReplicatorOptions;
   private progress: Progress;
-  /** Whether the last request was answered: a snapshot goes only to a responsive member. */
+  /** Whether the last request got a reply: a snapshot goes only to a responsive member. */
   private isResponsive = false;
 
   constructor(options: PeerReplicatorOptions) {
@@ -94,7 +94,7 @@
     return this.isResponsive;
   }
 
-  /** Returns the index up to which the peer holds the log, 0 while the transfer advances, `undefined` where it didn't. */
+  /** Returns the index up to which the peer has the log, 0 while the transfer advances, `undefined` where it didn't. */
   private *transferSnapshot(): Task<number | undefined> {
     const { peer, term, clock, consensus, events, snapshotSender, makeSnapshot } = this.options;
     const sentMs = clock.nowMs();
@@ -125,8 +125,8 @@
       return yield* rpc.call(peer, RpcMethod.snapshotPiece, piece, SNAPSHOT_TIMEOUT_MS);
     }
     const { lastIndex, lastTerm } = message.snapshot.identity;
-    const whole = { term, leader, lastIndex, lastTerm, text: message.snapshot.text };
-    const reply = yield* rpc.call(peer, RpcMethod.checkpoint, whole, SNAPSHOT_TIMEOUT_MS);
+    const complete = { term, leader, lastIndex, lastTerm, text: message.snapshot.text };
+    const reply = yield* rpc.call(peer, RpcMethod.checkpoint, complete, SNAPSHOT_TIMEOUT_MS);
     return reply && { ...reply, receivedBytes: 0 };
   }
 }
--- a/src/replication/log/checksum.ts
+++ b/src/replication/log/checksum.ts
@@ -1,4 +1,4 @@
-/** Records behind their length and checksum, as all files of the replicated log hold them. */
+/** Records behind their length and checksum, as in all files of the replicated log. */
 import { crc32 } from "node:zlib";
 
 /** How many bytes precede a record's body: its length and its checksum. */
--- a/src/replication/log/log-store.ts
+++ b/src/replication/log/log-store.ts
@@ -69,7 +69,7 @@
     return this.logBytes;
   }
 
-  /** Reads what the disk holds; an incomplete record at the log's end is cut off, damage before it is reported. */
+  /** Reads the disk; an incomplete record at the log's end is cut off, damage before it is reported. */
   *load(): Task<LoadResult> {
     const names = yield* this.disk.list();
     yield* this.snapshotPart.load(names);
--- a/src/replication/node-event.ts
+++ b/src/replication/node-event.ts
@@ -8,10 +8,10 @@
 import type { LeaveStatus } from "./membership/membership-leave.js";
 import type { Proposal } from "./proposals/proposal.js";
 
-/** A whole snapshot in one message. */
+/** A complete snapshot in one message. */
 export type SnapshotRequest = DecodedMessage<typeof RpcMethod.checkpoint.request>;
 
-/** The reply to a whole snapshot. */
+/** The reply to a complete snapshot. */
 export type SnapshotResponse = DecodedMessage<typeof RpcMethod.checkpoint.response>;
 
 /** One piece of a snapshot. */
--- a/src/replication/replication-timeouts.ts
+++ b/src/replication/replication-timeouts.ts
@@ -5,7 +5,7 @@
   heartbeatMs: number;
   electionMinMs: number;
   electionMaxMs: number;
-  /** How long a majority's acknowledgment lets the leader answer; shorter than the shortest election timeout. */
+  /** How long a majority's acknowledgment lets the leader serve; shorter than the shortest election timeout. */
   leaderLeaseMs: number;
   /** How long a write may wait for the disk before the node no longer leads or votes. */
   stallMs: number;
@@ -19,6 +19,7 @@
   snapshotBytes: number;
 }
 
+/** The timeouts that apply where the settings give none. */
 export const ReplicationTimeouts = {
   defaults: {
     heartbeatMs: 60,
--- a/src/replication/snapshot/snapshot-installer.ts
+++ b/src/replication/snapshot/snapshot-installer.ts
@@ -1,4 +1,4 @@
-/** Installs the snapshots that a leader sends, whole or in pieces. */
+/** Installs the snapshots that a leader sends, complete or in pieces. */
 import { acknowledgeSnapshot, decideSnapshot, installSnapshot } from "../../consensus/snapshot.js";
 import type { StateMachine } from "../../state/state-machine.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
@@ -72,7 +72,7 @@
     this.removePieces();
   }
 
-  /** Installs a whole snapshot and acknowledges it once it is on disk. */
+  /** Installs a complete snapshot and acknowledges it once it is on disk. */
   onSnapshot(request: SnapshotRequest, respond: (reply: SnapshotResponse) => void): void {
     const { consensus, stateMachine, writer, applier, formation } = this.options;
     const decision = decideSnapshot(consensus.current, request, consensus.context);
--- a/test/consensus/vote.test.ts
+++ b/test/consensus/vote.test.ts
@@ -2,24 +2,24 @@
 import { initialState, type ConsensusState } from "../../src/consensus/state.js";
 import { countVote } from "../../src/consensus/vote.js";
 
-const durableState = (more: Partial<ConsensusState>): ConsensusState => ({
+const stateOf = (more: Partial<ConsensusState>): ConsensusState => ({
   ...initialState("own", 0),
   members: { voters: ["own", "other"], learners: [] },
   ...more,
 });
 
-test("a refused pre-vote tells of a later term, which is taken over, also one that is asked for", () => {
+test("a refused pre-vote reports a later term, which is adopted, also if it is the requested one", () => {
   const reply = { term: 3, granted: false };
   const state = countVote(
-    durableState({ role: "preCandidate", term: 2 }),
+    stateOf({ role: "preCandidate", term: 2 }),
     { peer: "other", isPreVote: true, term: 3, reply },
     0,
   );
   expect([state.role, state.term, state.votedFor]).toEqual(["follower", 3, ""]);
 });
 
-test("an answer of a term that was left behind changes nothing", () => {
-  const state = durableState({ role: "leader", term: 5, votedFor: "own" });
+test("a reply of an earlier term changes nothing", () => {
+  const state = stateOf({ role: "leader", term: 5, votedFor: "own" });
   const received = { peer: "other", isPreVote: false, term: 3, reply: { term: 4, granted: false } };
   expect(countVote(state, received, 0)).toBe(state);
 });
--- a/test/replication/bootstrap/cluster-bootstrap.test.ts
+++ b/test/replication/bootstrap/cluster-bootstrap.test.ts
@@ -21,7 +21,7 @@
 /** What the settings say at a machine's restart once the fleet has started: nothing is to be formed any more. */
 const later = { bootstrap: false };
 
-test("a first seed without a disk forms the record: three voters of four, the fourth learns", () => {
+test("a first seed without a disk has the log formed: three voters of four, the fourth a learner", () => {
   const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "d:d"], [0, 1, 2], {
     tolerate: { machines: 1, zones: 0 },
   });
@@ -63,7 +63,7 @@
   expect(fleets(stage)).toHaveLength(1);
 });
 
-test("nothing is formed while there are too few recorders, or in too few zones; then it is", () => {
+test("no log is formed while there are too few nodes, or in too few zones; then it is", () => {
   for (const [tolerate, early, last] of [
     [{ machines: 1, zones: 0 }, ["d:a", "d:b"], "d:b"],
     [{ machines: 1, zones: 1 }, ["d:a", "d:b", "d:b"], "d:c"],
@@ -81,7 +81,7 @@
   }
 });
 
-test("empty recorders never form where the fleet doesn't start for the first time", () => {
+test("empty nodes never form a log where the fleet doesn't start for the first time", () => {
   const stage = new FleetStage(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2], later);
   stage.bootAll();
   stage.wait(20_000);
@@ -89,14 +89,14 @@
   expect(stage.disks.map((machine) => machine.record?.state)).toEqual(["empty", "empty", "empty"]);
 });
 
-test("one that doesn't found takes no part where others do", () => {
+test("a node that may not bootstrap takes no part where others do", () => {
   const stage = new FleetStage(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2]);
   for (const machine of stage.machines) stage.boot(machine, machine === stage.at(3) ? later : {});
   stage.wait(10_000);
   expect(fleets(stage)).toEqual([""]);
 });
 
-test("a founder killed in the middle of forming: none stands before all have formed, and another takes over what was formed", () => {
+test("an initiator killed during the formation: none campaigns before all have formed, and another completes it", () => {
   const build = (): FleetStage =>
     new FleetStage(["e:a", "e:b", "d:a", "d:b", "d:c", "d:d"], [0, 1]);
   const formsMs = firstFormedMs(build());
@@ -131,7 +131,7 @@
   expect(midway).toBeGreaterThan(2);
 });
 
-test("all killed in the middle of forming: what was formed is completed, at every moment", () => {
+test("all killed during the formation, at any moment: it is completed", () => {
   const build = (): FleetStage => new FleetStage(["e:a", "d:a", "d:b", "d:c", "d:d"], [0, 1, 2]);
   const formsMs = firstFormedMs(build());
   for (let killMs = formsMs - 6; killMs < formsMs + 10; killMs += 1) {
@@ -148,7 +148,7 @@
   }
 });
 
-test("a founder that restarts and meets empty recorders only forms no second record that lasts", () => {
+test("an initiator that restarts and finds only empty nodes forms no second log that lasts", () => {
   const stage = new FleetStage(["e:a", "d:a", "d:b", "d:c", "d:d"], [0, 1]);
   stage.bootAll();
   stage.until(() => stage.disks.some((machine) => stage.fleetOf(machine) !== ""), 3000);
@@ -169,7 +169,7 @@
   ]);
 });
 
-test("a fleet that was formed comes back by what its recorders keep, also when no seed is up", () => {
+test("a formed fleet restarts from its nodes' disks, also while no seed is up", () => {
   const stage = new FleetStage(["e:a", "d:a", "d:b", "d:c", "e:b"], [0]);
   stage.bootAll();
   stage.until(isLed(stage), 5000);
@@ -179,7 +179,7 @@
   expect(stage.until(isLed(stage), 5000)).toBeLessThan(3000);
 });
 
-test("an emptied voter isn't formed again beside one that has yet to hear that all had formed", () => {
+test("a voter that lost its disk isn't formed again beside one that doesn't know yet that all had formed", () => {
   const stage = new FleetStage(["e:a", "d:a", "d:b", "d:c"], [0]);
   stage.bootAll();
   const [founder, emptied, kept, late] = [0, 1, 2, 3].map((at) => stage.at(at));
@@ -213,7 +213,7 @@
   expect(stage.config(stage.leader, 1)).toBe(configText(1));
 });
 
-test("a voter cut off in the middle of forming: none stands without it, and it forms only where the fleet starts for the first time", () => {
+test("a voter partitioned during the formation: none campaigns without it, and it forms only where the fleet starts for the first time", () => {
   const build = (): FleetStage => new FleetStage(["e:a", "d:a", "d:b", "d:c"], [0]);
   const formsMs = firstFormedMs(build());
   let midway = 0;
--- a/test/replication/bootstrap/node-location.test.ts
+++ b/test/replication/bootstrap/node-location.test.ts
@@ -15,7 +15,7 @@
 const inZones = (zones: string): BootstrapCandidate[] =>
   [...zones].map((zone, at) => ({ peer: `${zone}${at}`, machine: `m${at}`, zone }));
 
-test("voters are spread over the zones in turn, whatever the order in which candidates were met", () => {
+test("voters are chosen from the zones in turn, in whatever order candidates were found", () => {
   const all = inZones("aabbcc");
   expect(NodeLocation.choose(place(2, 0), all)).toEqual({
     voters: ["a0", "b2", "c4", "a1", "b3"],
@@ -30,7 +30,7 @@
   });
 });
 
-test("too few candidates form nothing, nor those of too few zones where losses of zones are tolerated", () => {
+test("no members are chosen from too few candidates, nor from too few zones where losses of zones are tolerated", () => {
   expect(NodeLocation.choose(place(1, 0), inZones("ab"))).toBeUndefined();
   expect(NodeLocation.choose(place(1, 0), inZones("aaa"))?.voters).toHaveLength(3);
   expect(NodeLocation.choose(place(1, 1), inZones("aab"))).toBeUndefined();
--- a/test/replication/bootstrap/restore-as-only-voter.test.ts
+++ b/test/replication/bootstrap/restore-as-only-voter.test.ts
@@ -7,7 +7,7 @@
 import { Profile } from "../../../src/simulation/profile.js";
 import { Simulation } from "../../../src/simulation/simulation.js";
 
-test("a core that lost two disks is restored from the third; emptied recorders join it and vote again", () => {
+test("a cluster that lost two of three disks is restored from the third; empty nodes join it and vote again", () => {
   const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
   const fail = (error: unknown): void => {
     throw error;
--- a/test/replication/config-entries.test.ts
+++ b/test/replication/config-entries.test.ts
@@ -30,7 +30,7 @@
 /** Members begin to keep configurations within a second, each at its own moment. */
 const keptWithinMs = 2000;
 
-test("what a change adds to every member's disk follows the change, not the configuration", () => {
+test("what a change adds to every member's disk grows with the change, not with the configuration", () => {
   const stage = begun();
   // The history takes its first configuration whole, once.
   for (const base of [1, 2, 3, 4])
@@ -44,7 +44,7 @@
     expect(bytes - (before[at] ?? 0)).toBeLessThan(16 * 1024);
 });
 
-test("a member that is restarted has the configuration that changes of the log make", () => {
+test("a restarted member has the configuration that results from the log's changes", () => {
   const stage = begun();
   expect(stage.untilClear(itemOrder(1, 2, { name: "added", svc: "one" }))).toBe(200);
   expect(stage.untilClear(largeOrder(2, 3, 2500))).toBe(200);
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -90,7 +90,7 @@
   for (const { disk } of stage.disks) if (disk) disk.capacityBytes = diskMb * 1_000_000;
 };
 
-test("a large config is one that a gateway takes", () => {
+test("a large config is one that a gateway accepts", () => {
   const text = new LargeConfig(50).next();
   expect(Config.check(JSON.parse(text))).not.toHaveProperty("faults");
 });
@@ -115,7 +115,7 @@
   expect(machine.disk?.heldBytes ?? Infinity).toBeLessThan(diskMb * 1_000_000);
 }, 300_000);
 
-test("when its share of the disk is full the history lets its oldest go, and says so to whoever asks", () => {
+test("the history removes its oldest configs once its quota is used up, and reports them as removed", () => {
   const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb: 1 } });
   stage.bootAll();
   stage.until(isLed(stage), 5000);
@@ -142,7 +142,7 @@
   expect(readAt(stage, leader, 1400) === changes.texts[1399]).toBe(true);
 }, 300_000);
 
-test("a disk that is full for a while holds up changes only as long, and no old config is lost with the newest file", () => {
+test("a disk that is full for a while delays changes only as long, and no old config is lost with the newest file", () => {
   const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
   stage.bootAll();
   stage.until(isLed(stage), 5000);
@@ -231,7 +231,7 @@
     1000,
   ],
 ] as const)
-  test(`on a disk that a former build filled changes go on, ${what}`, () => {
+  test(`changes continue on a disk that a former build filled, ${what}`, () => {
     const stage = new FleetStage(["d:a"], [0], {
       tolerate: { machines: 0, zones: 0 },
       limits: { diskMb: limitMb },
@@ -256,7 +256,7 @@
     expect(readAt(stage, machine, changes.newest) === changes.texts.at(-1)).toBe(true);
   }, 300_000);
 
-test("an emptied member counts before it has the history, and learns it afterwards", () => {
+test("a member that lost its disk counts before it has the history, and fetches it afterwards", () => {
   const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
   stage.bootAll();
   stage.until(isLed(stage), 5000);
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -86,7 +86,7 @@
   expect(behind.record?.state).toBe("formed");
 };
 
-test("the fullest record reaches a member over a slow, lossy link that is cut again and again", () => {
+test("the largest state machine reaches a member over a slow, lossy link that is cut again and again", () => {
   const staged = stageWithOneBehind();
   const { stage, others, behind, totalBytes } = staged;
   expect(totalBytes).toBeGreaterThan(18_000_000);
@@ -108,7 +108,7 @@
   leadsInTurn(staged, 1);
 }, 120_000);
 
-test("a transfer goes on after the member was restarted, and with another leader", () => {
+test("a snapshot transfer continues after the member was restarted, and with another leader", () => {
   const staged = stageWithOneBehind();
   const { stage, behind } = staged;
   stage.network.bytesPerMs = 2500;
@@ -129,7 +129,7 @@
   leadsInTurn(staged, 1);
 }, 120_000);
 
-test("a member catches up while hundreds of changes go on, with snapshots written meanwhile", () => {
+test("a member catches up during hundreds of changes, with snapshots written meanwhile", () => {
   const staged = stageWithOneBehind();
   const { stage, behind } = staged;
   stage.network.bytesPerMs = 2500;
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -20,7 +20,7 @@
   ...(version === undefined ? {} : { version }),
 });
 
-test("what a broken addition left behind is cut before more is added, and versions are kept", () => {
+test("what a failed addition left is cut off before more is added, and versions are stored", () => {
   const time = new VirtualClock();
   const disk = new VirtualDisk(time.clock(), () => 0.5);
   const errors: unknown[] = [];
@@ -77,7 +77,7 @@
   return { disk, run, reopened };
 };
 
-test("hundreds of accepted configs are read back, also after a disk was lost, damaged and the others' machines are gone", () => {
+test("hundreds of accepted configs are read back, also after one disk was lost, one damaged, and the third machine lost", () => {
   const simulation = new Simulation(Profile.all.rastro, 3, 0.01);
   const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
   simulation.begin();
@@ -115,7 +115,7 @@
   expect(Math.max(...slots)).toBeLessThan(150_000);
 });
 
-test("configs are kept in order across files, once each, and a torn tail is cut", () => {
+test("configs are stored in order across files, once each, and an incomplete record at the end is cut off", () => {
   const { disk, run, reopened } = setUp();
   const history = reopened();
   run(history.add(Array.from({ length: 150 }, (_, at) => config(at + 1))));
@@ -149,7 +149,7 @@
     ),
   ]);
 
-test("files of former builds are read, and what follows them is added in the new layout", () => {
+test("files of former builds are read, and later configs are added in the current layout", () => {
   const { disk, run, reopened } = setUp();
   for (const [name, bytes] of formerFiles(70)) disk.poke(name, bytes);
   const history = reopened();
@@ -170,7 +170,7 @@
   expect(again.missingBelow(205)).toBeUndefined();
 });
 
-test("older configs fill gaps between files, and a file that they complete goes on", () => {
+test("older configs fill gaps between files, and later ones are appended to them", () => {
   const { run, reopened } = setUp();
   const history = reopened();
   run(history.add([config(1), config(2)]));
@@ -187,7 +187,7 @@
   expect(run(again.read(189))).toBeUndefined();
 });
 
-test("the oldest files go beyond the limit, and on a full disk, never the newest", () => {
+test("the oldest files are removed beyond the quota and on a full disk, never the newest", () => {
   const { disk, run } = setUp();
   const random = RandomDraw.of(5);
   const large = (sequence: number): AcceptedConfig => ({
@@ -211,7 +211,7 @@
   expect([history.bytes > 0, history.hasRoom]).toEqual([true, false]);
 });
 
-test("a delta gives back any text, also one that shares nothing or only moves parts", () => {
+test("a delta restores any text, also one that shares nothing or only moves parts", () => {
   const random = RandomDraw.of(9);
   const word = (): string => `"${random().toString(36)}":{"a":${Math.floor(random() * 9)}},`;
   const items = Array.from({ length: 300 }, word);
@@ -236,7 +236,7 @@
   expect(JSON.stringify(TextDelta.between(base, texts[7] ?? "")).length).toBeLessThan(120);
 });
 
-test("whatever bytes stand in its files, a history returns a config as it was kept or none, and takes more", () => {
+test("a history with arbitrary damage returns a config as it was stored or none, and accepts more", () => {
   const random = RandomDraw.of(11);
   let missing = 0;
   for (let round = 0; round < 60; round += 1) {
--- a/test/replication/log/log-store.test.ts
+++ b/test/replication/log/log-store.test.ts
@@ -34,7 +34,7 @@
   return { disk, run };
 };
 
-test("a torn tail is cut, damage before it is told, and nothing synced is lost", () => {
+test("an incomplete record at the log's end is cut off, damage before it is reported, and nothing synced is lost", () => {
   const { disk, run } = setUp();
   const store = new LogStore(disk);
   expect(run(store.load())).toEqual({ kind: "empty" });
@@ -65,7 +65,7 @@
   expect(run(new LogStore(disk).load()).kind).toBe("damaged");
 });
 
-test("an entry that stands in the slot's tail and again in the log counts once; a gap is told", () => {
+test("an entry that is both in the slot and in the log counts once; a gap is reported", () => {
   const { disk, run } = setUp();
   const store = new LogStore(disk);
   run(store.load());
@@ -85,7 +85,7 @@
   expect(run(new LogStore(disk).load()).kind).toBe("damaged");
 });
 
-test("whatever bytes stand in its files, a disk is read as damaged or whole, and then takes writes", async () => {
+test("a disk with arbitrary damage is loaded or reported as damaged, and then accepts writes", async () => {
   const random = RandomDraw.of(6);
   const seen = new Set<string>();
   for (let round = 0; round < 200; round += 1) {
@@ -127,7 +127,7 @@
   expect([...seen].sort()).toEqual(["damaged", "loaded"]);
 });
 
-test("a checkpoint cut midway leaves the older slot and its log in force", () => {
+test("an incomplete snapshot leaves the older slot and its log valid", () => {
   const { disk, run } = setUp();
   const store = new LogStore(disk);
   run(store.load());
--- a/test/replication/membership/membership-leave.test.ts
+++ b/test/replication/membership/membership-leave.test.ts
@@ -40,7 +40,7 @@
 };
 
 for (const who of ["a follower", "the leader"] as const)
-  test(`${who} that is told to stop gives its place to the learner that stands ready, before it ends`, () => {
+  test(`${who} that stops is replaced by the ready learner before it ends`, () => {
     const stage = fleetOf(4, 3);
     expect(stage.commit(1)).toBe(true);
     const successor = stage.at(3);
@@ -60,7 +60,7 @@
     expect(stage.config(stage.leader, 1)).toBe(configText(1));
   });
 
-test("a voter that is told to stop ends only once a majority without it holds what it acknowledged", () => {
+test("a voter that stops ends only once a majority without it has what it acknowledged", () => {
   const stage = fleetOf(3, 3);
   const { leader } = stage;
   const leaver = follower(stage);
@@ -79,7 +79,7 @@
   expect(stage.commit(2)).toBe(true);
 });
 
-test("a voter that is told to stop while nobody leads ends within its grace", () => {
+test("a voter that stops while there is no leader ends within its grace period", () => {
   const stage = fleetOf(3, 3);
   const [one, two, three] = stage.disks;
   if (!one || !two || !three) throw new Error("There are too few members.");
@@ -93,7 +93,7 @@
   [3, "without a learner"],
   [4, "with a learner that stands ready"],
 ] as const)
-  test(`a rolling restart ${what} goes on as before: there are always enough voters, and a leader at once`, () => {
+  test(`a rolling restart ${what} leaves enough voters at all times, and a leader at once`, () => {
     const stage = fleetOf(disks, disks);
     stage.wait(2000);
     let sequence = 0;
--- a/test/replication/membership/membership-policy.test.ts
+++ b/test/replication/membership/membership-policy.test.ts
@@ -46,7 +46,7 @@
   return change ? `${change.kind} ${change.member}` : "none";
 };
 
-test("nothing changes while all answer, or while no learner is ready", () => {
+test("nothing changes while all members are responsive, or while no learner is ready", () => {
   expect(next(viewOf("abc", "d"))).toBe("none");
   expect(next(viewOf("abc", "", { c: lost }))).toBe("none");
   expect(next(viewOf("abc", "d", { c: lost, d: { matchedIndex: 10 } }))).toBe("none");
@@ -55,13 +55,13 @@
   expect(next(viewOf("abc", "d", { c: { unresponsiveMs: 990 } }))).toBe("none");
 });
 
-test("a lost voter goes first, then the learner takes its place", () => {
+test("a lost voter is demoted first, then the learner is promoted", () => {
   expect(next(viewOf("abc", "d", { c: lost }))).toBe("demote c");
   expect(next(viewOf("ab", "dc", { c: lost }))).toBe("promote d");
   expect(next(viewOf("abd", "c", { c: lost }))).toBe("none");
 });
 
-test("a lost voter, which may come back, stays until a proven learner has joined it", () => {
+test("a lost voter, which may recover, stays until a learner that has been responsive for long is promoted", () => {
   const progress = { c: lost, d: { responsiveMs: 4000 } };
   expect(next(viewOf("abc", "d", progress))).toBe("promote d");
   expect(next(viewOf("abcd", "", progress))).toBe("demote c");
@@ -79,7 +79,7 @@
   expect(next(viewOf("abcfg", "de", progress, five))).toBe("none");
 });
 
-test("no change is begun that the members that answer can't commit", () => {
+test("no change is made that the responsive members can't commit", () => {
   expect(next(viewOf("abc", "d", { b: { unresponsiveMs: 600 }, c: lost }))).toBe("none");
   expect(next(viewOf("ab", "d", { b: { unresponsiveMs: 600 } }))).toBe("promote d");
   expect(next(viewOf("abcd", "", { c: lost, d: { unresponsiveMs: 600 } }))).toBe("demote c");
@@ -87,7 +87,7 @@
   expect(next(viewOf("abcd", "", two))).toBe("none");
 });
 
-test("a voter that leaves is replaced while all still answer: the learner goes first", () => {
+test("a stopping voter is replaced while all are responsive: the learner is promoted first", () => {
   const stopping = { stopping: new Set("c") };
   expect(next(viewOf("abc", "d", {}, stopping))).toBe("promote d");
   expect(next(viewOf("abcd", "", {}, stopping))).toBe("demote c");
@@ -96,16 +96,16 @@
   expect(next(viewOf("abc", "", {}, stopping))).toBe("none");
 });
 
-test("a member that leaves takes no place, and the leader doesn't demote itself", () => {
+test("a stopping learner isn't promoted, and the leader doesn't demote itself", () => {
   expect(next(viewOf("abc", "d", { c: lost }, { stopping: new Set("d") }))).toBe("none");
   expect(next(viewOf("abcd", "", {}, { stopping: new Set("a") }))).toBe("none");
 });
 
-test("a learner that is gone for good is removed", () => {
+test("a learner that is lost for good is removed", () => {
   expect(next(viewOf("abc", "d", { d: { ...lost, unresponsiveMs: 61_000 } }))).toBe("remove d");
 });
 
-test("what a leaving voter holds is held without it once a majority of the voters is", () => {
+test("what a stopping voter acknowledged is safe without it once a majority of the voters has it", () => {
   expect(MembershipPolicy.isHeldWithout(viewOf("abc", ""), "c", 100)).toBe(true);
   expect(
     MembershipPolicy.isHeldWithout(viewOf("abc", "", { b: { matchedIndex: 99 } }), "c", 0),
@@ -118,7 +118,7 @@
   ).toBe(false);
 });
 
-test("from any state of members and losses, each step keeps a majority that answers and ends in the wanted group", () => {
+test("from any members and losses, each step leaves a responsive majority, and the steps end in the wanted group", () => {
   for (const [voters, learners, wantedVoters] of [
     ["abc", "de", 3],
     ["abcde", "fg", 5],
--- a/test/replication/rejoin.test.ts
+++ b/test/replication/rejoin.test.ts
@@ -5,7 +5,7 @@
   stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 const later = { bootstrap: false };
 
-test("an emptied recorder whose seeds are all edges rejoins, and counts again", () => {
+test("a node that lost its disk and whose seeds are all edges rejoins, and counts again", () => {
   const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c"], [0, 1, 2]);
   stage.bootAll();
   stage.until(isLed(stage), 5000);
@@ -23,7 +23,7 @@
   expect(stage.config(emptied, 1)).toBe(configText(1));
 });
 
-test("an emptied recorder finds the record through edges that were started again at the same moment", () => {
+test("a node that lost its disk finds the log through edges that restarted at the same moment", () => {
   const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c"], [0, 1, 2]);
   stage.bootAll();
   stage.until(isLed(stage), 5000);
@@ -37,7 +37,7 @@
   stage.until(() => edges.every(({ daemon }) => daemon?.standing.isGranted === true), 3000);
 });
 
-test("five voters of whom two are emptied right after an acknowledgment keep the entry, whichever two", () => {
+test("an acknowledged entry survives the loss of any two of five disks right afterwards", () => {
   for (let one = 0; one < 5; one += 1)
     for (let two = one + 1; two < 5; two += 1) {
       const stage = new FleetStage(["d:a", "d:b", "d:c", "d:a", "d:b", "e:c"], [0, 1, 5], {
@@ -60,7 +60,7 @@
     }
 });
 
-test("emptied voters don't count until they have learned: three of five with two of them empty commit nothing", () => {
+test("voters that lost their disks don't count until they have rejoined: three of five, two of them empty, commit nothing", () => {
   const stage = new FleetStage(["d:a", "d:b", "d:c", "d:a", "d:b", "e:c"], [0, 1, 5], {
     tolerate: { machines: 2, zones: 0 },
   });
@@ -78,7 +78,7 @@
   expect(stage.config(stage.leader, 1)).toBe(configText(1));
 });
 
-test("of five voters two are lost for good; learners take their places, one after the other", () => {
+test("two of five voters are lost for good; learners replace them, one after the other", () => {
   const stage = new FleetStage(["d:a", "d:b", "d:c", "d:a", "d:b", "d:c", "d:a"], [0, 1, 2], {
     tolerate: { machines: 2, zones: 0 },
   });
@@ -101,7 +101,7 @@
   expect(stage.commit(1)).toBe(true);
 });
 
-test("a recorder uses new seeds while it runs", () => {
+test("a node uses new seeds while it runs", () => {
   const stage = new FleetStage(["e:a", "d:a", "d:b", "d:c", "d:d"], [0]);
   const late = stage.at(4);
   for (const machine of stage.machines) if (machine !== late) stage.boot(machine);
--- a/test/replication/replacement.test.ts
+++ b/test/replication/replacement.test.ts
@@ -82,7 +82,7 @@
   expect(stage.config(stage.leader, 1)).toBe(configText(1));
 });
 
-test("a successor is taken in although the leader changes meanwhile", () => {
+test("a successor becomes a voter although the leader changes meanwhile", () => {
   const stage = fleetOf(4, 3, 1);
   expect(stage.commit(1)).toBe(true);
   stage.kill(voterOther(stage), true);
@@ -96,7 +96,7 @@
   expect(stage.leader.record?.voters).toHaveLength(3);
 });
 
-test("the loss of the successor while it takes its place leaves the others their majority", () => {
+test("the loss of the successor during the replacement leaves the others a majority", () => {
   const stage = fleetOf(4, 3, 1);
   expect(stage.commit(1)).toBe(true);
   stage.kill(voterOther(stage), true);
@@ -109,7 +109,7 @@
   expect(stage.commit(2)).toBe(true);
 });
 
-test("a voter that is back after it was replaced learns on, and takes a place again", () => {
+test("a voter that returns after it was replaced becomes a learner, and a voter again", () => {
   const stage = fleetOf(4, 4, 1);
   stage.until(() => stage.leader.record?.learners.length === 1, 2000);
   const back = voterOther(stage);
@@ -123,7 +123,7 @@
   expect(stage.commit(2)).toBe(true);
 });
 
-test("a learner that is gone for good is removed, and comes back by asking if it returns after all", () => {
+test("a learner that is lost for good is removed, and joins again if it returns after all", () => {
   const stage = fleetOf(4, 4, 1);
   stage.until(() => stage.leader.record?.learners.length === 1, 2000);
   const [learner] = stage.disks.filter(({ peer }) => stage.leader.record?.learners.includes(peer));
@@ -134,7 +134,7 @@
   stage.until(() => stage.leader.record?.learners.includes(learner.peer) === true, catchUpMs);
 });
 
-test("a successor that is given a snapshot counts as soon as one that is given the log", () => {
+test("a successor that receives a snapshot counts as soon as one that receives the log", () => {
   for (const beforeMs of [0, 10, 30]) {
     const stage = fleetOf(4, 3, 1);
     const { daemon } = stage.leader;
@@ -156,7 +156,7 @@
   }
 });
 
-test("a voter comes back right after another lost its disk, in the middle of its own replacement by a proven learner", () => {
+test("a voter returns right after another lost its disk, during its own replacement by a responsive learner", () => {
   for (let afterMs = 940; afterMs <= 1160; afterMs += 10) {
     const stage = fleetOf(4, 4, 1);
     stage.wait(catchUpMs + 1000);
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -118,7 +118,7 @@
   handOver: false,
 });
 
-test("trace: no vote while a leader is heard, none for a shorter log, one in a term and kept over a restart", () => {
+test("trace: no vote within an election timeout of a leader's contact, none for a shorter log, one in a term, also after a restart", () => {
   const { time, begin, ask } = stage(true);
   begin();
   time.runUntil(150);
@@ -138,7 +138,7 @@
   expect(ask(RpcMethod.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
 });
 
-test("trace: an entry is acknowledged once synced, and not under a term that has moved on", () => {
+test("trace: an entry is acknowledged once it is on disk, and not after the term has changed", () => {
   const { time, disk, begin, ask } = stage(true);
   begin();
   time.runUntil(150);
@@ -155,7 +155,7 @@
   });
 });
 
-test("trace: an emptied recorder neither votes nor counts until its own mark is committed", () => {
+test("trace: a node that lost its disk neither votes nor counts until its own rejoin marker is committed", () => {
   const { time, begin, ask } = stage(false);
   const replicationNode = begin();
   time.runUntil(400);
@@ -182,7 +182,7 @@
   expect(ask(RpcMethod.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
 });
 
-test("entries go and stay in bounded numbers and bytes, a large one alone", () => {
+test("batches and the retained log are bounded in entries and bytes; a single larger entry is a batch", () => {
   const entries = (bytes: number, count: number): Entry[] =>
     Array.from({ length: count }, (_, at) => ({ index: at + 1, term: 1, text: "x".repeat(bytes) }));
   expect([
@@ -193,7 +193,7 @@
   ]).toEqual([1024, 4, 1, 0]);
 });
 
-test("a request of entries is waited for as long as a slow link takes for it", () => {
+test("the timeout of an append request includes the time of its entries on a slow link", () => {
   const entries = [{ index: 1, term: 1, text: "x".repeat(4 * 1024 * 1024) }];
   const ask = append(1, 0, 0, entries);
   expect(appendTimeoutMs({ ...ask, entries: [] }, ReplicationTimeouts.defaults)).toBe(
--- a/test/replication/snapshot/snapshot-pieces.test.ts
+++ b/test/replication/snapshot/snapshot-pieces.test.ts
@@ -15,11 +15,11 @@
   return `${text.slice(0, bytes - 2)}é`;
 };
 const pieceIn = (message: SnapshotMessage) => {
-  if (message.kind === "complete") throw new Error("A whole snapshot was to be sent.");
+  if (message.kind === "complete") throw new Error("A complete snapshot was to be sent.");
   return message.piece;
 };
 
-test("whatever pieces and answers are lost or doubled, the text arrives whole, each piece about once", () => {
+test("a snapshot is received completely although pieces and replies are lost or duplicated, each piece about once", () => {
   const snapshot = new SharedSnapshot(50, 3, textOf(2_000_000));
   const sender = new SnapshotSender();
   const receiver = new SnapshotReceiver();
@@ -42,7 +42,7 @@
   expect(sent).toBeLessThan(2 * Math.ceil(2_000_000 / SNAPSHOT_PIECE_BYTES));
 });
 
-test("two transfers share one snapshot; a new one is made only once the log has moved past it", () => {
+test("two transfers share one snapshot; a new one is made only once the log is compacted beyond it", () => {
   const sender = new SnapshotSender();
   let made = 0;
   const make = (): SharedSnapshot => {
@@ -60,7 +60,7 @@
   expect(sender.retainedIndex(60_000)).toBeUndefined();
 });
 
-test("another snapshot begins anew, and pieces that can't be read or don't follow change nothing", () => {
+test("a piece of another snapshot begins anew; pieces that can't be inflated or don't follow change nothing", () => {
   const receiver = new SnapshotReceiver();
   const one = new SharedSnapshot(10, 1, textOf(700_000));
   const other = new SharedSnapshot(11, 2, textOf(700_000));
@@ -88,7 +88,7 @@
   expect(receiver.take(huge)).toMatchObject({ kind: "partial", receivedBytes: 0 });
 });
 
-test("a member that answers no piece is sent the whole as one message now and then, until it answers one", () => {
+test("a member that replies to no piece is sent the complete snapshot now and then, until it replies to one", () => {
   const sender = new SnapshotSender();
   const make = (): SharedSnapshot => new SharedSnapshot(100, 1, "x".repeat(1000));
   const kinds = Array.from({ length: 8 }, () => {
--- a/test/replication/tombstones.test.ts
+++ b/test/replication/tombstones.test.ts
@@ -22,7 +22,7 @@
 });
 const members = { voters: ["a"], learners: [] };
 
-test("a contract that is entered after its instance's leave changes nothing, on a restored copy too", () => {
+test("a registration that is entered after its instance left changes nothing, on a restored copy too", () => {
   const stateMachine = new StateMachine();
   const apply = (on: StateMachine, index: number, command: LogCommand): unknown =>
     JSON.parse(on.apply(index, LogCommand.text(command)));
@@ -44,7 +44,7 @@
   }
 });
 
-test("a drain by address takes its instance away for good; a record of before reads as one without instances", () => {
+test("a drain by address removes its instance for good; an older log is read as one without instances", () => {
   const stateMachine = new StateMachine();
   stateMachine.apply(1, LogCommand.text(registration("one")));
   stateMachine.apply(
@@ -78,7 +78,7 @@
   });
 });
 
-test("instances that are gone are bounded: the oldest are forgotten", () => {
+test("tombstones are bounded: the oldest are removed", () => {
   const stateMachine = new StateMachine();
   for (let at = 1; at <= MAX_TOMBSTONES + 5; at += 1)
     stateMachine.apply(at, LogCommand.text(leave(`i${at}`)));
--- a/test/replication/versions.test.ts
+++ b/test/replication/versions.test.ts
@@ -58,7 +58,7 @@
   ]).toEqual([30, 8, { accepted: 31 }, 4]);
 });
 
-test("a checkpoint from before there were versions reads with the sequences as versions", () => {
+test("a snapshot from before there were versions is read with the sequences as versions", () => {
   const stateMachine = new StateMachine();
   put(stateMachine, 1, 0, "a");
   put(stateMachine, 2, 1, "b");
