--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -1,3 +1,4 @@
+/** How a member accepts a leader's entries and acknowledges them. */
 import type { DecodedMessage } from "../rpc/rpc-endpoint.js";
 import type { Entry, RpcMethod } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
@@ -14,18 +15,18 @@
 /** Entries from a leader, or none as a heartbeat. */
 export type AppendRequest = DecodedMessage<typeof RpcMethod.append.request>;
 
-/** The answer to entries or a heartbeat. */
+/** The reply to entries or a heartbeat. */
 export type AppendReply = DecodedMessage<typeof RpcMethod.append.response>;
 
-/** What is to be acknowledged once it is on disk, and the term and log that it holds under. */
+/** What is to be acknowledged once it is on disk, and the term and log for which that is valid. */
 export interface PendingAcknowledgment {
   readonly term: number;
-  readonly cuts: number;
+  readonly truncations: number;
   readonly counts: boolean;
   readonly matched: number;
 }
 
-/** What a member does on entries: it refuses at once, or writes the records and acknowledges after the sync. */
+/** The decision on entries: refuse at once, or write the records and acknowledge after the sync. */
 export type AppendDecision =
   | { readonly kind: "refuse"; readonly state: ConsensusState; readonly reply: AppendReply }
   | {
@@ -37,10 +38,10 @@
       readonly pending: PendingAcknowledgment;
     };
 
-const refused = (term: number): AppendReply => ({ term, fits: false, counts: false, matched: 0 });
+const refusal = (term: number): AppendReply => ({ term, fits: false, counts: false, matched: 0 });
 
-/** The log with a leader's entries in it: a conflicting tail goes first. */
-const merge = (
+/** Adds a leader's entries to the log; conflicting entries are truncated first. */
+const mergeEntries = (
   former: ConsensusState,
   entries: readonly Entry[],
   { rules }: DecisionContext,
@@ -68,7 +69,7 @@
   return { state, records };
 };
 
-/** Which entries of a leader this member takes. */
+/** Decides which entries of a leader this member accepts. */
 export const decideAppend = (
   former: ConsensusState,
   request: AppendRequest,
@@ -76,7 +77,7 @@
 ): AppendDecision => {
   const { rules } = context;
   if (request.term < former.term && rules.refuseOldTerms)
-    return { kind: "refuse", state: former, reply: refused(former.term) };
+    return { kind: "refuse", state: former, reply: refusal(former.term) };
   const newTerm: LogRecord[] =
     request.term > former.term ? [{ kind: "vote", term: request.term, text: "" }] : [];
   const following = becomeFollower(former, request.term, request.leader, context.nowMs);
@@ -88,9 +89,9 @@
       : request.previousIndex <= log.lastIndex);
   if (!isKnown) {
     const matched = Math.min(log.lastIndex, request.previousIndex - 1);
-    return { kind: "refuse", state: following, reply: { ...refused(term), matched } };
+    return { kind: "refuse", state: following, reply: { ...refusal(term), matched } };
   }
-  const { state, records } = merge(following, request.entries, context);
+  const { state, records } = mergeEntries(following, request.entries, context);
   const matched = Math.max(
     request.previousIndex,
     state.log.baseIndex,
@@ -104,30 +105,31 @@
     mustSync: allRecords.length > 0 || state.syncedIndex < matched,
     pending: {
       term,
-      cuts: state.truncations,
+      truncations: state.truncations,
       counts: memberRightsOf(following, context).countForCommit,
       matched,
     },
   };
 };
 
-/** Whether what was written under a term and a log is still true under the present ones. */
+/** Whether what was written under a term and a log is still valid under the present ones. */
 export const isStillAcknowledgeable = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
   { rules }: Pick<DecisionContext, "rules">,
 ): boolean =>
   !rules.acknowledgeOnlyUnderSameTerm ||
-  (state.term === pending.term && state.truncations === pending.cuts);
+  (state.term === pending.term && state.truncations === pending.truncations);
 
 /** Acknowledges entries that are on disk, unless the term or the log moved on meanwhile. */
 export const acknowledgeAppend = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
-  facts: Pick<DecisionContext, "rules">,
+  context: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: AppendReply } => {
   const { term, counts, matched } = pending;
-  if (!isStillAcknowledgeable(state, pending, facts)) return { state, reply: refused(state.term) };
+  if (!isStillAcknowledgeable(state, pending, context))
+    return { state, reply: refusal(state.term) };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, matched) },
     reply: { term, fits: true, counts, matched },
--- a/src/consensus/members.ts
+++ b/src/consensus/members.ts
@@ -1,16 +1,18 @@
+/** The members of the replicated log. */
 import { array, create, enums, object, string, type Infer } from "superstruct";
 
-const shape = object({
+const membersShape = object({
   kind: enums(["members"]),
   voters: array(string()),
   learners: array(string()),
 });
 
-/** Who votes on the record and who only learns it. */
-export type Members = Omit<Infer<typeof shape>, "kind">;
+/** Who votes on the log and who only learns it. */
+export type Members = Omit<Infer<typeof membersShape>, "kind">;
 
+/** Reads members from entries. */
 export const Members = {
-  /** The members that an entry of the record sets, or undefined where it sets none. */
+  /** The members that an entry of the log sets, or undefined where it sets none. */
   in: (text: string): Members | undefined =>
-    text.startsWith('{"kind":"members"') ? create(JSON.parse(text), shape) : undefined,
+    text.startsWith('{"kind":"members"') ? create(JSON.parse(text), membersShape) : undefined,
 };
--- a/src/control-plane/config-version-lookup.ts
+++ b/src/control-plane/config-version-lookup.ts
@@ -32,7 +32,7 @@
     if (!recent) return yield* this.search(version, newestSequence);
     if (versionOf(recent) !== version) return { kind: "missing" };
     const read = yield* this.replica.readConfig(recent.sequence);
-    return read.kind === "noLongerKept" ? { kind: "removed" } : read;
+    return read;
   }
 
   /** The first recent configuration of the version or above; `undefined` where an older one may be of the version. */
@@ -53,7 +53,7 @@
       const read = yield* this.replica.readConfig(middle);
       if (read.kind === "unknown") return read;
       if (read.kind === "found" && versionOf(read.config) === version) return read;
-      const isRemoved = read.kind === "noLongerKept";
+      const isRemoved = read.kind === "removed";
       if (isRemoved || versionOf(read.config) < version) {
         low = middle + 1;
         isLowRemoved = isRemoved;
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -147,7 +147,7 @@
 
   /** Whether this node leads under a lease and has applied all that was committed before. */
   get holdsLease(): boolean {
-    return this.applier.appliedIndex >= this.state.leadingSinceIndex && this.rights.answer;
+    return this.applier.appliedIndex >= this.state.leadingSinceIndex && this.rights.serve;
   }
 
   /** What this node may do now. */
@@ -293,31 +293,36 @@
       rules: safetyRules,
       stage: formation.stage,
       isRetired,
-      isDiskWell: writer.failure === undefined && writer.waitingMs <= timeouts.stallMs,
+      isDiskHealthy: writer.failure === undefined && writer.waitingMs <= timeouts.stallMs,
     };
   }
 
   private createHistory(): HistoryService {
     const { runtime, rpc, stateMachine, store, writer, timeouts, bootstrap, events } = this;
-    const history = new HistoryService(runtime, rpc, stateMachine, store.history, writer, {
+    const history = new HistoryService({
+      runtime,
+      rpc,
+      stateMachine,
+      history: store.history,
+      writer,
       isFormed: () => this.formation.isFormed,
       voters: () => this.state.members.voters,
-      others: () => [
+      otherPeers: () => [
         this.state.knownLeader,
         ...this.state.members.learners,
         ...bootstrap.knownNodes,
       ],
-      unkeptBytes: timeouts.snapshotBytes,
-      kept: (upToSequence) => events.put({ kind: "historyPersisted", upToSequence }),
+      maxPendingBytes: timeouts.snapshotBytes,
+      onReleased: (upToSequence) => events.put({ kind: "configsReleased", upToSequence }),
     });
     stateMachine.onApplied(({ kind }) => {
-      if (kind === "config") history.keepWhenMany();
+      if (kind === "config") history.persistWhenLarge();
     });
     return history;
   }
 
   private onSnapshotQueued(lastIndex: number): void {
-    this.history.keep();
+    this.history.persist();
     this.installer.dropUpTo(lastIndex);
   }
 
@@ -376,7 +381,7 @@
         consensus.update(afterRejoin(consensus.current));
         this.log.info("rejoin completed");
         return;
-      case "historyPersisted":
+      case "configsReleased":
         this.stateMachine.releaseConfigs(event.upToSequence);
         return;
     }
--- a/src/replication/snapshot/snapshot-installer.ts
+++ b/src/replication/snapshot/snapshot-installer.ts
@@ -1,4 +1,4 @@
-/** Installs the snapshots that a leader sends, whole or in pieces. */
+/** Installs the snapshots that a leader sends, complete or in pieces. */
 import { acknowledgeSnapshot, decideSnapshot, installSnapshot } from "../../consensus/snapshot.js";
 import type { StateMachine } from "../../state/state-machine.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
@@ -57,7 +57,7 @@
     const { consensus, store, writer } = this.options;
     const decision = decideSnapshot(consensus.current, request, consensus.context);
     consensus.update(decision.state);
-    if (decision.kind === "answer") return respond({ ...decision.reply, receivedBytes: 0 });
+    if (decision.kind === "reply") return respond({ ...decision.reply, receivedBytes: 0 });
     const received = this.receiver.take(request);
     if (received.kind === "partial") {
       if (received.isAdded) writer.attempt(() => store.snapshotPart.add(request), ignoreResult);
@@ -72,12 +72,12 @@
     this.removePieces();
   }
 
-  /** Installs a whole snapshot and acknowledges it once it is on disk. */
+  /** Installs a complete snapshot and acknowledges it once it is on disk. */
   onSnapshot(request: SnapshotRequest, respond: (reply: SnapshotResponse) => void): void {
     const { consensus, stateMachine, writer, applier, formation } = this.options;
     const decision = decideSnapshot(consensus.current, request, consensus.context);
     consensus.update(decision.state);
-    if (decision.kind === "answer") return respond(decision.reply);
+    if (decision.kind === "reply") return respond(decision.reply);
     const { counts, entries } = decision;
     const { term, votedFor, rejoinNonce } = consensus.current;
     const { lastIndex, lastTerm, text } = request;
@@ -96,11 +96,11 @@
     this.installed += 1;
     applier.onRestored(lastIndex);
     const { truncations } = consensus.current;
-    const pending = { term, cuts: truncations, counts, matched: lastIndex };
+    const pending = { term, truncations, counts, matched: lastIndex };
     writer.writeSnapshot(durableState, () => {
-      const heldIndex = lastIndex + entries.length;
+      const syncedIndex = lastIndex + entries.length;
       const { current, context } = consensus;
-      const acknowledged = acknowledgeSnapshot(current, pending, heldIndex, context);
+      const acknowledged = acknowledgeSnapshot(current, pending, syncedIndex, context);
       consensus.update(acknowledged.state);
       respond(acknowledged.reply);
     });
