--- a/src/proxy/admission-filter.ts
+++ b/src/proxy/admission-filter.ts
@@ -49,19 +49,19 @@
   *handle(context: RequestContext, next: NextHandler): Task<RequestOutcome> {
     const { clusterView, servingView, headerNames, activeRequests } = this.options;
     if (this.isClosed)
-      return RequestOutcome.drop("This daemon is stopping.", RETRY_AFTER_MS.otherDaemon);
+      return RequestOutcome.unavailable("This daemon is stopping.", RETRY_AFTER_MS.otherDaemon);
     if (activeRequests.size > MAX_ACTIVE_REQUESTS)
-      return RequestOutcome.drop("This daemon has too much in hand.", RETRY_AFTER_MS.soon);
+      return RequestOutcome.unavailable("This daemon has too much in hand.", RETRY_AFTER_MS.soon);
     if (!servingView.isUsable) yield* this.awaitLease(context.clientRequest);
     if (clusterView.configSequence === 0)
-      return RequestOutcome.drop("No config is in force yet.", RETRY_AFTER_MS.viewSettled);
+      return RequestOutcome.unavailable("No config is in force yet.", RETRY_AFTER_MS.viewSettled);
     if (!servingView.isUsable)
-      return RequestOutcome.drop(
+      return RequestOutcome.unavailable(
         "This daemon's view is not proven fresh.",
         RETRY_AFTER_MS.viewSettled,
       );
     if (headerNames.callerId !== undefined && context.requestId === undefined)
-      return RequestOutcome.refusal(400, "The request names no try.");
+      return RequestOutcome.rejected(400, "The request names no try.");
     return yield* next();
   }
 
--- a/src/proxy/bulk-admission.ts
+++ b/src/proxy/bulk-admission.ts
@@ -1,38 +1,40 @@
+/** Admission control for large responses, by the capacity of the link to the clients. */
 import type { LinkPacer } from "../runtime/link-pacer.js";
 
-/** How fast the usual size of a route's responses follows those that are seen. */
-const sizeRate = 0.1;
-const mostRoutes = 4096;
+/** The weight of each response in the moving average of its route's response sizes. */
+const SIZE_SMOOTHING = 0.1;
+/** How many routes have an average; beyond that all are forgotten. */
+const MAX_ROUTES = 4096;
 
 /**
- * Decides whether a request whose response is usually large is taken: only where its response can leave in time, after all that is
- * queued on the link and all that requests in hand will bring. A request that can't make it is refused before it runs.
+ * Decides whether a request with a large response on average is admitted: only where the response can be sent in time, after
+ * all that is queued on the link and all that is expected for active requests. Others are refused before they run.
  */
 export class BulkAdmission {
   private readonly egress: LinkPacer;
-  private readonly heldBytes: number;
-  private readonly sizes = new Map<string, number>();
-  /** Bytes that responses to requests in hand are expected to have. */
+  private readonly maxBufferedBytes: number;
+  private readonly averageSizes = new Map<string, number>();
+  /** Bytes that the responses to active requests are expected to have. */
   private expectedBytes = 0;
 
-  /** `heldBytes`: responses up to this size arrive whole before they begin to leave. */
-  constructor(egress: LinkPacer, heldBytes: number) {
+  /** `maxBufferedBytes`: responses up to this size arrive whole before any of them is sent. */
+  constructor(egress: LinkPacer, maxBufferedBytes: number) {
     this.egress = egress;
-    this.heldBytes = heldBytes;
+    this.maxBufferedBytes = maxBufferedBytes;
   }
 
-  /** Whether a response of the route's usual size can leave within the time; where no other is on its way it may always try. */
+  /** Whether a response of the route's average size can be sent within the time; always where no other large one is in transfer. */
   admits(route: string, leftMs: number): boolean {
     const { egress, expectedBytes } = this;
-    const bytes = this.usualBytes(route);
+    const bytes = this.averageBytes(route);
     if (bytes <= egress.smallBytes || expectedBytes + egress.bulkBytes < 1) return true;
-    const arrivalMs = bytes <= this.heldBytes ? egress.transferMs(bytes) : 0;
+    const arrivalMs = bytes <= this.maxBufferedBytes ? egress.transferMs(bytes) : 0;
     return arrivalMs + egress.waitMs(expectedBytes + bytes) <= leftMs;
   }
 
-  /** Expects a response of the route's usual size; the function that is returned, called once or more, ends that. */
+  /** Reserves capacity for a response of the route's average size; the returned function releases it, and may be called again. */
   expect(route: string): () => void {
-    let bytes = this.usualBytes(route);
+    let bytes = this.averageBytes(route);
     if (bytes <= this.egress.smallBytes) return () => undefined;
     this.expectedBytes += bytes;
     return () => {
@@ -41,15 +43,18 @@
     };
   }
 
-  /** Learns how large a whole response of a route was. */
+  /** Adds the size of a complete response to the average of its route. */
   learn(route: string, bytes: number): void {
     if (!this.egress.isPaced) return;
-    const usual = this.sizes.get(route);
-    if (usual === undefined && this.sizes.size >= mostRoutes) this.sizes.clear();
-    this.sizes.set(route, usual === undefined ? bytes : usual + (bytes - usual) * sizeRate);
+    const average = this.averageSizes.get(route);
+    if (average === undefined && this.averageSizes.size >= MAX_ROUTES) this.averageSizes.clear();
+    this.averageSizes.set(
+      route,
+      average === undefined ? bytes : average + (bytes - average) * SIZE_SMOOTHING,
+    );
   }
 
-  private usualBytes(route: string): number {
-    return this.sizes.get(route) ?? 0;
+  private averageBytes(route: string): number {
+    return this.averageSizes.get(route) ?? 0;
   }
 }
--- a/src/proxy/expired-lease-policy.ts
+++ b/src/proxy/expired-lease-policy.ts
@@ -1,24 +1,25 @@
+/** Whether requests are served by a view whose lease expired. */
 import type { Clock } from "../runtime/clock.js";
 
-/** What a daemon knows of the members that keep the replicated log. */
+/** What a daemon knows of its connections to the replicas of the log. */
 export interface CoreContact {
-  /** The members as last heard of, by their addresses. */
+  /** The addresses of the replicas, as last received. */
   readonly members: readonly string[];
-  /** Whether no connection to a member could be had, or one went silent, since a moment, and it was not heard after that. */
+  /** Whether since a moment a connection to a replica failed or became unresponsive, and nothing was received from it after that. */
   isOutOfReach(member: string, sinceMs: number): boolean;
 }
 
-/** How long a daemon may go on without a lease, and how long a failed connection says that the core is not settled. */
+/** How long a daemon may serve without a lease, and how long a failed connection counts as evidence of an unavailable quorum. */
 export interface ExpiredLeaseBounds {
   readonly staleMs: number;
   readonly contactMs: number;
 }
 
 /**
- * Decides whether requests are still served by a view whose lease is over. A lapse alone proves nothing: a leader that is
- * overloaded, a full link or a majority that our own members have lost bring it too, while the bound on old configurations holds.
- * So it takes evidence that the core is not settled, or that this machine is cut off from it: connections to half of the members
- * or more failed within `contactMs` and nothing was heard of them since. A member that answers late is not out of reach.
+ * Decides whether requests are still served by a view whose lease expired. The expiry alone proves nothing: an overloaded
+ * leader or a full link causes it too, while the bound on the age of configurations holds. So it takes evidence that the
+ * quorum is unavailable, or that this machine is partitioned from it: connections to half of the replicas or more failed
+ * within `contactMs`, and nothing was received from them since. A replica that responds late is not unreachable.
  */
 export class ExpiredLeasePolicy {
   private readonly clock: Clock;
@@ -31,15 +32,15 @@
     this.bounds = bounds;
   }
 
-  /** Whether a view may be served by whose lease has been over for so long. */
-  allows(lapsedMs: number): boolean {
-    return lapsedMs < this.bounds.staleMs && this.isCoreUnsettled();
+  /** Whether a view may be served by whose lease expired this long ago. */
+  allows(expiredForMs: number): boolean {
+    return expiredForMs < this.bounds.staleMs && this.isQuorumUnavailable();
   }
 
-  private isCoreUnsettled(): boolean {
-    const { members } = this.core;
+  private isQuorumUnavailable(): boolean {
+    const { members: replicas } = this.core;
     const sinceMs = this.clock.nowMs() - this.bounds.contactMs;
-    const failed = members.filter((member) => this.core.isOutOfReach(member, sinceMs));
-    return members.length > 0 && failed.length * 2 >= members.length;
+    const failed = replicas.filter((replica) => this.core.isOutOfReach(replica, sinceMs));
+    return replicas.length > 0 && failed.length * 2 >= replicas.length;
   }
 }
--- a/src/proxy/header-names.ts
+++ b/src/proxy/header-names.ts
@@ -1,28 +1,30 @@
-/** The headers by which the door speaks with callers and back ends; lower case. */
+/** The names of the headers between clients, the proxy and backends, which an adapter may choose. */
+
+/** Header names in lower case, and how the protocol uses them. */
 export interface HeaderNames {
-  /** In which a caller names its try; the door names it where this is undefined. */
+  /** In which a client names its attempt; the proxy names it where this is undefined. */
   readonly callerId: string | undefined;
-  /** In which a back end is told the try's name. */
+  /** In which a backend gets the attempt's name. */
   readonly requestId: string;
-  /** In which a back end's response repeats that name. */
+  /** In which a backend's response repeats that name. */
   readonly echo: string;
-  /** What a whole success carries besides, if anything. */
+  /** Which each complete success must carry, if any. */
   readonly seal: string | undefined;
-  /** In which a caller names the operation that its tries belong to. */
+  /** The idempotency key: in which a client names the operation that its attempts belong to. */
   readonly key: string;
-  /** In which callers say, and back ends are told, how many milliseconds are left. */
+  /** In which clients state, and backends get, how many milliseconds are left. */
   readonly deadline: string | undefined;
-  /** In which a back end is told which instance is meant; a response 421 says that it is another. */
+  /** In which a backend gets the instance that is meant; a response 421 states that it is another. */
   readonly expected: string | undefined;
-  /** By which a back end's response says that the request was not run. */
+  /** By which a backend's response states that the request was not run. */
   readonly notRun: string | undefined;
-  /** Whether callers read parts of a second in when to come back. */
+  /** Whether clients read fractions of a second in `Retry-After`. */
   readonly tellsParts: boolean;
-  /** Whether the service behind a connection is proven when it opens, or the instance with each request. */
+  /** Whether a connection proves its service when it opens, or each request its instance. */
   readonly proof: "connection" | "request";
 }
 
-const own: HeaderNames = {
+const OWN_HEADER_NAMES: HeaderNames = {
   callerId: undefined,
   requestId: "x-daledoor-job",
   echo: "x-daledoor-stamp",
@@ -35,5 +37,5 @@
   proof: "connection",
 };
 
-/** What a daemon speaks where no adapter says otherwise. */
-export const HeaderNames = { own };
+/** The daemon's own protocol, where no adapter replaces it. */
+export const HeaderNames = { own: OWN_HEADER_NAMES };
--- a/src/proxy/http-proxy.ts
+++ b/src/proxy/http-proxy.ts
@@ -78,13 +78,13 @@
       activeRequests: this.activeRequests,
       log: this.log,
     };
-    this.claims = new IdempotencyClaims(
+    this.claims = new IdempotencyClaims({
       runtime,
       forwarder,
       outcomes,
       incarnation,
-      headerNames.tellsParts ? RETRY_AFTER_MS.leaderElected : undefined,
-    );
+      retryAfterMs: headerNames.tellsParts ? RETRY_AFTER_MS.leaderElected : undefined,
+    });
     this.admission = new AdmissionFilter(shared);
     this.filters = [
       this.admission,
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -1,70 +1,118 @@
+/** Claims of idempotency keys in the replicated log, and the answers to requests whose key another request claimed. */
 import { createHash } from "node:crypto";
+import type { CommandForwarder } from "../../cluster-view/command-forwarder.js";
 import { hostName } from "../../cluster-view/route-table.js";
 import { ClaimResponse, overloadedResponse, type Command } from "../../control-protocol/command.js";
-import type { CommandForwarder } from "../../cluster-view/command-forwarder.js";
 import { Clock } from "../../runtime/clock.js";
-import type { Task } from "../../runtime/task.js";
 import { Runtime } from "../../runtime/runtime.js";
+import type { Task } from "../../runtime/task.js";
 import { ProxyRequest } from "../proxy-request.js";
+import { RequestOutcome } from "../request-outcome.js";
 import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
 import type { OutcomeReplicator } from "./outcome-replicator.js";
-import { RequestOutcome } from "../request-outcome.js";
 
-/** A key that this daemon holds: it may send until a moment of its own clock. */
+/** A claim that this daemon acquired: its request may be sent until a moment of the daemon's own clock. */
 export interface HeldClaim extends KeyedRequest {
   readonly sendUntilMs: number;
-  /** Who is to know what becomes of it. */
+  /** The daemons that store the request's outcome, this one first. */
   readonly holders: readonly string[];
 }
 
-/** A key that another request claimed before. */
-type Held = Extract<ClaimResponse, { held: unknown }>["held"];
+/** The claim was acquired, or the request gets an answer without being sent. */
+export type ClaimResult =
+  | { readonly kind: "claimed"; readonly claim: HeldClaim }
+  | { readonly kind: "answered"; readonly outcome: RequestOutcome };
+
+/** A request whose key is to be claimed. */
+export interface ClaimRequest {
+  readonly clientRequest: ProxyRequest;
+  readonly key: string;
+  readonly deadlineMs: number;
+  /** How long one command to the leader may take; by default `CLAIM_TIMEOUT_MS`. */
+  readonly timeoutMs?: number | undefined;
+}
+
+/** What claims depend on. */
+export interface IdempotencyClaimsOptions {
+  readonly runtime: Runtime;
+  readonly forwarder: CommandForwarder;
+  readonly outcomes: OutcomeReplicator;
+  /** Distinguishes the claims of this start of the daemon. */
+  readonly incarnation: string;
+  /** When clients had better retry after a claim that failed; by default `DEFAULT_RETRY_AFTER_MS`. */
+  readonly retryAfterMs?: number | undefined;
+}
+
+/** A claim that another request holds. */
+type ExistingClaim = Extract<ClaimResponse, { held: unknown }>["held"];
 
-const claimWaitMs = 2500;
+/** A claim in progress. */
+interface PendingClaim {
+  readonly request: KeyedRequest;
+  readonly bodyHash: string;
+  readonly holders: string[];
+  readonly startedMs: number;
+  readonly deadlineMs: number;
+}
+
+const CLAIM_TIMEOUT_MS = 2500;
 /** Which part of the time that is left a claim may take. */
-const claimPart = 0.5;
-const sendMs = 3000;
-const inHandWaitMs = 1500;
-/** How often a request that is in hand is asked after. */
-const askAgainMs = 100;
-const releaseMs = 8000;
-const keptBodyBytes = 64 * 1024;
-/** When callers had better come back to a key whose first response is lost: once the key is free again. */
-const lostAfterMs = 120_000;
-
-const hash = (...parts: Array<string | Uint8Array>): string => {
-  const sum = createHash("sha256");
-  for (const part of parts) sum.update(part).update("\0");
-  return sum.digest("hex");
+const CLAIM_TIME_FRACTION = 0.5;
+/** How long after its claim a request may be sent. */
+const SEND_WINDOW_MS = 3000;
+/** How long a repeat waits for the outcome of a request that is in progress, and how often it asks. */
+const OUTCOME_WAIT_MS = 1500;
+const OUTCOME_POLL_INTERVAL_MS = 100;
+const RELEASE_TIMEOUT_MS = 8000;
+/** The largest response body that is stored for repeats. */
+const MAX_STORED_BODY_BYTES = 64 * 1024;
+const DEFAULT_RETRY_AFTER_MS = 2000;
+/** When clients had better retry where the key table is full. */
+const TABLE_FULL_RETRY_AFTER_MS = 30_000;
+/** When clients had better retry a key whose response is lost: once the key is free again. */
+const LOST_RESPONSE_RETRY_AFTER_MS = 120_000;
+
+const hashOf = (...parts: Array<string | Uint8Array>): string => {
+  const hash = createHash("sha256");
+  for (const part of parts) hash.update(part).update("\0");
+  return hash.digest("hex");
 };
 
-const noClaim = (afterMs: number): RequestOutcome =>
-  RequestOutcome.drop("The key could not be claimed in the record.", afterMs);
+/** The scope within which a key is unique: a host, method and path. */
+const scopeOf = (clientRequest: ProxyRequest, key: string): string =>
+  hashOf(
+    hostName(clientRequest.headers["host"] ?? ""),
+    clientRequest.method,
+    ProxyRequest.path(clientRequest),
+    key,
+  );
 
-/** What a repeat is answered with once it is known what became of the first request. */
-const repeated = (outcome: KeyedOutcome): RequestOutcome | undefined => {
+const answered = (outcome: RequestOutcome): ClaimResult => ({ kind: "answered", outcome });
+
+/** The answer to a repeat by what became of the first request; undefined where nothing final did. */
+const repeatedOutcome = (outcome: KeyedOutcome): RequestOutcome | undefined => {
   switch (outcome.kind) {
     case "ran": {
       const { code, headers, body } = outcome.response;
-      return RequestOutcome.returned({
+      return RequestOutcome.forwarded({
         code,
         headers: { ...headers, "x-daledoor-repeated": "true" },
         body,
       });
     }
     case "ranNotKept":
-      return RequestOutcome.breakdown(
+      return RequestOutcome.failed(
         502,
         "The first request with this key ran; its response is not kept.",
         "ran",
-        lostAfterMs,
+        LOST_RESPONSE_RETRY_AFTER_MS,
       );
     case "mayHaveRun":
-      return RequestOutcome.breakdown(
+      return RequestOutcome.failed(
         502,
         "The first request with this key may have run; its response was lost.",
         "mayHaveRun",
-        lostAfterMs,
+        LOST_RESPONSE_RETRY_AFTER_MS,
       );
     case "inHand":
     case "neverRan":
@@ -72,86 +120,70 @@
   }
 };
 
-/** Claims keys in the record before the first send, and keeps what becomes of their requests. */
+/** Claims keys in the replicated log before their requests are sent, and records the requests' outcomes. */
 export class IdempotencyClaims {
   private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
   private readonly outcomes: OutcomeReplicator;
   private readonly incarnation: string;
-  private readonly afterMs: number;
+  private readonly retryAfterMs: number;
   private claims = 0;
-  /** Outcomes that are being shared, and releases under way. */
-  inHand = 0;
-
-  constructor(
-    runtime: Runtime,
-    forwarder: CommandForwarder,
-    outcomes: OutcomeReplicator,
-    incarnation: string,
-    afterMs = 2000,
-  ) {
-    this.runtime = runtime;
-    this.forwarder = forwarder;
-    this.outcomes = outcomes;
-    this.incarnation = incarnation;
-    this.afterMs = afterMs;
+  private activeTasks = 0;
+
+  constructor(options: IdempotencyClaimsOptions) {
+    this.runtime = options.runtime;
+    this.forwarder = options.forwarder;
+    this.outcomes = options.outcomes;
+    this.incarnation = options.incarnation;
+    this.retryAfterMs = options.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS;
+  }
+
+  /** How many outcomes are being replicated, and claims released. */
+  get inHand(): number {
+    return this.activeTasks;
   }
 
-  /** Claims a request's key; an ending where another holds it or nobody can tell. */
-  *claim(
-    clientRequest: ProxyRequest,
-    key: string,
-    untilMs = Infinity,
-    mostMs = claimWaitMs,
-  ): Task<HeldClaim | RequestOutcome> {
+  /** Claims a request's key; answers the request where another holds the key, or the claim's fate is unknown. */
+  *claim({
+    clientRequest,
+    key,
+    deadlineMs,
+    timeoutMs = CLAIM_TIMEOUT_MS,
+  }: ClaimRequest): Task<ClaimResult> {
     const { clock } = this.runtime;
     const startedMs = clock.nowMs();
     this.claims += 1;
-    const scope = hash(
-      hostName(clientRequest.headers["host"] ?? ""),
-      clientRequest.method,
-      ProxyRequest.path(clientRequest),
-      key,
-    );
-    const bodyHash = hash(clientRequest.target, clientRequest.body);
-    const request: KeyedRequest = { scope, job: `${this.incarnation}/${this.claims}` };
+    const scope = scopeOf(clientRequest, key);
+    const bodyHash = hashOf(clientRequest.target, clientRequest.body);
+    const request: KeyedRequest = { scope, requestId: `${this.incarnation}/${this.claims}` };
     const holders = this.outcomes.holdersFor(scope);
+    const pending: PendingClaim = { request, bodyHash, holders, startedMs, deadlineMs };
     this.outcomes.note(request, { kind: "inHand" });
-    let replaces: string | undefined;
+    let replacedId: string | undefined;
     for (;;) {
-      const askedMs = clock.nowMs();
-      const waitMs = Math.min(mostMs, (untilMs - askedMs) * claimPart);
-      const command: Command = {
-        kind: "claim",
-        ...request,
-        bodyHash,
-        holders,
-        ...(replaces === undefined ? {} : { replaces }),
-      };
-      const text = yield* this.forwarder.command(command, waitMs);
-      if (text === undefined || text === overloadedResponse) return this.giveUp(request);
-      const ret = ClaimResponse.read(text);
-      if ("claimed" in ret) return { ...request, holders, sendUntilMs: askedMs + sendMs };
-      if ("full" in ret) return RequestOutcome.drop("Too many keys are held.", 30_000);
-      const { held } = ret;
-      if (held.bodyHash !== bodyHash) {
-        this.outcomes.note(request, { kind: "neverRan" });
-        return RequestOutcome.refusal(422, "This key came before with another body.");
-      }
-      const givenMs = Math.min(inHandWaitMs, (untilMs - startedMs) / 2);
-      const outcome = yield* this.outcomeOf(scope, held, startedMs + givenMs);
-      if (outcome === "unreachable" || outcome.kind !== "neverRan") {
-        this.outcomes.note(request, { kind: "neverRan" });
-        if (outcome === "unreachable") return this.outOfReach();
-        return repeated(outcome) ?? this.stillInHand();
+      const sentMs = clock.nowMs();
+      const response = yield* this.submitClaim(
+        pending,
+        Math.min(timeoutMs, (deadlineMs - sentMs) * CLAIM_TIME_FRACTION),
+        replacedId,
+      );
+      if (response === undefined) return answered(this.giveUp(request));
+      if ("claimed" in response) {
+        const claim = { ...request, holders, sendUntilMs: sentMs + SEND_WINDOW_MS };
+        return { kind: "claimed", claim };
       }
-      replaces = held.job;
+      if ("full" in response)
+        return answered(
+          RequestOutcome.unavailable("Too many keys are held.", TABLE_FULL_RETRY_AFTER_MS),
+        );
+      const outcome = yield* this.answerRepeat(pending, response.held);
+      if (outcome) return answered(outcome);
+      replacedId = response.held.job;
     }
   }
 
-  /** Notes how a claimed request ended, and has the response kept. */
-  conclude(claim: HeldClaim, outcome: RequestOutcome): void {
-    const { execution, response } = outcome;
+  /** Records how a claimed request ended, and has its response stored for repeats. */
+  conclude(claim: HeldClaim, { execution, response }: RequestOutcome): void {
     if (execution === "neverRan") {
       this.outcomes.note(claim, { kind: "neverRan" });
       this.start(this.release(claim));
@@ -160,9 +192,9 @@
     if (
       execution === "ran" &&
       typeof response !== "string" &&
-      response.body.length <= keptBodyBytes
+      response.body.length <= MAX_STORED_BODY_BYTES
     ) {
-      const outcome: KeyedOutcome = { kind: "ran", response: response };
+      const outcome: KeyedOutcome = { kind: "ran", response };
       this.outcomes.note(claim, outcome);
       this.start(this.outcomes.share(claim, outcome, claim.holders));
       return;
@@ -170,58 +202,97 @@
     this.outcomes.note(claim, { kind: execution === "ran" ? "ranNotKept" : "mayHaveRun" });
   }
 
-  /** A request whose claim came to nothing in time is never sent: whoever asks after it may take its claim over. */
+  /** Sends the claim to the leader; undefined where its fate is unknown or the leader is overloaded. */
+  private *submitClaim(
+    { request, bodyHash, holders }: PendingClaim,
+    timeoutMs: number,
+    replacedId: string | undefined,
+  ): Task<ClaimResponse | undefined> {
+    const command: Command = {
+      kind: "claim",
+      scope: request.scope,
+      job: request.requestId,
+      bodyHash,
+      holders,
+      ...(replacedId === undefined ? {} : { replaces: replacedId }),
+    };
+    const text = yield* this.forwarder.command(command, timeoutMs);
+    if (text === undefined || text === overloadedResponse) return undefined;
+    return ClaimResponse.read(text);
+  }
+
+  /** The answer to a request whose key is claimed already; undefined where the existing claim may be replaced. */
+  private *answerRepeat(
+    { request, bodyHash, startedMs, deadlineMs }: PendingClaim,
+    existing: ExistingClaim,
+  ): Task<RequestOutcome | undefined> {
+    if (existing.bodyHash !== bodyHash) {
+      this.outcomes.note(request, { kind: "neverRan" });
+      return RequestOutcome.rejected(422, "This key came before with another body.");
+    }
+    const waitMs = Math.min(OUTCOME_WAIT_MS, (deadlineMs - startedMs) / 2);
+    const outcome = yield* this.awaitOutcome(request.scope, existing, startedMs + waitMs);
+    if (outcome !== "unreachable" && outcome.kind === "neverRan") return undefined;
+    this.outcomes.note(request, { kind: "neverRan" });
+    if (outcome === "unreachable") return this.unreachableOutcome();
+    return repeatedOutcome(outcome) ?? this.inProgressOutcome();
+  }
+
+  /** Ends a claim whose fate is unknown: its request is never sent, so that a repeat may replace the claim. */
   private giveUp(request: KeyedRequest): RequestOutcome {
     this.outcomes.note(request, { kind: "neverRan" });
-    return noClaim(this.afterMs);
+    return RequestOutcome.unavailable(
+      "The key could not be claimed in the record.",
+      this.retryAfterMs,
+    );
   }
 
-  private stillInHand(): RequestOutcome {
-    return RequestOutcome.breakdown(
+  private inProgressOutcome(): RequestOutcome {
+    return RequestOutcome.failed(
       409,
       "The first request with this key is still in hand.",
       "mayHaveRun",
-      this.afterMs,
+      this.retryAfterMs,
     );
   }
 
-  /** The daemon that the first request went through can't be asked now; it may be soon. */
-  private outOfReach(): RequestOutcome {
-    return RequestOutcome.breakdown(
+  /** The daemon that the first request went through can't be reached now. */
+  private unreachableOutcome(): RequestOutcome {
+    return RequestOutcome.failed(
       502,
       "Nobody who was reached can tell whether the first request with this key ran.",
       "mayHaveRun",
-      this.afterMs,
+      this.retryAfterMs,
     );
   }
 
-  /** What became of the request that holds a key, which is waited for while it is in hand or nobody can tell. */
-  private *outcomeOf(
+  /** The outcome of the request that holds a key; waits while it is in progress or its holders are unreachable. */
+  private *awaitOutcome(
     scope: string,
-    held: Held,
+    existing: ExistingClaim,
     untilMs: number,
   ): Task<KeyedOutcome | "unreachable"> {
-    if (held.verdict === "mayHaveRun") return { kind: "mayHaveRun" };
-    if (held.verdict === "ran") return { kind: "ranNotKept" };
+    if (existing.verdict === "mayHaveRun") return { kind: "mayHaveRun" };
+    if (existing.verdict === "ran") return { kind: "ranNotKept" };
     const { clock } = this.runtime;
     for (;;) {
-      const request = { scope, job: held.job };
-      const outcome = yield* this.outcomes.find(request, held.holders ?? []);
+      const request = { scope, requestId: existing.job };
+      const outcome = yield* this.outcomes.find(request, existing.holders ?? []);
       if (outcome === "unknown") return { kind: "mayHaveRun" };
       if (outcome !== "unreachable" && outcome.kind !== "inHand") return outcome;
-      if (clock.nowMs() + askAgainMs > untilMs) return outcome;
-      yield* Clock.sleep(clock, askAgainMs);
+      if (clock.nowMs() + OUTCOME_POLL_INTERVAL_MS > untilMs) return outcome;
+      yield* Clock.sleep(clock, OUTCOME_POLL_INTERVAL_MS);
     }
   }
 
-  private *release({ scope, job }: KeyedRequest): Task {
-    yield* this.forwarder.command({ kind: "release", scope, job }, releaseMs);
+  private *release({ scope, requestId }: KeyedRequest): Task {
+    yield* this.forwarder.command({ kind: "release", scope, job: requestId }, RELEASE_TIMEOUT_MS);
   }
 
   private start(task: Task): void {
-    this.inHand += 1;
-    Runtime.start(this.runtime, "door", task, () => {
-      this.inHand -= 1;
+    this.activeTasks += 1;
+    Runtime.start(this.runtime, "proxy", task, () => {
+      this.activeTasks -= 1;
     });
   }
 }
--- a/src/proxy/idempotency/idempotency-filter.ts
+++ b/src/proxy/idempotency/idempotency-filter.ts
@@ -30,12 +30,12 @@
   if (key === undefined)
     return {
       kind: "invalid",
-      outcome: RequestOutcome.refusal(400, `This route wants the header ${keyHeader}.`),
+      outcome: RequestOutcome.rejected(400, `This route wants the header ${keyHeader}.`),
     };
   if (key.length === 0 || key.length > MAX_KEY_LENGTH)
     return {
       kind: "invalid",
-      outcome: RequestOutcome.refusal(400, "A key has 1 to 200 characters."),
+      outcome: RequestOutcome.rejected(400, "A key has 1 to 200 characters."),
     };
   return { kind: "keyed", key };
 };
@@ -57,21 +57,21 @@
     if (check.kind === "unkeyed") return yield* next();
     if (check.kind === "invalid") return check.outcome;
     if (!this.clusterView.holdsLease)
-      return RequestOutcome.drop(
+      return RequestOutcome.unavailable(
         "This daemon's view is not proven fresh.",
         RETRY_AFTER_MS.viewSettled,
       );
     const { clientRequest, deadlineMs, route } = context;
-    const claim = yield* this.claims.claim(
+    const result = yield* this.claims.claim({
       clientRequest,
-      check.key,
+      key: check.key,
       deadlineMs,
-      route && this.claimTimeoutMs(context, route),
-    );
-    if ("execution" in claim) return claim;
-    context.claim = claim;
+      timeoutMs: route && this.claimTimeoutMs(context, route),
+    });
+    if (result.kind === "answered") return result.outcome;
+    context.claim = result.claim;
     const outcome = yield* next();
-    this.claims.conclude(claim, outcome);
+    this.claims.conclude(result.claim, outcome);
     return outcome;
   }
 
--- a/src/proxy/idempotency/outcome-cache.ts
+++ b/src/proxy/idempotency/outcome-cache.ts
@@ -1,67 +1,69 @@
+/** The outcomes of keyed requests that a daemon stores in memory. */
 import type { Clock } from "../../runtime/clock.js";
 import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
 
-interface KeptOutcome {
+interface CacheEntry {
   readonly outcome: KeyedOutcome;
-  readonly bytes: number;
-  readonly keptMs: number;
+  readonly sizeBytes: number;
+  readonly storedMs: number;
 }
 
-/** How many bytes of responses one daemon keeps at most; beyond that the oldest go. */
+/** How many bytes of outcomes one daemon stores at most; beyond that the oldest are evicted. */
 export const OUTCOME_CACHE_BYTES = 8 * 1024 * 1024;
 /** About what an entry takes beside its body and headers. */
-const entryBytes = 200;
+const ENTRY_OVERHEAD_BYTES = 200;
 
-const bytesOf = (outcome: KeyedOutcome): number => {
-  if (outcome.kind !== "ran") return entryBytes;
+const sizeOf = (outcome: KeyedOutcome): number => {
+  if (outcome.kind !== "ran") return ENTRY_OVERHEAD_BYTES;
   const { headers, body } = outcome.response;
-  let sum = entryBytes + body.length;
-  for (const name in headers) sum += name.length + (headers[name]?.length ?? 0);
-  return sum;
+  let sizeBytes = ENTRY_OVERHEAD_BYTES + body.length;
+  for (const name in headers) sizeBytes += name.length + (headers[name]?.length ?? 0);
+  return sizeBytes;
 };
 
-/** Outcomes of keyed requests in memory, for as long as their keys are held, and within a bound of bytes. */
+const entryKey = ({ scope, requestId }: KeyedRequest): string => `${scope} ${requestId}`;
+
+/** Stores outcomes for as long as their keys are claimed, and within a bound of bytes. */
 export class OutcomeCache {
   private readonly clock: Clock;
-  private readonly keepMs: number;
-  private readonly mostBytes: number;
+  private readonly retentionMs: number;
+  private readonly maxBytes: number;
   /** By scope and request, the oldest first. */
-  private readonly kept = new Map<string, KeptOutcome>();
-  private heldBytes = 0;
+  private readonly entries = new Map<string, CacheEntry>();
+  private sizeBytes = 0;
 
-  constructor(clock: Clock, keepMs: number, mostBytes = OUTCOME_CACHE_BYTES) {
+  constructor(clock: Clock, retentionMs: number, maxBytes = OUTCOME_CACHE_BYTES) {
     this.clock = clock;
-    this.keepMs = keepMs;
-    this.mostBytes = mostBytes;
+    this.retentionMs = retentionMs;
+    this.maxBytes = maxBytes;
   }
 
-  /** How many bytes are held now. */
+  /** How many bytes are stored now. */
   get bytes(): number {
-    return this.heldBytes;
+    return this.sizeBytes;
   }
 
-  /** Notes an outcome in the place of what was known of that request. */
-  note({ scope, job }: KeyedRequest, outcome: KeyedOutcome): void {
-    const name = nameOf(scope, job);
-    this.remove(name);
-    const bytes = bytesOf(outcome);
-    this.kept.set(name, { outcome, bytes, keptMs: this.clock.nowMs() });
-    this.heldBytes += bytes;
-    const oldestMs = this.clock.nowMs() - this.keepMs;
-    for (const [oldest, { keptMs }] of this.kept) {
-      if (this.heldBytes <= this.mostBytes && keptMs >= oldestMs) return;
-      this.remove(oldest);
+  /** Stores an outcome in place of an earlier one of the same request, and evicts what is too old or too much. */
+  note(request: KeyedRequest, outcome: KeyedOutcome): void {
+    const key = entryKey(request);
+    this.remove(key);
+    const sizeBytes = sizeOf(outcome);
+    this.entries.set(key, { outcome, sizeBytes, storedMs: this.clock.nowMs() });
+    this.sizeBytes += sizeBytes;
+    const oldestMs = this.clock.nowMs() - this.retentionMs;
+    for (const [oldestKey, { storedMs }] of this.entries) {
+      if (this.sizeBytes <= this.maxBytes && storedMs >= oldestMs) return;
+      this.remove(oldestKey);
     }
   }
 
-  find({ scope, job }: KeyedRequest): KeyedOutcome | undefined {
-    return this.kept.get(nameOf(scope, job))?.outcome;
+  /** The stored outcome of a request. */
+  find(request: KeyedRequest): KeyedOutcome | undefined {
+    return this.entries.get(entryKey(request))?.outcome;
   }
 
-  private remove(name: string): void {
-    this.heldBytes -= this.kept.get(name)?.bytes ?? 0;
-    this.kept.delete(name);
+  private remove(key: string): void {
+    this.sizeBytes -= this.entries.get(key)?.sizeBytes ?? 0;
+    this.entries.delete(key);
   }
 }
-
-const nameOf = (scope: string, job: string): string => `${scope} ${job}`;
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -1,120 +1,128 @@
+/** Replication of the outcomes of keyed requests beside the replicated log. */
 import { RpcMethod } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import type { Task } from "../../runtime/task.js";
 import { KeyedOutcome, type KeyedRequest } from "./keyed-outcome.js";
 import type { OutcomeCache } from "./outcome-cache.js";
 
-/** A member of the replicated log that keeps outcomes for others. */
+/** A replica of the log that stores outcomes for other daemons. */
 export interface OutcomeReplica {
   readonly peer: string;
   readonly zone: string;
 }
 
-/** Whom a daemon may have keep outcomes beside itself. */
+/** Which replicas a daemon may choose from. */
 export interface OutcomeReplicas {
   readonly members: readonly OutcomeReplica[];
-  /** The leader has enough to do: others are asked where there are any. */
+  /** The leader, which has enough to do: it stores outcomes only where no other replica does. */
   readonly leader: string;
   readonly zone: string;
 }
 
-/** How long a member may take to keep an outcome, and a daemon to tell one that it keeps. */
-const keepWaitMs = 400;
-const findWaitMs = 400;
+/** How long a replica may take to store an outcome, and a daemon to look one up. */
+const STORE_TIMEOUT_MS = 400;
+const LOOKUP_TIMEOUT_MS = 400;
+/** How many hexadecimal digits of a scope choose its replica. */
+const DRAW_DIGITS = 6;
 
 /** A number that differs from scope to scope: the last digits of what is a hash already. */
-const drawOf = (scope: string): number => Number.parseInt(scope.slice(-6), 16) || 0;
+const drawOf = (scope: string): number => Number.parseInt(scope.slice(-DRAW_DIGITS), 16) || 0;
 
 /**
- * Keeps what became of keyed requests beside the replicated log. The log holds the claim of a key only, and who knows the rest:
- * the daemon that the request went through, and for its response a member of the log other than the leader, of that daemon's
- * zone where there is one.
+ * Stores and finds the outcomes of keyed requests. The log stores the claim of a key only, and the holders of its outcome:
+ * the daemon that the request went through, and for its response a replica of the log other than the leader, in that
+ * daemon's zone where there is one.
  */
 export class OutcomeReplicator {
   private readonly rpc: RpcEndpoint;
-  private readonly store: OutcomeCache;
-  private readonly others: () => OutcomeReplicas;
+  private readonly cache: OutcomeCache;
+  private readonly replicas: () => OutcomeReplicas;
 
-  constructor(rpc: RpcEndpoint, store: OutcomeCache, others: () => OutcomeReplicas) {
+  constructor(rpc: RpcEndpoint, cache: OutcomeCache, replicas: () => OutcomeReplicas) {
     this.rpc = rpc;
-    this.store = store;
-    this.others = others;
+    this.cache = cache;
+    this.replicas = replicas;
   }
 
-  /** Keeps responses for other daemons, and tells outcomes. */
+  /** Serves the requests of other daemons to store outcomes and to look them up. */
   serve(): void {
-    const { store } = this;
+    const { cache } = this;
     this.rpc.serve(RpcMethod.keepOutcome, function* ({ scope, job, ...message }) {
       const outcome = KeyedOutcome.read(message);
-      if (outcome) store.note({ scope, job }, outcome);
+      if (outcome) cache.note({ scope, requestId: job }, outcome);
       return { isKept: outcome !== undefined };
     });
-    this.rpc.serve(RpcMethod.keyedOutcome, function* (request) {
-      return KeyedOutcome.message(store.find(request));
+    this.rpc.serve(RpcMethod.keyedOutcome, function* ({ scope, job }) {
+      return KeyedOutcome.message(cache.find({ scope, requestId: job }));
     });
   }
 
-  /** Who will know what becomes of a request: this daemon first, then the member that is to keep its response. */
+  /** The holders of a request's outcome: this daemon first, then the replica that is to store its response. */
   holdersFor(scope: string): string[] {
-    const member = this.memberFor(scope);
-    return member === undefined ? [this.rpc.self] : [this.rpc.self, member];
+    const replica = this.replicaFor(scope);
+    return replica === undefined ? [this.rpc.self] : [this.rpc.self, replica];
   }
 
-  /** Notes here what became of a request. */
+  /** Stores an outcome at this daemon. */
   note(request: KeyedRequest, outcome: KeyedOutcome): void {
-    this.store.note(request, outcome);
+    this.cache.note(request, outcome);
   }
 
-  /** Has the other holders keep what became of a request. */
-  *share({ scope, job }: KeyedRequest, outcome: KeyedOutcome, holders: readonly string[]): Task {
-    for (const holder of holders)
-      if (holder !== this.rpc.self)
-        yield* this.rpc.call(
-          holder,
-          RpcMethod.keepOutcome,
-          { scope, job, ...KeyedOutcome.message(outcome) },
-          keepWaitMs,
-        );
+  /** Has the other holders store an outcome. */
+  *share(
+    { scope, requestId }: KeyedRequest,
+    outcome: KeyedOutcome,
+    holders: readonly string[],
+  ): Task {
+    for (const holder of holders) {
+      if (holder === this.rpc.self) continue;
+      yield* this.rpc.call(
+        holder,
+        RpcMethod.keepOutcome,
+        { scope, job: requestId, ...KeyedOutcome.message(outcome) },
+        STORE_TIMEOUT_MS,
+      );
+    }
   }
 
   /**
-   * What became of a request, as the first of its holders that knows tells it. `unknown`: the daemon that it went through knows
-   * no more of it, and no other holder does. `unreachable`: that daemon didn't answer, and no other holder knows.
+   * Looks up an outcome at its holders in their order. `unknown`: the daemon that the request went through has no record of
+   * it, nor has another holder. `unreachable`: that daemon didn't respond, and no other holder has the outcome.
    */
   *find(
     request: KeyedRequest,
     holders: readonly string[],
   ): Task<KeyedOutcome | "unknown" | "unreachable"> {
-    const own = this.store.find(request);
-    if (own) return own;
-    const { scope, job } = request;
+    const stored = this.cache.find(request);
+    if (stored) return stored;
+    const { scope, requestId } = request;
+    const [owner] = holders;
     let isOwnerReached = false;
     for (const holder of holders) {
-      const isOwner = holder === holders[0];
       if (holder === this.rpc.self) {
-        isOwnerReached ||= isOwner;
+        isOwnerReached ||= holder === owner;
         continue;
       }
-      const answer = yield* this.rpc.call(
+      const response = yield* this.rpc.call(
         holder,
         RpcMethod.keyedOutcome,
-        { scope, job },
-        findWaitMs,
+        { scope, job: requestId },
+        LOOKUP_TIMEOUT_MS,
       );
-      const outcome = answer && KeyedOutcome.read(answer);
+      const outcome = response && KeyedOutcome.read(response);
       if (outcome) return outcome;
-      isOwnerReached ||= isOwner && answer !== undefined;
+      isOwnerReached ||= holder === owner && response !== undefined;
     }
     return isOwnerReached ? "unknown" : "unreachable";
   }
 
-  /** Which member keeps the response of a scope's request, spread evenly. */
-  private memberFor(scope: string): string | undefined {
-    const { members, leader, zone } = this.others();
+  /** Which replica stores the response of a scope's request; scopes are spread evenly. */
+  private replicaFor(scope: string): string | undefined {
+    const { members, leader, zone } = this.replicas();
     const others = members.filter(({ peer }) => peer !== this.rpc.self);
-    const following = others.filter(({ peer }) => peer !== leader);
-    const near = following.filter((member) => member.zone === zone);
-    const pool = [near, following, others].find((one) => one.length > 0) ?? [];
-    return pool[drawOf(scope) % pool.length]?.peer;
+    const followers = others.filter(({ peer }) => peer !== leader);
+    const sameZone = followers.filter((member) => member.zone === zone);
+    const candidates = [sameZone, followers, others].find((group) => group.length > 0) ?? [];
+    return candidates[drawOf(scope) % candidates.length]?.peer;
   }
 }
--- a/src/proxy/outcome-rules.ts
+++ b/src/proxy/outcome-rules.ts
@@ -1,22 +1,23 @@
+/** What follows from the way an attempt at a backend ended: one table for the proxy, its tests and docs/control.md. */
 import type { ActiveRoute } from "../cluster-view/active-route.js";
 import { RequestOutcome, type ExecutionStatus } from "./request-outcome.js";
 
 /**
- * How a try at a back end can end.
+ * How an attempt at a backend can end.
  *
  * - No byte of the request left: `refused` (nobody listens), `foreign` (another service listens), `unreached` (no
  *   connection in time, or the one there was ended first), `withdrawn` (the view changed before the first byte).
  * - Bytes left, and no response head came: `lost` (reset or closed, or bytes that are no HTTP response), `late` (the
  *   deadline passed).
- * - The back end says that it did not run the request: `otherInstance` (421), `notRun` (its word for that).
- * - A head came that is not taken for an answer to this request: `otherRequest` (it names another request, or none),
- *   `bareRefusal` (a status that promises "not run", without the back end's word), `noSeal`, `encoded`, `noLength`.
- * - The body failed: `bodyCut`, `bodyTooLong`; `streamCut` where its head had been passed on to the client already.
- * - `answered`: the client had its final answer already. `whole` and `streamed`: passed on, unchanged.
+ * - The backend states that it did not run the request: `otherInstance` (421), `notRun` (its header for that).
+ * - A head came that is not accepted as the response to this request: `otherRequest` (it names another request, or none),
+ *   `bareRefusal` (a status that promises "not run", without that header), `noSeal`, `encoded`, `noLength`.
+ * - The body failed: `bodyCut`, `bodyTooLong`; `streamCut` where its head had been forwarded to the client already.
+ * - `answered`: the client had its final response already. `whole` and `streamed`: forwarded, unchanged.
  */
 export type AttemptResult = FailureCause | CompletedAttempt;
 
-/** Ways that leave the client without a back end's response. */
+/** Ways that leave the client without a backend's response. */
 export type FailureCause =
   | "refused"
   | "foreign"
@@ -35,56 +36,57 @@
   | "bodyTooLong"
   | "answered";
 
-/** Ways in which the client has a back end's response, or the beginning of one. */
+/** Ways in which the client gets a backend's response, or the beginning of one. */
 export type CompletedAttempt = "whole" | "streamed" | "streamCut";
 
-/** What follows from the way a try ended. */
+/** What follows from the way an attempt ended. */
 export interface OutcomeRule {
-  /** Whether the request may have run there. */
+  /** Whether the request may have run at the backend. */
   readonly execution: ExecutionStatus;
-  /** Whether bytes of it left, so that it counts as an arrival at the back end. */
+  /** Whether bytes of it were sent, so that it counts as an attempt. */
   readonly isSent: boolean;
-  /** What becomes of the connection: there is none, it may carry another request once the response has ended, or it ends now. */
+  /** The connection: there is none, it is reused once the response has ended, or it is closed now. */
   readonly connection: "none" | "keep" | "close";
-  /** The status that the client gets if no other back end answers; its back end's own; or its connection is cut. */
-  readonly answer: 502 | 503 | 504 | "backEnd" | "cut";
+  /** The status that the client gets if no other backend answers; the backend's own; or its connection is cut. */
+  readonly clientStatus: 502 | 503 | 504 | "backend" | "cut";
   /** Why, in words for the client. */
   readonly why: string;
 }
 
-interface Failure extends OutcomeRule {
-  readonly answer: 502 | 503 | 504;
+/** The rule of a way that leaves the client without a backend's response. */
+interface FailureRule extends OutcomeRule {
+  readonly clientStatus: 502 | 503 | 504;
 }
 
-const nothingLeft = (why: string, connection: OutcomeRule["connection"] = "none"): Failure => ({
+const notSent = (why: string, connection: OutcomeRule["connection"] = "none"): FailureRule => ({
   execution: "neverRan",
   isSent: false,
   connection,
-  answer: 503,
+  clientStatus: 503,
   why,
 });
 
-const declined = (why: string): Failure => ({
+const declined = (why: string): FailureRule => ({
   execution: "neverRan",
   isSent: true,
   connection: "keep",
-  answer: 503,
+  clientStatus: 503,
   why,
 });
 
-const uncertain = (why: string, answer: 502 | 504 = 502): Failure => ({
+const uncertain = (why: string, clientStatus: 502 | 504 = 502): FailureRule => ({
   execution: "mayHaveRun",
   isSent: true,
   connection: "close",
-  answer,
+  clientStatus,
   why,
 });
 
-const failures: Readonly<Record<FailureCause, Failure>> = {
-  refused: nothingLeft("The back end took no connection."),
-  foreign: nothingLeft("The back end took no connection."),
-  unreached: nothingLeft("The back end took no connection."),
-  withdrawn: nothingLeft("This daemon's view changed before the request could be sent.", "keep"),
+const FAILURE_RULES: Readonly<Record<FailureCause, FailureRule>> = {
+  refused: notSent("The back end took no connection."),
+  foreign: notSent("The back end took no connection."),
+  unreached: notSent("The back end took no connection."),
+  withdrawn: notSent("This daemon's view changed before the request could be sent.", "keep"),
   lost: uncertain("The connection to the back end broke."),
   late: uncertain("The back end did not return in time.", 504),
   otherInstance: declined("Another instance has the address."),
@@ -99,44 +101,46 @@
   answered: uncertain("The caller has its answer already."),
 };
 
-const passedOn: OutcomeRule = {
+const FORWARDED: OutcomeRule = {
   execution: "ran",
   isSent: true,
   connection: "keep",
-  answer: "backEnd",
+  clientStatus: "backend",
   why: "",
 };
 
-const outcomes: Readonly<Record<AttemptResult, OutcomeRule>> = {
-  ...failures,
-  whole: passedOn,
-  streamed: passedOn,
+const OUTCOME_RULES: Readonly<Record<AttemptResult, OutcomeRule>> = {
+  ...FAILURE_RULES,
+  whole: FORWARDED,
+  streamed: FORWARDED,
   streamCut: {
     execution: "mayHaveRun",
     isSent: true,
     connection: "close",
-    answer: "cut",
+    clientStatus: "cut",
     why: "",
   },
 };
 
-/** What follows from the way a try ended. */
-export const outcomeRuleOf = (cause: AttemptResult): OutcomeRule => outcomes[cause];
+/** The rule for the way an attempt ended. */
+export const outcomeRuleOf = (cause: AttemptResult): OutcomeRule => OUTCOME_RULES[cause];
 
-/** All ways in which a try can end. */
-export const outcomeRules: ReadonlyMap<string, OutcomeRule> = new Map(Object.entries(outcomes));
+/** The rules of all ways in which an attempt can end. */
+export const outcomeRules: ReadonlyMap<string, OutcomeRule> = new Map(
+  Object.entries(OUTCOME_RULES),
+);
 
-/** What the client is told where no other back end answers, and when to come back. */
+/** The outcome of a request whose attempt failed, if no other backend answers; the client had better retry after `afterMs`. */
 export const outcomeOfFailure = (cause: FailureCause, afterMs: number): RequestOutcome => {
-  const { execution, answer, why } = failures[cause];
-  return answer === 503
-    ? RequestOutcome.drop(why, afterMs)
-    : RequestOutcome.breakdown(answer, why, execution, afterMs);
+  const { execution, clientStatus, why } = FAILURE_RULES[cause];
+  return clientStatus === 503
+    ? RequestOutcome.unavailable(why, afterMs)
+    : RequestOutcome.failed(clientStatus, why, execution, afterMs);
 };
 
 /**
- * Whether a request may be sent to another back end after its tries so far: where none of them can have run it, or
- * where its route lets it run more than once. `worst` is the worst of their verdicts.
+ * Whether a request may be sent to another backend after its attempts so far: where none of them can have run it, or
+ * where its route lets it run more than once. `worst` is the worst of their execution statuses.
  */
 export const mayRetry = (
   worst: ExecutionStatus,
--- a/src/proxy/pipelining-filter.ts
+++ b/src/proxy/pipelining-filter.ts
@@ -13,7 +13,7 @@
   *handle({ route, client }: RequestContext, next: NextHandler): Task<RequestOutcome> {
     const isRepeatable = route?.repeatable === true;
     if (!isRepeatable && client.awaitTurn && !(yield* client.awaitTurn()))
-      return RequestOutcome.drop(
+      return RequestOutcome.unavailable(
         "The answer before this one closed the connection.",
         RETRY_AFTER_MS.otherDaemon,
       );
--- a/src/proxy/proxy-request.ts
+++ b/src/proxy/proxy-request.ts
@@ -1,39 +1,44 @@
+/** A client's request and the connection that it came on, as the proxy sees them. */
 import type { Task } from "../runtime/task.js";
 import type { ClientResponse } from "./request-outcome.js";
 
-/** A caller's request; a small body is held whole, of a large one the rest is still to come. */
+/** A client's request; a small body is buffered whole, the rest of a large one is still to come. */
 export interface ProxyRequest {
   readonly method: string;
-  /** The path with its query, as the caller sent it. */
+  /** The path with its query, as the client sent it. */
   readonly target: string;
   readonly headers: Record<string, string>;
   readonly body: Uint8Array;
-  /** What follows `body`, as it comes; it can be read once. It raises an error where the caller breaks it off. */
+  /** What follows `body`, as it arrives; it can be read once, and throws where the client aborts it. */
   readonly rest?: AsyncIterable<Uint8Array>;
 }
 
-/** The way back to a caller. */
+/** The connection to a client, for the response to one request. */
 export interface ClientConnection {
   readonly isClosed: boolean;
-  /** Calls back once the caller has left; returns a cancel function. Absent where nothing is heard of it. */
+  /** Calls back once the client has closed the connection; returns a cancel function. Absent where that isn't noticed. */
   onClosed?(run: () => void): () => void;
-  /** Waits until all that came before on its connection is answered; false where that closed the connection. Absent where requests come one at a time. */
+  /** Waits until all earlier requests on the connection are answered; false where that closed it. Absent where requests come one at a time. */
   awaitTurn?(): Task<boolean>;
-  /** When the response should have ended: of two large ones, that which is due first goes first. */
+  /** When the response should have ended: of two large ones, the one due first is sent first. */
   dueMs?: number;
+  /** Sends a whole response. */
   respond(response: ClientResponse): void;
+  /** Sends the head of a response that is streamed. */
   writeHead(code: number, headers: Record<string, string>): void;
-  /** Passes a piece on; false once the caller is gone. */
+  /** Sends a chunk of the body, and waits while the client is slow; false once the client has closed the connection. */
   writeChunk(bytes: Uint8Array): Task<boolean>;
+  /** Ends a streamed response. */
   end(): void;
-  /** Breaks the connection, so that what was sent can't look complete. */
+  /** Resets the connection, so that what was sent can't look complete. */
   abort(): void;
 }
 
+/** Reads requests. */
 export const ProxyRequest = {
   /** The path without its query. */
   path(clientRequest: ProxyRequest): string {
-    const query = clientRequest.target.indexOf("?");
-    return query < 0 ? clientRequest.target : clientRequest.target.slice(0, query);
+    const queryIndex = clientRequest.target.indexOf("?");
+    return queryIndex < 0 ? clientRequest.target : clientRequest.target.slice(0, queryIndex);
   },
 };
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -1,20 +1,22 @@
-/** Whether a request may have run at a back end. */
+/** How a request ended, and the response that its client gets. */
+
+/** Whether a request ran at a backend. */
 export type ExecutionStatus = "neverRan" | "mayHaveRun" | "ran";
 
-/** A return that is held whole. */
+/** A response that is buffered whole. */
 export interface ClientResponse {
   readonly code: number;
   readonly headers: Record<string, string>;
   readonly body: Uint8Array;
 }
 
-/** How a request ended: what it is told, or that a body was passed on as it came. */
+/** How a request ended: with a response to send, or with one that was streamed to its end or cut short. */
 export interface RequestOutcome {
   readonly execution: ExecutionStatus;
   readonly response: ClientResponse | "streamed" | "cut";
-  /** Why, in the daemon's own words; empty when a back end's return was passed on. */
+  /** Why the proxy answered itself, in words for the client; empty where a backend's response is forwarded. */
   readonly why: string;
-  /** When to come back, where that is told. */
+  /** When the client had better retry, where it is told so. */
   readonly afterMs?: number;
 }
 
@@ -28,12 +30,17 @@
   body: Buffer.from(`${JSON.stringify(body)}\n`),
 });
 
-export const ClientResponse = { json };
+/** Builds responses. */
+export const ClientResponse = {
+  /** A response with a JSON body and a line feed after it. */
+  json,
+};
 
-/** How long a caller had better wait where nothing more is known. */
-const usualAfterMs = 1000;
+/** When clients had better retry where nothing more is known. */
+const DEFAULT_RETRY_AFTER_MS = 1000;
 
-const told = (
+/** An outcome whose JSON body and headers state when to retry. */
+const withRetryAfter = (
   code: number,
   why: string,
   execution: ExecutionStatus,
@@ -49,13 +56,14 @@
   ),
 });
 
+/** Builds outcomes. */
 export const RequestOutcome = {
-  /** Try later: the request has not run and won't. */
-  drop: (why: string, afterMs = usualAfterMs): RequestOutcome =>
-    told(503, why, "neverRan", afterMs),
+  /** 503: the request has not run and won't; the client may retry. */
+  unavailable: (why: string, afterMs = DEFAULT_RETRY_AFTER_MS): RequestOutcome =>
+    withRetryAfter(503, why, "neverRan", afterMs),
 
-  /** Refused for what it is; coming back won't help. */
-  refusal(code: number, why: string): RequestOutcome {
+  /** The request is invalid: a retry won't help. */
+  rejected(code: number, why: string): RequestOutcome {
     return {
       execution: "neverRan",
       why,
@@ -63,16 +71,16 @@
     };
   },
 
-  /** Given up on: it may have run. */
-  breakdown: (
+  /** The request ended without a backend's response, and may have run. */
+  failed: (
     code: 409 | 502 | 504,
     why: string,
     execution: ExecutionStatus,
-    afterMs = usualAfterMs,
-  ): RequestOutcome => told(code, why, execution, afterMs),
+    afterMs = DEFAULT_RETRY_AFTER_MS,
+  ): RequestOutcome => withRetryAfter(code, why, execution, afterMs),
 
-  /** A return that a back end gave. */
-  returned(response: ClientResponse): RequestOutcome {
+  /** A backend's response, unchanged. */
+  forwarded(response: ClientResponse): RequestOutcome {
     return { execution: "ran", response, why: "" };
   },
 };
--- a/src/proxy/response-forwarder.ts
+++ b/src/proxy/response-forwarder.ts
@@ -106,7 +106,7 @@
       headers["content-length"] = contentLength;
     const [first] = chunks;
     const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
-    return RequestOutcome.returned({ code: response.code, headers, body });
+    return RequestOutcome.forwarded({ code: response.code, headers, body });
   }
 
   /** Forwards a body as it arrives, first what was buffered of it; cuts the client's connection where it fails. */
--- a/src/proxy/retry-handler.ts
+++ b/src/proxy/retry-handler.ts
@@ -54,7 +54,7 @@
   { uncertainOutcome }: RetryProgress,
   why: string,
   afterMs: number = RETRY_AFTER_MS.soon,
-): RequestOutcome => uncertainOutcome ?? RequestOutcome.drop(why, afterMs);
+): RequestOutcome => uncertainOutcome ?? RequestOutcome.unavailable(why, afterMs);
 
 /** The end of the chain: forwards requests, with retries. Keeps no state beyond a request. */
 export class RetryHandler {
@@ -99,7 +99,7 @@
     const route = servingView.routeFor(context.clientRequest);
     if (!route)
       return endWith(
-        progress.uncertainOutcome ?? RequestOutcome.refusal(404, "No route takes this request."),
+        progress.uncertainOutcome ?? RequestOutcome.rejected(404, "No route takes this request."),
       );
     if (!servingView.maySend(context.clientRequest, route))
       return endWith(
--- a/src/proxy/routing-filter.ts
+++ b/src/proxy/routing-filter.ts
@@ -39,8 +39,8 @@
     const route = servingView.routeFor(context.clientRequest);
     if (!route)
       return clusterView.holdsLease
-        ? RequestOutcome.refusal(404, "No route takes this request.")
-        : RequestOutcome.drop(
+        ? RequestOutcome.rejected(404, "No route takes this request.")
+        : RequestOutcome.unavailable(
             "This daemon's view is not proven fresh.",
             RETRY_AFTER_MS.viewSettled,
           );
@@ -49,7 +49,7 @@
     context.deadlineMs = context.arrivedMs + this.timeoutMs(context.clientRequest, route);
     context.client.dueMs = context.arrivedMs + route.goalMs;
     if (!this.admitsResponse(context, route))
-      return RequestOutcome.drop(
+      return RequestOutcome.unavailable(
         "This daemon's link is full for as long as there is time.",
         RETRY_AFTER_MS.otherDaemon,
       );
--- a/src/proxy/upstream/response-validation.ts
+++ b/src/proxy/upstream/response-validation.ts
@@ -1,51 +1,62 @@
+/** Whether a backend's response is accepted as the answer to its request, and how its body ends. */
 import type { HeaderNames } from "../header-names.js";
 import type { FailureCause } from "../outcome-rules.js";
 
-/** The head of a back end's response. */
+/** The head of a backend's response. */
 export interface ResponseHead {
   readonly code: number;
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** What a response has to show to be this request's answer. */
+/** What a response has to prove to be the answer to a request. */
 export interface ExpectedResponse {
   readonly headerNames: HeaderNames;
-  /** The request's name toward the back end. */
+  /** The request's name toward the backend. */
   readonly id: string;
   /** In which header the response repeats that name. */
   readonly echoHeader: string;
 }
 
-/** Statuses that promise that a request has not run; a back end's own stands only with its word that it hasn't. */
-const promisingCodes: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that promise that a request has not run; a backend's are accepted only with its header for that. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** What keeps a response from being passed on as this request's answer; undefined where nothing does. */
-export const responseHeadFault = (
+/** How a backend states that it did not run the request; a response that names no request may state it too. */
+const declinedBy = (
   { code, headers }: ResponseHead,
-  { headerNames: { seal, notRun, expected, proof }, id, echoHeader }: ExpectedResponse,
+  { headerNames: { expected, notRun }, id, echoHeader }: ExpectedResponse,
+): FailureCause | undefined => {
+  const echoedId = headers[echoHeader];
+  if (echoedId !== undefined && echoedId !== id) return undefined;
+  if (expected !== undefined && code === 421) return "otherInstance";
+  return notRun !== undefined && headers[notRun] !== undefined ? "notRun" : undefined;
+};
+
+/** Why a response is not forwarded as the answer to its request; undefined where it is. */
+export const responseHeadFault = (
+  head: ResponseHead,
+  expectedResponse: ExpectedResponse,
 ): FailureCause | undefined => {
-  const echoed = headers[echoHeader];
-  if (echoed === undefined || echoed === id) {
-    if (expected !== undefined && code === 421) return "otherInstance";
-    if (notRun !== undefined && headers[notRun] !== undefined) return "notRun";
-  }
-  if (echoed !== id) return "otherRequest";
-  if (promisingCodes.has(code)) return "bareRefusal";
+  const { code, headers } = head;
+  const { headerNames, id, echoHeader } = expectedResponse;
+  const { seal, proof } = headerNames;
+  const declined = declinedBy(head, expectedResponse);
+  if (declined !== undefined) return declined;
+  if (headers[echoHeader] !== id) return "otherRequest";
+  if (NOT_RUN_STATUSES.has(code)) return "bareRefusal";
   if (seal !== undefined && code < 300 && headers[seal] === undefined) return "noSeal";
-  const encoding = headers["content-encoding"];
-  if (proof === "request" && encoding !== undefined && encoding !== "identity") return "encoded";
-  return undefined;
+  const encoding = headers["content-encoding"] ?? "identity";
+  return proof === "request" && encoding !== "identity" ? "encoded" : undefined;
 };
 
-/** How the end of a response's body is known: there is none, after so many bytes, by its chunks, or not at all. */
+/** How a response's body ends: it has none, after a stated length, by its chunks, or in no way that is known. */
 export const responseBodyEnd = (
   method: string,
   { code, headers }: ResponseHead,
 ): "bodiless" | { readonly lengthBytes: number } | "chunked" | "unknown" => {
   if (method === "HEAD" || code === 204 || code === 304) return "bodiless";
   if (headers["transfer-encoding"]?.toLowerCase() === "chunked") return "chunked";
-  const stated = headers["content-length"];
-  return stated !== undefined && /^\d{1,15}$/.test(stated)
-    ? { lengthBytes: Number(stated) }
+  const contentLength = headers["content-length"];
+  return contentLength !== undefined && /^\d{1,15}$/.test(contentLength)
+    ? { lengthBytes: Number(contentLength) }
     : "unknown";
 };
--- a/test/proxy/idempotency/outcome-cache.test.ts
+++ b/test/proxy/idempotency/outcome-cache.test.ts
@@ -10,20 +10,21 @@
 
 test("a response is found by its scope and the request that ran, and by no other", () => {
   const store = new OutcomeCache(new VirtualClock().clock(), 1000);
-  store.note({ scope: "s", job: "one" }, response(10));
-  expect(store.find({ scope: "s", job: "one" })).toEqual(response(10));
-  expect(store.find({ scope: "s", job: "other" })).toBeUndefined();
-  expect(store.find({ scope: "t", job: "one" })).toBeUndefined();
+  store.note({ scope: "s", requestId: "one" }, response(10));
+  expect(store.find({ scope: "s", requestId: "one" })).toEqual(response(10));
+  expect(store.find({ scope: "s", requestId: "other" })).toBeUndefined();
+  expect(store.find({ scope: "t", requestId: "one" })).toBeUndefined();
 });
 
 test("responses are bounded all together: the oldest go first", () => {
   const mostBytes = 100_000;
   const store = new OutcomeCache(new VirtualClock().clock(), 1000, mostBytes);
   for (let at = 0; at < 200; at += 1) {
-    store.note({ scope: `s${at}`, job: "j" }, response(9_800));
+    store.note({ scope: `s${at}`, requestId: "j" }, response(9_800));
     expect(store.bytes).toBeLessThanOrEqual(mostBytes);
   }
-  const isKept = (at: number): boolean => store.find({ scope: `s${at}`, job: "j" }) !== undefined;
+  const isKept = (at: number): boolean =>
+    store.find({ scope: `s${at}`, requestId: "j" }) !== undefined;
   expect(Array.from({ length: 200 }, (_, at) => at).filter(isKept)).toEqual([
     190, 191, 192, 193, 194, 195, 196, 197, 198, 199,
   ]);
@@ -32,11 +33,11 @@
 test("what is older than a key is kept goes with the next one, and what replaces a response counts once", () => {
   const time = new VirtualClock();
   const store = new OutcomeCache(time.clock(), 1000);
-  store.note({ scope: "old", job: "j" }, response(500));
+  store.note({ scope: "old", requestId: "j" }, response(500));
   time.runUntil(1500);
-  store.note({ scope: "new", job: "j" }, response(500));
-  expect(store.find({ scope: "old", job: "j" })).toBeUndefined();
+  store.note({ scope: "new", requestId: "j" }, response(500));
+  expect(store.find({ scope: "old", requestId: "j" })).toBeUndefined();
   const oneBytes = store.bytes;
-  store.note({ scope: "new", job: "j" }, response(500));
+  store.note({ scope: "new", requestId: "j" }, response(500));
   expect(store.bytes).toBe(oneBytes);
 });
--- a/test/proxy/outcome-rules.test.ts
+++ b/test/proxy/outcome-rules.test.ts
@@ -6,8 +6,8 @@
 
 test("the table of how a try can end: may it have run, did bytes leave, the connection, the client's answer", () => {
   const rows = [...outcomeRules].map(
-    ([cause, { execution, isSent, connection, answer }]) =>
-      `${cause} ${execution} ${isSent ? "sent" : "unsent"} ${connection} ${answer}`,
+    ([cause, { execution, isSent, connection, clientStatus }]) =>
+      `${cause} ${execution} ${isSent ? "sent" : "unsent"} ${connection} ${clientStatus}`,
   );
   expect(rows).toEqual([
     "refused neverRan unsent none 503",
@@ -26,15 +26,15 @@
     "bodyCut mayHaveRun sent close 502",
     "bodyTooLong mayHaveRun sent close 502",
     "answered mayHaveRun sent close 502",
-    "whole ran sent keep backEnd",
-    "streamed ran sent keep backEnd",
+    "whole ran sent keep backend",
+    "streamed ran sent keep backend",
     "streamCut mayHaveRun sent close cut",
   ]);
 });
 
 test("only a request that never ran is told a status that promises so, and only that may be sent on whatever its route", () => {
-  for (const [cause, { execution, isSent, answer }] of outcomeRules) {
-    expect([cause, answer === 503]).toEqual([cause, execution === "neverRan"]);
+  for (const [cause, { execution, isSent, clientStatus }] of outcomeRules) {
+    expect([cause, clientStatus === 503]).toEqual([cause, execution === "neverRan"]);
     if (!isSent) expect([cause, execution]).toEqual([cause, "neverRan"]);
   }
   for (const repeatable of [true, false]) {
