--- a/test/platform/command-stage.ts
+++ b/test/platform/command-stage.ts
@@ -1,5 +1,5 @@
 import { control } from "../../platform/control.js";
-import { headerNames } from "../../platform/dialect.js";
+import { headerNames } from "../../platform/header-names.js";
 import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
 import type { ClientResponse } from "../../src/proxy/request-outcome.js";
 import type { Settings } from "../../src/daemon/settings.js";
--- a/test/platform/proxy-stage.ts
+++ b/test/platform/proxy-stage.ts
@@ -1,4 +1,4 @@
-import { headerNames } from "../../platform/dialect.js";
+import { headerNames } from "../../platform/header-names.js";
 import {
   openedResponse,
   openFailure,
