--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { LogCommand } from "../../src/state/state-machine.js";
 import { configText, type StageMachine } from "../replication/fleet-stage.js";
 import {
@@ -28,70 +28,6 @@
 };
 const all = (code: number): number[] => machines.map(() => code);
 
-test("the same bytes get the same answer through every daemon: during the first's commit, after a new leader, after a restart of all, after hundreds of others", () => {
-  const stage = begun();
-  const command = wholeOrder(3, 7, "kept");
-  expect(everywhere(stage, command)).toEqual(all(200));
-  const other = wholeOrder(3, 7, "other");
-  expect(everywhere(stage, other)).toEqual(all(412));
-
-  const former = stage.leader;
-  stage.kill(former);
-  stage.until(
-    () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
-    5000,
-  );
-  stage.boot(former, { bootstrap: false });
-  stage.wait(3000);
-  expect(everywhere(stage, command)).toEqual(all(200));
-  expect(everywhere(stage, other)).toEqual(all(412));
-
-  for (const machine of stage.machines) stage.kill(machine);
-  for (const machine of stage.machines) stage.boot(machine, { bootstrap: false });
-  stage.wait(5000);
-  expect(everywhere(stage, command)).toEqual(all(200));
-  expect(everywhere(stage, other)).toEqual(all(412));
-
-  for (let at = 0, base = 7; at < 300; at += 1, base += 3)
-    expect(
-      stage.untilClear(itemOrder(base, base + 3, { name: `r${at % 9}`, svc: "one" }), at),
-    ).toBe(200);
-  expect(everywhere(stage, command)).toEqual(all(200));
-  expect(everywhere(stage, other)).toEqual(all(412));
-});
-
-test("an order older than what is kept of the identities is left without a clear answer: neither refused nor taken again", () => {
-  const stage = begun();
-  const command = wholeOrder(3, 7, "old");
-  expect(stage.untilClear(command)).toBe(200);
-  const first = 3;
-  for (let sequence = first; sequence < first + 2100; sequence += 1) {
-    const replicationNode = stage.leader.daemon?.replicationNode;
-    if (!replicationNode) throw new Error("Nobody leads.");
-    stage.start(
-      replicationNode.propose(
-        LogCommand.text({
-          kind: "config",
-          expected: sequence - 1,
-          version: sequence + 100,
-          changeId: `c${sequence}`,
-          acceptedAt: "",
-          text: configText(sequence),
-          services: [],
-          routes: [],
-        }),
-      ),
-    );
-    if (sequence % 50 === 0) stage.wait(100);
-  }
-  stage.wait(3000);
-  const newest = stage.newest(stage.at(0));
-  expect(newest).toBe(`r${first + 2099 + 100}`);
-  expect(everywhere(stage, command)).toEqual(all(504));
-  expect(stage.newest(stage.at(1))).toBe(newest);
-  expect(everywhere(stage, wholeOrder(3, first + 2099 + 100, "late"))).toEqual(all(412));
-});
-
 /** Eight orders at a time through changing daemons: three proper ones that race, five that are invalid. */
 const eightAt = (stage: OrderStage, base: number, round: number): Call[] => {
   const bad = itemOrder(base, base + 1, { name: "z", svc: "nowhere" });
@@ -110,19 +46,6 @@
   );
 };
 
-test("of eight orders at once upon one base exactly one is taken, and none that is invalid", () => {
-  const stage = begun();
-  let base = 3;
-  for (let round = 0; round < 20; round += 1) {
-    const calls = eightAt(stage, base, round);
-    stage.wait(1000);
-    const codes = calls.map(({ code }) => code);
-    expect(codes.slice(0, 3).sort()).toEqual([200, 412, 412]);
-    for (const code of codes.slice(3)) expect([400, 412]).toContain(code);
-    base = Number(stage.newest(stage.at(round % machines.length))?.slice(1));
-  }
-});
-
 /** What may befall the core while an order is under way. */
 const troubles: Array<[name: string, begin: (stage: OrderStage) => void]> = [
   ["the leader is killed", (stage) => stage.kill(stage.leader)],
@@ -165,58 +88,143 @@
   ],
 ];
 
-for (const [name, begin] of troubles)
-  test(`no transient state refuses a proper order for good, nor a read: ${name}`, () => {
-    for (let restMs = 0; restMs < 12; restMs += 3) {
-      const stage = begun();
-      expect(stage.untilClear(itemOrder(3, 9, { name: "n", svc: "new", addsService: true }))).toBe(
-        200,
+describe("retried configuration change", () => {
+  test("the same bytes get the same response through every daemon: during the first commit, after a new leader, after a restart of all, after hundreds of others", () => {
+    const stage = begun();
+    const command = wholeOrder(3, 7, "kept");
+    expect(everywhere(stage, command)).toEqual(all(200));
+    const other = wholeOrder(3, 7, "other");
+    expect(everywhere(stage, other)).toEqual(all(412));
+
+    const former = stage.leader;
+    stage.kill(former);
+    stage.until(
+      () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+      5000,
+    );
+    stage.boot(former, { bootstrap: false });
+    stage.wait(3000);
+    expect(everywhere(stage, command)).toEqual(all(200));
+    expect(everywhere(stage, other)).toEqual(all(412));
+
+    for (const machine of stage.machines) stage.kill(machine);
+    for (const machine of stage.machines) stage.boot(machine, { bootstrap: false });
+    stage.wait(5000);
+    expect(everywhere(stage, command)).toEqual(all(200));
+    expect(everywhere(stage, other)).toEqual(all(412));
+
+    for (let at = 0, base = 7; at < 300; at += 1, base += 3)
+      expect(
+        stage.untilClear(itemOrder(base, base + 3, { name: `r${at % 9}`, svc: "one" }), at),
+      ).toBe(200);
+    expect(everywhere(stage, command)).toEqual(all(200));
+    expect(everywhere(stage, other)).toEqual(all(412));
+  });
+
+  test("a change older than the retained change ids gets no final response: it is neither refused nor applied again", () => {
+    const stage = begun();
+    const command = wholeOrder(3, 7, "old");
+    expect(stage.untilClear(command)).toBe(200);
+    const first = 3;
+    for (let sequence = first; sequence < first + 2100; sequence += 1) {
+      const replicationNode = stage.leader.daemon?.replicationNode;
+      if (!replicationNode) throw new Error("Nobody leads.");
+      stage.start(
+        replicationNode.propose(
+          LogCommand.text({
+            kind: "config",
+            expected: sequence - 1,
+            version: sequence + 100,
+            changeId: `c${sequence}`,
+            acceptedAt: "",
+            text: configText(sequence),
+            services: [],
+            routes: [],
+          }),
+        ),
       );
-      const command = itemOrder(9, 11, { name: "m", svc: "new" });
-      const calls = stage.machines.map((machine) => stage.order(machine, command));
-      const reads: Call[] = [];
-      stage.wait(restMs);
-      begin(stage);
-      for (let at = 0; at < 50; at += 1) {
-        const machine: StageMachine = stage.at(at % machines.length);
-        calls.push(stage.order(machine, command));
-        reads.push(stage.call(machine, "GET", "config/get"));
-        stage.wait(100);
-      }
-      stage.wait(5000);
-      for (const call of [...calls, ...reads])
-        if (call.code !== undefined && call.code !== 200)
-          expect(call.code, call.body).toBeGreaterThanOrEqual(500);
-      for (const read of reads.filter(({ code }) => code === 200))
-        expect(read.body).toContain('"n"');
-      expect(stage.untilClear(command)).toBe(200);
+      if (sequence % 50 === 0) stage.wait(100);
     }
+    stage.wait(3000);
+    const newest = stage.newest(stage.at(0));
+    expect(newest).toBe(`r${first + 2099 + 100}`);
+    expect(everywhere(stage, command)).toEqual(all(504));
+    expect(stage.newest(stage.at(1))).toBe(newest);
+    expect(everywhere(stage, wholeOrder(3, first + 2099 + 100, "late"))).toEqual(all(412));
   });
+});
 
-test("before the first configuration is taken a read is put off, not refused", () => {
-  const stage = new OrderStage(machines, [0, 1, 2]);
-  stage.bootAll();
-  const reads: Call[] = [];
-  for (let at = 0; at < 40; at += 1) {
-    reads.push(stage.call(stage.at(at % machines.length), "GET", "config/get"));
-    stage.wait(100);
-  }
-  stage.wait(1000);
-  for (const read of reads) expect(read.code, read.body).toBe(503);
+describe("concurrent configuration changes", () => {
+  test("of eight at once on one base version exactly one is applied, and none that is invalid", () => {
+    const stage = begun();
+    let base = 3;
+    for (let round = 0; round < 20; round += 1) {
+      const calls = eightAt(stage, base, round);
+      stage.wait(1000);
+      const codes = calls.map(({ code }) => code);
+      expect(codes.slice(0, 3).sort()).toEqual([200, 412, 412]);
+      for (const code of codes.slice(3)) expect([400, 412]).toContain(code);
+      base = Number(stage.newest(stage.at(round % machines.length))?.slice(1));
+    }
+  });
 });
 
-test("a large configuration is read back in time through a daemon on a thin link", () => {
-  const stage = begun();
-  const routes = Array.from({ length: 2500 }, (_, at) => routeTo(`route-${at}`, "one"));
-  const { base, body } = wholeOrder(3, 5);
-  const items = routes.map((route) => JSON.stringify(route)).join(",");
-  const whole = body.replace('"objs":[', `"objs":[${items},`);
-  expect(stage.untilClear({ target: "config/put", base, body: whole })).toBe(200);
-  stage.wait(3000);
-  // 3 Mbit/s: the text as it is would take longer than an answer may.
-  stage.network.bytesPerMs = 375;
-  expect(whole.length / stage.network.bytesPerMs).toBeGreaterThan(800);
-  expect(stage.machines.map((machine) => stage.newest(machine))).toEqual(
-    stage.machines.map(() => "r5"),
-  );
+describe("transient failures of the cluster", () => {
+  for (const [name, begin] of troubles)
+    test(`neither a valid change nor a read is refused for good: ${name}`, () => {
+      for (let restMs = 0; restMs < 12; restMs += 3) {
+        const stage = begun();
+        expect(
+          stage.untilClear(itemOrder(3, 9, { name: "n", svc: "new", addsService: true })),
+        ).toBe(200);
+        const command = itemOrder(9, 11, { name: "m", svc: "new" });
+        const calls = stage.machines.map((machine) => stage.order(machine, command));
+        const reads: Call[] = [];
+        stage.wait(restMs);
+        begin(stage);
+        for (let at = 0; at < 50; at += 1) {
+          const machine: StageMachine = stage.at(at % machines.length);
+          calls.push(stage.order(machine, command));
+          reads.push(stage.call(machine, "GET", "config/get"));
+          stage.wait(100);
+        }
+        stage.wait(5000);
+        for (const call of [...calls, ...reads])
+          if (call.code !== undefined && call.code !== 200)
+            expect(call.code, call.body).toBeGreaterThanOrEqual(500);
+        for (const read of reads.filter(({ code }) => code === 200))
+          expect(read.body).toContain('"n"');
+        expect(stage.untilClear(command)).toBe(200);
+      }
+    });
+});
+
+describe("reads of the configuration", () => {
+  test("before the first configuration is applied, a read gets 503, not a final refusal", () => {
+    const stage = new OrderStage(machines, [0, 1, 2]);
+    stage.bootAll();
+    const reads: Call[] = [];
+    for (let at = 0; at < 40; at += 1) {
+      reads.push(stage.call(stage.at(at % machines.length), "GET", "config/get"));
+      stage.wait(100);
+    }
+    stage.wait(1000);
+    for (const read of reads) expect(read.code, read.body).toBe(503);
+  });
+
+  test("a large configuration is read in time through a daemon on a thin link", () => {
+    const stage = begun();
+    const routes = Array.from({ length: 2500 }, (_, at) => routeTo(`route-${at}`, "one"));
+    const { base, body } = wholeOrder(3, 5);
+    const items = routes.map((route) => JSON.stringify(route)).join(",");
+    const whole = body.replace('"objs":[', `"objs":[${items},`);
+    expect(stage.untilClear({ target: "config/put", base, body: whole })).toBe(200);
+    stage.wait(3000);
+    // 3 Mbit/s: the text as it is would take longer than an answer may.
+    stage.network.bytesPerMs = 375;
+    expect(whole.length / stage.network.bytesPerMs).toBeGreaterThan(800);
+    expect(stage.machines.map((machine) => stage.newest(machine))).toEqual(
+      stage.machines.map(() => "r5"),
+    );
+  });
 });
--- a/test/platform/cut-off-daemons.test.ts
+++ b/test/platform/cut-off-daemons.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import type { StageMachine } from "../replication/fleet-stage.js";
 import { itemOrder, OrderStage, wholeOrder, type Call } from "./command-stage.js";
 
@@ -65,51 +65,6 @@
   ["an edge", (stage) => [stage.at(0)]],
 ];
 
-for (const [name, fewOf] of sides)
-  for (const [cutMs, ways] of cutsMs.flatMap((ms) => allWays.map((one) => [ms, one] as const)))
-    test(`cut off for ${cutMs / 1000} s, ${ways}: ${name}`, () => {
-      const stage = begun();
-      const few = fewOf(stage);
-      const rest = cutOff(stage, few, ways);
-      const fromMs = stage.time.nowMs();
-      const sent: Sent[] = [];
-      for (let round = 0; stage.time.nowMs() < fromMs + cutMs; round += 1) {
-        for (const machine of few) sent.push(...askAll(stage, machine, round));
-        stage.wait(250);
-        if (round !== 8) continue;
-        // Some two seconds on, those on the other side take a change.
-        const [one = stage.at(1)] = rest.filter(({ disk }) => disk !== undefined);
-        // Where the few are heard, one of their orders may have been taken, though they can't be told.
-        const base = Number(stage.newest(one)?.slice(1));
-        if (ways !== "they hear nothing") expect(base).toBe(3);
-        const command = stage.order(one, wholeOrder(base, 1000, "majority"));
-        stage.wait(1000);
-        expect(command.code).toBe(200);
-      }
-      stage.network.heal();
-      stage.wait(6000);
-
-      for (const { kind, call } of sent) {
-        const atMs = call.sentMs - fromMs;
-        const leaseMs = kind === "beat" ? edgeLeaseMs : leaderLeaseMs;
-        const tookMs = (call.answeredMs ?? Infinity) - call.sentMs;
-        const what = `${kind} after ${atMs} ms: ${call.code} in ${tookMs} ms ${call.body}`;
-        const isAnsweredWhileCut = atMs + tookMs < cutMs;
-        if (isAnsweredWhileCut && atMs > leaseMs)
-          expect(call.code, what).toBeGreaterThanOrEqual(500);
-        else if (isAnsweredWhileCut && call.code !== 200)
-          expect(call.code, what).toBeGreaterThanOrEqual(500);
-        else if (!isAnsweredWhileCut && kind === "order")
-          expect([412, 503, 504], what).toContain(call.code);
-        else if (!isAnsweredWhileCut && kind === "read" && call.code === 200)
-          expect(call.body, what).toContain('"r1000"');
-        expect(tookMs, what).toBeLessThan(answerMs);
-      }
-      expect(stage.machines.map((machine) => stage.newest(machine))).toEqual(
-        stage.machines.map(() => "r1000"),
-      );
-    });
-
 /** Whether the leader's directory holds a backend that isn't leaving. */
 const stands = (stage: OrderStage, address: string): boolean => {
   const bodies: string[] = [];
@@ -126,21 +81,70 @@
   return bodies.some((body) => new RegExp(`"address":"${address}"[^}]*"leaving":false`).test(body));
 };
 
-for (let restMs = 0; restMs < 300; restMs += 10)
-  test(`${restMs} ms after an edge is back, a beat that it acknowledges has an effect`, () => {
-    const stage = begun();
-    const edge = stage.at(0);
-    expect(stands(stage, "10.1.0.1:90")).toBe(true);
-    cutOff(stage, [edge], "both ways");
-    stage.wait(20_000);
-    expect(stands(stage, "10.1.0.1:90")).toBe(false);
-    stage.network.heal();
-    stage.wait(restMs);
-    const call = beat(stage, edge, "1", 50);
-    stage.until(() => call.code !== undefined, 1000);
-    if (call.code === 200) expect(stands(stage, "10.1.0.1:90")).toBe(true);
-    else expect(call.code).toBe(503);
-    beat(stage, stage.at(1), "1", 51);
-    stage.wait(200);
-    expect(stands(stage, "10.1.0.1:90")).toBe(true);
-  });
+describe("network partition", () => {
+  for (const [name, fewOf] of sides)
+    for (const [cutMs, ways] of cutsMs.flatMap((ms) => allWays.map((one) => [ms, one] as const)))
+      test(`for ${cutMs / 1000} s, ${ways}: ${name}`, () => {
+        const stage = begun();
+        const few = fewOf(stage);
+        const rest = cutOff(stage, few, ways);
+        const fromMs = stage.time.nowMs();
+        const sent: Sent[] = [];
+        for (let round = 0; stage.time.nowMs() < fromMs + cutMs; round += 1) {
+          for (const machine of few) sent.push(...askAll(stage, machine, round));
+          stage.wait(250);
+          if (round !== 8) continue;
+          // Some two seconds on, those on the other side take a change.
+          const [one = stage.at(1)] = rest.filter(({ disk }) => disk !== undefined);
+          // Where the few are heard, one of their orders may have been taken, though they can't be told.
+          const base = Number(stage.newest(one)?.slice(1));
+          if (ways !== "they hear nothing") expect(base).toBe(3);
+          const command = stage.order(one, wholeOrder(base, 1000, "majority"));
+          stage.wait(1000);
+          expect(command.code).toBe(200);
+        }
+        stage.network.heal();
+        stage.wait(6000);
+
+        for (const { kind, call } of sent) {
+          const atMs = call.sentMs - fromMs;
+          const leaseMs = kind === "beat" ? edgeLeaseMs : leaderLeaseMs;
+          const tookMs = (call.answeredMs ?? Infinity) - call.sentMs;
+          const what = `${kind} after ${atMs} ms: ${call.code} in ${tookMs} ms ${call.body}`;
+          const isAnsweredWhileCut = atMs + tookMs < cutMs;
+          if (isAnsweredWhileCut && atMs > leaseMs)
+            expect(call.code, what).toBeGreaterThanOrEqual(500);
+          else if (isAnsweredWhileCut && call.code !== 200)
+            expect(call.code, what).toBeGreaterThanOrEqual(500);
+          else if (!isAnsweredWhileCut && kind === "order")
+            expect([412, 503, 504], what).toContain(call.code);
+          else if (!isAnsweredWhileCut && kind === "read" && call.code === 200)
+            expect(call.body, what).toContain('"r1000"');
+          expect(tookMs, what).toBeLessThan(answerMs);
+        }
+        expect(stage.machines.map((machine) => stage.newest(machine))).toEqual(
+          stage.machines.map(() => "r1000"),
+        );
+      });
+});
+
+describe("heartbeat after a partition", () => {
+  for (let restMs = 0; restMs < 300; restMs += 10)
+    test(`${restMs} ms after the partition of an edge heals, an acknowledged heartbeat takes effect`, () => {
+      const stage = begun();
+      const edge = stage.at(0);
+      expect(stands(stage, "10.1.0.1:90")).toBe(true);
+      cutOff(stage, [edge], "both ways");
+      stage.wait(20_000);
+      expect(stands(stage, "10.1.0.1:90")).toBe(false);
+      stage.network.heal();
+      stage.wait(restMs);
+      const call = beat(stage, edge, "1", 50);
+      stage.until(() => call.code !== undefined, 1000);
+      if (call.code === 200) expect(stands(stage, "10.1.0.1:90")).toBe(true);
+      else expect(call.code).toBe(503);
+      beat(stage, stage.at(1), "1", 51);
+      stage.wait(200);
+      expect(stands(stage, "10.1.0.1:90")).toBe(true);
+    });
+});
--- a/test/platform/edge-stage.ts
+++ b/test/platform/edge-fixture.ts
@@ -1,8 +1,9 @@
+/** A fixture of the proxy with real connections on both sides. */
 import { createServer } from "node:http";
 import { connect, type Socket } from "node:net";
 import { HttpServer } from "../../src/daemon/http-server.js";
 import { Task } from "../../src/runtime/task.js";
-import { RawStage } from "./raw-stage.js";
+import { RawBackendFixture } from "./raw-backend-fixture.js";
 
 const freePort = (): Promise<number> =>
   new Promise((done, fail) => {
@@ -13,29 +14,30 @@
     probe.once("error", fail);
   });
 
-/** A client's connection, and what it heard. */
+/** A client's connection, which records the bytes it receives. */
 export class RawClient {
   readonly socket: Socket;
   isClosed = false;
-  private readonly pieces: Buffer[] = [];
+  private readonly chunks: Buffer[] = [];
 
   constructor(port: number) {
     this.socket = connect(port, "127.0.0.1");
     this.socket.setNoDelay(true);
     this.socket.on("error", () => undefined);
-    this.socket.on("data", (piece: Buffer) => this.pieces.push(piece));
+    this.socket.on("data", (piece: Buffer) => this.chunks.push(piece));
     this.socket.once("close", () => {
       this.isClosed = true;
     });
   }
 
-  get heard(): string {
-    return Buffer.concat(this.pieces).toString("latin1");
+  /** All that was received. */
+  get received(): string {
+    return Buffer.concat(this.chunks).toString("latin1");
   }
 
   /** How many response heads came. */
-  get answers(): number {
-    return this.heard.split("HTTP/1.1 ").length - 1;
+  get responseCount(): number {
+    return this.received.split("HTTP/1.1 ").length - 1;
   }
 
   /** Sends a request's head, and as much of its body as is given. */
@@ -53,22 +55,23 @@
   }
 }
 
-/** An edge with real connections on both sides: clients that write bytes, and back ends that do. */
-export class EdgeStage {
-  readonly raw: RawStage;
+/** A daemon between clients and backends that write bytes. */
+export class EdgeFixture {
+  readonly raw: RawBackendFixture;
   readonly server: HttpServer;
   readonly port: number;
   private readonly clients: RawClient[] = [];
 
-  private constructor(raw: RawStage, server: HttpServer, port: number) {
+  private constructor(raw: RawBackendFixture, server: HttpServer, port: number) {
     this.raw = raw;
     this.server = server;
     this.port = port;
   }
 
-  static async ready(count = 2): Promise<EdgeStage> {
-    const raw = await RawStage.ready(count);
-    const { callers } = raw.stage.daemon;
+  /** A daemon before so many backends, listening on a free port. */
+  static async ready(count = 2): Promise<EdgeFixture> {
+    const raw = await RawBackendFixture.ready(count);
+    const { callers } = raw.proxy.daemon;
     const server = new HttpServer(
       (clientRequest, client) => callers.emit({ clientRequest, client }),
       {
@@ -79,15 +82,17 @@
     await new Promise<void>((done, fail) =>
       Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
     );
-    return new EdgeStage(raw, server, port);
+    return new EdgeFixture(raw, server, port);
   }
 
+  /** Opens a client connection. */
   client(): RawClient {
     const one = new RawClient(this.port);
     this.clients.push(one);
     return one;
   }
 
+  /** Closes all connections, the daemon and the backends. */
   async close(): Promise<void> {
     for (const { socket } of this.clients) socket.destroy();
     this.server.close();
--- a/test/platform/invalid-commands.test.ts
+++ b/test/platform/invalid-commands.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { OrderStage, routeTo, wholeOrder, type OrderBytes } from "./command-stage.js";
 
 const machines = ["e:a", "d:a", "d:b", "d:c"];
@@ -108,75 +108,77 @@
   return call.code;
 };
 
-test("each invalid order is refused through every daemon, sent again too, and leaves what is in force", () => {
-  const stage = begun();
-  for (const [what, command] of invalidOrders(3))
-    for (let at = 0; at < machines.length; at += 1) {
-      const expected = what.includes("base") ? [412] : [400, 412];
-      expect(expected, `${what}, through ${at}`).toContain(code(stage, command, at));
+describe("invalid configuration change", () => {
+  test("it is refused through every daemon, as is its retry, and the configuration in force stays", () => {
+    const stage = begun();
+    for (const [what, command] of invalidOrders(3))
+      for (let at = 0; at < machines.length; at += 1) {
+        const expected = what.includes("base") ? [412] : [400, 412];
+        expect(expected, `${what}, through ${at}`).toContain(code(stage, command, at));
+      }
+    expect(stage.newest(stage.at(0))).toBe("r3");
+  });
+
+  test("raced against a valid change on the same version, it is never applied, whichever is sent first", () => {
+    const stage = begun();
+    let base = 3;
+    for (const [at, [what]] of invalidOrders(base).entries()) {
+      const invalid = invalidOrders(base)[at]?.[1];
+      if (!invalid) throw new Error("There is no such order.");
+      const proper = wholeOrder(base, base + 2, `p${at}`);
+      const pair = at % 2 === 0 ? [invalid, proper] : [proper, invalid];
+      const calls = pair.map((command, place) =>
+        stage.order(stage.at((at + place) % machines.length), command),
+      );
+      stage.until(() => calls.every(({ code: answer }) => answer !== undefined), 1000);
+      const [first, second] = calls.map(({ code: answer }) => answer);
+      const [ofInvalid, ofProper] = at % 2 === 0 ? [first, second] : [second, first];
+      expect([400, 412], what).toContain(ofInvalid);
+      expect(ofProper, what).toBe(200);
+      base += 2;
+      expect(stage.newest(stage.at(0)), what).toBe(`r${base}`);
     }
-  expect(stage.newest(stage.at(0))).toBe("r3");
-});
+  });
 
-test("raced against a proper one upon the same version, no invalid order wins, whichever comes first", () => {
-  const stage = begun();
-  let base = 3;
-  for (const [at, [what]] of invalidOrders(base).entries()) {
-    const invalid = invalidOrders(base)[at]?.[1];
-    if (!invalid) throw new Error("There is no such order.");
-    const proper = wholeOrder(base, base + 2, `p${at}`);
-    const pair = at % 2 === 0 ? [invalid, proper] : [proper, invalid];
-    const calls = pair.map((command, place) =>
-      stage.order(stage.at((at + place) % machines.length), command),
+  test("a change that is valid by itself but invalid after the one before it in the queue is refused", () => {
+    const stage = begun();
+    expect(
+      code(stage, patch(3, "r4", { upsert: { objs: [{ ...service, meta: { name: "two" } }] } }), 0),
+    ).toBe(200);
+    const goes = stage.order(stage.at(1), patch(4, "r5", { remove: { services: ["two"] } }));
+    const needs = stage.order(
+      stage.at(2),
+      patch(4, "r6", { upsert: { objs: [routeTo("needs", "two")] } }),
     );
-    stage.until(() => calls.every(({ code: answer }) => answer !== undefined), 1000);
-    const [first, second] = calls.map(({ code: answer }) => answer);
-    const [ofInvalid, ofProper] = at % 2 === 0 ? [first, second] : [second, first];
-    expect([400, 412], what).toContain(ofInvalid);
-    expect(ofProper, what).toBe(200);
-    base += 2;
-    expect(stage.newest(stage.at(0)), what).toBe(`r${base}`);
-  }
-});
+    stage.until(() => goes.code !== undefined && needs.code !== undefined, 1000);
+    expect([goes.code, needs.code].sort()).toEqual([200, 412]);
+    const version = goes.code === 200 ? 5 : 6;
+    const refused =
+      goes.code === 200
+        ? patch(5, "r9", { upsert: { objs: [routeTo("needs", "two")] } })
+        : patch(6, "r9", { remove: { services: ["two"] } });
+    expect(code(stage, refused, 3)).toBe(400);
+    expect(stage.newest(stage.at(0))).toBe(`r${version}`);
+  });
 
-test("an order that is proper by itself and invalid upon the one before it in the queue is refused", () => {
-  const stage = begun();
-  expect(
-    code(stage, patch(3, "r4", { upsert: { objs: [{ ...service, meta: { name: "two" } }] } }), 0),
-  ).toBe(200);
-  const goes = stage.order(stage.at(1), patch(4, "r5", { remove: { services: ["two"] } }));
-  const needs = stage.order(
-    stage.at(2),
-    patch(4, "r6", { upsert: { objs: [routeTo("needs", "two")] } }),
-  );
-  stage.until(() => goes.code !== undefined && needs.code !== undefined, 1000);
-  expect([goes.code, needs.code].sort()).toEqual([200, 412]);
-  const version = goes.code === 200 ? 5 : 6;
-  const refused =
-    goes.code === 200
-      ? patch(5, "r9", { upsert: { objs: [routeTo("needs", "two")] } })
-      : patch(6, "r9", { remove: { services: ["two"] } });
-  expect(code(stage, refused, 3)).toBe(400);
-  expect(stage.newest(stage.at(0))).toBe(`r${version}`);
-});
-
-test("during a change of leader no invalid order is acknowledged, and what can't be known is no refusal", () => {
-  const stage = begun();
-  const former = stage.leader;
-  const followers = stage.machines.filter((machine) => machine !== former);
-  stage.kill(former);
-  for (const [at, [what, command]] of invalidOrders(3).entries()) {
-    const through = followers[at % followers.length];
-    if (!through) throw new Error("There is no follower.");
-    const call = stage.order(through, command);
-    stage.wait(30);
-    if (call.code === undefined) stage.until(() => call.code !== undefined, 1000);
-    expect([400, 412, 503, 504], what).toContain(call.code);
-  }
-  stage.until(
-    () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
-    5000,
-  );
-  stage.wait(1000);
-  expect(followers.map((machine) => stage.newest(machine))).toEqual(followers.map(() => "r3"));
+  test("during a change of leader it is never acknowledged, and an unknown result is no refusal", () => {
+    const stage = begun();
+    const former = stage.leader;
+    const followers = stage.machines.filter((machine) => machine !== former);
+    stage.kill(former);
+    for (const [at, [what, command]] of invalidOrders(3).entries()) {
+      const through = followers[at % followers.length];
+      if (!through) throw new Error("There is no follower.");
+      const call = stage.order(through, command);
+      stage.wait(30);
+      if (call.code === undefined) stage.until(() => call.code !== undefined, 1000);
+      expect([400, 412, 503, 504], what).toContain(call.code);
+    }
+    stage.until(
+      () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+      5000,
+    );
+    stage.wait(1000);
+    expect(followers.map((machine) => stage.newest(machine))).toEqual(followers.map(() => "r3"));
+  });
 });
--- a/test/platform/large-reads.test.ts
+++ b/test/platform/large-reads.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { OrderStage, routeTo, type OrderBytes } from "./command-stage.js";
 
 const machines = ["d:a", "d:b", "d:c", "e:a", "e:b"];
@@ -26,38 +26,42 @@
   return stage;
 };
 
-test.each([1500, 2500])(
-  "a configuration of %i routes is read through any daemon: one with a thin link names a member of the log that doesn't lead",
-  (routes) => {
-    const stage = begun(routes);
+describe("read of a large configuration", () => {
+  test.each([1500, 2500])(
+    "%i routes are read through any daemon: one with a thin link redirects to a replica of the log that isn't the leader",
+    (routes) => {
+      const stage = begun(routes);
+      for (const machine of stage.machines) {
+        const asked = stage.call(machine, "GET", "config/get");
+        stage.wait(800);
+        if (machine.disk) {
+          expect(asked.code).toBe(200);
+          continue;
+        }
+        expect(asked.code).toBe(307);
+        const host = /^http:\/\/([^/]+)\/daledoor\/config\/get$/.exec(
+          asked.headers["location"] ?? "",
+        )?.[1];
+        const member = stage.disks.find(({ settings }) => settings.operators === host);
+        expect(member).toBeDefined();
+        expect(member).not.toBe(stage.leader);
+        if (!member) continue;
+        const read = stage.call(member, "GET", "config/get");
+        stage.wait(800);
+        expect(read.code).toBe(200);
+        expect(read.body.match(/"type":"routes"/g)).toHaveLength(routes);
+      }
+    },
+  );
+});
+
+describe("read of a small configuration", () => {
+  test("it is served by the daemon that is asked, over a thin link too", () => {
+    const stage = begun(20);
     for (const machine of stage.machines) {
       const asked = stage.call(machine, "GET", "config/get");
       stage.wait(800);
-      if (machine.disk) {
-        expect(asked.code).toBe(200);
-        continue;
-      }
-      expect(asked.code).toBe(307);
-      const host = /^http:\/\/([^/]+)\/daledoor\/config\/get$/.exec(
-        asked.headers["location"] ?? "",
-      )?.[1];
-      const member = stage.disks.find(({ settings }) => settings.operators === host);
-      expect(member).toBeDefined();
-      expect(member).not.toBe(stage.leader);
-      if (!member) continue;
-      const read = stage.call(member, "GET", "config/get");
-      stage.wait(800);
-      expect(read.code).toBe(200);
-      expect(read.body.match(/"type":"routes"/g)).toHaveLength(routes);
+      expect(asked.code).toBe(200);
     }
-  },
-);
-
-test("a short configuration is read where it is asked for, over a thin link too", () => {
-  const stage = begun(20);
-  for (const machine of stage.machines) {
-    const asked = stage.call(machine, "GET", "config/get");
-    stage.wait(800);
-    expect(asked.code).toBe(200);
-  }
+  });
 });
--- a/test/platform/outcome-fuzz.test.ts
+++ b/test/platform/outcome-fuzz.test.ts
@@ -1,18 +1,18 @@
 import type { Socket } from "node:net";
 import fc from "fast-check";
-import { afterEach, beforeEach, expect, test } from "vitest";
-import type { Seen } from "./proxy-stage.js";
-import { RawBackEnd, type RawRequest } from "./raw-backend.js";
-import { RawStage } from "./raw-stage.js";
+import { afterEach, beforeEach, describe, expect, test } from "vitest";
+import type { RecordingClient } from "./proxy-fixture.js";
+import { RawBackend, type RawRequest } from "./raw-backend.js";
+import { RawBackendFixture } from "./raw-backend-fixture.js";
 
-const { response, success } = RawBackEnd;
-let stage: RawStage;
+const { response, success } = RawBackend;
+let fixture: RawBackendFixture;
 beforeEach(async () => {
-  stage = await RawStage.ready(2);
-  await stage.useConnections();
+  fixture = await RawBackendFixture.ready(2);
+  await fixture.warmConnections();
 });
 afterEach(async () => {
-  await stage.close();
+  await fixture.close();
 });
 
 let asked = 0;
@@ -22,7 +22,7 @@
   return `/${kind}/${asked}`;
 };
 const arrivals = (path: string): number =>
-  stage.heads.filter((request) => request.path === path).length;
+  fixture.requestHeads.filter((request) => request.path === path).length;
 
 /** What a back end writes, and what the client of a request that runs once must get; undefined: no promise, a 502 or 504. */
 interface Script {
@@ -79,14 +79,14 @@
   },
 ];
 
-/** Writes bytes in pieces that end at the given places, a little apart, and then ends the connection where that is asked. */
+/** Writes bytes in pieces that end at the given offsets, a little apart, and then ends the connection where that is asked. */
 const writePieces = (
   socket: Socket,
   bytes: string,
-  places: readonly number[],
+  offsets: readonly number[],
   ending: "open" | "end" | "reset",
 ): void => {
-  const ends = [...new Set(places.map((place) => place % bytes.length))].sort((a, b) => a - b);
+  const ends = [...new Set(offsets.map((index) => index % bytes.length))].sort((a, b) => a - b);
   const pieces = [...ends, bytes.length].map((end, at) => bytes.slice(ends[at - 1] ?? 0, end));
   const next = (): void => {
     const piece = pieces.shift();
@@ -101,7 +101,7 @@
   next();
 };
 
-const checkOnce = (path: string, seen: Seen, turnedAway: boolean): void => {
+const checkOnce = (path: string, seen: RecordingClient, turnedAway: boolean): void => {
   expect(seen.ending).toBe("whole");
   expect(seen.body.toString()).not.toContain("theirs");
   if (turnedAway) return;
@@ -110,120 +110,124 @@
   expect(arrivals(path)).toBeLessThanOrEqual(most);
 };
 
-test("however the bytes of a response are cut up on their way, what follows from them is the same", async () => {
-  await fc.assert(
-    fc.asyncProperty(
-      fc.constantFrom(...scripts),
-      fc.array(fc.nat(400), { maxLength: 6 }),
-      fc.constantFrom("unsafe", "safe"),
-      async ({ way, bytes, code, body }, places, kind) => {
-        const path = newPath(kind);
-        stage.act = ({ tryId, path: asked }, socket) => {
-          if (asked === path) writePieces(socket, bytes(tryId), places, "open");
-          else socket.write(success({ tryId }, "fine"));
-        };
-        const seen = await stage.ask("POST", path, { "deadline-ms": "400" });
-        expect([way, seen.code]).toEqual([way, code ?? 502]);
-        if (body !== undefined) expect(seen.body.toString()).toBe(body);
-        if (kind === "unsafe") checkOnce(path, seen, code === 503);
-      },
-    ),
-    { seed: 17, numRuns: 250 },
-  );
-}, 60_000);
-
-test("a response that breaks off anywhere is never passed on as a whole one, and nothing that runs once is sent twice", async () => {
-  await fc.assert(
-    fc.asyncProperty(
-      fc.constantFrom(...scripts.filter(({ code }) => code === 200)),
-      fc.nat(1000),
-      fc.array(fc.nat(400), { maxLength: 3 }),
-      fc.constantFrom("end" as const, "reset" as const),
-      async ({ way, bytes, body }, at, places, ending) => {
-        const path = newPath("unsafe");
-        let isWhole = false;
-        stage.act = ({ tryId }, socket) => {
-          const whole = bytes(tryId);
-          const written = whole.slice(0, at % whole.length);
-          const own = way === "twice" ? whole.length / 2 : whole.length;
-          isWhole = written.length >= own - (way === "surplus" ? 4 : 0);
-          if (written.length > 0) writePieces(socket, written, places, ending);
-          else socket.destroy();
-        };
-        const seen = await stage.ask("POST", path, { "deadline-ms": "400" });
-        checkOnce(path, seen, false);
-        if (seen.code === 200) expect([isWhole, seen.body.toString()]).toEqual([true, body]);
-        else expect([isWhole && ending === "end", seen.code]).toEqual([false, 502]);
-      },
-    ),
-    { seed: 18, numRuns: 200 },
-  );
-}, 60_000);
-
-test("garbled bytes harm neither the daemon nor another request, and nothing that runs once is sent twice", async () => {
-  await fc.assert(
-    fc.asyncProperty(
-      fc.constantFrom(...scripts.filter(({ way }) => !/421|run$|Run/u.test(way))),
-      fc.array(fc.tuple(fc.nat(300), fc.nat(255)), { minLength: 1, maxLength: 4 }),
-      fc.array(fc.nat(400), { maxLength: 2 }),
-      async ({ way, bytes }, flips, places) => {
-        const path = newPath("unsafe");
-        stage.act = ({ tryId, path: asked }, socket) => {
-          if (asked !== path) return socket.write(success({ tryId }, asked));
-          const garbled = Buffer.from(bytes(tryId), "latin1");
-          for (const [place, byte] of flips) garbled[place % garbled.length] = byte;
-          return writePieces(socket, garbled.toString("latin1"), places, "open");
-        };
-        const seen = await stage.ask("POST", path, { "deadline-ms": "60" });
-        if (way.startsWith("their")) expect(seen.code).toBeGreaterThanOrEqual(500);
-        checkOnce(path, seen, false);
-        for (let round = 0, code = 0; code !== 200; round += 1) {
-          const next = newPath("unsafe");
-          const after = await stage.ask("POST", next);
-          ({ code } = after);
-          if (code === 200) expect(after.body.toString()).toBe(next);
-          else checkOnce(next, after, false);
-          expect(round).toBeLessThan(20);
-          if (code !== 200) await stage.wait(100);
-        }
-      },
-    ),
-    { seed: 19, numRuns: 200 },
-  );
-}, 60_000);
+describe("response bytes at random", () => {
+  test("however a response is split into packets, its outcome is the same", async () => {
+    await fc.assert(
+      fc.asyncProperty(
+        fc.constantFrom(...scripts),
+        fc.array(fc.nat(400), { maxLength: 6 }),
+        fc.constantFrom("unsafe", "safe"),
+        async ({ way, bytes, code, body }, offsets, kind) => {
+          const path = newPath(kind);
+          fixture.reply = ({ tryId, path: asked }, socket) => {
+            if (asked === path) writePieces(socket, bytes(tryId), offsets, "open");
+            else socket.write(success({ tryId }, "fine"));
+          };
+          const seen = await fixture.exchange("POST", path, { "deadline-ms": "400" });
+          expect([way, seen.code]).toEqual([way, code ?? 502]);
+          if (body !== undefined) expect(seen.body.toString()).toBe(body);
+          if (kind === "unsafe") checkOnce(path, seen, code === 503);
+        },
+      ),
+      { seed: 17, numRuns: 250 },
+    );
+  }, 60_000);
 
-test("idle connections that end around the moment of the next send: what runs once arrives once, and never after a promise", async () => {
-  await fc.assert(
-    fc.asyncProperty(
-      fc.array(
-        fc.record({
-          delayUs: fc.nat(3000),
-          how: fc.constantFrom("end" as const, "destroy" as const, "reset" as const),
-          pauseMs: fc.nat(3),
-        }),
-        { minLength: 3, maxLength: 8 },
+  test("a response that breaks off anywhere is never forwarded as complete, and no request that runs at most once is sent twice", async () => {
+    await fc.assert(
+      fc.asyncProperty(
+        fc.constantFrom(...scripts.filter(({ code }) => code === 200)),
+        fc.nat(1000),
+        fc.array(fc.nat(400), { maxLength: 3 }),
+        fc.constantFrom("end" as const, "reset" as const),
+        async ({ way, bytes, body }, at, offsets, ending) => {
+          const path = newPath("unsafe");
+          let isWhole = false;
+          fixture.reply = ({ tryId }, socket) => {
+            const whole = bytes(tryId);
+            const written = whole.slice(0, at % whole.length);
+            const own = way === "twice" ? whole.length / 2 : whole.length;
+            isWhole = written.length >= own - (way === "surplus" ? 4 : 0);
+            if (written.length > 0) writePieces(socket, written, offsets, ending);
+            else socket.destroy();
+          };
+          const seen = await fixture.exchange("POST", path, { "deadline-ms": "400" });
+          checkOnce(path, seen, false);
+          if (seen.code === 200) expect([isWhole, seen.body.toString()]).toEqual([true, body]);
+          else expect([isWhole && ending === "end", seen.code]).toEqual([false, 502]);
+        },
       ),
-      async (rounds) => {
-        for (const { delayUs, how, pauseMs } of rounds) {
+      { seed: 18, numRuns: 200 },
+    );
+  }, 60_000);
+
+  test("garbled bytes affect neither the daemon nor another request, and no request that runs at most once is sent twice", async () => {
+    await fc.assert(
+      fc.asyncProperty(
+        fc.constantFrom(...scripts.filter(({ way }) => !/421|run$|Run/u.test(way))),
+        fc.array(fc.tuple(fc.nat(300), fc.nat(255)), { minLength: 1, maxLength: 4 }),
+        fc.array(fc.nat(400), { maxLength: 2 }),
+        async ({ way, bytes }, flips, offsets) => {
           const path = newPath("unsafe");
-          stage.act = (request: RawRequest, socket) => {
-            socket.write(success(request, "fine"));
-            const startedUs = performance.now() * 1000;
-            const part = (): void => {
-              if (performance.now() * 1000 - startedUs < delayUs) setImmediate(part);
-              else if (how === "end") socket.end();
-              else if (how === "destroy") socket.destroy();
-              else socket.resetAndDestroy();
-            };
-            part();
+          fixture.reply = ({ tryId, path: asked }, socket) => {
+            if (asked !== path) return socket.write(success({ tryId }, asked));
+            const garbled = Buffer.from(bytes(tryId), "latin1");
+            for (const [index, byte] of flips) garbled[index % garbled.length] = byte;
+            return writePieces(socket, garbled.toString("latin1"), offsets, "open");
           };
-          const seen = await stage.ask("POST", path, { "deadline-ms": "400" });
+          const seen = await fixture.exchange("POST", path, { "deadline-ms": "60" });
+          if (way.startsWith("their")) expect(seen.code).toBeGreaterThanOrEqual(500);
           checkOnce(path, seen, false);
-          expect([200, 502, 503]).toContain(seen.code);
-          await stage.wait(pauseMs);
-        }
-      },
-    ),
-    { seed: 20, numRuns: 40 },
-  );
-}, 60_000);
+          for (let round = 0, code = 0; code !== 200; round += 1) {
+            const next = newPath("unsafe");
+            const after = await fixture.exchange("POST", next);
+            ({ code } = after);
+            if (code === 200) expect(after.body.toString()).toBe(next);
+            else checkOnce(next, after, false);
+            expect(round).toBeLessThan(20);
+            if (code !== 200) await fixture.advance(100);
+          }
+        },
+      ),
+      { seed: 19, numRuns: 200 },
+    );
+  }, 60_000);
+});
+
+describe("idle connections", () => {
+  test("closed around the next send: a request that runs at most once arrives once, and never after a promise that it did not run", async () => {
+    await fc.assert(
+      fc.asyncProperty(
+        fc.array(
+          fc.record({
+            delayUs: fc.nat(3000),
+            how: fc.constantFrom("end" as const, "destroy" as const, "reset" as const),
+            pauseMs: fc.nat(3),
+          }),
+          { minLength: 3, maxLength: 8 },
+        ),
+        async (rounds) => {
+          for (const { delayUs, how, pauseMs } of rounds) {
+            const path = newPath("unsafe");
+            fixture.reply = (request: RawRequest, socket) => {
+              socket.write(success(request, "fine"));
+              const startedUs = performance.now() * 1000;
+              const part = (): void => {
+                if (performance.now() * 1000 - startedUs < delayUs) setImmediate(part);
+                else if (how === "end") socket.end();
+                else if (how === "destroy") socket.destroy();
+                else socket.resetAndDestroy();
+              };
+              part();
+            };
+            const seen = await fixture.exchange("POST", path, { "deadline-ms": "400" });
+            checkOnce(path, seen, false);
+            expect([200, 502, 503]).toContain(seen.code);
+            await fixture.advance(pauseMs);
+          }
+        },
+      ),
+      { seed: 20, numRuns: 40 },
+    );
+  }, 60_000);
+});
--- a/test/platform/proxy-stage.ts
+++ b/test/platform/proxy-fixture.ts
@@ -1,3 +1,4 @@
+/** A fixture of the proxy: one daemon in simulated time, before backends whose replies a test scripts. */
 import { headerNames } from "../../platform/header-names.js";
 import {
   openedResponse,
@@ -20,10 +21,10 @@
 import { LinkPacers } from "../../src/runtime/link-pacer.js";
 import { Task } from "../../src/runtime/task.js";
 
-/** One request as it reached a back end. */
-export interface Sent {
+/** One request as it reached a backend. */
+export interface ReceivedRequest {
   readonly address: string;
-  readonly atMs: number;
+  readonly receivedMs: number;
   readonly method: string;
   readonly path: string;
   readonly headers: Record<string, string>;
@@ -31,14 +32,14 @@
   readonly tryId: string;
 }
 
-/** What a back end does with a request that reached it. */
-export type Act =
+/** How a backend replies to a request: its connection breaks, it never replies, or its response. */
+export type BackendReply =
   | "lost"
   | "late"
   | {
       readonly code: number;
       readonly headers: Record<string, string>;
-      readonly pieces: ReadonlyArray<Uint8Array | "cut">;
+      readonly chunks: ReadonlyArray<Uint8Array | "cut">;
       readonly waitMs?: number;
       readonly pieceMs?: number;
     };
@@ -47,12 +48,12 @@
   throw error;
 };
 
-/** A whole success, as a back end sends it. */
+/** A complete success, as a backend sends it. */
 export const success = (
   tryId: string,
   text: string,
   more: { code?: number; headers?: Record<string, string>; waitMs?: number } = {},
-): Exclude<Act, string> => {
+): Exclude<BackendReply, string> => {
   const body = Buffer.from(text);
   return {
     code: more.code ?? 200,
@@ -63,52 +64,52 @@
       "content-length": String(body.length),
       ...more.headers,
     },
-    pieces: [body],
+    chunks: [body],
     ...(more.waitMs === undefined ? {} : { waitMs: more.waitMs }),
   };
 };
 
-/** What a caller saw of its response. */
-export class Seen implements ClientConnection {
+/** A client that records its response. */
+export class RecordingClient implements ClientConnection {
   isClosed = false;
   code = 0;
   headers: Record<string, string> = {};
   ending: "open" | "whole" | "cut" = "open";
-  begun = false;
+  isStreamed = false;
   /** When the head came, and when the last byte. */
   headMs = -1;
   endMs = -1;
-  readonly sinceMs: number;
-  private readonly bytes: Uint8Array[] = [];
+  readonly startedMs: number;
+  private readonly chunks: Uint8Array[] = [];
   private readonly nowMs: () => number;
 
   constructor(nowMs: () => number) {
     this.nowMs = nowMs;
-    this.sinceMs = nowMs();
+    this.startedMs = nowMs();
   }
 
   get body(): Buffer {
-    return Buffer.concat(this.bytes);
+    return Buffer.concat(this.chunks);
   }
 
   /** How long it took until the response had ended. */
   get tookMs(): number {
-    return this.endMs - this.sinceMs;
+    return this.endMs - this.startedMs;
   }
 
   respond({ code, headers, body }: ClientResponse): void {
     this.head(code, headers);
-    this.bytes.push(body);
+    this.chunks.push(body);
     this.close("whole");
   }
 
   writeHead(code: number, headers: Record<string, string>): void {
-    this.begun = true;
+    this.isStreamed = true;
     this.head(code, headers);
   }
 
   *writeChunk(bytes: Uint8Array): Task<boolean> {
-    this.bytes.push(bytes);
+    this.chunks.push(bytes);
     return true;
   }
 
@@ -121,7 +122,7 @@
   }
 
   private head(code: number, headers: Record<string, string>): void {
-    if (this.code !== 0) throw new Error("A caller was answered twice.");
+    if (this.code !== 0) throw new Error("A client was answered twice.");
     this.code = code;
     this.headers = headers;
     this.headMs = this.nowMs();
@@ -134,31 +135,34 @@
   }
 }
 
-/** How a stage differs from the usual one. */
-export interface StageOptions {
-  readonly backEnds?: (clock: Clock) => BackendClient;
+/** How a fixture differs from the default one. */
+export interface ProxyFixtureOptions {
+  readonly backendClient?: (clock: Clock) => BackendClient;
   readonly linkMbps?: number;
 }
 
-/** One daemon that is all of a fleet, in the platform's dialect, before back ends that do as a test tells them. */
-export class DoorStage {
+/** One daemon that is a whole cluster, with the platform's headers, before backends whose replies a test scripts. */
+export class ProxyFixture {
   readonly time = new VirtualClock();
-  readonly sent: Sent[] = [];
-  readonly lines: string[] = [];
+  readonly receivedRequests: ReceivedRequest[] = [];
+  readonly logLines: string[] = [];
   readonly disk: VirtualDisk;
   readonly daemon: Daemon;
-  /** What a back end does with a request; `before` decides whether a connection to it comes about. */
-  act: (sent: Sent, place: number) => Act = ({ tryId }) => success(tryId, "fine");
-  before: (address: string) => "refused" | "foreign" | "unreached" | undefined = () => undefined;
-  /** The back ends that announce themselves each second: their instances by their addresses. */
-  readonly announcing = new Map<string, string>();
+  /** The reply to each request, by the request and how many came before it. */
+  reply: (request: ReceivedRequest, index: number) => BackendReply = ({ tryId }) =>
+    success(tryId, "fine");
+  /** Why no connection to an address comes about; undefined where it does. */
+  connectFailure: (address: string) => "refused" | "foreign" | "unreached" | undefined = () =>
+    undefined;
+  /** The backends that register themselves twice a second: their instances by their addresses. */
+  readonly registered = new Map<string, string>();
   readonly pacers: LinkPacers;
   private readonly clock: Clock;
-  private orders = 0;
-  private ids = 0;
+  private registrations = 0;
+  private requestCount = 0;
 
-  /** `backEnds` replaces the played back ends, by real connections for example; `linkMbps` is the rate of the machine's link. */
-  constructor({ backEnds, linkMbps }: StageOptions = {}) {
+  /** `backendClient` replaces the scripted backends, by real connections for example; `linkMbps` is the rate of the machine's link. */
+  constructor({ backendClient, linkMbps }: ProxyFixtureOptions = {}) {
     this.clock = this.time.clock();
     this.pacers = LinkPacers.of(this.clock, linkMbps);
     const random = RandomDraw.of(11);
@@ -180,21 +184,21 @@
       network: network.wire("disk-1", new EventGate()),
       disk: this.disk,
       random,
-      lines: (line) => this.lines.push(`${this.time.nowMs().toFixed(0)} ${line}`),
+      lines: (line) => this.logLines.push(`${this.time.nowMs().toFixed(0)} ${line}`),
     });
     this.daemon = new Daemon(runtime, settings, {
       headerNames,
-      backendClient: backEnds ? backEnds(this.clock) : this.backEnds(),
+      backendClient: backendClient ? backendClient(this.clock) : this.scriptedClient(),
       pacers: this.pacers,
     });
     Task.start(this.daemon.start(), fail);
-    this.until(() => this.daemon.standing.isGranted, 10_000);
-    this.announceOn();
+    this.advanceUntil(() => this.daemon.standing.isGranted, 10_000);
+    this.registerPeriodically();
   }
 
-  /** A daemon with a config of all kinds of routes, before so many back ends, ready for further tries. */
-  static ready(backEnds = 2, options: StageOptions = {}): DoorStage {
-    const stage = new DoorStage(options);
+  /** A daemon with a configuration of all kinds of routes, before so many backends, whose retry budget is filled. */
+  static ready(backendCount = 2, options: ProxyFixtureOptions = {}): ProxyFixture {
+    const fixture = new ProxyFixture(options);
     const route = (name: string, more: Record<string, unknown>) => ({
       match: { host: "shop.example", path: `/${name}/*` },
       service: "shop",
@@ -202,7 +206,7 @@
       giveUpMs: 1000,
       ...more,
     });
-    const put = stage.order("PUT", "/config", {
+    const put = fixture.callOperators("PUT", "/config", {
       services: { shop: {} },
       routes: {
         safe: route("safe", { kind: "safe" }),
@@ -218,83 +222,85 @@
     });
     if (put.code !== 200)
       throw new Error(`The config was refused: ${Buffer.from(put.body).toString()}`);
-    for (let place = 1; place <= backEnds; place += 1)
-      stage.announcing.set(`10.9.0.${place}:80`, `i-${place}`);
-    stage.wait(4000);
-    return stage;
+    for (let index = 1; index <= backendCount; index += 1)
+      fixture.registered.set(`10.9.0.${index}:80`, `i-${index}`);
+    fixture.advance(4000);
+    return fixture;
   }
 
-  /** Has the operators' port answer. */
-  order(method: string, target: string, body: unknown): ClientResponse {
-    const told: ClientResponse[] = [];
+  /** Sends a request to the operators' port and waits for its response. */
+  callOperators(method: string, target: string, body: unknown): ClientResponse {
+    const responses: ClientResponse[] = [];
     this.daemon.operators.emit({
       clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
-      give: (response) => told.push(response),
+      give: (response) => responses.push(response),
     });
-    this.until(() => told.length > 0, 5000);
-    const [response] = told;
+    this.advanceUntil(() => responses.length > 0, 5000);
+    const [response] = responses;
     if (!response) throw new Error("The operators' port didn't answer.");
     return response;
   }
 
-  /** Sends a request and doesn't wait. Each has an id of its own and a deadline, unless a test says otherwise. */
+  /** Sends a request and doesn't wait. Each has an id of its own, unless a test overrides it; undefined removes a header. */
   send(
     method: string,
     target: string,
     headers: Record<string, string | undefined> = {},
     body: Uint8Array = new Uint8Array(),
-  ): Seen {
-    this.ids += 1;
-    const held: Record<string, string> = {};
+  ): RecordingClient {
+    this.requestCount += 1;
+    const sentHeaders: Record<string, string> = {};
     for (const [name, value] of Object.entries({
       host: "shop.example",
-      "try-id": `try-${this.ids}`,
+      "try-id": `try-${this.requestCount}`,
       ...headers,
     }))
-      if (value !== undefined) held[name] = value;
-    const clientRequest: ProxyRequest = { method, target, headers: held, body };
-    const caller = new Seen(() => this.time.nowMs());
-    this.daemon.callers.emit({ clientRequest, client: caller });
-    return caller;
+      if (value !== undefined) sentHeaders[name] = value;
+    const clientRequest: ProxyRequest = { method, target, headers: sentHeaders, body };
+    const client = new RecordingClient(() => this.time.nowMs());
+    this.daemon.callers.emit({ clientRequest, client });
+    return client;
   }
 
   /** Sends a request and waits until it has ended. */
-  ask(
+  exchange(
     method: string,
     target: string,
     headers: Record<string, string | undefined> = {},
     body: Uint8Array = new Uint8Array(),
-  ): Seen {
-    const caller = this.send(method, target, headers, body);
-    this.until(() => caller.ending !== "open", 12_000);
-    return caller;
+  ): RecordingClient {
+    const client = this.send(method, target, headers, body);
+    this.advanceUntil(() => client.ending !== "open", 12_000);
+    return client;
   }
 
-  wait(forMs: number): void {
+  /** Advances simulated time. */
+  advance(forMs: number): void {
     this.time.runUntil(this.time.nowMs() + forMs);
   }
 
-  until(holds: () => boolean, atMostMs: number): void {
+  /** Advances simulated time until a condition holds; throws after `timeoutMs`. */
+  advanceUntil(holds: () => boolean, timeoutMs: number): void {
     const sinceMs = this.time.nowMs();
     while (!holds()) {
-      if (this.time.nowMs() - sinceMs >= atMostMs)
+      if (this.time.nowMs() - sinceMs >= timeoutMs)
         throw new Error(
-          `It doesn't hold after ${atMostMs} ms.\n${this.lines.slice(-20).join("\n")}`,
+          `It doesn't hold after ${timeoutMs} ms.\n${this.logLines.slice(-20).join("\n")}`,
         );
-      this.wait(1);
+      this.advance(1);
     }
   }
 
-  private announceOn(): void {
-    for (const [address, instance] of this.announcing) {
-      this.orders += 1;
+  private registerPeriodically(): void {
+    for (const [address, instance] of this.registered) {
+      this.registrations += 1;
       const body = {
         service: "shop",
         address,
         zone: "a",
         instance,
         capacity: 10,
-        order: this.orders,
+        order: this.registrations,
       };
       this.daemon.operators.emit({
         clientRequest: {
@@ -306,54 +312,49 @@
         give: () => undefined,
       });
     }
-    this.clock.after(500, () => this.announceOn());
+    this.clock.after(500, () => this.registerPeriodically());
   }
 
-  private backEnds(): BackendClient {
+  private scriptedClient(): BackendClient {
     return {
-      send: (one) => this.tried(one),
+      send: (one) => this.sendScripted(one),
       retainPools: () => undefined,
       close: () => undefined,
     };
   }
 
-  private *tried({
-    address,
-    request: job,
-    untilMs,
-    maySend: mayStill,
-  }: BackendAttempt): Task<OpenResult> {
+  private *sendScripted({ address, request, untilMs, maySend }: BackendAttempt): Task<OpenResult> {
     const { clock } = this;
     yield* Clock.sleep(clock, 1);
-    const why = this.before(address);
+    const why = this.connectFailure(address);
     if (why !== undefined) return openFailure(why);
-    if (!mayStill()) return openFailure("withdrawn");
-    const sent: Sent = {
+    if (!maySend()) return openFailure("withdrawn");
+    const received: ReceivedRequest = {
       address,
-      atMs: clock.nowMs(),
-      method: job.method,
-      path: job.path,
-      headers: job.headers,
-      body: Buffer.from(job.body),
-      tryId: job.headers["try-id"] ?? "",
+      receivedMs: clock.nowMs(),
+      method: request.method,
+      path: request.path,
+      headers: request.headers,
+      body: Buffer.from(request.body),
+      tryId: request.headers["try-id"] ?? "",
     };
-    this.sent.push(sent);
-    const act = this.act(sent, this.sent.length - 1);
-    if (act === "late") {
+    this.receivedRequests.push(received);
+    const reply = this.reply(received, this.receivedRequests.length - 1);
+    if (reply === "late") {
       yield* Clock.sleep(clock, untilMs - clock.nowMs());
       return openFailure("late");
     }
-    yield* Clock.sleep(clock, act === "lost" ? 3 : (act.waitMs ?? 3));
-    if (act === "lost") return openFailure("lost");
-    const left = [...act.pieces];
-    const { code, headers, pieceMs = 0 } = act;
+    yield* Clock.sleep(clock, reply === "lost" ? 3 : (reply.waitMs ?? 3));
+    if (reply === "lost") return openFailure("lost");
+    const remaining = [...reply.chunks];
+    const { code, headers, pieceMs = 0 } = reply;
     let isCancelled = false;
     return openedResponse({
       code,
       headers,
       *next() {
         if (pieceMs > 0) yield* Clock.sleep(clock, pieceMs);
-        return isCancelled ? "cut" : (left.shift() ?? "end");
+        return isCancelled ? "cut" : (remaining.shift() ?? "end");
       },
       cancel: () => {
         isCancelled = true;
--- a/test/platform/raw-backend.ts
+++ b/test/platform/raw-backend.ts
@@ -1,10 +1,11 @@
+/** A backend on a real port that writes whatever bytes a test gives it. */
 import { createServer, type Server, type Socket } from "node:net";
 
 /** One request as its bytes came in. */
 export interface RawRequest {
-  /** Which of the back end's connections it came on, and which request of that connection it is; both from 0. */
+  /** Which of the backend's connections it came on, and which request of that connection it is; both from 0. */
   readonly connection: number;
-  readonly place: number;
+  readonly index: number;
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
@@ -12,15 +13,15 @@
   readonly body: Buffer;
 }
 
-/** What a back end has read of one connection. */
+/** What a backend has read of one connection. */
 interface Reading {
   readonly connection: number;
   bytes: Buffer;
-  place: number;
-  isHeadTold: boolean;
+  requestIndex: number;
+  isHeadReported: boolean;
 }
 
-/** The body that starts at a place, and where it ends; undefined while it isn't whole. */
+/** The body that starts at an offset, and where it ends; undefined while it isn't complete. */
 const bodyFrom = (
   bytes: Buffer,
   startBytes: number,
@@ -45,28 +46,28 @@
   }
 };
 
-/** A back end on a real port that answers with whatever bytes a test writes. */
-export class RawBackEnd {
-  /** All requests whose heads came, and those that came whole. */
-  readonly heads: RawRequest[] = [];
+/** A backend that replies with whatever bytes a test writes. */
+export class RawBackend {
+  /** All requests whose heads came, and those that came complete. */
+  readonly requestHeads: RawRequest[] = [];
   readonly requests: RawRequest[] = [];
   readonly sockets: Socket[] = [];
   address = "";
-  /** Hears of each connection, of each request's head, and of each whole request. */
+  /** Called with each connection, each request's head, and each complete request. */
   onConnection: (socket: Socket) => void = () => undefined;
   onHead: (request: RawRequest, socket: Socket) => void = () => undefined;
-  act: (request: RawRequest, socket: Socket) => void = (request, socket) => {
-    socket.write(RawBackEnd.success(request, "fine"));
+  reply: (request: RawRequest, socket: Socket) => void = (request, socket) => {
+    socket.write(RawBackend.success(request, "fine"));
   };
   private readonly server: Server;
 
   private constructor() {
-    this.server = createServer({ noDelay: true }, (socket) => this.connected(socket));
+    this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
 
   /** Opens one on a free port, or on the one that is given. */
-  static async open(port = 0): Promise<RawBackEnd> {
-    const one = new RawBackEnd();
+  static async open(port = 0): Promise<RawBackend> {
+    const one = new RawBackend();
     await new Promise<void>((done, fail) => {
       one.server.once("error", fail);
       one.server.listen(port, "127.0.0.1", done);
@@ -85,13 +86,13 @@
     return `HTTP/1.1 ${code} Any\r\n${lines.join("")}\r\n${body}`;
   }
 
-  /** A whole success to a request. */
+  /** A complete success to a request. */
   static success(
     { tryId }: Pick<RawRequest, "tryId">,
     text: string,
     headers: Readonly<Record<string, string>> = {},
   ): string {
-    return RawBackEnd.response(200, { "try-id": tryId, seal: `seal-of-${text}`, ...headers }, text);
+    return RawBackend.response(200, { "try-id": tryId, seal: `seal-of-${text}`, ...headers }, text);
   }
 
   /** Ends it and all its connections. */
@@ -100,24 +101,24 @@
     await new Promise<void>((done) => this.server.close(() => done()));
   }
 
-  private connected(socket: Socket): void {
+  private accept(socket: Socket): void {
     const reading: Reading = {
       connection: this.sockets.length,
       bytes: Buffer.alloc(0),
-      place: 0,
-      isHeadTold: false,
+      requestIndex: 0,
+      isHeadReported: false,
     };
     this.sockets.push(socket);
     socket.on("error", () => undefined);
     this.onConnection(socket);
     socket.on("data", (piece: Buffer) => {
       reading.bytes = Buffer.concat([reading.bytes, piece]);
-      while (this.take(reading, socket));
+      while (this.parseRequest(reading, socket));
     });
   }
 
-  /** Takes one request off what was read; false where there is none yet. */
-  private take(reading: Reading, socket: Socket): boolean {
+  /** Removes one request from what was read; false where none is complete yet. */
+  private parseRequest(reading: Reading, socket: Socket): boolean {
     const headEnd = reading.bytes.indexOf("\r\n\r\n");
     if (headEnd < 0) return false;
     const [first = "", ...lines] = reading.bytes.toString("latin1", 0, headEnd).split("\r\n");
@@ -127,22 +128,22 @@
       const colon = line.indexOf(":");
       headers[line.slice(0, colon).toLowerCase()] = line.slice(colon + 1).trim();
     }
-    const { connection, place } = reading;
+    const { connection, requestIndex: index } = reading;
     const tryId = headers["try-id"] ?? "";
-    const head = { connection, place, method, path, headers, tryId, body: Buffer.alloc(0) };
-    if (!reading.isHeadTold) {
-      reading.isHeadTold = true;
-      this.heads.push(head);
+    const head = { connection, index, method, path, headers, tryId, body: Buffer.alloc(0) };
+    if (!reading.isHeadReported) {
+      reading.isHeadReported = true;
+      this.requestHeads.push(head);
       this.onHead(head, socket);
     }
-    const whole = bodyFrom(reading.bytes, headEnd + 4, headers);
-    if (!whole) return false;
-    const request = { ...head, body: Buffer.from(whole.body) };
-    reading.bytes = reading.bytes.subarray(whole.endBytes);
-    reading.place += 1;
-    reading.isHeadTold = false;
+    const complete = bodyFrom(reading.bytes, headEnd + 4, headers);
+    if (!complete) return false;
+    const request = { ...head, body: Buffer.from(complete.body) };
+    reading.bytes = reading.bytes.subarray(complete.endBytes);
+    reading.requestIndex += 1;
+    reading.isHeadReported = false;
     this.requests.push(request);
-    this.act(request, socket);
+    this.reply(request, socket);
     return true;
   }
 }
--- a/test/proxy/expired-lease-policy.test.ts
+++ b/test/proxy/expired-lease-policy.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { ExpiredLeasePolicy } from "../../src/proxy/expired-lease-policy.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 
@@ -21,31 +21,33 @@
   return { time, lease, fail };
 };
 
-test("late polls alone, or one member of three that is gone, don't let a lapsed lease be served by", () => {
-  const { lease, fail } = stage(["a", "b", "c"]);
-  expect(lease.allows(1)).toBe(false);
-  fail("c");
-  expect(lease.allows(1)).toBe(false);
-});
+describe("evidence of an unavailable quorum", () => {
+  test("late responses alone, or one unreachable replica of three, don't allow requests by an expired lease", () => {
+    const { lease, fail } = stage(["a", "b", "c"]);
+    expect(lease.allows(1)).toBe(false);
+    fail("c");
+    expect(lease.allows(1)).toBe(false);
+  });
 
-test("half of the members gone, or all as seen from a machine that is cut off, do so, for staleMs at most", () => {
-  const three = stage(["a", "b", "c"]);
-  three.fail("a", "b");
-  expect(three.lease.allows(1)).toBe(true);
-  expect(three.lease.allows(bounds.staleMs)).toBe(false);
-  const four = stage(["a", "b", "c", "d"]);
-  four.fail("a", "b");
-  expect(four.lease.allows(4999)).toBe(true);
-});
+  test("half of the replicas unreachable, or all as seen from a partitioned machine, allow them, for staleMs at most", () => {
+    const three = stage(["a", "b", "c"]);
+    three.fail("a", "b");
+    expect(three.lease.allows(1)).toBe(true);
+    expect(three.lease.allows(bounds.staleMs)).toBe(false);
+    const four = stage(["a", "b", "c", "d"]);
+    four.fail("a", "b");
+    expect(four.lease.allows(4999)).toBe(true);
+  });
 
-test("a failure is evidence for the time of contact only, and without known members there is none", () => {
-  const { time, lease, fail } = stage(["a", "b", "c"]);
-  fail("a", "b", "c");
-  time.runUntil(2900);
-  expect(lease.allows(1)).toBe(true);
-  time.runUntil(3100);
-  expect(lease.allows(1)).toBe(false);
-  const none = stage([]);
-  none.fail("a");
-  expect(none.lease.allows(1)).toBe(false);
+  test("a failure is evidence for contactMs only, and without known replicas there is none", () => {
+    const { time, lease, fail } = stage(["a", "b", "c"]);
+    fail("a", "b", "c");
+    time.runUntil(2900);
+    expect(lease.allows(1)).toBe(true);
+    time.runUntil(3100);
+    expect(lease.allows(1)).toBe(false);
+    const none = stage([]);
+    none.fail("a");
+    expect(none.lease.allows(1)).toBe(false);
+  });
 });
--- a/test/proxy/idempotency/idempotency-claims.test.ts
+++ b/test/proxy/idempotency/idempotency-claims.test.ts
@@ -1,4 +1,4 @@
-import { beforeEach, expect, test } from "vitest";
+import { beforeEach, describe, expect, test } from "vitest";
 import type { ProxyRequest } from "../../../src/proxy/proxy-request.js";
 import { Task } from "../../../src/runtime/task.js";
 import { Profile } from "../../../src/simulation/profile.js";
@@ -51,71 +51,75 @@
   staged = stage();
 });
 
-test("an edge dies between the claim and the send: its key runs at most once, and a duplicate elsewhere gets a final answer", () => {
-  const { simulation, wait, first, second, send, runs, committed } = staged;
-  const before = committed();
-  send(first, "k");
-  while (committed() === before) wait(1);
-  simulation.kill(first);
-  const again = send(second, "k");
-  wait(4000);
-  expect(again.code).toBe(502);
-  expect(runs("k")).toBe(0);
-});
+describe("edge that dies during a keyed request", () => {
+  test("between the claim and the send: its key runs at most once, and a duplicate elsewhere gets a final response", () => {
+    const { simulation, wait, first, second, send, runs, committed } = staged;
+    const before = committed();
+    send(first, "k");
+    while (committed() === before) wait(1);
+    simulation.kill(first);
+    const again = send(second, "k");
+    wait(4000);
+    expect(again.code).toBe(502);
+    expect(runs("k")).toBe(0);
+  });
 
-test("an edge dies between the send and the return: a duplicate elsewhere doesn't run", () => {
-  const { simulation, wait, first, second, send, runs } = staged;
-  for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
-  send(first, "k");
-  while (runs("k") === 0) wait(1);
-  simulation.kill(first);
-  const again = send(second, "k");
-  wait(4000);
-  expect([again.code, runs("k")]).toEqual([502, 1]);
-});
+  test("between the send and the response: a duplicate elsewhere doesn't run", () => {
+    const { simulation, wait, first, second, send, runs } = staged;
+    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
+    send(first, "k");
+    while (runs("k") === 0) wait(1);
+    simulation.kill(first);
+    const again = send(second, "k");
+    wait(4000);
+    expect([again.code, runs("k")]).toEqual([502, 1]);
+  });
 
-test("an edge dies after the return, and the route moves: a duplicate elsewhere gets the first return again", () => {
-  const { simulation, wait, first, second, send, runs } = staged;
-  const one = send(first, "k");
-  wait(500);
-  expect(one.code).toBe(201);
-  simulation.kill(first);
-  const patched: number[] = [];
-  simulation.machines[0]?.daemon?.operators.emit({
-    clientRequest: {
-      method: "POST",
-      target: "/ask",
-      headers: {},
-      body: Buffer.from("move route resolves to issues"),
-    },
-    give: ({ code }) => patched.push(code),
+  test("after the response, and the route moves: a duplicate elsewhere gets the first response again", () => {
+    const { simulation, wait, first, second, send, runs } = staged;
+    const one = send(first, "k");
+    wait(500);
+    expect(one.code).toBe(201);
+    simulation.kill(first);
+    const patched: number[] = [];
+    simulation.machines[0]?.daemon?.operators.emit({
+      clientRequest: {
+        method: "POST",
+        target: "/ask",
+        headers: {},
+        body: Buffer.from("move route resolves to issues"),
+      },
+      give: ({ code }) => patched.push(code),
+    });
+    wait(3000);
+    expect(patched).toEqual([200]);
+    const again = send(second, "k");
+    const fresh = send(second, "other");
+    const changed = send(second, "k", "{1}");
+    wait(1500);
+    expect([again.code, again.text, runs("k")]).toEqual([201, one.text, 1]);
+    expect(changed.code).toBe(422);
+    expect(fresh.code).toBe(201);
+    expect(simulation.recorder.runs.find((run) => run.key === "other")?.service).toBe("issues");
   });
-  wait(3000);
-  expect(patched).toEqual([200]);
-  const again = send(second, "k");
-  const fresh = send(second, "other");
-  const changed = send(second, "k", "{1}");
-  wait(1500);
-  expect([again.code, again.text, runs("k")]).toEqual([201, one.text, 1]);
-  expect(changed.code).toBe(422);
-  expect(fresh.code).toBe(201);
-  expect(simulation.recorder.runs.find((run) => run.key === "other")?.service).toBe("issues");
 });
 
-test("a key is kept through a change of leader, and free again after its time", () => {
-  const { simulation, wait, first, second, send, runs } = staged;
-  send(first, "k");
-  wait(300);
-  for (const machine of simulation.machines)
-    if (machine.daemon?.replicationNode?.status.role === "leader") simulation.kill(machine, true);
-  wait(3000);
-  const again = send(second, "k");
-  wait(60_000);
-  send(second, "k");
-  wait(500);
-  expect([again.code, runs("k")]).toEqual([201, 1]);
-  wait(75_000);
-  send(second, "k");
-  wait(1000);
-  expect(runs("k")).toBe(2);
+describe("lifetime of a key", () => {
+  test("it is retained through a change of leader, and free again after its time", () => {
+    const { simulation, wait, first, second, send, runs } = staged;
+    send(first, "k");
+    wait(300);
+    for (const machine of simulation.machines)
+      if (machine.daemon?.replicationNode?.status.role === "leader") simulation.kill(machine, true);
+    wait(3000);
+    const again = send(second, "k");
+    wait(60_000);
+    send(second, "k");
+    wait(500);
+    expect([again.code, runs("k")]).toEqual([201, 1]);
+    wait(75_000);
+    send(second, "k");
+    wait(1000);
+    expect(runs("k")).toBe(2);
+  });
 });
--- a/test/proxy/idempotency/outcome-cache.test.ts
+++ b/test/proxy/idempotency/outcome-cache.test.ts
@@ -1,4 +1,4 @@
-import { expect, test } from "vitest";
+import { describe, expect, test } from "vitest";
 import { OutcomeCache } from "../../../src/proxy/idempotency/outcome-cache.js";
 import type { KeyedOutcome } from "../../../src/proxy/idempotency/keyed-outcome.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
@@ -8,36 +8,38 @@
   response: { code: 201, headers: {}, body: Buffer.alloc(bytes, "b") },
 });
 
-test("a response is found by its scope and the request that ran, and by no other", () => {
-  const store = new OutcomeCache(new VirtualClock().clock(), 1000);
-  store.note({ scope: "s", requestId: "one" }, response(10));
-  expect(store.find({ scope: "s", requestId: "one" })).toEqual(response(10));
-  expect(store.find({ scope: "s", requestId: "other" })).toBeUndefined();
-  expect(store.find({ scope: "t", requestId: "one" })).toBeUndefined();
-});
+describe("outcome cache", () => {
+  test("a response is found by its scope and the request that ran, and by no other", () => {
+    const store = new OutcomeCache(new VirtualClock().clock(), 1000);
+    store.note({ scope: "s", requestId: "one" }, response(10));
+    expect(store.find({ scope: "s", requestId: "one" })).toEqual(response(10));
+    expect(store.find({ scope: "s", requestId: "other" })).toBeUndefined();
+    expect(store.find({ scope: "t", requestId: "one" })).toBeUndefined();
+  });
 
-test("responses are bounded all together: the oldest go first", () => {
-  const mostBytes = 100_000;
-  const store = new OutcomeCache(new VirtualClock().clock(), 1000, mostBytes);
-  for (let at = 0; at < 200; at += 1) {
-    store.note({ scope: `s${at}`, requestId: "j" }, response(9_800));
-    expect(store.bytes).toBeLessThanOrEqual(mostBytes);
-  }
-  const isKept = (at: number): boolean =>
-    store.find({ scope: `s${at}`, requestId: "j" }) !== undefined;
-  expect(Array.from({ length: 200 }, (_, at) => at).filter(isKept)).toEqual([
-    190, 191, 192, 193, 194, 195, 196, 197, 198, 199,
-  ]);
-});
+  test("the total size is bounded: the oldest responses are evicted first", () => {
+    const mostBytes = 100_000;
+    const store = new OutcomeCache(new VirtualClock().clock(), 1000, mostBytes);
+    for (let at = 0; at < 200; at += 1) {
+      store.note({ scope: `s${at}`, requestId: "j" }, response(9_800));
+      expect(store.bytes).toBeLessThanOrEqual(mostBytes);
+    }
+    const isKept = (at: number): boolean =>
+      store.find({ scope: `s${at}`, requestId: "j" }) !== undefined;
+    expect(Array.from({ length: 200 }, (_, at) => at).filter(isKept)).toEqual([
+      190, 191, 192, 193, 194, 195, 196, 197, 198, 199,
+    ]);
+  });
 
-test("what is older than a key is kept goes with the next one, and what replaces a response counts once", () => {
-  const time = new VirtualClock();
-  const store = new OutcomeCache(time.clock(), 1000);
-  store.note({ scope: "old", requestId: "j" }, response(500));
-  time.runUntil(1500);
-  store.note({ scope: "new", requestId: "j" }, response(500));
-  expect(store.find({ scope: "old", requestId: "j" })).toBeUndefined();
-  const oneBytes = store.bytes;
-  store.note({ scope: "new", requestId: "j" }, response(500));
-  expect(store.bytes).toBe(oneBytes);
+  test("an entry older than its key's retention is evicted with the next one, and a replaced response counts once", () => {
+    const time = new VirtualClock();
+    const store = new OutcomeCache(time.clock(), 1000);
+    store.note({ scope: "old", requestId: "j" }, response(500));
+    time.runUntil(1500);
+    store.note({ scope: "new", requestId: "j" }, response(500));
+    expect(store.find({ scope: "old", requestId: "j" })).toBeUndefined();
+    const oneBytes = store.bytes;
+    store.note({ scope: "new", requestId: "j" }, response(500));
+    expect(store.bytes).toBe(oneBytes);
+  });
 });
--- a/test/proxy/calm-fleet.ts
+++ b/test/proxy/simulated-fleet.ts
@@ -1,21 +1,23 @@
+/** A fixture of a simulated fleet without faults, for keyed requests through its edges. */
 import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
 import { Profile } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
 import { Task } from "../../src/runtime/task.js";
 
-/** Within which two runs of one key are a fault; the rule's, in the settings of these fleets. */
-export const keyWindowMs = 60_000;
+/** How long a key may not run twice, by the settings of these fleets. */
+export const KEY_WINDOW_MS = 60_000;
 
+/** A machine of the fleet. */
 export type Machine = Simulation["machines"][number];
 
-/** What a caller saw of one request: no code while it waits, 0 where its connection broke. */
-export interface Call {
+/** What a client got for one request: no code while it waits, 0 where its connection broke. */
+export interface RecordedCall {
   code: number | undefined;
   text: string;
 }
 
-/** A simulated fleet in calm, with the means to send keyed requests and to hurt it. */
-export const calmFleet = (seed = 7) => {
+/** A simulated fleet without faults, with functions to send keyed requests and to observe their runs. */
+export const simulatedFleet = (seed = 7) => {
   const simulation = new Simulation(Profile.all.rastro, seed, 0.0001);
   simulation.begin();
   simulation.start(simulation.day.putConfig());
@@ -23,8 +25,8 @@
   wait(6000);
   const edges = simulation.machines.filter(({ settings }) => settings.callers !== undefined);
   const core = simulation.machines.filter(({ settings }) => settings.dataFolder !== undefined);
-  const send = (through: Machine, key: string, patienceMs = 9000): Call => {
-    const seen: Call = { code: undefined, text: "" };
+  const send = (through: Machine, key: string, patienceMs = 9000): RecordedCall => {
+    const seen: RecordedCall = { code: undefined, text: "" };
     const clientRequest: ProxyRequest = {
       method: "POST",
       target: "/issues/5/resolve",
@@ -60,7 +62,8 @@
   return { simulation, edges, core, wait, send, runs, until, leader, committed };
 };
 
-export const two = (edges: readonly Machine[]): [Machine, Machine] => {
+/** The first two edges. */
+export const firstTwo = (edges: readonly Machine[]): [Machine, Machine] => {
   const [first, second] = edges;
   if (!first || !second) throw new Error("There are too few edges.");
   return [first, second];
