--- a/test/platform/client-leaves.test.ts
+++ b/test/platform/client-leaves.test.ts
@@ -2,13 +2,13 @@
 import { afterEach, beforeEach, describe, expect, test } from "vitest";
 import { EdgeFixture } from "./edge-fixture.js";
 
-/** What became of the requests that backends were given; none is ever answered. */
+/** The connections of the requests that reached a backend, which never replies. */
 class Work {
-  readonly begun: Socket[] = [];
+  readonly sockets: Socket[] = [];
   closed = 0;
 
   take(socket: Socket): void {
-    this.begun.push(socket);
+    this.sockets.push(socket);
     socket.once("close", () => {
       this.closed += 1;
     });
@@ -36,11 +36,11 @@
     async (path) => {
       const client = edge.client();
       client.request("GET", path, "try-1");
-      await edge.raw.advanceUntil(() => work.begun.length === 1);
+      await edge.raw.advanceUntil(() => work.sockets.length === 1);
       client.socket.destroy();
       await edge.raw.advance(soonMs);
       expect(work.closed).toBe(1);
-      expect(work.begun).toHaveLength(1);
+      expect(work.sockets).toHaveLength(1);
     },
   );
 
@@ -49,7 +49,7 @@
     async (path) => {
       const client = edge.client();
       client.request("POST", path, "try-1", { "content-length": "0", "op-key": "k-1" });
-      await edge.raw.advanceUntil(() => work.begun.length === 1);
+      await edge.raw.advanceUntil(() => work.sockets.length === 1);
       client.socket.destroy();
       await edge.raw.advance(soonMs);
       expect(work.closed).toBe(0);
@@ -60,13 +60,13 @@
     for (let round = 0; round < 6; round += 1) {
       const client = edge.client();
       client.request("GET", `/safe/${round}`, `try-${round}`);
-      await edge.raw.advanceUntil(() => work.begun.length === round + 1);
+      await edge.raw.advanceUntil(() => work.sockets.length === round + 1);
       client.socket.destroy();
       await edge.raw.advanceUntil(() => work.closed === round + 1);
     }
     const client = edge.client();
     client.request("GET", "/safe/last", "try-last");
-    await edge.raw.advanceUntil(() => work.begun.length === 7);
+    await edge.raw.advanceUntil(() => work.sockets.length === 7);
     expect(client.responseCount).toBe(0);
   });
 });
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -49,7 +49,7 @@
   ],
 };
 
-const job = (
+const platformRequest = (
   method: string,
   target: string,
   body?: unknown,
@@ -95,12 +95,12 @@
 
 describe("requests of backends and probes", () => {
   test("readiness, heartbeats and deregistrations are translated into the product's requests", () => {
-    expect(into(job("GET", "readyz")).clientRequest).toMatchObject({
+    expect(into(platformRequest("GET", "readyz")).clientRequest).toMatchObject({
       method: "GET",
       target: "/ready",
     });
-    const beat = into(
-      job("POST", "backends/i-7/heartbeat", {
+    const heartbeat = into(
+      platformRequest("POST", "backends/i-7/heartbeat", {
         svc: "one",
         addr: "10.1.0.9:8080",
         zone: "a",
@@ -111,8 +111,8 @@
         calls: 4,
       }),
     );
-    expect(beat.clientRequest).toMatchObject({ method: "POST", target: "/backends/announce" });
-    expect(bodyOf(beat.clientRequest)).toEqual({
+    expect(heartbeat.clientRequest).toMatchObject({ method: "POST", target: "/backends/announce" });
+    expect(bodyOf(heartbeat.clientRequest)).toEqual({
       service: "one",
       address: "10.1.0.9:8080",
       zone: "a",
@@ -123,13 +123,13 @@
       draining: true,
       warmMs: 1500,
     });
-    expect(bodyOf(beat.back(ClientResponse.json(200, { contract: 9, state: "taken" })))).toEqual(
-      {},
-    );
-    expect(beat.back(ClientResponse.json(503, { error: "No leader could be asked." })).code).toBe(
-      503,
-    );
-    const leave = into(job("POST", "backends/i-7/deregister", ""));
+    expect(
+      bodyOf(heartbeat.back(ClientResponse.json(200, { contract: 9, state: "taken" }))),
+    ).toEqual({});
+    expect(
+      heartbeat.back(ClientResponse.json(503, { error: "No leader could be asked." })).code,
+    ).toBe(503);
+    const leave = into(platformRequest("POST", "backends/i-7/deregister", ""));
     expect([
       leave.clientRequest.method,
       leave.clientRequest.target,
@@ -138,9 +138,9 @@
   });
 
   test("an invalid request is refused with the reason, and the product's own paths pass unchanged", () => {
-    expect(codeOf(job("POST", "backends/i-7/heartbeat", "{"))).toBe(400);
-    expect(codeOf(job("POST", "backends/i-7/heartbeat", { svc: "one" }))).toBe(400);
-    expect(codeOf(job("GET", "nothing"))).toBe(404);
+    expect(codeOf(platformRequest("POST", "backends/i-7/heartbeat", "{"))).toBe(400);
+    expect(codeOf(platformRequest("POST", "backends/i-7/heartbeat", { svc: "one" }))).toBe(400);
+    expect(codeOf(platformRequest("GET", "nothing"))).toBe(404);
     const own: ProxyRequest = {
       method: "GET",
       target: "/status",
@@ -153,7 +153,7 @@
 
 describe("complete configuration", () => {
   test("it is translated into the product's, and is read back as it was sent", () => {
-    const put = into(job("POST", "config/put", whole, { "base-version": "r5" }));
+    const put = into(platformRequest("POST", "config/put", whole, { "base-version": "r5" }));
     expect(put.clientRequest).toMatchObject({
       method: "PUT",
       target: "/config",
@@ -186,7 +186,7 @@
       headerMs: 3000,
       idleMs: 15_000,
     });
-    const got = into(job("GET", "config/get"));
+    const got = into(platformRequest("GET", "config/get"));
     expect(bodyOf(got.back(ClientResponse.json(200, { version: 7, sequence: 7, config })))).toEqual(
       JSON.parse(JSON.stringify(whole)),
     );
@@ -198,26 +198,31 @@
   test("a retry of a change has the same id, another change has another", () => {
     const idOf = (sent: ProxyRequest): string | undefined =>
       into(sent).clientRequest.headers["change-id"];
-    const id = idOf(job("POST", "config/put", whole, { "base-version": "r5" }));
-    expect(idOf(job("POST", "config/put", whole, { "base-version": "r5" }))).toBe(id);
-    expect(idOf(job("POST", "config/put", whole, { "base-version": "r6" }))).not.toBe(id);
+    const id = idOf(platformRequest("POST", "config/put", whole, { "base-version": "r5" }));
+    expect(idOf(platformRequest("POST", "config/put", whole, { "base-version": "r5" }))).toBe(id);
+    expect(idOf(platformRequest("POST", "config/put", whole, { "base-version": "r6" }))).not.toBe(
+      id,
+    );
     expect(
-      idOf(job("POST", "config/put", { ...whole, ver: "r8" }, { "base-version": "r5" })),
+      idOf(
+        platformRequest("POST", "config/put", { ...whole, ver: "r8" }, { "base-version": "r5" }),
+      ),
     ).not.toBe(id);
     expect(
-      into(job("POST", "config/put", whole, { "base-version": "0" })).clientRequest.headers[
-        "if-match"
-      ],
+      into(platformRequest("POST", "config/put", whole, { "base-version": "0" })).clientRequest
+        .headers["if-match"],
     ).toBe('"0"');
   });
 });
 
 describe("change of entries", () => {
   test("it replaces by name, adds and removes, and is read back complete", () => {
-    const before = productOf(bodyOf(into(job("POST", "config/put", whole)).clientRequest));
+    const before = productOf(
+      bodyOf(into(platformRequest("POST", "config/put", whole)).clientRequest),
+    );
     const replaced = route("x", { tries: 3, target_time: undefined });
     const patch = into(
-      job(
+      platformRequest(
         "POST",
         "config/patch",
         {
@@ -246,7 +251,7 @@
       applyItemChanges(before, items, { routes: ["y"], services: ["two"], goals: [] }),
     );
     if ("faults" in after) throw new Error(JSON.stringify(after.faults));
-    const got = into(job("GET", "config/get")).back(
+    const got = into(platformRequest("GET", "config/get")).back(
       ClientResponse.json(200, { version: 9, config: after.config }),
     );
     expect(bodyOf(got)).toEqual(
@@ -272,7 +277,7 @@
       },
       goals: { x: { latencyMs: 90 } },
     });
-    const got = into(job("GET", "config/get")).back(
+    const got = into(platformRequest("GET", "config/get")).back(
       ClientResponse.json(200, { version: 3, config }),
     );
     expect(bodyOf(got)).toEqual({
@@ -300,7 +305,9 @@
 describe("invalid configuration", () => {
   test("it is refused here or by the product, never ignored and never a crash", () => {
     const refused = (value: unknown): boolean => {
-      const read = control.into(job("POST", "config/put", value, { "base-version": "r5" }));
+      const read = control.into(
+        platformRequest("POST", "config/put", value, { "base-version": "r5" }),
+      );
       return "code" in read
         ? read.code === 400
         : "faults" in Config.check(bodyOf(read.clientRequest));
@@ -337,6 +344,8 @@
     expect(refused({ ver: "r7", objs: [route("__proto__"), service("one")] })).toBe(true);
     expect(refused('{"ver":"r7","objs":[')).toBe(true);
     expect(refused("null")).toBe(true);
-    expect(codeOf(job("POST", "config/put", whole, { "base-version": "new" }))).toBe(400);
+    expect(codeOf(platformRequest("POST", "config/put", whole, { "base-version": "new" }))).toBe(
+      400,
+    );
   });
 });
--- a/test/platform/invalid-commands.test.ts
+++ b/test/platform/invalid-commands.test.ts
@@ -94,33 +94,33 @@
   ];
 };
 
-const begun = (): OrderStage => {
-  const stage = new OrderStage(machines, [0, 1, 2]);
-  stage.bootAll();
-  stage.wait(4000);
-  expect(stage.untilClear(wholeOrder(0, 3, "first"))).toBe(200);
-  return stage;
+const startedFixture = (): OrderStage => {
+  const fixture = new OrderStage(machines, [0, 1, 2]);
+  fixture.bootAll();
+  fixture.wait(4000);
+  expect(fixture.untilClear(wholeOrder(0, 3, "first"))).toBe(200);
+  return fixture;
 };
 
-const code = (stage: OrderStage, command: OrderBytes, at: number): number | undefined => {
-  const call = stage.order(stage.at(at % machines.length), command);
-  stage.until(() => call.code !== undefined, 1000);
+const code = (fixture: OrderStage, command: OrderBytes, at: number): number | undefined => {
+  const call = fixture.order(fixture.at(at % machines.length), command);
+  fixture.until(() => call.code !== undefined, 1000);
   return call.code;
 };
 
 describe("invalid configuration change", () => {
   test("it is refused through every daemon, as is its retry, and the configuration in force stays", () => {
-    const stage = begun();
+    const fixture = startedFixture();
     for (const [what, command] of invalidOrders(3))
       for (let at = 0; at < machines.length; at += 1) {
         const expected = what.includes("base") ? [412] : [400, 412];
-        expect(expected, `${what}, through ${at}`).toContain(code(stage, command, at));
+        expect(expected, `${what}, through ${at}`).toContain(code(fixture, command, at));
       }
-    expect(stage.newest(stage.at(0))).toBe("r3");
+    expect(fixture.newest(fixture.at(0))).toBe("r3");
   });
 
   test("raced against a valid change on the same version, it is never applied, whichever is sent first", () => {
-    const stage = begun();
+    const fixture = startedFixture();
     let base = 3;
     for (const [at, [what]] of invalidOrders(base).entries()) {
       const invalid = invalidOrders(base)[at]?.[1];
@@ -128,57 +128,61 @@
       const proper = wholeOrder(base, base + 2, `p${at}`);
       const pair = at % 2 === 0 ? [invalid, proper] : [proper, invalid];
       const calls = pair.map((command, place) =>
-        stage.order(stage.at((at + place) % machines.length), command),
+        fixture.order(fixture.at((at + place) % machines.length), command),
       );
-      stage.until(() => calls.every(({ code: answer }) => answer !== undefined), 1000);
+      fixture.until(() => calls.every(({ code: answer }) => answer !== undefined), 1000);
       const [first, second] = calls.map(({ code: answer }) => answer);
       const [ofInvalid, ofProper] = at % 2 === 0 ? [first, second] : [second, first];
       expect([400, 412], what).toContain(ofInvalid);
       expect(ofProper, what).toBe(200);
       base += 2;
-      expect(stage.newest(stage.at(0)), what).toBe(`r${base}`);
+      expect(fixture.newest(fixture.at(0)), what).toBe(`r${base}`);
     }
   });
 
   test("a change that is valid by itself but invalid after the one before it in the queue is refused", () => {
-    const stage = begun();
+    const fixture = startedFixture();
     expect(
-      code(stage, patch(3, "r4", { upsert: { objs: [{ ...service, meta: { name: "two" } }] } }), 0),
+      code(
+        fixture,
+        patch(3, "r4", { upsert: { objs: [{ ...service, meta: { name: "two" } }] } }),
+        0,
+      ),
     ).toBe(200);
-    const goes = stage.order(stage.at(1), patch(4, "r5", { remove: { services: ["two"] } }));
-    const needs = stage.order(
-      stage.at(2),
+    const goes = fixture.order(fixture.at(1), patch(4, "r5", { remove: { services: ["two"] } }));
+    const needs = fixture.order(
+      fixture.at(2),
       patch(4, "r6", { upsert: { objs: [routeTo("needs", "two")] } }),
     );
-    stage.until(() => goes.code !== undefined && needs.code !== undefined, 1000);
+    fixture.until(() => goes.code !== undefined && needs.code !== undefined, 1000);
     expect([goes.code, needs.code].sort()).toEqual([200, 412]);
     const version = goes.code === 200 ? 5 : 6;
     const refused =
       goes.code === 200
         ? patch(5, "r9", { upsert: { objs: [routeTo("needs", "two")] } })
         : patch(6, "r9", { remove: { services: ["two"] } });
-    expect(code(stage, refused, 3)).toBe(400);
-    expect(stage.newest(stage.at(0))).toBe(`r${version}`);
+    expect(code(fixture, refused, 3)).toBe(400);
+    expect(fixture.newest(fixture.at(0))).toBe(`r${version}`);
   });
 
   test("during a change of leader it is never acknowledged, and an unknown result is no refusal", () => {
-    const stage = begun();
-    const former = stage.leader;
-    const followers = stage.machines.filter((machine) => machine !== former);
-    stage.kill(former);
+    const fixture = startedFixture();
+    const former = fixture.leader;
+    const followers = fixture.machines.filter((machine) => machine !== former);
+    fixture.kill(former);
     for (const [at, [what, command]] of invalidOrders(3).entries()) {
       const through = followers[at % followers.length];
       if (!through) throw new Error("There is no follower.");
-      const call = stage.order(through, command);
-      stage.wait(30);
-      if (call.code === undefined) stage.until(() => call.code !== undefined, 1000);
+      const call = fixture.order(through, command);
+      fixture.wait(30);
+      if (call.code === undefined) fixture.until(() => call.code !== undefined, 1000);
       expect([400, 412, 503, 504], what).toContain(call.code);
     }
-    stage.until(
-      () => stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+    fixture.until(
+      () => fixture.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
       5000,
     );
-    stage.wait(1000);
-    expect(followers.map((machine) => stage.newest(machine))).toEqual(followers.map(() => "r3"));
+    fixture.wait(1000);
+    expect(followers.map((machine) => fixture.newest(machine))).toEqual(followers.map(() => "r3"));
   });
 });
--- a/test/platform/large-reads.test.ts
+++ b/test/platform/large-reads.test.ts
@@ -15,39 +15,39 @@
   }),
 });
 
-const begun = (routes: number): OrderStage => {
-  const stage = new OrderStage(machines, [0, 1, 2]);
-  for (const machine of stage.machines)
+const startedFixture = (routes: number): OrderStage => {
+  const fixture = new OrderStage(machines, [0, 1, 2]);
+  for (const machine of fixture.machines)
     if (!machine.disk) machine.settings = { ...machine.settings, ...thin };
-  stage.bootAll();
-  stage.wait(4000);
-  expect(stage.untilClear(putOf(routes))).toBe(200);
-  stage.wait(2000);
-  return stage;
+  fixture.bootAll();
+  fixture.wait(4000);
+  expect(fixture.untilClear(putOf(routes))).toBe(200);
+  fixture.wait(2000);
+  return fixture;
 };
 
 describe("read of a large configuration", () => {
   test.each([1500, 2500])(
     "%i routes are read through any daemon: one with a thin link redirects to a replica of the log that isn't the leader",
     (routes) => {
-      const stage = begun(routes);
-      for (const machine of stage.machines) {
-        const asked = stage.call(machine, "GET", "config/get");
-        stage.wait(800);
+      const fixture = startedFixture(routes);
+      for (const machine of fixture.machines) {
+        const call = fixture.call(machine, "GET", "config/get");
+        fixture.wait(800);
         if (machine.disk) {
-          expect(asked.code).toBe(200);
+          expect(call.code).toBe(200);
           continue;
         }
-        expect(asked.code).toBe(307);
+        expect(call.code).toBe(307);
         const host = /^http:\/\/([^/]+)\/daledoor\/config\/get$/.exec(
-          asked.headers["location"] ?? "",
+          call.headers["location"] ?? "",
         )?.[1];
-        const member = stage.disks.find(({ settings }) => settings.operators === host);
+        const member = fixture.disks.find(({ settings }) => settings.operators === host);
         expect(member).toBeDefined();
-        expect(member).not.toBe(stage.leader);
+        expect(member).not.toBe(fixture.leader);
         if (!member) continue;
-        const read = stage.call(member, "GET", "config/get");
-        stage.wait(800);
+        const read = fixture.call(member, "GET", "config/get");
+        fixture.wait(800);
         expect(read.code).toBe(200);
         expect(read.body.match(/"type":"routes"/g)).toHaveLength(routes);
       }
@@ -56,12 +56,12 @@
 });
 
 describe("read of a small configuration", () => {
-  test("it is served by the daemon that is asked, over a thin link too", () => {
-    const stage = begun(20);
-    for (const machine of stage.machines) {
-      const asked = stage.call(machine, "GET", "config/get");
-      stage.wait(800);
-      expect(asked.code).toBe(200);
+  test("it is served by the daemon that is call, over a thin link too", () => {
+    const fixture = startedFixture(20);
+    for (const machine of fixture.machines) {
+      const call = fixture.call(machine, "GET", "config/get");
+      fixture.wait(800);
+      expect(call.code).toBe(200);
     }
   });
 });
--- a/test/platform/outcome-fuzz.test.ts
+++ b/test/platform/outcome-fuzz.test.ts
@@ -24,7 +24,7 @@
 const arrivals = (path: string): number =>
   fixture.requestHeads.filter((request) => request.path === path).length;
 
-/** What a back end writes, and what the client of a request that runs once must get; undefined: no promise, a 502 or 504. */
+/** What a backend writes, and what the client of a request that runs once must get; undefined: no promise, a 502 or 504. */
 interface Script {
   readonly way: string;
   readonly bytes: (tryId: string) => string;
@@ -101,11 +101,11 @@
   next();
 };
 
-const checkOnce = (path: string, seen: RecordingClient, turnedAway: boolean): void => {
-  expect(seen.ending).toBe("whole");
-  expect(seen.body.toString()).not.toContain("theirs");
+const checkOnce = (path: string, client: RecordingClient, turnedAway: boolean): void => {
+  expect(client.ending).toBe("whole");
+  expect(client.body.toString()).not.toContain("theirs");
   if (turnedAway) return;
-  const [least, most] = seen.code === 503 ? [0, 0] : [seen.code < 500 ? 1 : 0, 1];
+  const [least, most] = client.code === 503 ? [0, 0] : [client.code < 500 ? 1 : 0, 1];
   expect(arrivals(path)).toBeGreaterThanOrEqual(least);
   expect(arrivals(path)).toBeLessThanOrEqual(most);
 };
@@ -123,10 +123,10 @@
             if (asked === path) writePieces(socket, bytes(tryId), offsets, "open");
             else socket.write(success({ tryId }, "fine"));
           };
-          const seen = await fixture.exchange("POST", path, { "deadline-ms": "400" });
-          expect([way, seen.code]).toEqual([way, code ?? 502]);
-          if (body !== undefined) expect(seen.body.toString()).toBe(body);
-          if (kind === "unsafe") checkOnce(path, seen, code === 503);
+          const client = await fixture.exchange("POST", path, { "deadline-ms": "400" });
+          expect([way, client.code]).toEqual([way, code ?? 502]);
+          if (body !== undefined) expect(client.body.toString()).toBe(body);
+          if (kind === "unsafe") checkOnce(path, client, code === 503);
         },
       ),
       { seed: 17, numRuns: 250 },
@@ -151,10 +151,10 @@
             if (written.length > 0) writePieces(socket, written, offsets, ending);
             else socket.destroy();
           };
-          const seen = await fixture.exchange("POST", path, { "deadline-ms": "400" });
-          checkOnce(path, seen, false);
-          if (seen.code === 200) expect([isWhole, seen.body.toString()]).toEqual([true, body]);
-          else expect([isWhole && ending === "end", seen.code]).toEqual([false, 502]);
+          const client = await fixture.exchange("POST", path, { "deadline-ms": "400" });
+          checkOnce(path, client, false);
+          if (client.code === 200) expect([isWhole, client.body.toString()]).toEqual([true, body]);
+          else expect([isWhole && ending === "end", client.code]).toEqual([false, 502]);
         },
       ),
       { seed: 18, numRuns: 200 },
@@ -175,9 +175,9 @@
             for (const [index, byte] of flips) garbled[index % garbled.length] = byte;
             return writePieces(socket, garbled.toString("latin1"), offsets, "open");
           };
-          const seen = await fixture.exchange("POST", path, { "deadline-ms": "60" });
-          if (way.startsWith("their")) expect(seen.code).toBeGreaterThanOrEqual(500);
-          checkOnce(path, seen, false);
+          const client = await fixture.exchange("POST", path, { "deadline-ms": "60" });
+          if (way.startsWith("their")) expect(client.code).toBeGreaterThanOrEqual(500);
+          checkOnce(path, client, false);
           for (let round = 0, code = 0; code !== 200; round += 1) {
             const next = newPath("unsafe");
             const after = await fixture.exchange("POST", next);
@@ -220,9 +220,9 @@
               };
               part();
             };
-            const seen = await fixture.exchange("POST", path, { "deadline-ms": "400" });
-            checkOnce(path, seen, false);
-            expect([200, 502, 503]).toContain(seen.code);
+            const client = await fixture.exchange("POST", path, { "deadline-ms": "400" });
+            checkOnce(path, client, false);
+            expect([200, 502, 503]).toContain(client.code);
             await fixture.advance(pauseMs);
           }
         },
--- a/test/platform/outcomes.test.ts
+++ b/test/platform/outcomes.test.ts
@@ -13,13 +13,13 @@
   staged = undefined;
 });
 
-/** One way in which a back end ends an exchange, and what must follow. */
+/** One way in which a backend ends an exchange, and what must follow. */
 interface Row {
   readonly way: string;
   readonly reply: (request: RawRequest, socket: Socket) => void;
   /** What the client of an unsafe request gets. */
   readonly code: number;
-  /** May another back end be asked also by an unsafe request? */
+  /** An unsafe request may be sent to another backend too. */
   readonly sentOn?: true;
   /** Whether the connection carries the next request. */
   readonly kept?: true;
@@ -222,14 +222,14 @@
       const fixture = await ready(3);
       await fixture.warmConnections();
       fixture.reply = reply;
-      const seen = await fixture.exchange(method, "/thriceUnsafe/x", { "deadline-ms": "400" });
+      const client = await fixture.exchange(method, "/thriceUnsafe/x", { "deadline-ms": "400" });
       await fixture.advance(40);
-      expect([seen.code, seen.ending, seen.isStreamed]).toEqual([code, "whole", false]);
+      expect([client.code, client.ending, client.isStreamed]).toEqual([code, "whole", false]);
       const arrivals = fixture.requestHeads.filter(({ path }) => path === "/thriceUnsafe/x");
       expect(arrivals.length).toBe(sentOn ? 3 : 1);
       expect(new Set(arrivals.map(({ tryId }) => tryId)).size).toBe(1);
-      expect(seen.body.toString()).not.toContain("theirs");
-      if (code === 502) expect(seen.headers).not.toHaveProperty("seal");
+      expect(client.body.toString()).not.toContain("theirs");
+      if (code === 502) expect(client.headers).not.toHaveProperty("seal");
     },
   );
 });
@@ -241,7 +241,7 @@
       const fixture = await ready(1);
       await fixture.warmConnections();
       const [backend] = fixture.backends;
-      if (!backend) throw new Error("There is no back end.");
+      if (!backend) throw new Error("There is no backend.");
       const used = backend.requestHeads.length;
       const connection = backend.requestHeads[used - 1]?.connection;
       backend.reply = reply;
@@ -272,10 +272,10 @@
         if (arrivals === 1) reply(request, socket);
         else socket.write(success(request, "right"));
       };
-      const seen = await fixture.exchange("GET", "/safe/x", { "deadline-ms": "400" });
-      const isSilent = seen.code === 504 || (seen.code === 502 && seen.tookMs > 390);
-      expect([seen.code, seen.body.toString()]).toEqual(
-        isSilent ? [seen.code, seen.body.toString()] : [200, "right"],
+      const client = await fixture.exchange("GET", "/safe/x", { "deadline-ms": "400" });
+      const isSilent = client.code === 504 || (client.code === 502 && client.tookMs > 390);
+      expect([client.code, client.body.toString()]).toEqual(
+        isSilent ? [client.code, client.body.toString()] : [200, "right"],
       );
       expect(fixture.requestHeads.length - before).toBe(isSilent ? 1 : 2);
     },
@@ -287,16 +287,16 @@
     const fixture = await ready(1);
     expect((await fixture.exchange("POST", "/unsafe/first")).code).toBe(200);
     fixture.reply = () => undefined;
-    const seen = fixture.proxy.send("POST", "/unsafe/second");
+    const client = fixture.proxy.send("POST", "/unsafe/second");
     await fixture.advanceUntil(() => fixture.requestHeads.length === 2);
     fixture.backendClient.close();
-    await fixture.advanceUntil(() => seen.ending !== "open");
+    await fixture.advanceUntil(() => client.ending !== "open");
     await fixture.advance(100);
     expect(fixture.requestHeads.map(({ path }) => path)).toEqual([
       "/unsafe/first",
       "/unsafe/second",
     ]);
-    expect(seen.code).toBe(502);
+    expect(client.code).toBe(502);
   });
 
   test("a second Not-Run that names no request is not taken for the response to the next one", async () => {
@@ -328,9 +328,9 @@
       const fixture = await ready(3);
       await fixture.warmConnections();
       fixture.reply = reply;
-      const seen = await fixture.exchange(method, "/thriceUnsafe/x", { "deadline-ms": "400" });
+      const client = await fixture.exchange(method, "/thriceUnsafe/x", { "deadline-ms": "400" });
       await fixture.advance(40);
-      expect(seen.code).toBe(502);
+      expect(client.code).toBe(502);
       expect(fixture.requestHeads.filter(({ path }) => path === "/thriceUnsafe/x").length).toBe(1);
     },
   );
@@ -350,13 +350,13 @@
         };
       }
       for (let round = 0; round < 20; round += 1) {
-        const seen = await fixture.exchange("POST", `/unsafe/${round}`, { "deadline-ms": "400" });
+        const client = await fixture.exchange("POST", `/unsafe/${round}`, { "deadline-ms": "400" });
         const arrivals = fixture.requestHeads.filter(
           ({ path }) => path === `/unsafe/${round}`,
         ).length;
-        expect(seen.body.toString()).not.toContain("theirs");
-        expect(arrivals).toBeLessThanOrEqual(seen.code === 503 ? 0 : 1);
-        expect([200, 502, 503]).toContain(seen.code);
+        expect(client.body.toString()).not.toContain("theirs");
+        expect(arrivals).toBeLessThanOrEqual(client.code === 503 ? 0 : 1);
+        expect([200, 502, 503]).toContain(client.code);
       }
     },
   );
--- a/test/platform/proxy.test.ts
+++ b/test/platform/proxy.test.ts
@@ -20,15 +20,15 @@
   headers: Record<string, string | undefined>,
   pieces: ReadonlyArray<Uint8Array | "cut"> = [Buffer.from("wrong")],
 ): BackendReply => {
-  const held: Record<string, string> = {};
+  const sentHeaders: Record<string, string> = {};
   for (const [name, value] of Object.entries({
     "try-id": tryId,
     seal: "s",
     "content-length": "5",
     ...headers,
   }))
-    if (value !== undefined) held[name] = value;
-  return { code: 200, headers: held, chunks: pieces };
+    if (value !== undefined) sentHeaders[name] = value;
+  return { code: 200, headers: sentHeaders, chunks: pieces };
 };
 const plain = (tryId: string, code: number): BackendReply => ({
   code,
@@ -109,8 +109,13 @@
       "x-named": "of this connection",
     };
     const target = "/unsafe/a%2Fb//c/2f?x=1&y=%20&x=2";
-    const seen = fixture.exchange("PATCH", target, { ...kept, ...hop, "deadline-ms": "800" }, body);
-    expect(seen.code).toBe(200);
+    const client = fixture.exchange(
+      "PATCH",
+      target,
+      { ...kept, ...hop, "deadline-ms": "800" },
+      body,
+    );
+    expect(client.code).toBe(200);
     const [sent] = fixture.receivedRequests;
     expect(sent).toMatchObject({ method: "PATCH", path: target, body });
     const { "deadline-ms": left, ...rest } = sent?.headers ?? {};
@@ -174,8 +179,8 @@
         headers: { "try-id": tryId, "content-length": "3" },
         chunks: [Buffer.from("own")],
       });
-      const seen = fixture.exchange("POST", "/unsafe/x");
-      expect([seen.code, seen.body.toString()]).toEqual([code, "own"]);
+      const client = fixture.exchange("POST", "/unsafe/x");
+      expect([client.code, client.body.toString()]).toEqual([code, "own"]);
     }
     expect(fixture.receivedRequests.length).toBe(6);
   });
@@ -185,15 +190,15 @@
     (_what, reply) => {
       const fixture = ProxyFixture.ready(2);
       fixture.reply = reply;
-      const seen = fixture.exchange("POST", "/unsafe/x");
-      expect([seen.code, seen.isStreamed, seen.ending, fixture.receivedRequests.length]).toEqual([
-        502,
-        false,
-        "whole",
-        1,
-      ]);
-      expect(seen.headers).not.toHaveProperty("seal");
-      expect(seen.body.toString()).not.toContain("wro");
+      const client = fixture.exchange("POST", "/unsafe/x");
+      expect([
+        client.code,
+        client.isStreamed,
+        client.ending,
+        fixture.receivedRequests.length,
+      ]).toEqual([502, false, "whole", 1]);
+      expect(client.headers).not.toHaveProperty("seal");
+      expect(client.body.toString()).not.toContain("wro");
     },
   );
 
@@ -202,8 +207,8 @@
     (_what, reply) => {
       const fixture = ProxyFixture.ready(2);
       fixture.reply = (sent, index) => (index === 0 ? reply(sent) : success(sent.tryId, "right"));
-      const seen = fixture.exchange("GET", "/safe/x");
-      expect([seen.code, seen.body.toString(), seen.headers["seal"]]).toEqual([
+      const client = fixture.exchange("GET", "/safe/x");
+      expect([client.code, client.body.toString(), client.headers["seal"]]).toEqual([
         200,
         "right",
         "seal-of-right",
@@ -231,8 +236,8 @@
       ] as const) {
         const fixture = ProxyFixture.ready(2);
         fixture.reply = (sent, index) => (index === 0 ? reply(sent) : success(sent.tryId, "taken"));
-        const seen = fixture.exchange(method, target, { "op-key": "k-1" });
-        expect([target, seen.code, seen.body.toString()]).toEqual([target, 200, "taken"]);
+        const client = fixture.exchange(method, target, { "op-key": "k-1" });
+        expect([target, client.code, client.body.toString()]).toEqual([target, 200, "taken"]);
         expect(addresses(fixture).sort()).toEqual(["10.9.0.1:80", "10.9.0.2:80"]);
       }
     },
@@ -249,11 +254,11 @@
       ] as const) {
         const fixture = ProxyFixture.ready(2);
         fixture.reply = reply;
-        const seen = fixture.exchange(method, target, { "op-key": "k-1" });
-        expect([target, seen.code, fixture.receivedRequests.length]).toEqual([target, 503, 2]);
-        expect(seen.headers["retry-after"]).toMatch(fraction);
-        expect(Number(seen.headers["retry-after"])).toBeGreaterThan(0);
-        expect(Number(seen.headers["retry-after"])).toBeLessThan(0.5);
+        const client = fixture.exchange(method, target, { "op-key": "k-1" });
+        expect([target, client.code, fixture.receivedRequests.length]).toEqual([target, 503, 2]);
+        expect(client.headers["retry-after"]).toMatch(fraction);
+        expect(Number(client.headers["retry-after"])).toBeGreaterThan(0);
+        expect(Number(client.headers["retry-after"])).toBeLessThan(0.5);
       }
     },
   );
@@ -271,13 +276,13 @@
     const fixture = ProxyFixture.ready(2);
     fixture.reply = ({ tryId }, index) => (index === 0 ? other(tryId) : success(tryId, "taken"));
     fixture.exchange("GET", "/safe/x");
-    const [gone = ""] = addresses(fixture);
-    fixture.registered.delete(gone);
+    const [endedAddress = ""] = addresses(fixture);
+    fixture.registered.delete(endedAddress);
     for (let round = 0; round < 60; round += 1) {
       expect(fixture.exchange("GET", "/safe/x").code).toBe(200);
       fixture.advance(50);
     }
-    expect(addresses(fixture).slice(1)).not.toContain(gone);
+    expect(addresses(fixture).slice(1)).not.toContain(endedAddress);
   });
 
   test("Not-Run ends no registration: the backend is picked again", () => {
@@ -296,8 +301,8 @@
     const fixture = ProxyFixture.ready(2);
     fixture.reply = ({ tryId }, index) =>
       index === 0 ? other("another") : success(tryId, "run twice");
-    const seen = fixture.exchange("POST", "/unsafe/x");
-    expect([seen.code, fixture.receivedRequests.length]).toEqual([502, 1]);
+    const client = fixture.exchange("POST", "/unsafe/x");
+    expect([client.code, fixture.receivedRequests.length]).toEqual([502, 1]);
   });
 });
 
@@ -306,17 +311,17 @@
     for (const target of ["/unsafe/x", "/thriceUnsafe/x", "/keyed/x"]) {
       const fixture = ProxyFixture.ready(3);
       fixture.reply = () => "lost";
-      const seen = fixture.exchange("POST", target, { "op-key": "k-1" });
-      expect([target, seen.code, fixture.receivedRequests.length]).toEqual([target, 502, 1]);
+      const client = fixture.exchange("POST", target, { "op-key": "k-1" });
+      expect([target, client.code, fixture.receivedRequests.length]).toEqual([target, 502, 1]);
     }
   });
 
   test("an unsafe request without a response in time is sent once and ends with 504, no later than its deadline", () => {
     const fixture = ProxyFixture.ready(3);
     fixture.reply = () => "late";
-    const seen = fixture.exchange("POST", "/unsafe/x", { "deadline-ms": "600" });
-    expect([seen.code, fixture.receivedRequests.length]).toEqual([504, 1]);
-    expect(seen.tookMs).toBeLessThanOrEqual(605);
+    const client = fixture.exchange("POST", "/unsafe/x", { "deadline-ms": "600" });
+    expect([client.code, fixture.receivedRequests.length]).toEqual([504, 1]);
+    expect(client.tookMs).toBeLessThanOrEqual(605);
   });
 
   test("where a backend accepts no connection, an unsafe request is sent to another, and ends with 503 where none does", () => {
@@ -327,9 +332,9 @@
         expect([why, fixture.exchange("POST", "/unsafe/x").code]).toEqual([why, 200]);
       expect(new Set(addresses(fixture))).toEqual(new Set(["10.9.0.2:80"]));
       fixture.connectFailure = () => why;
-      const seen = fixture.exchange("POST", "/unsafe/x");
-      expect([why, seen.code, fixture.receivedRequests.length]).toEqual([why, 503, 5]);
-      expect(seen.headers["retry-after"]).toMatch(fraction);
+      const client = fixture.exchange("POST", "/unsafe/x");
+      expect([why, client.code, fixture.receivedRequests.length]).toEqual([why, 503, 5]);
+      expect(client.headers["retry-after"]).toMatch(fraction);
     }
   });
 
@@ -347,11 +352,11 @@
       ]) {
         const fixture = ProxyFixture.ready(5);
         fixture.reply = reply;
-        const seen = fixture.exchange("GET", target);
+        const client = fixture.exchange("GET", target);
         expect([target, fixture.receivedRequests.length, new Set(addresses(fixture)).size]).toEqual(
           [target, attempts, attempts],
         );
-        expect([502, 503]).toContain(seen.code);
+        expect([502, 503]).toContain(client.code);
       }
     }
     const fixture = ProxyFixture.ready(5);
@@ -398,8 +403,8 @@
       chunks: [Buffer.from("own")],
     });
     for (let round = 0; round < 2; round += 1) {
-      const seen = fixture.exchange("POST", "/keyed/x", { "op-key": "k-1" });
-      expect([seen.code, seen.body.toString(), fixture.receivedRequests.length]).toEqual([
+      const client = fixture.exchange("POST", "/keyed/x", { "op-key": "k-1" });
+      expect([client.code, client.body.toString(), fixture.receivedRequests.length]).toEqual([
         500,
         "own",
         1,
@@ -478,11 +483,11 @@
     const fixture = ProxyFixture.ready(2);
     fixture.disk.stall(900);
     fixture.advance(5);
-    const seen = fixture.exchange("POST", "/keyed/x", { "op-key": "k-1", "deadline-ms": "1000" });
-    expect([seen.code, fixture.receivedRequests.length]).toEqual([503, 0]);
-    expect(seen.tookMs).toBeLessThanOrEqual(100);
-    expect(seen.headers["retry-after"]).toMatch(fraction);
-    expect(Number(seen.headers["retry-after"])).toBeLessThan(1);
+    const client = fixture.exchange("POST", "/keyed/x", { "op-key": "k-1", "deadline-ms": "1000" });
+    expect([client.code, fixture.receivedRequests.length]).toEqual([503, 0]);
+    expect(client.tookMs).toBeLessThanOrEqual(100);
+    expect(client.headers["retry-after"]).toMatch(fraction);
+    expect(Number(client.headers["retry-after"])).toBeLessThan(1);
     fixture.advance(3000);
     expect([
       fixture.exchange("POST", "/keyed/x", { "op-key": "k-1" }).code,
@@ -494,10 +499,10 @@
     const fixture = ProxyFixture.ready(2);
     fixture.disk.stall(200);
     fixture.advance(5);
-    const seen = fixture.exchange("POST", "/keyed/x", { "op-key": "k-1", "deadline-ms": "700" });
-    expect([seen.code, fixture.receivedRequests.length]).toEqual([200, 1]);
-    expect(seen.tookMs).toBeGreaterThan(150);
-    expect(seen.tookMs).toBeLessThan(700);
+    const client = fixture.exchange("POST", "/keyed/x", { "op-key": "k-1", "deadline-ms": "700" });
+    expect([client.code, fixture.receivedRequests.length]).toEqual([200, 1]);
+    expect(client.tookMs).toBeGreaterThan(150);
+    expect(client.tookMs).toBeLessThan(700);
   });
 });
 
@@ -521,9 +526,9 @@
 
   test("before the first configuration each request gets 503 and a Retry-After", () => {
     const fixture = new ProxyFixture();
-    const seen = fixture.exchange("GET", "/safe/x");
-    expect(seen.code).toBe(503);
-    expect(seen.headers["retry-after"]).toMatch(fraction);
+    const client = fixture.exchange("GET", "/safe/x");
+    expect(client.code).toBe(503);
+    expect(client.headers["retry-after"]).toMatch(fraction);
     expect(fixture.receivedRequests).toEqual([]);
   });
 });
@@ -531,12 +536,12 @@
 describe("daemon that has just started", () => {
   test("it lets a request wait for the first view for a third of its time, then refuses it", () => {
     const fixture = new ProxyFixture();
-    const seen = fixture.send("GET", "/safe/x", { "deadline-ms": "900" });
+    const client = fixture.send("GET", "/safe/x", { "deadline-ms": "900" });
     fixture.advance(280);
-    expect(seen.ending).toBe("open");
+    expect(client.ending).toBe("open");
     fixture.advance(60);
-    expect([seen.ending, seen.code]).toEqual(["whole", 503]);
-    expect(seen.headers["retry-after"]).toMatch(fraction);
+    expect([client.ending, client.code]).toEqual(["whole", 503]);
+    expect(client.headers["retry-after"]).toMatch(fraction);
     const long = fixture.send("GET", "/safe/x", { "deadline-ms": "60000" });
     fixture.advance(1020);
     expect([long.ending, long.code]).toEqual(["whole", 503]);
@@ -546,16 +551,16 @@
     const fixture = new ProxyFixture();
     fixture.registered.set("10.9.0.1:80", "i-1");
     fixture.advance(3000);
-    const seen = fixture.send("GET", "/safe/x", { "deadline-ms": "3000" });
+    const client = fixture.send("GET", "/safe/x", { "deadline-ms": "3000" });
     fixture.advance(30);
-    expect([seen.ending, fixture.receivedRequests.length]).toEqual(["open", 0]);
+    expect([client.ending, fixture.receivedRequests.length]).toEqual(["open", 0]);
     fixture.callOperators("PUT", "/config", {
       services: { shop: {} },
       routes: { safe: { match: { path: "/safe/*" }, service: "shop", kind: "safe" } },
     });
-    fixture.advanceUntil(() => seen.ending !== "open", 1000);
-    expect([seen.code, fixture.receivedRequests.length]).toEqual([200, 1]);
-    expect(seen.tookMs).toBeLessThan(1000);
+    fixture.advanceUntil(() => client.ending !== "open", 1000);
+    expect([client.code, fixture.receivedRequests.length]).toEqual([200, 1]);
+    expect(client.tookMs).toBeLessThan(1000);
   });
 });
 
@@ -566,16 +571,18 @@
   ] as const)("%s, it is streamed to its end", (_what, headers) => {
     const fixture = ProxyFixture.ready(2);
     fixture.reply = ({ tryId }) => large(tryId, headers);
-    const seen = fixture.exchange("GET", "/download/x");
-    expect([seen.isStreamed, seen.code, seen.ending, seen.headers["seal"]]).toEqual([
+    const client = fixture.exchange("GET", "/download/x");
+    expect([client.isStreamed, client.code, client.ending, client.headers["seal"]]).toEqual([
       true,
       200,
       "whole",
       "s-large",
     ]);
-    expect(seen.body.equals(Buffer.concat(big))).toBe(true);
-    expect(seen.headMs).toBeLessThan(seen.endMs - 100);
-    expect(seen.headers["content-length"]).toBe(headers === length ? String(bigBytes) : undefined);
+    expect(client.body.equals(Buffer.concat(big))).toBe(true);
+    expect(client.headMs).toBeLessThan(client.endMs - 100);
+    expect(client.headers["content-length"]).toBe(
+      headers === length ? String(bigBytes) : undefined,
+    );
     expect(fixture.receivedRequests.length).toBe(1);
   });
 
@@ -589,14 +596,14 @@
     (_what, headers, pieces) => {
       const fixture = ProxyFixture.ready(2);
       fixture.reply = ({ tryId }) => large(tryId, headers, pieces);
-      const seen = fixture.exchange("GET", "/download/x");
-      expect([seen.isStreamed, seen.code, seen.ending, fixture.receivedRequests.length]).toEqual([
-        true,
-        200,
-        "cut",
-        1,
-      ]);
-      expect(seen.body.length).toBeLessThanOrEqual(bigBytes);
+      const client = fixture.exchange("GET", "/download/x");
+      expect([
+        client.isStreamed,
+        client.code,
+        client.ending,
+        fixture.receivedRequests.length,
+      ]).toEqual([true, 200, "cut", 1]);
+      expect(client.body.length).toBeLessThanOrEqual(bigBytes);
     },
   );
 });
--- a/test/platform/raw-backend-fixture.ts
+++ b/test/platform/raw-backend-fixture.ts
@@ -84,9 +84,9 @@
     headers: Record<string, string | undefined> = {},
     body: Uint8Array = new Uint8Array(),
   ): Promise<RecordingClient> {
-    const seen = this.proxy.send(method, target, headers, body);
-    await this.advanceUntil(() => seen.ending !== "open");
-    return seen;
+    const client = this.proxy.send(method, target, headers, body);
+    await this.advanceUntil(() => client.ending !== "open");
+    return client;
   }
 
   /** Closes all connections and the backends. */
--- a/test/platform/thin-link.test.ts
+++ b/test/platform/thin-link.test.ts
@@ -11,10 +11,10 @@
   test("one that would leave the link only after the lease expired is not sent, and gets a Retry-After", () => {
     const fixture = ProxyFixture.ready(2, { linkMbps });
     fixture.pacers.egress.note(3000 * bytesPerMs);
-    const held = fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" });
-    expect(held.code).toBe(503);
-    expect(held.headers["retry-after"]).toMatch(fraction);
-    expect(held.tookMs).toBeLessThan(50);
+    const delayed = fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" });
+    expect(delayed.code).toBe(503);
+    expect(delayed.headers["retry-after"]).toMatch(fraction);
+    expect(delayed.tookMs).toBeLessThan(50);
     expect(fixture.receivedRequests).toEqual([]);
     fixture.advance(2500);
     expect(fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" }).code).toBe(200);
@@ -26,9 +26,9 @@
       fixture.pacers.egress.note(3000 * bytesPerMs);
       return undefined;
     };
-    const seen = fixture.exchange("POST", "/unsafe/x", { "deadline-ms": "900" });
-    expect(seen.code).toBe(503);
-    expect(seen.headers["retry-after"]).toMatch(fraction);
+    const client = fixture.exchange("POST", "/unsafe/x", { "deadline-ms": "900" });
+    expect(client.code).toBe(503);
+    expect(client.headers["retry-after"]).toMatch(fraction);
     expect(fixture.receivedRequests).toEqual([]);
   });
 
--- a/test/proxy/idempotency/claims-of-lost-daemons.test.ts
+++ b/test/proxy/idempotency/claims-of-lost-daemons.test.ts
@@ -28,10 +28,10 @@
     const { simulation, edges, wait, send, runs, until } = simulatedFleet();
     const [first, second] = firstTwo(edges);
     for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
-    send(first, "k", 250);
+    send(first, "k", { timeoutMs: 250 });
     until(() => runs("k").length === 1);
     wait(300);
-    const early = send(second, "k", 2000);
+    const early = send(second, "k", { timeoutMs: 2000 });
     wait(2000);
     for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 1 });
     until(() => {
@@ -81,7 +81,7 @@
         if (!first) throw new Error("There are no edges.");
         for (const testBackend of simulation.testBackends)
           testBackend.behave({ slowFactor: draw() < 0.5 ? 30 : 1 });
-        mine.push(send(first, key, draw() < 0.3 ? 100 : 9000));
+        mine.push(send(first, key, { timeoutMs: draw() < 0.3 ? 100 : 9000 }));
         wait(Math.floor(draw() * (draw() < 0.5 ? 12 : 250)));
         const hurt = [draw() < 0.7 ? first : undefined, draw() < 0.4 ? leader() : undefined];
         for (const machine of hurt) if (machine) simulation.kill(machine, draw() < 0.5);
--- a/test/proxy/simulated-fleet.ts
+++ b/test/proxy/simulated-fleet.ts
@@ -25,31 +25,35 @@
   wait(6000);
   const edges = simulation.machines.filter(({ settings }) => settings.callers !== undefined);
   const core = simulation.machines.filter(({ settings }) => settings.dataFolder !== undefined);
-  const send = (through: Machine, key: string, patienceMs = 9000): RecordedCall => {
-    const seen: RecordedCall = { code: undefined, text: "" };
+  const send = (
+    through: Machine,
+    key: string,
+    { timeoutMs = 9000, body = "{}" }: { timeoutMs?: number; body?: string } = {},
+  ): RecordedCall => {
+    const call: RecordedCall = { code: undefined, text: "" };
     const clientRequest: ProxyRequest = {
       method: "POST",
       target: "/issues/5/resolve",
       headers: { "idempotency-key": key, "x-caller": `${through.settings.machine} ${key}` },
-      body: Buffer.from("{}"),
+      body: Buffer.from(body),
     };
     Task.start(
-      simulation.call(through.settings.machine, clientRequest, patienceMs),
+      simulation.call(through.settings.machine, clientRequest, timeoutMs),
       (error) => {
         throw error;
       },
       (end) => {
-        seen.code = end.code;
-        seen.text = end.body.toString();
+        call.code = end.code;
+        call.text = end.body.toString();
       },
     );
-    return seen;
+    return call;
   };
   const runs = (key: string): number[] =>
     simulation.recorder.runs.filter((run) => run.key === key).map(({ atMs }) => atMs);
   const until = (holds: () => boolean): void => {
     for (let passedMs = 0; !holds(); passedMs += 1) {
-      if (passedMs > 20_000) throw new Error("It doesn't hold after 20 s.");
+      if (passedMs > 20_000) throw new Error("The condition doesn't hold after 20 s.");
       wait(1);
     }
   };
