--- a/src/load-balancing/attempt-sample.ts
+++ b/src/load-balancing/attempt-sample.ts
@@ -1,9 +1,13 @@
-/** One try that has ended, as the load balancer learns from it. */
+/** What the load balancer learns from one attempt. */
+
+/** An attempt that has ended. */
 export interface AttemptSample {
   readonly tookMs: number;
+  /** Whether a complete response came. */
   readonly isWhole: boolean;
+  /** The latency target of its route. */
   readonly goalMs: number;
   readonly route?: string;
-  /** How large the response was, where there was a whole one. */
+  /** Size of the response, where it was complete. */
   readonly bytes?: number | undefined;
 }
--- a/src/load-balancing/backend-ring.ts
+++ b/src/load-balancing/backend-ring.ts
@@ -1,102 +1,105 @@
+/** Which backends of a service a daemon prefers, and how many connections it may open to each: deterministic subsetting. */
 import type { EdgePlacement } from "../control-protocol/edge-placement.js";
 import type { Backend } from "./backend.js";
 
 /** How many backends of its own zone a daemon uses for each one of another zone. */
-const nearPerFar = 3;
-/** How many backends of a service a daemon uses while they are well and have room, unless all daemons together were too many. */
-const usualSubsetSize = 8;
-/** A daemon has two backends to choose from at the least. */
-const leastSubsetSize = 2;
-/** Which part of the connections that a backend bears is shared out among the daemons. */
-const sharedConnections = 0.8;
+const LOCAL_PER_REMOTE = 3;
+/** How many backends of a service a daemon uses while they are healthy and have capacity. */
+const DEFAULT_SUBSET_SIZE = 8;
+/** How many backends a daemon uses even where all daemons together open too many connections. */
+const MIN_SUBSET_SIZE = 2;
+/** Which part of a backend's connections is divided among the daemons. */
+const USABLE_CONNECTIONS = 0.8;
 
-const fnvOffset = 2166136261;
-const fnvPrime = 16777619;
+const FNV_OFFSET = 2166136261;
+const FNV_PRIME = 16777619;
 
-/** FNV-1a over the characters of a text: where a backend stands on the ring. */
+/** FNV-1a over the characters of a text: the position of a backend on the ring. */
 const ringHash = (text: string): number => {
-  let hash = fnvOffset;
-  for (let at = 0; at < text.length; at += 1)
-    hash = Math.imul(hash ^ text.charCodeAt(at), fnvPrime) >>> 0;
+  let hash = FNV_OFFSET;
+  for (let index = 0; index < text.length; index += 1)
+    hash = Math.imul(hash ^ text.charCodeAt(index), FNV_PRIME) >>> 0;
   return hash;
 };
 
-/** One backend on the ring: its place in the list, and where it stands. */
+/** One backend on the ring: its index in the list, and its position. */
 interface RingPoint {
-  readonly rank: number;
+  readonly index: number;
   readonly address: string;
   readonly hash: number;
-  readonly isNear: boolean;
+  readonly isLocal: boolean;
 }
 
-/** The ring from where the daemon of a place begins: starts are spread evenly. */
-const ringFrom = (points: readonly RingPoint[], index: number, count: number): number[] => {
+/** The indexes of the ring's backends from the start of one of `count` daemons; starts are spaced evenly. */
+const ringFrom = (points: readonly RingPoint[], daemonIndex: number, count: number): number[] => {
   const ring = [...points]
     .sort((a, b) => a.hash - b.hash || (a.address < b.address ? -1 : 1))
-    .map(({ rank }) => rank);
-  const start = Math.floor((index * ring.length) / Math.max(1, count));
+    .map(({ index }) => index);
+  const start = Math.floor((daemonIndex * ring.length) / Math.max(1, count));
   return [...ring.slice(start), ...ring.slice(0, start)];
 };
 
 /**
- * The order in which a daemon prefers the backends of a service, as places in the list: the deterministic aperture of
- * client-side load balancing. The daemons of a zone see the same ring and begin at evenly spread places, so that the first few
- * of each cover every backend about equally often. A daemon or a backend that comes or goes moves starts by as many places as
- * a daemon has backends to itself, at most. Those of the own zone stand three to one among the first.
+ * The order in which a daemon prefers the backends of a service, as indexes of the list: the deterministic aperture of
+ * client-side load balancing. The daemons of a zone have the same ring and start at evenly spaced positions, so that the first few
+ * of each cover every backend about equally often. A daemon or a backend that is added or removed moves starts by no more than
+ * the number of backends per daemon. Among the first, those of the own zone are three to one.
  */
-export const ringRanks = (
+export const ringOrder = (
   backends: readonly Backend[],
   ownZone: string,
   { zoneIndex, zoneCount }: EdgePlacement,
 ): number[] => {
-  const points = backends.map(({ address, zone }, rank) => ({
-    rank,
+  const points = backends.map(({ address, zone }, index) => ({
+    index,
     address,
     hash: ringHash(address),
-    isNear: zone === ownZone,
+    isLocal: zone === ownZone,
   }));
-  const ring = (isNear: boolean): number[] =>
+  const ring = (isLocal: boolean): number[] =>
     ringFrom(
-      points.filter((point) => point.isNear === isNear),
+      points.filter((point) => point.isLocal === isLocal),
       zoneIndex,
       zoneCount,
     );
-  const near = ring(true);
-  const far = ring(false);
-  const ranks: number[] = [];
-  while (near.length > 0 || far.length > 0)
-    ranks.push(...near.splice(0, nearPerFar), ...far.splice(0, 1));
-  return ranks;
+  const local = ring(true);
+  const remote = ring(false);
+  const order: number[] = [];
+  while (local.length > 0 || remote.length > 0)
+    order.push(...local.splice(0, LOCAL_PER_REMOTE), ...remote.splice(0, 1));
+  return order;
 };
 
-/** What is known of a service's backends and of those that use them. */
+/** How many daemons share a service's backends and their connections. */
 export interface ConnectionSharing {
-  /** How many connections one backend bears from all daemons together, where that is known. */
+  /** How many connections one backend accepts from all daemons together, where that is known. */
   readonly maxConnections: number | undefined;
+  /** How many backends the service has. */
   readonly backendCount: number;
   /** How many daemons there are. */
   readonly daemonCount: number;
 }
 
-/** How many backends of a service a daemon uses: fewer where all daemons together would have too many connections. */
+/** How many backends of a service a daemon uses: fewer where all daemons together would open too many connections. */
 export const subsetSizeFor = ({
   maxConnections,
   backendCount,
   daemonCount,
 }: ConnectionSharing): number => {
-  if (maxConnections === undefined) return usualSubsetSize;
-  const bearable = (maxConnections * sharedConnections * backendCount) / Math.max(1, daemonCount);
-  return Math.max(leastSubsetSize, Math.min(usualSubsetSize, Math.floor(bearable)));
+  if (maxConnections === undefined) return DEFAULT_SUBSET_SIZE;
+  const affordable =
+    (maxConnections * USABLE_CONNECTIONS * backendCount) / Math.max(1, daemonCount);
+  return Math.max(MIN_SUBSET_SIZE, Math.min(DEFAULT_SUBSET_SIZE, Math.floor(affordable)));
 };
 
 /**
- * How many connections one daemon may have to one backend so that all daemons together stay below what a backend bears: the
- * daemons that use it share most of its connections.
+ * How many connections one daemon may open to one backend, so that all daemons together stay below what the backend accepts:
+ * the daemons that use it share most of its connections.
  */
-export const connectionShare = (sharing: ConnectionSharing): number => {
+export const connectionLimit = (sharing: ConnectionSharing): number => {
   const { maxConnections, backendCount, daemonCount } = sharing;
   if (maxConnections === undefined) return Infinity;
   const size = Math.min(subsetSizeFor(sharing), backendCount);
   const users = Math.max(1, (daemonCount * size) / Math.max(1, backendCount));
-  return Math.max(1, Math.floor((maxConnections * sharedConnections) / users));
+  return Math.max(1, Math.floor((maxConnections * USABLE_CONNECTIONS) / users));
 };
--- a/src/load-balancing/backend-stats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -1,95 +1,105 @@
+/** What one daemon has measured of one backend, and the weight that follows from it. */
 import type { AttemptSample } from "./attempt-sample.js";
 
-const paceRate = 0.2;
-const latencyRate = 0.2;
-const failureRateStep = 0.1;
-const firstLatencyMs = 20;
-const leastShare = 0.1;
-const shareStep = { down: 0.85, up: 1.05 };
-const steerMs = 500;
-/** A backend that fails more often than this misses its goal. */
-const missingRate = 0.2;
-/** How long a backend is avoided after failures in a row: doubled with each, up to a limit. */
-const avoidance = { firstMs: 250, mostDoublings: 6, mostMs: 5000, spread: 0.5 };
+/** How much the newest sample counts in the moving means. */
+const LATENCY_RATE = 0.2;
+const FAILURE_RATE = 0.1;
+const INITIAL_LATENCY_MS = 20;
+const MIN_WEIGHT = 0.1;
+const WEIGHT_STEP = { down: 0.85, up: 1.05 };
+const WEIGHT_INTERVAL_MS = 500;
+/** A backend misses its latency target also where more than this part of its attempts fail. */
+const MAX_FAILURE_RATE = 0.2;
+/** From how many failures in a row on a backend is avoided. */
+const MIN_FAILURES_IN_A_ROW = 2;
+/** How long a backend is avoided after failures in a row: doubled with each, up to a limit, and spread at random. */
+const AVOIDANCE = { initialMs: 250, maxDoublings: 6, maxMs: 5000, spread: 0.5 };
 
-/** What one daemon has seen of one backend. */
-export interface BackendStats {
-  latencyMs: number;
-  /** How long it takes against what its requests' routes usually take; 1 where it is as fast as the others. */
-  pace: number;
-  /** 0 to 1, a moving mean over its tries. */
-  failureRate: number;
-  inHand: number;
-  /** Since when nothing has ended there though something is in hand. */
-  quietSinceMs: number;
-  /** How long such a silence is nothing unusual. */
-  patientMs: number;
-  avoidUntilMs: number;
-  failuresInARow: number;
-  /** The part of its fair share of requests that it gets, 0.1 to 1. */
-  share: number;
-  sinceMs: number;
-  tries: number;
-  steeredMs: number;
-  /** Why its share was last changed. */
-  why: string;
-}
+/** Moving statistics of one backend. */
+export class BackendStats {
+  /** Moving mean of how long attempts took. */
+  latencyMs = INITIAL_LATENCY_MS;
+  /** Moving mean of how long attempts took compared with others on their routes; 1 where it is as fast as these. */
+  relativeLatency = 1;
+  /** 0 to 1, a moving mean over attempts. */
+  failureRate = 0;
+  /** Part of its fair share of requests that it gets, 0.1 to 1. */
+  weight = 1;
+  /** Why its weight was last changed; empty where it never was. */
+  reason = "";
+  inFlight = 0;
+  attempts = 0;
+  failuresInARow = 0;
+  avoidUntilMs = 0;
+  /** When this daemon learned of it. */
+  readonly sinceMs: number;
+  /** Since when no attempt has ended though some are in flight. */
+  private noProgressSinceMs = 0;
+  /** How long it may go without progress and still count as responsive. */
+  private toleranceMs = 0;
+  private weightChangedMs: number;
+
+  constructor(nowMs: number) {
+    this.sinceMs = nowMs;
+    this.weightChangedMs = nowMs;
+  }
+
+  /** Whether it is neither avoided after failures nor without progress for too long. */
+  isHealthy(nowMs: number): boolean {
+    const isResponsive = this.inFlight === 0 || nowMs - this.noProgressSinceMs <= this.toleranceMs;
+    return this.avoidUntilMs <= nowMs && isResponsive;
+  }
 
-export const BackendStats = {
-  /** The stats of a backend that is new to this daemon. */
-  fresh: (nowMs: number): BackendStats => ({
-    latencyMs: firstLatencyMs,
-    pace: 1,
-    failureRate: 0,
-    inHand: 0,
-    quietSinceMs: 0,
-    patientMs: 0,
-    avoidUntilMs: 0,
-    failuresInARow: 0,
-    share: 1,
-    sinceMs: nowMs,
-    tries: 0,
-    steeredMs: nowMs,
-    why: "",
-  }),
+  /** Counts an attempt that starts, after which it may go without progress for `toleranceMs`. */
+  start(toleranceMs: number, nowMs: number): void {
+    this.toleranceMs = this.inFlight === 0 ? toleranceMs : Math.max(this.toleranceMs, toleranceMs);
+    if (this.inFlight === 0) this.noProgressSinceMs = nowMs;
+    this.inFlight += 1;
+    this.attempts += 1;
+  }
 
-  /** Whether nothing speaks against a backend: no failures in a row, and no unusual silence. */
-  isWell: (stats: BackendStats, nowMs: number): boolean =>
-    stats.avoidUntilMs <= nowMs &&
-    (stats.inHand === 0 || nowMs - stats.quietSinceMs <= stats.patientMs),
+  /** Counts an attempt that wasn't sent after all. */
+  cancel(): void {
+    this.inFlight = Math.max(0, this.inFlight - 1);
+  }
 
-  /** Learns from one try; `usualMs` is what its route usually takes, `random` is 0 to 1. */
+  /** Counts an attempt that ended. */
+  end(nowMs: number): void {
+    this.inFlight = Math.max(0, this.inFlight - 1);
+    this.noProgressSinceMs = nowMs;
+  }
+
+  /** Learns from an attempt; `expectedMs` is what its route usually takes, `random` gives 0 up to 1. */
   learn(
-    stats: BackendStats,
     { tookMs, isWhole }: AttemptSample,
-    usualMs: number,
+    expectedMs: number,
     nowMs: number,
     random: () => number,
   ): void {
-    stats.pace += (tookMs / Math.max(1, usualMs) - stats.pace) * paceRate;
-    stats.latencyMs += (tookMs - stats.latencyMs) * latencyRate;
-    stats.failureRate += ((isWhole ? 0 : 1) - stats.failureRate) * failureRateStep;
-    stats.failuresInARow = isWhole ? 0 : stats.failuresInARow + 1;
-    if (isWhole || stats.failuresInARow < 2) return;
-    const doublings = Math.min(stats.failuresInARow, avoidance.mostDoublings);
-    const avoidMs = Math.min(avoidance.mostMs, avoidance.firstMs * 2 ** doublings);
-    stats.avoidUntilMs = nowMs + avoidMs * (1 - avoidance.spread / 2 + random() * avoidance.spread);
-  },
+    this.relativeLatency +=
+      (tookMs / Math.max(1, expectedMs) - this.relativeLatency) * LATENCY_RATE;
+    this.latencyMs += (tookMs - this.latencyMs) * LATENCY_RATE;
+    this.failureRate += ((isWhole ? 0 : 1) - this.failureRate) * FAILURE_RATE;
+    this.failuresInARow = isWhole ? 0 : this.failuresInARow + 1;
+    if (this.failuresInARow < MIN_FAILURES_IN_A_ROW) return;
+    const doublings = Math.min(this.failuresInARow, AVOIDANCE.maxDoublings);
+    const avoidMs = Math.min(AVOIDANCE.maxMs, AVOIDANCE.initialMs * 2 ** doublings);
+    this.avoidUntilMs = nowMs + avoidMs * (1 - AVOIDANCE.spread / 2 + random() * AVOIDANCE.spread);
+  }
 
-  /** Moves a backend's share toward the goal, at most twice a second. */
-  steer(stats: BackendStats, goalMs: number, nowMs: number): void {
-    if (nowMs - stats.steeredMs < steerMs) return;
-    stats.steeredMs = nowMs;
-    const isSlow = stats.latencyMs > goalMs;
-    const misses = isSlow || stats.failureRate > missingRate;
-    const step = misses ? shareStep.down : shareStep.up;
-    const share = Math.min(1, Math.max(leastShare, stats.share * step));
-    if (share !== stats.share) {
-      if (!misses) stats.why = "meets its goal again";
-      else if (isSlow)
-        stats.why = `slower (${Math.round(stats.latencyMs)} ms) than the goal of ${goalMs} ms`;
-      else stats.why = `${Math.round(stats.failureRate * 100)}% of its tries fail`;
-    }
-    stats.share = share;
-  },
-};
+  /** Adjusts the weight by the latency target, at most twice a second. */
+  adjustWeight(latencyTargetMs: number, nowMs: number): void {
+    if (nowMs - this.weightChangedMs < WEIGHT_INTERVAL_MS) return;
+    this.weightChangedMs = nowMs;
+    const isSlow = this.latencyMs > latencyTargetMs;
+    const misses = isSlow || this.failureRate > MAX_FAILURE_RATE;
+    const step = misses ? WEIGHT_STEP.down : WEIGHT_STEP.up;
+    const weight = Math.min(1, Math.max(MIN_WEIGHT, this.weight * step));
+    if (weight === this.weight) return;
+    this.weight = weight;
+    if (!misses) this.reason = "meets its goal again";
+    else if (isSlow)
+      this.reason = `slower (${Math.round(this.latencyMs)} ms) than the goal of ${latencyTargetMs} ms`;
+    else this.reason = `${Math.round(this.failureRate * 100)}% of its tries fail`;
+  }
+}
--- a/src/load-balancing/backend.ts
+++ b/src/load-balancing/backend.ts
@@ -1,16 +1,18 @@
-/** What the load balancer must know of a backend; whatever else a caller keeps of it is passed through. */
+/** A backend as the load balancer needs it. */
+
+/** What the load balancer has to know of a backend; other fields are passed through. */
 export interface Backend {
   /** IP:port. */
   readonly address: string;
-  /** Tells registrations apart that follow one another at one address. */
+  /** Distinguishes successive registrations at one address. */
   readonly number: number;
   readonly zone: string;
-  /** One life of the backend, or empty where it doesn't name its lives. */
+  /** Identifies one run of the backend's process; empty where it names none. */
   readonly instance: string;
-  /** How many requests it works on at a time; 0 where it hasn't said. */
+  /** How many requests it serves concurrently; 0 where unknown. */
   readonly capacity: number;
-  /** 0 to 1, as told by a backend without instances. */
+  /** 0 to 1, as reported by a backend without instances. */
   readonly warmth: number;
-  /** How long after its start a backend with instances is slow. */
+  /** How long a backend with instances takes to warm up. */
   readonly warmMs: number;
 }
--- a/src/load-balancing/route-stats.ts
+++ b/src/load-balancing/route-stats.ts
@@ -1,40 +1,45 @@
+/** What one daemon has measured of the requests of each route, whichever backend served them. */
 import type { AttemptSample } from "./attempt-sample.js";
 
-/** How large a route's responses are taken to be until one was seen. */
+/** The assumed size of a route's responses until one was seen. */
 export const UNSEEN_RESPONSE_BYTES = 32 * 1024;
-const knownRoutes = 4096;
-const learnRate = 0.05;
+/** The table is cleared when it has as many routes as this. */
+const MAX_ROUTES = 4096;
+/** How much the newest sample counts in the moving means. */
+const LEARNING_RATE = 0.05;
 
-/** What one daemon has seen of one route's requests, whichever backend had them. */
+/** Moving means of a route's complete responses. */
 export interface RouteStats {
+  /** Mean time that attempts take. */
   tookMs: number;
+  /** Mean size of the responses. */
   bytes: number;
 }
 
-/** The stats of all routes that this daemon has served, up to a bound. */
+/** The statistics of the routes that this daemon has served, up to a bound. */
 export class RouteStatsTable {
   private readonly byRoute = new Map<string, RouteStats>();
 
-  /** What is known of a route, if anything is. */
+  /** The statistics of a route, where it has any. */
   find(route: string): RouteStats | undefined {
     return this.byRoute.get(route);
   }
 
-  /** Learns from one try on a route, and gives what its requests usually take. */
+  /** Learns from an attempt, and returns the statistics of its route. */
   learn({ route = "", tookMs, isWhole, bytes }: AttemptSample): RouteStats {
     const stats = this.statsOf(route, tookMs);
     if (!isWhole) return stats;
-    stats.tookMs += (tookMs - stats.tookMs) * learnRate;
+    stats.tookMs += (tookMs - stats.tookMs) * LEARNING_RATE;
     if (bytes !== undefined)
       stats.bytes +=
-        (bytes - stats.bytes) * (stats.bytes === UNSEEN_RESPONSE_BYTES ? 1 : learnRate);
+        (bytes - stats.bytes) * (stats.bytes === UNSEEN_RESPONSE_BYTES ? 1 : LEARNING_RATE);
     return stats;
   }
 
   private statsOf(route: string, tookMs: number): RouteStats {
     const known = this.byRoute.get(route);
     if (known) return known;
-    if (this.byRoute.size >= knownRoutes) this.byRoute.clear();
+    if (this.byRoute.size >= MAX_ROUTES) this.byRoute.clear();
     const stats = { tookMs, bytes: UNSEEN_RESPONSE_BYTES };
     this.byRoute.set(route, stats);
     return stats;
--- /dev/null
+++ b/test/load-balancing/load-balancer-responsiveness.test.ts
@@ -0,0 +1,70 @@
+import { expect, test } from "vitest";
+import type { Registration } from "../../src/state/state-machine.js";
+import { RandomDraw } from "../../src/simulation/random-draw.js";
+import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
+
+const backend = (address: string, number: number, zone = "a"): Registration => ({
+  address,
+  service: "s",
+  zone,
+  warmth: 1,
+  number,
+  leaving: false,
+  leftAt: 0,
+  drained: false,
+  instance: address,
+  capacity: 2,
+  warmMs: 0,
+  order: 0,
+});
+
+test("a backend without progress on requests in flight gets no more of them until one ends", () => {
+  const loadBalancer = new LoadBalancer("a", RandomDraw.of(3));
+  const [unresponsive, healthy] = [backend("unresponsive", 1), backend("healthy", 2)];
+  const ended = { tookMs: 50, isWhole: true, goalMs: 100, route: "r" };
+  for (const one of [unresponsive, healthy]) {
+    loadBalancer.began(one, 0, "r");
+    loadBalancer.ended(one, ended, 50);
+  }
+  loadBalancer.began(unresponsive, 100, "r");
+  const picked = (nowMs: number): Set<string> =>
+    new Set(
+      Array.from(
+        { length: 200 },
+        () =>
+          loadBalancer.pick(
+            [unresponsive, healthy],
+            { tried: new Set(), inHandLimit: 100, route: "r" },
+            nowMs,
+          )?.address ?? "",
+      ),
+    );
+  expect(picked(150)).toEqual(new Set(["unresponsive", "healthy"]));
+  expect(picked(600)).toEqual(new Set(["healthy"]));
+  loadBalancer.ended(unresponsive, { ...ended, tookMs: 520 }, 620);
+  expect(picked(640).has("unresponsive")).toBe(true);
+});
+
+test("a remote backend is chosen rarely where responses are large, and readily where they are small", () => {
+  const loadBalancer = new LoadBalancer("a", RandomDraw.of(5));
+  const [local, remote] = [backend("local", 1), backend("remote", 2, "b")];
+  for (let round = 0; round < 40; round += 1)
+    for (const one of [local, remote])
+      for (const [route, bytes] of [
+        ["large", 200_000],
+        ["small", 400],
+      ] as const) {
+        loadBalancer.began(one, round * 100, route);
+        loadBalancer.ended(
+          one,
+          { tookMs: one === local ? 70 : 50, isWhole: true, goalMs: 500, route, bytes },
+          round * 100 + 50,
+        );
+      }
+  const remotePart = (route: string): number =>
+    Array.from({ length: 400 }, () =>
+      loadBalancer.pick([local, remote], { tried: new Set(), inHandLimit: 100, route }, 5000),
+    ).filter((one) => one === remote).length / 400;
+  expect(remotePart("large")).toBeLessThan(0.1);
+  expect(remotePart("small")).toBeGreaterThan(0.9);
+});
--- a/test/load-balancing/warmth.test.ts
+++ b/test/load-balancing/load-balancer-warm-up.test.ts
@@ -3,7 +3,7 @@
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
-test("an instance warms up for as long as it said from when it was learned; one that said nothing is warm; without an instance it takes ten seconds", () => {
+test("an instance warms up for the time it announced since it became known, or not at all; a backend without instances takes ten seconds", () => {
   const loadBalancer = new LoadBalancer("a", RandomDraw.of(1));
   const backend = (address: string, more: Partial<Registration>): Registration => ({
     address,
@@ -25,13 +25,13 @@
     backend("warm", { instance: "w" }),
     backend("cold", { instance: "c", warmMs: 4000 }),
   ];
-  const sharesAt = (nowMs: number): number[] =>
+  const weightsAt = (nowMs: number): number[] =>
     loadBalancer.explain(backends, nowMs).map(({ share }) => share);
   loadBalancer.setBackends(backends, 1000);
-  expect(sharesAt(1000)).toEqual([0.05, 1, 0.05]);
-  expect(sharesAt(3000)).toEqual([0.2, 1, 0.5]);
-  expect(sharesAt(5000)).toEqual([0.4, 1, 1]);
+  expect(weightsAt(1000)).toEqual([0.05, 1, 0.05]);
+  expect(weightsAt(3000)).toEqual([0.2, 1, 0.5]);
+  expect(weightsAt(5000)).toEqual([0.4, 1, 1]);
   loadBalancer.setBackends([], 5000);
   loadBalancer.setBackends(backends, 9000);
-  expect(sharesAt(9000)).toEqual([0.05, 1, 0.05]);
+  expect(weightsAt(9000)).toEqual([0.05, 1, 0.05]);
 });
