--- a/src/rpc/frame.ts
+++ b/src/rpc/frame.ts
@@ -1,32 +1,35 @@
+/** The frames in which requests and responses travel between daemons, and how they are read from a stream of bytes. */
 import * as r from "restructure";
 
-/** The newest layout of frames that this build speaks; it also reads the one before. */
+/** The newest version of frames that this build uses; it also reads the one before. */
 export const FRAME_VERSION = 3;
 
-/** What one process says to another: an ask of some kind, or the return of one. */
+const MAX_BODY_BYTES = 64 * 1024 * 1024;
+/** How many bytes of a frame precede its body; the last of them are the body's length. */
+const HEADER_BYTES = 11;
+const LENGTH_BYTES = 4;
+
+/** A request of some method, or the response to one. */
 export interface Frame {
-  sequence: number;
-  kind: number;
-  isReturn: boolean;
-  job: number;
+  version: number;
+  methodId: number;
+  isResponse: boolean;
+  requestId: number;
   body: Uint8Array;
 }
 
-/** Raised when bytes from a peer are no frame that this daemon takes. */
+/** Thrown where bytes from a peer are no frame or no message that this daemon takes. */
 export class FrameError extends Error {}
 
-const frame = new r.Struct({
-  sequence: r.uint8,
-  kind: r.uint8,
-  isReturn: new r.Boolean(r.uint8),
-  job: r.uint32,
+const frameStruct = new r.Struct({
+  version: r.uint8,
+  methodId: r.uint8,
+  isResponse: new r.Boolean(r.uint8),
+  requestId: r.uint32,
   body: new r.Buffer(r.uint32),
 });
 
-const maxFrameBytes = 64 * 1024 * 1024;
-const headBytes = 11;
-
-/** Reads a value exactly: bytes that are short, left over or out of range raise an error. */
+/** Decodes a value from exactly these bytes. Throws a `FrameError` where they are too few, too many or out of range. */
 export const decodeExactly = <T>(coder: r.Coder<T>, bytes: Uint8Array): T => {
   let value: T;
   try {
@@ -39,43 +42,50 @@
 };
 
 export const Frame = {
-  encode: (value: Frame): Uint8Array => frame.toBuffer(value),
+  encode: (value: Frame): Uint8Array => frameStruct.toBuffer(value),
 };
 
-/** Puts frames together from the pieces in which bytes arrive. */
+/** Assembles frames from the pieces in which their bytes arrive. */
 export class FrameReader {
   private pieces: Uint8Array[] = [];
-  private heldBytes = 0;
-  private wantedBytes = headBytes;
-  private readonly newest: number;
+  private bufferedBytes = 0;
+  /** How many bytes have to be buffered until there may be a frame. */
+  private neededBytes = HEADER_BYTES;
+  private readonly newestVersion: number;
 
-  /** Takes frames of the newest sequence that is spoken here, and of the one before. */
-  constructor(newest = FRAME_VERSION) {
-    this.newest = newest;
+  /** Accepts frames of this version and of the one before. */
+  constructor(newestVersion = FRAME_VERSION) {
+    this.newestVersion = newestVersion;
   }
 
-  /** Takes a piece and gives the frames that it completes. */
+  /** Takes a piece and returns the frames that it completes. Throws a `FrameError` for what is no frame. */
   read(piece: Uint8Array): Frame[] {
     this.pieces.push(piece);
-    this.heldBytes += piece.length;
+    this.bufferedBytes += piece.length;
     const frames: Frame[] = [];
-    while (this.heldBytes >= this.wantedBytes) {
-      const bytes = Buffer.concat(this.pieces, this.heldBytes);
-      const bodyBytes = bytes.readUInt32BE(headBytes - 4);
-      if (bodyBytes > maxFrameBytes)
+    while (this.bufferedBytes >= this.neededBytes) {
+      const bytes = Buffer.concat(this.pieces, this.bufferedBytes);
+      const bodyBytes = bytes.readUInt32BE(HEADER_BYTES - LENGTH_BYTES);
+      if (bodyBytes > MAX_BODY_BYTES)
         throw new FrameError(`A frame of ${bodyBytes} bytes is too large.`);
-      const wholeBytes = headBytes + bodyBytes;
-      if (bytes.length >= wholeBytes) {
-        const one = decodeExactly(frame, bytes.subarray(0, wholeBytes));
-        if (one.sequence !== this.newest && one.sequence !== this.newest - 1)
-          throw new FrameError(`Frames of sequence ${one.sequence} aren't spoken here.`);
-        frames.push(one);
-      }
-      const rest = bytes.length >= wholeBytes ? bytes.subarray(wholeBytes) : bytes;
-      this.pieces = [rest];
-      this.heldBytes = rest.length;
-      this.wantedBytes = bytes.length >= wholeBytes ? headBytes : wholeBytes;
+      const frameBytes = HEADER_BYTES + bodyBytes;
+      const isComplete = bytes.length >= frameBytes;
+      if (isComplete) frames.push(this.decode(bytes.subarray(0, frameBytes)));
+      this.buffer(isComplete ? bytes.subarray(frameBytes) : bytes);
+      this.neededBytes = isComplete ? HEADER_BYTES : frameBytes;
     }
     return frames;
   }
+
+  private decode(bytes: Uint8Array): Frame {
+    const frame = decodeExactly(frameStruct, bytes);
+    if (frame.version !== this.newestVersion && frame.version !== this.newestVersion - 1)
+      throw new FrameError(`Frames of sequence ${frame.version} aren't spoken here.`);
+    return frame;
+  }
+
+  private buffer(bytes: Uint8Array): void {
+    this.pieces = [bytes];
+    this.bufferedBytes = bytes.length;
+  }
 }
--- a/src/rpc/paced-connection.ts
+++ b/src/rpc/paced-connection.ts
@@ -1,3 +1,4 @@
+/** A connection that shares the link of the machine with other bulk transfers. */
 import type { Clock } from "../runtime/clock.js";
 import type { Queue } from "../runtime/queue.js";
 import type { LinkPacer, Transfer, TransferRank } from "../runtime/link-pacer.js";
@@ -7,23 +8,22 @@
   dueMs: number;
 }
 
-/** A large frame on its way, and how much of it was written. */
-interface PartlySent {
+/** A large frame that is being sent or waits for it. */
+interface LargeFrame {
   readonly frame: Uint8Array;
   readonly transfer: Transfer;
-  /** How it is ranked; once begun it goes on before those that haven't. */
+  /** Its rank; a frame that has been begun precedes those that haven't. */
   readonly rank: FrameRank;
   sentBytes: number;
-  /** Keeps it from being dropped for its age. */
-  readonly keep: () => void;
+  readonly cancelExpiry: () => void;
 }
 
-/** Ranks frames that expire after those that don't, and the newest of them first. */
-const newestFirstMs = 1e15;
+/** Ranks frames that expire after those that don't, and among them the newest first. */
+const NEWEST_FIRST_MS = 1e15;
 
 /**
- * A channel on which large frames are written in turns with all other bulk on the machine's link. Small frames are written at
- * once: before large ones that wait, and after the one that has begun.
+ * A connection on which large frames are written in turns with all other bulk on the machine's link. Small frames are written at
+ * once: before large ones that wait, and after one that has been begun.
  */
 export class PacedConnection implements Connection {
   readonly incoming: Queue<Uint8Array | "closed">;
@@ -31,12 +31,14 @@
   private readonly egress: LinkPacer;
   private readonly clock: Clock;
   private readonly patienceMs: number;
+  /** Small frames that wait for the end of the large one that has been begun. */
   private readonly small: Uint8Array[] = [];
-  private readonly large: PartlySent[] = [];
+  /** Large frames in the order of sending; the first may have been begun. */
+  private readonly large: LargeFrame[] = [];
   private cancelTurn: (() => void) | undefined;
   private isClosed = false;
 
-  /** `patienceMs`: for how long frames may give way to those of other channels. */
+  /** `patienceMs`: for how long frames may give way to those of other connections. */
   constructor(connection: Connection, egress: LinkPacer, clock: Clock, patienceMs = 0) {
     this.connection = connection;
     this.incoming = connection.incoming;
@@ -46,52 +48,57 @@
   }
 
   /**
-   * Writes a frame, or has it wait if it is large. One that nobody waits for after `expiresMs` is dropped if it hasn't begun by
-   * then; of such frames the newest goes first, so that where more is asked for than the link takes, some are in time.
+   * Sends a frame, at once if it is small. A large one that expires before it has been begun is dropped; of frames that expire the
+   * newest goes first, so that on an overloaded link some are in time.
    */
   send(frame: Uint8Array, expiresMs = Infinity): void {
     if (this.isClosed) return;
-    if (frame.length <= this.egress.smallBytes) {
-      const [begun] = this.large;
-      if (begun && begun.sentBytes > 0) this.small.push(frame);
-      else this.write(frame);
+    if (frame.length > this.egress.smallBytes) {
+      this.enqueue(frame, expiresMs);
       return;
     }
-    const nowMs = this.clock.nowMs();
-    const isLasting = expiresMs === Infinity;
-    const rank: FrameRank = {
-      transferClass: "control",
-      dueMs: isLasting ? nowMs + this.patienceMs : newestFirstMs - nowMs,
-    };
-    const transfer = this.egress.begin(rank, frame.length);
-    const keep = isLasting
-      ? () => undefined
-      : this.clock.after(expiresMs - nowMs, () => this.drop(frame));
-    this.large.push({ frame, transfer, rank, sentBytes: 0, keep });
-    if (this.large.length === 1) this.awaitTurn();
+    const [first] = this.large;
+    if (first && first.sentBytes > 0) this.small.push(frame);
+    else this.write(frame);
   }
 
+  /** Closes the connection; frames that wait are dropped. */
   close(): void {
     this.isClosed = true;
     this.cancelTurn?.();
-    for (const { transfer, keep } of this.large.splice(0)) {
-      keep();
+    for (const { transfer, cancelExpiry } of this.large.splice(0)) {
+      cancelExpiry();
       transfer.end();
     }
     this.connection.close();
   }
 
-  /** Writes the first of the large frames, a part at each turn, then the next one. */
+  private enqueue(frame: Uint8Array, expiresMs: number): void {
+    const nowMs = this.clock.nowMs();
+    const expires = expiresMs !== Infinity;
+    const rank: FrameRank = {
+      transferClass: "control",
+      dueMs: expires ? NEWEST_FIRST_MS - nowMs : nowMs + this.patienceMs,
+    };
+    const transfer = this.egress.begin(rank, frame.length);
+    const cancelExpiry = expires
+      ? this.clock.after(expiresMs - nowMs, () => this.drop(frame))
+      : () => undefined;
+    this.large.push({ frame, transfer, rank, sentBytes: 0, cancelExpiry });
+    if (this.large.length === 1) this.awaitTurn();
+  }
+
+  /** Sends the first of the large frames, a part at each turn, then the next one. */
   private awaitTurn(): void {
     const [first] = this.large;
     if (!first) return;
     const { frame, transfer, sentBytes } = first;
     const part = frame.subarray(sentBytes, sentBytes + this.egress.turnBytes);
-    let isGiven = false;
+    let hadTurn = false;
     const cancel = transfer.onTurn(part.length, () => {
-      isGiven = true;
+      hadTurn = true;
       this.cancelTurn = undefined;
-      first.keep();
+      first.cancelExpiry();
       first.rank.dueMs = Math.min(first.rank.dueMs, this.clock.nowMs());
       first.sentBytes += part.length;
       this.connection.send(part);
@@ -102,15 +109,15 @@
       }
       this.awaitTurn();
     });
-    if (!isGiven) this.cancelTurn = cancel;
+    if (!hadTurn) this.cancelTurn = cancel;
   }
 
-  /** Drops a frame that hasn't begun. */
+  /** Drops a frame that hasn't been begun. */
   private drop(frame: Uint8Array): void {
-    const at = this.large.findIndex((one) => one.frame === frame);
-    const [dropped] = at < 0 ? [] : this.large.splice(at, 1);
+    const index = this.large.findIndex((one) => one.frame === frame);
+    const [dropped] = index < 0 ? [] : this.large.splice(index, 1);
     dropped?.transfer.end();
-    if (at !== 0) return;
+    if (index !== 0) return;
     this.cancelTurn?.();
     this.awaitTurn();
   }
--- a/src/rpc/rpc-method.ts
+++ b/src/rpc/rpc-method.ts
@@ -1,34 +1,35 @@
+/** The methods that daemons call of one another: ids and layouts of their messages, in which the order of fields is fixed. */
 import * as r from "restructure";
 import { Utf8TextCodec } from "./utf8-text-codec.js";
 
-/** One kind of exchange between processes: what is asked and what is returned. */
+/** One method: its id on the wire, and the encodings of its requests and responses. */
 export interface RpcMethod<A, R> {
   readonly id: number;
   readonly request: r.Coder<A>;
   readonly response: r.Coder<R>;
-  /** How long after an ask its return may still be of use. */
+  /** How long after a request its response is still of use; without it there is no limit. */
   readonly waitMs?: number;
 }
 
 const text = new Utf8TextCodec();
 const flag = new r.Boolean(r.uint8);
 const texts = new r.Array(text, r.uint32);
-/** A keyed request is named by the scope of its key and by its own name. */
+/** A keyed request is identified by the scope of its key and by its own id. */
 const keyedRequest = { scope: text, job: text };
-/** What became of it, as door/keyedOutcome numbers it, and the response if there is one: status, headers as JSON, body. */
+/** The outcome of a keyed request, as `src/proxy/idempotency/keyed-outcome.ts` numbers it, and the response if there is one: status, headers as JSON, body. */
 const keyedOutcome = {
   state: r.uint8,
   code: r.uint16,
   headers: text,
   body: new r.Buffer(r.uint32),
 };
-const entry = new r.Struct({ index: r.uint32, term: r.uint32, text });
+const entryStruct = new r.Struct({ index: r.uint32, term: r.uint32, text });
 
-/** One entry of the record as it travels and as it lies on disk. */
-export type Entry = r.Held<typeof entry>;
+/** One entry of the replicated log as it travels and as it is stored. */
+export type Entry = r.Held<typeof entryStruct>;
 
 export const RpcMethod = {
-  /** A voter is asked for its vote, or in a pre-vote whether it would give it. */
+  /** Requests a vote; in a pre-vote, whether it would be given. */
   vote: {
     id: 1,
     request: new r.Struct({
@@ -41,7 +42,7 @@
     }),
     response: new r.Struct({ term: r.uint32, granted: flag }),
   },
-  /** A leader sends entries, or none as a heartbeat. */
+  /** The leader sends log entries, or none as a heartbeat. */
   append: {
     id: 2,
     request: new r.Struct({
@@ -50,11 +51,11 @@
       previousIndex: r.uint32,
       previousTerm: r.uint32,
       committed: r.uint32,
-      entries: new r.Array(entry, r.uint32),
+      entries: new r.Array(entryStruct, r.uint32),
     }),
     response: new r.Struct({ term: r.uint32, fits: flag, counts: flag, matched: r.uint32 }),
   },
-  /** A leader sends its whole checkpoint to one too far behind. */
+  /** The leader sends its full snapshot to a member whose log is too far behind. */
   checkpoint: {
     id: 3,
     request: new r.Struct({
@@ -67,8 +68,8 @@
     response: new r.Struct({ term: r.uint32, counts: flag, matched: r.uint32 }),
   },
   /**
-   * Daemons meet. A recorder tells its peer address, others an empty text. With a fleet, the record is to be formed with
-   * these members, at the process that `incarnation` names; with `open`, all its voters have formed it.
+   * Discovery among daemons. A member sends its peer address, others an empty text. With `fleet`, the cluster is to be
+   * bootstrapped with these members, at the process that `incarnation` names; with `open`, all its voters have done so.
    */
   meet: {
     id: 4,
@@ -93,53 +94,53 @@
       recorders: texts,
     }),
   },
-  /** The leader asks a follower to stand at once. */
+  /** The leader has a follower start an election at once. */
   handOver: {
     id: 5,
     request: new r.Struct({ term: r.uint32 }),
     response: new r.Struct({ taken: flag }),
   },
-  /** An edge or collector asks for a fresh view; the return is its grant. */
+  /** An edge or collector requests a fresh view; the response renews its lease. */
   poll: {
     id: 6,
-    /** A large view over a thin link is taken though the poll was asked again meanwhile; the leader sends it once. */
+    /** A large view over a slow link is taken though the request was repeated meanwhile; the leader sends it once. */
     waitMs: 30_000,
     request: new r.Struct({ forwarded: flag, text }),
     response: new r.Struct({ leader: text, text }),
   },
-  /** A command for the leader, forwarded by whoever hears it. */
+  /** A command for the leader, forwarded by any daemon. */
   command: {
     id: 7,
     request: new r.Struct({ forwarded: flag, text }),
     response: new r.Struct({ leader: text, text }),
   },
-  /** A sketch goes up, the fleet's merged one comes down. */
+  /** An edge or collector pushes its sketch; the response carries the cluster's merged one. */
   push: {
     id: 8,
     request: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
     response: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
   },
-  /** A recorder asks another for accepted configs, from one on. */
+  /** A member requests accepted configurations from another, from a sequence on. */
   history: {
     id: 9,
     request: new r.Struct({ from: r.uint32 }),
     response: new r.Struct({ configs: new r.Buffer(r.uint32) }),
   },
-  /** A daemon has another keep what became of a keyed request. */
+  /** A daemon replicates the outcome of a keyed request to another. */
   keepOutcome: {
     id: 11,
     request: new r.Struct({ ...keyedRequest, ...keyedOutcome }),
     response: new r.Struct({ isKept: flag }),
   },
-  /** A daemon asks another what became of a keyed request. */
+  /** A daemon requests the outcome of a keyed request from another. */
   keyedOutcome: {
     id: 12,
     request: new r.Struct(keyedRequest),
     response: new r.Struct(keyedOutcome),
   },
   /**
-   * A leader sends one piece of its snapshot, deflated, to a member that is behind its log; without bytes it asks how much the
-   * member has received. A build that doesn't know of pieces closes the link; it is sent the whole as `checkpoint`.
+   * The leader sends one piece of its deflated snapshot to a member whose log is behind; without bytes it requests how much the
+   * member has received. A build without this method closes the connection; it is sent the full snapshot as `checkpoint`.
    */
   snapshotPiece: {
     id: 10,
--- a/src/rpc/utf8-text-codec.ts
+++ b/src/rpc/utf8-text-codec.ts
@@ -1,10 +1,11 @@
+/** The encoding of texts in messages. */
 import * as r from "restructure";
 
-const lengthBytes = 4;
+const LENGTH_BYTES = 4;
 
 /**
- * A text in UTF-8 behind its length in bytes, laid out as the library's own strings are. The library counts a text's bytes one
- * character after another, which is most of the work of a frame; the runtime does it in one step.
+ * A text in UTF-8, preceded by its length in bytes, in the same layout as the library's own strings. The library counts a text's
+ * bytes one character after another, which is most of the work of encoding a frame; Node's `Buffer` does it natively.
  */
 export class Utf8TextCodec extends r.String {
   constructor() {
@@ -12,13 +13,13 @@
   }
 
   override size(text: string): number {
-    return lengthBytes + Buffer.byteLength(text, "utf8");
+    return LENGTH_BYTES + Buffer.byteLength(text, "utf8");
   }
 
   override encode(stream: r.EncodeStream, text: string): void {
     const { buffer } = stream.buffer;
-    const start = stream.buffer.byteOffset + stream.pos + lengthBytes;
-    const target = Buffer.from(buffer, start, stream.buffer.byteLength - stream.pos - lengthBytes);
+    const start = stream.buffer.byteOffset + stream.pos + LENGTH_BYTES;
+    const target = Buffer.from(buffer, start, stream.buffer.byteLength - stream.pos - LENGTH_BYTES);
     const written = target.write(text, "utf8");
     stream.writeUInt32BE(written);
     stream.pos += written;
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -41,18 +41,18 @@
 
 const sample = <T>(
   name: string,
-  kind: number,
-  isReturn: boolean,
+  methodId: number,
+  isResponse: boolean,
   coder: RpcMethod<T, unknown>["request"],
   value: T,
 ): Sample => {
   const frameOf = (body: T): string =>
     Buffer.from(
       Frame.encode({
-        sequence: FRAME_VERSION,
-        kind,
-        isReturn,
-        job: 0x01020304,
+        version: FRAME_VERSION,
+        methodId,
+        isResponse,
+        requestId: 0x01020304,
         body: coder.toBuffer(body),
       }),
     ).toString("hex");
@@ -61,9 +61,11 @@
     hex: frameOf(value),
     isReadFrom(hex) {
       const [frame] = new FrameReader().read(Buffer.from(hex, "hex"));
-      if (!frame || frame.kind !== kind || frame.isReturn !== isReturn) return false;
+      if (!frame || frame.methodId !== methodId || frame.isResponse !== isResponse) return false;
       const body = decodeExactly(coder, frame.body);
-      return frame.job === 0x01020304 && shown(body) === shown(value) && frameOf(body) === hex;
+      return (
+        frame.requestId === 0x01020304 && shown(body) === shown(value) && frameOf(body) === hex
+      );
     },
   };
 };
@@ -451,16 +453,17 @@
     };
   }
 
-  private note({ kind, isReturn, body }: Frame): void {
-    if (kind === RpcMethod.meet.id && isReturn)
+  private note({ methodId, isResponse, body }: Frame): void {
+    if (methodId === RpcMethod.meet.id && isResponse)
       this.meetingStates.add(decodeExactly(RpcMethod.meet.response, body).state);
-    if (isReturn) return;
-    if (kind === RpcMethod.poll.id)
+    if (isResponse) return;
+    if (methodId === RpcMethod.poll.id)
       this.sent.note("poll", decodeExactly(RpcMethod.poll.request, body).text);
-    if (kind === RpcMethod.push.id) this.notePush(decodeExactly(RpcMethod.push.request, body).text);
-    if (kind === RpcMethod.command.id)
+    if (methodId === RpcMethod.push.id)
+      this.notePush(decodeExactly(RpcMethod.push.request, body).text);
+    if (methodId === RpcMethod.command.id)
       this.noteCommand(decodeExactly(RpcMethod.command.request, body).text);
-    if (kind === RpcMethod.append.id)
+    if (methodId === RpcMethod.append.id)
       for (const { text } of decodeExactly(RpcMethod.append.request, body).entries)
         this.sent.note(`log entry ${kindOfText(text)}`, text);
   }
--- a/test/rpc/frame.test.ts
+++ b/test/rpc/frame.test.ts
@@ -9,7 +9,7 @@
 import { RpcMethod } from "../../src/rpc/rpc-method.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
-const reader =
+const decoderOf =
   (coder: { fromBuffer(bytes: Uint8Array): unknown; size(value: never): number }) =>
   (bytes: Uint8Array) =>
     decodeExactly(
@@ -21,28 +21,28 @@
       bytes,
     );
 const sample: Frame = {
-  sequence: FRAME_VERSION - 1,
-  kind: 3,
-  isReturn: true,
-  job: 70000,
+  version: FRAME_VERSION - 1,
+  methodId: 3,
+  isResponse: true,
+  requestId: 70000,
   body: new Uint8Array([1, 2, 3]),
 };
-test("frames come whole out of pieces of any size", () => {
-  const bytes = Buffer.concat([Frame.encode(sample), Frame.encode({ ...sample, job: 2 })]);
+test("frames are assembled from pieces of any size", () => {
+  const bytes = Buffer.concat([Frame.encode(sample), Frame.encode({ ...sample, requestId: 2 })]);
   for (let size = 1; size <= bytes.length; size += 1) {
     const reader = new FrameReader();
     const frames: Frame[] = [];
-    for (let at = 0; at < bytes.length; at += size)
-      frames.push(...reader.read(bytes.subarray(at, at + size)));
-    expect(frames.map((one) => one.job)).toEqual([70000, 2]);
+    for (let offset = 0; offset < bytes.length; offset += size)
+      frames.push(...reader.read(bytes.subarray(offset, offset + size)));
+    expect(frames.map((one) => one.requestId)).toEqual([70000, 2]);
     expect([...(frames[0]?.body ?? [])]).toEqual([1, 2, 3]);
   }
 });
-test("random and truncated bytes are refused as such, by frames and by every kind", async () => {
+test("random and truncated bytes are refused with a frame error, as frames and as messages of every method", async () => {
   const random = RandomDraw.of(9);
-  const coders = Object.values(RpcMethod).flatMap((kind) => [
-    reader(kind.request),
-    reader(kind.response),
+  const decoders = Object.values(RpcMethod).flatMap((method) => [
+    decoderOf(method.request),
+    decoderOf(method.response),
   ]);
   let refused = 0;
   for (let round = 0; round < 3000; round += 1) {
@@ -53,7 +53,7 @@
     );
     const readers = [
       () => new FrameReader().read(bytes),
-      ...coders.map((read) => () => read(bytes)),
+      ...decoders.map((decode) => () => decode(bytes)),
     ];
     for (const read of readers) {
       try {
@@ -66,10 +66,10 @@
   }
   expect(refused).toBeGreaterThan(3000);
 });
-test("oversized and foreign frames are refused", () => {
+test("oversized frames and those of another version are refused", () => {
   const large = Buffer.from(Frame.encode(sample));
   large.writeUInt32BE(2 ** 31, 7);
   expect(() => new FrameReader().read(large)).toThrow(FrameError);
-  const foreign = Buffer.from(Frame.encode({ ...sample, sequence: 9 }));
-  expect(() => new FrameReader().read(foreign)).toThrow(FrameError);
+  const otherVersion = Buffer.from(Frame.encode({ ...sample, version: 9 }));
+  expect(() => new FrameReader().read(otherVersion)).toThrow(FrameError);
 });
--- a/test/rpc/rpc-endpoint.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -16,7 +16,7 @@
   const fail = (error: unknown): void => {
     throw error;
   };
-  const linkAt = (address: string, newest: number): RpcEndpoint => {
+  const endpointAt = (address: string, newestVersion: number): RpcEndpoint => {
     const rpc = new RpcEndpoint(
       virtualRuntime({
         clock: time.clock(),
@@ -24,7 +24,7 @@
         random: RandomDraw.of(2),
       }),
       address,
-      newest,
+      newestVersion,
     );
     rpc.serve(RpcMethod.handOver, function* ({ term }) {
       return { taken: term === 7 };
@@ -32,104 +32,104 @@
     Task.start(rpc.listen(), fail);
     return rpc;
   };
-  const ask = (
+  const call = (
     from: RpcEndpoint,
     to: { readonly self: string },
     waitMs = 500,
   ): boolean | undefined => {
-    const returns: Array<boolean | undefined> = [];
-    Task.start(from.call(to.self, RpcMethod.handOver, { term: 7 }, waitMs), fail, (ret) =>
-      returns.push(ret?.taken),
+    const responses: Array<boolean | undefined> = [];
+    Task.start(from.call(to.self, RpcMethod.handOver, { term: 7 }, waitMs), fail, (response) =>
+      responses.push(response?.taken),
     );
     time.runUntil(time.nowMs() + waitMs + 100);
-    return returns[0];
+    return responses[0];
   };
-  return { time, network, linkAt, ask };
+  return { time, network, endpointAt, call };
 };
 
-test("neighbouring frame sequences understand one another, after one turned-down try at most", () => {
-  const { linkAt, ask } = stage();
+test("endpoints of adjacent frame versions understand each other, after one refused attempt at most", () => {
+  const { endpointAt, call } = stage();
   const [older, newer, far] = [
-    linkAt("10.0.0.1:1", 3),
-    linkAt("10.0.0.2:1", 4),
-    linkAt("10.0.0.3:1", 6),
+    endpointAt("10.0.0.1:1", 3),
+    endpointAt("10.0.0.2:1", 4),
+    endpointAt("10.0.0.3:1", 6),
   ];
-  expect(ask(older, newer)).toBe(true);
-  ask(newer, older);
-  expect(ask(newer, older)).toBe(true);
-  ask(far, older);
-  expect(ask(far, older)).toBeUndefined();
+  expect(call(older, newer)).toBe(true);
+  call(newer, older);
+  expect(call(newer, older)).toBe(true);
+  call(far, older);
+  expect(call(far, older)).toBeUndefined();
   expect(older.droppedFrames).toBeGreaterThan(0);
 });
 
-test("a peer that sends what is no frame loses its link, and others are served on", () => {
-  const { time, network, linkAt, ask } = stage();
-  const [one, two] = [linkAt("10.0.0.1:1", 1), linkAt("10.0.0.2:1", 1)];
-  const heard: string[] = [];
+test("the connection of a peer that sends no valid frame is closed, and others are still served", () => {
+  const { time, network, endpointAt, call } = stage();
+  const [one, two] = [endpointAt("10.0.0.1:1", 1), endpointAt("10.0.0.2:1", 1)];
+  const received: string[] = [];
   Task.start(
     (function* () {
       const connection = yield* network.wire("stranger", new EventGate()).connect(one.self);
       connection?.send(Buffer.from("GET / HTTP/1.1\r\n\r\n"));
-      const word = yield* (connection?.incoming ?? new Queue<Uint8Array | "closed">()).take();
-      heard.push(word === "closed" ? "closed" : "bytes");
+      const piece = yield* (connection?.incoming ?? new Queue<Uint8Array | "closed">()).take();
+      received.push(piece === "closed" ? "closed" : "bytes");
     })(),
     (error) => {
       throw error;
     },
   );
   time.runUntil(time.nowMs() + 300);
-  expect(heard).toEqual(["closed"]);
+  expect(received).toEqual(["closed"]);
   expect(one.droppedFrames).toBe(1);
-  expect(ask(two, one)).toBe(true);
+  expect(call(two, one)).toBe(true);
 });
 
-test("a peer that takes no connection is known to have failed, one that answers late is not", () => {
-  const { time, linkAt, ask } = stage();
-  const asking = linkAt("10.0.0.1:1", 3);
-  const slow = linkAt("10.0.0.2:1", 3);
+test("a peer that refuses connections is unreachable, one that responds late is not", () => {
+  const { time, endpointAt, call } = stage();
+  const endpoint = endpointAt("10.0.0.1:1", 3);
+  const slow = endpointAt("10.0.0.2:1", 3);
   slow.serve(RpcMethod.handOver, function* () {
     yield* Clock.sleep(time.clock(), 700);
     return { taken: true };
   });
-  const gone = { self: "10.0.0.9:1" };
+  const absent = { self: "10.0.0.9:1" };
   const sinceMs = time.nowMs();
-  expect(ask(asking, slow)).toBeUndefined();
-  expect(asking.isUnreachable(slow.self, sinceMs)).toBe(false);
-  expect(ask(asking, gone)).toBeUndefined();
+  expect(call(endpoint, slow)).toBeUndefined();
+  expect(endpoint.isUnreachable(slow.self, sinceMs)).toBe(false);
+  expect(call(endpoint, absent)).toBeUndefined();
   time.runUntil(time.nowMs() + 2000);
-  expect(asking.isUnreachable(gone.self, sinceMs)).toBe(true);
-  expect(asking.isUnreachable(gone.self, time.nowMs())).toBe(false);
+  expect(endpoint.isUnreachable(absent.self, sinceMs)).toBe(true);
+  expect(endpoint.isUnreachable(absent.self, time.nowMs())).toBe(false);
 });
 
-test("a peer that rested for long and then answers late, as an overloaded one does, is not out of reach", () => {
-  const { time, linkAt, ask } = stage();
-  const asking = linkAt("10.0.0.1:1", 3);
-  const slow = linkAt("10.0.0.2:1", 3);
-  expect(ask(asking, slow)).toBe(true);
+test("a peer that was idle for long and then responds late is not unreachable", () => {
+  const { time, endpointAt, call } = stage();
+  const endpoint = endpointAt("10.0.0.1:1", 3);
+  const slow = endpointAt("10.0.0.2:1", 3);
+  expect(call(endpoint, slow)).toBe(true);
   slow.serve(RpcMethod.handOver, function* () {
     yield* Clock.sleep(time.clock(), 600);
     return { taken: true };
   });
   for (let round = 0; round < 10; round += 1) {
     time.runUntil(time.nowMs() + 5000);
-    expect(ask(asking, slow, 200)).toBeUndefined();
-    expect(asking.isUnreachable(slow.self, 0)).toBe(false);
+    expect(call(endpoint, slow, 200)).toBeUndefined();
+    expect(endpoint.isUnreachable(slow.self, 0)).toBe(false);
   }
 });
 
-test("a peer that says nothing for a second while it is asked is out of reach until it is heard again", () => {
-  const { time, network, linkAt, ask } = stage();
-  const [asking, peer] = [linkAt("10.0.0.1:1", 3), linkAt("10.0.0.2:1", 3)];
-  expect(ask(asking, peer)).toBe(true);
+test("a peer that sends nothing for a second while requests are pending is unreachable until it sends something", () => {
+  const { time, network, endpointAt, call } = stage();
+  const [endpoint, peer] = [endpointAt("10.0.0.1:1", 3), endpointAt("10.0.0.2:1", 3)];
+  expect(call(endpoint, peer)).toBe(true);
   const sinceMs = time.nowMs();
-  const ways = [
-    [asking.self, peer.self],
-    [peer.self, asking.self],
+  const directions = [
+    [endpoint.self, peer.self],
+    [peer.self, endpoint.self],
   ] as const;
-  for (const [from, to] of ways) network.cut(from, to);
-  while (time.nowMs() < sinceMs + 2500) ask(asking, peer, 200);
-  expect(asking.isUnreachable(peer.self, sinceMs)).toBe(true);
-  for (const [from, to] of ways) network.mend(from, to);
-  while (ask(asking, peer, 200) === undefined && time.nowMs() < sinceMs + 9000);
-  expect(asking.isUnreachable(peer.self, sinceMs)).toBe(false);
+  for (const [from, to] of directions) network.cut(from, to);
+  while (time.nowMs() < sinceMs + 2500) call(endpoint, peer, 200);
+  expect(endpoint.isUnreachable(peer.self, sinceMs)).toBe(true);
+  for (const [from, to] of directions) network.mend(from, to);
+  while (call(endpoint, peer, 200) === undefined && time.nowMs() < sinceMs + 9000);
+  expect(endpoint.isUnreachable(peer.self, sinceMs)).toBe(false);
 });
