--- a/src/sketch/dyadic-sketch.ts
+++ b/src/sketch/dyadic-sketch.ts
@@ -1,12 +1,13 @@
+/** A hierarchy of ECM-sketches over dyadic ranges of items, which finds heavy items. */
 import { EcmSketch, type AgedSketch, type SketchFormat } from "./ecm-sketch.js";
 
-/** An item that is heavy, and how often it came. */
+/** An item that is heavy, and an estimate of how often it arrived. */
 export interface HeavyItem {
   item: number;
   estimate: number;
 }
 
-/** One sketch for each power of two: finds the items that make up a given part of a window. */
+/** One sketch for each power of two: finds the items that make up a given part of the arrivals in a window. */
 export class DyadicSketch {
   readonly format: SketchFormat;
   readonly bits: number;
@@ -18,15 +19,17 @@
     this.levels = levels ?? Array.from({ length: bits }, () => new EcmSketch(format));
   }
 
+  /** Counts one arrival of an item. */
   add(item: number, stamp: number): void {
     this.levels.forEach((sketch, level) => sketch.add(Math.floor(item / 2 ** level), stamp));
   }
 
+  /** How often an item arrived in the last `rangeMs`. */
   estimate(item: number, now: number, rangeMs: number): number {
     return this.levels[0]?.estimate(item, now, rangeMs) ?? 0;
   }
 
-  /** All items that came more often than `phi` of all arrivals, found from the widest ranges down. */
+  /** All items that make up at least the part `phi` of all arrivals, found from the widest ranges down. */
   heavy(phi: number, now: number, rangeMs: number): HeavyItem[] {
     const threshold = phi * (this.levels[0]?.total(now, rangeMs) ?? 0);
     let found: HeavyItem[] = [
@@ -50,14 +53,17 @@
     return found.sort((a, b) => b.estimate - a.estimate);
   }
 
+  /** Drops what is older than the window. */
   expire(now: number): void {
     for (const sketch of this.levels) sketch.expire(now);
   }
 
+  /** The form that travels. */
   aged(now: number): AgedSketch[] {
     return this.levels.map((sketch) => sketch.aged(now));
   }
 
+  /** A sketch from its aged form; `olderMs` is how long it was in transit. */
   static ofAged(
     aged: AgedSketch[],
     format: SketchFormat,
@@ -72,6 +78,7 @@
     );
   }
 
+  /** Merges level by level. */
   static merge(
     inputs: DyadicSketch[],
     format: SketchFormat,
--- a/src/sketch/ecm-sketch.ts
+++ b/src/sketch/ecm-sketch.ts
@@ -1,11 +1,13 @@
+/** The ECM-sketch: a Count-Min sketch over sliding windows, whose cells are exponential histograms. */
 import xxhash from "xxhash-wasm";
 import { ExponentialHistogram, type AgedHistogram } from "./exponential-histogram.js";
 
 const { h32 } = await xxhash();
 
-/** How many items' cells are remembered for one format. */
-const knownItems = 4096;
-const knownCells = new Map<string, Map<number, readonly number[]>>();
+/** How many items' cells are cached for one format. */
+const MAX_CACHED_ITEMS = 4096;
+/** Cells of items by format. */
+const cellCaches = new Map<string, Map<number, readonly number[]>>();
 
 /** What two sketches must share to be merged. */
 export interface SketchFormat {
@@ -15,16 +17,17 @@
   readonly seed: number;
 }
 
-/** A sketch as it travels. */
+/** A sketch in the form that travels. */
 export interface AgedSketch {
   format: SketchFormat;
   cells: Array<{ cell: number; histogram: AgedHistogram }>;
 }
 
-/** Raised when sketches of other dimensions or hash functions meet. */
+/** Thrown where sketches of different dimensions or hash functions are combined. */
 export class SketchMismatchError extends Error {}
 
 export const SketchFormat = {
+  /** Whether sketches of two formats can be merged. */
   same: (a: SketchFormat, b: SketchFormat): boolean =>
     a.epsilon === b.epsilon &&
     a.delta === b.delta &&
@@ -39,18 +42,18 @@
   readonly depth: number;
   readonly cellEpsilon: number;
   private readonly cells = new Map<number, ExponentialHistogram>();
-  /** The cells of items seen before, for all sketches of a format. */
-  private readonly known: Map<number, readonly number[]>;
+  /** The cells of items, for all sketches of a format. */
+  private readonly cellCache: Map<number, readonly number[]>;
 
   constructor(format: SketchFormat) {
     this.format = format;
     this.cellEpsilon = Math.sqrt(format.epsilon + 1) - 1;
     this.width = Math.ceil(Math.E / this.cellEpsilon);
     this.depth = Math.ceil(Math.log(1 / format.delta));
-    const name = `${format.seed} ${this.width} ${this.depth}`;
-    const known = knownCells.get(name) ?? new Map<number, readonly number[]>();
-    knownCells.set(name, known);
-    this.known = known;
+    const cacheKey = `${format.seed} ${this.width} ${this.depth}`;
+    const cellCache = cellCaches.get(cacheKey) ?? new Map<number, readonly number[]>();
+    cellCaches.set(cacheKey, cellCache);
+    this.cellCache = cellCache;
   }
 
   /** Counts one arrival of an item. */
@@ -65,14 +68,14 @@
     }
   }
 
-  /** How often an item came in the last `rangeMs`: the least of its rows. */
+  /** How often an item arrived in the last `rangeMs`: the minimum over the rows. */
   estimate(item: number, now: number, rangeMs: number): number {
     return Math.min(
       ...this.cellsOf(item).map((cell) => this.cells.get(cell)?.estimate(now, rangeMs) ?? 0),
     );
   }
 
-  /** How many arrivals there were in the last `rangeMs`, from the sum of a row: the least of the rows' sums. */
+  /** How many arrivals there were in the last `rangeMs`: the minimum of the sums of the rows. */
   total(now: number, rangeMs: number): number {
     const sums = new Array<number>(this.depth).fill(0);
     for (const [cell, histogram] of this.cells) {
@@ -90,6 +93,7 @@
     }
   }
 
+  /** The form that travels, with ages in place of stamps. */
   aged(now: number): AgedSketch {
     this.expire(now);
     return {
@@ -98,7 +102,7 @@
     };
   }
 
-  /** A sketch from its aged format; `olderMs` is how long it has been on its way. */
+  /** A sketch from its aged form; `olderMs` is how long it was in transit. */
   static ofAged(aged: AgedSketch, format: SketchFormat, now: number, olderMs: number): EcmSketch {
     if (!SketchFormat.same(aged.format, format))
       throw new SketchMismatchError("The sketch has other dimensions.");
@@ -122,8 +126,8 @@
       if (!SketchFormat.same(input.format, format))
         throw new SketchMismatchError("The sketch has other dimensions.");
       for (const [cell, histogram] of input.cells) {
-        const held = byCell.get(cell);
-        if (held) held.push(histogram);
+        const histograms = byCell.get(cell);
+        if (histograms) histograms.push(histogram);
         else byCell.set(cell, [histogram]);
       }
     }
@@ -140,14 +144,14 @@
   }
 
   private cellsOf(item: number): readonly number[] {
-    const known = this.known.get(item);
-    if (known) return known;
+    const cached = this.cellCache.get(item);
+    if (cached) return cached;
     const cells = Array.from(
       { length: this.depth },
       (_, row) => row * this.width + (h32(String(item), this.format.seed + row) % this.width),
     );
-    if (this.known.size >= knownItems) this.known.clear();
-    this.known.set(item, cells);
+    if (this.cellCache.size >= MAX_CACHED_ITEMS) this.cellCache.clear();
+    this.cellCache.set(item, cells);
     return cells;
   }
 }
--- a/src/sketch/exponential-histogram.ts
+++ b/src/sketch/exponential-histogram.ts
@@ -1,25 +1,28 @@
+/** The exponential histogram of Datar et al.: arrivals in a sliding window, counted in buckets of powers of two. */
+
 /** Stamps wrap around at this many milliseconds; windows are less than half of it. */
 export const STAMP_WRAP_MS = 65_536;
 
-/** The age of a stamp at a moment, both on a counter that wraps around. */
+/** The age of a stamp, both it and `now` being counted modulo the wrap. */
 export const ageOf = (now: number, stamp: number): number =>
   (((now - stamp) % STAMP_WRAP_MS) + STAMP_WRAP_MS) % STAMP_WRAP_MS;
 
-/** A stamp of a clock's reading. */
+/** The stamp of a reading of the clock. */
 export const stampOf = (nowMs: number): number =>
   ((Math.floor(nowMs) % STAMP_WRAP_MS) + STAMP_WRAP_MS) % STAMP_WRAP_MS;
 
-/** A histogram as it travels: ages in place of stamps, so that clocks need not agree. */
+/** A histogram in the form that travels: ages in place of stamps, so that clocks need not agree. */
 export interface AgedHistogram {
-  /** Age of the moment before which nothing is held; `beforeWindow` when that was dropped. */
+  /** Age of the first arrival; `BEFORE_WINDOW` where that is older than the window. */
   floorAge: number;
+  /** End ages of the buckets of size 2^level, oldest first. */
   levels: number[][];
 }
 
 /** The age that stands for "older than any window". */
 export const BEFORE_WINDOW = STAMP_WRAP_MS - 1;
 
-/** One bucket: how many arrivals, after `startAge` and up to `endAge`. */
+/** One bucket: arrivals after `startAge` and up to `endAge`. */
 interface Bucket {
   size: number;
   startAge: number;
@@ -51,7 +54,7 @@
     return this.levels.every((level) => level.length === 0);
   }
 
-  /** Counts arrivals. What comes out of order is counted at the newest stamp. */
+  /** Counts arrivals. Those out of order are counted at the newest stamp. */
   add(stamp: number, count = 1): void {
     if (this.floor === undefined) {
       this.floor = stamp;
@@ -64,8 +67,8 @@
 
   /** Drops the buckets that no longer overlap the window. */
   expire(now: number): void {
-    for (let at = this.levels.length - 1; at >= 0; at -= 1) {
-      const level = this.level(at);
+    for (let index = this.levels.length - 1; index >= 0; index -= 1) {
+      const level = this.level(index);
       for (let end = level[0]; end !== undefined; end = level[0]) {
         if (ageOf(now, end) < this.windowMs) {
           if (typeof this.floor === "number" && ageOf(now, this.floor) >= this.windowMs)
@@ -83,30 +86,30 @@
   estimate(now: number, rangeMs: number): number {
     let sum = 0;
     let size = 0;
-    let heldEndAge = 0;
-    for (let at = 0; at < this.levels.length; at += 1) {
-      const level = this.level(at);
-      for (let one = level.length - 1; one >= 0; one -= 1) {
-        const endAge = ageOf(now, level[one] ?? now);
+    let newerEndAge = 0;
+    for (let index = 0; index < this.levels.length; index += 1) {
+      const level = this.level(index);
+      for (let bucket = level.length - 1; bucket >= 0; bucket -= 1) {
+        const endAge = ageOf(now, level[bucket] ?? now);
         if (size > 0) {
-          if (heldEndAge >= rangeMs) return sum;
+          if (newerEndAge >= rangeMs) return sum;
           if (endAge > rangeMs) return sum + size / 2;
           sum += size;
         }
-        size = 2 ** at;
-        heldEndAge = endAge;
+        size = 2 ** index;
+        newerEndAge = endAge;
       }
     }
-    if (size === 0 || heldEndAge >= rangeMs) return sum;
-    return this.oldestStartAge(now, size, heldEndAge) > rangeMs ? sum + size / 2 : sum + size;
+    if (size === 0 || newerEndAge >= rangeMs) return sum;
+    return this.oldestStartAge(now, size, newerEndAge) > rangeMs ? sum + size / 2 : sum + size;
   }
 
-  /** Whether invariant 1 holds for every bucket. */
-  holdsInvariant(now: number): boolean {
-    let before = 0;
+  /** Whether invariant 1 is satisfied by every bucket. */
+  satisfiesInvariant(now: number): boolean {
+    let newerCount = 0;
     for (const { size } of this.buckets(now)) {
-      if (size > 1 && size / (2 * (1 + before)) > this.epsilon + 1e-12) return false;
-      before += size;
+      if (size > 1 && size / (2 * (1 + newerCount)) > this.epsilon + 1e-12) return false;
+      newerCount += size;
     }
     return true;
   }
@@ -132,7 +135,7 @@
     const histogram = new ExponentialHistogram(epsilon, windowMs);
     const rebased = (age: number): number =>
       stampOf(now - Math.min(age + olderMs, STAMP_WRAP_MS / 2 - 1));
-    aged.levels.forEach((level, at) => histogram.level(at).push(...level.map(rebased)));
+    aged.levels.forEach((level, index) => histogram.level(index).push(...level.map(rebased)));
     histogram.floor = aged.floorAge >= windowMs ? "before" : rebased(aged.floorAge);
     const [first] = histogram.buckets(now);
     histogram.newest = stampOf(now - (first?.endAge ?? 0));
@@ -140,7 +143,7 @@
     return histogram;
   }
 
-  /** Replays the buckets of many histograms into a fresh one: half of each at its start, half at its end. */
+  /** Replays the buckets of several histograms into a new one: half of each at its start, half at its end. */
   static merge(
     inputs: ExponentialHistogram[],
     epsilon: number,
@@ -167,38 +170,39 @@
   private carry(stamp: number, count: number): void {
     let ends: readonly number[] = [];
     let copies = count;
-    for (let at = 0; ends.length + copies > 0; at += 1) {
-      const level = this.level(at);
+    for (let index = 0; ends.length + copies > 0; index += 1) {
+      const level = this.level(index);
       for (const end of ends) level.push(end);
-      const excess = level.length + copies - (at === 0 ? this.unitLimit : this.limit);
+      const excess = level.length + copies - (index === 0 ? this.unitLimit : this.limit);
       const pairs = excess > 0 ? Math.ceil(excess / 2) : 0;
-      const old = level.splice(0, 2 * pairs);
-      const used = 2 * pairs - old.length;
+      const merged = level.splice(0, 2 * pairs);
+      const used = 2 * pairs - merged.length;
       const carried: number[] = [];
-      for (let one = 1; one < old.length; one += 2) carried.push(old[one] ?? stamp);
+      for (let second = 1; second < merged.length; second += 2)
+        carried.push(merged[second] ?? stamp);
       for (let left = copies - used; left > 0; left -= 1) level.push(stamp);
       ends = carried;
       copies = pairs - carried.length;
     }
   }
 
-  private level(at: number): number[] {
-    for (let missing = this.levels.length; missing <= at; missing += 1) this.levels.push([]);
-    return this.levels[at] ?? [];
+  private level(index: number): number[] {
+    while (this.levels.length <= index) this.levels.push([]);
+    return this.levels[index] ?? [];
   }
 
   /** The buckets, newest first. A bucket starts where the next older one ends. */
   private *buckets(now: number): Generator<Bucket> {
-    let held: { size: number; endAge: number } | undefined;
-    for (let at = 0; at < this.levels.length; at += 1) {
-      const level = this.level(at);
-      for (let one = level.length - 1; one >= 0; one -= 1) {
-        const endAge = ageOf(now, level[one] ?? now);
-        if (held) yield { ...held, startAge: endAge };
-        held = { size: 2 ** at, endAge };
+    let newer: { size: number; endAge: number } | undefined;
+    for (let index = 0; index < this.levels.length; index += 1) {
+      const level = this.level(index);
+      for (let bucket = level.length - 1; bucket >= 0; bucket -= 1) {
+        const endAge = ageOf(now, level[bucket] ?? now);
+        if (newer) yield { ...newer, startAge: endAge };
+        newer = { size: 2 ** index, endAge };
       }
     }
-    if (held) yield { ...held, startAge: this.oldestStartAge(now, held.size, held.endAge) };
+    if (newer) yield { ...newer, startAge: this.oldestStartAge(now, newer.size, newer.endAge) };
   }
 
   /** Where the oldest bucket starts. */
--- a/test/sketch/exponential-histogram.test.ts
+++ b/test/sketch/exponential-histogram.test.ts
@@ -7,23 +7,23 @@
 const stream = (seed: number, count: number): number[] => {
   const random = RandomDraw.of(seed);
   const times: number[] = [];
-  for (let at = 0; times.length < count; at += random() < 0.1 ? random() * 400 : random() * 6)
-    times.push(Math.floor(at));
+  for (let atMs = 0; times.length < count; atMs += random() < 0.1 ? random() * 400 : random() * 6)
+    times.push(Math.floor(atMs));
   return times;
 };
 const exact = (times: number[], now: number, rangeMs: number): number =>
   times.filter((time) => time <= now && time > now - rangeMs).length;
 
-test("invariant 1 holds and every query stays within epsilon, across wrap-around", () => {
+test("invariant 1 is satisfied and every estimate is within epsilon, across the wrap of stamps", () => {
   for (const epsilon of [0.05, 0.1, 0.3]) {
     const times = stream(7, 9000);
     const histogram = new ExponentialHistogram(epsilon, windowMs);
-    times.forEach((time, at) => {
+    times.forEach((time, index) => {
       histogram.add(stampOf(time));
-      if (at % 97 !== 0) return;
-      expect(histogram.holdsInvariant(stampOf(time))).toBe(true);
+      if (index % 97 !== 0) return;
+      expect(histogram.satisfiesInvariant(stampOf(time))).toBe(true);
       for (const rangeMs of [500, 3000, 10_000, 19_999]) {
-        const truth = exact(times.slice(0, at + 1), time, rangeMs);
+        const truth = exact(times.slice(0, index + 1), time, rangeMs);
         expect(Math.abs(histogram.estimate(stampOf(time), rangeMs) - truth)).toBeLessThanOrEqual(
           epsilon * truth + 1,
         );
@@ -32,10 +32,10 @@
   }
 });
 
-test("a merge stays within eps + eps' + eps*eps', and h levels within h*eps(1+eps)+eps", () => {
+test("the error of a merge is at most eps + eps' + eps*eps', and that of h levels h*eps(1+eps)+eps", () => {
   const epsilon = 0.1;
   for (let seed = 1; seed <= 4; seed += 1) {
-    const streams = Array.from({ length: 8 }, (_, at) => stream(seed * 10 + at, 4000));
+    const streams = Array.from({ length: 8 }, (_, index) => stream(seed * 10 + index, 4000));
     const all = streams.flat();
     const now = Math.min(...streams.map((times) => times.at(-1) ?? 0));
     let layer = streams.map((times) => {
@@ -45,9 +45,14 @@
     });
     for (let level = 1; layer.length > 1; level += 1) {
       const next: ExponentialHistogram[] = [];
-      for (let at = 0; at < layer.length; at += 2)
+      for (let index = 0; index < layer.length; index += 2)
         next.push(
-          ExponentialHistogram.merge(layer.slice(at, at + 2), epsilon, windowMs, stampOf(now)),
+          ExponentialHistogram.merge(
+            layer.slice(index, index + 2),
+            epsilon,
+            windowMs,
+            stampOf(now),
+          ),
         );
       layer = next;
       if (layer.length > 1) continue;
@@ -62,9 +67,9 @@
   }
 });
 
-test("an aged copy counts as the original does, and an idle one empties", () => {
+test("a copy from the aged form estimates as the original does, and an idle histogram becomes empty", () => {
   const histogram = new ExponentialHistogram(0.1, windowMs);
-  for (let at = 0; at < 30_000; at += 7) histogram.add(stampOf(at));
+  for (let atMs = 0; atMs < 30_000; atMs += 7) histogram.add(stampOf(atMs));
   const copy = ExponentialHistogram.ofAged(
     histogram.aged(stampOf(30_000)),
     0.1,
