--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,3 +1,4 @@
+/** Clocks and timers. */
 import {
   currentTime,
   delay,
@@ -10,26 +11,27 @@
 import type { Scheduler } from "@most/types";
 import { Task } from "./task.js";
 
-/** A machine's monotonic clock. Its readings are never compared with another machine's. */
+/** A machine's monotonic clock, in milliseconds. Its readings are never compared with another machine's. */
 export interface Clock {
   readonly scheduler: Scheduler;
   nowMs(): number;
+  /** Runs a function once after a time. Returns a function that cancels that. */
   after(waitMs: number, run: () => void): () => void;
 }
 
-// The scheduler runs what falls due within a millisecond at its start, which would be early.
-const roundingMs = 0.001;
+/** Added to the due time: the scheduler runs what is due within a millisecond at its start, which would be early. */
+const ROUNDING_MS = 0.001;
 
 export const Clock = {
-  /** The clock that a scheduler of streams keeps. */
+  /** The clock of a scheduler of streams. */
   of(scheduler: Scheduler): Clock {
     return {
       scheduler,
       nowMs: () => currentTime(scheduler),
       after(waitMs, run) {
         const nowMs = currentTime(scheduler);
-        const dueMs = Math.ceil(nowMs + Math.max(0, waitMs)) + roundingMs;
-        const planned = delay(
+        const dueMs = Math.ceil(nowMs + Math.max(0, waitMs)) + ROUNDING_MS;
+        const scheduled = delay(
           dueMs - nowMs,
           {
             run,
@@ -40,7 +42,7 @@
           },
           scheduler,
         );
-        return () => cancelTask(planned);
+        return () => cancelTask(scheduled);
       },
     };
   },
@@ -50,12 +52,12 @@
     return Clock.of(newScheduler(newClockTimer(newPlatformClock()), newTimeline()));
   },
 
-  /** Lets a task rest. */
+  /** Suspends a task for a time. */
   *sleep(clock: Clock, waitMs: number): Task {
     yield* Task.wait<boolean>((done) => clock.after(waitMs, () => done(true)));
   },
 
-  /** Waits for an outcome, at most `waitMs`; `undefined` once that is over. */
+  /** Waits for an outcome, at most `waitMs`; `undefined` where none came in time. */
   *withTimeout<T>(
     clock: Clock,
     waitMs: number,
--- a/src/runtime/disk.ts
+++ b/src/runtime/disk.ts
@@ -1,17 +1,20 @@
+/** Durable files in the data folder of a daemon. */
 import { open, mkdir, readFile, readdir, unlink, type FileHandle } from "node:fs/promises";
 import { join } from "node:path";
 import { Task } from "./task.js";
 
-/** A breakdown of the disk: full, stalled or failing. */
+/** Thrown where the disk is full, stalled or failing. */
 export class DiskError extends Error {}
 
-/** Files under one data folder. Nothing lasts until its wish has ended: both synced it. */
+/** Files in one data folder. What was written is durable once its task has ended: it was synced. */
 export interface Disk {
+  /** The bytes of a file; `undefined` where there is none. */
   read(name: string): Task<Uint8Array | undefined>;
+  /** Names of all files. */
   list(): Task<string[]>;
-  /** Replaces a file whole and syncs it and the folder. */
+  /** Replaces a file and syncs it and the folder. */
   write(name: string, bytes: Uint8Array): Task;
-  /** Adds to a file's end and syncs it; a file's first addition syncs the folder too. */
+  /** Appends to a file and syncs it; the first append to a file syncs the folder too. */
   append(name: string, bytes: Uint8Array): Task;
   truncate(name: string, size: number): Task;
   remove(name: string): Task;
@@ -26,90 +29,111 @@
   }
 };
 
-const whole = async (handle: FileHandle, bytes: Uint8Array): Promise<void> => {
-  for (let at = 0; at < bytes.length;)
-    at += (await handle.write(bytes, at, bytes.length - at)).bytesWritten;
+const writeFully = async (handle: FileHandle, bytes: Uint8Array): Promise<void> => {
+  for (let offset = 0; offset < bytes.length;)
+    offset += (await handle.write(bytes, offset, bytes.length - offset)).bytesWritten;
 };
 
+/** Waits for an operation of the file system; what it throws is the cause of a `DiskError`. */
 const awaitDisk = function* <T>(promise: Promise<T>): Task<T> {
   const outcome = yield* Task.fromPromise(promise);
   if ("value" in outcome) return outcome.value;
-  throw new DiskError("The disk broke down.", { cause: outcome.error });
+  throw new DiskError("The disk failed.", { cause: outcome.error });
 };
 
+/** A folder of the file system. Files that are appended to stay open until they are truncated or removed. */
+class DataFolder implements Disk {
+  private readonly folder: string;
+  private readonly appendHandles = new Map<string, FileHandle>();
+
+  constructor(folder: string) {
+    this.folder = folder;
+  }
+
+  *read(name: string): Task<Uint8Array | undefined> {
+    const names = yield* awaitDisk(readdir(this.folder));
+    if (!names.includes(name)) return undefined;
+    return yield* awaitDisk(readFile(this.path(name)));
+  }
+
+  *list(): Task<string[]> {
+    return yield* awaitDisk(readdir(this.folder));
+  }
+
+  *write(name: string, bytes: Uint8Array): Task {
+    yield* awaitDisk(this.replaceFile(name, bytes));
+  }
+
+  *append(name: string, bytes: Uint8Array): Task {
+    yield* awaitDisk(this.appendToFile(name, bytes));
+  }
+
+  *truncate(name: string, size: number): Task {
+    yield* awaitDisk(this.truncateFile(name, size));
+  }
+
+  *remove(name: string): Task {
+    yield* awaitDisk(this.removeFile(name));
+  }
+
+  private path(name: string): string {
+    return join(this.folder, name);
+  }
+
+  private async replaceFile(name: string, bytes: Uint8Array): Promise<void> {
+    const handle = await open(this.path(name), "w");
+    try {
+      await writeFully(handle, bytes);
+      await handle.sync();
+    } finally {
+      await handle.close();
+    }
+    await syncFolder(this.folder);
+  }
+
+  private async appendToFile(name: string, bytes: Uint8Array): Promise<void> {
+    const handle = await this.appendHandle(name);
+    await writeFully(handle, bytes);
+    await handle.datasync();
+  }
+
+  private async truncateFile(name: string, size: number): Promise<void> {
+    await this.closeAppendHandle(name);
+    const handle = await open(this.path(name), "r+");
+    try {
+      await handle.truncate(size);
+      await handle.sync();
+    } finally {
+      await handle.close();
+    }
+  }
+
+  private async removeFile(name: string): Promise<void> {
+    await this.closeAppendHandle(name);
+    await unlink(this.path(name));
+    await syncFolder(this.folder);
+  }
+
+  private async appendHandle(name: string): Promise<FileHandle> {
+    const known = this.appendHandles.get(name);
+    if (known) return known;
+    const handle = await open(this.path(name), "a");
+    await syncFolder(this.folder);
+    this.appendHandles.set(name, handle);
+    return handle;
+  }
+
+  private async closeAppendHandle(name: string): Promise<void> {
+    const handle = this.appendHandles.get(name);
+    this.appendHandles.delete(name);
+    await handle?.close();
+  }
+}
+
 export const Disk = {
-  /** The data folder of a real machine. */
+  /** The data folder of a real machine, made where it is missing. */
   *open(folder: string): Task<Disk> {
     yield* awaitDisk(mkdir(folder, { recursive: true }));
-    const appending = new Map<string, FileHandle>();
-    const opened = async (name: string): Promise<FileHandle> => {
-      const known = appending.get(name);
-      if (known) return known;
-      const handle = await open(join(folder, name), "a");
-      await syncFolder(folder);
-      appending.set(name, handle);
-      return handle;
-    };
-    const closed = async (name: string): Promise<void> => {
-      const handle = appending.get(name);
-      appending.delete(name);
-      await handle?.close();
-    };
-    return {
-      *read(name) {
-        const names = yield* awaitDisk(readdir(folder));
-        if (!names.includes(name)) return undefined;
-        return yield* awaitDisk(readFile(join(folder, name)));
-      },
-      *list() {
-        return yield* awaitDisk(readdir(folder));
-      },
-      *write(name, bytes) {
-        yield* awaitDisk(
-          (async () => {
-            const handle = await open(join(folder, name), "w");
-            try {
-              await whole(handle, bytes);
-              await handle.sync();
-            } finally {
-              await handle.close();
-            }
-            await syncFolder(folder);
-          })(),
-        );
-      },
-      *append(name, bytes) {
-        yield* awaitDisk(
-          (async () => {
-            const handle = await opened(name);
-            await whole(handle, bytes);
-            await handle.datasync();
-          })(),
-        );
-      },
-      *truncate(name, size) {
-        yield* awaitDisk(
-          (async () => {
-            await closed(name);
-            const handle = await open(join(folder, name), "r+");
-            try {
-              await handle.truncate(size);
-              await handle.sync();
-            } finally {
-              await handle.close();
-            }
-          })(),
-        );
-      },
-      *remove(name) {
-        yield* awaitDisk(
-          (async () => {
-            await closed(name);
-            await unlink(join(folder, name));
-            await syncFolder(folder);
-          })(),
-        );
-      },
-    };
+    return new DataFolder(folder);
   },
 };
--- a/src/runtime/event-stream.ts
+++ b/src/runtime/event-stream.ts
@@ -1,3 +1,4 @@
+/** Streams of events from outside. */
 import { runEffects, tap } from "@most/core";
 import type { Scheduler, Sink, Stream } from "@most/types";
 
@@ -5,7 +6,7 @@
 export class EventStream<T> {
   private readonly sinks = new Map<Sink<T>, Scheduler>();
 
-  /** The stream, for whoever wants to hear it. */
+  /** The stream of all events from now on. */
   readonly stream: Stream<T> = {
     run: (sink, scheduler) => {
       this.sinks.set(sink, scheduler);
@@ -13,13 +14,13 @@
     },
   };
 
-  /** Something arrived. */
+  /** Hands an event to all subscribers. */
   emit(item: T): void {
     for (const [sink, scheduler] of this.sinks) sink.event(scheduler.currentTime(), item);
   }
 
-  /** Hears all that arrives from now on. */
-  subscribe(scheduler: Scheduler, hear: (item: T) => void): void {
-    void runEffects(tap(hear, this.stream), scheduler);
+  /** Calls a handler with each event from now on. */
+  subscribe(scheduler: Scheduler, handler: (item: T) => void): void {
+    void runEffects(tap(handler, this.stream), scheduler);
   }
 }
--- a/src/runtime/fast-validator.ts
+++ b/src/runtime/fast-validator.ts
@@ -1,3 +1,4 @@
+/** Validators of superstruct shapes that run faster than the library's own, for messages that are read often. */
 import { create, type Struct } from "superstruct";
 
 type Guard = (value: unknown) => boolean;
@@ -9,7 +10,7 @@
   "type" in value &&
   "schema" in value;
 
-const plain: Readonly<Record<string, Guard>> = {
+const primitiveGuards: Readonly<Record<string, Guard>> = {
   string: (value) => typeof value === "string",
   number: (value) => typeof value === "number" && !Number.isNaN(value),
   boolean: (value) => typeof value === "boolean",
@@ -20,12 +21,12 @@
   const fields = new Map<string, Guard>();
   for (const [name, struct] of Object.entries(schema))
     if (isStruct(struct)) fields.set(name, guardOf(struct));
-  const needed = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
+  const required = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
   return (value) => {
     if (typeof value !== "object" || value === null || Array.isArray(value)) return false;
-    const held = new Map<string, unknown>(Object.entries(value));
-    for (const name of needed) if (!held.has(name)) return false;
-    for (const [name, one] of held) {
+    const actual = new Map<string, unknown>(Object.entries(value));
+    for (const name of required) if (!actual.has(name)) return false;
+    for (const [name, one] of actual) {
       const guard = fields.get(name);
       if (guard ? !guard(one) : isExact) return false;
     }
@@ -35,8 +36,8 @@
 
 const innerOf = (struct: Struct<unknown, unknown>): Guard => {
   const { type, schema } = struct;
-  const simple = plain[type];
-  if (simple) return simple;
+  const primitive = primitiveGuards[type];
+  if (primitive) return primitive;
   if (type === "literal") return (value) => value === schema;
   if ((type === "object" || type === "type") && typeof schema === "object" && schema !== null)
     return fieldsOf(schema, type === "object");
@@ -47,29 +48,29 @@
   return (value) => struct.is(value);
 };
 
-const known = new WeakMap<object, Guard>();
+const guards = new WeakMap<object, Guard>();
 
 const guardOf = (struct: Struct<unknown, unknown>): Guard => {
-  const former = known.get(struct);
-  if (former) return former;
+  const cached = guards.get(struct);
+  if (cached) return cached;
   const guard = newGuardOf(struct);
-  known.set(struct, guard);
+  guards.set(struct, guard);
   return guard;
 };
 
 const newGuardOf = (struct: Struct<unknown, unknown>): Guard => {
   const inner = innerOf(struct);
-  const takesUndefined = struct.is(undefined);
-  const takesNull = struct.is(null);
+  const allowsUndefined = struct.is(undefined);
+  const allowsNull = struct.is(null);
   return (value) =>
-    value === undefined ? takesUndefined : value === null ? takesNull : inner(value);
+    value === undefined ? allowsUndefined : value === null ? allowsNull : inner(value);
 };
 
-/** Whether a value is of a shape, looked at by plain code. */
+/** Whether a value is of a shape. */
 export const matchesStruct = (struct: object, value: unknown): boolean =>
   isStruct(struct) && guardOf(struct)(value);
 
-/** A reader of values from outside that looks at them by plain code; one that is refused is told of by its shape. For shapes without refinements. */
+/** A function that returns a value of a shape as it is, and throws the library's own error for any other. For shapes without refinements. */
 export const fastValidator = <T, S>(struct: Struct<T, S>): ((value: unknown) => T) => {
   const isOne = (value: unknown): value is T => matchesStruct(struct, value);
   return (value) => (isOne(value) ? value : create(value, struct));
--- a/src/runtime/link-pacer.ts
+++ b/src/runtime/link-pacer.ts
@@ -1,50 +1,52 @@
+/** Pacing of large transfers on the link of the machine, so that small messages aren't delayed by them. */
 import type { Clock } from "./clock.js";
 import { Task } from "./task.js";
 
-/** The class of a bulk transfer: control traffic goes before requests, and those before responses to callers. */
+/** The class of a bulk transfer: control traffic precedes requests, and those precede responses to clients. */
 export type TransferClass = "control" | "request" | "response";
 
-/** How a bulk transfer is ranked among those that wait. */
+/** The rank of a bulk transfer among those that wait. */
 export interface TransferRank {
   readonly transferClass: TransferClass;
-  /** When it should have ended; responses that are past this time give way to those that are not. */
+  /** Its deadline; responses that have missed theirs give way to those that haven't. */
   readonly dueMs: number;
 }
 
-/** One large body on its way over the link. */
+/** One large body that is sent over the link. */
 export interface Transfer {
   /** Waits until that many bytes may be written, which then count as written; at most `turnBytes`. */
   turn(bytes: number): Task;
   /** Calls back once that many bytes may be written, which then count as written. Returns a cancel function. */
   onTurn(bytes: number, run: () => void): () => void;
-  /** Lets go of what is left of it. */
+  /** Ends the transfer, whose remaining bytes no longer count as bulk. */
   end(): void;
 }
 
-/** One turn that is waited for. */
+/** A turn that a transfer waits for. */
 interface WaitingTurn {
   readonly rank: TransferRank;
   readonly bytes: number;
   readonly run: () => void;
 }
 
-const classOrder: { readonly [name in TransferClass]: number } = {
+/** The precedence of the classes, the first lowest in number. */
+const CLASS_ORDER: { readonly [name in TransferClass]: number } = {
   control: 0,
   request: 1,
   response: 2,
 };
 
-/** How much time on the link one turn may take, and how long the queue may be when it begins. */
-const turnMs = 15;
-/** Which part of the link's rate is counted on; the rest is for headers and acknowledgements. */
-const usablePart = 0.9;
-const bytesPerMsOfMbps = 125;
-/** What is small on any link. */
-const mostSmallBytes = 8 * 1024;
+/** How much time of the link one turn may take, and how long the queue may be when it begins. */
+const TURN_MS = 15;
+/** Which part of the link's rate is used; the rest is for headers and acknowledgments. */
+const USABLE_PART = 0.9;
+const BYTES_PER_MS_OF_MBPS = 125;
+/** Bodies that are larger than this aren't small on any link. */
+const MAX_SMALL_BYTES = 8 * 1024;
 
 const isBefore = (one: TransferRank, other: TransferRank, nowMs: number): boolean => {
   if (one.transferClass !== other.transferClass)
-    return classOrder[one.transferClass] < classOrder[other.transferClass];
+    return CLASS_ORDER[one.transferClass] < CLASS_ORDER[other.transferClass];
   const isOneLate = one.transferClass === "response" && one.dueMs < nowMs;
   const isOtherLate = other.transferClass === "response" && other.dueMs < nowMs;
   if (isOneLate !== isOtherLate) return isOtherLate;
@@ -53,7 +55,7 @@
 
 /**
  * Paces one direction of a machine's link. It keeps a model of the queue in front of the link: bytes that are small or urgent
- * join it at once, bulk only in turns of at most `turnMs` and only while the queue is no longer than that. So nothing urgent
+ * join it at once, bulk only in turns of at most `TURN_MS` and only while the queue is no longer than that. So nothing urgent
  * ever waits behind more than two turns of bulk. Among bulk transfers the one that is due first has the next turn.
  */
 export class LinkPacer {
@@ -63,23 +65,25 @@
   private emptyAtMs = -Infinity;
   private readonly waiting: WaitingTurn[] = [];
   private hasTimer = false;
-  private leftBulkBytes = 0;
+  private remainingBulkBytes = 0;
 
   /** The largest number of bytes that are written in one turn. */
   readonly turnBytes: number;
   /** Bodies up to this size are not bulk: they are written at once. */
   readonly smallBytes: number;
 
-  /** A link of that rate; without one, nothing is held back. */
+  /** A link of that rate in each direction; without one, nothing is delayed. */
   constructor(clock: Clock, linkMbps: number | undefined) {
     this.clock = clock;
     this.bytesPerMs =
-      linkMbps === undefined || linkMbps <= 0 ? Infinity : linkMbps * bytesPerMsOfMbps * usablePart;
-    this.turnBytes = Math.ceil(this.bytesPerMs * turnMs);
-    this.smallBytes = this.isPaced ? Math.min(this.turnBytes, mostSmallBytes) : Infinity;
+      linkMbps === undefined || linkMbps <= 0
+        ? Infinity
+        : linkMbps * BYTES_PER_MS_OF_MBPS * USABLE_PART;
+    this.turnBytes = Math.ceil(this.bytesPerMs * TURN_MS);
+    this.smallBytes = this.isPaced ? Math.min(this.turnBytes, MAX_SMALL_BYTES) : Infinity;
   }
 
-  /** Whether the link has a rate to be kept. */
+  /** Whether the link has a known rate. */
   get isPaced(): boolean {
     return Number.isFinite(this.bytesPerMs);
   }
@@ -89,9 +93,9 @@
     return Math.max(0, this.emptyAtMs - this.clock.nowMs());
   }
 
-  /** How long it takes until the queue and all bulk that is known of have left, and that many bytes more. */
+  /** How long it takes to send the queue, all bulk that is known of, and that many bytes more. */
   waitMs(moreBytes: number): number {
-    return this.queueMs + this.transferMs(this.leftBulkBytes + moreBytes);
+    return this.queueMs + this.transferMs(this.remainingBulkBytes + moreBytes);
   }
 
   /** How long the link takes for that many bytes. */
@@ -99,9 +103,9 @@
     return bytes / this.bytesPerMs;
   }
 
-  /** Bytes of bulk transfers that are yet to be written. */
+  /** Bytes of bulk transfers that haven't been written yet. */
   get bulkBytes(): number {
-    return this.leftBulkBytes;
+    return this.remainingBulkBytes;
   }
 
   /** Counts bytes that are written at once. */
@@ -112,12 +116,12 @@
 
   /** Begins a bulk transfer of that many bytes, where the number is known. */
   begin(rank: TransferRank, bytes = 0): Transfer {
-    let leftBytes = this.isPaced ? bytes : 0;
-    this.leftBulkBytes += leftBytes;
+    let remainingBytes = this.isPaced ? bytes : 0;
+    this.remainingBulkBytes += remainingBytes;
     const release = (part: number): void => {
-      const released = Math.min(leftBytes, part);
-      leftBytes -= released;
-      this.leftBulkBytes -= released;
+      const released = Math.min(remainingBytes, part);
+      remainingBytes -= released;
+      this.remainingBulkBytes -= released;
     };
     const onTurn = (part: number, run: () => void): (() => void) =>
       this.take({
@@ -135,7 +139,7 @@
           onTurn(part, () => done(true));
         });
       },
-      end: () => release(leftBytes),
+      end: () => release(remainingBytes),
     };
   }
 
@@ -145,22 +149,22 @@
       return () => undefined;
     }
     this.waiting.push(turn);
-    this.serve();
+    this.grantTurns();
     return () => {
-      const at = this.waiting.indexOf(turn);
-      if (at >= 0) this.waiting.splice(at, 1);
+      const index = this.waiting.indexOf(turn);
+      if (index >= 0) this.waiting.splice(index, 1);
     };
   }
 
   /** Gives turns while the queue is short, then waits until it is again. */
-  private serve(): void {
+  private grantTurns(): void {
     while (!this.hasTimer && this.waiting.length > 0) {
-      const overMs = this.queueMs - turnMs;
-      if (overMs > 0) {
+      const excessMs = this.queueMs - TURN_MS;
+      if (excessMs > 0) {
         this.hasTimer = true;
-        this.clock.after(overMs, () => {
+        this.clock.after(excessMs, () => {
           this.hasTimer = false;
-          this.serve();
+          this.grantTurns();
         });
         return;
       }
@@ -171,13 +175,13 @@
     }
   }
 
-  /** Takes out the turn that goes first; of equals, the one that has waited longest. */
+  /** Removes the turn that goes first; of equals, the one that has waited longest. */
   private next(): WaitingTurn | undefined {
     const nowMs = this.clock.nowMs();
     let first = 0;
-    for (const [at, turn] of this.waiting.entries()) {
+    for (const [index, turn] of this.waiting.entries()) {
       const best = this.waiting[first];
-      if (best && isBefore(turn.rank, best.rank, nowMs)) first = at;
+      if (best && isBefore(turn.rank, best.rank, nowMs)) first = index;
     }
     return this.waiting.splice(first, 1)[0];
   }
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,45 +1,46 @@
+/** The structured log of a daemon. */
 import bunyan from "bunyan";
 
-/** The log of one part: short sentences behind a fixed prefix. */
+/** The log of one component: constant events, whose details are fields. */
 export interface Logger {
-  info(sentence: string, fields?: Record<string, unknown>): void;
-  warn(sentence: string, fields?: Record<string, unknown>): void;
-  error(sentence: string, error: unknown): void;
+  info(event: string, fields?: Record<string, unknown>): void;
+  warn(event: string, fields?: Record<string, unknown>): void;
+  error(event: string, error: unknown): void;
 }
 
-/** A daemon's log, by part. */
+/** A daemon's log, by component. */
 export interface LoggerFactory {
   component(name: string): Logger;
 }
 
-/** From which weight on lines are written. */
+/** The lowest level that is written. */
 export type LogLevel = "debug" | "info" | "warn" | "error";
 
 export const LoggerFactory = {
-  /** Writes through bunyan to the standard error stream. */
+  /** Writes to the standard error stream through bunyan. */
   create(machine: string, level: LogLevel): LoggerFactory & { setLevel(level: LogLevel): void } {
     const log = bunyan.createLogger({ name: "daledoor", machine, level, stream: process.stderr });
     return {
       setLevel: (changed) => log.level(changed),
       component: (name) => ({
-        info: (sentence, fields) => log.info(fields ?? {}, `${name}: ${sentence}`),
-        warn: (sentence, fields) => log.warn(fields ?? {}, `${name}: ${sentence}`),
-        error: (sentence, error) => log.error({ err: error }, `${name}: ${sentence}`),
+        info: (event, fields) => log.info(fields ?? {}, `${name}: ${event}`),
+        warn: (event, fields) => log.warn(fields ?? {}, `${name}: ${event}`),
+        error: (event, error) => log.error({ err: error }, `${name}: ${event}`),
       }),
     };
   },
 
-  /** Hands lines on and raises what is at fault, for tests and the simulator. */
+  /** Passes lines to a function and throws errors, for tests and the simulator. */
   toLines(lines: (line: string) => void): LoggerFactory {
     return {
       component: (name) => ({
-        info: (sentence, fields) =>
-          lines(`${name}: ${sentence}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
-        warn: (sentence, fields) =>
-          lines(`${name}: ${sentence}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
-        error(sentence, error) {
+        info: (event, fields) =>
+          lines(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
+        warn: (event, fields) =>
+          lines(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
+        error(event, error) {
           lines(
-            `${name}: ${sentence} ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
+            `${name}: ${event} ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
           );
           throw error;
         },
--- a/src/runtime/network.ts
+++ b/src/runtime/network.ts
@@ -1,25 +1,31 @@
+/** Connections between daemons. */
 import { createServer, connect as connectSocket, type Server, type Socket } from "node:net";
 import { Queue } from "./queue.js";
 import { Task } from "./task.js";
 
-/** A two-way flow of bytes between two processes. */
+/** A bidirectional stream of bytes between two processes. */
 export interface Connection {
-  /** What arrives, in order; `undefined` once the channel has closed. */
+  /** What arrives, in order; `closed` once the connection has ended. */
   readonly incoming: Queue<Uint8Array | "closed">;
   send(bytes: Uint8Array): void;
   close(): void;
 }
 
-/** How processes reach one another, by IP number and port. */
+/** Connects processes by IP address and port. */
 export interface Network {
+  /** Opens a connection; `undefined` where that fails. */
   connect(address: string): Task<Connection | undefined>;
+  /** Accepts connections at an address. Throws a `ListenError` where that fails. */
   listen(address: string, accept: (connection: Connection) => void): Task;
 }
 
-/** Raised when an address can't be listened on. */
+/** Thrown where an address can't be listened on. */
 export class ListenError extends Error {}
 
-const channelOf = (socket: Socket): Connection => {
+/** How long a connection may take to open. */
+const CONNECT_TIMEOUT_MS = 1000;
+
+const connectionOf = (socket: Socket): Connection => {
   const incoming = new Queue<Uint8Array | "closed">();
   socket.setNoDelay(true);
   socket.on("data", (bytes: Buffer) => incoming.put(bytes));
@@ -34,8 +40,9 @@
   };
 };
 
-/** An address of the form IP:port, taken apart. */
+/** Addresses of the form IP:port. */
 export const Address = {
+  /** The host without brackets, and the port. */
   parts(address: string): { host: string; port: number } {
     const colon = address.lastIndexOf(":");
     return {
@@ -46,11 +53,11 @@
 };
 
 export const Network = {
-  /** TCP. */
+  /** TCP connections; `close` ends all of them. */
   tcp(): Network & { close(): void } {
     const servers: Server[] = [];
     const sockets = new Set<Socket>();
-    const hold = (socket: Socket): Socket => {
+    const track = (socket: Socket): Socket => {
       sockets.add(socket);
       socket.on("close", () => sockets.delete(socket));
       return socket;
@@ -58,30 +65,32 @@
     return {
       *connect(address) {
         return yield* Task.wait<Connection | undefined>((done) => {
-          const socket = hold(connectSocket({ ...Address.parts(address), timeout: 1000 }));
-          const give = (): void => {
+          const socket = track(
+            connectSocket({ ...Address.parts(address), timeout: CONNECT_TIMEOUT_MS }),
+          );
+          const fail = (): void => {
             socket.destroy();
             done(undefined);
           };
-          socket.once("error", give);
-          socket.once("timeout", give);
+          socket.once("error", fail);
+          socket.once("timeout", fail);
           socket.once("connect", () => {
             socket.setTimeout(0);
-            socket.off("error", give);
-            socket.off("timeout", give);
-            done(channelOf(socket));
+            socket.off("error", fail);
+            socket.off("timeout", fail);
+            done(connectionOf(socket));
           });
         });
       },
       *listen(address, accept) {
-        const fault = yield* Task.wait<Error | "listening">((done) => {
-          const server = createServer((socket) => accept(channelOf(hold(socket))));
+        const outcome = yield* Task.wait<Error | "listening">((done) => {
+          const server = createServer((socket) => accept(connectionOf(track(socket))));
           servers.push(server);
           server.once("error", done);
           server.listen(Address.parts(address), () => done("listening"));
         });
-        if (fault !== "listening")
-          throw new ListenError(`Can't listen for peers on ${address}.`, { cause: fault });
+        if (outcome !== "listening")
+          throw new ListenError(`Can't listen for peers on ${address}.`, { cause: outcome });
       },
       close() {
         for (const server of servers) server.close();
--- a/src/runtime/queue.ts
+++ b/src/runtime/queue.ts
@@ -1,45 +1,48 @@
+/** Queues between tasks. */
 import { runEffects, tap } from "@most/core";
 import type { Stream } from "@most/types";
 import type { Clock } from "./clock.js";
 import { Task } from "./task.js";
 
-/** A queue of commands in front of the one owner of a table. */
+/** An unbounded queue: items go to the takers that wait, in order, or are retained for the next ones. */
 export class Queue<T> {
-  private readonly held: T[] = [];
+  private readonly items: T[] = [];
   private takers: Array<(item: T) => boolean> = [];
 
+  /** How many items are in the queue. */
   get size(): number {
-    return this.held.length;
+    return this.items.length;
   }
 
+  /** Adds an item. */
   put(item: T): void {
     for (let taker = this.takers.shift(); taker !== undefined; taker = this.takers.shift()) {
       if (taker(item)) return;
     }
-    this.held.push(item);
+    this.items.push(item);
   }
 
-  /** Puts a command unless one is held already, where one says as much as many. */
+  /** Adds an item unless the queue has one already, where one says as much as many. */
   putOnce(item: T): void {
-    if (this.held.length === 0) this.put(item);
+    if (this.items.length === 0) this.put(item);
   }
 
-  /** All that is held now, without waiting. */
+  /** Takes all items, without waiting. */
   drain(): T[] {
-    return this.held.splice(0);
+    return this.items.splice(0);
   }
 
-  /** Waits for the next command. */
+  /** Waits for the next item. */
   *take(): Task<T> {
     return yield* Task.wait<T>((done) => this.begin(done));
   }
 
-  /** Waits for the next command until a moment of the clock; `undefined` when none came. */
+  /** Waits for the next item until a moment of the clock; `undefined` where none came. */
   *takeUntil(clock: Clock, untilMs: number): Task<T | undefined> {
     return yield* Task.wait<T | undefined>((done) => {
-      let open = true;
+      let isWaiting = true;
       const cancel = clock.after(untilMs - clock.nowMs(), () => {
-        open = false;
+        isWaiting = false;
         done(undefined);
       });
       this.begin(
@@ -47,12 +50,12 @@
           cancel();
           done(item);
         },
-        () => open,
+        () => isWaiting,
       );
     });
   }
 
-  /** Feeds the queue from a stream until the stream ends. */
+  /** Adds the items of a stream until that ends. */
   feed(stream: Stream<T>, clock: Clock): void {
     void runEffects(
       tap((item) => this.put(item), stream),
@@ -60,14 +63,15 @@
     );
   }
 
-  private begin(done: (item: T) => void, open: () => boolean = () => true): void {
-    const [first] = this.held.splice(0, 1);
+  /** Hands the next item to `done`, if the taker is still waiting by then. */
+  private begin(done: (item: T) => void, isWaiting: () => boolean = () => true): void {
+    const [first] = this.items.splice(0, 1);
     if (first !== undefined) {
       done(first);
       return;
     }
     this.takers.push((item) => {
-      if (!open()) return false;
+      if (!isWaiting()) return false;
       done(item);
       return true;
     });
--- a/src/runtime/step-timer.ts
+++ b/src/runtime/step-timer.ts
@@ -1,10 +1,11 @@
+/** Detection of work that blocks the event loop. */
 import type { Clock } from "./clock.js";
 import type { Logger } from "./logger.js";
 
-/** From how long on a step is told of: a few of these together outlast an election wait. */
-const longMs = 80;
+/** From how long on a step is reported: a few of these in a row exceed an election timeout. */
+const LONG_STEP_MS = 80;
 
-/** Warns of steps of work that hold up the event loop for long, by name. */
+/** Logs steps of work that block the event loop for long, by name. */
 export class StepTimer {
   private readonly clock: Clock;
   private readonly log: Logger;
@@ -14,16 +15,16 @@
     this.log = log;
   }
 
-  /** Does a step of work at once and gives what it makes. */
+  /** Runs a step of work and returns its result. */
   run<T>(step: string, work: () => T): T {
     const startedMs = this.clock.nowMs();
-    const made = work();
+    const result = work();
     const tookMs = this.clock.nowMs() - startedMs;
-    if (tookMs >= longMs)
-      this.log.warn("A step of work held up the event loop.", {
+    if (tookMs >= LONG_STEP_MS)
+      this.log.warn("event loop blocked", {
         step,
         tookMs: Math.round(tookMs),
       });
-    return made;
+    return result;
   }
 }
--- a/src/runtime/task.ts
+++ b/src/runtime/task.ts
@@ -1,14 +1,16 @@
-/** What a task yields: it is handed the way to resume the task, and calls it once when the wish is fulfilled. */
+/** Cooperative tasks as generators, which run in a repeatable order. */
+
+/** What a task yields: it is given a function that resumes the task, and calls that once its outcome is there. */
 export type Suspension = (resume: () => void) => void;
 
-/** A state machine written straight down: one for each connection, each peer and each table's owner. */
+/** A task: it suspends itself where it yields, and returns its value. */
 export type Task<T = void> = Generator<Suspension, T, void>;
 
-/** Raised when a wish resumes its task without saying what happened. */
+/** Thrown where a task was resumed without an outcome. */
 export class MissingOutcomeError extends Error {}
 
 export const Task = {
-  /** Waits for one outcome of something started now. */
+  /** Waits for the first outcome of something that is started now. */
   *wait<T>(start: (done: (outcome: T) => void) => void): Task<T> {
     const outcomes: T[] = [];
     yield (resume) =>
@@ -18,20 +20,20 @@
         resume();
       });
     for (const outcome of outcomes) return outcome;
-    throw new MissingOutcomeError("A wish ended without an outcome.");
+    throw new MissingOutcomeError("A task was resumed without an outcome.");
   },
 
-  /** Runs a task to its end; `ended` hears its value, `failed` what it threw. */
+  /** Runs a task to its end; then calls `ended` with its value, or `failed` with what it threw. */
   start<T>(task: Task<T>, failed: (error: unknown) => void, ended?: (value: T) => void): void {
-    let running = false;
-    let owed = 0;
+    let isRunning = false;
+    let pendingSteps = 0;
     const step = (): void => {
-      owed += 1;
-      if (running) return;
-      running = true;
+      pendingSteps += 1;
+      if (isRunning) return;
+      isRunning = true;
       try {
-        while (owed > 0) {
-          owed -= 1;
+        while (pendingSteps > 0) {
+          pendingSteps -= 1;
           const next = task.next();
           if (next.done === true) {
             ended?.(next.value);
@@ -42,13 +44,13 @@
       } catch (error) {
         failed(error);
       } finally {
-        running = false;
+        isRunning = false;
       }
     };
     step();
   },
 
-  /** Waits for a promise; a rejection comes back as its error. */
+  /** Waits for a promise; a rejection is returned as its error. */
   *fromPromise<T>(promise: Promise<T>): Task<{ value: T } | { error: unknown }> {
     return yield* Task.wait<{ value: T } | { error: unknown }>((done) => {
       promise.then(
@@ -58,10 +60,10 @@
     });
   },
 
-  /** Lets go of the task until the holders of `begin` have all ended. */
+  /** Starts tasks by `start`, and waits until all have ended. */
   *all(start: (task: Task) => void, tasks: Task[]): Task {
-    let left = tasks.length;
-    if (left === 0) return;
+    let remaining = tasks.length;
+    if (remaining === 0) return;
     yield* Task.wait<boolean>((done) => {
       for (const task of tasks) {
         start(
@@ -69,8 +71,8 @@
             try {
               yield* task;
             } finally {
-              left -= 1;
-              if (left === 0) done(true);
+              remaining -= 1;
+              if (remaining === 0) done(true);
             }
           })(),
         );
--- a/src/runtime/text-compression.ts
+++ b/src/runtime/text-compression.ts
@@ -1,12 +1,16 @@
+/** Compression of long texts inside JSON. */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 
-const mostBytes = 64 * 1024 * 1024;
+/** How large a decompressed text may be: as large as the body of a frame. */
+const MAX_TEXT_BYTES = 64 * 1024 * 1024;
 
-/** Long texts as they travel: deflated, in base 64. */
+/** Texts deflated and in base 64. */
 export const TextCompression = {
   compress: (text: string): string =>
     deflateRawSync(Buffer.from(text, "utf8"), { level: 3 }).toString("base64"),
-  /** Raises an error where the packed text can't be read or is larger than a frame may be. */
-  decompress: (packed: string): string =>
-    inflateRawSync(Buffer.from(packed, "base64"), { maxOutputLength: mostBytes }).toString("utf8"),
+  /** Throws where the compressed text is damaged, or decompressed larger than a frame may be. */
+  decompress: (compressed: string): string =>
+    inflateRawSync(Buffer.from(compressed, "base64"), { maxOutputLength: MAX_TEXT_BYTES }).toString(
+      "utf8",
+    ),
 };
--- a/test/runtime/fast-validator.test.ts
+++ b/test/runtime/fast-validator.test.ts
@@ -34,7 +34,7 @@
   named: { a: 1 },
 };
 
-test("what the shape takes, the quick reader takes as it is; what it refuses, both refuse with the same words", () => {
+test("a valid value is returned as it is; an invalid one is refused with the message of the library", () => {
   const read = fastValidator(shape);
   expect(read(good)).toBe(good);
   expect(read({ ...good, flag: true, either: { no: "x" } })).toMatchObject({ flag: true });
@@ -59,15 +59,15 @@
     Object.fromEntries(Object.entries(good).filter(([name]) => name !== "named")),
   ];
   for (const value of bad) {
-    const said = (take: () => unknown): string => {
+    const messageOf = (take: () => unknown): string => {
       try {
         take();
-        return "taken";
+        return "accepted";
       } catch (error) {
         return error instanceof Error ? error.message : "";
       }
     };
-    expect(said(() => read(value))).toBe(said(() => create(value, shape)));
-    expect(said(() => read(value))).not.toBe("taken");
+    expect(messageOf(() => read(value))).toBe(messageOf(() => create(value, shape)));
+    expect(messageOf(() => read(value))).not.toBe("accepted");
   }
 });
--- a/test/runtime/link-pacer.test.ts
+++ b/test/runtime/link-pacer.test.ts
@@ -7,7 +7,7 @@
   throw error;
 };
 
-/** 3.2 Mbit/s: 400 bytes a millisecond, of which 360 are counted on. */
+/** 3.2 Mbit/s: 400 bytes a millisecond, of which 360 are usable. */
 const linkMbps = 3.2;
 const usableBytesPerMs = 360;
 
@@ -19,11 +19,11 @@
     Task.start(
       (function* () {
         const one = pacer.begin(rank, bytes);
-        for (let leftBytes = bytes; leftBytes > 0;) {
-          const part = Math.min(leftBytes, pacer.turnBytes);
+        for (let remainingBytes = bytes; remainingBytes > 0;) {
+          const part = Math.min(remainingBytes, pacer.turnBytes);
           yield* one.turn(part);
           written.push({ name, atMs: time.nowMs(), bytes: part });
-          leftBytes -= part;
+          remainingBytes -= part;
         }
         one.end();
       })(),
@@ -34,7 +34,7 @@
   return { time, pacer, written, transfer, endOf };
 };
 
-test("urgent bytes never wait behind more than some tens of milliseconds of bulk, and bulk takes what the link can bear", () => {
+test("small messages never wait behind more than some tens of milliseconds of bulk, which uses the full rate of the link", () => {
   const { time, pacer, written, transfer } = stage();
   for (let one = 0; one < 10; one += 1)
     transfer(`download ${one}`, 300_000, { transferClass: "response", dueMs: 60_000 });
@@ -47,7 +47,7 @@
   expect(bytes).toBeLessThan(1.03 * usableBytesPerMs * 2000);
 });
 
-test("urgent bytes are counted: bulk waits until they have left", () => {
+test("small messages count: bulk waits until they have left", () => {
   const { time, pacer, written, transfer } = stage();
   pacer.note(usableBytesPerMs * 100);
   expect(pacer.queueMs).toBeCloseTo(100, 0);
@@ -58,7 +58,7 @@
   expect(written).toHaveLength(1);
 });
 
-test("equal transfers take turns, one that is due earlier goes first, control goes before responses, and what is late goes last", () => {
+test("transfers of one deadline alternate, an earlier one goes first, control precedes responses, and late responses go last", () => {
   const { time, transfer, endOf } = stage();
   transfer("late", 50_000, { transferClass: "response", dueMs: -1 });
   transfer("one", 100_000, { transferClass: "response", dueMs: 3000 });
@@ -72,7 +72,7 @@
   expect(endOf("other")).toBeLessThan(endOf("late"));
 });
 
-test("the wait that is told covers what is queued and what is yet to be written; an ended transfer counts no more", () => {
+test("the estimated wait covers what is queued and what is yet to be written, without ended transfers", () => {
   const { time, pacer } = stage();
   const one = pacer.begin({ transferClass: "response", dueMs: 1000 }, usableBytesPerMs * 500);
   expect(pacer.waitMs(usableBytesPerMs * 100)).toBeCloseTo(600, 0);
@@ -84,7 +84,7 @@
   expect(pacer.waitMs(0)).toBe(0);
 });
 
-test("a turn that was cancelled is not given", () => {
+test("a cancelled turn is not granted", () => {
   const { time, pacer, written, transfer } = stage();
   pacer.note(usableBytesPerMs * 100);
   const one = pacer.begin({ transferClass: "control", dueMs: 0 });
@@ -96,7 +96,7 @@
   expect(written).toHaveLength(1);
 });
 
-test("without a rate nothing is held back", () => {
+test("without a known rate nothing is delayed", () => {
   const { pacer, written, transfer } = stage(0);
   pacer.note(10 ** 9);
   transfer("download", 10 ** 8, { transferClass: "response", dueMs: 0 });
--- a/test/runtime/queue.test.ts
+++ b/test/runtime/queue.test.ts
@@ -3,7 +3,7 @@
 import { Task } from "../../src/runtime/task.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 
-test("a command goes to the first taker still waiting", async () => {
+test("an item goes to the first taker that is still waiting", async () => {
   const virtual = new VirtualClock();
   const clock = virtual.clock();
   const queue = new Queue<string>();
--- a/test/runtime/task.test.ts
+++ b/test/runtime/task.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { Task } from "../../src/runtime/task.js";
 
-test("a task resumes with what happened, also when that was at once", () => {
+test("a task resumes with its first outcome, also if that is there at once", () => {
   const seen: number[] = [];
   const later: Array<(outcome: number) => void> = [];
   Task.start(
