--- a/src/cluster-view/active-route.ts
+++ b/src/cluster-view/active-route.ts
@@ -3,8 +3,22 @@
 
 type Route = Config["routes"][string];
 
+/** How long requests of a route may take, how often they may be sent, and their priority. */
+export interface RouteTargets {
+  /** The largest number of backends that one request may be sent to. */
+  readonly attempts: number;
+  /** One less than `attempts`. */
+  readonly furtherTries: number;
+  /** How long a request may take before it is answered with a timeout. */
+  readonly giveUpMs: number;
+  /** The latency target, by which the load balancer judges backends. */
+  readonly goalMs: number;
+  /** The priority of its requests, 0 the highest. */
+  readonly priority: number;
+}
+
 /** A route of the configuration in force, prepared for serving. */
-export interface ActiveRoute {
+export interface ActiveRoute extends RouteTargets {
   readonly name: string;
   /** The host in lower case, or undefined for any. */
   readonly host: string | undefined;
@@ -19,16 +33,6 @@
   readonly isDownload: boolean;
   readonly repeatable: boolean;
   readonly keyed: boolean;
-  /** The largest number of backends that one request may be sent to. */
-  readonly attempts: number;
-  /** One less than `attempts`. */
-  readonly furtherTries: number;
-  /** How long a request may take before it is answered with a timeout. */
-  readonly giveUpMs: number;
-  /** The latency target, by which the load balancer judges backends. */
-  readonly goalMs: number;
-  /** The priority of its requests, 0 the highest. */
-  readonly priority: number;
   readonly stampHeader: string;
   /** How many requests a daemon may have in flight at one backend. */
   readonly inHandLimit: number;
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -1,6 +1,6 @@
 /** The routes of one configuration, and the look-up of the one that serves a request. */
 import { Config, safeMethods, trafficSplitOf } from "../configuration/config.js";
-import type { ActiveRoute } from "./active-route.js";
+import type { ActiveRoute, RouteTargets } from "./active-route.js";
 import { PathIndex } from "./path-index.js";
 
 type Route = Config["routes"][string];
@@ -70,10 +70,7 @@
 };
 
 /** How long requests of a route may take, and how often they may be sent. */
-const targetsOf = (
-  route: Route,
-  goal: Goal | undefined,
-): Pick<ActiveRoute, "attempts" | "furtherTries" | "giveUpMs" | "goalMs" | "priority"> => {
+const targetsOf = (route: Route, goal: Goal | undefined): RouteTargets => {
   const furtherTries =
     route.attempts === undefined
       ? (goal?.furtherTries ?? DEFAULTS.furtherTries)
--- a/test/load-balancing/backend-ring.test.ts
+++ b/test/load-balancing/backend-ring.test.ts
@@ -6,7 +6,7 @@
   ringOrder,
   subsetSizeFor,
 } from "../../src/load-balancing/backend-ring.js";
-import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
+import { LoadBalancer, type PickOptions } from "../../src/load-balancing/load-balancer.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
 const zones = ["a", "b", "c"];
@@ -87,7 +87,7 @@
   }
 });
 
-const pickOptions = { tried: new Set<string>(), inHandLimit: 200, maxConnections: 66 };
+const pickOptions: PickOptions = { tried: new Set<string>(), inHandLimit: 200, maxConnections: 66 };
 
 test("a daemon uses its subset while that is healthy, and the next backends of the ring in place of failing ones", () => {
   const backends = backendsOf(66);
