--- /dev/null
+++ b/src/cli/commands/ask.ts
@@ -0,0 +1,17 @@
+/** `daledoor ask`: sends one query. */
+import { QUERY_FORMS } from "../../admin/query-parser.js";
+import { ADMIN_ADDRESS_HELP, DEFAULT_ADMIN_ADDRESS, sendAdminRequest } from "../admin-request.js";
+import type { CommandDefinition } from "../command.js";
+
+/** Adds the command `ask`. */
+export const addAskCommand: CommandDefinition = (program, start) => {
+  program
+    .command("ask <...words>", "Ask or order in the small language")
+    .option("--at <ip:port>", ADMIN_ADDRESS_HELP, { default: DEFAULT_ADMIN_ADDRESS })
+    .example(
+      `  daledoor ask show service checklists\n${QUERY_FORMS.map((form) => `  daledoor ask ${form}`).join("\n")}`,
+    )
+    .action((words: string[], { at }: { at: string }) =>
+      start(sendAdminRequest({ address: at, method: "POST", path: "/ask", body: words.join(" ") })),
+    );
+};
--- /dev/null
+++ b/src/cli/commands/check.ts
@@ -0,0 +1,27 @@
+/** `daledoor check`: checks a settings file or a config without sending it. */
+import { Config } from "../../configuration/config.js";
+import { Settings } from "../../daemon/settings.js";
+import type { CommandDefinition } from "../command.js";
+import { ExitCode } from "../exit-code.js";
+import { readJsonFile } from "../json-file.js";
+import { printFaults } from "../output.js";
+
+const checkFile = async (file: string): Promise<number> => {
+  const read = await readJsonFile(file);
+  if (!read) return ExitCode.usage;
+  const isSettings = typeof read.value === "object" && read.value !== null && "seeds" in read.value;
+  const checked = isSettings ? Settings.check(read.value) : Config.check(read.value);
+  if ("faults" in checked) {
+    printFaults(checked.faults);
+    return ExitCode.refused;
+  }
+  process.stdout.write(`${file}: a good ${isSettings ? "settings file" : "config"}.\n`);
+  return ExitCode.success;
+};
+
+/** Adds the command `check`. */
+export const addCheckCommand: CommandDefinition = (program, start) => {
+  program
+    .command("check <file>", "Check a settings file or a config without sending it")
+    .action((file: string) => start(checkFile(file)));
+};
--- /dev/null
+++ b/src/cli/commands/restore.ts
@@ -0,0 +1,76 @@
+/** `daledoor restore`: restores the replicated log from one voter after the majority is lost for good. */
+import { SettingsError } from "../../daemon/settings-error.js";
+import { SettingsFile } from "../../daemon/settings-file.js";
+import {
+  restoreAsOnlyVoter,
+  type RestoreResult,
+} from "../../replication/bootstrap/restore-as-only-voter.js";
+import { Disk } from "../../runtime/disk.js";
+import { Task } from "../../runtime/task.js";
+import type { CommandDefinition } from "../command.js";
+import { ExitCode } from "../exit-code.js";
+import { printError, printFaults } from "../output.js";
+
+interface RestoreOptions {
+  settings?: string;
+  acceptLoss?: boolean;
+}
+
+const restoreFrom = (dataFolder: string, peers: string): Promise<RestoreResult> =>
+  new Promise((resolve, reject) =>
+    Task.start(
+      (function* () {
+        return yield* restoreAsOnlyVoter(yield* Disk.open(dataFolder), peers);
+      })(),
+      reject,
+      resolve,
+    ),
+  );
+
+const restore = async ({ settings: file, acceptLoss }: RestoreOptions): Promise<number> => {
+  const { dataFolder, peers } = SettingsFile.own(file, {}).read();
+  if (dataFolder === undefined) {
+    printError("dataFolder: this daemon keeps no record.");
+    return ExitCode.usage;
+  }
+  printError(
+    "WARNING: this makes this recorder the only voter. What only the lost recorders had acknowledged is gone. Their data folders must be emptied before they start again.",
+  );
+  if (acceptLoss !== true) {
+    printError(
+      "Nothing was changed. Repeat with --accept-loss if the other voters are lost for good.",
+    );
+    return ExitCode.refused;
+  }
+  const restored = await restoreFrom(dataFolder, peers);
+  if (restored.kind === "refused") {
+    printError(restored.why);
+    return ExitCode.refused;
+  }
+  process.stdout.write(
+    `Restored: ${peers} is the only voter; the record ends at entry ${restored.lastIndex}. Start this daemon, then the others with empty data folders.\n`,
+  );
+  return ExitCode.success;
+};
+
+const restoreOrPrintFaults = async (options: RestoreOptions): Promise<number> => {
+  try {
+    return await restore(options);
+  } catch (error) {
+    if (!(error instanceof SettingsError)) throw error;
+    printFaults(error.faults);
+    return ExitCode.usage;
+  }
+};
+
+/** Adds the command `restore`. */
+export const addRestoreCommand: CommandDefinition = (program, start) => {
+  program
+    .command(
+      "restore",
+      "Restore the record from this recorder alone, when a majority is lost for good (the daemon must not run)",
+    )
+    .option("--settings <file>", "Settings file of this recorder")
+    .option("--accept-loss", "Do it, knowing that what only the lost recorders held is gone")
+    .action((options: RestoreOptions) => start(restoreOrPrintFaults(options)));
+};
