--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -1,3 +1,4 @@
+/** Derives all timeouts of a daemon from the bounds in its settings. */
 import type { ValidationFault } from "../configuration/config.js";
 import { ControlPlaneTimeouts } from "../control-plane/control-plane.js";
 import { ReplicationTimeouts } from "../replication/replication-node.js";
@@ -5,10 +6,10 @@
 import { RequestCountsFormat } from "../retry-budget/request-counts.js";
 import type { BoundSettings } from "./bound-settings.js";
 
-type Figures = Required<{ [name in keyof NonNullable<BoundSettings["bounds"]>]: number }>;
+/** The bounds with a value for each. */
+type BoundValues = Required<{ [name in keyof NonNullable<BoundSettings["bounds"]>]: number }>;
 
-/** The bounds where settings name none. */
-const usual: Figures = {
+const DEFAULT_BOUNDS: BoundValues = {
   applyMs: 2000,
   drainMs: 2000,
   contactMs: 3000,
@@ -25,101 +26,113 @@
   lossSlackMs: 200,
   staleMs: 0,
 };
-const usualHeartbeatMs = 1000;
+const MIN_HEARTBEAT_MS = 50;
+const DEFAULT_HEARTBEAT_MS = 1000;
 
-/** How long a poll is held at most; who asks waits longer. */
-const mostHoldMs = 320;
-/** How much longer than it is held a poll is waited for: the way there and back and the leader's work, as part of a lease. */
-const pollWayPart = 0.08;
-const leastPollWayMs = 130;
-/** Which part of a bound a lease may last; the rest is for what is under way. */
-const leasePart = 0.8;
-const leastBoundMs = 600;
-const leastContactMs = 1000;
-const leastGraceMs = 1000;
-const leastWindowMs = 1000;
-/** The shortest time in which a successor starts, learns the record and takes its predecessor's place. */
-const leastCatchUpMs = 1200;
-/** How many of the longest election waits fit into `catchUpMs` at least; shorter bounds make elections quicker. */
-const electionsInCatchUp = 8;
-/** Which part of `catchUpMs` a voter is silent until it is replaced; the rest is for elections and for the change itself. */
-const replacePart = 1 / 4;
-/** No voter is waited for longer than this, however long a returning member may take. */
-const mostReplaceMs = 10_000;
-/** How many times `catchUpMs` a learner is silent until it is removed. */
-const forgetTimes = 15;
-/** How much of its grace a stopping daemon leaves to the process's end. */
-const endMs = 400;
+/** The longest time for which the leader delays a poll's response; the daemon that polls waits longer. */
+const MAX_POLL_HOLD_MS = 320;
+/** The time allowed for a poll beyond that delay, for the network and the leader's work, as a fraction of a lease. */
+const POLL_OVERHEAD_FRACTION = 0.08;
+const MIN_POLL_OVERHEAD_MS = 130;
+/** The fraction of a bound that a lease may last; the rest is for requests in flight. */
+const LEASE_FRACTION = 0.8;
+const MIN_LEASE_BOUND_MS = 600;
+const MIN_CONTACT_MS = 1000;
+const MIN_GRACE_MS = 1000;
+const MIN_RETRY_WINDOW_MS = 1000;
+/** The shortest time in which a replacement voter starts, catches up with the log and is promoted. */
+const MIN_CATCH_UP_MS = 1200;
+/** From these values on, a lease or `contactMs` does not shorten election timeouts. */
+const UNSHORTENED_LEASE_MS = 1600;
+const UNSHORTENED_CONTACT_MS = 3000;
+const MIN_ELECTION_PACE = 0.3;
+/** The least number of longest election timeouts within `catchUpMs`; shorter bounds shorten election timeouts. */
+const ELECTIONS_PER_CATCH_UP = 8;
+/** The fraction of `catchUpMs` after which an unresponsive voter is replaced; the rest is for elections and the change itself. */
+const REPLACE_FRACTION = 1 / 4;
+/** An unresponsive voter is replaced after this at the latest, however long a returning member may take. */
+const MAX_REPLACE_AFTER_MS = 10_000;
+/** An unresponsive learner is removed after this many times `catchUpMs`. */
+const FORGET_FACTOR = 15;
+/** How much of the grace period is reserved for the exit of the process. */
+const EXIT_MS = 400;
 
-/** All waits of a daemon, worked out from the bounds it is held to. */
+/** All timeouts of a daemon, derived from its bounds. */
 export interface Bounds {
-  readonly figures: Figures;
-  /** How long an edge may serve by what it was last told. */
+  /** The bounds that the timeouts were derived from. */
+  readonly figures: BoundValues;
+  /** How long an edge may serve by its last lease. */
   readonly leaseMs: number;
-  /** How often an edge asks for a new lease. */
+  /** How often an edge polls for a new lease. */
   readonly pollMs: number;
-  /** How long an edge waits until it asks again; longer than the leader holds a poll. */
+  /** The timeout of a poll; longer than the leader delays its response. */
   readonly pollWaitMs: number;
   readonly controlPlaneTimeouts: ControlPlaneTimeouts;
   readonly replicationTimeouts: ReplicationTimeouts;
+  /** The rules of the retry budget. */
   readonly budget: RetryRules;
+  /** The format of request counts for the retry window. */
   readonly counts: RequestCountsFormat;
-  /** How long an operator's order may take until its fate is called unknown. */
+  /** The timeout of an operator's change, after which its outcome counts as unknown. */
   readonly orderMs: number;
-  /** How long a stopping daemon takes requests still: whoever sends it callers must first see that it isn't ready. */
+  /** How long a stopping daemon still accepts requests, until load balancers have noticed that it isn't ready. */
   readonly serveOnMs: number;
-  /** When a stopping daemon gives up on what is still in hand. */
+  /** When a stopping daemon abandons unfinished requests, from the start of its drain. */
   readonly abandonMs: number;
-  /** Until when a stopping member of the log waits for the others to hold what it acknowledged. */
+  /** Until when a stopping voter waits for the others to replicate what it acknowledged. */
   readonly retireMs: number;
 }
 
-const figuresOf = ({ bounds }: BoundSettings): Figures => {
-  const figures = { ...usual };
-  for (const name of Object.keys(usual)) {
-    if (!isFigure(name)) continue;
-    figures[name] = bounds?.[name] ?? usual[name];
+const boundValuesOf = ({ bounds }: BoundSettings): BoundValues => {
+  const values = { ...DEFAULT_BOUNDS };
+  for (const name of Object.keys(DEFAULT_BOUNDS)) {
+    if (!isBoundName(name)) continue;
+    values[name] = bounds?.[name] ?? DEFAULT_BOUNDS[name];
   }
-  return figures;
+  return values;
 };
 
-/** How quick elections are against the usual ones, so that they fit into each bound that waits for one. */
-const paceOf = (leaseMs: number, { contactMs, catchUpMs }: Figures): number => {
-  const usualElectionsMs = electionsInCatchUp * ReplicationTimeouts.defaults.electionMaxMs;
-  const fitting = Math.min(leaseMs / 1600, contactMs / 3000, catchUpMs / usualElectionsMs);
-  return Math.min(1, Math.max(0.3, fitting));
+/** The factor by which election timeouts are shortened against their defaults, so that an election fits into each bound that includes one. */
+const electionPaceOf = (leaseMs: number, { contactMs, catchUpMs }: BoundValues): number => {
+  const defaultElectionsMs = ELECTIONS_PER_CATCH_UP * ReplicationTimeouts.defaults.electionMaxMs;
+  const fittingPace = Math.min(
+    leaseMs / UNSHORTENED_LEASE_MS,
+    contactMs / UNSHORTENED_CONTACT_MS,
+    catchUpMs / defaultElectionsMs,
+  );
+  return Math.min(1, Math.max(MIN_ELECTION_PACE, fittingPace));
 };
 
-const isFigure = (name: string): name is keyof Figures => name in usual;
+const isBoundName = (name: string): name is keyof BoundValues => name in DEFAULT_BOUNDS;
 
 export const Bounds = {
-  /** The bounds that can't be kept, by their paths in the settings. */
+  /** The bounds in the settings that are too short to be met, by their paths. */
   faults(settings: BoundSettings): ValidationFault[] {
-    const figures = figuresOf(settings);
-    const least: Array<[name: keyof Figures, least: number, why: string]> = [
-      ["applyMs", leastBoundMs, "a lease has to outlast a poll and an election"],
-      ["drainMs", leastBoundMs, "a lease has to outlast a poll and an election"],
-      ["contactMs", leastContactMs, "an election has to fit in"],
-      ["graceMs", leastGraceMs, "work in hand has to end in it"],
-      ["catchUpMs", leastCatchUpMs, "a successor has to take a lost member's place in it"],
-      ["retryWindowMs", leastWindowMs, "counts have to travel in it"],
+    const values = boundValuesOf(settings);
+    const minimums: Array<[name: keyof BoundValues, minimum: number, why: string]> = [
+      ["applyMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
+      ["drainMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
+      ["contactMs", MIN_CONTACT_MS, "an election has to fit in"],
+      ["graceMs", MIN_GRACE_MS, "work in hand has to end in it"],
+      ["catchUpMs", MIN_CATCH_UP_MS, "a successor has to take a lost member's place in it"],
+      ["retryWindowMs", MIN_RETRY_WINDOW_MS, "counts have to travel in it"],
       ["retryRatio", 0, "it is a part of the requests"],
       ["retryExtra", 0, "it is a number of tries"],
     ];
-    const faults = least
-      .filter(([name, limit]) => figures[name] < limit)
-      .map(([name, limit, why]) => ({
+    const faults = minimums
+      .filter(([name, minimum]) => values[name] < minimum)
+      .map(([name, minimum, why]) => ({
         path: `bounds.${name}`,
-        expected: `${limit} or more, since ${why}`,
+        expected: `${minimum} or more, since ${why}`,
       }));
-    if (settings.heartbeatMs !== undefined && settings.heartbeatMs < 50)
-      faults.push({ path: "heartbeatMs", expected: "50 or more" });
+    if (settings.heartbeatMs !== undefined && settings.heartbeatMs < MIN_HEARTBEAT_MS)
+      faults.push({ path: "heartbeatMs", expected: `${MIN_HEARTBEAT_MS} or more` });
     return faults;
   },
 
-  /** The waits that keep the bounds in the settings. */
+  /** The timeouts that meet the bounds in the settings. */
   of(settings: BoundSettings): Bounds {
-    const figures = figuresOf(settings);
+    const values = boundValuesOf(settings);
     const {
       applyMs,
       drainMs,
@@ -131,23 +144,23 @@
       retryRatio,
       retryExtra,
       retryWindowMs,
-    } = figures;
-    const leaseMs = leasePart * Math.min(applyMs, drainMs);
+    } = values;
+    const leaseMs = LEASE_FRACTION * Math.min(applyMs, drainMs);
     const pollMs = leaseMs / 4;
-    const holdMs = Math.min(leaseMs / 5, mostHoldMs);
-    const heartbeatMs = settings.heartbeatMs ?? usualHeartbeatMs;
-    const pace = paceOf(leaseMs, figures);
+    const holdMs = Math.min(leaseMs / 5, MAX_POLL_HOLD_MS);
+    const heartbeatMs = settings.heartbeatMs ?? DEFAULT_HEARTBEAT_MS;
+    const pace = electionPaceOf(leaseMs, values);
     const paced = (ms: number): number => Math.round(ms * pace);
     return {
-      figures,
+      figures: values,
       leaseMs,
       pollMs,
-      pollWaitMs: holdMs + Math.max(leaseMs * pollWayPart, leastPollWayMs),
+      pollWaitMs: holdMs + Math.max(leaseMs * POLL_OVERHEAD_FRACTION, MIN_POLL_OVERHEAD_MS),
       controlPlaneTimeouts: {
         ...ControlPlaneTimeouts.defaults,
-        leaseMs: leaseMs,
-        heartbeatMs: heartbeatMs,
-        // What one daemon hears reaches the leader with its polls.
+        leaseMs,
+        heartbeatMs,
+        // A heartbeat reaches the leader with the next poll of the daemon that received it.
         expiryMs: 3.5 * heartbeatMs + 2 * pollMs,
         holdMs,
         leaveHoldMs: drainMs + 500,
@@ -164,17 +177,17 @@
         stallMs: paced(ReplicationTimeouts.defaults.stallMs),
         replaceAfterMs: Math.max(
           2 * paced(ReplicationTimeouts.defaults.electionMaxMs),
-          Math.round(Math.min(mostReplaceMs, catchUpMs * replacePart)),
+          Math.round(Math.min(MAX_REPLACE_AFTER_MS, catchUpMs * REPLACE_FRACTION)),
         ),
         responsiveAfterMs: catchUpMs,
-        forgetAfterMs: forgetTimes * catchUpMs,
+        forgetAfterMs: FORGET_FACTOR * catchUpMs,
       },
       budget: RetryRules.of(retryRatio, retryExtra, retryWindowMs),
       counts: RequestCountsFormat.forWindow(retryWindowMs),
       orderMs: 0.8 * ackMs,
       serveOnMs: Math.min(2600, (graceMs * 13) / 30),
-      abandonMs: graceMs - endMs,
-      retireMs: graceMs - endMs / 2,
+      abandonMs: graceMs - EXIT_MS,
+      retireMs: graceMs - EXIT_MS / 2,
     };
   },
 };
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -1,46 +1,47 @@
+/** The response side of an HTTP request: order on its connection, backpressure, and pacing on the machine's link. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { ClientConnection } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
 import type { LinkPacer, Transfer, TransferClass } from "../runtime/link-pacer.js";
 import { Task } from "../runtime/task.js";
 
-/** What is heard of one caller's connection. */
+/** The state of one client's connection, shared by its requests. */
 export interface HttpConnectionState {
-  isOver: boolean;
-  /** Hear when it is over. */
-  readonly over: Set<() => void>;
-  /** Its requests that are not answered yet, in the order in which they came. */
-  readonly unanswered: HttpClientConnection[];
-  /** An answer was given that closes it: what came behind that one counts as not read. */
+  isClosed: boolean;
+  /** Listeners for its close. */
+  readonly closeListeners: Set<() => void>;
+  /** Its requests without a response yet, in order of arrival. */
+  readonly pending: HttpClientConnection[];
+  /** Whether a response that closes it was sent: requests after that one count as not received. */
   isClosing: boolean;
-  /** Hear when a request is answered. */
-  readonly answered: Set<() => void>;
+  /** Listeners for the end of a response. */
+  readonly responseListeners: Set<() => void>;
 }
 
-/** A connection of which nothing is heard yet. */
+/** The state of a connection that was just opened. */
 export const newHttpConnectionState = (): HttpConnectionState => ({
-  isOver: false,
-  over: new Set(),
-  unanswered: [],
+  isClosed: false,
+  closeListeners: new Set(),
+  pending: [],
   isClosing: false,
-  answered: new Set(),
+  responseListeners: new Set(),
 });
 
-/** What the responses of one server have in common. */
+/** The state that the responses of one server share. */
 export interface ResponseContext {
-  /** Whether callers are asked to open another connection. */
+  /** Whether responses ask clients to close their connections. */
   isClosing(): boolean;
   /** The link that responses leave by. */
   readonly egress: LinkPacer;
   readonly transferClass: TransferClass;
-  /** How many whole responses are being written. */
+  /** How many buffered responses are being written. */
   unfinished: number;
 }
 
-/** About how many bytes the head of a response takes. */
-const headBytes = 300;
+/** The approximate size of a response's head. */
+const RESPONSE_HEAD_BYTES = 300;
 
-/** The way back to the caller of one request: large bodies are written in turns with all others on the link. */
+/** The response side of one request: large bodies share the link in turns with all others. */
 export class HttpClientConnection implements ClientConnection {
   dueMs = Infinity;
   private readonly request: IncomingMessage;
@@ -59,66 +60,69 @@
     this.response = response;
     this.connection = connection;
     this.context = context;
-    connection.unanswered.push(this);
-    response.once("close", () => this.leave());
+    connection.pending.push(this);
+    response.once("close", () => this.finish());
   }
 
   get isClosed(): boolean {
-    return this.connection.isOver;
+    return this.connection.isClosed;
   }
 
   onClosed(run: () => void): () => void {
-    const { over } = this.connection;
-    over.add(run);
-    return () => over.delete(run);
+    const { closeListeners } = this.connection;
+    closeListeners.add(run);
+    return () => closeListeners.delete(run);
   }
 
-  /** Waits until all that came before on the connection is answered; false where the connection ends before. */
+  /** Waits until all earlier requests of the connection have their responses; false where the connection closes first. */
   *awaitTurn(): Task<boolean> {
     const { connection } = this;
-    while (connection.unanswered[0] !== this && !connection.isOver) {
+    while (connection.pending[0] !== this && !connection.isClosed) {
       yield* Task.wait<true>((done) => {
-        const go = (): void => {
-          connection.answered.delete(go);
-          connection.over.delete(go);
+        const resume = (): void => {
+          connection.responseListeners.delete(resume);
+          connection.closeListeners.delete(resume);
           done(true);
         };
-        connection.answered.add(go);
-        connection.over.add(go);
+        connection.responseListeners.add(resume);
+        connection.closeListeners.add(resume);
       });
     }
-    return !connection.isOver && !connection.isClosing;
+    return !connection.isClosed && !connection.isClosing;
   }
 
   respond({ code, headers, body }: ClientResponse): void {
     const { request, response, context } = this;
     const isBodiless = request.method === "HEAD" || code === 204 || code === 304;
-    this.head(code, isBodiless ? headers : { ...headers, "content-length": String(body.length) });
+    this.sendHead(
+      code,
+      isBodiless ? headers : { ...headers, "content-length": String(body.length) },
+    );
     if (isBodiless || body.length <= context.egress.smallBytes) {
-      context.egress.note(headBytes + (isBodiless ? 0 : body.length));
+      context.egress.note(RESPONSE_HEAD_BYTES + (isBodiless ? 0 : body.length));
       response.end(isBodiless ? undefined : body);
       return;
     }
-    Task.start(this.written(body), () => response.destroy());
+    Task.start(this.writeBody(body), () => response.destroy());
   }
 
   writeHead(code: number, headers: Record<string, string>): void {
-    this.head(code, headers);
+    this.sendHead(code, headers);
     this.beginTransfer(Number(headers["content-length"] ?? 0));
   }
 
   *writeChunk(bytes: Uint8Array): Task<boolean> {
     const { turnBytes } = this.context.egress;
     const transfer = this.transfer ?? this.beginTransfer(bytes.length);
-    for (let at = 0; at < bytes.length; at += turnBytes) {
-      const part = bytes.subarray(at, at + turnBytes);
+    for (let offset = 0; offset < bytes.length; offset += turnBytes) {
+      const part = bytes.subarray(offset, offset + turnBytes);
       yield* transfer.turn(part.length);
-      if (!(yield* this.accepted(part))) {
+      if (!(yield* this.writePart(part))) {
         transfer.end();
         return false;
       }
     }
-    return !this.connection.isOver;
+    return !this.connection.isClosed;
   }
 
   end(): void {
@@ -131,7 +135,7 @@
     this.response.destroy();
   }
 
-  private *written(body: Uint8Array): Task {
+  private *writeBody(body: Uint8Array): Task {
     this.context.unfinished += 1;
     try {
       this.beginTransfer(body.length);
@@ -141,14 +145,14 @@
     }
   }
 
-  private leave(): void {
-    const { unanswered, answered } = this.connection;
-    const at = unanswered.indexOf(this);
-    if (at >= 0) unanswered.splice(at, 1);
-    for (const hear of [...answered]) hear();
+  private finish(): void {
+    const { pending, responseListeners } = this.connection;
+    const index = pending.indexOf(this);
+    if (index >= 0) pending.splice(index, 1);
+    for (const listener of [...responseListeners]) listener();
   }
 
-  private head(code: number, headers: Record<string, string>): void {
+  private sendHead(code: number, headers: Record<string, string>): void {
     const sent = this.context.isClosing() ? { ...headers, connection: "close" } : headers;
     if (sent["connection"] === "close") this.connection.isClosing = true;
     this.response.sendDate = false;
@@ -164,20 +168,20 @@
     return transfer;
   }
 
-  /** Writes a part and waits until the connection takes more; false once the connection is over. */
-  private *accepted(part: Uint8Array): Task<boolean> {
+  /** Writes a part and waits until the connection accepts more; false once it is closed. */
+  private *writePart(part: Uint8Array): Task<boolean> {
     const { response, connection } = this;
-    if (connection.isOver) return false;
+    if (connection.isClosed) return false;
     if (response.write(part)) return true;
     yield* Task.wait<true>((done) => {
-      const go = (): void => {
-        response.off("drain", go);
-        connection.over.delete(go);
+      const resume = (): void => {
+        response.off("drain", resume);
+        connection.closeListeners.delete(resume);
         done(true);
       };
-      response.once("drain", go);
-      connection.over.add(go);
+      response.once("drain", resume);
+      connection.closeListeners.add(resume);
     });
-    return !connection.isOver;
+    return !connection.isClosed;
   }
 }
--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -1,3 +1,4 @@
+/** The HTTP/1.1 server of a daemon: limits on requests, buffering of small bodies and streaming of large ones. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
@@ -12,41 +13,42 @@
   type HttpConnectionState,
   type ResponseContext,
 } from "./http-client-connection.js";
+import { discardBody, streamBody } from "./request-body.js";
 
-/** What callers may send, and how long they may take or rest. */
+/** Limits on requests and idle connections. */
 export interface ServerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
+  /** How long the headers of a request may take. */
   readonly headerMs: number;
+  /** How long a connection may be idle between requests. */
   readonly idleMs: number;
 }
 
-/** How a server differs from the usual one. */
+/** How a server differs from the default. */
 export interface ServerOptions {
-  /** Whether bodies of requests are always held whole. */
+  /** Whether request bodies are always buffered, whatever their size. */
   readonly wholeOnly?: boolean;
-  /** The link that responses leave by, and their class among what is large. */
+  /** The link that responses leave by. */
   readonly egress?: LinkPacer;
+  /** The class of large responses on that link. */
   readonly transferClass?: TransferClass;
 }
 
-const usual: ServerLimits = {
+const DEFAULT_LIMITS: ServerLimits = {
   headerBytes: 16 * 1024,
   bodyBytes: 64 * 1024 * 1024,
   headerMs: 10_000,
   idleMs: 15_000,
 };
-/** The parser's own bound on headers, over all that the limits may say. */
-const parserHeaderBytes = 256 * 1024;
-/** How often connections are looked through for headers that take too long. */
-const lookMs = 1000;
-/** A body up to this size is held whole before its request is handed on; of a larger one the rest follows as it comes. */
+/** The parser's own limit on headers, above any that the limits may set. */
+const MAX_PARSED_HEADER_BYTES = 256 * 1024;
+/** How often connections are checked for headers that take too long. */
+const CONNECTION_CHECK_INTERVAL_MS = 1000;
+/** A body up to this size is buffered before its request is handled; of a larger one the rest is streamed. */
 export const BUFFERED_BODY_BYTES = 256 * 1024;
 
-/** Raised where a body breaks off or grows over its limit while it is passed on. */
-export class RequestBodyAbortedError extends Error {}
-
-const flat = (request: IncomingMessage): Record<string, string> => {
+const headersOf = (request: IncomingMessage): Record<string, string> => {
   const headers: Record<string, string> = {};
   for (const name in request.headers) {
     const value = request.headers[name];
@@ -55,81 +57,56 @@
   return headers;
 };
 
-const restOf = async function* (
-  request: IncomingMessage,
-  heldBytes: number,
-  limitBytes: number,
-  begun: () => void,
-): AsyncGenerator<Uint8Array> {
-  begun();
-  let sumBytes = heldBytes;
-  try {
-    for await (const piece of request.iterator({ destroyOnReturn: false })) {
-      if (!(piece instanceof Uint8Array))
-        throw new RequestBodyAbortedError("The body is not bytes.");
-      sumBytes += piece.length;
-      if (sumBytes > limitBytes) throw new RequestBodyAbortedError("The body is over its limit.");
-      yield piece;
-    }
-    if (!request.complete) throw new RequestBodyAbortedError("The body was cut short.");
-  } finally {
-    readOut(request, sumBytes, limitBytes);
-  }
-};
-
-/** Reads what is left of a body that nobody wants any more: a connection that is closed with unread bytes can lose its answer. */
-const readOut = (request: IncomingMessage, readBytes: number, limitBytes: number): void => {
-  if (request.readableEnded) return;
-  let sumBytes = readBytes;
-  request.on("data", (piece: Buffer) => {
-    sumBytes += piece.length;
-    if (sumBytes > limitBytes) request.destroy();
-  });
-  request.resume();
-};
+/** The bytes of a request line besides its method and target, and of the separator after a header's name or value. */
+const REQUEST_LINE_BYTES = 12;
+const HEADER_SEPARATOR_BYTES = 2;
 
 const headerBytesOf = (request: IncomingMessage): number => {
-  let sum = (request.url?.length ?? 0) + (request.method?.length ?? 0) + 12;
-  for (const word of request.rawHeaders) sum += word.length + 2;
-  return sum;
+  let bytes = (request.url?.length ?? 0) + (request.method?.length ?? 0) + REQUEST_LINE_BYTES;
+  for (const word of request.rawHeaders) bytes += word.length + HEADER_SEPARATOR_BYTES;
+  return bytes;
 };
 
-const refused = (client: ClientConnection, code: number, error: string): void =>
+const refuse = (client: ClientConnection, code: number, error: string): void =>
   client.respond(
     ClientResponse.json(code, { error, verdict: "neverRan" }, { connection: "close" }),
   );
 
-/** An HTTP/1.1 server that hands on requests, small bodies held whole. */
+/** An HTTP/1.1 server that passes each request to a handler, with small bodies buffered. */
 export class HttpServer {
   private readonly server: Server;
-  private readonly take: (clientRequest: ProxyRequest, client: ClientConnection) => void;
+  private readonly handle: (clientRequest: ProxyRequest, client: ClientConnection) => void;
   private readonly wholeOnly: boolean;
   private readonly connections = new WeakMap<Socket, HttpConnectionState>();
-  private limits: ServerLimits = usual;
-  private closing = false;
+  private limits: ServerLimits = DEFAULT_LIMITS;
+  private isClosing = false;
   private readonly responses: ResponseContext;
 
   constructor(
-    take: (clientRequest: ProxyRequest, client: ClientConnection) => void,
+    handle: (clientRequest: ProxyRequest, client: ClientConnection) => void,
     {
       wholeOnly = true,
       egress = new LinkPacer(Clock.real(), undefined),
       transferClass = "response",
     }: ServerOptions = {},
   ) {
-    this.take = take;
+    this.handle = handle;
     this.wholeOnly = wholeOnly;
-    this.responses = { isClosing: () => this.closing, egress, transferClass, unfinished: 0 };
+    this.responses = { isClosing: () => this.isClosing, egress, transferClass, unfinished: 0 };
     this.server = createServer(
-      { maxHeaderSize: parserHeaderBytes, connectionsCheckingInterval: lookMs, noDelay: true },
-      (request, response) => this.arrived(request, response),
+      {
+        maxHeaderSize: MAX_PARSED_HEADER_BYTES,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
+        noDelay: true,
+      },
+      (request, response) => this.onRequest(request, response),
     );
-    this.server.on("connection", (socket) => this.connected(socket));
+    this.server.on("connection", (socket) => this.onConnection(socket));
     this.server.requestTimeout = 0;
-    this.bound(usual);
+    this.bound(DEFAULT_LIMITS);
   }
 
-  /** Holds callers to limits from now on. */
+  /** Sets the limits on requests from now on; those not named return to their defaults. */
   bound({
     headerBytes,
     bodyBytes,
@@ -137,110 +114,131 @@
     idleMs,
   }: { readonly [name in keyof ServerLimits]?: number | undefined }): void {
     this.limits = {
-      headerBytes: headerBytes ?? usual.headerBytes,
-      bodyBytes: bodyBytes ?? usual.bodyBytes,
-      headerMs: headerMs ?? usual.headerMs,
-      idleMs: idleMs ?? usual.idleMs,
+      headerBytes: headerBytes ?? DEFAULT_LIMITS.headerBytes,
+      bodyBytes: bodyBytes ?? DEFAULT_LIMITS.bodyBytes,
+      headerMs: headerMs ?? DEFAULT_LIMITS.headerMs,
+      idleMs: idleMs ?? DEFAULT_LIMITS.idleMs,
     };
     this.server.headersTimeout = this.limits.headerMs;
     this.server.keepAliveTimeout = this.limits.idleMs;
   }
 
+  /** Listens on an address; throws a ListenError where that fails. */
   *listen(address: string): Task {
     const { server } = this;
-    const fault = yield* Task.wait<Error | "listening">((done) => {
+    const outcome = yield* Task.wait<Error | "listening">((done) => {
       server.once("error", done);
       server.listen({ ...Address.parts(address), backlog: 1024 }, () => done("listening"));
     });
-    if (fault !== "listening")
-      throw new ListenError(`Can't listen for HTTP on ${address}.`, { cause: fault });
+    if (outcome !== "listening")
+      throw new ListenError(`Can't listen for HTTP on ${address}.`, { cause: outcome });
   }
 
-  /** From now on every return asks its caller to open another connection; those there are still serve. */
+  /** Has every response close its connection from now on; open connections are still served. */
   partWithCallers(): void {
-    this.closing = true;
+    this.isClosing = true;
   }
 
-  /** Takes no new connections, and closes those that are idle or become so. A request that is on its way over one of them is lost. */
+  /** Accepts no new connections and closes idle ones. A request in flight on one of these is lost. */
   close(): void {
-    this.closing = true;
+    this.isClosing = true;
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** How many responses that were handed over whole are still being written. */
+  /** How many buffered responses are still being written. */
   get unfinished(): number {
     return this.responses.unfinished;
   }
 
-  /** Ends all that is left. */
+  /** Closes all remaining connections. */
   end(): void {
     this.server.closeAllConnections();
   }
 
-  private connected(socket: Socket): void {
+  private onConnection(socket: Socket): void {
     const connection = newHttpConnectionState();
     this.connections.set(socket, connection);
     socket.once("close", () => {
-      connection.isOver = true;
-      for (const hear of connection.over) hear();
+      connection.isClosed = true;
+      for (const listener of connection.closeListeners) listener();
     });
   }
 
-  private arrived(request: IncomingMessage, response: ServerResponse): void {
+  private onRequest(request: IncomingMessage, response: ServerResponse): void {
     const connection = this.connections.get(request.socket) ?? newHttpConnectionState();
-    const caller = new HttpClientConnection(request, response, connection, this.responses);
+    const client = new HttpClientConnection(request, response, connection, this.responses);
     const { headerBytes, bodyBytes } = this.limits;
     request.on("error", () => undefined);
     response.on("error", () => undefined);
-    const statedBytes = Number(request.headers["content-length"] ?? 0);
+    const declaredBytes = Number(request.headers["content-length"] ?? 0);
     if (headerBytesOf(request) > headerBytes)
-      return refused(caller, 431, `The headers have at most ${headerBytes} bytes.`);
-    if (statedBytes > bodyBytes)
-      return refused(caller, 413, `A body has at most ${bodyBytes} bytes.`);
-    const hand = (body: Uint8Array, rest?: AsyncIterable<Uint8Array>): void => {
-      const job = {
-        method: request.method ?? "",
-        target: request.url ?? "/",
-        headers: flat(request),
-        body,
-      };
-      this.take(rest ? { ...job, rest } : job, caller);
-    };
-    if (statedBytes === 0 && request.headers["transfer-encoding"] === undefined) {
+      return refuse(client, 431, `The headers have at most ${headerBytes} bytes.`);
+    if (declaredBytes > bodyBytes)
+      return refuse(client, 413, `A body has at most ${bodyBytes} bytes.`);
+    if (declaredBytes === 0 && request.headers["transfer-encoding"] === undefined) {
       request.resume();
-      return hand(new Uint8Array());
+      return this.forward(request, client, new Uint8Array());
     }
-    const pieces: Buffer[] = [];
-    let heldBytes = 0;
-    let isOver = false;
-    const hear = (piece: Buffer): void => {
-      heldBytes += piece.length;
-      if (isOver) return;
-      if (heldBytes > bodyBytes) {
-        isOver = true;
-        pieces.length = 0;
-        return refused(caller, 413, `A body has at most ${bodyBytes} bytes.`);
+    this.readBody(request, response, client, declaredBytes);
+  }
+
+  private forward(
+    request: IncomingMessage,
+    client: ClientConnection,
+    body: Uint8Array,
+    rest?: AsyncIterable<Uint8Array>,
+  ): void {
+    const clientRequest = {
+      method: request.method ?? "",
+      target: request.url ?? "/",
+      headers: headersOf(request),
+      body,
+    };
+    this.handle(rest ? { ...clientRequest, rest } : clientRequest, client);
+  }
+
+  /** Buffers a body up to its end, or up to the size from which on the rest is streamed. */
+  private readBody(
+    request: IncomingMessage,
+    response: ServerResponse,
+    client: ClientConnection,
+    declaredBytes: number,
+  ): void {
+    const { bodyBytes } = this.limits;
+    const chunks: Buffer[] = [];
+    let bufferedBytes = 0;
+    let isForwarded = false;
+    const isStillBuffered = (): boolean =>
+      this.wholeOnly || bufferedBytes <= BUFFERED_BODY_BYTES || bufferedBytes === declaredBytes;
+    const onData = (chunk: Buffer): void => {
+      bufferedBytes += chunk.length;
+      if (isForwarded) return;
+      if (bufferedBytes > bodyBytes) {
+        isForwarded = true;
+        chunks.length = 0;
+        return refuse(client, 413, `A body has at most ${bodyBytes} bytes.`);
       }
-      pieces.push(piece);
-      if (this.wholeOnly || heldBytes <= BUFFERED_BODY_BYTES || heldBytes === statedBytes) return;
-      isOver = true;
-      request.off("data", hear);
+      chunks.push(chunk);
+      if (isStillBuffered()) return;
+      isForwarded = true;
+      request.off("data", onData);
       request.pause();
-      let isRead = false;
+      let isStreamed = false;
       response.once("close", () => {
-        if (!isRead) readOut(request, heldBytes, bodyBytes);
+        if (!isStreamed) discardBody(request, bufferedBytes, bodyBytes);
       });
-      const begun = (): void => {
-        isRead = true;
+      const onStart = (): void => {
+        isStreamed = true;
       };
-      hand(Buffer.concat(pieces), restOf(request, heldBytes, bodyBytes, begun));
+      const rest = streamBody(request, bufferedBytes, bodyBytes, onStart);
+      this.forward(request, client, Buffer.concat(chunks), rest);
     };
-    request.on("data", hear);
+    request.on("data", onData);
     request.on("end", () => {
-      if (isOver || !request.complete) return;
-      isOver = true;
-      hand(Buffer.concat(pieces));
+      if (isForwarded || !request.complete) return;
+      isForwarded = true;
+      this.forward(request, client, Buffer.concat(chunks));
     });
   }
 }
