--- a/src/model-checker/member-group.ts
+++ b/src/model-checker/member-group.ts
@@ -1,18 +1,20 @@
 import { Members } from "../consensus/members.js";
+import { emptyContent } from "./disk-contents.js";
 import { InvariantChecks } from "./invariant-checks.js";
 import { OperationHistory } from "./history/operation-history.js";
 import type { Message, ModelReply, ModelRequest } from "./message.js";
 import { ModelDisk } from "./model-disk.js";
-import { ModelMember, type GroupEnvironment } from "./model-member.js";
+import type { GroupEnvironment } from "./group-environment.js";
+import { ModelMember } from "./model-member.js";
 import { RandomSource } from "./random-source.js";
 import type { GroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
-/** How many messages are under way at most; beyond that the oldest are lost. */
-const mostMessages = 48;
+/** The limit of messages in flight; beyond it the oldest are lost. */
+const MAX_MESSAGES = 48;
 
-/** By how many voters a group may exceed the wanted ones. */
-const mostSpread = 2;
+/** By how many voters a group may exceed the wanted number. */
+const MAX_EXTRA_VOTERS = 2;
 
 const linkOf = (from: string, to: string): string => `${from}>${to}`;
 
@@ -46,16 +48,7 @@
     this.history = new OperationHistory();
     names.forEach((name, at) => {
       const member = new ModelMember(name, settings.clockRates[at] ?? 1, this, new ModelDisk());
-      member.disk.content = {
-        term: 0,
-        votedFor: "",
-        rejoinNonce: "",
-        lastIndex: 0,
-        lastTerm: 0,
-        members,
-        entries: [],
-        value: 0,
-      };
+      member.disk.content = emptyContent(members);
       this.members.set(name, member);
       member.start();
     });
@@ -193,9 +186,9 @@
     if (message === undefined || this.cuts.has(linkOf(message.from, message.to))) return;
     if (!twice) this.messages.delete(id);
     const receiver = this.member(message.to);
-    const { body, from, askId } = message;
-    if (body.way === "request") receiver.receive(from, askId, body.request);
-    else receiver.receiveReply(askId, body.reply);
+    const { body, from, requestId } = message;
+    if (body.way === "request") receiver.receive(from, requestId, body.request);
+    else receiver.receiveReply(requestId, body.reply);
   }
 
   private write(member: ModelMember): void {
@@ -224,7 +217,10 @@
 
   private promote(leader: ModelMember, learner: string): void {
     const { voters, learners } = leader.state.members;
-    if (!learners.includes(learner) || voters.length >= this.settings.wantedVoters + mostSpread)
+    if (
+      !learners.includes(learner) ||
+      voters.length >= this.settings.wantedVoters + MAX_EXTRA_VOTERS
+    )
       return;
     leader.changeMembers({
       voters: [...voters, learner],
@@ -234,13 +230,13 @@
 
   send(from: string, to: string, request: ModelRequest): string {
     const id = this.nameFor(from, to, request.kind);
-    this.put({ id, from, to, askId: id, body: { way: "request", request } });
+    this.put({ id, from, to, requestId: id, body: { way: "request", request } });
     return id;
   }
 
-  reply(from: string, to: string, askId: string, reply: ModelReply): void {
+  reply(from: string, to: string, requestId: string, reply: ModelReply): void {
     const id = this.nameFor(from, to, `${reply.kind}-reply`);
-    this.put({ id, from, to, askId, body: { way: "reply", reply } });
+    this.put({ id, from, to, requestId, body: { way: "reply", reply } });
   }
 
   draw(member: string): number {
@@ -287,6 +283,6 @@
   private put(message: Message): void {
     this.messages.set(message.id, message);
     const [oldest] = this.messages.keys();
-    if (this.messages.size > mostMessages && oldest !== undefined) this.messages.delete(oldest);
+    if (this.messages.size > MAX_MESSAGES && oldest !== undefined) this.messages.delete(oldest);
   }
 }
--- /dev/null
+++ b/src/model-checker/membership-review.ts
@@ -0,0 +1,42 @@
+/** The leader's decision on the group's membership, by the production policy. */
+import type { Members } from "../consensus/members.js";
+import type { ConsensusState } from "../consensus/state.js";
+import { MembershipPolicy } from "../replication/membership/membership-policy.js";
+import type { GroupSettings } from "./group-settings.js";
+
+/** The members after the next change that a leader makes now; undefined where it makes none. */
+export const reviewMembership = (
+  self: string,
+  state: ConsensusState,
+  leadingSinceMs: number,
+  nowMs: number,
+  settings: GroupSettings,
+): Members | undefined => {
+  const { members, acknowledgedSentMs, responsiveSinceMs, matched, committedIndex, syncedIndex } =
+    state;
+  const change = MembershipPolicy.next({
+    self,
+    voters: members.voters,
+    learners: members.learners,
+    leaving: new Set(),
+    wantedVoters: settings.wantedVoters,
+    committedIndex,
+    progressOf: (member) =>
+      member === self
+        ? { silentMs: 0, answered: true, provenMs: 0, matchedIndex: syncedIndex }
+        : {
+            silentMs:
+              nowMs - Math.max(leadingSinceMs, acknowledgedSentMs.get(member) ?? leadingSinceMs),
+            answered: acknowledgedSentMs.has(member),
+            provenMs: nowMs - (responsiveSinceMs.get(member) ?? nowMs),
+            matchedIndex: matched.get(member) ?? 0,
+          },
+    waits: {
+      answersWithinMs: settings.waits.electionMaxMs,
+      replaceAfterMs: settings.replaceAfterMs,
+      responsiveAfterMs: settings.provenAfterMs,
+      forgetAfterMs: settings.forgetAfterMs,
+    },
+  });
+  return change === undefined ? undefined : MembershipPolicy.after(members, change);
+};
--- a/src/model-checker/message.ts
+++ b/src/model-checker/message.ts
@@ -29,7 +29,7 @@
   readonly id: string;
   readonly from: string;
   readonly to: string;
-  readonly askId: string;
+  readonly requestId: string;
   readonly body:
     | { readonly way: "request"; readonly request: ModelRequest }
     | { readonly way: "reply"; readonly reply: ModelReply };
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -1,9 +1,5 @@
-import {
-  acknowledgeAppend,
-  decideAppend,
-  type AppendRequest,
-  type PendingAcknowledgment,
-} from "../consensus/append.js";
+/** One member of an explored group: the timers, disk queue and requests around the production consensus functions. */
+import { acknowledgeAppend, decideAppend, type AppendRequest } from "../consensus/append.js";
 import { onAcknowledgment, onOwnEntriesSynced } from "../consensus/commit.js";
 import {
   abandonElection,
@@ -33,7 +29,6 @@
   appendRequestFor,
   initialProgress,
   needsSnapshot,
-  progressAfter,
   type Progress,
 } from "../consensus/replication.js";
 import { memberRightsOf } from "../consensus/rights.js";
@@ -54,74 +49,21 @@
 } from "../consensus/state.js";
 import { countVote, decideVote, type VoteReply, type VoteRequest } from "../consensus/vote.js";
 import type { Members } from "../consensus/members.js";
-import { MembershipPolicy } from "../replication/membership/membership-policy.js";
 import type { ModelReply, ModelRequest, SnapshotRequest } from "./message.js";
-import type { DiskContent, ModelDisk } from "./model-disk.js";
-import type { GroupSettings } from "./group-settings.js";
-
-/** What a member does once a write of its own is on disk. */
-export type AfterWrite =
-  | {
-      readonly kind: "replyVote";
-      readonly to: string;
-      readonly askId: string;
-      readonly reply: VoteReply;
-    }
-  | {
-      readonly kind: "acknowledgeAppend";
-      readonly to: string;
-      readonly askId: string;
-      readonly pending: PendingAcknowledgment;
-    }
-  | {
-      readonly kind: "acknowledgeSnapshot";
-      readonly to: string;
-      readonly askId: string;
-      readonly pending: PendingAcknowledgment;
-      readonly heldIndex: number;
-    }
-  | { readonly kind: "ownEntries"; readonly term: number; readonly index: number }
-  | { readonly kind: "askForVotes"; readonly request: VoteRequest }
-  | { readonly kind: "beginRejoining"; readonly content: DiskContent }
-  | { readonly kind: "rejoined" }
-  | { readonly kind: "nothing" };
-
-/** What a member needs of the group around it. */
-export interface GroupEnvironment {
-  readonly settings: GroupSettings;
-  /** The global time; each member's clock runs at a rate of its own. */
-  readonly nowMs: number;
-  /** Sends a request; the name under which its reply comes. */
-  send(from: string, to: string, request: ModelRequest): string;
-  reply(from: string, to: string, askId: string, reply: ModelReply): void;
-  /** A number from 0 up to 1 for an election wait. */
-  draw(member: string): number;
-  /** The entry at an index was applied by a member; whether it tells a client so. */
-  applied(member: ModelMember, index: number, term: number, text: string): void;
-  elected(member: ModelMember): void;
-  /** What a member that begins anew is told of the members, if anybody is there who knows. */
-  knownMembers(): Members | undefined;
-  nonce(): string;
-}
-
-interface OpenAsk {
-  readonly peer: string;
-  readonly request: ModelRequest;
-  readonly sentMs: number;
-  readonly untilMs: number;
-}
-
-interface Replication {
-  progress: Progress;
-  /** The request under way, if any. */
-  askId: string | undefined;
-  /** When the next heartbeat is due. */
-  dueMs: number;
-}
+import type { ModelDisk } from "./model-disk.js";
+import { emptyContent, snapshotContent } from "./disk-contents.js";
+import type { GroupEnvironment } from "./group-environment.js";
+import { fingerprintOf } from "./member-fingerprint.js";
+import { reviewMembership } from "./membership-review.js";
+import { PeerReplications } from "./peer-replications.js";
+import { PendingRequests } from "./pending-requests.js";
+import type { WriteEffect } from "./write-effect.js";
+
+const SNAPSHOT_TIMEOUT_MS = 5000;
+const REJOIN_TIMEOUT_MS = 1000;
+const REJOIN_INTERVAL_MS = 500;
+const MAX_BATCH_BYTES = 1024 * 1024;
 
-const snapshotWaitMs = 5000;
-const rejoinRestMs = 500;
-const batchBytes = 1024 * 1024;
 const valueIn = (text: string): number | undefined =>
   text.startsWith("write ") ? Number(text.slice("write ".length)) : undefined;
 
@@ -129,106 +71,70 @@
 export const writeText = (value: number): string => `write ${value}`;
 
 /**
- * One member of an explored group. It has the timers, the queue of its disk and the requests under way that the recorder
- * has; every decision is made by the functions of `src/record/consensus/` that the recorder calls too.
+ * One member of an explored group. It has the timers, the disk queue and the pending requests of a replication node; every
+ * decision is made by the functions of `src/consensus/` that the replication node calls too.
  */
 export class ModelMember {
   readonly name: string;
   readonly clockRate: number;
-  disk: ModelDisk<AfterWrite>;
+  disk: ModelDisk<WriteEffect>;
   isUp = false;
   state: ConsensusState;
   value = 0;
   appliedIndex = 0;
-  private around: GroupEnvironment;
+  private readonly group: GroupEnvironment;
   private activeRole: Role = "follower";
-  private untilMs = 0;
+  private electionDeadlineMs = 0;
   private waitedSinceMs = 0;
   private leadingSinceMs = 0;
   private nextRejoinMs = 0;
-  private readonly asks = new Map<string, OpenAsk>();
-  private readonly replications = new Map<string, Replication>();
+  private readonly requests = new PendingRequests();
+  private readonly replications = new PeerReplications();
   private hasStorage = false;
-  private clearsNonceAt = 0;
 
   constructor(
     name: string,
     clockRate: number,
-    around: GroupEnvironment,
-    disk: ModelDisk<AfterWrite>,
+    group: GroupEnvironment,
+    disk: ModelDisk<WriteEffect>,
   ) {
     this.name = name;
     this.clockRate = clockRate;
-    this.around = around;
+    this.group = group;
     this.disk = disk;
     this.state = initialState(name, this.nowMs);
   }
 
-  /** A copy that goes its own way, in other surroundings. */
-  clone(around: GroupEnvironment): ModelMember {
-    const copy = new ModelMember(this.name, this.clockRate, around, this.disk.clone());
+  /** An independent copy for another group. */
+  clone(group: GroupEnvironment): ModelMember {
+    const copy = new ModelMember(this.name, this.clockRate, group, this.disk.clone());
     copy.isUp = this.isUp;
     copy.state = this.state;
     copy.value = this.value;
     copy.appliedIndex = this.appliedIndex;
     copy.activeRole = this.activeRole;
-    copy.untilMs = this.untilMs;
+    copy.electionDeadlineMs = this.electionDeadlineMs;
     copy.waitedSinceMs = this.waitedSinceMs;
     copy.leadingSinceMs = this.leadingSinceMs;
     copy.nextRejoinMs = this.nextRejoinMs;
     copy.hasStorage = this.hasStorage;
-    copy.clearsNonceAt = this.clearsNonceAt;
-    for (const [id, ask] of this.asks) copy.asks.set(id, ask);
-    for (const [peer, replication] of this.replications)
-      copy.replications.set(peer, { ...replication });
+    copy.requests.copyFrom(this.requests);
+    copy.replications.copyFrom(this.replications);
     return copy;
   }
 
   get nowMs(): number {
-    return this.around.nowMs * this.clockRate;
+    return this.group.nowMs * this.clockRate;
   }
 
-  /** What tells two situations of a member apart, with times taken from now. */
+  /** A text that is equal for equal states, with times relative to now. */
   get fingerprint(): string {
-    const {
-      log,
-      matched,
-      acknowledgedSentMs: ackedSentMs,
-      responsiveSinceMs: provenSinceMs,
-      votes,
-      lastLeaderContactMs: heardLeaderMs,
-      lastAppendMs: heardAppendMs,
-      ...rest
-    } = this.state;
-    const now = this.nowMs;
-    const age = (atMs: number): number => Math.min(5000, Math.round(now - atMs));
-    const parts = [
-      this.isUp,
-      rest,
-      log.baseIndex,
-      log.baseTerm,
-      log.entriesFrom(log.baseIndex + 1),
-      [...matched],
-      [...ackedSentMs].map(([peer, atMs]) => [peer, age(atMs)]),
-      [...provenSinceMs].map(([peer, atMs]) => [peer, age(atMs)]),
-      [...votes].sort(),
-      age(heardLeaderMs),
-      age(heardAppendMs),
-      age(this.untilMs),
-      [...this.replications].map(([peer, one]) => [
-        peer,
-        one.progress,
-        one.askId !== undefined,
-        age(one.dueMs),
-      ]),
-      this.disk.content,
-      this.disk.pending,
-    ];
-    return JSON.stringify(parts);
-  }
-
-  get facts(): DecisionContext {
-    const { settings } = this.around;
+    const { isUp, state, electionDeadlineMs, replications, disk } = this;
+    return fingerprintOf({ isUp, state, electionDeadlineMs, replications, disk }, this.nowMs);
+  }
+
+  get context(): DecisionContext {
+    const { settings } = this.group;
     return {
       nowMs: this.nowMs,
       timeouts: settings.waits,
@@ -239,17 +145,17 @@
     };
   }
 
-  /** Whether this member answers reads now. */
+  /** Whether this member may answer reads now. */
   get answers(): boolean {
     return (
       this.isUp &&
       (this.appliedIndex >= this.state.leadingSinceIndex ||
-        !this.around.settings.rules.answerOnlyInCommittedTerm) &&
-      memberRightsOf(this.state, this.facts).answer
+        !this.group.settings.rules.answerOnlyInCommittedTerm) &&
+      memberRightsOf(this.state, this.context).answer
     );
   }
 
-  /** Whether it holds all that it ever acknowledged. */
+  /** Whether its disk has all that it ever acknowledged. */
   get isWhole(): boolean {
     const { content } = this.disk;
     return content !== undefined && content.rejoinNonce === "";
@@ -264,12 +170,11 @@
     this.value = content?.value ?? 0;
     this.appliedIndex = content?.lastIndex ?? 0;
     if (content !== undefined) this.state = restoredState(this.state, content);
-    this.state = stateAfterRestart(this.state, this.facts);
+    this.state = stateAfterRestart(this.state, this.context);
     this.activeRole = "follower";
-    this.asks.clear();
+    this.requests.clear();
     this.replications.clear();
     this.nextRejoinMs = this.nowMs;
-    this.clearsNonceAt = 0;
     this.waitForElection();
   }
 
@@ -283,72 +188,74 @@
     this.disk.wipe();
   }
 
-  /** The oldest write is on disk. */
+  /** Completes the oldest write. */
   sync(): void {
     const then = this.disk.sync();
-    if (then !== undefined) this.afterWrite(then);
+    if (then !== undefined) this.completeWrite(then);
     this.settle();
   }
 
-  /** Looks at the clock. */
+  /** Runs the timers that are due. */
   tick(): void {
     if (!this.isUp) return;
     const now = this.nowMs;
-    for (const [id, ask] of this.asks) if (now >= ask.untilMs) this.expire(id);
-    if (!this.hasStorage) return this.beginRejoining();
+    for (const [requestId, { peer }] of this.requests.expire(now))
+      this.endReplicationRequest(peer, requestId);
+    if (!this.hasStorage) return this.beginRejoin();
     if (this.state.role === "follower") this.tickFollower(now);
-    else if (this.state.role !== "leader" && now >= this.untilMs)
-      this.state = abandonElection(this.state, this.facts);
+    else if (this.state.role !== "leader" && now >= this.electionDeadlineMs)
+      this.state = abandonElection(this.state, this.context);
     else if (this.state.role === "leader") this.tickLeader();
-    this.askToRejoin(now);
+    this.requestRejoin(now);
     this.settle();
   }
 
   /** Sets the register through this member; false where it doesn't lead. */
   write(value: number): boolean {
     if (!this.isUp || this.state.role !== "leader") return false;
-    this.add([writeText(value)]);
+    this.append([writeText(value)]);
     this.settle();
     return true;
   }
 
-  /** Hands the lead over. */
+  /** Transfers the leadership to the most up-to-date voter. */
   handOver(): void {
     if (!this.isUp || this.state.role !== "leader") return;
     const { term } = this.state;
-    const heir = transferTargetOf(this.state);
+    const target = transferTargetOf(this.state);
     this.state = becomeFollower(this.state, term, "", this.nowMs);
-    if (heir !== undefined) this.ask(heir, { kind: "handOver", term }, this.waits.electionMinMs);
+    if (target !== undefined)
+      this.send(target, { kind: "handOver", term }, this.waits.electionMinMs);
     this.settle();
   }
 
   /** Has the leader change the members, where it may. */
   changeMembers(members: Members): void {
-    if (!this.isUp || !mayChangeMembers(this.state, this.facts)) return;
-    this.add([membersEntryText(members)]);
+    if (!this.isUp || !mayChangeMembers(this.state, this.context)) return;
+    this.append([membersEntryText(members)]);
     this.settle();
   }
 
-  /** Writes a snapshot and lets go of the log before it. */
+  /** Writes a snapshot and compacts the log before it. */
   compact(): void {
     if (!this.isUp || !this.hasStorage || this.appliedIndex <= this.state.log.baseIndex) return;
-    this.writeWhole(this.state.rejoinNonce, { kind: "nothing" });
+    this.writeSnapshot(this.state.rejoinNonce, { kind: "none" });
   }
 
-  receive(from: string, askId: string, request: ModelRequest): void {
+  receive(from: string, requestId: string, request: ModelRequest): void {
     if (!this.isUp || !this.hasStorage) return;
     switch (request.kind) {
       case "vote":
-        this.onVote(from, askId, request.request);
+        this.onVote(from, requestId, request.request);
         break;
       case "append":
-        this.onAppend(from, askId, request.request);
+        this.onAppend(from, requestId, request.request);
         break;
       case "snapshot":
-        this.onSnapshot(from, askId, request.request);
+        this.onSnapshot(from, requestId, request.request);
         break;
       case "handOver":
-        this.state = acceptLeadershipTransfer(this.state, request.term, this.facts) ?? this.state;
+        this.state = acceptLeadershipTransfer(this.state, request.term, this.context) ?? this.state;
         break;
       case "rejoin":
         this.onRejoin(request.machine, request.nonce);
@@ -357,53 +264,53 @@
     this.settle();
   }
 
-  receiveReply(askId: string, reply: ModelReply): void {
-    const ask = this.asks.get(askId);
-    if (!this.isUp || ask === undefined || this.nowMs >= ask.untilMs) return;
-    this.asks.delete(askId);
-    const { peer, request, sentMs } = ask;
+  receiveReply(requestId: string, reply: ModelReply): void {
+    if (!this.isUp) return;
+    const pending = this.requests.complete(requestId, this.nowMs);
+    if (pending === undefined) return;
+    const { peer, request, sentMs } = pending;
     if (reply.kind === "vote" && request.kind === "vote") {
       const { isPreVote, term } = request.request;
       this.state = countVote(this.state, { peer, isPreVote, term, reply: reply.reply }, this.nowMs);
     } else if (reply.kind === "append" && request.kind === "append") {
-      this.onAppendReply(peer, askId, request.request.term, sentMs, reply);
+      this.onAppendReply(peer, requestId, request.request.term, sentMs, reply);
     } else if (reply.kind === "snapshot" && request.kind === "snapshot") {
-      this.onSnapshotReply(peer, askId, request.request, sentMs, reply);
+      this.onSnapshotReply(peer, requestId, request.request, sentMs, reply);
     }
     this.settle();
   }
 
   private get waits() {
-    return this.around.settings.waits;
+    return this.group.settings.waits;
   }
 
-  private ask(peer: string, request: ModelRequest, waitMs: number): string {
-    const askId = this.around.send(this.name, peer, request);
+  private send(peer: string, request: ModelRequest, timeoutMs: number): string {
+    const requestId = this.group.send(this.name, peer, request);
     const now = this.nowMs;
-    this.asks.set(askId, { peer, request, sentMs: now, untilMs: now + waitMs });
-    return askId;
+    this.requests.add(requestId, { peer, request, sentMs: now, deadlineMs: now + timeoutMs });
+    return requestId;
   }
 
   private electionWaitMs(): number {
     const { electionMinMs, electionMaxMs } = this.waits;
-    return electionMinMs + this.around.draw(this.name) * (electionMaxMs - electionMinMs);
+    return electionMinMs + this.group.draw(this.name) * (electionMaxMs - electionMinMs);
   }
 
   private waitForElection(): void {
     this.waitedSinceMs = this.state.lastLeaderContactMs;
     const sinceMs = Number.isFinite(this.waitedSinceMs) ? this.waitedSinceMs : this.nowMs;
-    this.untilMs = sinceMs + this.electionWaitMs();
+    this.electionDeadlineMs = sinceMs + this.electionWaitMs();
   }
 
   private tickFollower(now: number): void {
     if (this.state.lastLeaderContactMs !== this.waitedSinceMs) this.waitForElection();
-    if (now < this.untilMs) return;
-    this.state = onElectionTimeout(this.state, this.facts);
-    if (this.state.role === "follower") this.untilMs = now + this.electionWaitMs();
+    if (now < this.electionDeadlineMs) return;
+    this.state = onElectionTimeout(this.state, this.context);
+    if (this.state.role === "follower") this.electionDeadlineMs = now + this.electionWaitMs();
   }
 
   private tickLeader(): void {
-    const why = stepDownReason(this.state, this.leadingSinceMs, this.facts);
+    const why = stepDownReason(this.state, this.leadingSinceMs, this.context);
     if (why === "notVoter") return this.handOver();
     if (why === "noContact") {
       this.state = becomeFollower(this.state, this.state.term, "", this.nowMs);
@@ -414,44 +321,14 @@
   }
 
   private reviewMembership(): void {
-    if (!mayChangeMembers(this.state, this.facts)) return;
-    const now = this.nowMs;
-    const {
-      members,
-      acknowledgedSentMs: ackedSentMs,
-      matched,
-      committedIndex,
-      syncedIndex,
-    } = this.state;
-    const since = this.leadingSinceMs;
-    const { settings } = this.around;
-    const change = MembershipPolicy.next({
-      self: this.name,
-      voters: members.voters,
-      learners: members.learners,
-      leaving: new Set(),
-      wantedVoters: settings.wantedVoters,
-      committedIndex,
-      progressOf: (member) =>
-        member === this.name
-          ? { silentMs: 0, answered: true, provenMs: 0, matchedIndex: syncedIndex }
-          : {
-              silentMs: now - Math.max(since, ackedSentMs.get(member) ?? since),
-              answered: ackedSentMs.has(member),
-              provenMs: now - (this.state.responsiveSinceMs.get(member) ?? now),
-              matchedIndex: matched.get(member) ?? 0,
-            },
-      waits: {
-        answersWithinMs: settings.waits.electionMaxMs,
-        replaceAfterMs: settings.replaceAfterMs,
-        responsiveAfterMs: settings.provenAfterMs,
-        forgetAfterMs: settings.forgetAfterMs,
-      },
-    });
-    if (change !== undefined) this.add([membersEntryText(MembershipPolicy.after(members, change))]);
+    if (!mayChangeMembers(this.state, this.context)) return;
+    const { state, leadingSinceMs, nowMs } = this;
+    const { settings } = this.group;
+    const members = reviewMembership(this.name, state, leadingSinceMs, nowMs, settings);
+    if (members !== undefined) this.append([membersEntryText(members)]);
   }
 
-  /** Does what follows from a change of role, as the recorder's own task does. */
+  /** Carries out what follows from a change of role, as the replication node's task does. */
   private settle(): void {
     while (this.isUp && this.state.role !== this.activeRole) {
       const former = this.activeRole;
@@ -464,17 +341,17 @@
         case "preCandidate": {
           const { state, request } = startPreVote(this.state);
           this.state = state;
-          this.untilMs = this.nowMs + this.electionWaitMs();
-          this.askForVotes(request);
+          this.electionDeadlineMs = this.nowMs + this.electionWaitMs();
+          this.requestVotes(request);
           break;
         }
         case "candidate": {
           const { state, records, request } = startElection(this.state);
           this.state = state;
-          this.untilMs = this.nowMs + this.electionWaitMs();
+          this.electionDeadlineMs = this.nowMs + this.electionWaitMs();
           this.disk.pending.push({
             content: { records },
-            then: { kind: "askForVotes", request },
+            then: { kind: "requestVotes", request },
           });
           break;
         }
@@ -488,47 +365,41 @@
   private lead(): void {
     this.state = becomeLeader(this.state);
     this.leadingSinceMs = this.nowMs;
-    this.around.elected(this);
-    this.add([leadershipEntryText(this.state)]);
+    this.group.elected(this);
+    this.append([leadershipEntryText(this.state)]);
   }
 
-  private askForVotes(request: VoteRequest): void {
+  private requestVotes(request: VoteRequest): void {
     const { isPreVote, term } = request;
     const reply: VoteReply = { term, granted: true };
     for (const peer of this.state.members.voters)
-      if (peer !== this.name) this.ask(peer, { kind: "vote", request }, this.waits.electionMinMs);
+      if (peer !== this.name) this.send(peer, { kind: "vote", request }, this.waits.electionMinMs);
     this.state = countVote(this.state, { peer: this.name, isPreVote, term, reply }, this.nowMs);
   }
 
-  private add(texts: readonly string[]): void {
+  private append(texts: readonly string[]): void {
     const { state, records } = appendAsLeader(this.state, texts);
     this.state = state;
-    const then: AfterWrite = { kind: "ownEntries", term: state.term, index: state.log.lastIndex };
+    const then: WriteEffect = { kind: "ownEntries", term: state.term, index: state.log.lastIndex };
     this.disk.pending.push({ content: { records }, then });
-    for (const replication of this.replications.values()) replication.dueMs = this.nowMs;
+    this.replications.expedite(this.nowMs);
   }
 
   private replicateAll(): void {
     const { voters, learners } = this.state.members;
     const peers = [...voters, ...learners];
-    for (const peer of [...this.replications.keys()])
-      if (!peers.includes(peer)) this.replications.delete(peer);
+    this.replications.retain(peers);
     for (const peer of peers) {
       if (peer === this.name) continue;
-      const replication = this.replications.get(peer) ?? {
-        progress: initialProgress(this.state),
-        askId: undefined,
-        dueMs: this.nowMs,
-      };
-      this.replications.set(peer, replication);
-      if (replication.askId === undefined && this.nowMs >= replication.dueMs)
-        this.replicate(peer, replication);
+      const initial = (): Progress => initialProgress(this.state);
+      const { progress, requestId, dueMs } = this.replications.open(peer, initial, this.nowMs);
+      if (requestId === undefined && this.nowMs >= dueMs) this.replicate(peer, progress);
     }
   }
 
-  private replicate(peer: string, replication: Replication): void {
+  private replicate(peer: string, progress: Progress): void {
     const { state } = this;
-    if (needsSnapshot(state, replication.progress)) {
+    if (needsSnapshot(state, progress)) {
       const request: SnapshotRequest = {
         term: state.term,
         leader: this.name,
@@ -537,65 +408,58 @@
         members: membersAt(state, this.appliedIndex),
         value: this.value,
       };
-      replication.askId = this.ask(peer, { kind: "snapshot", request }, snapshotWaitMs);
+      const snapshot: ModelRequest = { kind: "snapshot", request };
+      this.replications.begin(peer, this.send(peer, snapshot, SNAPSHOT_TIMEOUT_MS));
     } else {
-      const limit = { entries: this.around.settings.batchEntries, bytes: batchBytes };
-      const request = appendRequestFor(state, replication.progress, limit);
-      replication.askId = this.ask(peer, { kind: "append", request }, this.waits.electionMinMs);
+      const limit = { entries: this.group.settings.batchEntries, bytes: MAX_BATCH_BYTES };
+      const request = appendRequestFor(state, progress, limit);
+      const append: ModelRequest = { kind: "append", request };
+      this.replications.begin(peer, this.send(peer, append, this.waits.electionMinMs));
     }
   }
 
-  private expire(askId: string): void {
-    const ask = this.asks.get(askId);
-    this.asks.delete(askId);
-    if (ask === undefined) return;
-    this.rest(ask.peer, askId);
+  /** A replication request has ended: the next one is sent with the next heartbeat, or at once. */
+  private endReplicationRequest(peer: string, requestId: string, isNextDue = false): void {
+    const { nowMs } = this;
+    this.replications.end(peer, requestId, isNextDue ? nowMs : nowMs + this.waits.heartbeatMs);
   }
 
-  /** A request to a peer has ended: the next one goes with the next heartbeat. */
-  private rest(peer: string, askId: string, atOnce = false): void {
-    const replication = this.replications.get(peer);
-    if (replication === undefined || replication.askId !== askId) return;
-    replication.askId = undefined;
-    replication.dueMs = atOnce ? this.nowMs : this.nowMs + this.waits.heartbeatMs;
-  }
-
-  private onVote(from: string, askId: string, request: VoteRequest): void {
-    const decision = decideVote(this.state, request, this.facts);
+  private onVote(from: string, requestId: string, request: VoteRequest): void {
+    const decision = decideVote(this.state, request, this.context);
     this.state = decision.state;
     const { reply, records } = decision;
     if (decision.replyAfterSync) {
-      const then: AfterWrite = { kind: "replyVote", to: from, askId, reply };
+      const then: WriteEffect = { kind: "replyVote", to: from, requestId, reply };
       if (records.length > 0) this.disk.pending.push({ content: { records }, then });
-      else this.afterWrite(then);
+      else this.completeWrite(then);
       return;
     }
     if (records.length > 0)
-      this.disk.pending.push({ content: { records }, then: { kind: "nothing" } });
-    this.around.reply(this.name, from, askId, { kind: "vote", reply });
+      this.disk.pending.push({ content: { records }, then: { kind: "none" } });
+    this.group.reply(this.name, from, requestId, { kind: "vote", reply });
   }
 
-  private onAppend(from: string, askId: string, request: AppendRequest): void {
-    const decision = decideAppend(this.state, request, this.facts);
+  private onAppend(from: string, requestId: string, request: AppendRequest): void {
+    const decision = decideAppend(this.state, request, this.context);
     this.state = decision.state;
     if (decision.kind === "refuse") {
-      this.around.reply(this.name, from, askId, { kind: "append", reply: decision.reply });
+      this.group.reply(this.name, from, requestId, { kind: "append", reply: decision.reply });
       return;
     }
     const { pending, records, mustSync } = decision;
-    const then: AfterWrite = { kind: "acknowledgeAppend", to: from, askId, pending };
-    const waits = this.around.settings.rules.syncEntriesBeforeReply;
+    const then: WriteEffect = { kind: "acknowledgeAppend", to: from, requestId, pending };
+    const waits = this.group.settings.rules.syncEntriesBeforeReply;
     if (mustSync)
-      this.disk.pending.push({ content: { records }, then: waits ? then : { kind: "nothing" } });
-    if (!mustSync || !waits) this.afterWrite(then);
+      this.disk.pending.push({ content: { records }, then: waits ? then : { kind: "none" } });
+    if (!mustSync || !waits) this.completeWrite(then);
     this.apply();
   }
 
-  private onSnapshot(from: string, askId: string, request: SnapshotRequest): void {
-    const decision = decideSnapshot(this.state, request, this.facts);
+  private onSnapshot(from: string, requestId: string, request: SnapshotRequest): void {
+    const decision = decideSnapshot(this.state, request, this.context);
     this.state = decision.state;
     if (decision.kind === "answer") {
-      this.around.reply(this.name, from, askId, { kind: "snapshot", reply: decision.reply });
+      this.group.reply(this.name, from, requestId, { kind: "snapshot", reply: decision.reply });
       return;
     }
     const { counts, entries } = decision;
@@ -611,9 +475,9 @@
       then: {
         kind: "acknowledgeSnapshot",
         to: from,
-        askId,
+        requestId,
         pending: { term, cuts, counts, matched: lastIndex },
-        heldIndex: lastIndex + entries.length,
+        lastIndex: lastIndex + entries.length,
       },
     });
   }
@@ -622,83 +486,84 @@
     if (!this.answers) return;
     const { voters, learners } = this.state.members;
     if (![...voters, ...learners].includes(machine)) {
-      if (!mayChangeMembers(this.state, this.facts)) return;
-      this.add([membersEntryText({ voters, learners: [...learners, machine] })]);
+      if (!mayChangeMembers(this.state, this.context)) return;
+      this.append([membersEntryText({ voters, learners: [...learners, machine] })]);
     }
-    if (nonce !== "") this.add([rejoinMarkerEntryText(machine, nonce)]);
+    if (nonce !== "") this.append([rejoinMarkerEntryText(machine, nonce)]);
   }
 
   private onAppendReply(
     peer: string,
-    askId: string,
+    requestId: string,
     term: number,
     sentMs: number,
     { reply }: Extract<ModelReply, { kind: "append" }>,
   ): void {
-    if (reply.term > term) return this.outdated(reply.term);
-    if (reply.term !== term || !isLeading(this.state, term)) return this.rest(peer, askId);
+    if (reply.term > term) return this.followNewerTerm(reply.term);
+    if (reply.term !== term || !isLeading(this.state, term))
+      return this.endReplicationRequest(peer, requestId);
     const { fits, counts } = reply;
-    const replication = this.replications.get(peer);
-    if (replication !== undefined && replication.askId === askId)
-      replication.progress = progressAfter(replication.progress, reply);
+    this.replications.advance(peer, requestId, reply);
     const acknowledgment = { peer, term, sentMs, matched: fits ? reply.matched : 0, counts };
-    this.state = onAcknowledgment(this.state, acknowledgment, this.facts);
-    const next = replication?.progress.next ?? 0;
-    this.rest(peer, askId, !fits || this.state.log.lastIndex >= next);
+    this.state = onAcknowledgment(this.state, acknowledgment, this.context);
+    const next = this.replications.all.get(peer)?.progress.next ?? 0;
+    this.endReplicationRequest(peer, requestId, !fits || this.state.log.lastIndex >= next);
     this.apply();
   }
 
   private onSnapshotReply(
     peer: string,
-    askId: string,
+    requestId: string,
     request: SnapshotRequest,
     sentMs: number,
     { reply }: Extract<ModelReply, { kind: "snapshot" }>,
   ): void {
     const { matched, counts } = reply;
     const { term, lastIndex } = request;
-    this.state = onAcknowledgment(this.state, { peer, term, sentMs, matched, counts }, this.facts);
-    if (reply.term > term) this.outdated(reply.term);
-    const replication = this.replications.get(peer);
-    if (replication !== undefined && replication.askId === askId && matched >= lastIndex)
-      replication.progress = { ...replication.progress, next: matched + 1 };
-    this.rest(peer, askId);
+    this.state = onAcknowledgment(
+      this.state,
+      { peer, term, sentMs, matched, counts },
+      this.context,
+    );
+    if (reply.term > term) this.followNewerTerm(reply.term);
+    if (matched >= lastIndex) this.replications.continueAfter(peer, requestId, matched);
+    this.endReplicationRequest(peer, requestId);
     this.apply();
   }
 
-  private outdated(term: number): void {
+  private followNewerTerm(term: number): void {
     if (term > this.state.term) this.state = becomeFollower(this.state, term, "", this.nowMs);
   }
 
-  private afterWrite(then: AfterWrite): void {
+  private completeWrite(then: WriteEffect): void {
     switch (then.kind) {
       case "replyVote":
-        this.around.reply(this.name, then.to, then.askId, { kind: "vote", reply: then.reply });
+        this.group.reply(this.name, then.to, then.requestId, { kind: "vote", reply: then.reply });
         return;
       case "acknowledgeAppend": {
-        const { state, reply } = acknowledgeAppend(this.state, then.pending, this.facts);
+        const { state, reply } = acknowledgeAppend(this.state, then.pending, this.context);
         this.state = state;
-        this.around.reply(this.name, then.to, then.askId, { kind: "append", reply });
+        this.group.reply(this.name, then.to, then.requestId, { kind: "append", reply });
         return;
       }
       case "acknowledgeSnapshot": {
         const { state, reply } = acknowledgeSnapshot(
           this.state,
           then.pending,
-          then.heldIndex,
-          this.facts,
+          then.lastIndex,
+          this.context,
         );
         this.state = state;
-        this.around.reply(this.name, then.to, then.askId, { kind: "snapshot", reply });
+        this.group.reply(this.name, then.to, then.requestId, { kind: "snapshot", reply });
         return;
       }
       case "ownEntries":
-        this.state = onOwnEntriesSynced(this.state, then.term, then.index, this.facts);
+        this.state = onOwnEntriesSynced(this.state, then.term, then.index, this.context);
         return this.apply();
-      case "askForVotes":
-        if (isStillCampaigning(this.state, then.request.term)) this.askForVotes(then.request);
+      case "requestVotes":
+        if (isStillCampaigning(this.state, then.request.term)) this.requestVotes(then.request);
         return;
-      case "beginRejoining":
+      case "beginRejoin":
         this.state = restoredState(this.state, then.content);
         this.hasStorage = true;
         this.waitForElection();
@@ -706,42 +571,37 @@
       case "rejoined":
         this.state = afterRejoin(this.state);
         return;
-      case "nothing":
+      case "none":
         return;
     }
   }
 
-  /** An emptied member writes a nonce first, and learns from the others. */
-  private beginRejoining(): void {
+  /** A member with an empty disk first writes a nonce, then rejoins as a learner of the others. */
+  private beginRejoin(): void {
     if (this.disk.pending.length > 0) return;
-    const members = this.around.knownMembers();
+    const members = this.group.knownMembers();
     if (members === undefined) return;
-    const content: DiskContent = {
-      term: 0,
-      votedFor: "",
-      rejoinNonce: this.around.nonce(),
-      lastIndex: 0,
-      lastTerm: 0,
-      members,
-      entries: [],
-      value: 0,
-    };
+    const content = emptyContent(members, this.group.nonce());
     this.disk.pending.push({
       content: { whole: content },
-      then: { kind: "beginRejoining", content },
+      then: { kind: "beginRejoin", content },
     });
   }
 
-  /** One that rejoins, or that no leader has sent anything for long, asks to be taken up. */
-  private askToRejoin(now: number): void {
+  /** A member that rejoins, or that no leader has contacted for long, requests to be added. */
+  private requestRejoin(now: number): void {
     const { rejoinNonce, lastAppendMs: heardAppendMs, role } = this.state;
     const isForgotten =
-      role !== "leader" && now - heardAppendMs > this.around.settings.replaceAfterMs;
+      role !== "leader" && now - heardAppendMs > this.group.settings.replaceAfterMs;
     if ((rejoinNonce === "" && !isForgotten) || now < this.nextRejoinMs) return;
-    this.nextRejoinMs = now + rejoinRestMs;
-    for (const peer of this.around.settings.names)
+    this.nextRejoinMs = now + REJOIN_INTERVAL_MS;
+    for (const peer of this.group.settings.names)
       if (peer !== this.name)
-        this.ask(peer, { kind: "rejoin", machine: this.name, nonce: rejoinNonce }, 1000);
+        this.send(
+          peer,
+          { kind: "rejoin", machine: this.name, nonce: rejoinNonce },
+          REJOIN_TIMEOUT_MS,
+        );
   }
 
   private apply(): void {
@@ -753,26 +613,15 @@
       this.appliedIndex = index;
       this.value = valueIn(entry.text) ?? this.value;
       const mark = rejoinMarkerIn(entry.text);
-      if (mark !== undefined && completesRejoin(this.state, mark, this.facts))
-        this.writeWhole("", { kind: "rejoined" });
-      this.around.applied(this, index, entry.term, entry.text);
+      if (mark !== undefined && completesRejoin(this.state, mark, this.context))
+        this.writeSnapshot("", { kind: "rejoined" });
+      this.group.applied(this, index, entry.term, entry.text);
     }
   }
 
-  private writeWhole(rejoinNonce: string, then: AfterWrite): void {
-    const { term, votedFor, log } = this.state;
+  private writeSnapshot(rejoinNonce: string, then: WriteEffect): void {
     const lastIndex = this.appliedIndex;
-    const members = membersAt(this.state, lastIndex);
-    const content: DiskContent = {
-      term,
-      votedFor,
-      rejoinNonce,
-      lastIndex,
-      lastTerm: log.termAt(lastIndex) ?? 0,
-      members,
-      entries: log.entriesFrom(lastIndex + 1),
-      value: this.value,
-    };
+    const content = snapshotContent(this.state, lastIndex, this.value, rejoinNonce);
     this.state = compactLog(this.state, lastIndex);
     this.disk.pending.push({ content: { whole: content }, then });
   }
