--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -52,13 +52,32 @@
 import type { ModelReply, ModelRequest, SnapshotRequest } from "./message.js";
 import type { ModelDisk } from "./model-disk.js";
 import { emptyContent, snapshotContent } from "./disk-contents.js";
-import type { GroupEnvironment } from "./group-environment.js";
+import type { GroupSettings } from "./group-settings.js";
 import { fingerprintOf } from "./member-fingerprint.js";
 import { reviewMembership } from "./membership-review.js";
 import { PeerReplications } from "./peer-replications.js";
 import { PendingRequests } from "./pending-requests.js";
 import type { WriteEffect } from "./write-effect.js";
 
+/** What a member needs of its group. */
+export interface GroupEnvironment {
+  readonly settings: GroupSettings;
+  /** The global time; each member's clock runs at its own rate. */
+  readonly nowMs: number;
+  /** Sends a request; returns the id that its reply carries. */
+  send(from: string, to: string, request: ModelRequest): string;
+  reply(from: string, to: string, requestId: string, reply: ModelReply): void;
+  /** A number from 0 up to 1 for an election timeout. */
+  draw(member: string): number;
+  /** Called when a member has applied the entry at an index. */
+  applied(member: ModelMember, index: number, term: number, text: string): void;
+  /** Called when a member has become leader. */
+  elected(member: ModelMember): void;
+  /** The members as a member with an empty disk learns them; undefined where no other is up. */
+  knownMembers(): Members | undefined;
+  nonce(): string;
+}
+
 const SNAPSHOT_TIMEOUT_MS = 5000;
 const REJOIN_TIMEOUT_MS = 1000;
 const REJOIN_INTERVAL_MS = 500;
