--- a/src/proxy/attempt-runner.ts
+++ b/src/proxy/attempt-runner.ts
@@ -195,7 +195,7 @@
         ? response === "streamed"
         : outcome.why === "" && response.code < 500;
     const bytes = typeof response === "string" || !isWhole ? undefined : response.body.length;
-    if (bytes !== undefined) bulkAdmission.learn(route.name, bytes);
+    if (bytes !== undefined) bulkAdmission.recordSize(route.name, bytes);
     loadBalancer.ended(
       registration,
       { tookMs: nowMs - startedMs, isWhole, goalMs: route.goalMs, route: route.name, bytes },
--- a/src/proxy/bulk-admission.ts
+++ b/src/proxy/bulk-admission.ts
@@ -15,7 +15,7 @@
   private readonly maxBufferedBytes: number;
   private readonly averageSizes = new Map<string, number>();
   /** Bytes that the responses to active requests are expected to have. */
-  private expectedBytes = 0;
+  private reservedBytes = 0;
 
   /** `maxBufferedBytes`: responses up to this size arrive whole before any of them is sent. */
   constructor(egress: LinkPacer, maxBufferedBytes: number) {
@@ -25,7 +25,7 @@
 
   /** Whether a response of the route's average size can be sent within the time; always where no other large one is in transfer. */
   admits(route: string, leftMs: number): boolean {
-    const { egress, expectedBytes } = this;
+    const { egress, reservedBytes: expectedBytes } = this;
     const bytes = this.averageBytes(route);
     if (bytes <= egress.smallBytes || expectedBytes + egress.bulkBytes < 1) return true;
     const arrivalMs = bytes <= this.maxBufferedBytes ? egress.transferMs(bytes) : 0;
@@ -33,18 +33,18 @@
   }
 
   /** Reserves capacity for a response of the route's average size; the returned function releases it, and may be called again. */
-  expect(route: string): () => void {
+  reserve(route: string): () => void {
     let bytes = this.averageBytes(route);
     if (bytes <= this.egress.smallBytes) return () => undefined;
-    this.expectedBytes += bytes;
+    this.reservedBytes += bytes;
     return () => {
-      this.expectedBytes -= bytes;
+      this.reservedBytes -= bytes;
       bytes = 0;
     };
   }
 
   /** Adds the size of a complete response to the average of its route. */
-  learn(route: string, bytes: number): void {
+  recordSize(route: string, bytes: number): void {
     if (!this.egress.isPaced) return;
     const average = this.averageSizes.get(route);
     if (average === undefined && this.averageSizes.size >= MAX_ROUTES) this.averageSizes.clear();
--- a/src/proxy/http-proxy.ts
+++ b/src/proxy/http-proxy.ts
@@ -104,7 +104,7 @@
 
   /** How many requests and tasks must end before the daemon may stop. */
   get unfinished(): number {
-    return this.inHand + this.claims.inHand;
+    return this.inHand + this.claims.pendingTasks;
   }
 
   /** Refuses all new requests from now on. */
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -139,7 +139,7 @@
   }
 
   /** How many outcomes are being replicated, and claims released. */
-  get inHand(): number {
+  get pendingTasks(): number {
     return this.activeTasks;
   }
 
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -16,7 +16,7 @@
   readonly response: ClientResponse | "streamed" | "cut";
   /** Why the proxy answered itself, in words for the client; empty where a backend's response is forwarded. */
   readonly why: string;
-  /** When the client had better retry, where it is told so. */
+  /** When the client had better retry, where this is stated. */
   readonly afterMs?: number;
 }
 
--- a/src/proxy/response-forwarder.ts
+++ b/src/proxy/response-forwarder.ts
@@ -142,7 +142,7 @@
 
   private endStream({ client, route }: RequestContext, sentBytes: number): RequestOutcome {
     client.end();
-    this.options.bulkAdmission.learn(route?.name ?? "", sentBytes);
+    this.options.bulkAdmission.recordSize(route?.name ?? "", sentBytes);
     return { execution: outcomeRuleOf("streamed").execution, response: "streamed", why: "" };
   }
 
--- a/src/proxy/retry-after.ts
+++ b/src/proxy/retry-after.ts
@@ -1,4 +1,4 @@
-/** When clients are told to come back after a request that wasn't served. */
+/** When clients had better retry after a request that wasn't served. */
 import type { ClientResponse, RequestOutcome } from "./request-outcome.js";
 
 /** Delays in milliseconds, by what the client had better wait for. */
--- a/src/proxy/routing-filter.ts
+++ b/src/proxy/routing-filter.ts
@@ -56,7 +56,7 @@
     budget.countFirst(context.service, context.arrivedMs);
     const routeId = clusterView.idOf("route", route.name);
     if (routeId !== undefined) counts.countRoute(routeId);
-    context.releaseBulkReservation = bulkAdmission.expect(route.name);
+    context.releaseBulkReservation = bulkAdmission.reserve(route.name);
     return yield* next();
   }
 
