--- a/test/load-balancing/load-balancer-responsiveness.test.ts
+++ b/test/load-balancing/load-balancer-responsiveness.test.ts
@@ -1,5 +1,6 @@
 import { expect, test } from "vitest";
 import type { Registration } from "../../src/state/state-machine.js";
+import type { AttemptSample } from "../../src/load-balancing/attempt-sample.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
@@ -21,7 +22,7 @@
 test("a backend without progress on requests in flight gets no more of them until one ends", () => {
   const loadBalancer = new LoadBalancer("a", RandomDraw.of(3));
   const [unresponsive, healthy] = [backend("unresponsive", 1), backend("healthy", 2)];
-  const ended = { tookMs: 50, isWhole: true, goalMs: 100, route: "r" };
+  const ended: AttemptSample = { tookMs: 50, isWhole: true, goalMs: 100, route: "r" };
   for (const one of [unresponsive, healthy]) {
     loadBalancer.began(one, 0, "r");
     loadBalancer.ended(one, ended, 50);
