--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -32,7 +32,7 @@
     const replicationNode = this.stage.leader.daemon?.replicationNode;
     if (!replicationNode) return "no leader";
     const text = this.config.next();
-    const deed = LogCommand.text({
+    const command = LogCommand.text({
       kind: "config",
       expected: this.newest,
       changeId: `c${this.newest + 1}`,
@@ -44,7 +44,7 @@
     const outcomes: string[] = [];
     this.stage.start(
       (function* () {
-        const proposed = yield* replicationNode.propose(deed);
+        const proposed = yield* replicationNode.propose(command);
         outcomes.push(proposed.kind === "committed" ? proposed.outcome : proposed.kind);
       })(),
     );
@@ -59,7 +59,7 @@
 const readAt = (stage: FleetStage, machine: StageMachine, sequence: number): string => {
   const { replicationNode } = machine.daemon ?? {};
   const reads: string[] = [];
-  if (!replicationNode) return "no recorder";
+  if (!replicationNode) return "no node";
   stage.start(
     (function* () {
       const read = yield* replicationNode.readConfig(sequence);
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -87,7 +87,7 @@
     wait(40);
   }
   const [one, two, three] = simulation.machines.filter(({ disk }) => disk);
-  if (!one?.disk || !two?.disk || !three?.disk) throw new Error("A recorder is missing.");
+  if (!one?.disk || !two?.disk || !three?.disk) throw new Error("A node is missing.");
   simulation.kill(one, true);
   one.disk.wipe();
   simulation.boot(one);
--- a/test/replication/rejoin.test.ts
+++ b/test/replication/rejoin.test.ts
@@ -12,7 +12,7 @@
   expect(stage.commit(1)).toBe(true);
   const { leader } = stage;
   const [emptied, other] = stage.disks.filter((machine) => machine !== leader);
-  if (!emptied || !other) throw new Error("There are too few recorders.");
+  if (!emptied || !other) throw new Error("There are too few nodes.");
   const fleet = stage.fleetOf(emptied);
   stage.kill(emptied, true);
   stage.boot(emptied, later);
@@ -28,7 +28,7 @@
   stage.bootAll();
   stage.until(isLed(stage), 5000);
   const [emptied] = stage.disks.filter((machine) => machine !== stage.leader);
-  if (!emptied) throw new Error("There are too few recorders.");
+  if (!emptied) throw new Error("There are too few nodes.");
   const edges = [0, 1, 2].map((at) => stage.at(at));
   for (const machine of edges) stage.kill(machine);
   stage.kill(emptied, true);
@@ -68,7 +68,7 @@
   stage.until(isLed(stage), 5000);
   expect(stage.commit(1)).toBe(true);
   const [one, two, three, four, five] = stage.disks;
-  if (!one || !two || !three || !four || !five) throw new Error("There are too few recorders.");
+  if (!one || !two || !three || !four || !five) throw new Error("There are too few nodes.");
   for (const machine of stage.disks) stage.kill(machine, machine === one || machine === two);
   for (const machine of [one, two, three]) stage.boot(machine, later);
   stage.wait(8000);
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -25,7 +25,7 @@
   text: '{"kind":"note","text":"n"}',
 });
 
-/** One recorder under test, and the wire by which a recorded trace is played to it. */
+/** One node under test, and the network by which a recorded trace is sent to it. */
 const stage = (formed: boolean) => {
   const time = new VirtualClock();
   const network = new VirtualNetwork(time.clock(), RandomDraw.of(1));
@@ -80,7 +80,7 @@
     };
   });
   Task.start(player.listen(), fail);
-  const ask = <A, R>(kind: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
+  const send = <A, R>(kind: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
     const returns: Array<R | undefined> = [];
     Task.start(player.call(own, kind, asked, waitMs), fail, (ret) => returns.push(ret));
     time.runUntil(time.nowMs() + waitMs);
@@ -100,7 +100,7 @@
     Task.start(new LogStore(disk).writeSnapshot(durableState), fail);
     time.runUntil(100);
   }
-  return { time, disk, begin, ask };
+  return { time, disk, begin, send };
 };
 const append = (
   term: number,
@@ -119,49 +119,49 @@
 });
 
 test("trace: no vote within an election timeout of a leader's contact, none for a shorter log, one in a term, also after a restart", () => {
-  const { time, begin, ask } = stage(true);
+  const { time, begin, send } = stage(true);
   begin();
   time.runUntil(150);
-  expect(ask(RpcMethod.vote, vote(2, 9, 9))?.granted).toBe(false);
-  expect(ask(RpcMethod.append, append(2, 1, 1, []))).toMatchObject({
+  expect(send(RpcMethod.vote, vote(2, 9, 9))?.granted).toBe(false);
+  expect(send(RpcMethod.append, append(2, 1, 1, []))).toMatchObject({
     fits: true,
     counts: true,
     matched: 1,
   });
-  expect(ask(RpcMethod.vote, vote(3, 9, 9, true))?.granted).toBe(false);
+  expect(send(RpcMethod.vote, vote(3, 9, 9, true))?.granted).toBe(false);
   time.runUntil(time.nowMs() + 450);
-  expect(ask(RpcMethod.vote, vote(9, 0, 0))?.granted).toBe(false);
-  expect(ask(RpcMethod.vote, vote(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
+  expect(send(RpcMethod.vote, vote(9, 0, 0))?.granted).toBe(false);
+  expect(send(RpcMethod.vote, vote(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
   begin();
   time.runUntil(time.nowMs() + 10);
   time.runUntil(time.nowMs() + 500);
-  expect(ask(RpcMethod.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
+  expect(send(RpcMethod.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
 });
 
 test("trace: an entry is acknowledged once it is on disk, and not after the term has changed", () => {
-  const { time, disk, begin, ask } = stage(true);
+  const { time, disk, begin, send } = stage(true);
   begin();
   time.runUntil(150);
   disk.stall(600);
-  expect(ask(RpcMethod.append, append(2, 1, 1, [note(2, 2)]), 100)).toBeUndefined();
-  expect(ask(RpcMethod.append, append(3, 1, 1, [note(2, 3)]), 1500)).toMatchObject({
+  expect(send(RpcMethod.append, append(2, 1, 1, [note(2, 2)]), 100)).toBeUndefined();
+  expect(send(RpcMethod.append, append(3, 1, 1, [note(2, 3)]), 1500)).toMatchObject({
     term: 3,
     fits: true,
     matched: 2,
   });
-  expect(ask(RpcMethod.append, append(2, 2, 2, [note(3, 2)]))).toMatchObject({
+  expect(send(RpcMethod.append, append(2, 2, 2, [note(3, 2)]))).toMatchObject({
     term: 3,
     fits: false,
   });
 });
 
 test("trace: a node that lost its disk neither votes nor counts until its own rejoin marker is committed", () => {
-  const { time, begin, ask } = stage(false);
+  const { time, begin, send } = stage(false);
   const replicationNode = begin();
   time.runUntil(400);
   expect(replicationNode.status.state).toBe("rejoining");
-  expect(ask(RpcMethod.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
-  expect(ask(RpcMethod.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
+  expect(send(RpcMethod.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
+  expect(send(RpcMethod.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
     fits: true,
     counts: false,
     matched: 2,
@@ -171,15 +171,15 @@
     term: 5,
     text: JSON.stringify({ kind: "rejoined", machine: own, nonce: "another" }),
   };
-  expect(ask(RpcMethod.append, append(5, 2, 5, [foreign], 3))).toMatchObject({ counts: false });
-  expect(ask(RpcMethod.append, append(5, 3, 5, []))).toMatchObject({ counts: false });
+  expect(send(RpcMethod.append, append(5, 2, 5, [foreign], 3))).toMatchObject({ counts: false });
+  expect(send(RpcMethod.append, append(5, 3, 5, []))).toMatchObject({ counts: false });
   const mark = {
     index: 4,
     term: 5,
     text: JSON.stringify({ kind: "rejoined", machine: own, nonce: replicationNode.nonce }),
   };
-  ask(RpcMethod.append, append(5, 3, 5, [mark], 4));
-  expect(ask(RpcMethod.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
+  send(RpcMethod.append, append(5, 3, 5, [mark], 4));
+  expect(send(RpcMethod.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
 });
 
 test("batches and the retained log are bounded in entries and bytes; a single larger entry is a batch", () => {
@@ -195,12 +195,12 @@
 
 test("the timeout of an append request includes the time of its entries on a slow link", () => {
   const entries = [{ index: 1, term: 1, text: "x".repeat(4 * 1024 * 1024) }];
-  const ask = append(1, 0, 0, entries);
-  expect(appendTimeoutMs({ ...ask, entries: [] }, ReplicationTimeouts.defaults)).toBe(
+  const request = append(1, 0, 0, entries);
+  expect(appendTimeoutMs({ ...request, entries: [] }, ReplicationTimeouts.defaults)).toBe(
     ReplicationTimeouts.defaults.electionMinMs,
   );
   // A link of 5 Mbit/s takes 625 bytes in a millisecond.
-  expect(appendTimeoutMs(ask, ReplicationTimeouts.defaults)).toBeGreaterThan(
+  expect(appendTimeoutMs(request, ReplicationTimeouts.defaults)).toBeGreaterThan(
     (4 * 1024 * 1024) / 625 + 300,
   );
 });
