--- /dev/null
+++ b/src/simulation/client-call.ts
@@ -0,0 +1,148 @@
+/** One request of a simulated client to a daemon's proxy, over the virtual network. */
+import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
+import { Clock } from "../runtime/clock.js";
+import { Task } from "../runtime/task.js";
+import type { ClientSide } from "./client-transport.js";
+import { EventGate } from "./event-gate.js";
+import type { SimulatedMachine } from "./simulated-machine.js";
+import type { VirtualNetwork } from "./virtual-network.js";
+import { CLIENT_TIMEOUT_MS } from "./workload.js";
+
+/** The location of clients on the virtual network. */
+export const CLIENTS_LOCATION = "callers";
+
+/** The part of response chunks that have to wait until the connection accepts more. */
+const BACKPRESSURE_FRACTION = 0.2;
+const BACKPRESSURE_MS = 2;
+
+/** The gate of everything outside the fleet, which never dies. */
+const outsideGate = new EventGate();
+
+const noResponse = (broke: ClientSide["broke"]): ClientSide => ({
+  code: 0,
+  broke,
+  body: Buffer.alloc(0),
+  statedBytes: undefined,
+  retryAfterS: undefined,
+});
+
+const completed = (code: number, headers: Record<string, string>, body: Buffer): ClientSide => ({
+  code,
+  broke: "",
+  body,
+  statedBytes: Number(headers["content-length"] ?? body.length),
+  retryAfterS: headers["retry-after"] === undefined ? undefined : Number(headers["retry-after"]),
+});
+
+/** What a call needs of its simulation. */
+export interface CallEnvironment {
+  readonly clock: Clock;
+  readonly network: VirtualNetwork;
+  readonly random: () => number;
+}
+
+/** A request on its way; `run` sends it and returns what the client received. */
+export class ClientCall {
+  private readonly environment: CallEnvironment;
+  private readonly name: string;
+  private readonly machine: SimulatedMachine | undefined;
+  private readonly clientRequest: ProxyRequest;
+  private hangUp = (): void => undefined;
+
+  constructor(
+    environment: CallEnvironment,
+    name: string,
+    machine: SimulatedMachine | undefined,
+    clientRequest: ProxyRequest,
+  ) {
+    this.environment = environment;
+    this.name = name;
+    this.machine = machine;
+    this.clientRequest = clientRequest;
+  }
+
+  /** Sends the request; a client that has no response by its timeout hangs up. */
+  *run(timeoutMs: number): Task<ClientSide> {
+    const { clock, network } = this.environment;
+    const end = yield* Clock.withTimeout<ClientSide>(clock, timeoutMs, (done) => {
+      const arrive = (): void => this.arrive(done);
+      clock.after(network.connectMs(), () =>
+        network.deliver(CLIENTS_LOCATION, this.name, outsideGate, arrive, () =>
+          done(noResponse("silent")),
+        ),
+      );
+    });
+    if (end) return end;
+    this.hangUp();
+    return noResponse(timeoutMs < CLIENT_TIMEOUT_MS ? "hungUp" : "silent");
+  }
+
+  /** Delivers what the client receives, over the network. */
+  private deliverBack(outcome: ClientSide, done: (outcome: ClientSide) => void): void {
+    this.environment.network.deliver(
+      this.name,
+      CLIENTS_LOCATION,
+      outsideGate,
+      () => done(outcome),
+      () => done(noResponse("silent")),
+    );
+  }
+
+  /** The request arrives at the machine. */
+  private arrive(done: (outcome: ClientSide) => void): void {
+    const { machine, clientRequest } = this;
+    if (!machine?.daemon || !machine.gate.isAlive)
+      return this.deliverBack(noResponse("refused"), done);
+    const { daemon, gate } = machine;
+    const client = this.connect(machine, gate, (outcome) => this.deliverBack(outcome, done));
+    gate.pass(() => daemon.callers.emit({ clientRequest, client }));
+  }
+
+  /** The daemon's side of the connection; it closes with the machine, or when the client hangs up. */
+  private connect(
+    machine: SimulatedMachine,
+    gate: EventGate,
+    deliver: (outcome: ClientSide) => void,
+  ): ClientConnection {
+    const { clock, network, random } = this.environment;
+    let isClosed = false;
+    let open: { code: number; headers: Record<string, string>; chunks: Buffer[] } | undefined;
+    const close = (): void => {
+      isClosed = true;
+      machine.gone.delete(onExit);
+    };
+    const finish = (outcome: ClientSide): void => {
+      close();
+      deliver(outcome);
+    };
+    const onExit = (): void => finish(noResponse("broken"));
+    machine.gone.add(onExit);
+    this.hangUp = () => network.deliver(CLIENTS_LOCATION, this.name, gate, close, () => undefined);
+    return {
+      get isClosed() {
+        return isClosed;
+      },
+      respond: ({ code, headers, body }) => {
+        if (!isClosed) finish(completed(code, headers, Buffer.from(body)));
+      },
+      writeHead: (code, headers) => {
+        open = { code, headers, chunks: [] };
+      },
+      *writeChunk(bytes) {
+        open?.chunks.push(Buffer.from(bytes));
+        if (random() < BACKPRESSURE_FRACTION)
+          yield* Task.wait<boolean>((drained) =>
+            clock.after(BACKPRESSURE_MS, () => gate.pass(() => drained(true))),
+          );
+        return !isClosed;
+      },
+      end: () => {
+        if (!isClosed && open)
+          finish(completed(open.code, open.headers, Buffer.concat(open.chunks)));
+      },
+      abort: () => {
+        if (!isClosed) finish(noResponse("broken"));
+      },
+    };
+  }
+}
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -1,17 +1,20 @@
+/** The simulated fleet: starts, stops and removes machines, and carries requests to their daemons. */
 import type { BackendClient } from "../proxy/upstream/backend-client.js";
-import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
+import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
 import { Clock } from "../runtime/clock.js";
 import { Daemon } from "../daemon/daemon.js";
 import type { Settings } from "../daemon/settings.js";
 import type { ReplicationTimeouts } from "../replication/replication-node.js";
 import { Task } from "../runtime/task.js";
-import { CLIENT_TIMEOUT_MS, Workload } from "./workload.js";
+import { Workload } from "./workload.js";
 import type { ClientSide, ClientTransport } from "./client-transport.js";
 import { RandomDraw } from "./random-draw.js";
+import { ClientCall } from "./client-call.js";
 import { EventGate } from "./event-gate.js";
 import { EventRecorder } from "./event-recorder.js";
 import type { Profile } from "./profile.js";
+import type { SimulatedMachine } from "./simulated-machine.js";
 import { TestBackend } from "./test-backend.js";
 import { virtualBackends } from "./virtual-backends.js";
 import { VirtualClock } from "./virtual-clock.js";
@@ -19,47 +22,34 @@
 import { VirtualNetwork } from "./virtual-network.js";
 import { virtualRuntime } from "./virtual-runtime.js";
 
-/** One machine of a simulated fleet. */
-export interface SimulatedMachine {
-  readonly settings: Settings;
-  readonly disk: VirtualDisk | undefined;
-  readonly offsetMs: number;
-  readonly rate: number;
-  /** How far its wall clock has jumped. */
-  wallJumpMs: number;
-  gate: EventGate;
-  daemon: Daemon | undefined;
-  isStopping: boolean;
-  /** Whether it is gone for good, so that it never starts again. */
-  isRemoved: boolean;
-  /** Whether its disk was lost once, after which it never forms a log. */
-  isEmptied: boolean;
-  /** Hears that the process is gone: every connection to it breaks. */
-  readonly gone: Set<() => void>;
-}
+export { CLIENTS_LOCATION } from "./client-call.js";
+export type { SimulatedMachine } from "./simulated-machine.js";
 
-/** What a machine is laid out by. */
-interface Laying {
-  readonly at: number;
+/** What determines the layout of a machine. */
+interface MachineLayout {
+  readonly index: number;
   readonly zone: string;
   readonly hasDisk: boolean;
   readonly isSpare?: boolean;
 }
 
-/** Where callers are, as the network names it. */
-export const CLIENTS_LOCATION = "callers";
-/** Where operators are. */
+/** The location of operators on the virtual network. */
 export const OPERATORS_LOCATION = "operators";
-/** How long a call of an operator or a back end waits for its answer where it says nothing else. */
-const deskWaitMs = 5000;
+/** The timeout of an admin request that sets none. */
+const ADMIN_TIMEOUT_MS = 5000;
 /** How often an operator reads the configuration. */
-const readEveryMs = 300;
-const peerPort = 7000;
+const CONFIG_READ_INTERVAL_MS = 300;
+/** How often a backend sends heartbeats. */
+const HEARTBEAT_INTERVAL_MS = 1000;
+const PROBES_PER_SECOND = 5;
+const PEER_PORT = 7000;
+/** Responses of test backends are smaller than in the profiles, so that a day is simulated in seconds. */
+const MAX_SIMULATED_BODY_BYTES = 300_000;
 const outsideGate = new EventGate();
-/** Small, so that a day sees many checkpoints. */
-const simCheckpointBytes = 60_000;
+/** Small, so that a simulated day includes many snapshots. */
+const SNAPSHOT_BYTES = 60_000;
 
-/** A whole fleet with its callers, back ends and operators in one process, on virtual time, repeatable by seed. */
+/** A fleet with its clients, backends and operators in one process, on virtual time, reproducible by seed. */
 export class Simulation {
   readonly time = new VirtualClock();
   readonly clock: Clock;
@@ -71,11 +61,11 @@
   readonly day: Workload;
   readonly profile: Profile;
   readonly lines: string[] = [];
-  /** The part of answers to operators that is lost on the way. */
+  /** The part of responses to operators that the network loses. */
   lostAnswerPart = 0;
-  /** Hears which machine has just sent an operator a 200 to an order. */
+  /** Called with the machine that has just acknowledged an operator's change. */
   onAcknowledged: (machine: SimulatedMachine) => void = () => undefined;
-  /** Whether a failure that takes a member's disk away is under way; only one may be at once. */
+  /** Whether a fault that loses a member's disk is in progress; there is one at a time. */
   isLosingDisk = false;
   private readonly waits: Partial<ReplicationTimeouts>;
 
@@ -86,19 +76,19 @@
     waits: Partial<ReplicationTimeouts> = {},
   ) {
     this.profile = profile;
-    this.waits = { snapshotBytes: simCheckpointBytes, ...waits };
+    this.waits = { snapshotBytes: SNAPSHOT_BYTES, ...waits };
     this.clock = this.time.clock();
     this.random = RandomDraw.of(seed);
     this.network = new VirtualNetwork(this.clock, this.random);
     const count = profile.diskMachines + profile.smallMachines;
-    this.machines = Array.from({ length: count }, (_, at) => {
-      const zone = profile.zones[at % profile.zones.length] ?? "";
-      return this.laid({ at, zone, hasDisk: at < profile.diskMachines });
+    this.machines = Array.from({ length: count }, (_, index) => {
+      const zone = profile.zones[index % profile.zones.length] ?? "";
+      return this.createMachine({ index, zone, hasDisk: index < profile.diskMachines });
     });
     const bodyBytes = new Map(
       profile.traffic.map((one) => [
         `${one.method} /${one.path(0).split("/")[1] ?? ""}`,
-        Math.min(one.bodyBytes, 300_000),
+        Math.min(one.bodyBytes, MAX_SIMULATED_BODY_BYTES),
       ]),
     );
     let port = 9000;
@@ -117,16 +107,21 @@
     this.day = new Workload(this.outside(), profile, this.recorder, rateFactor);
   }
 
-  /** A machine as it is before its first start, at the address that its number gives it. */
-  private laid({ at, zone, hasDisk, isSpare = false }: Laying): SimulatedMachine {
-    const address = (port: number): string => `10.0.0.${at + 1}:${port}`;
+  /** A machine before its first start; its index determines its address. */
+  private createMachine({
+    index,
+    zone,
+    hasDisk,
+    isSpare = false,
+  }: MachineLayout): SimulatedMachine {
+    const address = (port: number): string => `10.0.0.${index + 1}:${port}`;
     const { tolerate, bounds } = this.profile;
     const settings: Settings = {
-      machine: `${hasDisk ? "disk" : "small"}-${at + 1}`,
+      machine: `${hasDisk ? "disk" : "small"}-${index + 1}`,
       zone,
       operators: address(7070),
-      peers: address(peerPort),
-      seeds: isSpare ? this.seeds() : [0, 1, 2].map((seed) => `10.0.0.${seed + 1}:${peerPort}`),
+      peers: address(PEER_PORT),
+      seeds: isSpare ? this.seeds() : [0, 1, 2].map((seed) => `10.0.0.${seed + 1}:${PEER_PORT}`),
       ...(hasDisk ? { dataFolder: "data" } : { callers: address(8080) }),
       ...(isSpare ? { bootstrap: false } : {}),
       ...(tolerate === undefined ? {} : { tolerate }),
@@ -161,28 +156,34 @@
       .map(({ settings }) => settings.peers);
   }
 
-  /** A new machine comes up in a zone, with an empty disk, at an address that none had before. */
+  /** Starts a new machine in a zone, with an empty disk and an unused address. */
   addSpare(zone: string): SimulatedMachine {
-    const machine = this.laid({ at: this.machines.length, zone, hasDisk: true, isSpare: true });
+    const machine = this.createMachine({
+      index: this.machines.length,
+      zone,
+      hasDisk: true,
+      isSpare: true,
+    });
     this.machines.push(machine);
     this.boot(machine);
     return machine;
   }
 
-  /** A machine is gone for good, and its disk with it. */
+  /** Removes a machine and its disk for good. */
   remove(machine: SimulatedMachine): void {
     this.kill(machine, true);
     machine.disk?.wipe();
     machine.isRemoved = true;
   }
 
-  /** Starts all machines, back ends and callers. */
+  /** Starts all machines, backends and clients. */
   begin(): void {
     for (const machine of this.machines) this.boot(machine);
-    for (const testBackend of this.testBackends) this.start(this.day.announcing(testBackend, 1000));
+    for (const testBackend of this.testBackends)
+      this.start(this.day.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
     for (const traffic of this.profile.traffic) this.start(this.day.callers(traffic));
-    this.start(this.day.probers(5));
-    this.start(this.day.operators.reading(readEveryMs));
+    this.start(this.day.probers(PROBES_PER_SECOND));
+    this.start(this.day.operators.reading(CONFIG_READ_INTERVAL_MS));
   }
 
   start(task: Task<unknown>): void {
@@ -223,7 +224,7 @@
     this.start(daemon.start());
   }
 
-  /** The process dies at once; with `power`, what was not synced is lost or torn. */
+  /** Kills a machine's process; with `power`, unsynced writes are lost or torn. */
   kill(machine: SimulatedMachine, power = false): void {
     if (!machine.gate.isAlive) return;
     machine.gate.kill();
@@ -231,7 +232,7 @@
     if (power) machine.disk?.losePower();
     else machine.disk?.finishWrites();
     this.network.drop(machine.settings.machine);
-    for (const hear of [...machine.gone]) hear();
+    for (const listener of [...machine.gone]) listener();
     machine.gone.clear();
     this.recorder.world.push({
       kind: "killed",
@@ -240,7 +241,7 @@
     });
   }
 
-  /** The machine is told to stop, and its process ends once drained. */
+  /** Stops a machine's daemon; its process ends once drained. */
   *stop(machine: SimulatedMachine): Task {
     const { daemon, gate } = machine;
     if (!daemon || machine.isStopping) return;
@@ -286,121 +287,35 @@
           )
           .map(({ settings }) => settings),
       isUp: (daemon) => this.machine(daemon)?.daemon !== undefined,
-      call: (daemon, clientRequest, patienceMs) => this.call(daemon, clientRequest, patienceMs),
-      desk: (daemon, clientRequest, from, patienceMs) =>
-        this.desk(daemon, clientRequest, from, patienceMs),
+      call: (daemon, clientRequest, timeoutMs) => this.call(daemon, clientRequest, timeoutMs),
+      desk: (daemon, clientRequest, from, timeoutMs) =>
+        this.desk(daemon, clientRequest, from, timeoutMs),
     };
   }
 
-  /** Sends one request to a daemon as a caller does, who hangs up after a while. */
-  *call(name: string, clientRequest: ProxyRequest, patienceMs: number): Task<ClientSide> {
-    const machine = this.machine(name);
-    const { network, clock, random } = this;
-    const broken = (broke: ClientSide["broke"]): ClientSide => ({
-      code: 0,
-      broke,
-      body: Buffer.alloc(0),
-      statedBytes: undefined,
-      retryAfterS: undefined,
-    });
-    let hangUp = (): void => undefined;
-    const end = yield* Clock.withTimeout<ClientSide>(clock, patienceMs, (done) => {
-      const back = (outcome: ClientSide): void =>
-        network.deliver(
-          name,
-          CLIENTS_LOCATION,
-          outsideGate,
-          () => done(outcome),
-          () => done(broken("silent")),
-        );
-      const arrive = (): void => {
-        if (!machine?.daemon || !machine.gate.isAlive) return back(broken("refused"));
-        const { daemon, gate } = machine;
-        let isGone = false;
-        let open: { code: number; headers: Record<string, string>; pieces: Buffer[] } | undefined;
-        const finish = (outcome: ClientSide): void => {
-          isGone = true;
-          machine.gone.delete(gone);
-          back(outcome);
-        };
-        const gone = (): void => finish(broken("broken"));
-        machine.gone.add(gone);
-        hangUp = () =>
-          network.deliver(
-            CLIENTS_LOCATION,
-            name,
-            gate,
-            () => {
-              isGone = true;
-              machine.gone.delete(gone);
-            },
-            () => undefined,
-          );
-        const ended = (
-          code: number,
-          headers: Record<string, string>,
-          body: Buffer,
-        ): ClientSide => ({
-          code,
-          broke: "",
-          body,
-          statedBytes: Number(headers["content-length"] ?? body.length),
-          retryAfterS:
-            headers["retry-after"] === undefined ? undefined : Number(headers["retry-after"]),
-        });
-        const client: ClientConnection = {
-          get isClosed() {
-            return isGone;
-          },
-          respond: ({ code, headers, body }) => {
-            if (!isGone) finish(ended(code, headers, Buffer.from(body)));
-          },
-          writeHead: (code, headers) => {
-            open = { code, headers, pieces: [] };
-          },
-          *writeChunk(bytes) {
-            open?.pieces.push(Buffer.from(bytes));
-            if (random() < 0.2)
-              yield* Task.wait<boolean>((drained) =>
-                clock.after(2, () => gate.pass(() => drained(true))),
-              );
-            return !isGone;
-          },
-          end: () => {
-            if (!isGone && open) finish(ended(open.code, open.headers, Buffer.concat(open.pieces)));
-          },
-          abort: () => {
-            if (!isGone) finish(broken("broken"));
-          },
-        };
-        gate.pass(() => daemon.callers.emit({ clientRequest, client }));
-      };
-      clock.after(network.connectMs(), () =>
-        network.deliver(CLIENTS_LOCATION, name, outsideGate, arrive, () => done(broken("silent"))),
-      );
-    });
-    if (end) return end;
-    hangUp();
-    return broken(patienceMs < CLIENT_TIMEOUT_MS ? "hungUp" : "silent");
+  /** Sends one request to a daemon's proxy as a client does; the client hangs up after a timeout. */
+  call(name: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
+    return new ClientCall(this, name, this.machine(name), clientRequest).run(timeoutMs);
   }
 
+  /** Sends one request to a daemon's admin API; undefined without a response. */
   private *desk(
     name: string | undefined,
     clientRequest: ProxyRequest,
     from = OPERATORS_LOCATION,
-    patienceMs = deskWaitMs,
+    timeoutMs = ADMIN_TIMEOUT_MS,
   ): Task<ClientResponse | undefined> {
     const open = this.machines.filter((one) => one.daemon !== undefined);
     const machine =
       name === undefined ? open[Math.floor(this.random() * open.length)] : this.machine(name);
     if (!machine) return undefined;
     const { network } = this;
-    const place = machine.settings.machine;
-    return yield* Clock.withTimeout<ClientResponse | undefined>(this.clock, patienceMs, (done) => {
+    const location = machine.settings.machine;
+    return yield* Clock.withTimeout<ClientResponse | undefined>(this.clock, timeoutMs, (done) => {
       const back = (response: ClientResponse | undefined): void => {
         if (from === OPERATORS_LOCATION && response && this.random() < this.lostAnswerPart) return;
         network.deliver(
-          place,
+          location,
           from,
           outsideGate,
           () => done(response),
@@ -417,7 +332,7 @@
         machine.gone.add(() => done(undefined));
         gate.pass(() => daemon.operators.emit({ clientRequest, give }));
       };
-      network.deliver(from, place, outsideGate, arrive, () => done(undefined));
+      network.deliver(from, location, outsideGate, arrive, () => done(undefined));
     });
   }
 
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -1,25 +1,32 @@
+/** The traffic around a fleet, simulated or of real processes: clients, backends and operators. */
 import { string, type, type Struct } from "superstruct";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import { Clock } from "../runtime/clock.js";
 import { Task } from "../runtime/task.js";
 import { ConfigWorkload } from "./config-workload.js";
-import type { ClientTransport } from "./client-transport.js";
+import type { ClientSide, ClientTransport } from "./client-transport.js";
 import type { ClientRecord, EventRecorder } from "./event-recorder.js";
 import type { Profile, Traffic } from "./profile.js";
 import type { TestBackend } from "./test-backend.js";
 
-/** How long a patient caller waits. */
+/** The timeout of a client that does not hang up early. */
 export const CLIENT_TIMEOUT_MS = 9000;
-/** Which part of requests is sent over a connection that was kept, to whatever daemon it leads to. */
-const keptPart = 0.3;
-/** Which part of callers hangs up before long. */
-const hangUpPart = 0.06;
+/** The fraction of requests that reuse an open connection, whatever daemon it leads to. */
+const REUSED_CONNECTION_FRACTION = 0.3;
+/** The fraction of clients that hang up early, within about 600 ms. */
+const HANG_UP_FRACTION = 0.06;
+
+/** The fraction of keyed requests that are sent twice at the same time. */
+const DUPLICATE_FRACTION = 0.03;
+/** The fraction of retries that obey a response's Retry-After. */
+const OBEDIENT_FRACTION = 0.3;
+const MAX_IMPATIENT_DELAY_MS = 30;
 
 const ownBody = type({ of: string() });
 const verdictBody = type({ verdict: string() });
 
-/** The one word that a body holds under a shape, or an empty one. */
-const wordIn = (
+/** The field of a JSON body under a shape; empty where the body has another form. */
+const fieldIn = (
   body: Buffer,
   shape: Struct<{ of: string }> | Struct<{ verdict: string }>,
 ): string => {
@@ -31,18 +38,31 @@
   }
 };
 
-/** What happens around the fleet in a day: callers, back ends and operators at their work. */
+/** Adds to a client's record what it received. */
+const recordResponse = (record: ClientRecord, end: ClientSide): void => {
+  record.code = end.code;
+  record.broke = end.broke;
+  record.retryAfterS = end.retryAfterS;
+  record.isWhole = end.statedBytes === end.body.length;
+  record.isGarbage = end.body.subarray(0, 7).toString() === "garbage";
+  if (record.isWhole && !record.isGarbage && end.code < 300)
+    record.bodyOf = fieldIn(end.body, ownBody);
+  if (record.isWhole && end.code >= 400) record.verdict = fieldIn(end.body, verdictBody);
+};
+
+/** The traffic around a fleet: requests of clients, heartbeats of backends, changes by operators. */
 export class Workload {
   private readonly outside: ClientTransport;
   private readonly profile: Profile;
   private readonly recorder: EventRecorder;
   private readonly rateFactor: number;
   private calls = 0;
-  private kept: string[] = [];
+  /** The daemons of the latest connections. */
+  private connectedDaemons: string[] = [];
   /** The operators of the fleet. */
   readonly operators: ConfigWorkload;
   isOver = false;
-  /** How many times the usual number of callers come now. */
+  /** The factor on the number of clients. */
   crowd = 1;
 
   constructor(
@@ -58,7 +78,7 @@
     this.operators = new ConfigWorkload(outside, profile, recorder, () => this.isOver);
   }
 
-  /** Callers of one kind, each request at a time of its own. */
+  /** Starts the clients of one kind, at random intervals. */
   *callers(traffic: Traffic): Task {
     const { clock } = this.outside;
     for (let nextMs = clock.nowMs(); !this.isOver;) {
@@ -71,11 +91,11 @@
         (-Math.log(1 - this.outside.random()) * 1000) /
         (traffic.perSecond * this.rateFactor * this.crowd);
       if (nextMs > clock.nowMs()) yield* Clock.sleep(clock, nextMs - clock.nowMs());
-      this.outside.start(this.person(traffic));
+      this.outside.start(this.client(traffic));
     }
   }
 
-  /** Callers who ask for the route that only one config has. */
+  /** Requests for routes that only one config has. */
   *probers(perSecond: number): Task {
     while (!this.isOver) {
       yield* Clock.sleep(this.outside.clock, 1000 / perSecond);
@@ -89,14 +109,14 @@
     }
   }
 
-  /** A back end's announcements, for as long as it makes any. */
+  /** Sends a backend's heartbeats for as long as it is registered. */
   *announcing(testBackend: TestBackend, everyMs: number): Task {
     while (!this.isOver) {
       if (testBackend.isAnnouncing && testBackend.isUp) {
         const { service, address, zone, incarnation } = testBackend;
         const response = yield* this.outside.desk(
           undefined,
-          this.deskJob("POST", "/backends/announce", {
+          this.adminRequest("POST", "/backends/announce", {
             service,
             address,
             zone,
@@ -116,14 +136,14 @@
     }
   }
 
-  /** A back end says that it is leaving until it is heard. */
+  /** Deregisters a backend, with retries until that is acknowledged. */
   *leave(testBackend: TestBackend): Task<boolean> {
     testBackend.isAnnouncing = false;
     const { service, address, incarnation } = testBackend;
     for (let round = 0; round < 40 && !this.isOver; round += 1) {
       const response = yield* this.outside.desk(
         undefined,
-        this.deskJob("POST", "/backends/leave", { service, address }),
+        this.adminRequest("POST", "/backends/leave", { service, address }),
         address,
       );
       if (response?.code === 200) {
@@ -141,12 +161,12 @@
     return false;
   }
 
-  /** An operator puts a new config in force, upon the newest that is known. */
+  /** An operator submits a new config, based on the latest that is known. */
   *putConfig(): Task<boolean> {
     return yield* this.operators.put();
   }
 
-  /** An operator sends what is no config; it must be refused. */
+  /** An operator submits a malformed config, which must be refused. */
   *putMalformed(): Task {
     yield* this.operators.putMalformed();
   }
@@ -156,37 +176,63 @@
     this.operators.growRoutes(count);
   }
 
-  /** Reads back every config that was accepted, at the end of a day; one that nobody returns reads as missing. */
+  /** Reads back every config that was accepted; one that no daemon returns is recorded as missing. */
   *readBack(): Task {
     yield* this.operators.readBack();
   }
 
-  /** The newest config that an operator knows to be accepted. */
+  /** The latest config that an operator knows to be accepted. */
   get sequence(): number {
     return this.operators.sequence;
   }
 
-  private *person(traffic: Traffic): Task {
-    const at = Math.floor(this.outside.random() * 1e6);
-    const path = traffic.path(at);
+  /** One client: its request, and the retries that it makes itself. */
+  private *client(traffic: Traffic): Task {
+    const number = Math.floor(this.outside.random() * 1e6);
+    const path = traffic.path(number);
     this.calls += 1;
     const key = traffic.keyed ? `key-${this.calls}` : undefined;
-    const body = traffic.method === "POST" ? Buffer.from(JSON.stringify({ at })) : Buffer.alloc(0);
-    const twin = traffic.keyed && this.outside.random() < 0.03;
-    if (twin) this.outside.start(this.oneCall(traffic.service, traffic.method, path, key, body));
-    const tries = this.outside.random() < 0.5 ? 4 : 2;
-    for (let attempt = 0; attempt < tries && !this.isOver; attempt += 1) {
+    const body =
+      traffic.method === "POST" ? Buffer.from(JSON.stringify({ at: number })) : Buffer.alloc(0);
+    const isDuplicated = traffic.keyed && this.outside.random() < DUPLICATE_FRACTION;
+    if (isDuplicated)
+      this.outside.start(this.oneCall(traffic.service, traffic.method, path, key, body));
+    const maxAttempts = this.outside.random() < 0.5 ? 4 : 2;
+    for (let attempt = 0; attempt < maxAttempts && !this.isOver; attempt += 1) {
       const record = yield* this.oneCall(traffic.service, traffic.method, path, key, body);
       if (record.code > 0 && record.code < 500) return;
       if (record.broke === "hungUp") continue;
-      const obeys = this.outside.random() < 0.3;
-      yield* Clock.sleep(
-        this.outside.clock,
-        obeys ? (record.retryAfterS ?? 1) * 1000 : this.outside.random() * 30,
-      );
+      yield* Clock.sleep(this.outside.clock, this.retryDelayMs(record));
     }
   }
 
+  /** Some clients obey a response's Retry-After; the others retry almost at once. */
+  private retryDelayMs({ retryAfterS }: ClientRecord): number {
+    const obeys = this.outside.random() < OBEDIENT_FRACTION;
+    return obeys ? (retryAfterS ?? 1) * 1000 : this.outside.random() * MAX_IMPATIENT_DELAY_MS;
+  }
+
+  /** The daemon that the next request is sent to, of its client's zone where one is ready there; empty where none is. */
+  private chooseDaemon(): string {
+    const { random } = this.outside;
+    const { zones } = this.profile;
+    const zone = zones[Math.floor(random() * zones.length)] ?? "";
+    const ready = this.outside.ready();
+    const near = ready.filter((one) => one.zone === zone);
+    const candidates = near.length > 0 ? near : ready;
+    const reused =
+      random() < REUSED_CONNECTION_FRACTION
+        ? this.connectedDaemons[Math.floor(random() * this.connectedDaemons.length)]
+        : undefined;
+    if (reused !== undefined && this.outside.isUp(reused)) return reused;
+    return candidates[Math.floor(random() * candidates.length)]?.machine ?? "";
+  }
+
+  private timeoutMs(): number {
+    const { random } = this.outside;
+    return random() < HANG_UP_FRACTION ? 2 + random() ** 3 * 600 : CLIENT_TIMEOUT_MS;
+  }
+
   private *oneCall(
     service: string,
     method: string,
@@ -196,21 +242,8 @@
   ): Task<ClientRecord> {
     const { clock } = this.outside;
     this.calls += 1;
-    const zone =
-      this.profile.zones[Math.floor(this.outside.random() * this.profile.zones.length)] ?? "";
-    const ready = this.outside.ready();
-    const near = ready.filter((one) => one.zone === zone);
-    const open = near.length > 0 ? near : ready;
-    const keeps =
-      this.outside.random() < keptPart
-        ? this.kept[Math.floor(this.outside.random() * this.kept.length)]
-        : undefined;
-    const daemon =
-      keeps !== undefined && this.outside.isUp(keeps)
-        ? keeps
-        : (open[Math.floor(this.outside.random() * open.length)]?.machine ?? "");
-    const patienceMs =
-      this.outside.random() < hangUpPart ? 2 + this.outside.random() ** 3 * 600 : CLIENT_TIMEOUT_MS;
+    const daemon = this.chooseDaemon();
+    const timeoutMs = this.timeoutMs();
     const sentMs = clock.nowMs();
     const record: ClientRecord = {
       id: `c${this.calls}`,
@@ -229,40 +262,24 @@
       retryAfterS: undefined,
       verdict: "",
     };
-    if (daemon === "") {
-      yield* Clock.sleep(clock, 20);
-      record.endedMs = clock.nowMs();
-    } else {
-      const end = yield* this.outside.call(
-        daemon,
-        {
-          method,
-          target: path,
-          headers: {
-            "x-caller": record.id,
-            "content-type": "application/json",
-            ...(key === undefined ? {} : { "idempotency-key": key }),
-          },
-          body,
-        },
-        patienceMs,
-      );
-      if (end.code > 0) this.kept = [...this.kept.slice(-20), daemon];
-      record.endedMs = clock.nowMs();
-      record.code = end.code;
-      record.broke = end.broke;
-      record.retryAfterS = end.retryAfterS;
-      record.isWhole = end.statedBytes === end.body.length;
-      record.isGarbage = end.body.subarray(0, 7).toString() === "garbage";
-      if (record.isWhole && !record.isGarbage && end.code < 300)
-        record.bodyOf = wordIn(end.body, ownBody);
-      if (record.isWhole && end.code >= 400) record.verdict = wordIn(end.body, verdictBody);
+    if (daemon === "") yield* Clock.sleep(clock, 20);
+    else {
+      const headers = {
+        "x-caller": record.id,
+        "content-type": "application/json",
+        ...(key === undefined ? {} : { "idempotency-key": key }),
+      };
+      const clientRequest = { method, target: path, headers, body };
+      const end = yield* this.outside.call(daemon, clientRequest, timeoutMs);
+      if (end.code > 0) this.connectedDaemons = [...this.connectedDaemons.slice(-20), daemon];
+      recordResponse(record, end);
     }
+    record.endedMs = clock.nowMs();
     this.recorder.callers.push(record);
     return record;
   }
 
-  private deskJob(method: string, target: string, body?: unknown): ProxyRequest {
+  private adminRequest(method: string, target: string, body?: unknown): ProxyRequest {
     return {
       method,
       target,
--- a/test/daemon/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -10,7 +10,7 @@
 } from "../../src/retry-budget/retry-budget.js";
 import { RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
 
-test("without bounds in the settings all waits are the usual ones", () => {
+test("derives the default timeouts from settings without bounds", () => {
   const bounds = Bounds.of({});
   expect(bounds.controlPlaneTimeouts).toEqual(ControlPlaneTimeouts.defaults);
   expect(bounds.replicationTimeouts).toEqual(ReplicationTimeouts.defaults);
@@ -23,7 +23,7 @@
   ]);
 });
 
-test("a lease ends before the shorter of the bounds for configs and for leaves, with room for polls in between", () => {
+test("a lease is shorter than both applyMs and drainMs, with room for polls within it", () => {
   for (const [applyMs, drainMs] of [
     [2000, 2500],
     [2500, 2000],
@@ -43,7 +43,7 @@
   }
 });
 
-test("a leader's grant is over before any voter may stand, whatever the bounds", () => {
+test("the leader's lease expires before any voter may start an election, whatever the bounds", () => {
   for (const contactMs of [1000, 2000, 3000, 30_000]) {
     const { replicationTimeouts } = Bounds.of({ bounds: { contactMs } });
     expect(replicationTimeouts.leaderLeaseMs).toBeLessThan(replicationTimeouts.electionMinMs);
@@ -52,7 +52,7 @@
   }
 });
 
-test("a lost voter is replaced well within the time that its successor has, whatever the bounds", () => {
+test("a lost voter is replaced well within catchUpMs, whatever the bounds", () => {
   for (const catchUpMs of [1200, 1500, 2000, 4000, 6000, 60_000])
     for (const contactMs of [1000, 3000, 30_000]) {
       const { replicationTimeouts } = Bounds.of({ bounds: { catchUpMs, contactMs } });
@@ -74,7 +74,7 @@
   ]);
 });
 
-test("sketch and guard stay below the rule", () => {
+test("the retry rules of sketch and guard are stricter than the configured one", () => {
   const { budget } = Bounds.of({
     bounds: { retryRatio: 0.1, retryExtra: 20, retryWindowMs: 5000 },
   });
@@ -86,7 +86,7 @@
   expect(Bounds.of({ bounds: { retryWindowMs: 5000 } }).counts.tries.windowMs).toBe(10_000);
 });
 
-test("a key is kept for longer than its window, and a stop ends within its grace", () => {
+test("an idempotency key is retained beyond its window, and a drain ends within graceMs", () => {
   const { controlPlaneTimeouts, serveOnMs, abandonMs } = Bounds.of({
     bounds: { keyWindowMs: 60_000, graceMs: 6000 },
   });
@@ -97,7 +97,7 @@
   expect(short.abandonMs).toBeLessThan(1000);
 });
 
-test("a back end may miss two heartbeats, however often they come", () => {
+test("a registration survives two missed heartbeats, whatever their interval", () => {
   for (const heartbeatMs of [200, 1300, 5000]) {
     const { controlPlaneTimeouts } = Bounds.of({ heartbeatMs });
     expect(controlPlaneTimeouts.heartbeatMs).toBe(heartbeatMs);
@@ -105,7 +105,7 @@
   }
 });
 
-test("a bound that can't be kept is refused at start, with its path", () => {
+test("refuses a bound that can't be met, with its path", () => {
   const settings = {
     machine: "m",
     zone: "a",
--- a/test/daemon/http-server.test.ts
+++ b/test/daemon/http-server.test.ts
@@ -4,7 +4,7 @@
 import { HttpServer } from "../../src/daemon/http-server.js";
 import { Task } from "../../src/runtime/task.js";
 
-test("a request that was sent over a kept connection right before the server began to part with its callers is answered", async () => {
+test("a request sent over an open connection right before the server starts closing client connections is answered", async () => {
   const server = new HttpServer((clientRequest, client) =>
     client.respond({ code: 200, headers: {}, body: Buffer.from(clientRequest.target) }),
   );
@@ -18,16 +18,16 @@
   await new Promise<void>((done, fail) =>
     Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
   );
-  const heard: string[] = [];
+  const received: string[] = [];
   const socket = connect(port, "127.0.0.1");
-  socket.on("data", (bytes: Buffer) => heard.push(bytes.toString()));
+  socket.on("data", (bytes: Buffer) => received.push(bytes.toString()));
   const ended = new Promise<void>((done) => socket.once("close", () => done()));
   socket.write("GET /one HTTP/1.1\r\nhost: a\r\n\r\n");
-  await expect.poll(() => heard.join("").includes("/one")).toBe(true);
+  await expect.poll(() => received.join("").includes("/one")).toBe(true);
   socket.write("GET /two HTTP/1.1\r\nhost: a\r\n\r\n");
   server.partWithCallers();
   await ended;
-  expect(heard.join("")).toMatch(/connection: close[^]*\/two$/i);
+  expect(received.join("")).toMatch(/connection: close[^]*\/two$/i);
   server.close();
   server.end();
 });
--- a/test/daemon/settings-file.test.ts
+++ b/test/daemon/settings-file.test.ts
@@ -14,7 +14,7 @@
   seeds: ["127.0.0.1:3"],
 };
 
-test("a settings file is read with flags laid over it, and tells when it holds something else", () => {
+test("reads a settings file with flags overriding it, and detects a changed text", () => {
   const folder = mkdtempSync(join(tmpdir(), "daledoor-settings-"));
   try {
     const path = join(folder, "settings.json");
@@ -37,7 +37,7 @@
   }
 });
 
-test("without a file the flags alone are the settings", () => {
+test("uses the flags alone as settings without a file", () => {
   expect(SettingsFile.own(undefined, good).read()).toEqual(good);
   expect(() => SettingsFile.own(undefined, {}).read()).toThrow(SettingsError);
 });
--- a/test/daemon/settings.test.ts
+++ b/test/daemon/settings.test.ts
@@ -9,7 +9,7 @@
   peers: "127.0.0.1:3",
   seeds: ["127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"],
 };
-test("every fault of the settings is told at once, with its path", () => {
+test("reports every fault of the settings at once, with its path", () => {
   expect(Settings.check(good)).toEqual({ settings: good });
   const bad = Settings.check({
     ...good,
@@ -30,7 +30,7 @@
     "callers",
   ]);
 });
-test("what can change while running is told from what needs a restart", () => {
+test("separates changes that apply at run time from those that need a restart", () => {
   expect(
     Settings.difference(good, { ...good, zone: "b", logLevel: "warn", seeds: ["127.0.0.1:4"] }),
   ).toEqual({ applied: ["logLevel", "seeds"], needRestart: ["zone"] });
