--- a/src/admin/backend-registration-endpoints.ts
+++ b/src/admin/backend-registration-endpoints.ts
@@ -89,7 +89,7 @@
     const command: Command = {
       kind: "announce",
       ...registration,
-      seen: Math.max(0, clusterView.directorySequence),
+      seen: Math.max(0, clusterView.endpointsSequence),
     };
     const text = registration.draining
       ? yield* this.forwardDeregistration(command)
--- a/src/admin/config-endpoints.ts
+++ b/src/admin/config-endpoints.ts
@@ -181,7 +181,7 @@
   private redirectAddress(text: string): string | undefined {
     const { egress, clusterView, ownAddress } = this.dependencies;
     if (egress.waitMs(text.length) <= REDIRECT_AFTER_MS) return undefined;
-    const others = clusterView.memberOperators.filter((address) => address !== ownAddress);
+    const others = clusterView.memberAdminAddresses.filter((address) => address !== ownAddress);
     return others[Math.floor(this.runtime.random() * others.length)];
   }
 }
--- a/src/admin/routing-explanations.ts
+++ b/src/admin/routing-explanations.ts
@@ -26,7 +26,7 @@
     return ClientResponse.json(200, {
       sequence: clusterView.configSequence,
       routes: clusterView.routeTable.all.map(
-        ({ name, service, goalMs, furtherTries, repeatable }) => ({
+        ({ name, service, latencyTargetMs: goalMs, maxRetries: furtherTries, repeatable }) => ({
           route: name,
           service,
           goalMs,
@@ -61,9 +61,11 @@
     return ClientResponse.json(200, {
       service,
       windowMs,
-      firstTries: counts ? Math.round(counts.first) : null,
-      furtherTries: counts ? Math.round(counts.further) : null,
-      furtherTriesAllowed: counts ? Math.floor(sketch.earned * counts.first + sketch.pool) : null,
+      firstTries: counts ? Math.round(counts.firstAttempts) : null,
+      furtherTries: counts ? Math.round(counts.retries) : null,
+      furtherTriesAllowed: counts
+        ? Math.floor(sketch.earned * counts.firstAttempts + sketch.pool)
+        : null,
       coverage: latest ? coverageOf(latest) : null,
       backEnds: this.explain(service),
     });
--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -28,10 +28,10 @@
 const stepMs = 2;
 
 const until = (simulation: Simulation, holds: () => boolean, limitMs: number): number => {
-  const startMs = simulation.time.nowMs();
-  while (!holds() && simulation.time.nowMs() < startMs + limitMs)
-    simulation.time.runUntil(simulation.time.nowMs() + stepMs);
-  return simulation.time.nowMs() - startMs;
+  const startMs = simulation.virtualClock.nowMs();
+  while (!holds() && simulation.virtualClock.nowMs() < startMs + limitMs)
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + stepMs);
+  return simulation.virtualClock.nowMs() - startMs;
 };
 
 const leading = (simulation: Simulation): SimulatedMachine | undefined =>
@@ -48,7 +48,7 @@
     simulation,
     () =>
       leading(simulation) !== undefined &&
-      edgesOf(simulation).every(({ daemon }) => daemon?.standing.isGranted),
+      edgesOf(simulation).every(({ daemon }) => daemon?.servingState.isGranted),
     20_000,
   );
   return simulation;
@@ -60,7 +60,9 @@
   let stopped = 0;
   for (let seed = 1; seed <= seeds; seed += 1) {
     const simulation = fleetUp(profile, seed, 0.05);
-    simulation.time.runUntil(simulation.time.nowMs() + 1000 + simulation.random() * 500);
+    simulation.virtualClock.runUntil(
+      simulation.virtualClock.nowMs() + 1000 + simulation.random() * 500,
+    );
     const old = leading(simulation);
     if (!old) continue;
     simulation.kill(old, true);
@@ -74,7 +76,7 @@
       () => {
         lapsed = Math.max(
           lapsed,
-          edgesOf(simulation).filter(({ daemon }) => !daemon?.standing.isGranted).length,
+          edgesOf(simulation).filter(({ daemon }) => !daemon?.servingState.isGranted).length,
         );
         return false;
       },
@@ -108,23 +110,23 @@
   const delays: number[] = [];
   for (let seed = 1; seed <= seeds; seed += 1) {
     const simulation = fleetUp(profile, seed, 0.05);
-    simulation.day.growRoutes(extraRoutes);
+    simulation.workload.growRoutes(extraRoutes);
     for (let round = 0; round < 3; round += 1) {
-      const wanted = simulation.day.sequence + 1;
-      simulation.start(simulation.day.putConfig());
+      const wanted = simulation.workload.sequence + 1;
+      simulation.start(simulation.workload.putConfig());
       until(
         simulation,
         () => simulation.recorder.of("accepted").some(({ sequence }) => sequence === wanted),
         10_000,
       );
-      const startMs = simulation.time.nowMs();
+      const startMs = simulation.virtualClock.nowMs();
       const waiting = new Set(edgesOf(simulation));
       until(
         simulation,
         () => {
           for (const edge of waiting) {
-            if ((edge.daemon?.standing.configSequence ?? 0) < wanted) continue;
-            delays.push((simulation.time.nowMs() - startMs) / 1600);
+            if ((edge.daemon?.servingState.configSequence ?? 0) < wanted) continue;
+            delays.push((simulation.virtualClock.nowMs() - startMs) / 1600);
             waiting.delete(edge);
           }
           return waiting.size === 0;
@@ -140,15 +142,15 @@
 
 const measureRecord = (profile: Profile, rate: number): void => {
   const simulation = fleetUp(profile, 1, rate);
-  simulation.start(simulation.day.putConfig());
-  simulation.time.runUntil(simulation.time.nowMs() + 3000);
+  simulation.start(simulation.workload.putConfig());
+  simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 3000);
   const status = () => leading(simulation)?.daemon?.replicationNode?.status;
   const [before, fromMs, keyed] = [
     status(),
-    simulation.time.nowMs(),
+    simulation.virtualClock.nowMs(),
     simulation.recorder.callers.length,
   ];
-  simulation.time.runUntil(fromMs + 10_000);
+  simulation.virtualClock.runUntil(fromMs + 10_000);
   const after = status();
   if (!before || !after) return;
   const writes = simulation.recorder.callers
@@ -163,9 +165,9 @@
 const measureSketches = (): void => {
   for (const epsilon of [0.05, 0.1, 0.2]) {
     const form = {
-      ...RequestCountsFormat.usual,
-      tries: { ...RequestCountsFormat.usual.tries, epsilon },
-      routes: { ...RequestCountsFormat.usual.routes, epsilon: epsilon * 2 },
+      ...RequestCountsFormat.defaults,
+      tries: { ...RequestCountsFormat.defaults.attempts, epsilon },
+      routes: { ...RequestCountsFormat.defaults.routes, epsilon: epsilon * 2 },
     };
     const random = RandomDraw.of(3);
     const leaves = Array.from({ length: 16 }, () => new RequestCounts(form));
--- a/src/benchmarks/retry-budget-benchmark.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -33,8 +33,8 @@
 ): Decided => {
   const simulation = new Simulation(profile, seed, rate);
   simulation.begin();
-  simulation.start(simulation.day.putConfig());
-  simulation.time.runUntil(20_000);
+  simulation.start(simulation.workload.putConfig());
+  simulation.virtualClock.runUntil(20_000);
   const edges = simulation.machines.filter(
     (machine): machine is SimulatedMachine => machine.settings.callers !== undefined,
   );
@@ -58,19 +58,19 @@
   };
   const seen = new Map<SimulatedMachine, { sketch: number; guard: number }>();
   const tallyOf = (edge: SimulatedMachine): { sketch: number; guard: number } =>
-    edge.daemon?.proxy.tally.furtherRefused ?? { sketch: 0, guard: 0 };
+    edge.daemon?.proxy.counters.furtherRefused ?? { sketch: 0, guard: 0 };
   const tried = new Set<string>();
   const further: number[] = [];
   let readRuns = 0;
   for (const edge of edges) seen.set(edge, { ...tallyOf(edge) });
   const grantedBefore = edges.reduce(
-    (sum, { daemon }) => sum + (daemon?.proxy.tally.furtherTries ?? 0),
+    (sum, { daemon }) => sum + (daemon?.proxy.counters.furtherTries ?? 0),
     0,
   );
-  const untilMs = simulation.time.nowMs() + forMs;
-  while (simulation.time.nowMs() < untilMs) {
-    simulation.time.runUntil(simulation.time.nowMs() + stepMs);
-    const nowMs = simulation.time.nowMs();
+  const untilMs = simulation.virtualClock.nowMs() + forMs;
+  while (simulation.virtualClock.nowMs() < untilMs) {
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + stepMs);
+    const nowMs = simulation.virtualClock.nowMs();
     for (; readRuns < simulation.recorder.runs.length; readRuns += 1) {
       const run = simulation.recorder.runs[readRuns];
       if (!run || run.meant !== service) continue;
@@ -93,7 +93,7 @@
     if (nowMs % 500 < stepMs) sample(simulation, edges, service, decided, nowMs);
   }
   decided.granted =
-    edges.reduce((sum, { daemon }) => sum + (daemon?.proxy.tally.furtherTries ?? 0), 0) -
+    edges.reduce((sum, { daemon }) => sum + (daemon?.proxy.counters.furtherTries ?? 0), 0) -
     grantedBefore;
   return decided;
 };
@@ -132,9 +132,9 @@
     (run) => run.meant === service && run.atMs > nowMs - RETRY_WINDOW_MS,
   ).length;
   for (const { daemon } of edges) {
-    const told = daemon?.toldTries(service);
+    const told = daemon?.fleetRetryCounts(service);
     if (!told || truth === 0) continue;
-    decided.errors.push(Math.abs(told.first + told.further - truth) / truth);
+    decided.errors.push(Math.abs(told.firstAttempts + told.retries - truth) / truth);
     decided.agesMs.push(told.ageMs);
     decided.coverage.push(told.edges);
   }
--- a/src/cli/commands/restore.ts
+++ b/src/cli/commands/restore.ts
@@ -28,7 +28,7 @@
   );
 
 const restore = async ({ settings: file, acceptLoss }: RestoreOptions): Promise<number> => {
-  const { dataFolder, peers } = SettingsFile.own(file, {}).read();
+  const { dataFolder, peers } = SettingsFile.withOverrides(file, {}).read();
   if (dataFolder === undefined) {
     printError("dataFolder: this daemon keeps no record.");
     return ExitCode.usage;
--- a/src/cluster-view/active-route.ts
+++ b/src/cluster-view/active-route.ts
@@ -8,11 +8,11 @@
   /** The largest number of backends that one request may be sent to. */
   readonly attempts: number;
   /** One less than `attempts`. */
-  readonly furtherTries: number;
+  readonly maxRetries: number;
   /** How long a request may take before it is answered with a timeout. */
-  readonly giveUpMs: number;
+  readonly timeoutMs: number;
   /** The latency target, by which the load balancer judges backends. */
-  readonly goalMs: number;
+  readonly latencyTargetMs: number;
   /** The priority of its requests, 0 the highest. */
   readonly priority: number;
 }
@@ -35,9 +35,9 @@
   readonly keyed: boolean;
   readonly stampHeader: string;
   /** How many requests a daemon may have in flight at one backend. */
-  readonly inHandLimit: number;
+  readonly maxInFlight: number;
   /** Chooses a service by weight; `draw` is a random number from 0 up to, but not including, 1. */
   choose(draw: number): string;
   /** Whether the route sends requests to a service. */
-  takes(service: string): boolean;
+  servesWith(service: string): boolean;
 }
--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -59,17 +59,17 @@
   /** Called when there is a lease and a configuration to serve by, where one was missing. */
   onLease: () => void = () => undefined;
   /** Called with this edge's placement among all edges whenever it has changed. */
-  onPlace: (placement: EdgePlacement) => void = () => undefined;
+  onPlacement: (placement: EdgePlacement) => void = () => undefined;
   /** Called with the routes of each configuration that comes into force here. */
   onConfig: (routeTable: RouteTable) => void = () => undefined;
   /** The routes of the configuration in force. */
   routeTable = new RouteTable(Config.empty);
   collectors: ControlPlanePeers["collectors"] = [];
   /** Admin addresses of members of the replicated log that don't lead. */
-  memberOperators: readonly string[] = [];
+  memberAdminAddresses: readonly string[] = [];
   /** How many watch requests were sent, and how many responses renewed the lease. */
-  polls = 0;
-  grants = 0;
+  watchRequests = 0;
+  leaseRenewals = 0;
 
   constructor(
     runtime: Runtime,
@@ -97,7 +97,7 @@
   }
 
   /** The newest change of the endpoints that is known here. */
-  get directorySequence(): number {
+  get endpointsSequence(): number {
     return this.endpoints.sequence;
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Milliseconds until the lease to serve ends; negative once it has. */
-  get leaseLeftMs(): number {
+  get leaseRemainingMs(): number {
     return this.lease.remainingMs;
   }
 
@@ -171,7 +171,7 @@
   }
 
   private prepareWatch(sentMs: number): PreparedWatch {
-    this.polls += 1;
+    this.watchRequests += 1;
     if (this.lease.isOverdue(sentMs, this.retryCapacities.graceMs))
       this.retryCapacities.clear(sentMs);
     this.heartbeats.expire(sentMs);
@@ -204,7 +204,7 @@
     sentMs: number,
     reported: ReadonlyMap<number, AcceptedHeartbeat>,
   ): void {
-    const view = WatchRequest.readReturn(response);
+    const view = WatchRequest.readResponse(response);
     if (!view.granted) return;
     this.take(view, sentMs);
     this.heartbeats.acknowledge(reported);
@@ -218,7 +218,7 @@
   private take(view: LeasedView, sentMs: number): void {
     if (
       view.configSequence < this.configSequence ||
-      view.directorySequence < this.directorySequence
+      view.directorySequence < this.endpointsSequence
     ) {
       this.log.warn("outdated view refused", { sequence: view.configSequence });
       return;
@@ -233,7 +233,7 @@
     this.lease.extend(sentMs + view.grantMs);
     if (!this.holdsLease) return;
     if (!couldServe && this.canServe) this.onLease();
-    this.grants += 1;
+    this.leaseRenewals += 1;
     if (this.lease.markAcquired())
       this.log.info("lease acquired", { sequence: view.configSequence });
   }
@@ -255,7 +255,7 @@
   }
 
   private takeMembers({ digest, collectors, recorders, operators = [] }: ControlPlanePeers): void {
-    this.memberOperators = operators;
+    this.memberAdminAddresses = operators;
     this.membersDigest = digest;
     this.collectors = collectors;
     this.forwarder.setMembers(recorders);
@@ -264,7 +264,7 @@
   private takePlacement(placement: EdgePlacement): void {
     if (isSamePlacement(this.placement, placement)) return;
     this.placement = placement;
-    this.onPlace(placement);
+    this.onPlacement(placement);
   }
 
   private takeConfig(): void {
--- a/src/cluster-view/command-forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -12,7 +12,7 @@
   overloadedResponse,
 } from "../control-protocol/command.js";
 
-type ForwardedMethod = typeof RpcMethod.command | typeof RpcMethod.poll;
+type ForwardedMethod = typeof RpcMethod.command | typeof RpcMethod.watch;
 type LeaderRequest = DecodedMessage<typeof RpcMethod.command.request>;
 type LeaderResponse = DecodedMessage<typeof RpcMethod.command.response>;
 
@@ -97,9 +97,9 @@
   }
 
   /** Serves both methods at a daemon that is no member: it responds with the leader as far as it is known here. */
-  serveWay(): void {
+  serveLeaderHints(): void {
     const response = (): LeaderResponse => ({ leader: this.leader, text: NOT_LEADER });
-    for (const method of [RpcMethod.command, RpcMethod.poll])
+    for (const method of [RpcMethod.command, RpcMethod.watch])
       this.rpc.serve(method, function* () {
         return response();
       });
@@ -158,7 +158,7 @@
    * Sends a request to the leader: by the way that last worked, then by others, until one responds or `waitMs` are over. With
    * `late`, a response of the leader after that is passed on too. `attempts` is called after each attempt.
    */
-  *once(
+  *forward(
     method: ForwardedMethod,
     text: string,
     waitMs: number,
@@ -209,7 +209,7 @@
     sentMs: number,
     tried: ReadonlySet<string>,
   ): NextStep {
-    if (isLeader && this.rpc.hasHeardFrom(peer, sentMs)) return GIVE_UP;
+    if (isLeader && this.rpc.hasReceivedFrom(peer, sentMs)) return GIVE_UP;
     if (isLeader || isRelay) this.leader = "";
     if (!isRelay) this.markUnresponsive(peer);
     this.relay = "";
@@ -287,7 +287,7 @@
     for (;;) {
       const leftMs = untilMs - clock.nowMs();
       if (leftMs <= 0) return undefined;
-      const response = yield* this.once(
+      const response = yield* this.forward(
         RpcMethod.command,
         text,
         Math.min(attemptTimeoutMs(text), leftMs),
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -116,7 +116,7 @@
     numbers: Record<string, number>,
   ): ReadonlyMap<string, number> {
     const updated = new Map(this.current.numbers);
-    for (const key of removedKeys) updated.delete(ConfigItems.numberedName(key) ?? "");
+    for (const key of removedKeys) updated.delete(ConfigItems.nameOfIdKey(key) ?? "");
     for (const [name, number] of Object.entries(numbers)) updated.set(name, number);
     return updated;
   }
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -20,7 +20,7 @@
 };
 
 /** A host's name as hosts are compared: in lower case, without a port. */
-export const hostName = (host: string): string => host.toLowerCase().replace(/:\d*$/, "");
+export const normalizedHost = (host: string): string => host.toLowerCase().replace(/:\d*$/, "");
 
 const chooseFrom = (splits: ActiveRoute["splits"], draw: number): string => {
   const served = splits.filter(({ weight }) => weight > 0);
@@ -38,7 +38,7 @@
 }: Route): Pick<ActiveRoute, "host" | "methods" | "path" | "isPrefix"> => {
   const isPrefix = path.endsWith("*");
   return {
-    host: host === undefined ? undefined : hostName(host),
+    host: host === undefined ? undefined : normalizedHost(host),
     methods: methods ? new Set<string>(methods) : undefined,
     path: isPrefix ? path.slice(0, -1) : path,
     isPrefix,
@@ -77,9 +77,9 @@
       : route.attempts - 1;
   return {
     attempts: furtherTries + 1,
-    furtherTries,
-    giveUpMs: route.giveUpMs ?? DEFAULTS.giveUpMs,
-    goalMs: goal?.latencyMs ?? DEFAULTS.goalMs,
+    maxRetries: furtherTries,
+    timeoutMs: route.giveUpMs ?? DEFAULTS.giveUpMs,
+    latencyTargetMs: goal?.latencyMs ?? DEFAULTS.goalMs,
     priority: route.priority ?? DEFAULTS.priority,
   };
 };
@@ -96,9 +96,9 @@
     splits,
     service,
     stampHeader: settings?.stampHeader ?? DEFAULTS.stampHeader,
-    inHandLimit: settings?.inHand ?? DEFAULTS.inHandLimit,
+    maxInFlight: settings?.inHand ?? DEFAULTS.inHandLimit,
     choose: (draw) => (splits.length > 1 ? chooseFrom(splits, draw) : service),
-    takes: (wanted) => splits.some((split) => split.service === wanted && split.weight > 0),
+    servesWith: (wanted) => splits.some((split) => split.service === wanted && split.weight > 0),
   };
 };
 
@@ -129,7 +129,8 @@
 
   /** The route of a request: one for its host before one for any, then the most specific path. */
   find(method: string, path: string, host = ""): ActiveRoute | undefined {
-    const index = this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(hostName(host));
+    const index =
+      this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(normalizedHost(host));
     return index?.find(method, path) ?? this.anyHost.find(method, path);
   }
 
--- a/src/cluster-view/watch-loop.ts
+++ b/src/cluster-view/watch-loop.ts
@@ -52,8 +52,8 @@
     for (;;) {
       const sentMs = clock.nowMs();
       const { text, receive } = this.target.prepareWatch(sentMs);
-      const response = yield* this.forwarder.once(RpcMethod.poll, text, timeoutMs, {
-        waitMs: RpcMethod.poll.waitMs,
+      const response = yield* this.forwarder.forward(RpcMethod.watch, text, timeoutMs, {
+        waitMs: RpcMethod.watch.waitMs,
         take: receive,
       });
       if (response !== undefined) receive(response);
--- a/src/configuration/config-items.ts
+++ b/src/configuration/config-items.ts
@@ -42,7 +42,7 @@
   key: (section: ConfigSection, name: string): string => `${section} ${name}`,
 
   /** The key of the id of a service or route. */
-  numberKey: (name: string): string => `${ID_KEY_PREFIX}${name}`,
+  idKey: (name: string): string => `${ID_KEY_PREFIX}${name}`,
 
   /** The section and the name of a key; `undefined` for limits and ids. */
   named(key: string): { section: ConfigSection; name: string } | undefined {
@@ -51,7 +51,7 @@
   },
 
   /** The service's or route's name of the key of an id. */
-  numberedName: (key: string): string | undefined =>
+  nameOfIdKey: (key: string): string | undefined =>
     key.startsWith(ID_KEY_PREFIX) ? key.slice(ID_KEY_PREFIX.length) : undefined,
 
   /** All items of a configuration, with its ids. */
@@ -60,7 +60,7 @@
       for (const [name, value] of Object.entries(sectionOf(config, section)))
         yield { key: ConfigItems.key(section, name), value };
     if (config.limits) yield { key: LIMITS_KEY, value: config.limits };
-    for (const [name, value] of numbers) yield { key: ConfigItems.numberKey(name), value };
+    for (const [name, value] of numbers) yield { key: ConfigItems.idKey(name), value };
   },
 
   /** An item without the data that an adapter stores with it. */
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -109,7 +109,7 @@
     this.putTouched(update, touched);
     for (const key of touched) {
       if (key.startsWith(REMOVED_PREFIX)) update.removed.push(key.slice(REMOVED_PREFIX.length));
-      const name = ConfigItems.numberedName(key) ?? "";
+      const name = ConfigItems.nameOfIdKey(key) ?? "";
       const number = this.current.numbers.get(name);
       if (number !== undefined) update.numbers[name] = number;
     }
@@ -153,7 +153,7 @@
     if (sequence === this.currentSequence) return;
     const next = {
       config: this.readActive(),
-      numbers: new Map(this.stateMachine.idAllocator.inForce),
+      numbers: new Map(this.stateMachine.idAllocator.activeIds),
     };
     const isFirst = this.currentSequence === 0;
     const touched = this.takeItems(next);
--- a/src/control-plane/config-service.ts
+++ b/src/control-plane/config-service.ts
@@ -114,7 +114,7 @@
   /** The recent configurations, without their texts, and the journal. */
   history(): CommandResult {
     return this.log.respond(() => ({
-      configs: this.stateMachine.recent.map((config) => ({
+      configs: this.stateMachine.recentConfigs.map((config) => ({
         ...config,
         sequence: versionOf(config),
         version: versionOf(config),
@@ -142,7 +142,7 @@
     if (!this.log.holdsLease) return NO_LEASE;
     const accepted = this.stateMachine.changeVersion(changeId);
     if (accepted !== undefined) return completed({ accepted });
-    const { version: activeVersion, forgottenUpTo } = this.stateMachine;
+    const { version: activeVersion, changesForgottenUpTo: forgottenUpTo } = this.stateMachine;
     const wanted = version ?? (base === undefined ? Infinity : base + 1);
     if (wanted <= forgottenUpTo) return completed({ forgottenUpTo });
     if (base !== undefined && base !== activeVersion) return completed({ lost: activeVersion });
@@ -203,7 +203,7 @@
 
   /** How a configuration changes the names that have ids; a name for which no id was left before is tried again. */
   private nameChanges({ services, routes }: Config): NameChanges {
-    const { inForce } = this.stateMachine.idAllocator;
+    const { activeIds: inForce } = this.stateMachine.idAllocator;
     const present = new Set([
       ...Object.keys(services).map((service) => IdAllocator.serviceName(service)),
       ...Object.keys(routes).map((route) => IdAllocator.routeName(route)),
--- a/src/control-plane/config-version-lookup.ts
+++ b/src/control-plane/config-version-lookup.ts
@@ -14,7 +14,7 @@
   /** No member that was reached has it, and not all were reached. */
   | { readonly kind: "unknown" };
 
-type RecentConfig = StateMachine["recent"][number];
+type RecentConfig = StateMachine["recentConfigs"][number];
 
 /** Looks up accepted configurations by version. */
 export class ConfigVersionLookup {
@@ -37,7 +37,7 @@
 
   /** The first recent configuration of the version or above; `undefined` where an older one may be of the version. */
   private recentFrom(version: number): RecentConfig | undefined {
-    const { recent } = this.stateMachine;
+    const { recentConfigs: recent } = this.stateMachine;
     const index = recent.findIndex((config) => versionOf(config) >= version);
     const found = recent[index];
     return found && (index > 0 || versionOf(found) === version) ? found : undefined;
@@ -46,7 +46,7 @@
   /** Searches the older configurations by bisection: versions rise with the sequences. */
   private *search(version: number, newestSequence: number): Task<ConfigLookup> {
     let low = 1;
-    let high = Math.min(version, this.stateMachine.recent[0]?.sequence ?? newestSequence);
+    let high = Math.min(version, this.stateMachine.recentConfigs[0]?.sequence ?? newestSequence);
     let isLowRemoved = false;
     while (low <= high) {
       const middle = version === high ? high : Math.floor((low + high) / 2);
--- a/src/control-plane/large-view-limiter.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -29,7 +29,7 @@
   }
 
   /** Whether a view for this state of the daemon was sent a short while ago. */
-  isUnderWay(request: WatchRequest, nowMs: number): boolean {
+  isInTransit(request: WatchRequest, nowMs: number): boolean {
     const sent = this.sent.get(request.machine.name);
     return sent?.daemonState === daemonStateOf(request) && nowMs - sent.sentMs < sent.transitMs;
   }
--- a/src/control-plane/lease-manager.ts
+++ b/src/control-plane/lease-manager.ts
@@ -157,7 +157,7 @@
   private limited(request: WatchRequest, viewText: string): string {
     if (viewText.length <= COMPRESSION_THRESHOLD_CHARS) return viewText;
     const nowMs = this.options.runtime.clock.nowMs();
-    if (this.largeViews.isUnderWay(request, nowMs)) return VIEW_IN_TRANSIT;
+    if (this.largeViews.isInTransit(request, nowMs)) return VIEW_IN_TRANSIT;
     this.largeViews.note(request, nowMs);
     return viewText;
   }
--- a/src/control-plane/quota-service.ts
+++ b/src/control-plane/quota-service.ts
@@ -52,7 +52,11 @@
   beginAllocations(nowMs: number): void {
     if (this.hasBegun) return;
     this.hasBegun = true;
-    this.allocator.lead(nowMs, Runtime.nonce(this.runtime), this.stateMachine.holders);
+    this.allocator.beginTerm(
+      nowMs,
+      Runtime.nonce(this.runtime),
+      this.stateMachine.retryCapacityHolders,
+    );
   }
 
   /** The capacities of the daemon that sent a watch request; none where it isn't an edge or isn't a registered holder yet. */
@@ -60,14 +64,14 @@
     const { machine } = request;
     const isEdge = machine.roles.includes("edge") && !machine.draining;
     const edge = QuotaService.holderName(machine);
-    const isHolder = this.stateMachine.holders.has(edge);
+    const isHolder = this.stateMachine.retryCapacityHolders.has(edge);
     if (isEdge && !isHolder && !this.entering.has(edge)) {
       this.entering.add(edge);
       this.log.submit({ kind: "holder", edge });
     }
     if (!isEdge || !isHolder || this.parting.has(edge))
       return { number: "", capacities: new Map() };
-    return this.allocator.grant(
+    return this.allocator.allocate(
       edge,
       {
         number: request.grantNumber,
@@ -89,7 +93,7 @@
   removeLapsedHolders(nowMs: number): void {
     if (!this.hasBegun) return;
     const lapsed = this.allocator
-      .past(nowMs, this.stateMachine.holders)
+      .expiredEdges(nowMs, this.stateMachine.retryCapacityHolders)
       .filter((edge) => !this.parting.has(edge));
     if (lapsed.length === 0) return;
     this.log.submit({ kind: "holdersPast", edges: lapsed });
--- a/src/control-plane/retry-capacity-allocator.ts
+++ b/src/control-plane/retry-capacity-allocator.ts
@@ -3,9 +3,9 @@
 /** The leader's allocation of each service's retry capacity among the edges. */
 export interface RetryCapacityAllocator {
   /** Begins a term at `nowMs` under the leader's name, with the edges that may hold capacity. */
-  lead(nowMs: number, leaderName: string, expected: ReadonlySet<string>): void;
+  beginTerm(nowMs: number, leaderName: string, expected: ReadonlySet<string>): void;
   /** Allocates the capacities of one edge, given those that it holds and its recent demand for retries by service. */
-  grant(
+  allocate(
     edge: string,
     report: { readonly number: string; readonly capacities: Map<string, number> },
     wished: ReadonlyMap<string, number>,
@@ -13,5 +13,5 @@
     nowMs: number,
   ): { number: string; capacities: Map<string, number> };
   /** The edges among `known` whose capacities have lapsed. */
-  past(nowMs: number, known: Iterable<string>): string[];
+  expiredEdges(nowMs: number, known: Iterable<string>): string[];
 }
--- a/src/control-protocol/watch-request.ts
+++ b/src/control-protocol/watch-request.ts
@@ -50,5 +50,5 @@
   /** The update of the configuration in a view, if there is one. */
   configUpdate: configUpdateOf,
   /** Reads the text of the response to a watch request. */
-  readReturn: readWatchResponse,
+  readResponse: readWatchResponse,
 };
--- a/src/daemon/adapter.ts
+++ b/src/daemon/adapter.ts
@@ -7,7 +7,7 @@
 export interface TranslatedRequest {
   readonly clientRequest: ProxyRequest;
   /** The response in the platform's format. */
-  back(response: ClientResponse): ClientResponse;
+  translateResponse(response: ClientResponse): ClientResponse;
 }
 
 /** Translates for a platform with formats of its own; it makes no decisions. */
--- a/src/daemon/bound-settings.ts
+++ b/src/daemon/bound-settings.ts
@@ -38,7 +38,7 @@
 });
 
 /** The settings that the timeouts of a daemon are derived from. */
-export interface BoundSettings {
+export interface TimeoutSettings {
   readonly bounds?: Infer<typeof boundsShape> | undefined;
   /** How often backends send heartbeats. */
   readonly heartbeatMs?: number | undefined;
--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -4,10 +4,10 @@
 import { ReplicationTimeouts } from "../replication/replication-node.js";
 import { RetryRules } from "../retry-budget/retry-rules.js";
 import { RequestCountsFormat } from "../retry-budget/request-counts.js";
-import type { BoundSettings } from "./bound-settings.js";
+import type { TimeoutSettings } from "./bound-settings.js";
 
 /** The bounds with a value for each. */
-type BoundValues = Required<{ [name in keyof NonNullable<BoundSettings["bounds"]>]: number }>;
+type BoundValues = Required<{ [name in keyof NonNullable<TimeoutSettings["bounds"]>]: number }>;
 
 const DEFAULT_BOUNDS: BoundValues = {
   applyMs: 2000,
@@ -60,30 +60,30 @@
 /** All timeouts of a daemon, derived from its bounds. */
 export interface Bounds {
   /** The bounds that the timeouts were derived from. */
-  readonly figures: BoundValues;
+  readonly values: BoundValues;
   /** How long an edge may serve by its last lease. */
   readonly leaseMs: number;
   /** How often an edge polls for a new lease. */
-  readonly pollMs: number;
+  readonly watchIntervalMs: number;
   /** The timeout of a poll; longer than the leader delays its response. */
-  readonly pollWaitMs: number;
+  readonly watchTimeoutMs: number;
   readonly controlPlaneTimeouts: ControlPlaneTimeouts;
   readonly replicationTimeouts: ReplicationTimeouts;
   /** The rules of the retry budget. */
-  readonly budget: RetryRules;
+  readonly retryRules: RetryRules;
   /** The format of request counts for the retry window. */
-  readonly counts: RequestCountsFormat;
+  readonly requestCountsFormat: RequestCountsFormat;
   /** The timeout of an operator's change, after which its outcome counts as unknown. */
-  readonly orderMs: number;
+  readonly changeTimeoutMs: number;
   /** How long a stopping daemon still accepts requests, until load balancers have noticed that it isn't ready. */
-  readonly serveOnMs: number;
+  readonly acceptRequestsMs: number;
   /** When a stopping daemon abandons unfinished requests, from the start of its drain. */
   readonly abandonMs: number;
   /** Until when a stopping voter waits for the others to replicate what it acknowledged. */
   readonly retireMs: number;
 }
 
-const boundValuesOf = ({ bounds }: BoundSettings): BoundValues => {
+const boundValuesOf = ({ bounds }: TimeoutSettings): BoundValues => {
   const values = { ...DEFAULT_BOUNDS };
   for (const name of Object.keys(DEFAULT_BOUNDS)) {
     if (!isBoundName(name)) continue;
@@ -107,7 +107,7 @@
 
 export const Bounds = {
   /** The bounds in the settings that are too short to be met, by their paths. */
-  faults(settings: BoundSettings): ValidationFault[] {
+  faults(settings: TimeoutSettings): ValidationFault[] {
     const values = boundValuesOf(settings);
     const minimums: Array<[name: keyof BoundValues, minimum: number, why: string]> = [
       ["applyMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
@@ -131,7 +131,7 @@
   },
 
   /** The timeouts that meet the bounds in the settings. */
-  of(settings: BoundSettings): Bounds {
+  of(settings: TimeoutSettings): Bounds {
     const values = boundValuesOf(settings);
     const {
       applyMs,
@@ -146,22 +146,22 @@
       retryWindowMs,
     } = values;
     const leaseMs = LEASE_FRACTION * Math.min(applyMs, drainMs);
-    const pollMs = leaseMs / 4;
+    const watchIntervalMs = leaseMs / 4;
     const holdMs = Math.min(leaseMs / 5, MAX_POLL_HOLD_MS);
     const heartbeatMs = settings.heartbeatMs ?? DEFAULT_HEARTBEAT_MS;
     const pace = electionPaceOf(leaseMs, values);
     const paced = (ms: number): number => Math.round(ms * pace);
     return {
-      figures: values,
+      values: values,
       leaseMs,
-      pollMs,
-      pollWaitMs: holdMs + Math.max(leaseMs * POLL_OVERHEAD_FRACTION, MIN_POLL_OVERHEAD_MS),
+      watchIntervalMs,
+      watchTimeoutMs: holdMs + Math.max(leaseMs * POLL_OVERHEAD_FRACTION, MIN_POLL_OVERHEAD_MS),
       controlPlaneTimeouts: {
         ...ControlPlaneTimeouts.defaults,
         leaseMs,
         heartbeatMs,
         // A heartbeat reaches the leader with the next poll of the daemon that received it.
-        expiryMs: 3.5 * heartbeatMs + 2 * pollMs,
+        expiryMs: 3.5 * heartbeatMs + 2 * watchIntervalMs,
         holdMs,
         leaveHoldMs: drainMs + 500,
         keyMs: keyWindowMs + 10_000,
@@ -182,10 +182,10 @@
         responsiveAfterMs: catchUpMs,
         forgetAfterMs: FORGET_FACTOR * catchUpMs,
       },
-      budget: RetryRules.of(retryRatio, retryExtra, retryWindowMs),
-      counts: RequestCountsFormat.forWindow(retryWindowMs),
-      orderMs: 0.8 * ackMs,
-      serveOnMs: Math.min(2600, (graceMs * 13) / 30),
+      retryRules: RetryRules.of(retryRatio, retryExtra, retryWindowMs),
+      requestCountsFormat: RequestCountsFormat.forWindow(retryWindowMs),
+      changeTimeoutMs: 0.8 * ackMs,
+      acceptRequestsMs: Math.min(2600, (graceMs * 13) / 30),
       abandonMs: graceMs - EXIT_MS,
       retireMs: graceMs - EXIT_MS / 2,
     };
--- a/src/daemon/daemon-options.ts
+++ b/src/daemon/daemon-options.ts
@@ -17,7 +17,7 @@
 export interface IncomingAdminRequest {
   readonly clientRequest: ProxyRequest;
   /** Sends the response. */
-  readonly give: (response: ClientResponse) => void;
+  readonly respond: (response: ClientResponse) => void;
 }
 
 /** What a daemon is constructed with besides its settings. */
@@ -31,5 +31,5 @@
   /** The pacers of both directions of the machine's link, where its rate is limited. */
   readonly pacers?: LinkPacers;
   /** Timeouts of the replicated log that override those derived from the bounds. */
-  readonly waits?: Partial<ReplicationTimeouts>;
+  readonly replicationTimeouts?: Partial<ReplicationTimeouts>;
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -46,9 +46,9 @@
 /** The daemon of one machine. */
 export class Daemon {
   /** Requests to the proxy, as they arrive. */
-  readonly callers = new EventStream<IncomingRequest>();
+  readonly clientRequests = new EventStream<IncomingRequest>();
   /** Requests to the admin API, as they arrive. */
-  readonly operators = new EventStream<IncomingAdminRequest>();
+  readonly adminRequests = new EventStream<IncomingAdminRequest>();
   private readonly runtime: Runtime;
   private readonly settings: Settings;
   private readonly bounds: Bounds;
@@ -79,7 +79,7 @@
     this.settings = settings;
     this.archive = options.archive;
     this.bounds = bounds;
-    this.budget = new RetryBudget(bounds.budget);
+    this.budget = new RetryBudget(bounds.retryRules);
     this.incarnation = Runtime.nonce(runtime);
     const pacers = options.pacers ?? LinkPacers.of(runtime.clock, settings.limits?.linkMbps);
     this.rpc = new RpcEndpoint(runtime, settings.peers, undefined, pacers);
@@ -106,7 +106,7 @@
       loadBalancer: this.loadBalancer,
       incarnation: this.incarnation,
       headerNames: options.headerNames ?? HeaderNames.own,
-      lapsedLease: this.lapsedLease(),
+      expiredLeasePolicy: this.lapsedLease(),
       outcomes: this.outcomes,
       egress: pacers.egress,
     });
@@ -116,7 +116,7 @@
         runtime,
         rpc: this.rpc,
         location,
-        timeouts: { ...bounds.replicationTimeouts, ...options.waits },
+        timeouts: { ...bounds.replicationTimeouts, ...options.replicationTimeouts },
         stateMachine,
         store: new LogStore(runtime.disk, historyQuotaBytes(settings.limits?.diskMb)),
         bootstrap: this.bootstrap,
@@ -126,7 +126,7 @@
         this.replicationNode,
         stateMachine,
         bounds.controlPlaneTimeouts,
-        new RetryQuotas(bounds.budget, bounds.leaseMs),
+        new RetryQuotas(bounds.retryRules, bounds.leaseMs),
       );
       this.archiveConfigs(stateMachine);
     }
@@ -137,10 +137,10 @@
   /** Starts all tasks; returns once the daemon listens for its peers. */
   *start(): Task {
     const { runtime, controlPlane, replicationNode, countAggregator } = this;
-    this.callers.subscribe(runtime.clock.scheduler, ({ clientRequest, client }) =>
+    this.clientRequests.subscribe(runtime.clock.scheduler, ({ clientRequest, client }) =>
       Runtime.start(runtime, "door", this.proxy.handle(clientRequest, client)),
     );
-    this.operators.subscribe(runtime.clock.scheduler, ({ clientRequest, give }) =>
+    this.adminRequests.subscribe(runtime.clock.scheduler, ({ clientRequest, respond: give }) =>
       Runtime.start(runtime, "operator", this.adminApi.handle(clientRequest), give),
     );
     if (replicationNode && controlPlane) {
@@ -153,9 +153,9 @@
         },
       };
       this.forwarder.serve(RpcMethod.command, leadership, (text) => controlPlane.command(text));
-      this.forwarder.serve(RpcMethod.poll, leadership, (text) => controlPlane.watch(text));
+      this.forwarder.serve(RpcMethod.watch, leadership, (text) => controlPlane.watch(text));
     } else {
-      this.forwarder.serveWay();
+      this.forwarder.serveLeaderHints();
       this.bootstrap.serve();
     }
     this.outcomes.serve();
@@ -170,7 +170,7 @@
     Runtime.start(
       runtime,
       "contract",
-      this.clusterView.run(this.bounds.pollMs, this.bounds.pollWaitMs),
+      this.clusterView.run(this.bounds.watchIntervalMs, this.bounds.watchTimeoutMs),
     );
     if (countAggregator)
       Runtime.start(runtime, "zone", countAggregator.run(COUNTS_PUSH_INTERVAL_MS));
@@ -184,7 +184,7 @@
     const startedMs = this.runtime.clock.nowMs();
     this.isDraining = true;
     this.log.info("drain started", { unfinishedRequests: this.proxy.unfinished });
-    const { serveOnMs, abandonMs, retireMs } = this.bounds;
+    const { acceptRequestsMs: serveOnMs, abandonMs, retireMs } = this.bounds;
     const { replicationNode } = this;
     if (replicationNode) {
       yield* replicationNode.yieldLeadership();
@@ -211,7 +211,7 @@
   }
 
   /** The active config of this daemon, and whether its lease is valid. */
-  get standing(): { configSequence: number; isGranted: boolean } {
+  get servingState(): { configSequence: number; isGranted: boolean } {
     return {
       configSequence: this.clusterView.configSequence,
       isGranted: this.clusterView.holdsLease,
@@ -224,7 +224,7 @@
   }
 
   /** The fleet's counts of a service's requests and retries in the window, with this edge's own since. */
-  toldTries(service: string): ReturnType<EdgeCounts["ofService"]> {
+  fleetRetryCounts(service: string): ReturnType<EdgeCounts["ofService"]> {
     return this.edgeCounts.ofService(service);
   }
 
@@ -242,7 +242,7 @@
       self: peers,
       machine,
       zone,
-      founds: bootstrap ?? true,
+      mayBootstrap: bootstrap ?? true,
       tolerate: tolerate ?? DEFAULT_TOLERANCE,
       seeds: () => this.seeds,
     };
@@ -256,7 +256,7 @@
   private createBootstrap(location: NodeLocation): ClusterBootstrap {
     return new ClusterBootstrap(this.runtime, this.rpc, location, {
       leader: () => this.replicationNode?.leader || this.forwarder.leader,
-      recorders: () => this.forwarder.members,
+      knownNodes: () => this.forwarder.members,
     });
   }
 
@@ -269,8 +269,8 @@
 
   /** Passes updates of the cluster view on to the parts that depend on it. */
   private observeClusterView(backendClient: BackendClient): void {
-    this.clusterView.onLease = () => this.proxy.leased();
-    this.clusterView.onPlace = (place) => this.loadBalancer.setPlace(place);
+    this.clusterView.onLease = () => this.proxy.notifyLease();
+    this.clusterView.onPlacement = (place) => this.loadBalancer.setPlacement(place);
     this.clusterView.onConfig = ({ limits }) => this.onRequestLimits(limits);
     this.clusterView.onEndpoints = (registrations) => {
       backendClient.retainPools(new Set(registrations.map(connectionPoolKey)));
@@ -283,10 +283,10 @@
     return new EdgeCounts(
       this.runtime,
       this.rpc,
-      this.bounds.counts,
+      this.bounds.requestCountsFormat,
       this.clusterView,
       { machine, incarnation: this.incarnation, zone },
-      this.bounds.budget,
+      this.bounds.retryRules,
     );
   }
 
@@ -306,7 +306,7 @@
     return new CountAggregator(
       this.runtime,
       this.rpc,
-      this.bounds.counts,
+      this.bounds.requestCountsFormat,
       this.settings.peers,
       this.incarnation,
       () => this.replicationNode?.leader || this.forwarder.leader,
@@ -325,20 +325,20 @@
         notReady: () => this.notReady(),
         counts: () => this.countAggregator?.latest ?? this.edgeCounts.latest,
       },
-      changeTimeoutMs: this.bounds.orderMs,
-      retryRules: this.bounds.budget,
+      changeTimeoutMs: this.bounds.changeTimeoutMs,
+      retryRules: this.bounds.retryRules,
     });
   }
 
   private lapsedLease(): ExpiredLeasePolicy {
     const { forwarder, rpc } = this;
     const members = {
-      get members() {
+      get replicas() {
         return forwarder.members;
       },
-      isOutOfReach: (member: string, sinceMs: number) => rpc.isUnreachable(member, sinceMs),
+      isUnreachable: (member: string, sinceMs: number) => rpc.isUnreachable(member, sinceMs),
     };
-    return new ExpiredLeasePolicy(this.runtime.clock, members, this.bounds.figures);
+    return new ExpiredLeasePolicy(this.runtime.clock, members, this.bounds.values);
   }
 
   private daemonInfo(): DaemonInfo {
@@ -366,14 +366,14 @@
       ready: this.notReady() === "",
       granted: this.clusterView.holdsLease,
       configSequence: this.clusterView.configSequence,
-      polls: this.clusterView.polls,
-      grants: this.clusterView.grants,
-      droppedFrames: this.rpc.droppedFrames,
+      polls: this.clusterView.watchRequests,
+      grants: this.clusterView.leaseRenewals,
+      droppedFrames: this.rpc.protocolViolations,
       record: this.replicationNode?.status ?? null,
       door: this.roles.includes("edge")
         ? {
-            inHand: this.proxy.inHand,
-            ...this.proxy.tally,
+            inHand: this.proxy.activeRequestCount,
+            ...this.proxy.counters,
             capacities: Object.fromEntries(this.budget.capacities),
           }
         : null,
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -75,7 +75,7 @@
   }
 
   /** Waits until all earlier requests of the connection have their responses; false where the connection closes first. */
-  *awaitTurn(): Task<boolean> {
+  *awaitEarlierResponses(): Task<boolean> {
     const { connection } = this;
     while (connection.pending[0] !== this && !connection.isClosed) {
       yield* Task.wait<true>((done) => {
--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -28,7 +28,7 @@
 /** How a server differs from the default. */
 export interface ServerOptions {
   /** Whether request bodies are always buffered, whatever their size. */
-  readonly wholeOnly?: boolean;
+  readonly bufferWholeBodies?: boolean;
   /** The link that responses leave by. */
   readonly egress?: LinkPacer;
   /** The class of large responses on that link. */
@@ -85,7 +85,7 @@
   constructor(
     handle: (clientRequest: ProxyRequest, client: ClientConnection) => void,
     {
-      wholeOnly = true,
+      bufferWholeBodies: wholeOnly = true,
       egress = new LinkPacer(Clock.real(), undefined),
       transferClass = "response",
     }: ServerOptions = {},
@@ -103,11 +103,11 @@
     );
     this.server.on("connection", (socket) => this.onConnection(socket));
     this.server.requestTimeout = 0;
-    this.bound(DEFAULT_LIMITS);
+    this.setLimits(DEFAULT_LIMITS);
   }
 
   /** Sets the limits on requests from now on; those not named return to their defaults. */
-  bound({
+  setLimits({
     headerBytes,
     bodyBytes,
     headerMs,
@@ -135,7 +135,7 @@
   }
 
   /** Has every response close its connection from now on; open connections are still served. */
-  partWithCallers(): void {
+  closeClientConnections(): void {
     this.isClosing = true;
   }
 
--- a/src/daemon/http-servers.ts
+++ b/src/daemon/http-servers.ts
@@ -15,7 +15,7 @@
 
 const withoutTranslation = (clientRequest: ProxyRequest): TranslatedRequest => ({
   clientRequest,
-  back: (response) => response,
+  translateResponse: (response) => response,
 });
 
 /** A server that hands the requests of a filter to the daemon's admin API. */
@@ -32,15 +32,15 @@
         : withoutTranslation(clientRequest);
       if ("code" in translated) client.respond(translated);
       else if (isServed(translated.clientRequest))
-        daemon.operators.emit({
+        daemon.adminRequests.emit({
           clientRequest: translated.clientRequest,
-          give: (response) => client.respond(translated.back(response)),
+          respond: (response) => client.respond(translated.translateResponse(response)),
         });
       else client.respond(ClientResponse.json(404, { error: "Only readiness is served here." }));
     },
     { egress, transferClass: "control" },
   );
-  server.bound({ bodyBytes: MAX_CONFIG_BODY_BYTES });
+  server.setLimits({ bodyBytes: MAX_CONFIG_BODY_BYTES });
   return server;
 };
 
@@ -54,12 +54,12 @@
   constructor(daemon: Daemon, settings: Settings, egress: LinkPacer, adapter: Adapter | undefined) {
     this.settings = settings;
     this.clients = new HttpServer(
-      (clientRequest, client) => daemon.callers.emit({ clientRequest, client }),
-      { wholeOnly: false, egress },
+      (clientRequest, client) => daemon.clientRequests.emit({ clientRequest, client }),
+      { bufferWholeBodies: false, egress },
     );
     this.admin = createAdminServer(daemon, egress, adapter, () => true);
     this.readiness = createAdminServer(daemon, egress, adapter, isReadinessCheck);
-    daemon.onRequestLimits = (limits) => this.clients.bound(limits);
+    daemon.onRequestLimits = (limits) => this.clients.setLimits(limits);
   }
 
   /** Listens on the addresses of the settings. */
@@ -78,7 +78,7 @@
 
   /** Has every response close its client's connection from now on. */
   closeClientConnections(): void {
-    this.clients.partWithCallers();
+    this.clients.closeClientConnections();
   }
 
   /** Accepts no new client connections. */
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -163,4 +163,4 @@
 
 /** Runs the daemon described by a settings file in daledoor's own format, with flags overriding its fields. */
 export const run = (file: string | undefined, flags: Record<string, unknown>): Promise<number> =>
-  serve(SettingsFile.own(file, flags), { archive: true });
+  serve(SettingsFile.withOverrides(file, flags), { archive: true });
--- a/src/daemon/settings-file.ts
+++ b/src/daemon/settings-file.ts
@@ -56,7 +56,7 @@
   }
 
   /** A file in daledoor's own format, with flags overriding its fields. */
-  static own(file: string | undefined, flags: Record<string, unknown>): SettingsFile {
+  static withOverrides(file: string | undefined, flags: Record<string, unknown>): SettingsFile {
     return new SettingsFile(file, (text, path) => {
       const value = parseJson(text, path);
       return typeof value === "object" && value !== null && !Array.isArray(value)
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -42,7 +42,7 @@
   readonly folder: string;
   readonly machines: FleetMachine[];
   readonly testBackends: TestBackend[];
-  readonly day: Workload;
+  readonly workload: Workload;
   private readonly random: () => number;
   private readonly servers = new Map<string, Server>();
   private readonly client = new FleetClient();
@@ -83,7 +83,7 @@
           ),
       ),
     );
-    this.day = new Workload(this.outside(), profile, this.recorder, rateFactor);
+    this.workload = new Workload(this.outside(), profile, this.recorder, rateFactor);
   }
 
   /** Lays a fleet out: free ports, settings files and data folders. */
@@ -98,14 +98,14 @@
     for (const machine of this.machines) this.boot(machine);
     for (const machine of this.machines) this.start(this.watchReadiness(machine));
     for (const testBackend of this.testBackends)
-      this.start(this.day.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
+      this.start(this.workload.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
   }
 
   /** Starts the clients' requests. */
   beginCalls(): void {
-    for (const traffic of this.profile.traffic) this.start(this.day.callers(traffic));
-    this.start(this.day.probers(PROBES_PER_SECOND));
-    this.start(this.day.operators.reading(CONFIG_READ_INTERVAL_MS));
+    for (const traffic of this.profile.traffic) this.start(this.workload.callers(traffic));
+    this.start(this.workload.probers(PROBES_PER_SECOND));
+    this.start(this.workload.operators.reading(CONFIG_READ_INTERVAL_MS));
   }
 
   boot(machine: FleetMachine): void {
@@ -231,7 +231,7 @@
   /** Ends everything that was started here, and removes the folder unless `keep` is set. */
   async end(keep: boolean): Promise<void> {
     this.isOver = true;
-    this.day.isOver = true;
+    this.workload.isOver = true;
     await Promise.all(
       this.machines.map(
         (machine) =>
--- a/src/fleet/main.ts
+++ b/src/fleet/main.ts
@@ -80,7 +80,7 @@
   }
   if (leaver) {
     say(`${leaver.address} of ${leaver.service} leaves`);
-    yield* fleet.day.leave(leaver);
+    yield* fleet.workload.leave(leaver);
     yield* Clock.sleep(clock, 3000);
     yield* fleet.crash(leaver);
   }
--- a/src/fleet/report.ts
+++ b/src/fleet/report.ts
@@ -80,7 +80,7 @@
   const up = await fleet.perform(
     fleet.until(() => fleet.machines.every(({ isReady }) => isReady), upMs),
   );
-  const configured = up && (await fleet.perform(fleet.day.putConfig()));
+  const configured = up && (await fleet.perform(fleet.workload.putConfig()));
   if (configured) {
     await fleet.perform(
       fleet.until(
@@ -105,17 +105,17 @@
 /** Lets callers come to their end, reads every config back, and reports. */
 export const stopFleet = async (fleet: Fleet, fromMs: number): Promise<number> => {
   fleet.recorder.endMs = fleet.clock.nowMs();
-  fleet.day.isOver = true;
+  fleet.workload.isOver = true;
   await fleet.perform(Clock.sleep(fleet.clock, lastCallsMs));
-  fleet.day.isOver = false;
-  await fleet.perform(fleet.day.readBack());
+  fleet.workload.isOver = false;
+  await fleet.perform(fleet.workload.readBack());
   return report(fleet, fromMs);
 };
 
 /** Puts a new config in force every few seconds. */
 export const applyConfigurations = function* (fleet: Fleet): Task {
-  while (!fleet.day.isOver) {
-    yield* fleet.day.putConfig();
+  while (!fleet.workload.isOver) {
+    yield* fleet.workload.putConfig();
     yield* Clock.sleep(fleet.clock, 3000);
   }
 };
--- a/src/load-balancing/attempt-sample.ts
+++ b/src/load-balancing/attempt-sample.ts
@@ -4,9 +4,9 @@
 export interface AttemptSample {
   readonly tookMs: number;
   /** Whether a complete response came. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   /** The latency target of its route. */
-  readonly goalMs: number;
+  readonly latencyTargetMs: number;
   readonly route?: string;
   /** Size of the response, where it was complete. */
   readonly bytes?: number | undefined;
--- a/src/load-balancing/backend-stats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -71,7 +71,7 @@
 
   /** Learns from an attempt; `expectedMs` is what its route usually takes, `random` gives 0 up to 1. */
   learn(
-    { tookMs, isWhole }: AttemptSample,
+    { tookMs, isComplete: isWhole }: AttemptSample,
     expectedMs: number,
     nowMs: number,
     random: () => number,
--- a/src/load-balancing/load-balancer.ts
+++ b/src/load-balancing/load-balancer.ts
@@ -34,7 +34,7 @@
   /** Addresses of the request's former attempts. */
   readonly tried: ReadonlySet<string>;
   /** How many requests this daemon may have in flight at one backend. */
-  readonly inHandLimit: number;
+  readonly maxInFlight: number;
   /** How many connections one backend accepts from all daemons together. */
   readonly maxConnections?: number | undefined;
   readonly route?: string;
@@ -61,7 +61,7 @@
   }
 
   /** Sets this daemon's placement among all; until then no backend is preferred. */
-  setPlace(placement: EdgePlacement): void {
+  setPlacement(placement: EdgePlacement): void {
     this.placement = placement;
     this.ringOrders = new WeakMap();
   }
@@ -72,7 +72,7 @@
    */
   pick<B extends Backend>(
     backends: readonly B[],
-    { tried, inHandLimit, maxConnections, route = "" }: PickOptions,
+    { tried, maxInFlight: inHandLimit, maxConnections, route = "" }: PickOptions,
     nowMs: number,
   ): B | undefined {
     const sharing = {
@@ -101,24 +101,24 @@
   }
 
   /** Counts an attempt that starts. */
-  began(backend: Backend, nowMs: number, route = ""): void {
+  attemptStarted(backend: Backend, nowMs: number, route = ""): void {
     const expectedMs = this.routes.find(route)?.tookMs ?? TOLERANCE.defaultLatencyMs;
     const toleranceMs = TOLERANCE.factor * expectedMs + TOLERANCE.extraMs;
     this.stats(backend, nowMs).start(toleranceMs, nowMs);
   }
 
   /** Counts an attempt that wasn't sent after all, for reasons that aren't the backend's. */
-  withdrew(backend: Backend, nowMs: number): void {
+  attemptCancelled(backend: Backend, nowMs: number): void {
     this.stats(backend, nowMs).cancel();
   }
 
   /** Learns from an attempt that ended. */
-  ended(backend: Backend, sample: AttemptSample, nowMs: number): void {
+  attemptEnded(backend: Backend, sample: AttemptSample, nowMs: number): void {
     const stats = this.stats(backend, nowMs);
     stats.end(nowMs);
     const { tookMs: expectedMs } = this.routes.learn(sample);
     stats.learn(sample, expectedMs, nowMs, this.random);
-    stats.adjustWeight(sample.goalMs, nowMs);
+    stats.adjustWeight(sample.latencyTargetMs, nowMs);
   }
 
   /** Whether a backend fails so often that the failures are its own rather than its requests'. */
--- a/src/load-balancing/route-stats.ts
+++ b/src/load-balancing/route-stats.ts
@@ -26,7 +26,7 @@
   }
 
   /** Learns from an attempt, and returns the statistics of its route. */
-  learn({ route = "", tookMs, isWhole, bytes }: AttemptSample): RouteStats {
+  learn({ route = "", tookMs, isComplete: isWhole, bytes }: AttemptSample): RouteStats {
     const stats = this.statsOf(route, tookMs);
     if (!isWhole) return stats;
     stats.tookMs += (tookMs - stats.tookMs) * LEARNING_RATE;
--- a/src/proxy/admission-filter.ts
+++ b/src/proxy/admission-filter.ts
@@ -60,7 +60,7 @@
         "This daemon's view is not proven fresh.",
         RETRY_AFTER_MS.viewSettled,
       );
-    if (headerNames.callerId !== undefined && context.requestId === undefined)
+    if (headerNames.clientRequestId !== undefined && context.requestId === undefined)
       return RequestOutcome.rejected(400, "The request names no try.");
     return yield* next();
   }
--- a/src/proxy/attempt-runner.ts
+++ b/src/proxy/attempt-runner.ts
@@ -71,12 +71,12 @@
     const { context, route, registration } = attempt;
     const startedMs = clock.nowMs();
     const requestId = this.requestIdOf(attempt);
-    loadBalancer.began(registration, startedMs, route.name);
+    loadBalancer.attemptStarted(registration, startedMs, route.name);
     const opened = yield* backendClient.send(this.backendAttempt(attempt, requestId, startedMs));
     if (opened.kind === "failed" && (opened.cause === "refused" || opened.cause === "foreign"))
       clusterView.noteRefused(registration);
     if (opened.kind === "failed" && opened.cause === "withdrawn") {
-      loadBalancer.withdrew(registration, clock.nowMs());
+      loadBalancer.attemptCancelled(registration, clock.nowMs());
       return { outcome: outcomeOfFailure("withdrawn", RETRY_AFTER_MS.soon), isSent: false };
     }
     const isSent = opened.kind === "opened" || outcomeRuleOf(opened.cause).isSent;
@@ -104,7 +104,7 @@
     const { method, target, body, rest } = clientRequest;
     const untilMs =
       this.options.headerNames.deadline === undefined
-        ? startedMs + route.giveUpMs
+        ? startedMs + route.timeoutMs
         : context.deadlineMs;
     return {
       address: registration.address,
@@ -117,9 +117,9 @@
         body,
         rest,
       },
-      untilMs,
+      deadlineMs: untilMs,
       dueMs: client.dueMs,
-      isOnce: !route.repeatable,
+      isAtMostOnce: !route.repeatable,
       ...(route.repeatable && client.onClosed
         ? { onUnwanted: (run) => client.onClosed?.(run) ?? noCancel }
         : {}),
@@ -169,7 +169,7 @@
     return (
       !client.isClosed &&
       route !== undefined &&
-      route.takes(service) &&
+      route.servesWith(service) &&
       servingView.maySend(clientRequest, route) &&
       clusterView.isRegistered(registration) &&
       clock.nowMs() + servingView.egressDelayMs(clientRequest) < (claim?.sendUntilMs ?? Infinity)
@@ -186,7 +186,7 @@
     const nowMs = clock.nowMs();
     // A client that left and so ended the attempt says nothing about the backend.
     if (outcome.why !== "" && context.client.isClosed && route.repeatable) {
-      loadBalancer.withdrew(registration, nowMs);
+      loadBalancer.attemptCancelled(registration, nowMs);
       return;
     }
     const { response } = outcome;
@@ -196,9 +196,15 @@
         : outcome.why === "" && response.code < 500;
     const bytes = typeof response === "string" || !isWhole ? undefined : response.body.length;
     if (bytes !== undefined) bulkAdmission.recordSize(route.name, bytes);
-    loadBalancer.ended(
+    loadBalancer.attemptEnded(
       registration,
-      { tookMs: nowMs - startedMs, isWhole, goalMs: route.goalMs, route: route.name, bytes },
+      {
+        tookMs: nowMs - startedMs,
+        isComplete: isWhole,
+        latencyTargetMs: route.latencyTargetMs,
+        route: route.name,
+        bytes,
+      },
       nowMs,
     );
   }
--- a/src/proxy/expired-lease-policy.ts
+++ b/src/proxy/expired-lease-policy.ts
@@ -4,9 +4,9 @@
 /** What a daemon knows of its connections to the replicas of the log. */
 export interface CoreContact {
   /** The addresses of the replicas, as last received. */
-  readonly members: readonly string[];
+  readonly replicas: readonly string[];
   /** Whether since a moment a connection to a replica failed or became unresponsive, and nothing was received from it after that. */
-  isOutOfReach(member: string, sinceMs: number): boolean;
+  isUnreachable(member: string, sinceMs: number): boolean;
 }
 
 /** How long a daemon may serve without a lease, and how long a failed connection counts as evidence of an unavailable quorum. */
@@ -38,9 +38,9 @@
   }
 
   private isQuorumUnavailable(): boolean {
-    const { members: replicas } = this.core;
+    const { replicas: replicas } = this.core;
     const sinceMs = this.clock.nowMs() - this.bounds.contactMs;
-    const failed = replicas.filter((replica) => this.core.isOutOfReach(replica, sinceMs));
+    const failed = replicas.filter((replica) => this.core.isUnreachable(replica, sinceMs));
     return replicas.length > 0 && failed.length * 2 >= replicas.length;
   }
 }
--- a/src/proxy/first-attempt.ts
+++ b/src/proxy/first-attempt.ts
@@ -5,5 +5,5 @@
 const FIRST_ATTEMPT_FRACTION = 0.8;
 
 /** Whether a client that gives this much time can't have tried before; it still has time to retry elsewhere. */
-export const isFirstAttempt = (givenMs: number, { giveUpMs }: ActiveRoute): boolean =>
+export const isFirstAttempt = (givenMs: number, { timeoutMs: giveUpMs }: ActiveRoute): boolean =>
   givenMs >= giveUpMs * FIRST_ATTEMPT_FRACTION;
--- a/src/proxy/header-names.ts
+++ b/src/proxy/header-names.ts
@@ -3,7 +3,7 @@
 /** Header names in lower case, and how the protocol uses them. */
 export interface HeaderNames {
   /** In which a client names its attempt; the proxy names it where this is undefined. */
-  readonly callerId: string | undefined;
+  readonly clientRequestId: string | undefined;
   /** In which a backend gets the attempt's name. */
   readonly requestId: string;
   /** In which a backend's response repeats that name. */
@@ -19,13 +19,13 @@
   /** By which a backend's response states that the request was not run. */
   readonly notRun: string | undefined;
   /** Whether clients read fractions of a second in `Retry-After`. */
-  readonly tellsParts: boolean;
+  readonly hasFractionalRetryAfter: boolean;
   /** Whether a connection proves its service when it opens, or each request its instance. */
   readonly proof: "connection" | "request";
 }
 
 const OWN_HEADER_NAMES: HeaderNames = {
-  callerId: undefined,
+  clientRequestId: undefined,
   requestId: "x-daledoor-job",
   echo: "x-daledoor-stamp",
   seal: undefined,
@@ -33,7 +33,7 @@
   deadline: undefined,
   expected: undefined,
   notRun: undefined,
-  tellsParts: false,
+  hasFractionalRetryAfter: false,
   proof: "connection",
 };
 
--- a/src/proxy/http-proxy.ts
+++ b/src/proxy/http-proxy.ts
@@ -40,7 +40,7 @@
   readonly incarnation: string;
   readonly headerNames: HeaderNames;
   /** Whether requests that may run more than once are still served by a view whose lease expired. */
-  readonly lapsedLease: ExpiredLeasePolicy;
+  readonly expiredLeasePolicy: ExpiredLeasePolicy;
   /** Stores the outcomes of requests with an idempotency key. */
   readonly outcomes: OutcomeReplicator;
   /** The link by which requests leave. */
@@ -50,7 +50,7 @@
 /** Handles clients' requests. Owns the set of active requests; each stage of the chain owns its own state. */
 export class HttpProxy {
   /** What was done since the start, as the status reports it. */
-  readonly tally = new ProxyCounters();
+  readonly counters = new ProxyCounters();
   private readonly runtime: Runtime;
   private readonly headerNames: HeaderNames;
   private readonly log: Logger;
@@ -67,14 +67,14 @@
     this.runtime = runtime;
     this.headerNames = headerNames;
     this.log = runtime.loggers.component("proxy");
-    const servingView = new ServingView(clusterView, options.lapsedLease, egress);
+    const servingView = new ServingView(clusterView, options.expiredLeasePolicy, egress);
     const bulkAdmission = new BulkAdmission(egress, MAX_BUFFERED_RESPONSE_BYTES);
     const shared = {
       ...options,
       clock,
       servingView,
       bulkAdmission,
-      counters: this.tally,
+      counters: this.counters,
       activeRequests: this.activeRequests,
       log: this.log,
     };
@@ -83,7 +83,7 @@
       forwarder,
       outcomes,
       incarnation,
-      retryAfterMs: headerNames.tellsParts ? RETRY_AFTER_MS.leaderElected : undefined,
+      retryAfterMs: headerNames.hasFractionalRetryAfter ? RETRY_AFTER_MS.leaderElected : undefined,
     });
     this.admission = new AdmissionFilter(shared);
     this.filters = [
@@ -98,13 +98,13 @@
   }
 
   /** How many requests are active. */
-  get inHand(): number {
+  get activeRequestCount(): number {
     return this.activeRequests.size;
   }
 
   /** How many requests and tasks must end before the daemon may stop. */
   get unfinished(): number {
-    return this.inHand + this.claims.pendingTasks;
+    return this.activeRequestCount + this.claims.pendingTasks;
   }
 
   /** Refuses all new requests from now on. */
@@ -113,13 +113,13 @@
   }
 
   /** Resumes the requests that wait for the first lease. */
-  leased(): void {
+  notifyLease(): void {
     this.admission.notifyLease();
   }
 
   /** Handles one request to its end. */
   *handle(clientRequest: ProxyRequest, client: ClientConnection): Task {
-    const { callerId } = this.headerNames;
+    const { clientRequestId: callerId } = this.headerNames;
     const context = newRequestContext({
       clientRequest,
       client,
@@ -127,14 +127,14 @@
       requestId: callerId === undefined ? undefined : clientRequest.headers[callerId],
       splitDraw: this.runtime.random(),
     });
-    this.tally.countRequest();
+    this.counters.countRequest();
     this.activeRequests.add(context);
     try {
       const outcome = yield* runFilters(context, this.filters, (one) =>
         this.retryHandler.forward(one),
       );
       if (context.isAbandoned) return;
-      this.tally.countOutcome(outcome);
+      this.counters.countOutcome(outcome);
       if (typeof outcome.response !== "string")
         client.respond(this.clientResponse(outcome, outcome.response));
     } catch (error) {
@@ -173,7 +173,7 @@
 
   /** A response as clients of this protocol read it. */
   private clientResponse(outcome: RequestOutcome, response: ClientResponse): ClientResponse {
-    return this.headerNames.tellsParts
+    return this.headerNames.hasFractionalRetryAfter
       ? withSpreadRetryAfter(outcome, response, () => this.runtime.random())
       : response;
   }
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -1,7 +1,7 @@
 /** Claims of idempotency keys in the replicated log, and the answers to requests whose key another request claimed. */
 import { createHash } from "node:crypto";
 import type { CommandForwarder } from "../../cluster-view/command-forwarder.js";
-import { hostName } from "../../cluster-view/route-table.js";
+import { normalizedHost } from "../../cluster-view/route-table.js";
 import { ClaimResponse, overloadedResponse, type Command } from "../../control-protocol/command.js";
 import { Clock } from "../../runtime/clock.js";
 import { Runtime } from "../../runtime/runtime.js";
@@ -81,7 +81,7 @@
 /** The scope within which a key is unique: a host, method and path. */
 const scopeOf = (clientRequest: ProxyRequest, key: string): string =>
   hashOf(
-    hostName(clientRequest.headers["host"] ?? ""),
+    normalizedHost(clientRequest.headers["host"] ?? ""),
     clientRequest.method,
     ProxyRequest.path(clientRequest),
     key,
--- a/src/proxy/idempotency/idempotency-filter.ts
+++ b/src/proxy/idempotency/idempotency-filter.ts
@@ -83,7 +83,7 @@
     if (this.headerNames.deadline === undefined) return undefined;
     const givenMs = deadlineMs - arrivedMs;
     return isFirstAttempt(givenMs, route)
-      ? Math.max(MIN_CLAIM_TIMEOUT_MS, route.goalMs * CLAIM_GOAL_FRACTION)
+      ? Math.max(MIN_CLAIM_TIMEOUT_MS, route.latencyTargetMs * CLAIM_GOAL_FRACTION)
       : givenMs;
   }
 }
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -47,7 +47,7 @@
   /** Serves the requests of other daemons to store outcomes and to look them up. */
   serve(): void {
     const { cache } = this;
-    this.rpc.serve(RpcMethod.keepOutcome, function* ({ scope, job, ...message }) {
+    this.rpc.serve(RpcMethod.replicateOutcome, function* ({ scope, job, ...message }) {
       const outcome = KeyedOutcome.read(message);
       if (outcome) cache.note({ scope, requestId: job }, outcome);
       return { isKept: outcome !== undefined };
@@ -78,7 +78,7 @@
       if (holder === this.rpc.self) continue;
       yield* this.rpc.call(
         holder,
-        RpcMethod.keepOutcome,
+        RpcMethod.replicateOutcome,
         { scope, job: requestId, ...KeyedOutcome.message(outcome) },
         STORE_TIMEOUT_MS,
       );
--- a/src/proxy/pipelining-filter.ts
+++ b/src/proxy/pipelining-filter.ts
@@ -12,7 +12,7 @@
 export class PipeliningFilter implements RequestFilter {
   *handle({ route, client }: RequestContext, next: NextHandler): Task<RequestOutcome> {
     const isRepeatable = route?.repeatable === true;
-    if (!isRepeatable && client.awaitTurn && !(yield* client.awaitTurn()))
+    if (!isRepeatable && client.awaitEarlierResponses && !(yield* client.awaitEarlierResponses()))
       return RequestOutcome.unavailable(
         "The answer before this one closed the connection.",
         RETRY_AFTER_MS.otherDaemon,
--- a/src/proxy/proxy-request.ts
+++ b/src/proxy/proxy-request.ts
@@ -19,7 +19,7 @@
   /** Calls back once the client has closed the connection; returns a cancel function. Absent where that isn't noticed. */
   onClosed?(run: () => void): () => void;
   /** Waits until all earlier requests on the connection are answered; false where that closed it. Absent where requests come one at a time. */
-  awaitTurn?(): Task<boolean>;
+  awaitEarlierResponses?(): Task<boolean>;
   /** When the response should have ended: of two large ones, the one due first is sent first. */
   dueMs?: number;
   /** Sends a whole response. */
--- a/src/proxy/retry-handler.ts
+++ b/src/proxy/retry-handler.ts
@@ -105,7 +105,7 @@
       return endWith(
         giveUp(progress, "This daemon's view is not proven fresh.", RETRY_AFTER_MS.viewSettled),
       );
-    if (!route.takes(context.service)) context.service = route.choose(context.splitDraw);
+    if (!route.servesWith(context.service)) context.service = route.choose(context.splitDraw);
     const expiry = this.expiryOf(context, progress, nowMs);
     if (expiry !== undefined) return endWith(giveUp(progress, expiry));
     const { service } = context;
@@ -144,7 +144,7 @@
       clusterView.backendsOf(service),
       {
         tried: triedAddresses,
-        inHandLimit: route.inHandLimit,
+        maxInFlight: route.maxInFlight,
         maxConnections: clusterView.routeTable.service(service)?.maxConnections,
         route: route.name,
       },
@@ -164,11 +164,11 @@
     const isAllowed =
       mayRetry(progress.uncertainOutcome?.execution ?? "neverRan", route) &&
       !isBodyConsumed &&
-      progress.retries <= route.furtherTries &&
+      progress.retries <= route.maxRetries &&
       !client.isClosed;
     if (!isAllowed) return "No further try is allowed.";
     const quota = counts.remainingQuota(service);
-    if (quota === undefined || quota.taken + 2 > quota.part) counts.expedite();
+    if (quota === undefined || quota.used + 2 > quota.limit) counts.expedite();
     const decision = budget.take(service, quota, nowMs);
     if (decision === "granted") return undefined;
     counters.countRefusedRetry(decision);
--- a/src/proxy/routing-filter.ts
+++ b/src/proxy/routing-filter.ts
@@ -47,13 +47,13 @@
     context.route = route;
     context.service = route.choose(context.splitDraw);
     context.deadlineMs = context.arrivedMs + this.timeoutMs(context.clientRequest, route);
-    context.client.dueMs = context.arrivedMs + route.goalMs;
+    context.client.dueMs = context.arrivedMs + route.latencyTargetMs;
     if (!this.admitsResponse(context, route))
       return RequestOutcome.unavailable(
         "This daemon's link is full for as long as there is time.",
         RETRY_AFTER_MS.otherDaemon,
       );
-    budget.countFirst(context.service, context.arrivedMs);
+    budget.countRequest(context.service, context.arrivedMs);
     const routeId = clusterView.idOf("route", route.name);
     if (routeId !== undefined) counts.countRoute(routeId);
     context.releaseBulkReservation = bulkAdmission.reserve(route.name);
@@ -63,18 +63,18 @@
   /** How long a request may take: what its client says is left, and what its route allows. */
   private timeoutMs({ headers }: ProxyRequest, route: ActiveRoute): number {
     const { deadline } = this.options.headerNames;
-    if (deadline === undefined) return route.giveUpMs * 2;
+    if (deadline === undefined) return route.timeoutMs * 2;
     const statedMs = Number(headers[deadline]);
     return Number.isFinite(statedMs) && statedMs > 0
-      ? Math.min(statedMs, route.giveUpMs)
-      : route.giveUpMs;
+      ? Math.min(statedMs, route.timeoutMs)
+      : route.timeoutMs;
   }
 
   /** Whether a response of the route's average size can still leave in time. A first attempt is refused while its client can retry. */
   private admitsResponse({ arrivedMs, deadlineMs }: RequestContext, route: ActiveRoute): boolean {
     const { clock, bulkAdmission } = this.options;
     const dueMs = isFirstAttempt(deadlineMs - arrivedMs, route)
-      ? Math.min(deadlineMs, arrivedMs + route.goalMs)
+      ? Math.min(deadlineMs, arrivedMs + route.latencyTargetMs)
       : deadlineMs;
     return bulkAdmission.admits(route.name, dueMs - clock.nowMs());
   }
--- a/src/proxy/serving-view.ts
+++ b/src/proxy/serving-view.ts
@@ -27,7 +27,7 @@
 
   /** Whether a request may be sent now: the lease must last until the request can have left the link. */
   maySend(clientRequest: ProxyRequest, { repeatable }: ActiveRoute): boolean {
-    const leftMs = this.clusterView.leaseLeftMs - this.egressDelayMs(clientRequest);
+    const leftMs = this.clusterView.leaseRemainingMs - this.egressDelayMs(clientRequest);
     return leftMs > 0 || (repeatable && this.expiredLeasePolicy.allows(-leftMs));
   }
 
--- a/src/proxy/upstream/backend-client.ts
+++ b/src/proxy/upstream/backend-client.ts
@@ -61,11 +61,11 @@
   readonly pool: string;
   readonly request: BackendRequest;
   /** The deadline, by the daemon's clock. */
-  readonly untilMs: number;
+  readonly deadlineMs: number;
   /** When its response should have ended; of two large ones, the one due first is read first. */
   readonly dueMs?: number | undefined;
   /** Whether it must run at most once: it then uses no connection on which a response named no request. */
-  readonly isOnce?: boolean;
+  readonly isAtMostOnce?: boolean;
   /** Registers a callback for when nobody waits for the response any more, where it may then be cancelled; returns a cancel function. */
   onUnwanted?(run: () => void): () => void;
   /** Whether it may still be sent; called when the connection is open, right before the first byte. */
--- a/src/proxy/upstream/http-backend-client.ts
+++ b/src/proxy/upstream/http-backend-client.ts
@@ -88,7 +88,7 @@
 
   /** Takes an idle connection, or opens one. */
   private *acquire(attempt: BackendAttempt): Task<AcquiredConnection | OpenFailure> {
-    const { pool, isOnce = false } = attempt;
+    const { pool, isAtMostOnce: isOnce = false } = attempt;
     for (;;) {
       const connection = this.pool.takeIdle(pool, isOnce);
       if (!connection) return yield* this.open(attempt);
@@ -98,7 +98,7 @@
 
   /** Opens a connection and proves its service, where connections are proven. */
   private *open(attempt: BackendAttempt): Task<AcquiredConnection | OpenFailure> {
-    const { address, pool, untilMs } = attempt;
+    const { address, pool, deadlineMs: untilMs } = attempt;
     const timeoutMs = Math.min(this.connectTimeoutMs, untilMs - this.clock.nowMs());
     const opened = yield* openSocket(this.clock, address, timeoutMs);
     if (opened.kind === "failed") return opened;
--- a/src/proxy/upstream/http-exchange.ts
+++ b/src/proxy/upstream/http-exchange.ts
@@ -64,7 +64,7 @@
     this.done = done;
     this.reader = new ResponseReader({
       ingress: options.pacers.ingress,
-      dueMs: attempt.dueMs ?? attempt.untilMs,
+      dueMs: attempt.dueMs ?? attempt.deadlineMs,
       onHead: (head) => done(this.resultOf(head)),
       onEnd: (isComplete) => this.end(isComplete),
     });
@@ -72,7 +72,7 @@
 
   start(): void {
     const { clock, pool, pacers } = this.options;
-    const { request, untilMs, dueMs = untilMs } = this.attempt;
+    const { request, deadlineMs: untilMs, dueMs = untilMs } = this.attempt;
     this.cancelDeadline = clock.after(untilMs - clock.nowMs(), () => this.expire());
     if (!isHttpMethod(request.method)) {
       this.cancelDeadline();
--- a/src/replication/bootstrap/bootstrap-status.ts
+++ b/src/replication/bootstrap/bootstrap-status.ts
@@ -24,10 +24,10 @@
 }
 
 /** What a daemon sends when it probes another. */
-export type ProbeRequest = DecodedMessage<typeof RpcMethod.meet.request>;
+export type ProbeRequest = DecodedMessage<typeof RpcMethod.discover.request>;
 
 /** What a daemon replies when it is probed, as it travels. */
-export type ProbeResponse = DecodedMessage<typeof RpcMethod.meet.response>;
+export type ProbeResponse = DecodedMessage<typeof RpcMethod.discover.response>;
 
 /** The state of a probed daemon: its node's stage, `none` where it has no node, or a value that this build doesn't know. */
 export type PeerState = MemberStage | "none" | "unknown";
--- a/src/replication/bootstrap/cluster-bootstrap.ts
+++ b/src/replication/bootstrap/cluster-bootstrap.ts
@@ -25,7 +25,7 @@
 /** What a daemon knows besides: who leads, and which nodes of the replicated log there are. */
 export interface ClusterHints {
   leader(): string;
-  recorders(): readonly string[];
+  knownNodes(): readonly string[];
 }
 
 /** How long the reply of a node that is to form the log is awaited; it writes to its disk first. */
@@ -81,7 +81,7 @@
     runtime: Runtime,
     rpc: RpcEndpoint,
     location: NodeLocation,
-    hints: ClusterHints = { leader: () => "", recorders: () => [] },
+    hints: ClusterHints = { leader: () => "", knownNodes: () => [] },
   ) {
     this.runtime = runtime;
     this.rpc = rpc;
@@ -109,7 +109,7 @@
   /** Serves the probes of other daemons. */
   serve(): void {
     const respond = (request: ProbeRequest): Task<ProbeResponse> => this.onProbe(request);
-    this.rpc.serve(RpcMethod.meet, (request) => respond(request));
+    this.rpc.serve(RpcMethod.discover, (request) => respond(request));
   }
 
   /** Probes others for as long as the daemon runs. */
@@ -140,7 +140,7 @@
 
   /** Whether this daemon may choose the members of a new log. */
   private get mayInitiate(): boolean {
-    const { founds, self } = this.location;
+    const { mayBootstrap: founds, self } = this.location;
     return (
       founds &&
       this.location.seeds()[0] === self &&
@@ -162,7 +162,7 @@
     return (
       fleet !== "" &&
       incarnation === this.incarnation &&
-      this.location.founds &&
+      this.location.mayBootstrap &&
       this.state === "empty"
     );
   }
@@ -184,7 +184,7 @@
   }
 
   private get ownStatus(): PeerStatus & { state: BootstrapStatus["state"] | "none" } {
-    const { machine, zone, founds } = this.location;
+    const { machine, zone, mayBootstrap: founds } = this.location;
     const { state, fleet, voters, learners } = this.member?.bootstrapStatus ?? {
       state: "none" as const,
       fleet: "",
@@ -201,7 +201,7 @@
       incarnation: this.incarnation,
       voters: [...voters],
       learners: [...learners],
-      recorders: [...new Set([...this.knownNodes, ...this.hints.recorders()])],
+      recorders: [...new Set([...this.knownNodes, ...this.hints.knownNodes()])],
     };
   }
 
@@ -211,7 +211,7 @@
     const peers = new Set([
       ...seeds,
       ...this.knownNodes,
-      ...this.hints.recorders(),
+      ...this.hints.knownNodes(),
       ...this.discovered,
     ]);
     // An empty node has only to find a formed log; daemons that don't reply must not cost it time.
@@ -309,7 +309,7 @@
     };
     if (voters.some(isUnavailable))
       return this.warnWaiting("waiting for the voters to form the log", { fleet, voters });
-    if (this.location.founds) yield* this.requestForming(fleet, members, statuses);
+    if (this.location.mayBootstrap) yield* this.requestForming(fleet, members, statuses);
     if (!voters.every((voter) => hasFormed(statuses.get(voter), fleet))) return;
     this.isLogKnown = true;
     member?.open(fleet);
--- a/src/replication/bootstrap/node-location.ts
+++ b/src/replication/bootstrap/node-location.ts
@@ -8,7 +8,7 @@
   readonly machine: string;
   readonly zone: string;
   /** Whether the whole fleet starts for the first time, so that a log may be formed. */
-  readonly founds: boolean;
+  readonly mayBootstrap: boolean;
   /** How many machines or zones may be lost at once. */
   readonly tolerate: { readonly machines: number; readonly zones: number };
   /** Peer addresses of any daemons, which may change while this one runs. */
--- a/src/replication/bootstrap/peer-prober.ts
+++ b/src/replication/bootstrap/peer-prober.ts
@@ -27,7 +27,7 @@
     timeoutMs: number,
     statuses: Map<string, PeerStatus>,
   ): Task {
-    const response = yield* this.rpc.call(peer, RpcMethod.meet, request, timeoutMs);
+    const response = yield* this.rpc.call(peer, RpcMethod.discover, request, timeoutMs);
     if (response) statuses.set(peer, decodePeerStatus(response));
   }
 
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -126,7 +126,7 @@
     }
     const { lastIndex, lastTerm } = message.snapshot.identity;
     const complete = { term, leader, lastIndex, lastTerm, text: message.snapshot.text };
-    const reply = yield* rpc.call(peer, RpcMethod.checkpoint, complete, SNAPSHOT_TIMEOUT_MS);
+    const reply = yield* rpc.call(peer, RpcMethod.snapshot, complete, SNAPSHOT_TIMEOUT_MS);
     return reply && { ...reply, receivedBytes: 0 };
   }
 }
--- a/src/replication/node-event.ts
+++ b/src/replication/node-event.ts
@@ -9,10 +9,10 @@
 import type { Proposal } from "./proposals/proposal.js";
 
 /** A complete snapshot in one message. */
-export type SnapshotRequest = DecodedMessage<typeof RpcMethod.checkpoint.request>;
+export type SnapshotRequest = DecodedMessage<typeof RpcMethod.snapshot.request>;
 
 /** The reply to a complete snapshot. */
-export type SnapshotResponse = DecodedMessage<typeof RpcMethod.checkpoint.response>;
+export type SnapshotResponse = DecodedMessage<typeof RpcMethod.snapshot.response>;
 
 /** One piece of a snapshot. */
 export type SnapshotPieceRequest = DecodedMessage<typeof RpcMethod.snapshotPiece.request>;
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -159,7 +159,7 @@
   get status() {
     const { role, term, committedIndex, log, members } = this.state;
     return {
-      state: this.nonce !== "" ? "rejoining" : encodePeerState(this.formation.stage),
+      state: this.rejoinNonce !== "" ? "rejoining" : encodePeerState(this.formation.stage),
       role,
       term,
       leader: this.leader,
@@ -180,7 +180,7 @@
   }
 
   /** The nonce whose marker must be committed before this node counts again, or an empty text. */
-  get nonce(): string {
+  get rejoinNonce(): string {
     return this.state.rejoinNonce;
   }
 
--- a/src/replication/replication-rpc.ts
+++ b/src/replication/replication-rpc.ts
@@ -24,7 +24,7 @@
       events.put({ kind: "appendRequested", request, respond }),
     );
   });
-  rpc.serve(RpcMethod.checkpoint, function* (request) {
+  rpc.serve(RpcMethod.snapshot, function* (request) {
     if (!takesPart()) return { term: 0, counts: false, matched: 0 };
     return yield* Task.wait<SnapshotResponse>((respond) =>
       events.put({ kind: "snapshotReceived", request, respond }),
--- a/src/retry-budget/count-aggregator.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -22,8 +22,8 @@
 } from "./count-messages.js";
 import { RequestCounts, type RequestCountsFormat } from "./request-counts.js";
 
-type PushRequest = DecodedMessage<typeof RpcMethod.push.request>;
-type PushResponse = DecodedMessage<typeof RpcMethod.push.response>;
+type PushRequest = DecodedMessage<typeof RpcMethod.pushCounts.request>;
+type PushResponse = DecodedMessage<typeof RpcMethod.pushCounts.response>;
 
 const NO_COVERAGE: CountCoverage = { edges: 0, oldestMs: 0 };
 
@@ -101,7 +101,7 @@
     this.leader = leader;
     this.log = runtime.loggers.component("retry-budget");
     const handle = (request: PushRequest): PushResponse => this.handlePush(request);
-    rpc.serve(RpcMethod.push, function* (request) {
+    rpc.serve(RpcMethod.pushCounts, function* (request) {
       return handle(request);
     });
   }
@@ -130,7 +130,7 @@
       const isRoot = leader === this.self;
       const response = isRoot
         ? this.handlePush(request)
-        : yield* this.rpc.call(leader, RpcMethod.push, request, pushMs);
+        : yield* this.rpc.call(leader, RpcMethod.pushCounts, request, pushMs);
       if (!response) continue;
       this.halfTripMs = isRoot ? 0 : (clock.nowMs() - prepared.sentMs) / 2;
       this.receive(response, prepared.includedPushes);
@@ -278,7 +278,7 @@
 
   /** Forgets what is older than the window of the sketches. */
   private expire(): void {
-    const sinceMs = this.runtime.clock.nowMs() - this.format.tries.windowMs;
+    const sinceMs = this.runtime.clock.nowMs() - this.format.attempts.windowMs;
     for (const received of [this.edges, this.collectors])
       for (const [key, { atMs }] of received) if (atMs < sinceMs) received.delete(key);
     this.assignments.expire(sinceMs);
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -118,20 +118,24 @@
     const nowMs = this.runtime.clock.nowMs();
     let remaining = sketch.pool;
     for (const windowPart of WINDOW_PARTS) {
-      const { first, further } = counts.ofService(number, nowMs, windowPart * windowMs);
+      const { firstAttempts: first, retries: further } = counts.ofService(
+        number,
+        nowMs,
+        windowPart * windowMs,
+      );
       remaining = Math.min(remaining, sketch.pool + sketch.earned * first - further);
     }
     const since = this.ownSinceIncluded(number, nowMs);
-    const ownRetries = this.own.ofService(number, nowMs, windowMs).further - since.further;
-    const clusterRetries = counts.ofService(number, nowMs, windowMs).further;
+    const ownRetries = this.own.ofService(number, nowMs, windowMs).retries - since.retries;
+    const clusterRetries = counts.ofService(number, nowMs, windowMs).retries;
     const ownPart = Math.min(
       1,
       (ownRetries + ASSUMED_RETRIES) /
         (Math.max(ownRetries, clusterRetries) + ASSUMED_RETRIES * Math.max(1, coverage.edges)),
     );
     return {
-      part: remaining * ownPart * ROUND_PART + sketch.earned * since.first,
-      taken: since.further,
+      limit: remaining * ownPart * ROUND_PART + sketch.earned * since.firstAttempts,
+      used: since.retries,
     };
   }
 
@@ -143,8 +147,8 @@
     const cluster = this.cluster.counts.ofService(number, nowMs, this.rules.windowMs);
     const since = this.ownSinceIncluded(number, nowMs);
     return {
-      first: cluster.first + since.first,
-      further: cluster.further + since.further,
+      firstAttempts: cluster.firstAttempts + since.firstAttempts,
+      retries: cluster.retries + since.retries,
       ageMs: nowMs - this.includedMs,
       edges: this.cluster.coverage.edges,
     };
@@ -171,7 +175,7 @@
       const push = this.nextPush(expedited !== undefined, sentMs);
       const response = yield* this.rpc.call(
         parent,
-        RpcMethod.push,
+        RpcMethod.pushCounts,
         { text: JSON.stringify(push), sketches: this.own.encode(sentMs, withRoutes) },
         pushMs,
       );
@@ -190,7 +194,7 @@
     this.lastPush += 1;
     this.sentPushes.push({ push: this.lastPush, atMs: sentMs });
     this.sentPushes = this.sentPushes.filter(
-      ({ atMs }) => atMs > sentMs - this.format.tries.windowMs,
+      ({ atMs }) => atMs > sentMs - this.format.attempts.windowMs,
     );
     return {
       from: this.self.machine,
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -15,7 +15,7 @@
 /** What all sketches of a cluster have in common. */
 export interface RequestCountsFormat {
   /** The sketch of attempts by service. */
-  readonly tries: SketchFormat;
+  readonly attempts: SketchFormat;
   /** The sketch of requests by route. */
   readonly routes: SketchFormat;
   /** How many bits the number of a route has. */
@@ -24,24 +24,24 @@
 
 export const RequestCountsFormat = {
   /** The default: a window twice the retry budget's, so that late counts still fall inside, and as many routes as there are numbers. */
-  usual: {
-    tries: { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 1 },
+  defaults: {
+    attempts: { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 1 },
     routes: { epsilon: 0.2, delta: 0.1, windowMs: 20_000, seed: 101 },
     routeBits: Math.log2(ID_LIMIT),
   },
 
   /** The default format for another window of the retry budget; as long as the stamps allow. */
   forWindow(retryWindowMs: number): RequestCountsFormat {
-    const { tries, routes, routeBits } = RequestCountsFormat.usual;
+    const { attempts: tries, routes, routeBits } = RequestCountsFormat.defaults;
     const windowMs = Math.min(2 * retryWindowMs, MAX_WINDOW_MS);
-    return { tries: { ...tries, windowMs }, routes: { ...routes, windowMs }, routeBits };
+    return { attempts: { ...tries, windowMs }, routes: { ...routes, windowMs }, routeBits };
   },
 };
 
 /** First attempts and retries of a service. */
 export interface AttemptCounts {
-  readonly first: number;
-  readonly further: number;
+  readonly firstAttempts: number;
+  readonly retries: number;
 }
 
 const formatStruct = new r.Struct({
@@ -77,7 +77,7 @@
 
   constructor(
     format: RequestCountsFormat,
-    attempts = new EcmSketch(format.tries),
+    attempts = new EcmSketch(format.attempts),
     routes = new DyadicSketch(format.routes, format.routeBits),
     hasRoutes = true,
   ) {
@@ -108,8 +108,8 @@
   ofService(service: number, nowMs: number, rangeMs: number): AttemptCounts {
     const now = stampOf(nowMs);
     return {
-      first: this.attempts.estimate(attemptItem(service, false), now, rangeMs),
-      further: this.attempts.estimate(attemptItem(service, true), now, rangeMs),
+      firstAttempts: this.attempts.estimate(attemptItem(service, false), now, rangeMs),
+      retries: this.attempts.estimate(attemptItem(service, true), now, rangeMs),
     };
   }
 
@@ -142,7 +142,7 @@
   ): RequestCounts {
     const decoded = decodeExactly(countsStruct, bytes);
     const now = stampOf(nowMs);
-    const attempts = EcmSketch.ofAged(decoded.attempts, format.tries, now, olderMs);
+    const attempts = EcmSketch.ofAged(decoded.attempts, format.attempts, now, olderMs);
     if (decoded.routes.length === 0) return new RequestCounts(format, attempts, undefined, false);
     if (decoded.routes.length !== format.routeBits)
       throw new SketchMismatchError("The sketch has another number of levels.");
@@ -163,7 +163,7 @@
     const now = stampOf(nowMs);
     const attempts = EcmSketch.merge(
       inputs.map((input) => input.attempts),
-      format.tries,
+      format.attempts,
       now,
     );
     if (!withRoutes) return new RequestCounts(format, attempts, undefined, false);
--- a/src/retry-budget/retry-budget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -8,7 +8,7 @@
 export const {
   rule: defaultRetryRule,
   sketch: defaultSketchRule,
-  guard: defaultStrictRule,
+  guard: defaultGuardRule,
 } = defaultRetryRules;
 
 const SLOT_MS = 100;
@@ -35,8 +35,8 @@
 
 /** What the sketch leaves this daemon of a service's retries, and what it took since. */
 export interface SketchQuota {
-  readonly part: number;
-  readonly taken: number;
+  readonly limit: number;
+  readonly used: number;
 }
 
 const slotIndex = (nowMs: number): number => Math.floor(nowMs / SLOT_MS);
@@ -58,7 +58,7 @@
   }
 
   /** Counts a request, which earns a part of a retry. */
-  countFirst(service: string, nowMs: number): void {
+  countRequest(service: string, nowMs: number): void {
     this.slot(this.account(service), nowMs).requests += 1;
   }
 
@@ -73,7 +73,7 @@
     slot.requested += 1;
     const remaining = account.capacity - this.used(account);
     if (remaining < SHORT_CAPACITY) this.onShort();
-    if (sketch && sketch.taken + 1 > sketch.part) return "sketch";
+    if (sketch && sketch.used + 1 > sketch.limit) return "sketch";
     if (remaining < 1) return "guard";
     slot.retries += 1;
     return "granted";
--- a/src/retry-budget/retry-quotas.ts
+++ b/src/retry-budget/retry-quotas.ts
@@ -53,7 +53,7 @@
   }
 
   /** Begins a term as the leader: nothing is raised until each edge that may use capacities has reported them or can't use them any more. */
-  lead(nowMs: number, leaderName: string, expected: ReadonlySet<string>): void {
+  beginTerm(nowMs: number, leaderName: string, expected: ReadonlySet<string>): void {
     this.holders = new Map();
     this.leaderName = leaderName;
     this.lastNumber = 0;
@@ -67,14 +67,14 @@
   }
 
   /** Those of some edges that can't use any capacities any more. */
-  past(nowMs: number, edges: Iterable<string>): string[] {
+  expiredEdges(nowMs: number, edges: Iterable<string>): string[] {
     return [...edges].filter(
       (edge) => nowMs >= this.settledMs && (this.holders.get(edge)?.untilMs ?? 0) < nowMs,
     );
   }
 
   /** Allots capacities to an edge, by those it reports and by how many retries were requested there lately. */
-  grant(
+  allocate(
     edge: string,
     report: QuotaReport,
     requested: ReadonlyMap<string, number>,
--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -45,7 +45,7 @@
   }
 
   /** How many connections were closed for what came over them. */
-  get droppedFrames(): number {
+  get protocolViolations(): number {
     return this.guard.violations;
   }
 
@@ -91,7 +91,7 @@
   }
 
   /** Whether anything was received from a peer since a moment. */
-  hasHeardFrom(address: string, sinceMs: number): boolean {
+  hasReceivedFrom(address: string, sinceMs: number): boolean {
     return this.peers.get(address)?.hasReceivedSince(sinceMs) ?? false;
   }
 
--- a/src/rpc/rpc-method.ts
+++ b/src/rpc/rpc-method.ts
@@ -56,7 +56,7 @@
     response: new r.Struct({ term: r.uint32, fits: flag, counts: flag, matched: r.uint32 }),
   },
   /** The leader sends its full snapshot to a member whose log is too far behind. */
-  checkpoint: {
+  snapshot: {
     id: 3,
     request: new r.Struct({
       term: r.uint32,
@@ -71,7 +71,7 @@
    * Discovery among daemons. A member sends its peer address, others an empty text. With `fleet`, the cluster is to be
    * bootstrapped with these members, at the process that `incarnation` names; with `open`, all its voters have done so.
    */
-  meet: {
+  discover: {
     id: 4,
     request: new r.Struct({
       peer: text,
@@ -101,7 +101,7 @@
     response: new r.Struct({ taken: flag }),
   },
   /** An edge or collector requests a fresh view; the response renews its lease. */
-  poll: {
+  watch: {
     id: 6,
     /** A large view over a slow link is taken though the request was repeated meanwhile; the leader sends it once. */
     waitMs: 30_000,
@@ -115,7 +115,7 @@
     response: new r.Struct({ leader: text, text }),
   },
   /** An edge or collector pushes its sketch; the response carries the cluster's merged one. */
-  push: {
+  pushCounts: {
     id: 8,
     request: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
     response: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
@@ -127,7 +127,7 @@
     response: new r.Struct({ configs: new r.Buffer(r.uint32) }),
   },
   /** A daemon replicates the outcome of a keyed request to another. */
-  keepOutcome: {
+  replicateOutcome: {
     id: 11,
     request: new r.Struct({ ...keyedRequest, ...keyedOutcome }),
     response: new r.Struct({ isKept: flag }),
--- a/src/simulation/client-call.ts
+++ b/src/simulation/client-call.ts
@@ -95,7 +95,7 @@
       return this.deliverBack(noResponse("refused"), done);
     const { daemon, gate } = machine;
     const client = this.connect(machine, gate, (outcome) => this.deliverBack(outcome, done));
-    gate.pass(() => daemon.callers.emit({ clientRequest, client }));
+    gate.pass(() => daemon.clientRequests.emit({ clientRequest, client }));
   }
 
   /** The daemon's side of the connection; it closes with the machine, or when the client hangs up. */
@@ -109,14 +109,14 @@
     let open: { code: number; headers: Record<string, string>; chunks: Buffer[] } | undefined;
     const close = (): void => {
       isClosed = true;
-      machine.gone.delete(onExit);
+      machine.exitListeners.delete(onExit);
     };
     const finish = (outcome: ClientSide): void => {
       close();
       deliver(outcome);
     };
     const onExit = (): void => finish(noResponse("broken"));
-    machine.gone.add(onExit);
+    machine.exitListeners.add(onExit);
     this.hangUp = () => network.deliver(CLIENTS_LOCATION, this.name, gate, close, () => undefined);
     return {
       get isClosed() {
--- a/src/simulation/faults/addresses.ts
+++ b/src/simulation/faults/addresses.ts
@@ -21,7 +21,7 @@
   one.replace(pick(simulation, services) ?? one.service);
   simulation.recorder.world.push({
     kind: "reused",
-    atMs: simulation.time.nowMs(),
+    atMs: simulation.virtualClock.nowMs(),
     address: one.address,
     service: one.service,
   });
--- a/src/simulation/faults/backend-faults.ts
+++ b/src/simulation/faults/backend-faults.ts
@@ -37,7 +37,7 @@
   },
   *replaceBackEnds(simulation) {
     for (const one of workingBackends(simulation).filter(() => simulation.random() < 0.2)) {
-      if (yield* simulation.day.leave(one)) yield* rest(simulation, 2600, 3200);
+      if (yield* simulation.workload.leave(one)) yield* rest(simulation, 2600, 3200);
       one.end();
       yield* rest(simulation, 200, 900);
       one.replace(one.service);
@@ -48,7 +48,7 @@
     const [leader] = leaders(simulation);
     if (!one || !leader) return;
     simulation.start(reboot(simulation, [leader]));
-    yield* simulation.day.leave(one);
+    yield* simulation.workload.leave(one);
     yield* rest(simulation, 4000, 5000);
     one.replace(one.service);
   },
@@ -64,7 +64,7 @@
     one.replace(service);
     simulation.recorder.world.push({
       kind: "reused",
-      atMs: simulation.time.nowMs(),
+      atMs: simulation.virtualClock.nowMs(),
       address: one.address,
       service,
     });
@@ -107,7 +107,7 @@
     const all = workingBackends(simulation).filter((one) => one.service === service);
     const leaves = simulation.random() < 0.5;
     if (leaves) {
-      for (const one of all) simulation.start(simulation.day.leave(one));
+      for (const one of all) simulation.start(simulation.workload.leave(one));
       yield* rest(simulation, 2600, 3200);
     }
     for (const one of all) one.end();
@@ -151,14 +151,14 @@
     for (const one of all) one.behave({});
   },
   *stopCallersAfterPeak(simulation) {
-    simulation.day.crowd = 3;
+    simulation.workload.crowd = 3;
     yield* rest(simulation, 2000, 3000);
     const all = workingBackends(simulation);
     for (const one of all) one.behave({ losesPart: 0.9, slowFactor: 20 });
     yield* rest(simulation, 100, 1500);
-    simulation.day.crowd = 0;
+    simulation.workload.crowd = 0;
     yield* rest(simulation, 3000, 6000);
     for (const one of all) one.behave({});
-    simulation.day.crowd = 1;
+    simulation.workload.crowd = 1;
   },
 };
--- a/src/simulation/faults/catch-up-faults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -17,15 +17,15 @@
 const mostRestartMs = 900;
 
 const changeManyTimes = function* (simulation: Simulation, changes: number): Task {
-  const untilMs = simulation.time.nowMs() + mostChangingMs;
-  for (let made = 0; made < changes && simulation.time.nowMs() < untilMs; made += 1)
-    yield* simulation.day.putConfig();
+  const untilMs = simulation.virtualClock.nowMs() + mostChangingMs;
+  for (let made = 0; made < changes && simulation.virtualClock.nowMs() < untilMs; made += 1)
+    yield* simulation.workload.putConfig();
 };
 
 /** A member is behind by hundreds of changes when the others are lost in turn. */
 export const catchUpFaults: Record<string, FaultScenario> = {
   *changeWhileMemberIsAway(simulation) {
-    const { catchUpMs } = Bounds.of(simulation.profile).figures;
+    const { catchUpMs } = Bounds.of(simulation.profile).values;
     const away = pick(simulation, diskMachines(simulation));
     if (!away) return;
     simulation.kill(away, true);
--- a/src/simulation/faults/command-faults.ts
+++ b/src/simulation/faults/command-faults.ts
@@ -5,28 +5,28 @@
 export const commandFaults: Record<string, FaultScenario> = {
   *stormConfigs(simulation) {
     for (let count = 0; count < 12; count += 1) {
-      simulation.start(simulation.day.putConfig());
+      simulation.start(simulation.workload.putConfig());
       yield* rest(simulation, 5, 250);
     }
   },
   *raceOperators(simulation) {
     for (let count = 0; count < 4; count += 1) {
-      for (let racer = 0; racer < 3; racer += 1) simulation.start(simulation.day.putConfig());
-      yield* simulation.day.putMalformed();
+      for (let racer = 0; racer < 3; racer += 1) simulation.start(simulation.workload.putConfig());
+      yield* simulation.workload.putMalformed();
       yield* rest(simulation, 400, 1200);
     }
   },
   *growRoutes(simulation) {
-    simulation.day.growRoutes(150);
-    yield* simulation.day.putConfig();
+    simulation.workload.growRoutes(150);
+    yield* simulation.workload.putConfig();
   },
   *growRoutesInStorm(simulation) {
-    simulation.day.growRoutes(1500);
+    simulation.workload.growRoutes(1500);
     for (let count = 0; count < 6; count += 1) {
-      simulation.start(simulation.day.putConfig());
+      simulation.start(simulation.workload.putConfig());
       yield* rest(simulation, 50, 300);
     }
     yield* rest(simulation, 1000, 2000);
-    simulation.day.growRoutes(-1500);
+    simulation.workload.growRoutes(-1500);
   },
 };
--- a/src/simulation/faults/disk-faults.ts
+++ b/src/simulation/faults/disk-faults.ts
@@ -8,7 +8,7 @@
   *losePowerBeforeSync(simulation) {
     const core = diskMachines(simulation);
     for (const { disk } of core) disk?.stall(1500);
-    simulation.start(simulation.day.putConfig());
+    simulation.start(simulation.workload.putConfig());
     yield* rest(simulation, 100, 600);
     yield* reboot(simulation, core, true);
   },
@@ -43,7 +43,7 @@
       diskMachines(simulation).map(machineNameOf),
     );
     for (const [from, to] of ways) simulation.network.cut(from, to);
-    yield* simulation.day.putConfig();
+    yield* simulation.workload.putConfig();
     const still =
       diskMachines(simulation).every(
         ({ daemon }) => daemon?.replicationNode?.status.state === "formed",
@@ -64,7 +64,7 @@
   },
   *loseDiskAfterYes(simulation) {
     if (!allFormed(simulation)) return;
-    yield* simulation.day.putConfig();
+    yield* simulation.workload.putConfig();
     const one = allFormed(simulation) ? pick(simulation, leaders(simulation)) : undefined;
     if (one) yield* emptyDisk(simulation, one);
   },
--- a/src/simulation/faults/garbled-response-faults.ts
+++ b/src/simulation/faults/garbled-response-faults.ts
@@ -21,7 +21,7 @@
 
 const release = function* (simulation: Simulation, some: readonly TestBackend[]): Task {
   for (const one of some) {
-    if (yield* simulation.day.leave(one)) yield* rest(simulation, 2600, 3200);
+    if (yield* simulation.workload.leave(one)) yield* rest(simulation, 2600, 3200);
     one.end();
     yield* rest(simulation, 100, 500);
     one.replace(one.service);
--- a/src/simulation/faults/lost-response-faults.ts
+++ b/src/simulation/faults/lost-response-faults.ts
@@ -20,7 +20,7 @@
 
 /** Orders race for one number, and the member that acknowledges the first of them loses power. */
 const raceAndStrike = (simulation: Simulation): void => {
-  const { operators } = simulation.day;
+  const { operators } = simulation.workload;
   let hasStruck = false;
   simulation.onAcknowledged = (machine) => {
     if (hasStruck) return;
--- a/src/simulation/faults/member-partition-faults.ts
+++ b/src/simulation/faults/member-partition-faults.ts
@@ -35,7 +35,7 @@
   member: SimulatedMachine,
   others: readonly SimulatedMachine[],
 ): void => {
-  const { operators } = simulation.day;
+  const { operators } = simulation.workload;
   const version = operators.sequence + 1 + Math.floor(simulation.random() * mostStep);
   const outside = (): string | undefined => pick(simulation, others)?.settings.machine;
   let attempts = 0;
@@ -54,7 +54,7 @@
 const leaveMeanwhile = function* (simulation: Simulation): Task {
   const one = pick(simulation, workingBackends(simulation));
   if (!one) return;
-  if (yield* simulation.day.leave(one)) yield* rest(simulation, 2600, 3200);
+  if (yield* simulation.workload.leave(one)) yield* rest(simulation, 2600, 3200);
   one.end();
   yield* rest(simulation, 200, 900);
   one.replace(one.service);
@@ -67,7 +67,7 @@
   const others = diskMachines(simulation).filter((other) => other !== member);
   const ways = cutWays(member, others, direction);
   for (const [from, to] of ways) simulation.network.cut(from, to);
-  const atMs = simulation.time.nowMs();
+  const atMs = simulation.virtualClock.nowMs();
   const untilMs = atMs + cutMs;
   simulation.recorder.world.push({
     kind: "memberCut",
@@ -76,7 +76,7 @@
     daemon: member.settings.machine,
   });
   simulation.start(leaveMeanwhile(simulation));
-  while (simulation.time.nowMs() < untilMs) {
+  while (simulation.virtualClock.nowMs() < untilMs) {
     raceAcross(simulation, member, others);
     yield* Clock.sleep(simulation.clock, raceEveryMs);
   }
--- a/src/simulation/faults/network-faults.ts
+++ b/src/simulation/faults/network-faults.ts
@@ -36,7 +36,7 @@
       ),
     );
     yield* rest(simulation, 700, 1200);
-    simulation.start(simulation.day.putConfig());
+    simulation.start(simulation.workload.putConfig());
     yield* rest(simulation, 3300, 5300);
   },
   *splitCore(simulation) {
--- a/src/simulation/faults/process-faults.ts
+++ b/src/simulation/faults/process-faults.ts
@@ -59,7 +59,7 @@
     }
   },
   *acceptAsLeaderDies(simulation) {
-    simulation.start(simulation.day.putConfig());
+    simulation.start(simulation.workload.putConfig());
     yield* rest(simulation, 0, 12);
     yield* reboot(simulation, leaders(simulation), true);
   },
@@ -80,7 +80,7 @@
   *jumpWallClocks(simulation) {
     for (const machine of simulation.machines)
       machine.wallJumpMs = (simulation.random() - 0.5) * 2e9;
-    yield* simulation.day.putConfig();
+    yield* simulation.workload.putConfig();
     yield* rest(simulation, 500, 2000);
     for (const machine of simulation.machines) machine.wallJumpMs = 0;
   },
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -16,18 +16,18 @@
 /** One way to lose a member; it tells from when on the member no longer counts as lost. */
 type Loss = (simulation: Simulation, member: SimulatedMachine) => Task<number>;
 
-const syncMs = (simulation: Simulation): number => Bounds.of(simulation.profile).figures.catchUpMs;
+const syncMs = (simulation: Simulation): number => Bounds.of(simulation.profile).values.catchUpMs;
 
 const replacedSuddenly: Loss = function* (simulation, member) {
   simulation.remove(member);
   yield* Clock.sleep(simulation.clock, successorMs);
   simulation.addSpare(member.settings.zone);
-  return simulation.time.nowMs() + syncMs(simulation);
+  return simulation.virtualClock.nowMs() + syncMs(simulation);
 };
 
 const replacedInOrder: Loss = function* (simulation, member) {
   simulation.addSpare(member.settings.zone);
-  const wholeMs = simulation.time.nowMs() + syncMs(simulation);
+  const wholeMs = simulation.virtualClock.nowMs() + syncMs(simulation);
   yield* Clock.sleep(simulation.clock, successorMs);
   yield* simulation.stop(member);
   simulation.remove(member);
@@ -40,14 +40,14 @@
   member.isEmptied = true;
   yield* Clock.sleep(simulation.clock, successorMs);
   simulation.boot(member);
-  return simulation.time.nowMs() + syncMs(simulation);
+  return simulation.virtualClock.nowMs() + syncMs(simulation);
 };
 
 const unpowered: Loss = function* (simulation, member) {
   simulation.kill(member, true);
   yield* Clock.sleep(simulation.clock, downMs);
   simulation.boot(member);
-  return simulation.time.nowMs() + syncMs(simulation);
+  return simulation.virtualClock.nowMs() + syncMs(simulation);
 };
 
 /** The members to lose next: the leader first, then those that have been there longest. */
@@ -63,7 +63,7 @@
   const wholeMs: number[] = [];
   simulation.recorder.world.push({
     kind: "membersLost",
-    atMs: simulation.time.nowMs(),
+    atMs: simulation.virtualClock.nowMs(),
     how: name,
     machines: members.map(({ settings }) => settings.machine),
   });
@@ -77,7 +77,7 @@
   simulation.start(timedCommand(simulation, name));
   while (wholeMs.length < members.length) yield* Clock.sleep(simulation.clock, watchMs);
   const untilMs = Math.max(...wholeMs);
-  yield* Clock.sleep(simulation.clock, Math.max(0, untilMs - simulation.time.nowMs()));
+  yield* Clock.sleep(simulation.clock, Math.max(0, untilMs - simulation.virtualClock.nowMs()));
 };
 
 /** Loses members again and again, each time at the first moment that the bounds allow. */
--- a/src/simulation/faults/timed-command.ts
+++ b/src/simulation/faults/timed-command.ts
@@ -3,7 +3,7 @@
 
 /** An operator changes the configuration; how long that took goes into the ledger. */
 export const timedCommand = function* (simulation: Simulation, during: string): Task {
-  const { recorder, time, day } = simulation;
+  const { recorder, virtualClock: time, workload: day } = simulation;
   const atMs = time.nowMs();
   const change = day.operators.prepare();
   yield* day.operators.submit(change, { patienceMs: OPERATOR_PATIENCE_MS });
--- a/src/simulation/simulated-day.ts
+++ b/src/simulation/simulated-day.ts
@@ -59,18 +59,22 @@
     const name = draw.begin();
     if (name === undefined) return yield* Clock.sleep(simulation.clock, nothingDrawnMs);
     struck.push(name);
-    simulation.recorder.world.push({ kind: "fault", atMs: simulation.time.nowMs(), what: name });
+    simulation.recorder.world.push({
+      kind: "fault",
+      atMs: simulation.virtualClock.nowMs(),
+      what: name,
+    });
     yield* faults[name]?.(simulation) ?? Clock.sleep(simulation.clock, 1);
     draw.end(name);
   };
   const striking = function* (): Task {
-    while (simulation.time.nowMs() < settleMs + dayMs) {
+    while (simulation.virtualClock.nowMs() < settleMs + dayMs) {
       yield* Clock.sleep(simulation.clock, random() * 3000);
-      if (simulation.time.nowMs() < settleMs + dayMs) yield* strike();
+      if (simulation.virtualClock.nowMs() < settleMs + dayMs) yield* strike();
     }
     yield* strike();
     simulation.network.heal();
-    simulation.day.crowd = 1;
+    simulation.workload.crowd = 1;
     simulation.lostAnswerPart = 0;
     for (const machine of simulation.machines) {
       machine.gate.thaw();
@@ -79,40 +83,40 @@
     }
     for (const testBackend of simulation.testBackends)
       if (!testBackend.isUp || !testBackend.isAnnouncing) testBackend.replace(testBackend.service);
-    simulation.recorder.world.push({ kind: "recovered", atMs: simulation.time.nowMs() });
+    simulation.recorder.world.push({ kind: "recovered", atMs: simulation.virtualClock.nowMs() });
   };
   const configuring = function* (): Task {
-    while (!simulation.day.isOver) {
-      yield* simulation.day.putConfig();
+    while (!simulation.workload.isOver) {
+      yield* simulation.workload.putConfig();
       yield* Clock.sleep(simulation.clock, 1500 + random() * 4000);
     }
   };
 
   simulation.begin();
   simulation.start(configuring());
-  simulation.time.runUntil(settleMs);
+  simulation.virtualClock.runUntil(settleMs);
   for (let strikers = 0; strikers < atOnce; strikers += 1) simulation.start(striking());
   while (
     simulation.recorder.of("recovered").length < atOnce &&
-    simulation.time.nowMs() < settleMs + dayMs + 120_000
+    simulation.virtualClock.nowMs() < settleMs + dayMs + 120_000
   )
-    simulation.time.runUntil(simulation.time.nowMs() + 500);
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 500);
   const recoveredMs = Math.max(0, ...simulation.recorder.of("recovered").map(({ atMs }) => atMs));
   const marks = simulation.recorder.world.filter(
     (record) => record.kind !== "recovered" || record.atMs === recoveredMs,
   );
   simulation.recorder.world.splice(0, Infinity, ...marks);
-  simulation.time.runUntil(recoveredMs + tailMs);
-  simulation.recorder.endMs = simulation.time.nowMs();
+  simulation.virtualClock.runUntil(recoveredMs + tailMs);
+  simulation.recorder.endMs = simulation.virtualClock.nowMs();
   let readBack = false;
   simulation.start(
     (function* () {
-      yield* simulation.day.readBack();
+      yield* simulation.workload.readBack();
       readBack = true;
     })(),
   );
-  while (!readBack) simulation.time.runUntil(simulation.time.nowMs() + 200);
-  simulation.day.isOver = true;
+  while (!readBack) simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 200);
+  simulation.workload.isOver = true;
 
   const { recorder } = simulation;
   return {
--- a/src/simulation/simulated-machine.ts
+++ b/src/simulation/simulated-machine.ts
@@ -23,5 +23,5 @@
   /** Whether its disk was lost once, after which it never forms a log. */
   isEmptied: boolean;
   /** Listeners for the end of the process, which breaks every connection to it. */
-  readonly gone: Set<() => void>;
+  readonly exitListeners: Set<() => void>;
 }
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -51,14 +51,14 @@
 
 /** A fleet with its clients, backends and operators in one process, on virtual time, reproducible by seed. */
 export class Simulation {
-  readonly time = new VirtualClock();
+  readonly virtualClock = new VirtualClock();
   readonly clock: Clock;
   readonly random: () => number;
   readonly network: VirtualNetwork;
   readonly recorder = new EventRecorder();
   readonly machines: SimulatedMachine[];
   readonly testBackends: TestBackend[] = [];
-  readonly day: Workload;
+  readonly workload: Workload;
   readonly profile: Profile;
   readonly lines: string[] = [];
   /** The part of responses to operators that the network loses. */
@@ -77,7 +77,7 @@
   ) {
     this.profile = profile;
     this.waits = { snapshotBytes: SNAPSHOT_BYTES, ...waits };
-    this.clock = this.time.clock();
+    this.clock = this.virtualClock.clock();
     this.random = RandomDraw.of(seed);
     this.network = new VirtualNetwork(this.clock, this.random);
     const count = profile.diskMachines + profile.smallMachines;
@@ -104,7 +104,7 @@
             bodyBytes,
           ),
         );
-    this.day = new Workload(this.outside(), profile, this.recorder, rateFactor);
+    this.workload = new Workload(this.outside(), profile, this.recorder, rateFactor);
   }
 
   /** A machine before its first start; its index determines its address. */
@@ -144,7 +144,7 @@
       isStopping: false,
       isRemoved: false,
       isEmptied: false,
-      gone: new Set(),
+      exitListeners: new Set(),
     };
   }
 
@@ -180,10 +180,10 @@
   begin(): void {
     for (const machine of this.machines) this.boot(machine);
     for (const testBackend of this.testBackends)
-      this.start(this.day.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
-    for (const traffic of this.profile.traffic) this.start(this.day.callers(traffic));
-    this.start(this.day.probers(PROBES_PER_SECOND));
-    this.start(this.day.operators.reading(CONFIG_READ_INTERVAL_MS));
+      this.start(this.workload.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
+    for (const traffic of this.profile.traffic) this.start(this.workload.callers(traffic));
+    this.start(this.workload.probers(PROBES_PER_SECOND));
+    this.start(this.workload.operators.reading(CONFIG_READ_INTERVAL_MS));
   }
 
   start(task: Task<unknown>): void {
@@ -206,10 +206,11 @@
       disk: machine.disk,
       lines: (line) =>
         this.lines.push(
-          `${(this.time.nowMs() / 1000).toFixed(3)} ${machine.settings.machine} ${line}`,
+          `${(this.virtualClock.nowMs() / 1000).toFixed(3)} ${machine.settings.machine} ${line}`,
         ),
       random: this.random,
-      wallTime: () => new Date(1.8e12 + this.time.nowMs() + machine.offsetMs + machine.wallJumpMs),
+      wallTime: () =>
+        new Date(1.8e12 + this.virtualClock.nowMs() + machine.offsetMs + machine.wallJumpMs),
     });
     const settings = {
       ...machine.settings,
@@ -218,7 +219,7 @@
     };
     const daemon = new Daemon(runtime, settings, {
       backendClient: this.backEnds(machine, gate, clock),
-      waits: this.waits,
+      replicationTimeouts: this.waits,
     });
     machine.daemon = daemon;
     this.start(daemon.start());
@@ -232,11 +233,11 @@
     if (power) machine.disk?.losePower();
     else machine.disk?.finishWrites();
     this.network.drop(machine.settings.machine);
-    for (const listener of [...machine.gone]) listener();
-    machine.gone.clear();
+    for (const listener of [...machine.exitListeners]) listener();
+    machine.exitListeners.clear();
     this.recorder.world.push({
       kind: "killed",
-      atMs: this.time.nowMs(),
+      atMs: this.virtualClock.nowMs(),
       daemon: machine.settings.machine,
     });
   }
@@ -245,10 +246,10 @@
   *stop(machine: SimulatedMachine): Task {
     const { daemon, gate } = machine;
     if (!daemon || machine.isStopping) return;
-    const atMs = this.time.nowMs();
+    const atMs = this.virtualClock.nowMs();
     machine.isStopping = true;
     yield* Task.wait<boolean>((done) => {
-      machine.gone.add(() => done(false));
+      machine.exitListeners.add(() => done(false));
       Task.start(daemon.drain(), this.fail, () => gate.pass(() => done(true)));
     });
     if (!gate.isAlive) return;
@@ -257,7 +258,7 @@
       kind: "stopped",
       atMs,
       daemon: machine.settings.machine,
-      endedMs: this.time.nowMs(),
+      endedMs: this.virtualClock.nowMs(),
     });
     this.kill(machine);
   }
@@ -267,7 +268,7 @@
   };
 
   private machineClock(gate: EventGate, offsetMs: number, rate: number): Clock {
-    return gate.clock(this.time.clock(offsetMs, rate));
+    return gate.clock(this.virtualClock.clock(offsetMs, rate));
   }
 
   private machine(name: string): SimulatedMachine | undefined {
@@ -329,8 +330,8 @@
       const arrive = (): void => {
         if (!machine.daemon || !machine.gate.isAlive) return back(undefined);
         const { daemon, gate } = machine;
-        machine.gone.add(() => done(undefined));
-        gate.pass(() => daemon.operators.emit({ clientRequest, give }));
+        machine.exitListeners.add(() => done(undefined));
+        gate.pass(() => daemon.adminRequests.emit({ clientRequest, respond: give }));
       };
       network.deliver(from, location, outsideGate, arrive, () => done(undefined));
     });
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -116,7 +116,7 @@
 
   const sent = function* (
     line: Line,
-    { request: job, untilMs, pool }: BackendAttempt,
+    { request: job, deadlineMs: untilMs, pool }: BackendAttempt,
   ): Task<OpenResult> {
     const { standIn: testBackend } = line;
     const { address } = testBackend;
--- a/src/state/id-allocator.ts
+++ b/src/state/id-allocator.ts
@@ -28,7 +28,7 @@
   private nextId = 1;
 
   /** The ids of the names in use. */
-  get inForce(): ReadonlyMap<string, number> {
+  get activeIds(): ReadonlyMap<string, number> {
     return this.active;
   }
 
--- a/src/state/state-machine.ts
+++ b/src/state/state-machine.ts
@@ -73,11 +73,11 @@
   }
 
   /** The last accepted configurations, without their texts. */
-  get recent(): RecentConfig[] {
+  get recentConfigs(): RecentConfig[] {
     return this.configTable.recent;
   }
 
-  set recent(recent: RecentConfig[]) {
+  set recentConfigs(recent: RecentConfig[]) {
     this.configTable.recent = recent;
   }
 
@@ -97,7 +97,7 @@
   }
 
   /** The version up to which the ids of changes aren't retained any more, or 0. */
-  get forgottenUpTo(): number {
+  get changesForgottenUpTo(): number {
     return this.configTable.forgottenUpTo;
   }
 
@@ -132,7 +132,7 @@
   }
 
   /** The edges that may hold retry capacity. */
-  get holders(): ReadonlySet<string> {
+  get retryCapacityHolders(): ReadonlySet<string> {
     return this.holderTable.edges;
   }
 
--- a/test/cluster-view/command-forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -18,7 +18,7 @@
   for (const machine of stage.machines) if (machine !== late) stage.boot(machine);
   stage.wait(4000);
   stage.boot(late, later);
-  expect(stage.until(() => late.daemon?.standing.isGranted === true, 2000)).toBeLessThan(300);
+  expect(stage.until(() => late.daemon?.servingState.isGranted === true, 2000)).toBeLessThan(300);
   const former = stage.leader;
   stage.kill(former);
   const isLed = (): boolean =>
@@ -53,6 +53,6 @@
   stage.cut(edge, stage.leader);
   for (let round = 0; round < 100; round += 1) {
     stage.wait(100);
-    expect(edge.daemon?.standing.isGranted).toBe(true);
+    expect(edge.daemon?.servingState.isGranted).toBe(true);
   }
 });
--- a/test/cluster-view/route-table.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -112,7 +112,7 @@
   }
   expect(Object.fromEntries(counts)).toEqual({ much: 9000, few: 950, rare: 50 });
   expect(route?.choose(1 - Number.EPSILON / 2)).toBe("rare");
-  expect(split.map(({ service }) => route?.takes(service))).toEqual([
+  expect(split.map(({ service }) => route?.servesWith(service))).toEqual([
     false,
     true,
     true,
@@ -161,12 +161,14 @@
     limits: { idleMs: 9 },
   });
   expect(
-    routeTable.all.map(({ attempts, furtherTries, goalMs, priority }) => [
-      attempts,
-      furtherTries,
-      goalMs,
-      priority,
-    ]),
+    routeTable.all.map(
+      ({ attempts, maxRetries: furtherTries, latencyTargetMs: goalMs, priority }) => [
+        attempts,
+        furtherTries,
+        goalMs,
+        priority,
+      ],
+    ),
   ).toEqual([
     [4, 3, 70, 0],
     [2, 1, 1000, 5],
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -125,13 +125,13 @@
   ),
   ...exchange(
     "snapshot",
-    RpcMethod.checkpoint,
+    RpcMethod.snapshot,
     { term: 7, leader: "10.0.0.1:7000", lastIndex: 10, lastTerm: 4, text: "{}" },
     { term: 9, counts: true, matched: 10 },
   ),
   ...exchange(
     "meeting",
-    RpcMethod.meet,
+    RpcMethod.discover,
     {
       peer: "10.0.0.1:7000",
       fleet: "fleet",
@@ -156,7 +156,7 @@
   ...exchange("hand-over", RpcMethod.handOver, { term: 7 }, { taken: true }),
   ...exchange(
     "poll",
-    RpcMethod.poll,
+    RpcMethod.watch,
     { forwarded: true, text: "{}" },
     { leader: "leader", text: "{}" },
   ),
@@ -174,7 +174,7 @@
   ),
   ...exchange(
     "sketch",
-    RpcMethod.push,
+    RpcMethod.pushCounts,
     { text: "{}", sketches: bytes },
     { text: "[]", sketches: bytes },
   ),
@@ -196,7 +196,7 @@
   ),
   ...exchange(
     "keeping an outcome",
-    RpcMethod.keepOutcome,
+    RpcMethod.replicateOutcome,
     { ...keyed, state: 3, code: 200, headers: '{"a":"b"}', body: bytes },
     { isKept: true },
   ),
@@ -240,7 +240,7 @@
 
 /** How sketches were encoded: tries of two services and requests of two routes at fixed moments. */
 export const sketch = (withRoutes: boolean): string => {
-  const counts = new RequestCounts(RequestCountsFormat.usual);
+  const counts = new RequestCounts(RequestCountsFormat.defaults);
   for (let at = 0; at < 40; at += 1) {
     counts.countAttempt(1, at % 4 === 0, 1000 + at * 50);
     counts.countAttempt(2, false, 1010 + at * 40);
@@ -252,20 +252,23 @@
 /** A recorded sketch, decoded and encoded again. */
 export const rewrittenSketch = (base64: string): string =>
   Buffer.from(
-    RequestCounts.decode(Buffer.from(base64, "base64"), RequestCountsFormat.usual, 5000, 0).encode(
+    RequestCounts.decode(
+      Buffer.from(base64, "base64"),
+      RequestCountsFormat.defaults,
       5000,
-    ),
+      0,
+    ).encode(5000),
   ).toString("base64");
 
 /** What a recorded sketch says of two services and of the heaviest routes. */
 export const sketchEstimates = (base64: string) => {
   const counts = RequestCounts.decode(
     Buffer.from(base64, "base64"),
-    RequestCountsFormat.usual,
+    RequestCountsFormat.defaults,
     5000,
     0,
   );
-  const { first, further } = counts.ofService(1, 5000, 10_000);
+  const { firstAttempts: first, retries: further } = counts.ofService(1, 5000, 10_000);
   const routes = counts.heavyRoutes(0.1, 5000, 10_000);
   return {
     firstTries: first,
@@ -278,7 +281,7 @@
 export const readers: Readonly<Record<string, (text: string) => string>> = {
   command: (text) => JSON.stringify(Command.read(text)),
   poll: (text) => JSON.stringify(WatchRequest.read(text)),
-  view: (text) => JSON.stringify(WatchRequest.readReturn(text)),
+  view: (text) => JSON.stringify(WatchRequest.readResponse(text)),
   claim: (text) => JSON.stringify(ClaimResponse.read(text)),
   sketchResponse: (text) => JSON.stringify(AggregatedCounts.read(text)),
   breakdown: (text) => JSON.stringify(isFailureResponse(text)),
@@ -393,19 +396,19 @@
 
   /** Sends a poll to a daemon and gives the text of its answer. */
   poll(to: StageMachine, text: string): string {
-    return this.run(this.rpc.call(to.peer, RpcMethod.poll, { forwarded: true, text }, 5000)).text;
+    return this.run(this.rpc.call(to.peer, RpcMethod.watch, { forwarded: true, text }, 5000)).text;
   }
 
   /** Sends a sketch to a daemon and gives the text of its answer. */
   push(to: StageMachine, text: string, base64: string): string {
     const ask = { text, sketches: Buffer.from(base64, "base64") };
-    return this.run(this.rpc.call(to.peer, RpcMethod.push, ask, 5000)).text;
+    return this.run(this.rpc.call(to.peer, RpcMethod.pushCounts, ask, 5000)).text;
   }
 
   /** How a daemon says that it stands, when it is met. */
   meetingState(to: StageMachine): string {
     const ask = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
-    return this.run(this.rpc.call(to.peer, RpcMethod.meet, ask, 5000)).state;
+    return this.run(this.rpc.call(to.peer, RpcMethod.discover, ask, 5000)).state;
   }
 }
 
@@ -454,13 +457,13 @@
   }
 
   private note({ methodId, isResponse, body }: Frame): void {
-    if (methodId === RpcMethod.meet.id && isResponse)
-      this.meetingStates.add(decodeExactly(RpcMethod.meet.response, body).state);
+    if (methodId === RpcMethod.discover.id && isResponse)
+      this.meetingStates.add(decodeExactly(RpcMethod.discover.response, body).state);
     if (isResponse) return;
-    if (methodId === RpcMethod.poll.id)
-      this.sent.note("poll", decodeExactly(RpcMethod.poll.request, body).text);
-    if (methodId === RpcMethod.push.id)
-      this.notePush(decodeExactly(RpcMethod.push.request, body).text);
+    if (methodId === RpcMethod.watch.id)
+      this.sent.note("poll", decodeExactly(RpcMethod.watch.request, body).text);
+    if (methodId === RpcMethod.pushCounts.id)
+      this.notePush(decodeExactly(RpcMethod.pushCounts.request, body).text);
     if (methodId === RpcMethod.command.id)
       this.noteCommand(decodeExactly(RpcMethod.command.request, body).text);
     if (methodId === RpcMethod.append.id)
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -76,7 +76,7 @@
 const stateOf = (stateMachine: StateMachine, changeIds: readonly string[]) => ({
   version: stateMachine.version,
   configurations: stateMachine.configs.map(configurationOf),
-  listing: stateMachine.recent.map(({ sequence, version, changeId, acceptedAt }) => ({
+  listing: stateMachine.recentConfigs.map(({ sequence, version, changeId, acceptedAt }) => ({
     sequence,
     version: version ?? null,
     changeId,
@@ -114,7 +114,7 @@
   numbersFree: stateMachine.idAllocator.state.free,
   nextNumber: stateMachine.idAllocator.state.next,
   events: stateMachine.journal.map(({ index, text }) => ({ index, text })),
-  quotaHolders: [...stateMachine.holders],
+  quotaHolders: [...stateMachine.retryCapacityHolders],
 });
 
 /** Loads a data folder the way a restarted member does. */
@@ -318,7 +318,7 @@
   protected override daemonOptions(): DaemonOptions {
     const { snapshotBytes } = this;
     const waits = snapshotBytes === undefined ? {} : { snapshotBytes };
-    return { ...super.daemonOptions(), waits };
+    return { ...super.daemonOptions(), replicationTimeouts: waits };
   }
 
   /** Kills the process and starts it again; ends once it leads. */
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -61,7 +61,7 @@
   view(known: number): LeasedView {
     const sequence = this.stateMachine.activeConfig?.sequence ?? 0;
     const part = known === sequence ? "" : `,${this.changes.viewPart(known)}`;
-    const view = WatchRequest.readReturn(
+    const view = WatchRequest.readResponse(
       `{"granted":true,"grantMs":1,"configSequence":${sequence},"directorySequence":0,"grantNumber":"","capacities":[]${part}}`,
     );
     if (!view.granted) throw new Error("The response is no view.");
@@ -79,7 +79,7 @@
   expect(plain(replica.config)).toEqual(plain(leader.config));
   expect(Object.keys(replica.config.routes)).toEqual(Object.keys(leader.config.routes));
   expect(Object.fromEntries(replica.numbers)).toEqual(
-    Object.fromEntries(leader.stateMachine.idAllocator.inForce),
+    Object.fromEntries(leader.stateMachine.idAllocator.activeIds),
   );
 };
 
@@ -225,9 +225,9 @@
     });
     const [one] = daemons(1);
     const send = (method: string, target: string, body: unknown): void => {
-      one?.daemon?.operators.emit({
+      one?.daemon?.adminRequests.emit({
         clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
-        give: () => undefined,
+        respond: () => undefined,
       });
       wait(300);
     };
@@ -237,7 +237,7 @@
     expect(configSequence).toBeGreaterThan(0);
     send("PATCH", "/config", { routes: { "route-3": { service: "three" } } });
     const text =
-      exchange(RpcMethod.poll, watchRequestText({ directorySequence, configSequence }))[0]?.text ??
+      exchange(RpcMethod.watch, watchRequestText({ directorySequence, configSequence }))[0]?.text ??
       "";
     expect(text).toContain('"configChanges"');
     expect(text).toContain('"route-3"');
@@ -251,7 +251,7 @@
     expect(after.configSequence).toBe(known.configSequence + 4);
     for (const machine of simulation.machines) {
       if (!machine.daemon) continue;
-      expect(machine.daemon.standing).toEqual({
+      expect(machine.daemon.servingState).toEqual({
         configSequence: after.configSequence,
         isGranted: true,
       });
--- a/test/control-plane/config-changes.test.ts
+++ b/test/control-plane/config-changes.test.ts
@@ -28,7 +28,7 @@
 beforeEach(() => {
   simulation = new Simulation(Profile.all.rastro, 5, 0.01);
   for (const machine of simulation.machines) simulation.boot(machine);
-  simulation.time.runUntil(6000);
+  simulation.virtualClock.runUntil(6000);
 });
 
 const send = (
@@ -40,9 +40,9 @@
 ): Answer[] => {
   const answers: Answer[] = [];
   const text = typeof body === "string" ? body : body === undefined ? "" : JSON.stringify(body);
-  simulation.machines[at]?.daemon?.operators.emit({
+  simulation.machines[at]?.daemon?.adminRequests.emit({
     clientRequest: { method, target, headers, body: Buffer.from(text) },
-    give: (response) =>
+    respond: (response) =>
       answers.push({
         code: response.code,
         etag: response.headers["etag"],
@@ -51,7 +51,8 @@
   });
   return answers;
 };
-const wait = (forMs = 1500): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
+const wait = (forMs = 1500): void =>
+  simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
 const ask = (
   method: string,
   target: string,
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -33,21 +33,22 @@
   const simulation = new Simulation(Profile.all.rastro, seed, 0.0001);
   for (const testBackend of simulation.testBackends) testBackend.isAnnouncing = false;
   simulation.begin();
-  simulation.time.runUntil(5000);
+  simulation.virtualClock.runUntil(5000);
   const runtime = virtualRuntime({
     clock: simulation.clock,
     network: simulation.network.wire("stranger", new EventGate()),
     random: simulation.random,
   });
   const rpc = new RpcEndpoint(runtime, "stranger");
-  const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
+  const wait = (forMs: number): void =>
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
   const leader = (): SimulatedMachine => {
     const found = simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease);
     if (!found) throw new Error("There is no leader.");
     return found;
   };
   const exchange = (
-    kind: typeof RpcMethod.command | typeof RpcMethod.poll,
+    kind: typeof RpcMethod.command | typeof RpcMethod.watch,
     text: string,
     waitMs = 300,
   ) => {
@@ -55,7 +56,8 @@
     Task.start(
       rpc.call(leader().settings.peers, kind, { forwarded: true, text }, 2000),
       fail,
-      (response) => responses.push({ text: response?.text ?? "", atMs: simulation.time.nowMs() }),
+      (response) =>
+        responses.push({ text: response?.text ?? "", atMs: simulation.virtualClock.nowMs() }),
     );
     wait(waitMs);
     return responses;
@@ -95,8 +97,8 @@
       ...more,
     });
   const watch = (more: Partial<WatchRequest> = {}) => {
-    const view = WatchRequest.readReturn(
-      exchange(RpcMethod.poll, watchRequestText(more))[0]?.text ?? "",
+    const view = WatchRequest.readResponse(
+      exchange(RpcMethod.watch, watchRequestText(more))[0]?.text ?? "",
     );
     if (!view.granted) throw new Error(view.why);
     return view;
@@ -112,14 +114,14 @@
     waitMs = 300,
   ): AdminResponse => {
     const responses: AdminResponse[] = [];
-    machine?.daemon?.operators.emit({
+    machine?.daemon?.adminRequests.emit({
       clientRequest: {
         method: "POST",
         target: path,
         headers: {},
         body: Buffer.from(JSON.stringify(body)),
       },
-      give: ({ code, body: bytes }) =>
+      respond: ({ code, body: bytes }) =>
         responses.push({ code, text: Buffer.from(bytes).toString() }),
     });
     wait(waitMs);
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -12,7 +12,7 @@
   test("a heartbeat that is older than the backend's deregistration, or than another service at its address, changes nothing", () => {
     const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
     simulation.begin();
-    simulation.time.runUntil(5000);
+    simulation.virtualClock.runUntil(5000);
     const fail = (error: unknown): void => {
       throw error;
     };
@@ -32,7 +32,7 @@
         fail,
         (ret) => returns.push(ret?.text ?? ""),
       );
-      simulation.time.runUntil(simulation.time.nowMs() + 200);
+      simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 200);
       return returns[0] ?? "";
     };
     const [one] = simulation.testBackends;
@@ -48,7 +48,7 @@
       seen: Number(/"directorySequence":(\d+)/.exec(command({ kind: "fleet" }))?.[1] ?? "0"),
     };
     expect(command({ kind: "leave", address, service })).toBe('{"known":true}');
-    simulation.time.runUntil(simulation.time.nowMs() + 4000);
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 4000);
     expect(command(late)).toContain('"overtaken"');
     const fresh = { ...late, seen: 1_000_000 };
     expect(command({ ...fresh, service: "triage" })).toContain('"taken"');
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -58,22 +58,24 @@
     stage.wait(6000);
 
     const before = {
-      polls: sumOf(all, ({ daemon }) => daemon.clusterView.polls),
-      grants: sumOf(all, ({ daemon }) => daemon.clusterView.grants),
+      polls: sumOf(all, ({ daemon }) => daemon.clusterView.watchRequests),
+      grants: sumOf(all, ({ daemon }) => daemon.clusterView.leaseRenewals),
       out: sumOf(all, ({ wire }) => wire.totals.messagesOut),
       back: sumOf(all, ({ wire }) => wire.totals.messagesIn),
     };
     stage.wait(4000);
-    const polls = sumOf(all, ({ daemon }) => daemon.clusterView.polls) - before.polls;
+    const polls = sumOf(all, ({ daemon }) => daemon.clusterView.watchRequests) - before.polls;
     const out = sumOf(all, ({ wire }) => wire.totals.messagesOut) - before.out;
-    const { pollMs, controlPlaneTimeouts } = Bounds.of({});
+    const { watchIntervalMs: pollMs, controlPlaneTimeouts } = Bounds.of({});
     const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
     expect(polls).toBeGreaterThan(
       many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.holdMs + farMs + 50)),
     );
     expect(polls).toBeLessThanOrEqual(many * Math.ceil(4000 / pollMs + 1));
     expect(
-      Math.abs(polls - (sumOf(all, ({ daemon }) => daemon.clusterView.grants) - before.grants)),
+      Math.abs(
+        polls - (sumOf(all, ({ daemon }) => daemon.clusterView.leaseRenewals) - before.grants),
+      ),
     ).toBeLessThanOrEqual(many);
     // Only watch requests are sent, and one push every two seconds.
     expect(out - polls).toBeGreaterThanOrEqual(many);
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -11,7 +11,7 @@
 import { service, stage } from "./control-plane-stage.js";
 
 const viewOf = (changes: EndpointChangeLog, known: number): LeasedView => {
-  const view = WatchRequest.readReturn(
+  const view = WatchRequest.readResponse(
     `{"granted":true,"grantMs":1,"configSequence":0,"grantNumber":"","capacities":[],${[
       `"directorySequence":${changes.sequence}`,
       `"directoryDigest":"${changes.digest}"`,
@@ -121,7 +121,7 @@
     const { directorySequence, configSequence } = known;
     const bytesOf = (sequence: number): number => {
       const text = exchange(
-        RpcMethod.poll,
+        RpcMethod.watch,
         watchRequestText({ directorySequence: sequence, configSequence }),
         600,
       )[0]?.text;
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -164,19 +164,19 @@
     heartbeat("one");
     const { directorySequence, configSequence } = watch();
     const upToDate = watchRequestText({ directorySequence, configSequence });
-    const beganMs = simulation.time.nowMs();
-    const unchangedMs = exchange(RpcMethod.poll, upToDate, 600)[0]?.atMs ?? Infinity;
+    const beganMs = simulation.virtualClock.nowMs();
+    const unchangedMs = exchange(RpcMethod.watch, upToDate, 600)[0]?.atMs ?? Infinity;
     expect(unchangedMs - beganMs).toBeGreaterThan(240);
     expect(unchangedMs - beganMs).toBeLessThan(350);
-    const sentMs = simulation.time.nowMs();
-    const returns = exchange(RpcMethod.poll, upToDate, 60);
+    const sentMs = simulation.virtualClock.nowMs();
+    const returns = exchange(RpcMethod.watch, upToDate, 60);
     expect(returns).toEqual([]);
-    const before = simulation.time.nowMs();
+    const before = simulation.virtualClock.nowMs();
     heartbeat("two");
     expect(returns[0]?.text).toContain('"instance":"two"');
     expect((returns[0]?.atMs ?? Infinity) - before).toBeLessThan(150);
     expect((returns[0]?.atMs ?? Infinity) - sentMs).toBeLessThan(240);
-    expect(simulation.machines.every(({ daemon }) => daemon?.standing.isGranted)).toBe(true);
+    expect(simulation.machines.every(({ daemon }) => daemon?.servingState.isGranted)).toBe(true);
   });
 
   test("a watch request that is buffered while its leader is partitioned gets no lease", () => {
@@ -184,7 +184,7 @@
     const { directorySequence, configSequence } = watch();
     const name = leader().settings.machine;
     const returns = exchange(
-      RpcMethod.poll,
+      RpcMethod.watch,
       watchRequestText({ directorySequence, configSequence }),
       50,
     );
@@ -192,7 +192,7 @@
       simulation.network.cut(name, settings.machine);
       simulation.network.cut(settings.machine, name);
     }
-    simulation.time.runUntil(simulation.time.nowMs() + 1200);
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 1200);
     expect(returns[0]?.text).toContain('"breakdown"');
   });
 
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -24,20 +24,20 @@
 describe("LargeViewLimiter", () => {
   test("a large view is in transit for a while, for twice that the next time, and not for another incarnation or state", () => {
     const views = new LargeViewLimiter(1000);
-    expect(views.isUnderWay(watchRequestOf("one", 0), 0)).toBe(false);
+    expect(views.isInTransit(watchRequestOf("one", 0), 0)).toBe(false);
     views.note(watchRequestOf("one", 0), 0);
-    expect(views.isUnderWay(watchRequestOf("one", 0), 999)).toBe(true);
-    expect(views.isUnderWay(watchRequestOf("two", 0), 999)).toBe(false);
-    expect(views.isUnderWay(watchRequestOf("one", 1), 999)).toBe(false);
-    expect(views.isUnderWay(watchRequestOf("one", 0), 1000)).toBe(false);
+    expect(views.isInTransit(watchRequestOf("one", 0), 999)).toBe(true);
+    expect(views.isInTransit(watchRequestOf("two", 0), 999)).toBe(false);
+    expect(views.isInTransit(watchRequestOf("one", 1), 999)).toBe(false);
+    expect(views.isInTransit(watchRequestOf("one", 0), 1000)).toBe(false);
     views.note(watchRequestOf("one", 0), 1000);
-    expect(views.isUnderWay(watchRequestOf("one", 0), 2999)).toBe(true);
-    expect(views.isUnderWay(watchRequestOf("one", 0), 3000)).toBe(false);
+    expect(views.isInTransit(watchRequestOf("one", 0), 2999)).toBe(true);
+    expect(views.isInTransit(watchRequestOf("one", 0), 3000)).toBe(false);
     views.note(watchRequestOf("one", 1), 3000);
-    expect(views.isUnderWay(watchRequestOf("one", 1), 4000)).toBe(false);
+    expect(views.isInTransit(watchRequestOf("one", 1), 4000)).toBe(false);
     views.note(watchRequestOf("one", 1), 4000);
     views.reset();
-    expect(views.isUnderWay(watchRequestOf("one", 1), 4001)).toBe(false);
+    expect(views.isInTransit(watchRequestOf("one", 1), 4001)).toBe(false);
   });
 
   test("the leader sends a large view once to a daemon that retries at once", () => {
@@ -50,23 +50,23 @@
         { match: { path: `/${draw()}` }, service: "s" },
       ]),
     );
-    one?.daemon?.operators.emit({
+    one?.daemon?.adminRequests.emit({
       clientRequest: {
         method: "PUT",
         target: "/config",
         headers: {},
         body: Buffer.from(JSON.stringify({ services: { s: {} }, routes })),
       },
-      give: () => undefined,
+      respond: () => undefined,
     });
     wait(600);
-    const first = exchange(RpcMethod.poll, watchRequestText())[0]?.text ?? "";
+    const first = exchange(RpcMethod.watch, watchRequestText())[0]?.text ?? "";
     expect(first).toContain('"packedConfig"');
     for (let round = 0; round < 3; round += 1)
-      expect(exchange(RpcMethod.poll, watchRequestText())[0]?.text).toContain("under way");
+      expect(exchange(RpcMethod.watch, watchRequestText())[0]?.text).toContain("under way");
     expect(watch({ configSequence: 1 }).configSequence).toBe(1);
     wait(1600);
-    expect(exchange(RpcMethod.poll, watchRequestText())[0]?.text).toContain('"packedConfig"');
+    expect(exchange(RpcMethod.watch, watchRequestText())[0]?.text).toContain('"packedConfig"');
   });
 
   test("a daemon whose views take longer than the request timeout has its lease from the sending of the request", () => {
@@ -86,12 +86,12 @@
     );
     daemon.start();
     fleet.wait(6000);
-    expect(2 * 350).toBeGreaterThan(bounds.pollWaitMs);
+    expect(2 * 350).toBeGreaterThan(bounds.watchTimeoutMs);
     let granted = 0;
     for (let at = 0; at < 100; at += 1) {
       fleet.wait(40);
       if (daemon.clusterView.holdsLease) granted += 1;
-      expect(daemon.clusterView.leaseLeftMs).toBeLessThanOrEqual(bounds.leaseMs - 700);
+      expect(daemon.clusterView.leaseRemainingMs).toBeLessThanOrEqual(bounds.leaseMs - 700);
     }
     expect(granted).toBeGreaterThan(95);
   });
--- a/test/control-plane/polling-daemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -40,11 +40,11 @@
   constructor(runtime: Runtime, info: PollingDaemonInfo, seeds: readonly string[], bounds: Bounds) {
     const incarnation = Runtime.nonce(runtime);
     const rpc = new RpcEndpoint(runtime, info.peer);
-    const budget = new RetryBudget(bounds.budget);
+    const budget = new RetryBudget(bounds.retryRules);
     const loadBalancer = new LoadBalancer(info.zone, () => runtime.random());
     this.runtime = runtime;
-    this.pollMs = bounds.pollMs;
-    this.pollWaitMs = bounds.pollWaitMs;
+    this.pollMs = bounds.watchIntervalMs;
+    this.pollWaitMs = bounds.watchTimeoutMs;
     this.forwarder = new CommandForwarder(runtime, rpc, () => seeds);
     this.clusterView = new ClusterView(
       runtime,
@@ -66,10 +66,10 @@
     this.edgeCounts = new EdgeCounts(
       runtime,
       rpc,
-      bounds.counts,
+      bounds.requestCountsFormat,
       this.clusterView,
       { machine: info.machine, incarnation, zone: info.zone },
-      bounds.budget,
+      bounds.retryRules,
     );
   }
 
@@ -97,7 +97,7 @@
         kind: "announce",
         ...backend,
         warmth: 1,
-        seen: Math.max(0, this.clusterView.directorySequence),
+        seen: Math.max(0, this.clusterView.endpointsSequence),
       })) !== undefined
     );
   }
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -64,7 +64,7 @@
     expect(members?.collectors.length).toBeGreaterThan(2);
     const known = { configSequence, directorySequence, grantNumber };
     const text = exchange(
-      RpcMethod.poll,
+      RpcMethod.watch,
       watchRequestText({ ...known, membersDigest: members?.digest }),
       600,
     )[0]?.text;
@@ -72,7 +72,7 @@
     expect(text).not.toMatch(/"members"|"capacities"/);
     expect(text?.length).toBeLessThan(260);
     const other = exchange(
-      RpcMethod.poll,
+      RpcMethod.watch,
       watchRequestText({ ...known, membersDigest: "another" }),
       600,
     )[0]?.text;
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -60,8 +60,8 @@
     };
     stage.start(
       (function* () {
-        const text = yield* forwarder.once(RpcMethod.poll, JSON.stringify(watchRequest), 450);
-        const view = text === undefined ? undefined : WatchRequest.readReturn(text);
+        const text = yield* forwarder.forward(RpcMethod.watch, JSON.stringify(watchRequest), 450);
+        const view = text === undefined ? undefined : WatchRequest.readResponse(text);
         told.push(view?.granted === true ? view.place : undefined);
       })(),
     );
--- a/test/daemon/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -4,7 +4,7 @@
 import { Settings } from "../../src/daemon/settings.js";
 import { ReplicationTimeouts } from "../../src/replication/replication-node.js";
 import {
-  defaultStrictRule,
+  defaultGuardRule,
   defaultRetryRule,
   defaultSketchRule,
 } from "../../src/retry-budget/retry-budget.js";
@@ -14,12 +14,14 @@
   const bounds = Bounds.of({});
   expect(bounds.controlPlaneTimeouts).toEqual(ControlPlaneTimeouts.defaults);
   expect(bounds.replicationTimeouts).toEqual(ReplicationTimeouts.defaults);
-  expect(bounds.counts).toEqual(RequestCountsFormat.usual);
-  expect([bounds.leaseMs, bounds.pollMs, bounds.orderMs]).toEqual([1600, 400, 4000]);
-  expect([bounds.budget.rule, bounds.budget.sketch, bounds.budget.guard]).toEqual([
+  expect(bounds.requestCountsFormat).toEqual(RequestCountsFormat.defaults);
+  expect([bounds.leaseMs, bounds.watchIntervalMs, bounds.changeTimeoutMs]).toEqual([
+    1600, 400, 4000,
+  ]);
+  expect([bounds.retryRules.rule, bounds.retryRules.sketch, bounds.retryRules.guard]).toEqual([
     defaultRetryRule,
     defaultSketchRule,
-    defaultStrictRule,
+    defaultGuardRule,
   ]);
 });
 
@@ -30,7 +32,12 @@
     [600, 9000],
     [9000, 9000],
   ] as const) {
-    const { leaseMs, pollMs, pollWaitMs, controlPlaneTimeouts } = Bounds.of({
+    const {
+      leaseMs,
+      watchIntervalMs: pollMs,
+      watchTimeoutMs: pollWaitMs,
+      controlPlaneTimeouts,
+    } = Bounds.of({
       bounds: { applyMs, drainMs },
     });
     expect(leaseMs).toBeLessThan(Math.min(applyMs, drainMs));
@@ -75,7 +82,7 @@
 });
 
 test("the retry rules of sketch and guard are stricter than the configured one", () => {
-  const { budget } = Bounds.of({
+  const { retryRules: budget } = Bounds.of({
     bounds: { retryRatio: 0.1, retryExtra: 20, retryWindowMs: 5000 },
   });
   expect(budget.rule).toEqual({ earned: 0.1, pool: 20 });
@@ -83,17 +90,23 @@
   expect(budget.sketch.pool).toBeLessThan(budget.guard.pool);
   expect(budget.guard.earned).toBeLessThan(0.1);
   expect(budget.guard.pool).toBeLessThan(20);
-  expect(Bounds.of({ bounds: { retryWindowMs: 5000 } }).counts.tries.windowMs).toBe(10_000);
+  expect(Bounds.of({ bounds: { retryWindowMs: 5000 } }).requestCountsFormat.attempts.windowMs).toBe(
+    10_000,
+  );
 });
 
 test("an idempotency key is retained beyond its window, and a drain ends within graceMs", () => {
-  const { controlPlaneTimeouts, serveOnMs, abandonMs } = Bounds.of({
+  const {
+    controlPlaneTimeouts,
+    acceptRequestsMs: serveOnMs,
+    abandonMs,
+  } = Bounds.of({
     bounds: { keyWindowMs: 60_000, graceMs: 6000 },
   });
   expect(controlPlaneTimeouts.keyMs).toBe(70_000);
   expect([serveOnMs, abandonMs]).toEqual([2600, 5600]);
   const short = Bounds.of({ bounds: { graceMs: 1000 } });
-  expect(short.serveOnMs).toBeLessThan(short.abandonMs);
+  expect(short.acceptRequestsMs).toBeLessThan(short.abandonMs);
   expect(short.abandonMs).toBeLessThan(1000);
 });
 
--- a/test/daemon/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -8,16 +8,17 @@
   const fail = (error: unknown): void => {
     throw error;
   };
-  const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
+  const wait = (forMs: number): void =>
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
   simulation.begin();
-  simulation.start(simulation.day.putConfig());
+  simulation.start(simulation.workload.putConfig());
   wait(6000);
   const patch = Buffer.from(
     JSON.stringify({ routes: { issues: { giveUpMs: 30_000 }, crashes: { giveUpMs: 30_000 } } }),
   );
-  simulation.machines[0]?.daemon?.operators.emit({
+  simulation.machines[0]?.daemon?.adminRequests.emit({
     clientRequest: { method: "PATCH", target: "/config", headers: {}, body: patch },
-    give: () => undefined,
+    respond: () => undefined,
   });
   wait(2000);
   const edge = simulation.machines.find(({ settings }) => settings.callers !== undefined);
--- a/test/daemon/http-server.test.ts
+++ b/test/daemon/http-server.test.ts
@@ -25,7 +25,7 @@
   socket.write("GET /one HTTP/1.1\r\nhost: a\r\n\r\n");
   await expect.poll(() => received.join("").includes("/one")).toBe(true);
   socket.write("GET /two HTTP/1.1\r\nhost: a\r\n\r\n");
-  server.partWithCallers();
+  server.closeClientConnections();
   await ended;
   expect(received.join("")).toMatch(/connection: close[^]*\/two$/i);
   server.close();
--- a/test/daemon/limits.test.ts
+++ b/test/daemon/limits.test.ts
@@ -12,7 +12,7 @@
     );
     client.respond({ code: 200, headers: {}, body: Buffer.from(clientRequest.target) });
   },
-  { wholeOnly: false },
+  { bufferWholeBodies: false },
 );
 
 const freePort = (): Promise<number> =>
@@ -51,7 +51,7 @@
 });
 
 test("callers are held to limits, also when they change while the server runs", async () => {
-  server.bound({ headerBytes: 2000, bodyBytes: 100 });
+  server.setLimits({ headerBytes: 2000, bodyBytes: 100 });
   const long = `GET /long HTTP/1.1\r\nhost: a\r\nx-long: ${"x".repeat(3000)}\r\nconnection: close\r\n\r\n`;
   const body = (bytes: number): string =>
     `POST /body HTTP/1.1\r\nhost: a\r\ncontent-length: ${bytes}\r\nconnection: close\r\n\r\n${"x".repeat(bytes)}`;
@@ -66,7 +66,7 @@
       ),
     ),
   ).toEqual(["413"]);
-  server.bound({ headerBytes: 16_000, bodyBytes: 1000 });
+  server.setLimits({ headerBytes: 16_000, bodyBytes: 1000 });
   expect(codes(await said(long))).toEqual(["200"]);
   expect(codes(await said(body(101)))).toEqual(["200"]);
   expect(taken).toEqual(["GET /long 0", "POST /body 101"]);
--- a/test/daemon/paced-responses.test.ts
+++ b/test/daemon/paced-responses.test.ts
@@ -47,7 +47,7 @@
         () => client.abort(),
       );
     },
-    { wholeOnly: false, egress },
+    { bufferWholeBodies: false, egress },
   );
   const port = await freePort();
   await new Promise<void>((done, fail) =>
@@ -79,7 +79,7 @@
   const server = new HttpServer(
     (_job, client) =>
       client.respond({ code: 200, headers: {}, body: Buffer.alloc(largeBytes * 10, "x") }),
-    { wholeOnly: false, egress },
+    { bufferWholeBodies: false, egress },
   );
   const port = await freePort();
   await new Promise<void>((done, fail) =>
--- a/test/daemon/settings-file.test.ts
+++ b/test/daemon/settings-file.test.ts
@@ -19,7 +19,7 @@
   try {
     const path = join(folder, "settings.json");
     writeFileSync(path, JSON.stringify(good));
-    const file = SettingsFile.own(path, { zone: "b" });
+    const file = SettingsFile.withOverrides(path, { zone: "b" });
     expect(file.read()).toEqual({ ...good, zone: "b" });
     expect(file.hasChanged).toBe(false);
     writeFileSync(path, JSON.stringify({ ...good, seeds: ["127.0.0.1:4", "127.0.0.1:5"] }));
@@ -38,6 +38,6 @@
 });
 
 test("uses the flags alone as settings without a file", () => {
-  expect(SettingsFile.own(undefined, good).read()).toEqual(good);
-  expect(() => SettingsFile.own(undefined, {}).read()).toThrow(SettingsError);
+  expect(SettingsFile.withOverrides(undefined, good).read()).toEqual(good);
+  expect(() => SettingsFile.withOverrides(undefined, {}).read()).toThrow(SettingsError);
 });
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -47,7 +47,7 @@
         fleet.until(() => fleet.machines.every(({ isReady }) => isReady), 30_000),
       ),
     ).toBe(true);
-    expect(await fleet.perform(fleet.day.putConfig())).toBe(true);
+    expect(await fleet.perform(fleet.workload.putConfig())).toBe(true);
     await fleet.perform(
       fleet.until(() => fleet.recorder.of("announced").length >= fleet.testBackends.length, 10_000),
     );
@@ -66,7 +66,7 @@
       ),
     ).toBe(true);
     const before = served();
-    expect(await fleet.perform(fleet.day.putConfig())).toBe(true);
+    expect(await fleet.perform(fleet.workload.putConfig())).toBe(true);
     expect(await fleet.perform(fleet.until(() => served() > before + 60, 20_000))).toBe(true);
 
     const [edge] = edges;
@@ -74,7 +74,7 @@
     await fleet.perform(fleet.stop(edge));
     expect(edge.exitCode).toBe(0);
     fleet.recorder.endMs = fleet.clock.nowMs();
-    await fleet.perform(fleet.day.readBack());
+    await fleet.perform(fleet.workload.readBack());
     expect(fleet.recorder.of("readBack")).toHaveLength(2);
     expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.failures).toEqual([]);
@@ -107,20 +107,20 @@
         fleet.until(() => fleet.machines.every(({ isReady }) => isReady), 30_000),
       ),
     ).toBe(true);
-    expect(await fleet.perform(fleet.day.putConfig())).toBe(true);
+    expect(await fleet.perform(fleet.workload.putConfig())).toBe(true);
     const leader = await leaderOf();
     if (!leader) throw new Error("Nobody leads.");
     await fleet.perform(fleet.fillDisk(leader, true));
     for (let count = 0; count < 5; count += 1)
-      expect(await fleet.perform(fleet.day.putConfig())).toBe(true);
+      expect(await fleet.perform(fleet.workload.putConfig())).toBe(true);
     expect(await leaderOf()).not.toBe(leader);
     await expect.poll(() => diskOf(leader), { timeout: 20_000 }).not.toBe("well");
     await fleet.perform(fleet.fillDisk(leader, false));
     await expect.poll(() => diskOf(leader), { timeout: 20_000 }).toBe("well");
     const other = await leaderOf();
     if (other) await fleet.perform(fleet.kill(other));
-    expect(await fleet.perform(fleet.day.putConfig())).toBe(true);
-    await fleet.perform(fleet.day.readBack());
+    expect(await fleet.perform(fleet.workload.putConfig())).toBe(true);
+    await fleet.perform(fleet.workload.readBack());
     expect(fleet.recorder.of("readBack")).toHaveLength(7);
     expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.failures).toEqual([]);
--- a/test/load-balancing/backend-ring.test.ts
+++ b/test/load-balancing/backend-ring.test.ts
@@ -87,14 +87,14 @@
   }
 });
 
-const pickOptions: PickOptions = { tried: new Set<string>(), inHandLimit: 200, maxConnections: 66 };
+const pickOptions: PickOptions = { tried: new Set<string>(), maxInFlight: 200, maxConnections: 66 };
 
 test("a daemon uses its subset while that is healthy, and the next backends of the ring in place of failing ones", () => {
   const backends = backendsOf(66);
   const [daemon] = daemonsOf(87);
   if (!daemon) throw new Error("There is no daemon.");
   const balancer = new LoadBalancer(daemon.zone, RandomDraw.of(5));
-  balancer.setPlace(daemon.placement);
+  balancer.setPlacement(daemon.placement);
   const own = subset(backends, daemon.zone, daemon.placement);
   const picked = new Set<string>();
   for (let nowMs = 0; nowMs < 5000; nowMs += 10) {
@@ -107,8 +107,8 @@
   for (const one of backends)
     if (failing.includes(one.address))
       for (let time = 0; time < 6; time += 1) {
-        balancer.began(one, 5000);
-        balancer.ended(one, { tookMs: 20, isWhole: false, goalMs: 100 }, 5000);
+        balancer.attemptStarted(one, 5000);
+        balancer.attemptEnded(one, { tookMs: 20, isComplete: false, latencyTargetMs: 100 }, 5000);
       }
   const later = new Set<string>();
   for (let time = 0; time < 500; time += 1)
@@ -130,12 +130,12 @@
     const taken = new Map<string, number>();
     for (const { zone, placement } of daemonsOf(daemonCount)) {
       const balancer = new LoadBalancer(zone, RandomDraw.of(6));
-      balancer.setPlace(placement);
+      balancer.setPlacement(placement);
       const size = subsetSizeFor(sharing);
       for (let count = 0; count < size * connectionLimit(sharing); count += 1) {
         const chosen = balancer.pick(backends, { ...pickOptions, maxConnections }, 0);
         if (!chosen) throw new Error("Nothing was picked.");
-        balancer.began(chosen, 0);
+        balancer.attemptStarted(chosen, 0);
         taken.set(chosen.address, (taken.get(chosen.address) ?? 0) + 1);
       }
     }
--- a/test/load-balancing/load-balancer-responsiveness.test.ts
+++ b/test/load-balancing/load-balancer-responsiveness.test.ts
@@ -22,12 +22,12 @@
 test("a backend without progress on requests in flight gets no more of them until one ends", () => {
   const loadBalancer = new LoadBalancer("a", RandomDraw.of(3));
   const [unresponsive, healthy] = [backend("unresponsive", 1), backend("healthy", 2)];
-  const ended: AttemptSample = { tookMs: 50, isWhole: true, goalMs: 100, route: "r" };
+  const ended: AttemptSample = { tookMs: 50, isComplete: true, latencyTargetMs: 100, route: "r" };
   for (const one of [unresponsive, healthy]) {
-    loadBalancer.began(one, 0, "r");
-    loadBalancer.ended(one, ended, 50);
+    loadBalancer.attemptStarted(one, 0, "r");
+    loadBalancer.attemptEnded(one, ended, 50);
   }
-  loadBalancer.began(unresponsive, 100, "r");
+  loadBalancer.attemptStarted(unresponsive, 100, "r");
   const picked = (nowMs: number): Set<string> =>
     new Set(
       Array.from(
@@ -35,14 +35,14 @@
         () =>
           loadBalancer.pick(
             [unresponsive, healthy],
-            { tried: new Set(), inHandLimit: 100, route: "r" },
+            { tried: new Set(), maxInFlight: 100, route: "r" },
             nowMs,
           )?.address ?? "",
       ),
     );
   expect(picked(150)).toEqual(new Set(["unresponsive", "healthy"]));
   expect(picked(600)).toEqual(new Set(["healthy"]));
-  loadBalancer.ended(unresponsive, { ...ended, tookMs: 520 }, 620);
+  loadBalancer.attemptEnded(unresponsive, { ...ended, tookMs: 520 }, 620);
   expect(picked(640).has("unresponsive")).toBe(true);
 });
 
@@ -55,16 +55,16 @@
         ["large", 200_000],
         ["small", 400],
       ] as const) {
-        loadBalancer.began(one, round * 100, route);
-        loadBalancer.ended(
+        loadBalancer.attemptStarted(one, round * 100, route);
+        loadBalancer.attemptEnded(
           one,
-          { tookMs: one === local ? 70 : 50, isWhole: true, goalMs: 500, route, bytes },
+          { tookMs: one === local ? 70 : 50, isComplete: true, latencyTargetMs: 500, route, bytes },
           round * 100 + 50,
         );
       }
   const remotePart = (route: string): number =>
     Array.from({ length: 400 }, () =>
-      loadBalancer.pick([local, remote], { tried: new Set(), inHandLimit: 100, route }, 5000),
+      loadBalancer.pick([local, remote], { tried: new Set(), maxInFlight: 100, route }, 5000),
     ).filter((one) => one === remote).length / 400;
   expect(remotePart("large")).toBeLessThan(0.1);
   expect(remotePart("small")).toBeGreaterThan(0.9);
--- a/test/load-balancing/load-balancer.test.ts
+++ b/test/load-balancing/load-balancer.test.ts
@@ -27,16 +27,16 @@
   ];
   const taken = new Map<string, number>();
   for (let nowMs = 0; nowMs < 20_000; nowMs += 10) {
-    const picked = loadBalancer.pick(backends, { tried: new Set(), inHandLimit: 100 }, nowMs);
+    const picked = loadBalancer.pick(backends, { tried: new Set(), maxInFlight: 100 }, nowMs);
     if (!picked) throw new Error("nothing was picked");
     taken.set(picked.address, (taken.get(picked.address) ?? 0) + 1);
-    loadBalancer.began(picked, nowMs);
-    loadBalancer.ended(
+    loadBalancer.attemptStarted(picked, nowMs);
+    loadBalancer.attemptEnded(
       picked,
       {
         tookMs: picked.address === "slow" ? 400 : 20,
-        isWhole: picked.address !== "failing",
-        goalMs: 100,
+        isComplete: picked.address !== "failing",
+        latencyTargetMs: 100,
       },
       nowMs,
     );
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -5,7 +5,7 @@
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
-import { itemOrder, routeTo, type OrderBytes } from "../platform/command-stage.js";
+import { patchConfig, routeTo, type ConfigChangeBytes } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
 import { LimitedStage } from "./limited-stage.js";
 
@@ -14,7 +14,7 @@
   Array.from({ length: count }, (_, at) => `${kind}:${zones[at % zones.length]}`);
 
 const service = { type: "services", meta: { name: "one" }, spec: { maxConns: 66 } };
-const largeOrder = (routes: number): OrderBytes => ({
+const largeOrder = (routes: number): ConfigChangeBytes => ({
   target: "config/put",
   base: "0",
   body: JSON.stringify({
@@ -75,18 +75,18 @@
 test("on links and processors of the grown size, a configuration of 2,500 routes and a storm of changes hold up neither each other nor keyed writes, and cost no leader its lead", () => {
   const stage = begun();
   const leaders = stage.changesOfLeader;
-  expect(stage.untilClear(largeOrder(2500), 6)).toBe(200);
+  expect(stage.submitUntilFinal(largeOrder(2500), 6)).toBe(200);
   stage.wait(2000);
   const edges = stage.machines.filter(({ disk }) => !disk);
   const claimsTookMs = claiming(stage);
   for (let version = 1; version <= 10; version += 1) {
     const through = edges[version % edges.length] ?? stage.at(0);
-    const change = itemOrder(version, version + 1, { name: `s${version}`, svc: "one" });
-    const call = stage.order(through, change);
+    const change = patchConfig(version, version + 1, { name: `s${version}`, svc: "one" });
+    const call = stage.submit(through, change);
     stage.until(() => call.code !== undefined, ackMs);
     expect(call.code).toBe(200);
     const isBehind = ({ daemon }: StageMachine): boolean =>
-      daemon?.standing.isGranted !== true || daemon.standing.configSequence < version + 1;
+      daemon?.servingState.isGranted !== true || daemon.servingState.configSequence < version + 1;
     stage.until(() => !edges.some(isBehind), applyMs);
   }
   expect(stage.changesOfLeader).toBe(leaders);
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -8,7 +8,7 @@
 import type { DaemonOptions } from "../../src/daemon/daemon.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
-import type { OrderBytes } from "../platform/command-stage.js";
+import type { ConfigChangeBytes } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
 import { LimitedStage } from "./limited-stage.js";
 
@@ -29,7 +29,7 @@
 const backEndCount = 20;
 const beatMs = 1000;
 
-const configuration: OrderBytes = {
+const configuration: ConfigChangeBytes = {
   target: "config/put",
   base: "0",
   body: JSON.stringify({
@@ -140,7 +140,7 @@
       "deadline-ms": String(deadlineMs),
     };
     const job = { method: "POST", target: `/write/${key}`, headers, body: Buffer.from(key) };
-    edge?.daemon?.callers.emit({ clientRequest: job, client });
+    edge?.daemon?.clientRequests.emit({ clientRequest: job, client });
   }
 
   /** Has backends announce themselves through one edge after another, until they leave. */
@@ -149,7 +149,7 @@
     const announcing = function* (stage: KeyedStage, id: number): Task {
       for (let calls = 1; !stage.leaving.has(id); calls += 1) {
         const edge = stage.edges[(id + calls) % stage.edges.length];
-        if (edge) stage.beat(edge, { id: `${id}`, calls, service: "ledger" });
+        if (edge) stage.heartbeat(edge, { id: `${id}`, calls, service: "ledger" });
         yield* Clock.sleep(clock, beatMs);
       }
     };
@@ -166,7 +166,7 @@
       for (let calls = 1000; ; calls += 1) {
         const edge = stage.edges[Math.floor(stage.random() * stage.edges.length)];
         if (!edge) return;
-        const call = stage.beat(edge, {
+        const call = stage.heartbeat(edge, {
           id: `${id}`,
           calls,
           state: "draining",
@@ -191,7 +191,7 @@
   const stage = new KeyedStage();
   stage.bootAll();
   stage.wait(5000);
-  expect(stage.untilClear(configuration, 6)).toBe(200);
+  expect(stage.submitUntilFinal(configuration, 6)).toBe(200);
   stage.announce(Array.from({ length: backEndCount }, (_, id) => id));
   stage.wait(3000);
   return stage;
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -1,5 +1,5 @@
 import type { Settings } from "../../src/daemon/settings.js";
-import { OrderStage } from "../platform/command-stage.js";
+import { ControlFixture } from "../platform/command-stage.js";
 import type { MachineLife, StageMachine } from "../replication/fleet-stage.js";
 import {
   LimitedGate,
@@ -15,7 +15,7 @@
 const edgeLimits: MachineLimits = { cpuShare: 0.27, linkMbps: 3.5 };
 
 /** A staged fleet in which every machine has a share of a core and a link of its own rate. */
-export class LimitedStage extends OrderStage {
+export class LimitedStage extends ControlFixture {
   private readonly processors = new Map<StageMachine, Processor>();
 
   constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -6,7 +6,7 @@
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { Clock } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
-import { itemOrder, wholeOrder } from "../platform/command-stage.js";
+import { patchConfig, putConfig } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
 import { LimitedStage } from "./limited-stage.js";
 
@@ -22,7 +22,7 @@
   const stage = new LimitedStage(machines, [0, 1, 2], { tolerate: { machines: 2, zones: 0 } });
   stage.bootAll();
   stage.wait(5000);
-  expect(stage.untilClear(wholeOrder(0, 3, "first"), 6)).toBe(200);
+  expect(stage.submitUntilFinal(putConfig(0, 3, "first"), 6)).toBe(200);
   stage.wait(1000);
   return stage;
 };
@@ -66,8 +66,8 @@
   const lease = new ExpiredLeasePolicy(
     stage.time.clock(),
     {
-      members: stage.disks.map(({ peer }) => peer),
-      isOutOfReach: (member, sinceMs) => rpc.isUnreachable(member, sinceMs),
+      replicas: stage.disks.map(({ peer }) => peer),
+      isUnreachable: (member, sinceMs) => rpc.isUnreachable(member, sinceMs),
     },
     bounds,
   );
@@ -88,7 +88,10 @@
     const { leader } = stage;
     burden(stage, [leader], 1500);
     expect(
-      stage.untilClear(itemOrder(base, base + 2, { name: `r${round}`, svc: "one" }), 6 + round),
+      stage.submitUntilFinal(
+        patchConfig(base, base + 2, { name: `r${round}`, svc: "one" }),
+        6 + round,
+      ),
     ).toBe(200);
     base += 2;
     if (round % 2 === 1) {
@@ -97,9 +100,9 @@
     }
     stage.wait(applyMs);
     for (const { daemon } of edges)
-      if (daemon?.standing.isGranted === true)
-        expect(daemon.standing.configSequence).toBeGreaterThanOrEqual(round + 2);
+      if (daemon?.servingState.isGranted === true)
+        expect(daemon.servingState.configSequence).toBeGreaterThanOrEqual(round + 2);
     stage.wait(3000);
-    expect(edges.filter(({ daemon }) => daemon?.standing.isGranted === true)).toHaveLength(15);
+    expect(edges.filter(({ daemon }) => daemon?.servingState.isGranted === true)).toHaveLength(15);
   }
 });
--- a/test/platform/command-stage.ts
+++ b/test/platform/command-stage.ts
@@ -6,7 +6,7 @@
 import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
 
 /** A call on a control address: its answer once there is one, and how long that took. */
-export interface Call {
+export interface RecordedCall {
   readonly sentMs: number;
   answeredMs: number | undefined;
   code: number | undefined;
@@ -15,7 +15,7 @@
 }
 
 /** An order of an operator, as bytes. */
-export interface OrderBytes {
+export interface ConfigChangeBytes {
   readonly target: "config/put" | "config/patch";
   readonly base: string;
   readonly body: string;
@@ -52,7 +52,7 @@
 });
 
 /** A whole configuration with one route; `note` tells it from others under the same version. */
-export const wholeOrder = (base: number, version: number, note = "x"): OrderBytes => ({
+export const putConfig = (base: number, version: number, note = "x"): ConfigChangeBytes => ({
   target: "config/put",
   base: base === 0 ? "0" : `r${base}`,
   body: JSON.stringify({
@@ -70,11 +70,11 @@
 });
 
 /** A change of items: a route, and a service of that name beside it if wanted. */
-export const itemOrder = (
+export const patchConfig = (
   base: number,
   version: number,
   route: { name: string; svc: string; addsService?: boolean },
-): OrderBytes => ({
+): ConfigChangeBytes => ({
   target: "config/patch",
   base: `r${base}`,
   body: JSON.stringify({
@@ -89,7 +89,7 @@
 });
 
 /** A staged fleet whose control addresses are called in the platform's words. */
-export class OrderStage extends FleetStage {
+export class ControlFixture extends FleetStage {
   constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
     super(machines, seeds, more);
   }
@@ -104,8 +104,8 @@
     target: string,
     body = "",
     headers: Record<string, string> = {},
-  ): Call {
-    const call: Call = {
+  ): RecordedCall {
+    const call: RecordedCall = {
       sentMs: this.time.nowMs(),
       answeredMs: undefined,
       code: undefined,
@@ -127,15 +127,18 @@
     const read = control.into(clientRequest);
     if ("code" in read) give(read);
     else
-      machine.daemon?.operators.emit({
+      machine.daemon?.adminRequests.emit({
         clientRequest: read.clientRequest,
-        give: (response) => give(read.back(response)),
+        respond: (response) => give(read.translateResponse(response)),
       });
     return call;
   }
 
   /** A heartbeat of a backend, as the platform's backends send them. */
-  beat(machine: StageMachine, { id, calls, state = "up", service = "one" }: Heartbeat): Call {
+  heartbeat(
+    machine: StageMachine,
+    { id, calls, state = "up", service = "one" }: Heartbeat,
+  ): RecordedCall {
     const body = {
       svc: service,
       addr: `10.1.0.${id}:90`,
@@ -149,15 +152,15 @@
     return this.call(machine, "POST", `backends/${id}/heartbeat`, JSON.stringify(body));
   }
 
-  order(machine: StageMachine, { target, base, body }: OrderBytes): Call {
+  submit(machine: StageMachine, { target, base, body }: ConfigChangeBytes): RecordedCall {
     return this.call(machine, "POST", target, body, { "base-version": base });
   }
 
   /** Sends an order again and again, to one machine after another, until it has a clear answer. */
-  untilClear(command: OrderBytes, from = 0, atMostMs = 20_000): number {
+  submitUntilFinal(command: ConfigChangeBytes, from = 0, atMostMs = 20_000): number {
     const untilMs = this.time.nowMs() + atMostMs;
     for (let at = from; this.time.nowMs() < untilMs; at += 1) {
-      const call = this.order(this.at(at % this.machines.length), command);
+      const call = this.submit(this.at(at % this.machines.length), command);
       const patienceMs = this.time.nowMs() + 1000;
       while (call.code === undefined && this.time.nowMs() < patienceMs) this.wait(5);
       if (call.code !== undefined && call.code < 500) return call.code;
@@ -167,14 +170,14 @@
   }
 
   /** What the newest configuration is called, read through a machine; undefined where there is no clear answer. */
-  newest(machine: StageMachine): string | undefined {
+  newestVersion(machine: StageMachine): string | undefined {
     const call = this.call(machine, "GET", "config/get");
     this.wait(1000);
     return call.code === 200 ? /"ver":"(r\d+)"/.exec(call.body)?.[1] : undefined;
   }
 
   /** Cuts all ways from some machines to others, one way only. */
-  cutWays(from: readonly StageMachine[], to: readonly StageMachine[]): void {
+  cutLinks(from: readonly StageMachine[], to: readonly StageMachine[]): void {
     for (const one of from)
       for (const other of to) this.network.cut(one.settings.machine, other.settings.machine);
   }
--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -2,52 +2,55 @@
 import { LogCommand } from "../../src/state/state-machine.js";
 import { configText, type StageMachine } from "../replication/fleet-stage.js";
 import {
-  itemOrder,
-  OrderStage,
+  patchConfig,
+  ControlFixture,
   routeTo,
-  wholeOrder,
-  type Call,
-  type OrderBytes,
+  putConfig,
+  type RecordedCall,
+  type ConfigChangeBytes,
 } from "./command-stage.js";
 
 const machines = ["e:a", "e:b", "d:a", "d:b", "d:c"];
 
-const startedFixture = (): OrderStage => {
-  const fixture = new OrderStage(machines, [0, 1, 2]);
+const startedFixture = (): ControlFixture => {
+  const fixture = new ControlFixture(machines, [0, 1, 2]);
   fixture.bootAll();
   fixture.wait(4000);
-  expect(fixture.untilClear(wholeOrder(0, 3, "first"))).toBe(200);
+  expect(fixture.submitUntilFinal(putConfig(0, 3, "first"))).toBe(200);
   return fixture;
 };
 
 /** Sends an order through every machine at once and tells the answers. */
-const everywhere = (fixture: OrderStage, command: OrderBytes): Array<number | undefined> => {
-  const calls = fixture.machines.map((machine) => fixture.order(machine, command));
+const everywhere = (
+  fixture: ControlFixture,
+  command: ConfigChangeBytes,
+): Array<number | undefined> => {
+  const calls = fixture.machines.map((machine) => fixture.submit(machine, command));
   fixture.wait(1000);
   return calls.map(({ code }) => code);
 };
 const all = (code: number): number[] => machines.map(() => code);
 
 /** Eight orders at a time through changing daemons: three proper ones that race, five that are invalid. */
-const eightAt = (fixture: OrderStage, base: number, round: number): Call[] => {
-  const bad = itemOrder(base, base + 1, { name: "z", svc: "nowhere" });
+const eightAt = (fixture: ControlFixture, base: number, round: number): RecordedCall[] => {
+  const bad = patchConfig(base, base + 1, { name: "z", svc: "nowhere" });
   const commands = [
-    wholeOrder(base, base + 2, `p${round}`),
-    wholeOrder(base, base + 2, `q${round}`),
-    itemOrder(base, base + 5, { name: `s${round}`, svc: "one" }),
+    putConfig(base, base + 2, `p${round}`),
+    putConfig(base, base + 2, `q${round}`),
+    patchConfig(base, base + 5, { name: `s${round}`, svc: "one" }),
     bad,
-    wholeOrder(base, base, "same"),
-    { ...wholeOrder(base, base + 2), body: wholeOrder(base, base + 2).body.slice(0, -9) },
+    putConfig(base, base, "same"),
+    { ...putConfig(base, base + 2), body: putConfig(base, base + 2).body.slice(0, -9) },
     { ...bad, body: bad.body.replace('"tries":2', '"tries":0') },
     { ...bad, body: bad.body.replace('"safe"', '"wild"') },
   ];
   return commands.map((command, at) =>
-    fixture.order(fixture.at((at + round) % machines.length), command),
+    fixture.submit(fixture.at((at + round) % machines.length), command),
   );
 };
 
 /** What may befall the core while an order is under way. */
-const troubles: Array<[name: string, begin: (fixture: OrderStage) => void]> = [
+const troubles: Array<[name: string, begin: (fixture: ControlFixture) => void]> = [
   ["the leader is killed", (fixture) => fixture.kill(fixture.leader)],
   [
     "the leader is killed and comes back",
@@ -91,9 +94,9 @@
 describe("retried configuration change", () => {
   test("the same bytes get the same response through every daemon: during the first commit, after a new leader, after a restart of all, after hundreds of others", () => {
     const fixture = startedFixture();
-    const command = wholeOrder(3, 7, "kept");
+    const command = putConfig(3, 7, "kept");
     expect(everywhere(fixture, command)).toEqual(all(200));
-    const other = wholeOrder(3, 7, "other");
+    const other = putConfig(3, 7, "other");
     expect(everywhere(fixture, other)).toEqual(all(412));
 
     const former = fixture.leader;
@@ -115,7 +118,10 @@
 
     for (let at = 0, base = 7; at < 300; at += 1, base += 3)
       expect(
-        fixture.untilClear(itemOrder(base, base + 3, { name: `r${at % 9}`, svc: "one" }), at),
+        fixture.submitUntilFinal(
+          patchConfig(base, base + 3, { name: `r${at % 9}`, svc: "one" }),
+          at,
+        ),
       ).toBe(200);
     expect(everywhere(fixture, command)).toEqual(all(200));
     expect(everywhere(fixture, other)).toEqual(all(412));
@@ -123,8 +129,8 @@
 
   test("a change older than the retained change ids gets no final response: it is neither refused nor applied again", () => {
     const fixture = startedFixture();
-    const command = wholeOrder(3, 7, "old");
-    expect(fixture.untilClear(command)).toBe(200);
+    const command = putConfig(3, 7, "old");
+    expect(fixture.submitUntilFinal(command)).toBe(200);
     const first = 3;
     for (let sequence = first; sequence < first + 2100; sequence += 1) {
       const replicationNode = fixture.leader.daemon?.replicationNode;
@@ -146,11 +152,11 @@
       if (sequence % 50 === 0) fixture.wait(100);
     }
     fixture.wait(3000);
-    const newest = fixture.newest(fixture.at(0));
+    const newest = fixture.newestVersion(fixture.at(0));
     expect(newest).toBe(`r${first + 2099 + 100}`);
     expect(everywhere(fixture, command)).toEqual(all(504));
-    expect(fixture.newest(fixture.at(1))).toBe(newest);
-    expect(everywhere(fixture, wholeOrder(3, first + 2099 + 100, "late"))).toEqual(all(412));
+    expect(fixture.newestVersion(fixture.at(1))).toBe(newest);
+    expect(everywhere(fixture, putConfig(3, first + 2099 + 100, "late"))).toEqual(all(412));
   });
 });
 
@@ -164,7 +170,7 @@
       const codes = calls.map(({ code }) => code);
       expect(codes.slice(0, 3).sort()).toEqual([200, 412, 412]);
       for (const code of codes.slice(3)) expect([400, 412]).toContain(code);
-      base = Number(fixture.newest(fixture.at(round % machines.length))?.slice(1));
+      base = Number(fixture.newestVersion(fixture.at(round % machines.length))?.slice(1));
     }
   });
 });
@@ -175,16 +181,16 @@
       for (let restMs = 0; restMs < 12; restMs += 3) {
         const fixture = startedFixture();
         expect(
-          fixture.untilClear(itemOrder(3, 9, { name: "n", svc: "new", addsService: true })),
+          fixture.submitUntilFinal(patchConfig(3, 9, { name: "n", svc: "new", addsService: true })),
         ).toBe(200);
-        const command = itemOrder(9, 11, { name: "m", svc: "new" });
-        const calls = fixture.machines.map((machine) => fixture.order(machine, command));
-        const reads: Call[] = [];
+        const command = patchConfig(9, 11, { name: "m", svc: "new" });
+        const calls = fixture.machines.map((machine) => fixture.submit(machine, command));
+        const reads: RecordedCall[] = [];
         fixture.wait(restMs);
         begin(fixture);
         for (let at = 0; at < 50; at += 1) {
           const machine: StageMachine = fixture.at(at % machines.length);
-          calls.push(fixture.order(machine, command));
+          calls.push(fixture.submit(machine, command));
           reads.push(fixture.call(machine, "GET", "config/get"));
           fixture.wait(100);
         }
@@ -194,16 +200,16 @@
             expect(call.code, call.body).toBeGreaterThanOrEqual(500);
         for (const read of reads.filter(({ code }) => code === 200))
           expect(read.body).toContain('"n"');
-        expect(fixture.untilClear(command)).toBe(200);
+        expect(fixture.submitUntilFinal(command)).toBe(200);
       }
     });
 });
 
 describe("reads of the configuration", () => {
   test("before the first configuration is applied, a read gets 503, not a final refusal", () => {
-    const fixture = new OrderStage(machines, [0, 1, 2]);
+    const fixture = new ControlFixture(machines, [0, 1, 2]);
     fixture.bootAll();
-    const reads: Call[] = [];
+    const reads: RecordedCall[] = [];
     for (let at = 0; at < 40; at += 1) {
       reads.push(fixture.call(fixture.at(at % machines.length), "GET", "config/get"));
       fixture.wait(100);
@@ -215,15 +221,15 @@
   test("a large configuration is read in time through a daemon on a thin link", () => {
     const fixture = startedFixture();
     const routes = Array.from({ length: 2500 }, (_, at) => routeTo(`route-${at}`, "one"));
-    const { base, body } = wholeOrder(3, 5);
+    const { base, body } = putConfig(3, 5);
     const items = routes.map((route) => JSON.stringify(route)).join(",");
     const whole = body.replace('"objs":[', `"objs":[${items},`);
-    expect(fixture.untilClear({ target: "config/put", base, body: whole })).toBe(200);
+    expect(fixture.submitUntilFinal({ target: "config/put", base, body: whole })).toBe(200);
     fixture.wait(3000);
     // 3 Mbit/s: the text as it is would take longer than an answer may.
     fixture.network.bytesPerMs = 375;
     expect(whole.length / fixture.network.bytesPerMs).toBeGreaterThan(800);
-    expect(fixture.machines.map((machine) => fixture.newest(machine))).toEqual(
+    expect(fixture.machines.map((machine) => fixture.newestVersion(machine))).toEqual(
       fixture.machines.map(() => "r5"),
     );
   });
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -124,10 +124,13 @@
       warmMs: 1500,
     });
     expect(
-      bodyOf(heartbeat.back(ClientResponse.json(200, { contract: 9, state: "taken" }))),
+      bodyOf(
+        heartbeat.translateResponse(ClientResponse.json(200, { contract: 9, state: "taken" })),
+      ),
     ).toEqual({});
     expect(
-      heartbeat.back(ClientResponse.json(503, { error: "No leader could be asked." })).code,
+      heartbeat.translateResponse(ClientResponse.json(503, { error: "No leader could be asked." }))
+        .code,
     ).toBe(503);
     const leave = into(platformRequest("POST", "backends/i-7/deregister", ""));
     expect([
@@ -187,10 +190,10 @@
       idleMs: 15_000,
     });
     const got = into(platformRequest("GET", "config/get"));
-    expect(bodyOf(got.back(ClientResponse.json(200, { version: 7, sequence: 7, config })))).toEqual(
-      JSON.parse(JSON.stringify(whole)),
-    );
-    expect(got.back(ClientResponse.json(503, {})).code).toBe(503);
+    expect(
+      bodyOf(got.translateResponse(ClientResponse.json(200, { version: 7, sequence: 7, config }))),
+    ).toEqual(JSON.parse(JSON.stringify(whole)));
+    expect(got.translateResponse(ClientResponse.json(503, {})).code).toBe(503);
   });
 });
 
@@ -251,7 +254,7 @@
       applyItemChanges(before, items, { routes: ["y"], services: ["two"], goals: [] }),
     );
     if ("faults" in after) throw new Error(JSON.stringify(after.faults));
-    const got = into(platformRequest("GET", "config/get")).back(
+    const got = into(platformRequest("GET", "config/get")).translateResponse(
       ClientResponse.json(200, { version: 9, config: after.config }),
     );
     expect(bodyOf(got)).toEqual(
@@ -277,7 +280,7 @@
       },
       goals: { x: { latencyMs: 90 } },
     });
-    const got = into(platformRequest("GET", "config/get")).back(
+    const got = into(platformRequest("GET", "config/get")).translateResponse(
       ClientResponse.json(200, { version: 3, config }),
     );
     expect(bodyOf(got)).toEqual({
--- a/test/platform/cut-off-daemons.test.ts
+++ b/test/platform/cut-off-daemons.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from "vitest";
 import type { StageMachine } from "../replication/fleet-stage.js";
-import { itemOrder, OrderStage, wholeOrder, type Call } from "./command-stage.js";
+import { patchConfig, ControlFixture, putConfig, type RecordedCall } from "./command-stage.js";
 
 /** A long cut, and one that ends while what was sent during it still waits in the network. */
 const cutsMs = [20_000, 3500];
@@ -11,18 +11,18 @@
 const answerMs = 900;
 
 const heartbeat = (
-  fixture: OrderStage,
+  fixture: ControlFixture,
   at: StageMachine,
   id: string,
   calls: number,
   state: "up" | "draining" = "up",
-): Call => fixture.beat(at, { id, calls, state });
+): RecordedCall => fixture.heartbeat(at, { id, calls, state });
 
-const startedFixture = (): OrderStage => {
-  const fixture = new OrderStage(["e:a", "e:b", "d:a", "d:b", "d:c"], [0, 1, 2]);
+const startedFixture = (): ControlFixture => {
+  const fixture = new ControlFixture(["e:a", "e:b", "d:a", "d:b", "d:c"], [0, 1, 2]);
   fixture.bootAll();
   fixture.wait(4000);
-  expect(fixture.untilClear(wholeOrder(0, 3, "first"))).toBe(200);
+  expect(fixture.submitUntilFinal(putConfig(0, 3, "first"))).toBe(200);
   heartbeat(fixture, fixture.at(0), "1", 1);
   heartbeat(fixture, fixture.at(0), "2", 1);
   fixture.wait(1000);
@@ -31,13 +31,16 @@
 
 interface Sent {
   readonly kind: "change" | "read" | "heartbeat" | "leave";
-  readonly call: Call;
+  readonly call: RecordedCall;
 }
 
 /** All that may be asked of a control address, asked of a machine at once. */
-const askAll = (fixture: OrderStage, at: StageMachine, round: number): Sent[] => [
-  { kind: "change", call: fixture.order(at, wholeOrder(3, 5 + round, "minority")) },
-  { kind: "change", call: fixture.order(at, itemOrder(3, 6 + round, { name: "m", svc: "one" })) },
+const askAll = (fixture: ControlFixture, at: StageMachine, round: number): Sent[] => [
+  { kind: "change", call: fixture.submit(at, putConfig(3, 5 + round, "minority")) },
+  {
+    kind: "change",
+    call: fixture.submit(at, patchConfig(3, 6 + round, { name: "m", svc: "one" })),
+  },
   { kind: "read", call: fixture.call(at, "GET", "config/get") },
   { kind: "heartbeat", call: heartbeat(fixture, at, "1", 10 + round) },
   { kind: "heartbeat", call: heartbeat(fixture, at, `${100 + round}`, 1) },
@@ -48,14 +51,14 @@
 const allWays = ["both ways", "they hear nothing", "they are not heard"] as const;
 type Ways = (typeof allWays)[number];
 
-const cutOff = (fixture: OrderStage, few: StageMachine[], ways: Ways): StageMachine[] => {
+const cutOff = (fixture: ControlFixture, few: StageMachine[], ways: Ways): StageMachine[] => {
   const rest = fixture.machines.filter((machine) => !few.includes(machine));
-  if (ways !== "they are not heard") fixture.cutWays(rest, few);
-  if (ways !== "they hear nothing") fixture.cutWays(few, rest);
+  if (ways !== "they are not heard") fixture.cutLinks(rest, few);
+  if (ways !== "they hear nothing") fixture.cutLinks(few, rest);
   return rest;
 };
 
-const sides: Array<[name: string, few: (fixture: OrderStage) => StageMachine[]]> = [
+const sides: Array<[name: string, few: (fixture: ControlFixture) => StageMachine[]]> = [
   ["the leader", (fixture) => [fixture.leader]],
   ["the leader and an edge", (fixture) => [fixture.leader, fixture.at(0)]],
   [
@@ -69,16 +72,16 @@
 ];
 
 /** Whether the leader's directory holds a backend that isn't leaving. */
-const stands = (fixture: OrderStage, address: string): boolean => {
+const stands = (fixture: ControlFixture, address: string): boolean => {
   const bodies: string[] = [];
-  fixture.at(1).daemon?.operators.emit({
+  fixture.at(1).daemon?.adminRequests.emit({
     clientRequest: {
       method: "POST",
       target: "/ask",
       headers: {},
       body: Buffer.from("show backends"),
     },
-    give: (response) => bodies.push(Buffer.from(response.body).toString()),
+    respond: (response) => bodies.push(Buffer.from(response.body).toString()),
   });
   fixture.wait(300);
   return bodies.some((body) => new RegExp(`"address":"${address}"[^}]*"leaving":false`).test(body));
@@ -100,9 +103,9 @@
           // Some two seconds on, those on the other side take a change.
           const [one = fixture.at(1)] = rest.filter(({ disk }) => disk !== undefined);
           // Where the few are heard, one of their orders may have been taken, though they can't be told.
-          const base = Number(fixture.newest(one)?.slice(1));
+          const base = Number(fixture.newestVersion(one)?.slice(1));
           if (ways !== "they hear nothing") expect(base).toBe(3);
-          const command = fixture.order(one, wholeOrder(base, 1000, "majority"));
+          const command = fixture.submit(one, putConfig(base, 1000, "majority"));
           fixture.wait(1000);
           expect(command.code).toBe(200);
         }
@@ -125,7 +128,7 @@
             expect(call.body, what).toContain('"r1000"');
           expect(tookMs, what).toBeLessThan(answerMs);
         }
-        expect(fixture.machines.map((machine) => fixture.newest(machine))).toEqual(
+        expect(fixture.machines.map((machine) => fixture.newestVersion(machine))).toEqual(
           fixture.machines.map(() => "r1000"),
         );
       });
--- a/test/platform/edge-fixture.ts
+++ b/test/platform/edge-fixture.ts
@@ -71,11 +71,11 @@
   /** A daemon before so many backends, listening on a free port. */
   static async ready(count = 2): Promise<EdgeFixture> {
     const raw = await RawBackendFixture.ready(count);
-    const { callers } = raw.proxy.daemon;
+    const { clientRequests: callers } = raw.proxy.daemon;
     const server = new HttpServer(
       (clientRequest, client) => callers.emit({ clientRequest, client }),
       {
-        wholeOnly: false,
+        bufferWholeBodies: false,
       },
     );
     const port = await freePort();
