--- a/test/platform/invalid-commands.test.ts
+++ b/test/platform/invalid-commands.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { OrderStage, routeTo, wholeOrder, type OrderBytes } from "./command-stage.js";
+import { ControlFixture, routeTo, putConfig, type ConfigChangeBytes } from "./command-stage.js";
 
 const machines = ["e:a", "d:a", "d:b", "d:c"];
 type Spec = Record<string, unknown>;
@@ -47,28 +47,28 @@
   "tries below 0": bent({ tries: -1 }),
 };
 
-const put = (base: number, version: string, objs: readonly unknown[]): OrderBytes => ({
+const put = (base: number, version: string, objs: readonly unknown[]): ConfigChangeBytes => ({
   target: "config/put",
   base: `r${base}`,
   body: JSON.stringify({ ver: version, objs }),
 });
-const patch = (base: number, version: string, change: Spec): OrderBytes => ({
+const patch = (base: number, version: string, change: Spec): ConfigChangeBytes => ({
   target: "config/patch",
   base: `r${base}`,
   body: JSON.stringify({ ver: version, ...change }),
 });
 
 /** All orders upon a version that are invalid, by what is wrong. */
-const invalidOrders = (base: number): Array<[string, OrderBytes]> => {
+const invalidOrders = (base: number): Array<[string, ConfigChangeBytes]> => {
   const next = `r${base + 2}`;
   const proper = put(base, next, [routeTo("x", "one"), service]);
   const routes = Object.entries(invalidRoutes);
   return [
-    ...routes.map(([what, route]): [string, OrderBytes] => [
+    ...routes.map(([what, route]): [string, ConfigChangeBytes] => [
       `put: ${what}`,
       put(base, next, [routeTo("x", "one"), route, service]),
     ]),
-    ...routes.map(([what, route]): [string, OrderBytes] => [
+    ...routes.map(([what, route]): [string, ConfigChangeBytes] => [
       `patch: ${what}`,
       patch(base, next, { upsert: { objs: [route] } }),
     ]),
@@ -86,7 +86,7 @@
     ["put: a stale base", { ...proper, base: `r${base - 1}` }],
     ["put: a base still to come", { ...proper, base: `r${base + 1}` }],
     ...[1, 9, Math.floor(proper.body.length / 2), proper.body.length - 1].map(
-      (bytes): [string, OrderBytes] => [
+      (bytes): [string, ConfigChangeBytes] => [
         `put: cut short after ${bytes} bytes`,
         { ...proper, body: proper.body.slice(0, bytes) },
       ],
@@ -94,16 +94,20 @@
   ];
 };
 
-const startedFixture = (): OrderStage => {
-  const fixture = new OrderStage(machines, [0, 1, 2]);
+const startedFixture = (): ControlFixture => {
+  const fixture = new ControlFixture(machines, [0, 1, 2]);
   fixture.bootAll();
   fixture.wait(4000);
-  expect(fixture.untilClear(wholeOrder(0, 3, "first"))).toBe(200);
+  expect(fixture.submitUntilFinal(putConfig(0, 3, "first"))).toBe(200);
   return fixture;
 };
 
-const code = (fixture: OrderStage, command: OrderBytes, at: number): number | undefined => {
-  const call = fixture.order(fixture.at(at % machines.length), command);
+const code = (
+  fixture: ControlFixture,
+  command: ConfigChangeBytes,
+  at: number,
+): number | undefined => {
+  const call = fixture.submit(fixture.at(at % machines.length), command);
   fixture.until(() => call.code !== undefined, 1000);
   return call.code;
 };
@@ -116,7 +120,7 @@
         const expected = what.includes("base") ? [412] : [400, 412];
         expect(expected, `${what}, through ${at}`).toContain(code(fixture, command, at));
       }
-    expect(fixture.newest(fixture.at(0))).toBe("r3");
+    expect(fixture.newestVersion(fixture.at(0))).toBe("r3");
   });
 
   test("raced against a valid change on the same version, it is never applied, whichever is sent first", () => {
@@ -125,10 +129,10 @@
     for (const [at, [what]] of invalidOrders(base).entries()) {
       const invalid = invalidOrders(base)[at]?.[1];
       if (!invalid) throw new Error("There is no such order.");
-      const proper = wholeOrder(base, base + 2, `p${at}`);
+      const proper = putConfig(base, base + 2, `p${at}`);
       const pair = at % 2 === 0 ? [invalid, proper] : [proper, invalid];
       const calls = pair.map((command, place) =>
-        fixture.order(fixture.at((at + place) % machines.length), command),
+        fixture.submit(fixture.at((at + place) % machines.length), command),
       );
       fixture.until(() => calls.every(({ code: answer }) => answer !== undefined), 1000);
       const [first, second] = calls.map(({ code: answer }) => answer);
@@ -136,7 +140,7 @@
       expect([400, 412], what).toContain(ofInvalid);
       expect(ofProper, what).toBe(200);
       base += 2;
-      expect(fixture.newest(fixture.at(0)), what).toBe(`r${base}`);
+      expect(fixture.newestVersion(fixture.at(0)), what).toBe(`r${base}`);
     }
   });
 
@@ -149,8 +153,8 @@
         0,
       ),
     ).toBe(200);
-    const goes = fixture.order(fixture.at(1), patch(4, "r5", { remove: { services: ["two"] } }));
-    const needs = fixture.order(
+    const goes = fixture.submit(fixture.at(1), patch(4, "r5", { remove: { services: ["two"] } }));
+    const needs = fixture.submit(
       fixture.at(2),
       patch(4, "r6", { upsert: { objs: [routeTo("needs", "two")] } }),
     );
@@ -162,7 +166,7 @@
         ? patch(5, "r9", { upsert: { objs: [routeTo("needs", "two")] } })
         : patch(6, "r9", { remove: { services: ["two"] } });
     expect(code(fixture, refused, 3)).toBe(400);
-    expect(fixture.newest(fixture.at(0))).toBe(`r${version}`);
+    expect(fixture.newestVersion(fixture.at(0))).toBe(`r${version}`);
   });
 
   test("during a change of leader it is never acknowledged, and an unknown result is no refusal", () => {
@@ -173,7 +177,7 @@
     for (const [at, [what, command]] of invalidOrders(3).entries()) {
       const through = followers[at % followers.length];
       if (!through) throw new Error("There is no follower.");
-      const call = fixture.order(through, command);
+      const call = fixture.submit(through, command);
       fixture.wait(30);
       if (call.code === undefined) fixture.until(() => call.code !== undefined, 1000);
       expect([400, 412, 503, 504], what).toContain(call.code);
@@ -183,6 +187,8 @@
       5000,
     );
     fixture.wait(1000);
-    expect(followers.map((machine) => fixture.newest(machine))).toEqual(followers.map(() => "r3"));
+    expect(followers.map((machine) => fixture.newestVersion(machine))).toEqual(
+      followers.map(() => "r3"),
+    );
   });
 });
--- a/test/platform/large-reads.test.ts
+++ b/test/platform/large-reads.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, test } from "vitest";
-import { OrderStage, routeTo, type OrderBytes } from "./command-stage.js";
+import { ControlFixture, routeTo, type ConfigChangeBytes } from "./command-stage.js";
 
 const machines = ["d:a", "d:b", "d:c", "e:a", "e:b"];
 const thin = { limits: { linkMbps: 3.5 } };
 
 const service = { type: "services", meta: { name: "one" }, spec: { maxConns: 66 } };
 
-const putOf = (routes: number): OrderBytes => ({
+const putOf = (routes: number): ConfigChangeBytes => ({
   target: "config/put",
   base: "0",
   body: JSON.stringify({
@@ -15,13 +15,13 @@
   }),
 });
 
-const startedFixture = (routes: number): OrderStage => {
-  const fixture = new OrderStage(machines, [0, 1, 2]);
+const startedFixture = (routes: number): ControlFixture => {
+  const fixture = new ControlFixture(machines, [0, 1, 2]);
   for (const machine of fixture.machines)
     if (!machine.disk) machine.settings = { ...machine.settings, ...thin };
   fixture.bootAll();
   fixture.wait(4000);
-  expect(fixture.untilClear(putOf(routes))).toBe(200);
+  expect(fixture.submitUntilFinal(putOf(routes))).toBe(200);
   fixture.wait(2000);
   return fixture;
 };
--- a/test/platform/pipelining.test.ts
+++ b/test/platform/pipelining.test.ts
@@ -57,7 +57,7 @@
     client.request("GET", "/safe/1", "try-1");
     client.request("POST", "/unsafe/2", "try-2", { "content-length": "0" });
     await edge.raw.advanceUntil(() => blockedCount() === 1);
-    edge.server.partWithCallers();
+    edge.server.closeClientConnections();
     await edge.raw.advance(30);
     release();
     await edge.raw.advanceUntil(() => client.isClosed);
--- a/test/platform/proxy-fixture.ts
+++ b/test/platform/proxy-fixture.ts
@@ -192,7 +192,7 @@
       pacers: this.pacers,
     });
     Task.start(this.daemon.start(), fail);
-    this.advanceUntil(() => this.daemon.standing.isGranted, 10_000);
+    this.advanceUntil(() => this.daemon.servingState.isGranted, 10_000);
     this.registerPeriodically();
   }
 
@@ -231,9 +231,9 @@
   /** Sends a request to the operators' port and waits for its response. */
   callOperators(method: string, target: string, body: unknown): ClientResponse {
     const responses: ClientResponse[] = [];
-    this.daemon.operators.emit({
+    this.daemon.adminRequests.emit({
       clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
-      give: (response) => responses.push(response),
+      respond: (response) => responses.push(response),
     });
     this.advanceUntil(() => responses.length > 0, 5000);
     const [response] = responses;
@@ -258,7 +258,7 @@
       if (value !== undefined) sentHeaders[name] = value;
     const clientRequest: ProxyRequest = { method, target, headers: sentHeaders, body };
     const client = new RecordingClient(() => this.time.nowMs());
-    this.daemon.callers.emit({ clientRequest, client });
+    this.daemon.clientRequests.emit({ clientRequest, client });
     return client;
   }
 
@@ -302,14 +302,14 @@
         capacity: 10,
         order: this.registrations,
       };
-      this.daemon.operators.emit({
+      this.daemon.adminRequests.emit({
         clientRequest: {
           method: "POST",
           target: "/backends/announce",
           headers: {},
           body: Buffer.from(JSON.stringify(body)),
         },
-        give: () => undefined,
+        respond: () => undefined,
       });
     }
     this.clock.after(500, () => this.registerPeriodically());
@@ -323,7 +323,12 @@
     };
   }
 
-  private *sendScripted({ address, request, untilMs, maySend }: BackendAttempt): Task<OpenResult> {
+  private *sendScripted({
+    address,
+    request,
+    deadlineMs: untilMs,
+    maySend,
+  }: BackendAttempt): Task<OpenResult> {
     const { clock } = this;
     yield* Clock.sleep(clock, 1);
     const why = this.connectFailure(address);
--- a/test/platform/uploads.test.ts
+++ b/test/platform/uploads.test.ts
@@ -96,7 +96,7 @@
   );
 
   test("a client that sends without end after an early response is disconnected at the limit on bodies", async () => {
-    edge.server.bound({ bodyBytes: wholeBytes });
+    edge.server.setLimits({ bodyBytes: wholeBytes });
     for (const one of edge.raw.backends)
       one.onHead = ({ tryId }, socket) => socket.write(success({ tryId }, "early"));
     edge.raw.reply = () => undefined;
--- a/test/proxy/expired-lease-policy.test.ts
+++ b/test/proxy/expired-lease-policy.test.ts
@@ -10,8 +10,8 @@
   const lease = new ExpiredLeasePolicy(
     time.clock(),
     {
-      members,
-      isOutOfReach: (member, sinceMs) => (failedMs.get(member) ?? -Infinity) >= sinceMs,
+      replicas: members,
+      isUnreachable: (member, sinceMs) => (failedMs.get(member) ?? -Infinity) >= sinceMs,
     },
     bounds,
   );
--- a/test/proxy/idempotency/idempotency-claims.test.ts
+++ b/test/proxy/idempotency/idempotency-claims.test.ts
@@ -43,14 +43,14 @@
     expect(one.code).toBe(201);
     simulation.kill(first);
     const patched: number[] = [];
-    simulation.machines[0]?.daemon?.operators.emit({
+    simulation.machines[0]?.daemon?.adminRequests.emit({
       clientRequest: {
         method: "POST",
         target: "/ask",
         headers: {},
         body: Buffer.from("move route resolves to issues"),
       },
-      give: ({ code }) => patched.push(code),
+      respond: ({ code }) => patched.push(code),
     });
     wait(3000);
     expect(patched).toEqual([200]);
--- a/test/proxy/simulated-fleet.ts
+++ b/test/proxy/simulated-fleet.ts
@@ -20,8 +20,9 @@
 export const simulatedFleet = (seed = 7) => {
   const simulation = new Simulation(Profile.all.rastro, seed, 0.0001);
   simulation.begin();
-  simulation.start(simulation.day.putConfig());
-  const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
+  simulation.start(simulation.workload.putConfig());
+  const wait = (forMs: number): void =>
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
   wait(6000);
   const edges = simulation.machines.filter(({ settings }) => settings.callers !== undefined);
   const core = simulation.machines.filter(({ settings }) => settings.dataFolder !== undefined);
--- a/test/proxy/upstream/http-fixtures.ts
+++ b/test/proxy/upstream/http-fixtures.ts
@@ -46,7 +46,7 @@
   service: "issues",
   pool: "one",
   request: { method, path, headers: {}, body },
-  untilMs,
+  deadlineMs: untilMs,
   maySend,
 });
 
--- a/test/replication/bootstrap/cluster-bootstrap.test.ts
+++ b/test/replication/bootstrap/cluster-bootstrap.test.ts
@@ -41,7 +41,7 @@
     "formed",
     "formed",
   ]);
-  expect(stage.machines.map(({ daemon }) => daemon?.standing.isGranted)).toEqual(
+  expect(stage.machines.map(({ daemon }) => daemon?.servingState.isGranted)).toEqual(
     stage.machines.map(() => true),
   );
 });
--- a/test/replication/bootstrap/node-location.test.ts
+++ b/test/replication/bootstrap/node-location.test.ts
@@ -8,7 +8,7 @@
   self: "p",
   machine: "m",
   zone: "a",
-  founds: true,
+  mayBootstrap: true,
   tolerate: { machines, zones },
   seeds: () => [],
 });
--- a/test/replication/bootstrap/restore-as-only-voter.test.ts
+++ b/test/replication/bootstrap/restore-as-only-voter.test.ts
@@ -12,9 +12,10 @@
   const fail = (error: unknown): void => {
     throw error;
   };
-  const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
+  const wait = (forMs: number): void =>
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
   simulation.begin();
-  simulation.start(simulation.day.putConfig());
+  simulation.start(simulation.workload.putConfig());
   wait(4000);
   const core = simulation.machines.filter(({ disk }) => disk);
   for (const machine of core) simulation.kill(machine);
@@ -44,7 +45,7 @@
   simulation.kill(kept);
   wait(3000);
   expect(lost.some(({ daemon }) => daemon?.replicationNode?.holdsLease)).toBe(true);
-  simulation.start(simulation.day.readBack());
+  simulation.start(simulation.workload.readBack());
   wait(3000);
   expect(simulation.recorder.of("readBack").map(({ text }) => text)).toEqual(
     simulation.recorder.of("accepted").map(({ text }) => text),
--- a/test/replication/config-entries.test.ts
+++ b/test/replication/config-entries.test.ts
@@ -1,12 +1,17 @@
 import { expect, test } from "vitest";
-import { itemOrder, OrderStage, routeTo, type OrderBytes } from "../platform/command-stage.js";
+import {
+  patchConfig,
+  ControlFixture,
+  routeTo,
+  type ConfigChangeBytes,
+} from "../platform/command-stage.js";
 
 const machines = ["d:a", "d:b", "d:c", "e:a"];
 const manyRoutes = 1500;
 
 const service = { type: "services", meta: { name: "one" }, spec: { maxConns: 66 } };
 
-const largeOrder = (base: number, version: number, routes: number): OrderBytes => ({
+const largeOrder = (base: number, version: number, routes: number): ConfigChangeBytes => ({
   target: "config/put",
   base: base === 0 ? "0" : `r${base}`,
   body: JSON.stringify({
@@ -15,14 +20,14 @@
   }),
 });
 
-const logBytes = (stage: OrderStage): number[] =>
+const logBytes = (stage: ControlFixture): number[] =>
   stage.disks.map(({ disk }) => disk?.heldBytes ?? 0);
 
-const begun = (): OrderStage => {
-  const stage = new OrderStage(machines, [0, 1, 2]);
+const begun = (): ControlFixture => {
+  const stage = new ControlFixture(machines, [0, 1, 2]);
   stage.bootAll();
   stage.wait(4000);
-  expect(stage.untilClear(largeOrder(0, 1, manyRoutes))).toBe(200);
+  expect(stage.submitUntilFinal(largeOrder(0, 1, manyRoutes))).toBe(200);
   stage.wait(2000);
   return stage;
 };
@@ -34,11 +39,13 @@
   const stage = begun();
   // The history takes its first configuration whole, once.
   for (const base of [1, 2, 3, 4])
-    expect(stage.untilClear(itemOrder(base, base + 1, { name: `r${base}`, svc: "one" }))).toBe(200);
+    expect(
+      stage.submitUntilFinal(patchConfig(base, base + 1, { name: `r${base}`, svc: "one" })),
+    ).toBe(200);
   stage.wait(keptWithinMs);
   const before = logBytes(stage);
-  expect(stage.untilClear(itemOrder(5, 6, { name: "r7", svc: "one" }))).toBe(200);
-  expect(stage.untilClear(itemOrder(6, 7, { name: "added", svc: "one" }))).toBe(200);
+  expect(stage.submitUntilFinal(patchConfig(5, 6, { name: "r7", svc: "one" }))).toBe(200);
+  expect(stage.submitUntilFinal(patchConfig(6, 7, { name: "added", svc: "one" }))).toBe(200);
   stage.wait(keptWithinMs);
   for (const [at, bytes] of logBytes(stage).entries())
     expect(bytes - (before[at] ?? 0)).toBeLessThan(16 * 1024);
@@ -46,9 +53,9 @@
 
 test("a restarted member has the configuration that results from the log's changes", () => {
   const stage = begun();
-  expect(stage.untilClear(itemOrder(1, 2, { name: "added", svc: "one" }))).toBe(200);
-  expect(stage.untilClear(largeOrder(2, 3, 2500))).toBe(200);
-  expect(stage.untilClear(itemOrder(3, 4, { name: "r9", svc: "one" }))).toBe(200);
+  expect(stage.submitUntilFinal(patchConfig(1, 2, { name: "added", svc: "one" }))).toBe(200);
+  expect(stage.submitUntilFinal(largeOrder(2, 3, 2500))).toBe(200);
+  expect(stage.submitUntilFinal(patchConfig(3, 4, { name: "r9", svc: "one" }))).toBe(200);
   stage.wait(1000);
   const texts = stage.disks.map((machine) => stage.config(machine, 4));
   for (const machine of stage.disks) stage.kill(machine);
@@ -58,5 +65,5 @@
     expect(stage.config(machine, 4)).toBe(texts[0]);
     expect(texts[at]).toBe(texts[0]);
   }
-  expect(stage.newest(stage.at(3))).toBe("r4");
+  expect(stage.newestVersion(stage.at(3))).toBe("r4");
 });
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -73,14 +73,14 @@
 /** How the operators' port of a machine answers for a version. */
 const versionAt = (stage: FleetStage, machine: StageMachine, version: number): number => {
   const codes: number[] = [];
-  machine.daemon?.operators.emit({
+  machine.daemon?.adminRequests.emit({
     clientRequest: {
       method: "GET",
       target: `/config/${version}`,
       headers: {},
       body: new Uint8Array(),
     },
-    give: ({ code }) => codes.push(code),
+    respond: ({ code }) => codes.push(code),
   });
   stage.until(() => codes.length > 0, 10_000);
   return codes[0] ?? 0;
@@ -204,7 +204,7 @@
   const newest = files * 64 + 1;
   const stateMachine = new StateMachine();
   stateMachine.configs = [accepted(newest, config.next())];
-  stateMachine.recent = stateMachine.configs.map(({ sequence, changeId, acceptedAt }) => ({
+  stateMachine.recentConfigs = stateMachine.configs.map(({ sequence, changeId, acceptedAt }) => ({
     sequence,
     changeId,
     acceptedAt,
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -79,11 +79,12 @@
 
 test("hundreds of accepted configs are read back, also after one disk was lost, one damaged, and the third machine lost", () => {
   const simulation = new Simulation(Profile.all.rastro, 3, 0.01);
-  const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
+  const wait = (forMs: number): void =>
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
   simulation.begin();
   wait(3000);
   while (simulation.recorder.of("accepted").length < 230) {
-    simulation.start(simulation.day.putConfig());
+    simulation.start(simulation.workload.putConfig());
     wait(40);
   }
   const [one, two, three] = simulation.machines.filter(({ disk }) => disk);
@@ -105,7 +106,7 @@
   simulation.kill(three, true);
   three.disk.wipe();
   wait(4000);
-  simulation.start(simulation.day.readBack());
+  simulation.start(simulation.workload.readBack());
   wait(60_000);
   expect(simulation.recorder.of("readBack")).toHaveLength(230);
   expect(checkRules(simulation.recorder).filter(({ rule }) => rule.includes("accepted"))).toEqual(
--- a/test/replication/rejoin.test.ts
+++ b/test/replication/rejoin.test.ts
@@ -34,7 +34,7 @@
   stage.kill(emptied, true);
   for (const machine of [...edges, emptied]) stage.boot(machine, later);
   stage.until(() => emptied.record?.state === "formed", 5000);
-  stage.until(() => edges.every(({ daemon }) => daemon?.standing.isGranted === true), 3000);
+  stage.until(() => edges.every(({ daemon }) => daemon?.servingState.isGranted === true), 3000);
 });
 
 test("an acknowledged entry survives the loss of any two of five disks right afterwards", () => {
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -45,7 +45,7 @@
     self: own,
     machine: "own",
     zone: "a",
-    founds: true,
+    mayBootstrap: true,
     tolerate: { machines: 1, zones: 0 },
     seeds: () => seeds,
   };
@@ -65,7 +65,7 @@
     return replicationNode;
   };
   const player = new RpcEndpoint(worldOf("player"), second);
-  player.serve(RpcMethod.meet, function* () {
+  player.serve(RpcMethod.discover, function* () {
     return {
       machine: second,
       zone: "b",
@@ -176,7 +176,7 @@
   const mark = {
     index: 4,
     term: 5,
-    text: JSON.stringify({ kind: "rejoined", machine: own, nonce: replicationNode.nonce }),
+    text: JSON.stringify({ kind: "rejoined", machine: own, nonce: replicationNode.rejoinNonce }),
   };
   send(RpcMethod.append, append(5, 3, 5, [mark], 4));
   expect(send(RpcMethod.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -35,7 +35,7 @@
     const collector = new CountAggregator(
       runtime,
       rpc,
-      RequestCountsFormat.usual,
+      RequestCountsFormat.defaults,
       address,
       `i-${address}`,
       () => "10.0.0.1:1",
@@ -44,7 +44,7 @@
     return { address, collector };
   });
   const { runtime, rpc } = endpointAt("10.0.0.9:1");
-  const counts = new RequestCounts(RequestCountsFormat.usual);
+  const counts = new RequestCounts(RequestCountsFormat.defaults);
   const [left, right] = others;
   if (!root || !left || !right) throw new Error("A collector is missing.");
   let parent = left.address;
@@ -80,7 +80,7 @@
       Task.start(
         rpc.call(
           parent,
-          RpcMethod.push,
+          RpcMethod.pushCounts,
           { text, sketches: counts.encode(runtime.clock.nowMs()) },
           1500,
         ),
@@ -89,13 +89,13 @@
     }
     const latest = root.collector.latest;
     if (!latest || atMs < 12_000) continue;
-    const estimate = latest.counts.ofService(1, time.nowMs(), 10_000).first;
+    const estimate = latest.counts.ofService(1, time.nowMs(), 10_000).firstAttempts;
     largest = Math.max(largest, estimate);
   }
   expect(counted).toBe(3000);
   expect(largest).toBeGreaterThan(250);
   expect(largest).toBeLessThan(450);
-  expect(root.collector.latest?.counts.ofService(1, time.nowMs(), 10_000).first).toBeGreaterThan(
-    250,
-  );
+  expect(
+    root.collector.latest?.counts.ofService(1, time.nowMs(), 10_000).firstAttempts,
+  ).toBeGreaterThan(250);
 });
--- a/test/retry-budget/retry-budget.test.ts
+++ b/test/retry-budget/retry-budget.test.ts
@@ -10,7 +10,7 @@
     const random = RandomDraw.of(seed);
     const quotas = new RetryQuotas();
     const holders = new Set<string>();
-    quotas.lead(0, `l${seed}`, holders);
+    quotas.beginTerm(0, `l${seed}`, holders);
     let started = 0;
     const start = () => ({
       name: `e${(started += 1)}`,
@@ -26,7 +26,7 @@
     const stopsMs = seed % 3 === 0 ? 20_000 : Infinity;
     for (let nowMs = 0; nowMs < 50_000; nowMs += 20) {
       if (nowMs % (seed % 2 === 0 ? 7000 : 25_000) === 6980)
-        quotas.lead(nowMs, `l${seed}-${nowMs}`, new Set(holders));
+        quotas.beginTerm(nowMs, `l${seed}-${nowMs}`, new Set(holders));
       for (const one of late.splice(0).filter((item) => item.atMs > nowMs || (item.run(), false)))
         late.push(one);
       edges.forEach((edge, index) => {
@@ -36,7 +36,7 @@
           const requested = new Map([["s", edge.budget.requested("s", nowMs)]]);
           const allot = (): { number: string; capacities: Map<string, number> } => {
             holders.add(edge.name);
-            return quotas.grant(edge.name, report, requested, ["s"], nowMs);
+            return quotas.allocate(edge.name, report, requested, ["s"], nowMs);
           };
           if (random() < 0.1) late.push({ atMs: nowMs + random() * 3000, run: () => void allot() });
           else {
@@ -51,7 +51,7 @@
         if (nowMs > edge.leaseUntilMs + 5000) edge.budget.setCapacities(new Map(), nowMs);
         const hasTraffic = nowMs < stopsMs && (seed % 5 !== 0 || index === 0);
         if (hasTraffic && random() < 0.4) {
-          edge.budget.countFirst("s", nowMs);
+          edge.budget.countRequest("s", nowMs);
           requests.push(nowMs);
         }
         if (
@@ -81,9 +81,9 @@
   let short = 0;
   budget.onShort = () => (short += 1);
   budget.setCapacities(new Map([["s", 3]]), 0);
-  expect(budget.take("s", { part: 0.5, taken: 0 }, 0)).toBe("sketch");
+  expect(budget.take("s", { limit: 0.5, used: 0 }, 0)).toBe("sketch");
   for (const expected of ["granted", "granted", "granted", "guard"])
-    expect(budget.take("s", { part: 9, taken: 1 }, 5000)).toBe(expected);
+    expect(budget.take("s", { limit: 9, used: 1 }, 5000)).toBe(expected);
   expect(short).toBeGreaterThan(0);
   budget.refund("s", 5000);
   expect(budget.take("s", undefined, 5050)).toBe("granted");
--- a/test/retry-budget/retry-rules.test.ts
+++ b/test/retry-budget/retry-rules.test.ts
@@ -14,7 +14,7 @@
     const rules = RetryRules.of(ratio, extra, windowMs);
     const random = RandomDraw.of(extra + 1);
     const quotas = new RetryQuotas(rules, 800);
-    quotas.lead(0, "l", new Set());
+    quotas.beginTerm(0, "l", new Set());
     const edges = [1, 2, 3].map((index) => ({
       name: `e${index}`,
       number: "",
@@ -25,7 +25,7 @@
     for (let nowMs = 0; nowMs < 60_000; nowMs += 20) {
       for (const edge of edges) {
         if (nowMs % 200 === 0) {
-          const allotted = quotas.grant(
+          const allotted = quotas.allocate(
             edge.name,
             { number: edge.number, capacities: edge.budget.capacities },
             new Map([["s", edge.budget.requested("s", nowMs)]]),
@@ -36,7 +36,7 @@
           edge.budget.setCapacities(allotted.capacities, nowMs);
         }
         if (random() < 0.4) {
-          edge.budget.countFirst("s", nowMs);
+          edge.budget.countRequest("s", nowMs);
           requests.push(nowMs);
         }
         if (random() < 0.6 && edge.budget.take("s", undefined, nowMs) === "granted")
--- a/test/rpc/rpc-endpoint.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -59,7 +59,7 @@
   expect(call(newer, older)).toBe(true);
   call(far, older);
   expect(call(far, older)).toBeUndefined();
-  expect(older.droppedFrames).toBeGreaterThan(0);
+  expect(older.protocolViolations).toBeGreaterThan(0);
 });
 
 test("the connection of a peer that sends no valid frame is closed, and others are still served", () => {
@@ -79,7 +79,7 @@
   );
   time.runUntil(time.nowMs() + 300);
   expect(received).toEqual(["closed"]);
-  expect(one.droppedFrames).toBe(1);
+  expect(one.protocolViolations).toBe(1);
   expect(call(two, one)).toBe(true);
 });
 
--- a/test/simulation/virtual-backends.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -15,15 +15,16 @@
   let withdrawn = 0;
   for (let seed = 1; seed <= 3; seed += 1) {
     const simulation = new Simulation(Profile.all.rastro, seed, 0.001);
-    const wait = (forMs: number): void => simulation.time.runUntil(simulation.time.nowMs() + forMs);
+    const wait = (forMs: number): void =>
+      simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
     simulation.begin();
-    simulation.start(simulation.day.putConfig());
+    simulation.start(simulation.workload.putConfig());
     wait(6000);
     const edge =
       simulation.machines.find(({ settings }) => settings.callers !== undefined)?.settings
         .machine ?? "";
     const leavers = simulation.testBackends.filter(({ service }) => service === "issues");
-    for (const leaver of leavers) simulation.start(simulation.day.leave(leaver));
+    for (const leaver of leavers) simulation.start(simulation.workload.leave(leaver));
     for (const { settings } of simulation.machines) {
       simulation.network.cut(settings.machine, edge);
       simulation.network.cut(edge, settings.machine);
@@ -52,7 +53,7 @@
     ).toBeGreaterThan(50);
     expect(checkRules(simulation.recorder)).toEqual([]);
     withdrawn +=
-      simulation.machines.find(({ settings }) => settings.machine === edge)?.daemon?.proxy.tally
+      simulation.machines.find(({ settings }) => settings.machine === edge)?.daemon?.proxy.counters
         .byCode[503] ?? 0;
   }
   expect(withdrawn).toBeGreaterThan(10);
@@ -82,7 +83,7 @@
           service: "s",
           pool: "p",
           request: { method: "GET", path: "/x", headers: {}, body: new Uint8Array() },
-          untilMs,
+          deadlineMs: untilMs,
           maySend: () => true,
         });
         if (opened.kind === "failed") return opened.cause;
--- a/test/state/id-allocator.test.ts
+++ b/test/state/id-allocator.test.ts
@@ -17,14 +17,14 @@
       ids.adopt(names, rested);
       for (const number of rested) restingSince.delete(number);
       for (const number of ids.resting) if (!restingSince.has(number)) restingSince.set(number, at);
-      expect(ids.inForce.size).toBe(names.length);
+      expect(ids.activeIds.size).toBe(names.length);
       if (at % 100 === 0) {
         const copy = new IdAllocator();
         copy.restore(ids.state);
         expect(copy.state).toEqual(ids.state);
-        expect(new Set(ids.inForce.values()).size).toBe(names.length);
+        expect(new Set(ids.activeIds.values()).size).toBe(names.length);
       }
-      for (const [name, number] of ids.inForce) {
+      for (const [name, number] of ids.activeIds) {
         const last = lastNameById.get(number);
         if (last && last.name !== name) expect(at - last.at).toBeGreaterThan(restConfigs);
         lastNameById.set(number, { name, at });
