--- a/eslint.config.js
+++ b/eslint.config.js
@@ -50,7 +50,7 @@
       "@typescript-eslint/no-unsafe-assignment": "error",
       "@typescript-eslint/no-unsafe-member-access": "error",
       "@typescript-eslint/no-unsafe-call": "error",
-      "@typescript-eslint/no-redeclare": "off",
+      "@typescript-eslint/no-redeclare": "error",
       "require-yield": "off",
     },
   },
--- a/src/admin/admin-api.ts
+++ b/src/admin/admin-api.ts
@@ -1,7 +1,7 @@
 /** The admin API: the HTTP interface for operators, backends and the platform's readiness checks. */
 import { create, literal, object } from "superstruct";
-import { ProxyRequest } from "../proxy/proxy-request.js";
-import { ClientResponse } from "../proxy/request-outcome.js";
+import { type ProxyRequest, requestPath } from "../proxy/proxy-request.js";
+import { type ClientResponse, jsonResponse } from "../proxy/request-outcome.js";
 import type { Runtime } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
 import type { AdminDependencies, DaemonStatusSource } from "./admin-dependencies.js";
@@ -59,7 +59,7 @@
 
   /** Answers one request. */
   *handle(clientRequest: ProxyRequest): Task<ClientResponse> {
-    const path = ProxyRequest.path(clientRequest);
+    const path = requestPath(clientRequest);
     const version = CONFIG_VERSION_PATH.exec(path)?.[1];
     if (clientRequest.method === "GET" && version !== undefined)
       return yield* this.config.read(Number(version));
@@ -72,11 +72,11 @@
   private *readiness(): Task<ClientResponse> {
     const why = this.daemon.notReady();
     return why === ""
-      ? ClientResponse.json(200, create({ ready: true }, readyShape))
-      : ClientResponse.json(503, { ready: false, why });
+      ? jsonResponse(200, create({ ready: true }, readyShape))
+      : jsonResponse(503, { ready: false, why });
   }
 
   private *status(): Task<ClientResponse> {
-    return ClientResponse.json(200, this.daemon.status());
+    return jsonResponse(200, this.daemon.status());
   }
 }
--- a/src/admin/admin-response.ts
+++ b/src/admin/admin-response.ts
@@ -1,5 +1,5 @@
 /** Responses of the admin API that several endpoints share, and the parsing of request bodies. */
-import { ClientResponse } from "../proxy/request-outcome.js";
+import { type ClientResponse, jsonResponse } from "../proxy/request-outcome.js";
 
 /** Sent where a retry may succeed: an election is over after this many seconds. */
 export const RETRY_AFTER_HEADER = { "retry-after": "1" };
@@ -9,7 +9,7 @@
   code: number,
   error: string,
   fields: Record<string, unknown> = {},
-): ClientResponse => ClientResponse.json(code, { error, ...fields });
+): ClientResponse => jsonResponse(code, { error, ...fields });
 
 /** The leader's JSON passed on byte for byte. */
 export const forwardedResponse = (text: string): ClientResponse => ({
@@ -20,11 +20,11 @@
 
 /** No leader could be reached, so nothing is known about the request's subject; never a refusal. */
 export const noLeaderResponse = (): ClientResponse =>
-  ClientResponse.json(503, { error: "No leader could be asked." }, RETRY_AFTER_HEADER);
+  jsonResponse(503, { error: "No leader could be asked." }, RETRY_AFTER_HEADER);
 
 /** A change whose outcome is unknown: it may have been applied. */
 export const unknownOutcomeResponse = (changeId: string): ClientResponse =>
-  ClientResponse.json(
+  jsonResponse(
     504,
     {
       error:
--- a/src/admin/backend-registration-endpoints.ts
+++ b/src/admin/backend-registration-endpoints.ts
@@ -14,10 +14,11 @@
   validate,
 } from "superstruct";
 import type { ForwardAttempt } from "../cluster-view/command-forwarder.js";
-import { nameShape, validationFaults } from "../configuration/config.js";
+import { nameShape } from "../configuration/config-shape.js";
+import { validationFaults } from "../configuration/config-validation.js";
 import type { Command } from "../control-protocol/command.js";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
-import { ClientResponse } from "../proxy/request-outcome.js";
+import { type ClientResponse, jsonResponse } from "../proxy/request-outcome.js";
 import type { Logger } from "../runtime/logger.js";
 import type { Runtime } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
@@ -85,7 +86,7 @@
       });
     const registration = { ...body, warmth: body.warmth ?? 1 };
     const accepted = clusterView.acceptHeartbeat(registration);
-    if (accepted) return ClientResponse.json(200, { ...accepted });
+    if (accepted) return jsonResponse(200, { ...accepted });
     const command: Command = {
       kind: "announce",
       ...registration,
@@ -96,11 +97,7 @@
       : yield* forwarder.command(command, COMMAND_TIMEOUT_MS);
     if (text === undefined) return noLeaderResponse();
     return is(JSON.parse(text), staleDirectoryShape)
-      ? ClientResponse.json(
-          503,
-          { error: "This daemon is behind; ask another." },
-          RETRY_AFTER_HEADER,
-        )
+      ? jsonResponse(503, { error: "This daemon is behind; ask another." }, RETRY_AFTER_HEADER)
       : forwardedResponse(text);
   }
 
--- a/src/admin/config-archive.ts
+++ b/src/admin/config-archive.ts
@@ -2,10 +2,10 @@
 import { existsSync, promises as files } from "node:fs";
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
-import type { AcceptedConfig } from "../state/state-machine.js";
+import type { AcceptedConfig } from "../state/accepted-config.js";
 import type { Logger } from "../runtime/logger.js";
 import { Queue } from "../runtime/queue.js";
-import { Task } from "../runtime/task.js";
+import { type Task, fromPromise } from "../runtime/task.js";
 
 /** Loaded on first use only, since most daemons have no archive. */
 const loadGit = async () => (await import("isomorphic-git")).default;
@@ -38,13 +38,13 @@
 
   /** Commits queued configs one after another; one that fails is logged and skipped. */
   *run(): Task {
-    const opened = yield* Task.fromPromise(this.open());
+    const opened = yield* fromPromise(this.open());
     if ("error" in opened)
       return this.log.warn("config archive unavailable", { why: String(opened.error) });
     for (;;) {
       const config = yield* this.queue.take();
       if (config.sequence <= this.archivedSequence) continue;
-      const committed = yield* Task.fromPromise(this.commit(config));
+      const committed = yield* fromPromise(this.commit(config));
       if ("error" in committed)
         this.log.warn("config not archived", {
           sequence: config.sequence,
--- a/src/admin/config-change-request.ts
+++ b/src/admin/config-change-request.ts
@@ -1,10 +1,11 @@
 /** Reads a configuration change from an HTTP request: its headers, and the items of `POST /config/items`. */
 import { object, optional, partial, validate } from "superstruct";
-import { itemsShape, namesShape, validationFaults } from "../configuration/config.js";
+import { itemsShape, namesShape } from "../configuration/config-changes.js";
+import { validationFaults } from "../configuration/config-validation.js";
 import type { ConfigCommand } from "../control-protocol/command.js";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
-import { Runtime } from "../runtime/runtime.js";
+import { type Runtime, randomNonce } from "../runtime/runtime.js";
 import { errorResponse, parseJsonBody } from "./admin-response.js";
 
 const MAX_CHANGE_ID_LENGTH = 100;
@@ -57,7 +58,7 @@
   const chosen = versionIn(headers["config-version"], CONFIG_VERSION);
   if (!chosen.isValid)
     return refuse("Config-Version names no version.", "Config-Version", "a number, such as 12");
-  const changeId = headers["change-id"] ?? Runtime.nonce(runtime);
+  const changeId = headers["change-id"] ?? randomNonce(runtime);
   if (changeId.length === 0 || changeId.length > MAX_CHANGE_ID_LENGTH)
     return { refusal: errorResponse(400, "A Change-Id has 1 to 100 characters.") };
   return {
--- a/src/admin/config-endpoints.ts
+++ b/src/admin/config-endpoints.ts
@@ -12,12 +12,12 @@
   union,
   type Infer,
 } from "superstruct";
-import { Config, type ValidationFault } from "../configuration/config.js";
+import { checkConfig, type ValidationFault } from "../configuration/config-validation.js";
 import type { Command, ConfigCommand } from "../control-protocol/command.js";
-import { CompressedText } from "../control-protocol/compressed-text.js";
+import { readCompressedText } from "../control-protocol/compressed-text.js";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
-import { ClientResponse } from "../proxy/request-outcome.js";
-import { Runtime } from "../runtime/runtime.js";
+import { type ClientResponse, jsonResponse } from "../proxy/request-outcome.js";
+import { type Runtime, randomNonce } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
 import { COMMAND_TIMEOUT_MS, type AdminDependencies } from "./admin-dependencies.js";
 import {
@@ -64,7 +64,7 @@
   { noLongerKept }: ConfigResult,
 ): ClientResponse => {
   if (version === undefined)
-    return ClientResponse.json(503, { error: "No config was accepted yet." }, RETRY_AFTER_HEADER);
+    return jsonResponse(503, { error: "No config was accepted yet." }, RETRY_AFTER_HEADER);
   if (noLongerKept === true)
     return errorResponse(
       410,
@@ -79,7 +79,7 @@
 ): ClientResponse => {
   if ("forgottenUpTo" in result) return unknownOutcomeResponse(changeId);
   if ("accepted" in result)
-    return ClientResponse.json(
+    return jsonResponse(
       200,
       { sequence: result.accepted, version: result.accepted },
       { etag: `"${result.accepted}"` },
@@ -118,10 +118,10 @@
     const result = create(JSON.parse(text), configResultShape);
     const { found } = result;
     if (!found) return missingConfigResponse(version, result);
-    const configText = CompressedText.read(found);
+    const configText = readCompressedText(found);
     const redirectAddress = this.redirectAddress(configText);
     if (redirectAddress !== undefined)
-      return ClientResponse.json(
+      return jsonResponse(
         307,
         { error: "This daemon's link is too slow for it; a member of the log has it." },
         {
@@ -129,7 +129,7 @@
         },
       );
     const config: unknown = JSON.parse(configText);
-    return ClientResponse.json(
+    return jsonResponse(
       200,
       {
         sequence: found.version,
@@ -155,10 +155,10 @@
     const text = yield* this.command({ kind: "get" });
     if (text === undefined) return noLeaderResponse();
     const { found } = create(JSON.parse(text), configResultShape);
-    const checked = found ? Config.check(JSON.parse(CompressedText.read(found))) : undefined;
+    const checked = found ? checkConfig(JSON.parse(readCompressedText(found))) : undefined;
     if (!checked || "faults" in checked || !Object.hasOwn(checked.config.routes, route))
       return errorResponse(404, `No route "${route}" is in force.`);
-    return yield* this.submit({ kind: "patch", changeId: Runtime.nonce(this.runtime), value });
+    return yield* this.submit({ kind: "patch", changeId: randomNonce(this.runtime), value });
   }
 
   /** Proposes a change; the timeout grows with the body, as that of its sender does. */
--- a/src/admin/query-endpoint.ts
+++ b/src/admin/query-endpoint.ts
@@ -2,7 +2,7 @@
 import { create, define, string, type, unknown } from "superstruct";
 import type { Command } from "../control-protocol/command.js";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
-import { ClientResponse } from "../proxy/request-outcome.js";
+import { type ClientResponse, jsonResponse } from "../proxy/request-outcome.js";
 import type { Runtime } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
 import { COMMAND_TIMEOUT_MS, type AdminDependencies } from "./admin-dependencies.js";
@@ -105,14 +105,14 @@
     const fleet = create(JSON.parse(text), fleetShape);
     const { leader, voters, learners, machines, backEnds } = fleet;
     return kind === "showMachines"
-      ? ClientResponse.json(200, { leader, voters, learners, machines })
-      : ClientResponse.json(200, { backEnds });
+      ? jsonResponse(200, { leader, voters, learners, machines })
+      : jsonResponse(200, { backEnds });
   }
 
   private *explain(): Task<ClientResponse> {
     const text = yield* this.command({ kind: "history" });
     if (text === undefined) return noLeaderResponse();
-    return ClientResponse.json(200, {
+    return jsonResponse(200, {
       journal: create(JSON.parse(text), historyShape).journal.slice(-MAX_JOURNAL_ENTRIES),
     });
   }
--- a/src/admin/routing-explanations.ts
+++ b/src/admin/routing-explanations.ts
@@ -1,6 +1,6 @@
 /** What this daemon itself knows of routes, services, backends' shares and request counts, as query responses. */
 import type { LoadBalancer } from "../load-balancing/load-balancer.js";
-import { ClientResponse } from "../proxy/request-outcome.js";
+import { type ClientResponse, jsonResponse } from "../proxy/request-outcome.js";
 import type { Clock } from "../runtime/clock.js";
 import type { AdminDependencies, DaemonStatusSource } from "./admin-dependencies.js";
 import { errorResponse } from "./admin-response.js";
@@ -23,7 +23,7 @@
   /** All routes with their services and goals. */
   routes(): ClientResponse {
     const { clusterView } = this.dependencies;
-    return ClientResponse.json(200, {
+    return jsonResponse(200, {
       sequence: clusterView.configSequence,
       routes: clusterView.routeTable.all.map(
         ({ name, service, latencyTargetMs: goalMs, maxRetries: furtherTries, repeatable }) => ({
@@ -42,7 +42,7 @@
     const { clusterView } = this.dependencies;
     const route = clusterView.routeTable.all.find((one) => one.name === name);
     if (!route) return errorResponse(404, `No route "${name}" is in force.`);
-    return ClientResponse.json(200, {
+    return jsonResponse(200, {
       route: route.name,
       service: route.service,
       why: `config ${clusterView.configSequence} says so`,
@@ -58,7 +58,7 @@
     const { sketch, windowMs } = retryRules;
     const latest = daemon.counts();
     const counts = latest?.counts.ofService(id, this.clock.nowMs(), windowMs);
-    return ClientResponse.json(200, {
+    return jsonResponse(200, {
       service,
       windowMs,
       firstTries: counts ? Math.round(counts.firstAttempts) : null,
@@ -82,7 +82,7 @@
       route: clusterView.nameOf(item)?.replace(/^route /, "") ?? `number ${item}`,
       requests: Math.round(estimate),
     }));
-    return ClientResponse.json(200, {
+    return jsonResponse(200, {
       atLeastPartOfAll: HEAVY_ROUTE_FRACTION,
       windowMs,
       routes,
@@ -92,14 +92,14 @@
 
   /** The shares of all backends. */
   shares(): ClientResponse {
-    return ClientResponse.json(200, { shares: this.allShares() });
+    return jsonResponse(200, { shares: this.allShares() });
   }
 
   /** The share of the backend at an address. */
   share(address: string): ClientResponse {
     const found = this.allShares().find((share) => share.address === address);
     return found
-      ? ClientResponse.json(200, { ...found })
+      ? jsonResponse(200, { ...found })
       : errorResponse(404, `No back end at ${address} is known here.`);
   }
 
--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -1,18 +1,21 @@
 import { cac } from "cac";
-import { StateMachine, LogCommand, MAX_IDEMPOTENCY_CLAIMS } from "../state/state-machine.js";
-import { ReplicationTimeouts } from "../replication/replication-node.js";
+import { StateMachine } from "../state/state-machine.js";
+import { type LogCommand, encodeLogCommand } from "../state/log-command.js";
+import { MAX_IDEMPOTENCY_CLAIMS } from "../state/idempotency-claim-table.js";
+import { defaultReplicationTimeouts } from "../replication/replication-timeouts.js";
 import { withChecksum } from "../replication/log/checksum.js";
 import {
   RequestCounts,
-  RequestCountsFormat,
+  defaultRequestCountsFormat,
   RETRY_WINDOW_MS,
 } from "../retry-budget/request-counts.js";
 import { EcmSketch } from "../sketch/ecm-sketch.js";
 import { stampOf } from "../sketch/exponential-histogram.js";
 import { measureBudget } from "./retry-budget-benchmark.js";
 import { RandomDraw } from "../simulation/random-draw.js";
-import { Profile } from "../simulation/profile.js";
-import { Simulation, type SimulatedMachine } from "../simulation/simulation.js";
+import { type Profile, shippedProfiles } from "../simulation/profile.js";
+import { Simulation } from "../simulation/simulation.js";
+import type { SimulatedMachine } from "../simulation/simulated-machine.js";
 
 const say = (line: string): void => {
   process.stdout.write(`${line}\n`);
@@ -69,7 +72,7 @@
     let lapsed = 0;
     elected.push(
       until(simulation, () => leading(simulation) !== undefined, 10_000) /
-        ReplicationTimeouts.defaults.electionMinMs,
+        defaultReplicationTimeouts.electionMinMs,
     );
     until(
       simulation,
@@ -92,7 +95,7 @@
           (old.daemon?.replicationNode?.status.applied ?? -1) >=
             (leading(simulation)?.daemon?.replicationNode?.status.committed ?? Infinity),
         10_000,
-      ) / ReplicationTimeouts.defaults.electionMinMs,
+      ) / defaultReplicationTimeouts.electionMinMs,
     );
   }
   say(
@@ -165,9 +168,9 @@
 const measureSketches = (): void => {
   for (const epsilon of [0.05, 0.1, 0.2]) {
     const form = {
-      ...RequestCountsFormat.defaults,
-      tries: { ...RequestCountsFormat.defaults.attempts, epsilon },
-      routes: { ...RequestCountsFormat.defaults.routes, epsilon: epsilon * 2 },
+      ...defaultRequestCountsFormat,
+      tries: { ...defaultRequestCountsFormat.attempts, epsilon },
+      routes: { ...defaultRequestCountsFormat.routes, epsilon: epsilon * 2 },
     };
     const random = RandomDraw.of(3);
     const leaves = Array.from({ length: 16 }, () => new RequestCounts(form));
@@ -245,7 +248,7 @@
   const stateMachine = new StateMachine();
   let index = 0;
   const apply = (command: LogCommand): void =>
-    void stateMachine.apply((index += 1), LogCommand.text(command));
+    void stateMachine.apply((index += 1), encodeLogCommand(command));
   const names = Array.from({ length: 5000 }, (_, at) => `route-${at}`);
   const routes = Object.fromEntries(
     names.map((name) => [name, { match: { path: `/${name}/*` }, service: "issues" }]),
@@ -286,7 +289,7 @@
   const inGrants = (run: () => unknown): number => {
     const startMs = performance.now();
     run();
-    return (performance.now() - startMs) / ReplicationTimeouts.defaults.leaderLeaseMs;
+    return (performance.now() - startMs) / defaultReplicationTimeouts.leaderLeaseMs;
   };
   for (const [keys, bodyBytes] of [
     [14_400, 120],
@@ -317,7 +320,7 @@
   .option("--only <part>", "elections, rollout, record, sketches, bounds or budget")
   .action(async ({ seeds, only }: { seeds: number; only?: string }) => {
     const wants = (part: string): boolean => only === undefined || only === part;
-    for (const profile of Object.values(Profile.all)) {
+    for (const profile of Object.values(shippedProfiles)) {
       if (wants("elections")) measureElections(profile, seeds);
       if (wants("rollout"))
         for (const routes of [0, 2000]) measureRollOut(profile, Math.ceil(seeds / 4), routes);
--- a/src/benchmarks/retry-budget-benchmark.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -1,7 +1,8 @@
 import { defaultSketchRule } from "../retry-budget/retry-budget.js";
 import { RETRY_WINDOW_MS } from "../retry-budget/request-counts.js";
 import type { Profile } from "../simulation/profile.js";
-import { Simulation, type SimulatedMachine } from "../simulation/simulation.js";
+import { Simulation } from "../simulation/simulation.js";
+import type { SimulatedMachine } from "../simulation/simulated-machine.js";
 
 /** Where back ends break down: for all edges alike, or for one edge alone. */
 export type Where = "even" | "one";
--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -1,6 +1,6 @@
 /** `daledoor check`: checks a settings file or a config without sending it. */
-import { Config } from "../../configuration/config.js";
-import { Settings } from "../../daemon/settings.js";
+import { checkConfig } from "../../configuration/config-validation.js";
+import { checkSettings } from "../../daemon/settings.js";
 import type { CommandDefinition } from "../command.js";
 import { ExitCode } from "../exit-code.js";
 import { readJsonFile } from "../json-file.js";
@@ -10,7 +10,7 @@
   const read = await readJsonFile(file);
   if (!read) return ExitCode.usage;
   const isSettings = typeof read.value === "object" && read.value !== null && "seeds" in read.value;
-  const checked = isSettings ? Settings.check(read.value) : Config.check(read.value);
+  const checked = isSettings ? checkSettings(read.value) : checkConfig(read.value);
   if ("faults" in checked) {
     printFaults(checked.faults);
     return ExitCode.refused;
--- a/src/cli/commands/restore.ts
+++ b/src/cli/commands/restore.ts
@@ -5,8 +5,8 @@
   restoreAsOnlyVoter,
   type RestoreResult,
 } from "../../replication/bootstrap/restore-as-only-voter.js";
-import { Disk } from "../../runtime/disk.js";
-import { Task } from "../../runtime/task.js";
+import { openDisk } from "../../runtime/disk.js";
+import { runTask } from "../../runtime/task.js";
 import type { CommandDefinition } from "../command.js";
 import { ExitCode } from "../exit-code.js";
 import { printError, printFaults } from "../output.js";
@@ -18,9 +18,9 @@
 
 const restoreFrom = (dataFolder: string, peers: string): Promise<RestoreResult> =>
   new Promise((resolve, reject) =>
-    Task.start(
+    runTask(
       (function* () {
-        return yield* restoreAsOnlyVoter(yield* Disk.open(dataFolder), peers);
+        return yield* restoreAsOnlyVoter(yield* openDisk(dataFolder), peers);
       })(),
       reject,
       resolve,
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,5 +1,5 @@
 /** Messages of the command line on the error stream. */
-import type { ValidationFault } from "../configuration/config.js";
+import type { ValidationFault } from "../configuration/config-validation.js";
 
 /** Prints one message, with the program's name before it. */
 export const printError = (message: string): void => {
--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -1,17 +1,17 @@
 /** What a daemon knows of the cluster: configuration, endpoints and control plane, and its lease to serve by them. */
-import { Config } from "../configuration/config.js";
+import { EMPTY_CONFIG } from "../configuration/config.js";
 import {
-  WatchRequest,
-  type ControlPlanePeers,
+  type WatchRequest,
+  readLeasedView,
   type DaemonInfo,
-  type LeasedView,
-} from "../control-protocol/command.js";
+} from "../control-protocol/watch-request.js";
+import type { ControlPlanePeers, LeasedView } from "../control-protocol/leased-view.js";
 import type { EdgePlacement } from "../control-protocol/edge-placement.js";
 import type { Logger } from "../runtime/logger.js";
 import type { Runtime } from "../runtime/runtime.js";
 import { StepTimer } from "../runtime/step-timer.js";
 import type { Task } from "../runtime/task.js";
-import type { Registration } from "../state/state-machine.js";
+import type { Registration } from "../state/registration.js";
 import type { CommandForwarder } from "./command-forwarder.js";
 import { ConfigReplica } from "./config-replica.js";
 import { EndpointIndex } from "./endpoint-index.js";
@@ -28,8 +28,6 @@
 import { ServingLease } from "./serving-lease.js";
 import { DEFAULT_WATCH_TIMEOUT_MS, WatchLoop, type PreparedWatch } from "./watch-loop.js";
 
-export type { BackendHeartbeat, KnownRegistration } from "./heartbeat-tracker.js";
-
 const isSamePlacement = (one: EdgePlacement | undefined, other: EdgePlacement): boolean =>
   one?.count === other.count &&
   one.zoneIndex === other.zoneIndex &&
@@ -63,7 +61,7 @@
   /** Called with the routes of each configuration that comes into force here. */
   onConfig: (routeTable: RouteTable) => void = () => undefined;
   /** The routes of the configuration in force. */
-  routeTable = new RouteTable(Config.empty);
+  routeTable = new RouteTable(EMPTY_CONFIG);
   collectors: ControlPlanePeers["collectors"] = [];
   /** Admin addresses of members of the replicated log that don't lead. */
   memberAdminAddresses: readonly string[] = [];
@@ -204,7 +202,7 @@
     sentMs: number,
     reported: ReadonlyMap<number, AcceptedHeartbeat>,
   ): void {
-    const view = WatchRequest.readResponse(response);
+    const view = readLeasedView(response);
     if (!view.granted) return;
     this.take(view, sentMs);
     this.heartbeats.acknowledge(reported);
--- a/src/cluster-view/command-forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -1,20 +1,20 @@
 /** The way of commands and watch requests from any daemon to the leader. */
-import { RpcMethod } from "../rpc/rpc-method.js";
+import { rpcMethods } from "../rpc/rpc-method.js";
 import type { DecodedMessage, LateResponse, RpcEndpoint } from "../rpc/rpc-endpoint.js";
-import { Clock } from "../runtime/clock.js";
+import { sleep } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import { Task } from "../runtime/task.js";
-import { Runtime } from "../runtime/runtime.js";
+import type { Task } from "../runtime/task.js";
+import { type Runtime, startTask } from "../runtime/runtime.js";
 import {
   failureResponse,
   isFailureResponse,
-  Command,
   overloadedResponse,
-} from "../control-protocol/command.js";
+} from "../control-protocol/command-response.js";
+import { type Command, encodeCommand } from "../control-protocol/command.js";
 
-type ForwardedMethod = typeof RpcMethod.command | typeof RpcMethod.watch;
-type LeaderRequest = DecodedMessage<typeof RpcMethod.command.request>;
-type LeaderResponse = DecodedMessage<typeof RpcMethod.command.response>;
+type ForwardedMethod = typeof rpcMethods.command | typeof rpcMethods.watch;
+type LeaderRequest = DecodedMessage<typeof rpcMethods.command.request>;
+type LeaderResponse = DecodedMessage<typeof rpcMethods.command.response>;
 
 /** What a voter or learner knows of the leadership: whether it leads itself, and who leads otherwise. */
 export interface LeadershipSource {
@@ -99,7 +99,7 @@
   /** Serves both methods at a daemon that is no member: it responds with the leader as far as it is known here. */
   serveLeaderHints(): void {
     const response = (): LeaderResponse => ({ leader: this.leader, text: NOT_LEADER });
-    for (const method of [RpcMethod.command, RpcMethod.watch])
+    for (const method of [rpcMethods.command, rpcMethods.watch])
       this.rpc.serve(method, function* () {
         return response();
       });
@@ -135,7 +135,7 @@
   ): Task<LeaderResponse | undefined> {
     const { clock } = this.runtime;
     const responses = new Queue<LeaderResponse>();
-    Runtime.start(
+    startTask(
       this.runtime,
       "cluster-view",
       this.rpc.call(
@@ -283,19 +283,19 @@
   ): Task<string | undefined> {
     const { clock } = this.runtime;
     const untilMs = clock.nowMs() + waitMs;
-    const text = Command.text(command);
+    const text = encodeCommand(command);
     for (;;) {
       const leftMs = untilMs - clock.nowMs();
       if (leftMs <= 0) return undefined;
       const response = yield* this.forward(
-        RpcMethod.command,
+        rpcMethods.command,
         text,
         Math.min(attemptTimeoutMs(text), leftMs),
         undefined,
         attempts,
       );
       if (response !== undefined) return response;
-      yield* Clock.sleep(clock, Math.min(RETRY_PAUSE_MS, Math.max(0, untilMs - clock.nowMs())));
+      yield* sleep(clock, Math.min(RETRY_PAUSE_MS, Math.max(0, untilMs - clock.nowMs())));
     }
   }
 }
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -1,13 +1,15 @@
 /** A daemon's replica of the configuration, and the digest by which it is compared with the leader's. */
 import { TextCompression } from "../runtime/text-compression.js";
-import { Config, ConfigReader } from "../configuration/config.js";
+import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
+import { ConfigReader } from "../configuration/config-validation.js";
 import { changesEffect, type ReplicaUpdate } from "./replica-update.js";
 import {
   ConfigItems,
   type ConfigSection,
   type NumberedConfig,
 } from "../configuration/config-items.js";
-import { WatchRequest, type ConfigUpdate, type LeasedView } from "../control-protocol/command.js";
+import { configUpdateIn } from "../control-protocol/watch-request.js";
+import type { ConfigUpdate, LeasedView } from "../control-protocol/leased-view.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
 const without = <T>(section: Record<string, T>, names: ReadonlySet<string>): Record<string, T> =>
@@ -43,7 +45,7 @@
 /** A daemon's replica of the configuration in force: replaced in full or updated by items, and compared with the leader's digest. */
 export class ConfigReplica {
   private readonly reader = new ConfigReader();
-  private current: NumberedConfig = { config: Config.empty, numbers: new Map() };
+  private current: NumberedConfig = { config: EMPTY_CONFIG, numbers: new Map() };
   private hashes = new Map<string, bigint>();
   private setDigest = new SetDigest();
   /** Whether the replica is what the leader had at its sequence, as far as is known. */
@@ -75,8 +77,7 @@
       this.isConsistent = true;
       return "changed";
     }
-    const update =
-      view.configSequence === this.sequence ? undefined : WatchRequest.configUpdate(view);
+    const update = view.configSequence === this.sequence ? undefined : configUpdateIn(view);
     const effect = changesEffect(this, view.configSequence, update?.base);
     if (effect === "outdated" || effect === "same") return effect;
     if (effect === "differs") return this.markInconsistent();
--- a/src/cluster-view/endpoint-index.ts
+++ b/src/cluster-view/endpoint-index.ts
@@ -1,5 +1,5 @@
 /** Look-ups over the registrations that a daemon knows, and the addresses at which it was refused a connection. */
-import type { Registration } from "../state/state-machine.js";
+import type { Registration } from "../state/registration.js";
 
 /** The registrations of all services by service, address and instance. */
 export class EndpointIndex {
--- a/src/cluster-view/endpoint-replica.ts
+++ b/src/cluster-view/endpoint-replica.ts
@@ -1,7 +1,7 @@
 /** A daemon's replica of all registrations, and the digest by which it is compared with the leader's. */
-import type { Registration } from "../state/state-machine.js";
+import type { Registration } from "../state/registration.js";
 import { changesEffect, type ReplicaUpdate } from "./replica-update.js";
-import type { LeasedView } from "../control-protocol/command.js";
+import type { LeasedView } from "../control-protocol/leased-view.js";
 import { itemHash, SetDigest } from "../configuration/set-digest.js";
 
 /** The hash of a registration: over its number and all of its state. */
--- a/src/cluster-view/heartbeat-tracker.ts
+++ b/src/cluster-view/heartbeat-tracker.ts
@@ -1,6 +1,6 @@
 /** Heartbeats of backends that a daemon accepts without the leader, and reports to it with the next watch request. */
 import type { Command } from "../control-protocol/command.js";
-import type { Registration } from "../state/state-machine.js";
+import type { Registration } from "../state/registration.js";
 
 /** How old an accepted heartbeat may be and still be reported. */
 const REPORTABLE_AGE_MS = 2000;
--- a/src/cluster-view/retry-capacity-replica.ts
+++ b/src/cluster-view/retry-capacity-replica.ts
@@ -1,5 +1,6 @@
 /** The capacities for retries that the leader allotted to this daemon, as last received. */
-import type { LeasedView, WatchRequest } from "../control-protocol/command.js";
+import type { LeasedView } from "../control-protocol/leased-view.js";
+import type { WatchRequest } from "../control-protocol/watch-request.js";
 import type { RetryCapacities } from "./retry-capacities.js";
 
 /** Passes the leader's allotments on to the retry budget, and reports the budget's state to the leader. */
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -1,5 +1,6 @@
 /** The routes of one configuration, and the look-up of the one that serves a request. */
-import { Config, safeMethods, trafficSplitOf } from "../configuration/config.js";
+import type { Config } from "../configuration/config.js";
+import { safeMethods, trafficSplitOf } from "../configuration/config-shape.js";
 import type { ActiveRoute, RouteTargets } from "./active-route.js";
 import { PathIndex } from "./path-index.js";
 
--- a/src/cluster-view/watch-loop.ts
+++ b/src/cluster-view/watch-loop.ts
@@ -1,6 +1,6 @@
 /** The loop that requests fresh views from the leader for as long as the daemon runs. */
-import { RpcMethod } from "../rpc/rpc-method.js";
-import { Clock } from "../runtime/clock.js";
+import { rpcMethods } from "../rpc/rpc-method.js";
+import { sleep } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
 import type { Runtime } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
@@ -52,13 +52,13 @@
     for (;;) {
       const sentMs = clock.nowMs();
       const { text, receive } = this.target.prepareWatch(sentMs);
-      const response = yield* this.forwarder.forward(RpcMethod.watch, text, timeoutMs, {
-        waitMs: RpcMethod.watch.waitMs,
+      const response = yield* this.forwarder.forward(rpcMethods.watch, text, timeoutMs, {
+        waitMs: rpcMethods.watch.waitMs,
         take: receive,
       });
       if (response !== undefined) receive(response);
       this.target.onWatchEnded();
-      yield* Clock.sleep(clock, response === undefined ? RETRY_PAUSE_MS : MIN_PAUSE_MS);
+      yield* sleep(clock, response === undefined ? RETRY_PAUSE_MS : MIN_PAUSE_MS);
       if (response !== undefined) yield* this.expedited.takeUntil(clock, sentMs + intervalMs);
     }
   }
--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -1,6 +1,6 @@
 /** How a member accepts a leader's entries and acknowledges them. */
 import type { DecodedMessage } from "../rpc/rpc-endpoint.js";
-import type { Entry, RpcMethod } from "../rpc/rpc-method.js";
+import type { Entry, rpcMethods } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
 import { commitUpTo } from "./commit.js";
 import { becomeFollower } from "./follow.js";
@@ -13,10 +13,10 @@
 } from "./state.js";
 
 /** Entries from a leader, or none as a heartbeat. */
-export type AppendRequest = DecodedMessage<typeof RpcMethod.append.request>;
+export type AppendRequest = DecodedMessage<typeof rpcMethods.append.request>;
 
 /** The reply to entries or a heartbeat. */
-export type AppendReply = DecodedMessage<typeof RpcMethod.append.response>;
+export type AppendReply = DecodedMessage<typeof rpcMethods.append.response>;
 
 /** What is to be acknowledged once it is on disk, and the term and log for which that is valid. */
 export interface PendingAcknowledgment {
--- a/src/consensus/members.ts
+++ b/src/consensus/members.ts
@@ -10,9 +10,6 @@
 /** Who votes on the log and who only learns it. */
 export type Members = Omit<Infer<typeof membersShape>, "kind">;
 
-/** Reads members from entries. */
-export const Members = {
-  /** The members that an entry of the log sets, or undefined where it sets none. */
-  in: (text: string): Members | undefined =>
-    text.startsWith('{"kind":"members"') ? create(JSON.parse(text), membersShape) : undefined,
-};
+/** The members that an entry of the log sets, or undefined where it sets none. */
+export const membersIn = (text: string): Members | undefined =>
+  text.startsWith('{"kind":"members"') ? create(JSON.parse(text), membersShape) : undefined;
--- a/src/consensus/state.ts
+++ b/src/consensus/state.ts
@@ -1,7 +1,7 @@
 /** The consensus state of one member, and what its decisions read. */
 import type { Entry } from "../rpc/rpc-method.js";
 import type { MemberStage } from "./member-rights.js";
-import { Members } from "./members.js";
+import { type Members, membersIn } from "./members.js";
 import { ReplicatedLog } from "./replicated-log.js";
 import type { SafetyRules } from "./safety-rules.js";
 
@@ -95,7 +95,7 @@
 export const withMembersIn = (state: ConsensusState, entries: readonly Entry[]): ConsensusState => {
   let { members, membersIndex } = state;
   for (const entry of entries) {
-    const set = Members.in(entry.text);
+    const set = membersIn(entry.text);
     if (set === undefined) continue;
     members = set;
     membersIndex = entry.index;
@@ -107,7 +107,7 @@
 export const membersAt = ({ log, baseMembers }: ConsensusState, index: number): Members => {
   let members = baseMembers;
   for (const entry of log.entriesFrom(log.baseIndex + 1, index - log.baseIndex))
-    members = Members.in(entry.text) ?? members;
+    members = membersIn(entry.text) ?? members;
   return members;
 };
 
--- a/src/consensus/vote.ts
+++ b/src/consensus/vote.ts
@@ -1,6 +1,6 @@
 /** How a member decides on a vote, and a candidate counts votes. */
 import type { DecodedMessage } from "../rpc/rpc-endpoint.js";
-import type { RpcMethod } from "../rpc/rpc-method.js";
+import type { rpcMethods } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
 import { becomeFollower } from "./follow.js";
 import { isMajority } from "./quorum.js";
@@ -8,10 +8,10 @@
 import type { ConsensusState, DecisionContext } from "./state.js";
 
 /** A candidate's request for a vote or a pre-vote. */
-export type VoteRequest = DecodedMessage<typeof RpcMethod.vote.request>;
+export type VoteRequest = DecodedMessage<typeof rpcMethods.vote.request>;
 
 /** The reply to a vote request. */
-export type VoteReply = DecodedMessage<typeof RpcMethod.vote.response>;
+export type VoteReply = DecodedMessage<typeof rpcMethods.vote.response>;
 
 /** The decision on a vote request: the next state, the records to write, and the reply. */
 export interface VoteDecision {
--- a/src/control-plane/command-router.ts
+++ b/src/control-plane/command-router.ts
@@ -1,5 +1,5 @@
 /** Routes commands to the leader's services. */
-import { Command } from "../control-protocol/command.js";
+import { type Command, readCommand } from "../control-protocol/command.js";
 import { encodeCommandResult, type CommandResult } from "../control-protocol/command-response.js";
 import type { Clock } from "../runtime/clock.js";
 import type { StepTimer } from "../runtime/step-timer.js";
@@ -34,7 +34,7 @@
   *route(text: string): Task<string> {
     const { clock, steps, metrics } = this.options;
     const startedMs = clock.nowMs();
-    const command = steps.run("decodeCommand", () => Command.read(text));
+    const command = steps.run("decodeCommand", () => readCommand(text));
     const result = yield* this.dispatch(command);
     metrics.note(command.kind, startedMs);
     return encodeCommandResult(result);
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -1,7 +1,7 @@
 /** The updates of the configuration that leased views contain. */
 import type { StateMachine } from "../state/state-machine.js";
 import { TextCompression } from "../runtime/text-compression.js";
-import { Config } from "../configuration/config.js";
+import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
 import {
   ConfigItems,
   type ConfigItem,
@@ -24,7 +24,7 @@
   readonly hash: bigint;
 }
 
-const EMPTY_CONFIG: NumberedConfig = { config: Config.empty, numbers: new Map() };
+const NO_ITEMS: NumberedConfig = { config: EMPTY_CONFIG, numbers: new Map() };
 
 /** Whether the order of routes is the one that a daemon has after it removed some of the former ones and added others at the end. */
 const isOrderPreserved = (
@@ -52,7 +52,7 @@
 export class ConfigChangeLog {
   private readonly stateMachine: StateMachine;
   private readonly readActive: () => Config;
-  private current = EMPTY_CONFIG;
+  private current = NO_ITEMS;
   private currentSequence = 0;
   private items = new Map<string, ObservedItem>();
   private setDigest = new SetDigest();
@@ -76,7 +76,7 @@
 
   /** Forgets all observations, at the begin of a term: the next one takes the active configuration as the first. */
   reset(): void {
-    this.current = EMPTY_CONFIG;
+    this.current = NO_ITEMS;
     this.currentSequence = 0;
     this.items = new Map();
     this.setDigest = new SetDigest();
--- a/src/control-plane/config-service.ts
+++ b/src/control-plane/config-service.ts
@@ -1,16 +1,18 @@
 /** Configuration changes at the leader, one after another, and reading accepted configurations back. */
 import { number, object, union } from "superstruct";
-import { applyItemChanges, Config, ConfigReader, mergePatch } from "../configuration/config.js";
+import { applyItemChanges, mergePatch } from "../configuration/config-changes.js";
+import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
+import { checkConfig, ConfigReader } from "../configuration/config-validation.js";
 import { configText } from "../configuration/config-serializer.js";
 import type { ConfigCommand } from "../control-protocol/command.js";
 import { completed, failed, type CommandResult } from "../control-protocol/command-response.js";
-import { CompressedText } from "../control-protocol/compressed-text.js";
-import { Clock } from "../runtime/clock.js";
+import { type CompressedText, compressedTextOf } from "../control-protocol/compressed-text.js";
+import { sleep } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
 import type { Runtime } from "../runtime/runtime.js";
 import type { StepTimer } from "../runtime/step-timer.js";
-import { Task } from "../runtime/task.js";
-import { ConfigPayload } from "../state/config-payload.js";
+import { type Task, waitFor } from "../runtime/task.js";
+import { encodeConfigPayload } from "../state/config-payload.js";
 import { IdAllocator, type NameChanges } from "../state/id-allocator.js";
 import { versionOf, type AcceptedConfig } from "../state/accepted-config.js";
 import type { StateMachine } from "../state/state-machine.js";
@@ -50,7 +52,7 @@
   private readonly versions: ConfigVersionLookup;
   private readonly pending = new Queue<PendingChange>();
   /** The configuration that was parsed last, with its text. */
-  private parsed: { text: string; value: Config } = { text: "", value: Config.empty };
+  private parsed: { text: string; value: Config } = { text: "", value: EMPTY_CONFIG };
   /** The text of the configuration that was read back last, as it travels. */
   private encoded: { sequence: number; text: CompressedText } = { sequence: -1, text: {} };
 
@@ -66,7 +68,7 @@
   /** The active configuration, parsed once for each change. */
   get active(): Config {
     const text = this.stateMachine.activeConfig?.text;
-    if (text === undefined) return Config.empty;
+    if (text === undefined) return EMPTY_CONFIG;
     if (this.parsed.text !== text) this.parsed = { text, value: new ConfigReader().read(text) };
     return this.parsed.value;
   }
@@ -86,7 +88,7 @@
 
   /** Queues a change and waits for its result. */
   *change(command: ConfigCommand): Task<CommandResult> {
-    return yield* Task.wait<CommandResult>((done) => this.pending.put({ command, done }));
+    return yield* waitFor<CommandResult>((done) => this.pending.put({ command, done }));
   }
 
   /** Reads an accepted configuration back: the one of a version, or the active one. */
@@ -157,14 +159,14 @@
     const { activeConfig } = this.stateMachine;
     const changed = this.steps.run("applyChange", () => this.changed(command));
     yield* this.yieldToOthers();
-    const checked = this.steps.run("checkConfig", () => Config.check(changed));
+    const checked = this.steps.run("checkConfig", () => checkConfig(changed));
     if ("faults" in checked) return completed({ faults: checked.faults });
     const { config } = checked;
     yield* this.yieldToOthers();
     const text = this.steps.run("serializeConfig", () => configText(config));
     yield* this.yieldToOthers();
     const payload = this.steps.run("computeDelta", () =>
-      ConfigPayload.of(activeConfig?.text, text),
+      encodeConfigPayload(activeConfig?.text, text),
     );
     yield* this.yieldToOthers();
     const result = yield* this.log.propose({
@@ -189,7 +191,7 @@
 
   /** Lets heartbeats and other waiting work run between the steps of a change, each of which may take long. */
   private *yieldToOthers(): Task {
-    yield* Clock.sleep(this.runtime.clock, 0);
+    yield* sleep(this.runtime.clock, 0);
   }
 
   /** The configuration that a command makes of the active one. */
@@ -227,7 +229,7 @@
   /** The text of a configuration as it travels, compressed once for all readers where it is long. */
   private encodedText({ sequence, text }: AcceptedConfig): CompressedText {
     if (this.encoded.sequence !== sequence)
-      this.encoded = { sequence, text: CompressedText.of(text) };
+      this.encoded = { sequence, text: compressedTextOf(text) };
     return this.encoded.text;
   }
 }
--- a/src/control-plane/control-plane-timeouts.ts
+++ b/src/control-plane/control-plane-timeouts.ts
@@ -38,4 +38,4 @@
   tombstoneMs: 600_000,
 };
 
-export const ControlPlaneTimeouts = { defaults };
+export { defaults as defaultControlPlaneTimeouts };
--- a/src/control-plane/control-plane.ts
+++ b/src/control-plane/control-plane.ts
@@ -1,5 +1,5 @@
 /** Puts the leader's services together: they share the replicated state, and follow its changes and those of the leadership. */
-import { Clock } from "../runtime/clock.js";
+import { sleep } from "../runtime/clock.js";
 import type { Runtime } from "../runtime/runtime.js";
 import { StepTimer } from "../runtime/step-timer.js";
 import type { Task } from "../runtime/task.js";
@@ -21,8 +21,6 @@
 import { QuotaService } from "./quota-service.js";
 import type { RetryCapacityAllocator } from "./retry-capacity-allocator.js";
 
-export { ControlPlaneTimeouts } from "./control-plane-timeouts.js";
-
 /** The interval between two rounds of maintenance. */
 const MAINTENANCE_INTERVAL_MS = 500;
 
@@ -103,7 +101,7 @@
   /** Ends what has expired and marks daemons that are unresponsive, in intervals, for ever. */
   *runMaintenance(): Task {
     for (;;) {
-      yield* Clock.sleep(this.runtime.clock, MAINTENANCE_INTERVAL_MS);
+      yield* sleep(this.runtime.clock, MAINTENANCE_INTERVAL_MS);
       if (!this.log.holdsLease) continue;
       const nowMs = this.runtime.clock.nowMs();
       this.endpoints.expireRegistrations(nowMs);
--- a/src/control-plane/leader-log.ts
+++ b/src/control-plane/leader-log.ts
@@ -6,9 +6,9 @@
   type FailedCommand,
 } from "../control-protocol/command-response.js";
 import type { ReplicationNode } from "../replication/replication-node.js";
-import { Runtime } from "../runtime/runtime.js";
+import { type Runtime, startTask } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
-import { LogCommand } from "../state/log-command.js";
+import { type LogCommand, encodeLogCommand } from "../state/log-command.js";
 
 /** The result where this member doesn't hold the leader's lease, so that it must not respond. */
 export const NO_LEASE: FailedCommand = failed("noGrant");
@@ -49,7 +49,7 @@
 
   /** Proposes a command; returns its outcome once it is applied. */
   *propose(command: LogCommand): Task<CommandResult> {
-    const proposed = yield* this.replica.propose(LogCommand.text(command));
+    const proposed = yield* this.replica.propose(encodeLogCommand(command));
     return proposed.kind === "committed"
       ? { kind: "completed", json: proposed.outcome }
       : failed(proposed.kind);
@@ -57,6 +57,6 @@
 
   /** Proposes a command in a task of its own; `onResult` receives the result. */
   submit(command: LogCommand, onResult: (result: CommandResult) => void = () => undefined): void {
-    Runtime.start(this.runtime, "contract", this.propose(command), onResult);
+    startTask(this.runtime, "contract", this.propose(command), onResult);
   }
 }
--- a/src/control-plane/lease-manager.ts
+++ b/src/control-plane/lease-manager.ts
@@ -1,6 +1,6 @@
 /** Responds to watch requests with leased views: what changed of the configuration, the endpoints and the cluster. */
 import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/compressed-text.js";
-import { WatchRequest } from "../control-protocol/watch-request.js";
+import { type WatchRequest, readWatchRequest } from "../control-protocol/watch-request.js";
 import type { LeasedView } from "../control-protocol/leased-view.js";
 import { encodeCommandResult } from "../control-protocol/command-response.js";
 import type { Runtime } from "../runtime/runtime.js";
@@ -77,7 +77,7 @@
   /** Processes the text of a watch request; returns the text of the response. */
   *watch(text: string): Task<string> {
     const { runtime, log, daemons, endpoints, quotas } = this.options;
-    const request = WatchRequest.read(text);
+    const request = readWatchRequest(text);
     if (!log.holdsLease) return encodeCommandResult(NO_LEASE);
     const nowMs = runtime.clock.nowMs();
     quotas.beginAllocations(nowMs);
--- a/src/control-plane/quota-service.ts
+++ b/src/control-plane/quota-service.ts
@@ -1,6 +1,6 @@
 /** Retry capacity at the leader: which edges may hold a part of it, as agreed in the replicated log. */
 import type { DaemonInfo, WatchRequest } from "../control-protocol/watch-request.js";
-import { Runtime } from "../runtime/runtime.js";
+import { type Runtime, randomNonce } from "../runtime/runtime.js";
 import type { LogCommand } from "../state/log-command.js";
 import type { StateMachine } from "../state/state-machine.js";
 import type { LeaderLog } from "./leader-log.js";
@@ -54,7 +54,7 @@
     this.hasBegun = true;
     this.allocator.beginTerm(
       nowMs,
-      Runtime.nonce(this.runtime),
+      randomNonce(this.runtime),
       this.stateMachine.retryCapacityHolders,
     );
   }
--- a/src/control-plane/watch-hub.ts
+++ b/src/control-plane/watch-hub.ts
@@ -1,5 +1,5 @@
 /** Watch requests that are buffered until there is an update for them. */
-import { Clock } from "../runtime/clock.js";
+import { type Clock, withTimeout } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 
 /** How long updates are gathered at least before buffered watch requests are released. */
@@ -30,7 +30,7 @@
   /** Waits for the next update, or until the longest wait is over. */
   *nextUpdate(): Task {
     let release = (): void => undefined;
-    yield* Clock.withTimeout<boolean>(this.clock, this.maxWaitMs, (done) => {
+    yield* withTimeout<boolean>(this.clock, this.maxWaitMs, (done) => {
       release = () => done(true);
       this.waiting.add(release);
     });
--- a/src/control-protocol/claim-response.ts
+++ b/src/control-protocol/claim-response.ts
@@ -34,12 +34,10 @@
 
 const readClaimed = fastValidator(claimedShape);
 
-export const ClaimResponse = {
-  /** Reads the text of a response. */
-  read(text: string): ClaimResponse {
-    const value: unknown = JSON.parse(text);
-    return typeof value === "object" && value !== null && "claimed" in value
-      ? readClaimed(value)
-      : create(value, claimResponseShape);
-  },
-};
+/** Reads the text of a response. */
+export function readClaimResponse(text: string): ClaimResponse {
+  const value: unknown = JSON.parse(text);
+  return typeof value === "object" && value !== null && "claimed" in value
+    ? readClaimed(value)
+    : create(value, claimResponseShape);
+}
--- a/src/control-protocol/command.ts
+++ b/src/control-protocol/command.ts
@@ -10,19 +10,13 @@
   unknown,
   type Infer,
 } from "superstruct";
-import { itemsShape, namesShape } from "../configuration/config.js";
+import { itemsShape, namesShape } from "../configuration/config-changes.js";
 import { FrameError } from "../rpc/frame.js";
 import { matchesStruct } from "../runtime/fast-validator.js";
 import { kindField } from "../runtime/kind-of.js";
 import { TextCompression } from "../runtime/text-compression.js";
 import { COMPRESSION_THRESHOLD_CHARS } from "./compressed-text.js";
 
-export { ClaimResponse } from "./claim-response.js";
-export { failureResponse, isFailureResponse, overloadedResponse } from "./command-response.js";
-export { COMPRESSION_THRESHOLD_CHARS } from "./compressed-text.js";
-export type { ConfigUpdate, ControlPlanePeers, LeasedView } from "./leased-view.js";
-export { WatchRequest, type DaemonInfo } from "./watch-request.js";
-
 /** The fields of every configuration change: its id, the version that it builds on and the version that it is to get. */
 const changeFields = { changeId: string(), base: optional(number()), version: optional(number()) };
 
@@ -112,21 +106,19 @@
   }
 };
 
-export const Command = {
-  /** Reads the text of a command; throws a `FrameError` where it is of an unknown kind or can't be decompressed. */
-  read(text: string): Command {
-    const received: unknown = JSON.parse(text);
-    const value = isCompressed(received) ? decompressed(received.packed) : received;
-    const kind = kindField(value);
-    if (!isCommandKind(kind)) throw new FrameError(`No command is of the kind "${kind}".`);
-    return isCommand(kind, value) ? value : commandShapes[kind].create(value);
-  },
+/** Reads the text of a command; throws a `FrameError` where it is of an unknown kind or can't be decompressed. */
+export function readCommand(text: string): Command {
+  const received: unknown = JSON.parse(text);
+  const value = isCompressed(received) ? decompressed(received.packed) : received;
+  const kind = kindField(value);
+  if (!isCommandKind(kind)) throw new FrameError(`No command is of the kind "${kind}".`);
+  return isCommand(kind, value) ? value : commandShapes[kind].create(value);
+}
 
-  /** The text in which a command travels: JSON, compressed where it is long. */
-  text(command: Command): string {
-    const text = JSON.stringify(command);
-    return text.length > COMPRESSION_THRESHOLD_CHARS
-      ? JSON.stringify({ packed: TextCompression.compress(text) })
-      : text;
-  },
-};
+/** The text in which a command travels: JSON, compressed where it is long. */
+export function encodeCommand(command: Command): string {
+  const text = JSON.stringify(command);
+  return text.length > COMPRESSION_THRESHOLD_CHARS
+    ? JSON.stringify({ packed: TextCompression.compress(text) })
+    : text;
+}
--- a/src/control-protocol/compressed-text.ts
+++ b/src/control-protocol/compressed-text.ts
@@ -11,14 +11,12 @@
   readonly packedText?: string | undefined;
 }
 
-export const CompressedText = {
-  /** The form in which a text travels. */
-  of: (text: string): CompressedText =>
-    text.length > COMPRESSION_THRESHOLD_CHARS
-      ? { packedText: TextCompression.compress(text) }
-      : { text },
+/** The form in which a text travels. */
+export const compressedTextOf = (text: string): CompressedText =>
+  text.length > COMPRESSION_THRESHOLD_CHARS
+    ? { packedText: TextCompression.compress(text) }
+    : { text };
 
-  /** The text itself; throws an error where it was compressed and can't be read. */
-  read: ({ text, packedText }: CompressedText): string =>
-    packedText === undefined ? (text ?? "") : TextCompression.decompress(packedText),
-};
+/** The text itself; throws an error where it was compressed and can't be read. */
+export const readCompressedText = ({ text, packedText }: CompressedText): string =>
+  packedText === undefined ? (text ?? "") : TextCompression.decompress(packedText);
--- a/src/control-protocol/leased-view.ts
+++ b/src/control-protocol/leased-view.ts
@@ -11,11 +11,12 @@
   union,
   type Infer,
 } from "superstruct";
-import { configShape, type Config } from "../configuration/config.js";
+import { configShape } from "../configuration/config-shape.js";
+import type { Config } from "../configuration/config.js";
 import { Validated } from "../configuration/validated.js";
 import { fastValidator } from "../runtime/fast-validator.js";
 import { TextCompression } from "../runtime/text-compression.js";
-import { Registration } from "../state/registration.js";
+import { type Registration, areRegistrations } from "../state/registration.js";
 import { edgePlacementShape } from "./edge-placement.js";
 
 /** The ids of services and routes by their names. */
@@ -42,7 +43,7 @@
 /** What changed in the configuration, by item. */
 export type ConfigUpdate = Infer<typeof configUpdateShape>;
 
-const registrationsShape = define<Registration[]>("directory", Registration.areAll);
+const registrationsShape = define<Registration[]>("directory", areRegistrations);
 
 const peersShape = object({
   digest: string(),
--- a/src/control-protocol/watch-request.ts
+++ b/src/control-protocol/watch-request.ts
@@ -44,11 +44,11 @@
 
 const validateRequest = fastValidator(watchRequestShape);
 
-export const WatchRequest = {
-  /** Reads the text of a watch request. */
-  read: (text: string): WatchRequest => validateRequest(JSON.parse(text)),
-  /** The update of the configuration in a view, if there is one. */
-  configUpdate: configUpdateOf,
-  /** Reads the text of the response to a watch request. */
-  readResponse: readWatchResponse,
-};
+/** Reads the text of a watch request. */
+export const readWatchRequest = (text: string): WatchRequest => validateRequest(JSON.parse(text));
+
+/** The update of the configuration in a view, if there is one. */
+export const configUpdateIn = configUpdateOf;
+
+/** Reads the text of the response to a watch request. */
+export const readLeasedView = readWatchResponse;
--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -1,9 +1,18 @@
 /** Derives all timeouts of a daemon from the bounds in its settings. */
-import type { ValidationFault } from "../configuration/config.js";
-import { ControlPlaneTimeouts } from "../control-plane/control-plane.js";
-import { ReplicationTimeouts } from "../replication/replication-node.js";
-import { RetryRules } from "../retry-budget/retry-rules.js";
-import { RequestCountsFormat } from "../retry-budget/request-counts.js";
+import type { ValidationFault } from "../configuration/config-validation.js";
+import {
+  type ControlPlaneTimeouts,
+  defaultControlPlaneTimeouts,
+} from "../control-plane/control-plane-timeouts.js";
+import {
+  type ReplicationTimeouts,
+  defaultReplicationTimeouts,
+} from "../replication/replication-timeouts.js";
+import { type RetryRules, retryRulesOf } from "../retry-budget/retry-rules.js";
+import {
+  type RequestCountsFormat,
+  requestCountsFormatFor,
+} from "../retry-budget/request-counts.js";
 import type { TimeoutSettings } from "./bound-settings.js";
 
 /** The bounds with a value for each. */
@@ -94,7 +103,7 @@
 
 /** The factor by which election timeouts are shortened against their defaults, so that an election fits into each bound that includes one. */
 const electionPaceOf = (leaseMs: number, { contactMs, catchUpMs }: BoundValues): number => {
-  const defaultElectionsMs = ELECTIONS_PER_CATCH_UP * ReplicationTimeouts.defaults.electionMaxMs;
+  const defaultElectionsMs = ELECTIONS_PER_CATCH_UP * defaultReplicationTimeouts.electionMaxMs;
   const fittingPace = Math.min(
     leaseMs / UNSHORTENED_LEASE_MS,
     contactMs / UNSHORTENED_CONTACT_MS,
@@ -105,89 +114,87 @@
 
 const isBoundName = (name: string): name is keyof BoundValues => name in DEFAULT_BOUNDS;
 
-export const Bounds = {
-  /** The bounds in the settings that are too short to be met, by their paths. */
-  faults(settings: TimeoutSettings): ValidationFault[] {
-    const values = boundValuesOf(settings);
-    const minimums: Array<[name: keyof BoundValues, minimum: number, why: string]> = [
-      ["applyMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
-      ["drainMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
-      ["contactMs", MIN_CONTACT_MS, "an election has to fit in"],
-      ["graceMs", MIN_GRACE_MS, "work in hand has to end in it"],
-      ["catchUpMs", MIN_CATCH_UP_MS, "a successor has to take a lost member's place in it"],
-      ["retryWindowMs", MIN_RETRY_WINDOW_MS, "counts have to travel in it"],
-      ["retryRatio", 0, "it is a part of the requests"],
-      ["retryExtra", 0, "it is a number of tries"],
-    ];
-    const faults = minimums
-      .filter(([name, minimum]) => values[name] < minimum)
-      .map(([name, minimum, why]) => ({
-        path: `bounds.${name}`,
-        expected: `${minimum} or more, since ${why}`,
-      }));
-    if (settings.heartbeatMs !== undefined && settings.heartbeatMs < MIN_HEARTBEAT_MS)
-      faults.push({ path: "heartbeatMs", expected: `${MIN_HEARTBEAT_MS} or more` });
-    return faults;
-  },
+/** The bounds in the settings that are too short to be met, by their paths. */
+export function boundFaults(settings: TimeoutSettings): ValidationFault[] {
+  const values = boundValuesOf(settings);
+  const minimums: Array<[name: keyof BoundValues, minimum: number, why: string]> = [
+    ["applyMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
+    ["drainMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
+    ["contactMs", MIN_CONTACT_MS, "an election has to fit in"],
+    ["graceMs", MIN_GRACE_MS, "work in hand has to end in it"],
+    ["catchUpMs", MIN_CATCH_UP_MS, "a successor has to take a lost member's place in it"],
+    ["retryWindowMs", MIN_RETRY_WINDOW_MS, "counts have to travel in it"],
+    ["retryRatio", 0, "it is a part of the requests"],
+    ["retryExtra", 0, "it is a number of tries"],
+  ];
+  const faults = minimums
+    .filter(([name, minimum]) => values[name] < minimum)
+    .map(([name, minimum, why]) => ({
+      path: `bounds.${name}`,
+      expected: `${minimum} or more, since ${why}`,
+    }));
+  if (settings.heartbeatMs !== undefined && settings.heartbeatMs < MIN_HEARTBEAT_MS)
+    faults.push({ path: "heartbeatMs", expected: `${MIN_HEARTBEAT_MS} or more` });
+  return faults;
+}
 
-  /** The timeouts that meet the bounds in the settings. */
-  of(settings: TimeoutSettings): Bounds {
-    const values = boundValuesOf(settings);
-    const {
-      applyMs,
-      drainMs,
-      contactMs,
-      graceMs,
-      ackMs,
-      keyWindowMs,
-      catchUpMs,
-      retryRatio,
-      retryExtra,
-      retryWindowMs,
-    } = values;
-    const leaseMs = LEASE_FRACTION * Math.min(applyMs, drainMs);
-    const watchIntervalMs = leaseMs / 4;
-    const holdMs = Math.min(leaseMs / 5, MAX_POLL_HOLD_MS);
-    const heartbeatMs = settings.heartbeatMs ?? DEFAULT_HEARTBEAT_MS;
-    const pace = electionPaceOf(leaseMs, values);
-    const paced = (ms: number): number => Math.round(ms * pace);
-    return {
-      values: values,
+/** The timeouts that meet the bounds in the settings. */
+export function boundsOf(settings: TimeoutSettings): Bounds {
+  const values = boundValuesOf(settings);
+  const {
+    applyMs,
+    drainMs,
+    contactMs,
+    graceMs,
+    ackMs,
+    keyWindowMs,
+    catchUpMs,
+    retryRatio,
+    retryExtra,
+    retryWindowMs,
+  } = values;
+  const leaseMs = LEASE_FRACTION * Math.min(applyMs, drainMs);
+  const watchIntervalMs = leaseMs / 4;
+  const holdMs = Math.min(leaseMs / 5, MAX_POLL_HOLD_MS);
+  const heartbeatMs = settings.heartbeatMs ?? DEFAULT_HEARTBEAT_MS;
+  const pace = electionPaceOf(leaseMs, values);
+  const paced = (ms: number): number => Math.round(ms * pace);
+  return {
+    values: values,
+    leaseMs,
+    watchIntervalMs,
+    watchTimeoutMs: holdMs + Math.max(leaseMs * POLL_OVERHEAD_FRACTION, MIN_POLL_OVERHEAD_MS),
+    controlPlaneTimeouts: {
+      ...defaultControlPlaneTimeouts,
       leaseMs,
-      watchIntervalMs,
-      watchTimeoutMs: holdMs + Math.max(leaseMs * POLL_OVERHEAD_FRACTION, MIN_POLL_OVERHEAD_MS),
-      controlPlaneTimeouts: {
-        ...ControlPlaneTimeouts.defaults,
-        leaseMs,
-        heartbeatMs,
-        // A heartbeat reaches the leader with the next poll of the daemon that received it.
-        expiryMs: 3.5 * heartbeatMs + 2 * watchIntervalMs,
-        holdMs,
-        leaveHoldMs: drainMs + 500,
-        keyMs: keyWindowMs + 10_000,
-        silentMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
-        idRestMs: Math.max(60_000, 6 * retryWindowMs),
-      },
-      replicationTimeouts: {
-        ...ReplicationTimeouts.defaults,
-        heartbeatMs: paced(ReplicationTimeouts.defaults.heartbeatMs),
-        electionMinMs: paced(ReplicationTimeouts.defaults.electionMinMs),
-        electionMaxMs: paced(ReplicationTimeouts.defaults.electionMaxMs),
-        leaderLeaseMs: paced(ReplicationTimeouts.defaults.leaderLeaseMs),
-        stallMs: paced(ReplicationTimeouts.defaults.stallMs),
-        replaceAfterMs: Math.max(
-          2 * paced(ReplicationTimeouts.defaults.electionMaxMs),
-          Math.round(Math.min(MAX_REPLACE_AFTER_MS, catchUpMs * REPLACE_FRACTION)),
-        ),
-        responsiveAfterMs: catchUpMs,
-        forgetAfterMs: FORGET_FACTOR * catchUpMs,
-      },
-      retryRules: RetryRules.of(retryRatio, retryExtra, retryWindowMs),
-      requestCountsFormat: RequestCountsFormat.forWindow(retryWindowMs),
-      changeTimeoutMs: 0.8 * ackMs,
-      acceptRequestsMs: Math.min(2600, (graceMs * 13) / 30),
-      abandonMs: graceMs - EXIT_MS,
-      retireMs: graceMs - EXIT_MS / 2,
-    };
-  },
-};
+      heartbeatMs,
+      // A heartbeat reaches the leader with the next poll of the daemon that received it.
+      expiryMs: 3.5 * heartbeatMs + 2 * watchIntervalMs,
+      holdMs,
+      leaveHoldMs: drainMs + 500,
+      keyMs: keyWindowMs + 10_000,
+      silentMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
+      idRestMs: Math.max(60_000, 6 * retryWindowMs),
+    },
+    replicationTimeouts: {
+      ...defaultReplicationTimeouts,
+      heartbeatMs: paced(defaultReplicationTimeouts.heartbeatMs),
+      electionMinMs: paced(defaultReplicationTimeouts.electionMinMs),
+      electionMaxMs: paced(defaultReplicationTimeouts.electionMaxMs),
+      leaderLeaseMs: paced(defaultReplicationTimeouts.leaderLeaseMs),
+      stallMs: paced(defaultReplicationTimeouts.stallMs),
+      replaceAfterMs: Math.max(
+        2 * paced(defaultReplicationTimeouts.electionMaxMs),
+        Math.round(Math.min(MAX_REPLACE_AFTER_MS, catchUpMs * REPLACE_FRACTION)),
+      ),
+      responsiveAfterMs: catchUpMs,
+      forgetAfterMs: FORGET_FACTOR * catchUpMs,
+    },
+    retryRules: retryRulesOf(retryRatio, retryExtra, retryWindowMs),
+    requestCountsFormat: requestCountsFormatFor(retryWindowMs),
+    changeTimeoutMs: 0.8 * ackMs,
+    acceptRequestsMs: Math.min(2600, (graceMs * 13) / 30),
+    abandonMs: graceMs - EXIT_MS,
+    retireMs: graceMs - EXIT_MS / 2,
+  };
+}
--- a/src/daemon/daemon-options.ts
+++ b/src/daemon/daemon-options.ts
@@ -4,7 +4,7 @@
 import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
 import type { BackendClient } from "../proxy/upstream/backend-client.js";
-import type { ReplicationTimeouts } from "../replication/replication-node.js";
+import type { ReplicationTimeouts } from "../replication/replication-timeouts.js";
 import type { LinkPacers } from "../runtime/link-pacer.js";
 
 /** A client's request to the proxy. */
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,16 +1,16 @@
 /** One daemon put together: the replicated log, the control plane, the proxy and the admin API, by the roles of its machine. */
 import { CommandForwarder } from "../cluster-view/command-forwarder.js";
 import type { RouteTable } from "../cluster-view/route-table.js";
-import type { DaemonInfo } from "../control-protocol/command.js";
+import type { DaemonInfo } from "../control-protocol/watch-request.js";
 import { ControlPlane } from "../control-plane/control-plane.js";
 import { connectionPoolKey, ClusterView } from "../cluster-view/cluster-view.js";
 import type { BackendClient } from "../proxy/upstream/backend-client.js";
-import { HeaderNames } from "../proxy/header-names.js";
+import { ownHeaderNames } from "../proxy/header-names.js";
 import { HttpProxy } from "../proxy/http-proxy.js";
 import { ExpiredLeasePolicy } from "../proxy/expired-lease-policy.js";
 import { OutcomeReplicator } from "../proxy/idempotency/outcome-replicator.js";
 import { OutcomeCache } from "../proxy/idempotency/outcome-cache.js";
-import { RpcMethod } from "../rpc/rpc-method.js";
+import { rpcMethods } from "../rpc/rpc-method.js";
 import { RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import type { ConfigArchive } from "../admin/config-archive.js";
 import { AdminApi } from "../admin/admin-api.js";
@@ -25,17 +25,15 @@
 import { CountAggregator } from "../retry-budget/count-aggregator.js";
 import { EdgeCounts } from "../retry-budget/edge-counts.js";
 import { LoadBalancer } from "../load-balancing/load-balancer.js";
-import { Bounds } from "./bounds.js";
+import { type Bounds, boundsOf } from "./bounds.js";
 import type { DaemonOptions, IncomingAdminRequest, IncomingRequest } from "./daemon-options.js";
-import { Clock } from "../runtime/clock.js";
-import { LinkPacers, type LinkPacer } from "../runtime/link-pacer.js";
+import { sleep } from "../runtime/clock.js";
+import { linkPacersOf, type LinkPacer } from "../runtime/link-pacer.js";
 import type { Logger } from "../runtime/logger.js";
-import { Settings, type Role } from "./settings.js";
+import { type Settings, rolesOf, type Role } from "./settings.js";
 import { EventStream } from "../runtime/event-stream.js";
 import type { Task } from "../runtime/task.js";
-import { Runtime } from "../runtime/runtime.js";
-
-export type { DaemonOptions, IncomingAdminRequest, IncomingRequest } from "./daemon-options.js";
+import { type Runtime, randomNonce, startTask } from "../runtime/runtime.js";
 
 /** How often request counts are pushed to their aggregator. */
 const COUNTS_PUSH_INTERVAL_MS = 2000;
@@ -74,14 +72,14 @@
   onRequestLimits: (limits: RouteTable["limits"]) => void = () => undefined;
 
   constructor(runtime: Runtime, settings: Settings, options: DaemonOptions) {
-    const bounds = Bounds.of(settings);
+    const bounds = boundsOf(settings);
     this.runtime = runtime;
     this.settings = settings;
     this.archive = options.archive;
     this.bounds = bounds;
     this.budget = new RetryBudget(bounds.retryRules);
-    this.incarnation = Runtime.nonce(runtime);
-    const pacers = options.pacers ?? LinkPacers.of(runtime.clock, settings.limits?.linkMbps);
+    this.incarnation = randomNonce(runtime);
+    const pacers = options.pacers ?? linkPacersOf(runtime.clock, settings.limits?.linkMbps);
     this.rpc = new RpcEndpoint(runtime, settings.peers, undefined, pacers);
     this.seeds = settings.seeds;
     this.forwarder = this.createForwarder();
@@ -105,7 +103,7 @@
       counts: this.edgeCounts,
       loadBalancer: this.loadBalancer,
       incarnation: this.incarnation,
-      headerNames: options.headerNames ?? HeaderNames.own,
+      headerNames: options.headerNames ?? ownHeaderNames,
       expiredLeasePolicy: this.lapsedLease(),
       outcomes: this.outcomes,
       egress: pacers.egress,
@@ -138,10 +136,10 @@
   *start(): Task {
     const { runtime, controlPlane, replicationNode, countAggregator } = this;
     this.clientRequests.subscribe(runtime.clock.scheduler, ({ clientRequest, client }) =>
-      Runtime.start(runtime, "door", this.proxy.handle(clientRequest, client)),
+      startTask(runtime, "door", this.proxy.handle(clientRequest, client)),
     );
     this.adminRequests.subscribe(runtime.clock.scheduler, ({ clientRequest, respond: give }) =>
-      Runtime.start(runtime, "operator", this.adminApi.handle(clientRequest), give),
+      startTask(runtime, "operator", this.adminApi.handle(clientRequest), give),
     );
     if (replicationNode && controlPlane) {
       const leadership = {
@@ -152,8 +150,8 @@
           return replicationNode.leader;
         },
       };
-      this.forwarder.serve(RpcMethod.command, leadership, (text) => controlPlane.command(text));
-      this.forwarder.serve(RpcMethod.watch, leadership, (text) => controlPlane.watch(text));
+      this.forwarder.serve(rpcMethods.command, leadership, (text) => controlPlane.command(text));
+      this.forwarder.serve(rpcMethods.watch, leadership, (text) => controlPlane.watch(text));
     } else {
       this.forwarder.serveLeaderHints();
       this.bootstrap.serve();
@@ -161,21 +159,20 @@
     this.outcomes.serve();
     yield* this.rpc.listen();
     if (replicationNode && controlPlane) {
-      Runtime.start(runtime, "record", replicationNode.run());
-      if (this.archive) Runtime.start(runtime, "operator", this.archive.run());
-      Runtime.start(runtime, "contract", controlPlane.runConfigChanges());
-      Runtime.start(runtime, "contract", controlPlane.runMaintenance());
+      startTask(runtime, "record", replicationNode.run());
+      if (this.archive) startTask(runtime, "operator", this.archive.run());
+      startTask(runtime, "contract", controlPlane.runConfigChanges());
+      startTask(runtime, "contract", controlPlane.runMaintenance());
     }
-    if (!replicationNode) Runtime.start(runtime, "record", this.bootstrap.run());
-    Runtime.start(
+    if (!replicationNode) startTask(runtime, "record", this.bootstrap.run());
+    startTask(
       runtime,
       "contract",
       this.clusterView.run(this.bounds.watchIntervalMs, this.bounds.watchTimeoutMs),
     );
-    if (countAggregator)
-      Runtime.start(runtime, "zone", countAggregator.run(COUNTS_PUSH_INTERVAL_MS));
+    if (countAggregator) startTask(runtime, "zone", countAggregator.run(COUNTS_PUSH_INTERVAL_MS));
     if (this.roles.includes("edge"))
-      Runtime.start(runtime, "zone", this.edgeCounts.run(COUNTS_PUSH_INTERVAL_MS));
+      startTask(runtime, "zone", this.edgeCounts.run(COUNTS_PUSH_INTERVAL_MS));
     this.log.info("daemon started", { roles: this.roles, zone: this.settings.zone });
   }
 
@@ -188,13 +185,13 @@
     const { replicationNode } = this;
     if (replicationNode) {
       yield* replicationNode.yieldLeadership();
-      Runtime.start(this.runtime, "record", replicationNode.leave(startedMs + serveOnMs));
+      startTask(this.runtime, "record", replicationNode.leave(startedMs + serveOnMs));
     }
-    yield* Clock.sleep(this.runtime.clock, startedMs + serveOnMs - this.runtime.clock.nowMs());
+    yield* sleep(this.runtime.clock, startedMs + serveOnMs - this.runtime.clock.nowMs());
     this.proxy.close();
     closeToClients();
     while (this.proxy.unfinished > 0 && this.runtime.clock.nowMs() - startedMs < abandonMs)
-      yield* Clock.sleep(this.runtime.clock, DRAIN_CHECK_INTERVAL_MS);
+      yield* sleep(this.runtime.clock, DRAIN_CHECK_INTERVAL_MS);
     if (this.proxy.unfinished > 0)
       this.log.warn("drain timeout exceeded", {
         unfinishedRequests: this.proxy.unfinished,
@@ -229,7 +226,7 @@
   }
 
   private get roles(): Role[] {
-    return Settings.roles(this.settings);
+    return rolesOf(this.settings);
   }
 
   private get log(): Logger {
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -3,7 +3,7 @@
 import type { ClientConnection } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
 import type { LinkPacer, Transfer, TransferClass } from "../runtime/link-pacer.js";
-import { Task } from "../runtime/task.js";
+import { type Task, waitFor, runTask } from "../runtime/task.js";
 
 /** The state of one client's connection, shared by its requests. */
 export interface HttpConnectionState {
@@ -78,7 +78,7 @@
   *awaitEarlierResponses(): Task<boolean> {
     const { connection } = this;
     while (connection.pending[0] !== this && !connection.isClosed) {
-      yield* Task.wait<true>((done) => {
+      yield* waitFor<true>((done) => {
         const resume = (): void => {
           connection.responseListeners.delete(resume);
           connection.closeListeners.delete(resume);
@@ -103,7 +103,7 @@
       response.end(isBodiless ? undefined : body);
       return;
     }
-    Task.start(this.writeBody(body), () => response.destroy());
+    runTask(this.writeBody(body), () => response.destroy());
   }
 
   writeHead(code: number, headers: Record<string, string>): void {
@@ -173,7 +173,7 @@
     const { response, connection } = this;
     if (connection.isClosed) return false;
     if (response.write(part)) return true;
-    yield* Task.wait<true>((done) => {
+    yield* waitFor<true>((done) => {
       const resume = (): void => {
         response.off("drain", resume);
         connection.closeListeners.delete(resume);
--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -2,11 +2,11 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
-import { ClientResponse } from "../proxy/request-outcome.js";
-import { Clock } from "../runtime/clock.js";
+import { jsonResponse } from "../proxy/request-outcome.js";
+import { systemClock } from "../runtime/clock.js";
 import { LinkPacer, type TransferClass } from "../runtime/link-pacer.js";
 import { Address, ListenError } from "../runtime/network.js";
-import { Task } from "../runtime/task.js";
+import { type Task, waitFor } from "../runtime/task.js";
 import {
   HttpClientConnection,
   newHttpConnectionState,
@@ -68,9 +68,7 @@
 };
 
 const refuse = (client: ClientConnection, code: number, error: string): void =>
-  client.respond(
-    ClientResponse.json(code, { error, verdict: "neverRan" }, { connection: "close" }),
-  );
+  client.respond(jsonResponse(code, { error, verdict: "neverRan" }, { connection: "close" }));
 
 /** An HTTP/1.1 server that passes each request to a handler, with small bodies buffered. */
 export class HttpServer {
@@ -86,7 +84,7 @@
     handle: (clientRequest: ProxyRequest, client: ClientConnection) => void,
     {
       bufferWholeBodies: wholeOnly = true,
-      egress = new LinkPacer(Clock.real(), undefined),
+      egress = new LinkPacer(systemClock(), undefined),
       transferClass = "response",
     }: ServerOptions = {},
   ) {
@@ -126,7 +124,7 @@
   /** Listens on an address; throws a ListenError where that fails. */
   *listen(address: string): Task {
     const { server } = this;
-    const outcome = yield* Task.wait<Error | "listening">((done) => {
+    const outcome = yield* waitFor<Error | "listening">((done) => {
       server.once("error", done);
       server.listen({ ...Address.parts(address), backlog: 1024 }, () => done("listening"));
     });
--- a/src/daemon/http-servers.ts
+++ b/src/daemon/http-servers.ts
@@ -1,17 +1,17 @@
 /** The HTTP servers of one daemon: for clients, for the admin API, and for readiness checks alone. */
-import { ProxyRequest } from "../proxy/proxy-request.js";
-import { ClientResponse } from "../proxy/request-outcome.js";
+import { type ProxyRequest, requestPath } from "../proxy/proxy-request.js";
+import { jsonResponse } from "../proxy/request-outcome.js";
 import type { LinkPacer } from "../runtime/link-pacer.js";
 import type { Task } from "../runtime/task.js";
 import type { Adapter, TranslatedRequest } from "./adapter.js";
 import type { Daemon } from "./daemon.js";
 import { HttpServer } from "./http-server.js";
-import { Settings } from "./settings.js";
+import { type Settings, rolesOf } from "./settings.js";
 
 const MAX_CONFIG_BODY_BYTES = 64 * 1024 * 1024;
 
 const isReadinessCheck = (clientRequest: ProxyRequest): boolean =>
-  clientRequest.method === "GET" && ProxyRequest.path(clientRequest) === "/ready";
+  clientRequest.method === "GET" && requestPath(clientRequest) === "/ready";
 
 const withoutTranslation = (clientRequest: ProxyRequest): TranslatedRequest => ({
   clientRequest,
@@ -36,7 +36,7 @@
           clientRequest: translated.clientRequest,
           respond: (response) => client.respond(translated.translateResponse(response)),
         });
-      else client.respond(ClientResponse.json(404, { error: "Only readiness is served here." }));
+      else client.respond(jsonResponse(404, { error: "Only readiness is served here." }));
     },
     { egress, transferClass: "control" },
   );
@@ -97,6 +97,6 @@
 
   /** Where clients connect; undefined at a daemon that is no edge. */
   private get clientAddress(): string | undefined {
-    return Settings.roles(this.settings).includes("edge") ? this.settings.callers : undefined;
+    return rolesOf(this.settings).includes("edge") ? this.settings.callers : undefined;
   }
 }
--- a/src/daemon/process-monitor.ts
+++ b/src/daemon/process-monitor.ts
@@ -1,6 +1,6 @@
 /** Monitors the event loop of this process for saturation. */
 import { performance } from "node:perf_hooks";
-import { Clock } from "../runtime/clock.js";
+import { type Clock, sleep } from "../runtime/clock.js";
 import type { Logger } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
 
@@ -20,7 +20,7 @@
   let processor = process.cpuUsage();
   for (;;) {
     const dueMs = clock.nowMs() + CHECK_INTERVAL_MS;
-    yield* Clock.sleep(clock, CHECK_INTERVAL_MS);
+    yield* sleep(clock, CHECK_INTERVAL_MS);
     const lateMs = clock.nowMs() - dueMs;
     const used = process.cpuUsage(processor);
     const { utilization } = performance.eventLoopUtilization(loop);
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -1,16 +1,16 @@
 /** Runs the daemon of this machine as a process: opens what it needs, reloads settings, and drains on a signal. */
 import { ConfigArchive } from "../admin/config-archive.js";
 import { HttpBackendClient } from "../proxy/upstream/http-backend-client.js";
-import { Clock } from "../runtime/clock.js";
-import { Disk } from "../runtime/disk.js";
+import { type Clock, systemClock, sleep } from "../runtime/clock.js";
+import { openDisk } from "../runtime/disk.js";
 import { EventStream } from "../runtime/event-stream.js";
-import { LinkPacers } from "../runtime/link-pacer.js";
-import { LoggerFactory, type Logger } from "../runtime/logger.js";
-import { Network } from "../runtime/network.js";
+import { type LinkPacers, linkPacersOf } from "../runtime/link-pacer.js";
+import { createLoggers, type Logger } from "../runtime/logger.js";
+import { tcpNetwork } from "../runtime/network.js";
 import type { Runtime } from "../runtime/runtime.js";
-import { Task } from "../runtime/task.js";
+import { type Task, runTask, waitFor } from "../runtime/task.js";
 import type { Adapter } from "./adapter.js";
-import { Bounds } from "./bounds.js";
+import { boundsOf } from "./bounds.js";
 import { Daemon } from "./daemon.js";
 import { HttpServers } from "./http-servers.js";
 import { monitorProcess } from "./process-monitor.js";
@@ -45,10 +45,10 @@
   private readonly file: SettingsFile;
   private readonly options: ServeOptions;
   private readonly settings: Settings;
-  private readonly loggers: ReturnType<typeof LoggerFactory.create>;
+  private readonly loggers: ReturnType<typeof createLoggers>;
   private readonly log: Logger;
   private readonly clock: Clock;
-  private readonly network: ReturnType<typeof Network.tcp>;
+  private readonly network: ReturnType<typeof tcpNetwork>;
   private readonly pacers: LinkPacers;
   private readonly backendClient: HttpBackendClient;
   private readonly exit: (code: number) => void;
@@ -59,11 +59,11 @@
     this.exit = exit;
     this.settings = file.read();
     const { machine, logLevel, limits } = this.settings;
-    this.loggers = LoggerFactory.create(machine, logLevel ?? "info");
+    this.loggers = createLoggers(machine, logLevel ?? "info");
     this.log = this.loggers.component("machine");
-    this.clock = Clock.real();
-    this.network = Network.tcp();
-    this.pacers = LinkPacers.of(this.clock, limits?.linkMbps);
+    this.clock = systemClock();
+    this.network = tcpNetwork();
+    this.pacers = linkPacersOf(this.clock, limits?.linkMbps);
     this.backendClient = new HttpBackendClient(this.clock, {
       proof: options.adapter?.headerNames.proof,
       pacers: this.pacers,
@@ -72,7 +72,7 @@
 
   /** Starts the process; `exit` is called when it ends. */
   start(): void {
-    Task.start(this.run(), this.fail, this.exit);
+    runTask(this.run(), this.fail, this.exit);
   }
 
   private readonly fail = (error: unknown): void => {
@@ -96,13 +96,13 @@
       },
       this.log,
     );
-    Task.start(reloader.run(clock), this.fail);
-    Task.start(monitorProcess(clock, this.log), this.fail);
+    runTask(reloader.run(clock), this.fail);
+    runTask(monitorProcess(clock, this.log), this.fail);
     const signals = processSignals();
     signals.subscribe(clock.scheduler, (name) => {
       if (name === "SIGHUP") reloader.reload();
     });
-    yield* Task.wait<Signal>((done) =>
+    yield* waitFor<Signal>((done) =>
       signals.subscribe(clock.scheduler, (name) => {
         if (name !== "SIGHUP") done(name);
       }),
@@ -116,17 +116,17 @@
 
   private *drain(daemon: Daemon, servers: HttpServers): Task {
     const { clock } = this;
-    const deadlineMs = clock.nowMs() + Bounds.of(this.settings).abandonMs;
+    const deadlineMs = clock.nowMs() + boundsOf(this.settings).abandonMs;
     servers.closeClientConnections();
     yield* daemon.drain(() => servers.stopAcceptingClients());
     while (servers.hasUnfinishedResponses && clock.nowMs() < deadlineMs)
-      yield* Clock.sleep(clock, RESPONSE_CHECK_INTERVAL_MS);
-    yield* Clock.sleep(clock, CLOSE_DELAY_MS);
+      yield* sleep(clock, RESPONSE_CHECK_INTERVAL_MS);
+    yield* sleep(clock, CLOSE_DELAY_MS);
   }
 
   private *openRuntime(): Task<Runtime> {
     const { dataFolder } = this.settings;
-    const disk = dataFolder === undefined ? undefined : yield* Disk.open(dataFolder);
+    const disk = dataFolder === undefined ? undefined : yield* openDisk(dataFolder);
     return {
       clock: this.clock,
       network: this.network,
--- a/src/daemon/settings-error.ts
+++ b/src/daemon/settings-error.ts
@@ -1,5 +1,5 @@
 /** The error of settings that can't be used. */
-import type { ValidationFault } from "../configuration/config.js";
+import type { ValidationFault } from "../configuration/config-validation.js";
 
 /** Thrown when settings are invalid; carries every fault with its path. */
 export class SettingsError extends Error {
--- a/src/daemon/settings-file.ts
+++ b/src/daemon/settings-file.ts
@@ -1,6 +1,6 @@
 /** The settings file: reading, checking and detecting changes. */
 import { readFileSync } from "node:fs";
-import { Settings } from "./settings.js";
+import { type Settings, checkSettings } from "./settings.js";
 import { SettingsError } from "./settings-error.js";
 
 const parseJson = (text: string, path: string): unknown => {
@@ -66,7 +66,7 @@
   }
 
   private static validated(value: unknown): Settings {
-    const checked = Settings.check(value);
+    const checked = checkSettings(value);
     if ("faults" in checked) throw new SettingsError(checked.faults);
     return checked.settings;
   }
--- a/src/daemon/settings-reloader.ts
+++ b/src/daemon/settings-reloader.ts
@@ -1,10 +1,10 @@
 /** Reloads the settings file while the daemon runs: on a change of the file, or on request. */
-import { Clock } from "../runtime/clock.js";
+import { type Clock, sleep } from "../runtime/clock.js";
 import type { Logger } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
 import { SettingsError } from "./settings-error.js";
 import type { SettingsFile } from "./settings-file.js";
-import { Settings } from "./settings.js";
+import { type Settings, settingsDifference } from "./settings.js";
 
 /** How often the settings file is checked for changes. */
 const FILE_CHECK_INTERVAL_MS = 1000;
@@ -32,7 +32,7 @@
   /** Reloads the file whenever it has changed. */
   *run(clock: Clock): Task {
     for (;;) {
-      yield* Clock.sleep(clock, FILE_CHECK_INTERVAL_MS);
+      yield* sleep(clock, FILE_CHECK_INTERVAL_MS);
       if (this.file.hasChanged) this.reload();
     }
   }
@@ -41,7 +41,7 @@
   reload(): void {
     try {
       const after = this.file.read();
-      const { applied, needRestart } = Settings.difference(this.settings, after);
+      const { applied, needRestart } = settingsDifference(this.settings, after);
       this.apply(after, applied);
       this.log.info("settings reloaded", { applied, needRestart });
       this.settings = { ...this.settings, logLevel: after.logLevel ?? "info", seeds: after.seeds };
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -19,8 +19,8 @@
   type Infer,
 } from "superstruct";
 import { Address } from "../runtime/network.js";
-import { validationFaults, type ValidationFault } from "../configuration/config.js";
-import { Bounds } from "./bounds.js";
+import { validationFaults, type ValidationFault } from "../configuration/config-validation.js";
+import { boundFaults } from "./bounds.js";
 import { boundsShape } from "./bound-settings.js";
 
 const nameShape = define<string>(
@@ -83,55 +83,58 @@
 /** The settings that apply at once when they change; all others need a restart. */
 const RELOADABLE_NAMES: ReadonlyArray<keyof Settings> = ["logLevel", "seeds"];
 
-export const Settings = {
-  /** Validates settings and reports all faults at once. */
-  check(value: unknown): { settings: Settings } | { faults: ValidationFault[] } {
-    const [error, settings] = validate(value, settingsShape);
-    if (error) return { faults: validationFaults(error.failures()) };
-    const faults: ValidationFault[] = [];
-    const roles = Settings.roles(settings);
-    if (roles.includes("recorder") && settings.dataFolder === undefined)
-      faults.push({ path: "dataFolder", expected: "a folder, since this daemon is a recorder" });
-    if (roles.includes("edge") && settings.callers === undefined)
-      faults.push({
-        path: "callers",
-        expected: "an address of the form IP:port, since this daemon is an edge",
-      });
-    if (new Set(settings.seeds).size !== settings.seeds.length)
-      faults.push({ path: "seeds", expected: "addresses that differ" });
-    const ownAddresses = [
-      settings.callers,
-      settings.operators,
-      settings.peers,
-      settings.ready,
-    ].filter((ownAddress) => ownAddress !== undefined);
-    if (new Set(ownAddresses).size !== ownAddresses.length)
-      faults.push({
-        path: "peers",
-        expected: "an address of its own for callers, operators, peers and readiness",
-      });
-    faults.push(...Bounds.faults(settings));
-    return faults.length > 0 ? { faults } : { settings };
-  },
+/** Validates settings and reports all faults at once. */
+export function checkSettings(
+  value: unknown,
+): { settings: Settings } | { faults: ValidationFault[] } {
+  const [error, settings] = validate(value, settingsShape);
+  if (error) return { faults: validationFaults(error.failures()) };
+  const faults: ValidationFault[] = [];
+  const roles = rolesOf(settings);
+  if (roles.includes("recorder") && settings.dataFolder === undefined)
+    faults.push({ path: "dataFolder", expected: "a folder, since this daemon is a recorder" });
+  if (roles.includes("edge") && settings.callers === undefined)
+    faults.push({
+      path: "callers",
+      expected: "an address of the form IP:port, since this daemon is an edge",
+    });
+  if (new Set(settings.seeds).size !== settings.seeds.length)
+    faults.push({ path: "seeds", expected: "addresses that differ" });
+  const ownAddresses = [
+    settings.callers,
+    settings.operators,
+    settings.peers,
+    settings.ready,
+  ].filter((ownAddress) => ownAddress !== undefined);
+  if (new Set(ownAddresses).size !== ownAddresses.length)
+    faults.push({
+      path: "peers",
+      expected: "an address of its own for callers, operators, peers and readiness",
+    });
+  faults.push(...boundFaults(settings));
+  return faults.length > 0 ? { faults } : { settings };
+}
 
-  /** The roles that are set, by default those that the machine's disk allows. */
-  roles(settings: Settings): Role[] {
-    return (
-      settings.roles ?? (settings.dataFolder === undefined ? ["edge"] : ["recorder", "collector"])
-    );
-  },
+/** The roles that are set, by default those that the machine's disk allows. */
+export function rolesOf(settings: Settings): Role[] {
+  return (
+    settings.roles ?? (settings.dataFolder === undefined ? ["edge"] : ["recorder", "collector"])
+  );
+}
 
-  /** The names of the settings that differ: those that apply at once and those that need a restart. */
-  difference(before: Settings, after: Settings): { applied: string[]; needRestart: string[] } {
-    const names = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort();
-    const valueOf = (settings: Settings, name: string): string =>
-      JSON.stringify(Object.entries(settings).find(([key]) => key === name)?.[1] ?? null);
-    const changedNames = names.filter((name) => valueOf(before, name) !== valueOf(after, name));
-    const isReloadable = (name: string): boolean =>
-      RELOADABLE_NAMES.some((reloadable) => reloadable === name);
-    return {
-      applied: changedNames.filter(isReloadable),
-      needRestart: changedNames.filter((name) => !isReloadable(name)),
-    };
-  },
-};
+/** The names of the settings that differ: those that apply at once and those that need a restart. */
+export function settingsDifference(
+  before: Settings,
+  after: Settings,
+): { applied: string[]; needRestart: string[] } {
+  const names = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort();
+  const valueOf = (settings: Settings, name: string): string =>
+    JSON.stringify(Object.entries(settings).find(([key]) => key === name)?.[1] ?? null);
+  const changedNames = names.filter((name) => valueOf(before, name) !== valueOf(after, name));
+  const isReloadable = (name: string): boolean =>
+    RELOADABLE_NAMES.some((reloadable) => reloadable === name);
+  return {
+    applied: changedNames.filter(isReloadable),
+    needRestart: changedNames.filter((name) => !isReloadable(name)),
+  };
+}
--- a/src/fleet/fleet-client.ts
+++ b/src/fleet/fleet-client.ts
@@ -2,7 +2,7 @@
 import { Pool, request } from "undici";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
-import { Task } from "../runtime/task.js";
+import { type Task, fromPromise } from "../runtime/task.js";
 import type { ClientSide } from "../simulation/client-transport.js";
 import { CLIENT_TIMEOUT_MS } from "../simulation/workload.js";
 
@@ -41,7 +41,7 @@
 
   /** Sends one request; a client that has no response by its timeout hangs up. */
   *call(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
-    const outcome = yield* Task.fromPromise(
+    const outcome = yield* fromPromise(
       this.pool(address)
         .request({
           method: clientRequest.method,
@@ -92,7 +92,7 @@
   address: string,
   clientRequest: ProxyRequest,
 ): Task<ClientResponse | undefined> {
-  const outcome = yield* Task.fromPromise(
+  const outcome = yield* fromPromise(
     request(`http://${address}${clientRequest.target}`, {
       method: adminMethodOf(clientRequest),
       headers: clientRequest.headers,
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -6,9 +6,9 @@
 import { fileURLToPath } from "node:url";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
-import { Clock } from "../runtime/clock.js";
+import { systemClock, sleep } from "../runtime/clock.js";
 import type { Settings } from "../daemon/settings.js";
-import { Task } from "../runtime/task.js";
+import { type Task, waitFor, fromPromise, runTask } from "../runtime/task.js";
 import { Workload } from "../simulation/workload.js";
 import type { ClientSide, ClientTransport } from "../simulation/client-transport.js";
 import { RandomDraw } from "../simulation/random-draw.js";
@@ -19,8 +19,6 @@
 import { layOutFleet, type FleetMachine } from "./fleet-layout.js";
 import { openTestBackendServer } from "./test-backend-server.js";
 
-export type { FleetMachine } from "./fleet-layout.js";
-
 /** The compiled command line, also where this module runs uncompiled. */
 export const daemonProgram = fileURLToPath(
   new URL(
@@ -36,7 +34,7 @@
 
 /** A fleet of real daemon processes on this machine, with test clients, backends and operators. */
 export class Fleet {
-  readonly clock = Clock.real();
+  readonly clock = systemClock();
   readonly recorder = new EventRecorder();
   readonly profile: Profile;
   readonly folder: string;
@@ -128,7 +126,7 @@
   *fillDisk(machine: FleetMachine, isFull: boolean): Task {
     const pid = machine.process?.pid;
     if (pid === undefined) return;
-    yield* Task.wait<boolean>((done) =>
+    yield* waitFor<boolean>((done) =>
       spawn("prlimit", [`--fsize=${isFull ? "1" : "unlimited"}:unlimited`, `--pid=${pid}`], {
         stdio: "ignore",
       }).once("exit", () => done(true)),
@@ -145,7 +143,7 @@
       daemon: machine.settings.machine,
     });
     machine.isReady = false;
-    yield* Task.wait<boolean>((done) => {
+    yield* waitFor<boolean>((done) => {
       child.once("exit", () => done(true));
       child.kill("SIGKILL");
     });
@@ -154,7 +152,7 @@
   /** Suspends a daemon's process for a while, as on a machine that swaps or migrates. */
   *freeze(machine: FleetMachine, forMs: number): Task {
     machine.process?.kill("SIGSTOP");
-    yield* Clock.sleep(this.clock, forMs);
+    yield* sleep(this.clock, forMs);
     machine.process?.kill("SIGCONT");
   }
 
@@ -163,7 +161,7 @@
     const child = machine.process;
     if (!child) return;
     const atMs = this.clock.nowMs();
-    yield* Task.wait<boolean>((done) => {
+    yield* waitFor<boolean>((done) => {
       child.once("exit", () => done(true));
       child.kill("SIGTERM");
     });
@@ -181,7 +179,7 @@
     const server = this.servers.get(testBackend.address);
     this.servers.delete(testBackend.address);
     if (!server) return;
-    yield* Task.wait<boolean>((done) => {
+    yield* waitFor<boolean>((done) => {
       server.close(() => done(true));
       server.closeAllConnections();
     });
@@ -190,7 +188,7 @@
   /** Replaces a backend by a new process at its address, perhaps of another service. */
   *replace(testBackend: TestBackend, service: string): Task {
     testBackend.replace(service);
-    yield* Task.fromPromise(this.openBackend(testBackend));
+    yield* fromPromise(this.openBackend(testBackend));
   }
 
   /** Waits until a condition holds; false after the timeout. */
@@ -198,7 +196,7 @@
     const untilMs = this.clock.nowMs() + waitMs;
     while (!holds()) {
       if (this.clock.nowMs() > untilMs) return false;
-      yield* Clock.sleep(this.clock, 50);
+      yield* sleep(this.clock, 50);
     }
     return true;
   }
@@ -215,7 +213,7 @@
   }
 
   start(task: Task<unknown>): void {
-    Task.start(task, (error) => {
+    runTask(task, (error) => {
       this.failures.push(error);
       process.stderr.write(
         `fleet: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}\n`,
@@ -225,7 +223,7 @@
 
   /** Runs a task of the fleet to its end. */
   perform<T>(task: Task<T>): Promise<T> {
-    return new Promise((done, fail) => Task.start(task, fail, done));
+    return new Promise((done, fail) => runTask(task, fail, done));
   }
 
   /** Ends everything that was started here, and removes the folder unless `keep` is set. */
@@ -259,7 +257,7 @@
   /** Checks a daemon's readiness again and again, as a load balancer does. */
   private *watchReadiness(machine: FleetMachine): Task {
     while (!this.isOver) {
-      yield* Clock.sleep(this.clock, READINESS_CHECK_INTERVAL_MS);
+      yield* sleep(this.clock, READINESS_CHECK_INTERVAL_MS);
       if (!machine.process) continue;
       const response = yield* this.desk(machine.settings.machine, {
         method: "GET",
--- a/src/fleet/main.ts
+++ b/src/fleet/main.ts
@@ -1,8 +1,9 @@
 import { cac } from "cac";
 import { is, number, string, type } from "superstruct";
-import { Clock } from "../runtime/clock.js";
+import { sleep } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
-import { Fleet, type FleetMachine } from "./fleet.js";
+import { Fleet } from "./fleet.js";
+import type { FleetMachine } from "./fleet-layout.js";
 import { startFleet, applyConfigurations, profileNamed, say, stopFleet } from "./report.js";
 
 interface Options {
@@ -50,7 +51,7 @@
 const trouble = function* (fleet: Fleet, secondsMs: number): Task {
   const { clock } = fleet;
   const after = function* (part: number, startedMs: number): Task {
-    yield* Clock.sleep(clock, startedMs + secondsMs * part - clock.nowMs());
+    yield* sleep(clock, startedMs + secondsMs * part - clock.nowMs());
   };
   const startedMs = clock.nowMs();
   const edges = fleet.machines.filter(({ settings }) => settings.callers !== undefined);
@@ -60,14 +61,14 @@
   if (leader) {
     say(`${leader.settings.machine}, which leads the record, is killed`);
     yield* fleet.kill(leader);
-    yield* Clock.sleep(clock, 3000);
+    yield* sleep(clock, 3000);
     fleet.boot(leader);
   }
   yield* after(0.3, startedMs);
   if (edgeToKill) {
     say(`${edgeToKill.settings.machine}, an edge, is killed`);
     yield* fleet.kill(edgeToKill);
-    yield* Clock.sleep(clock, 2000);
+    yield* sleep(clock, 2000);
     fleet.boot(edgeToKill);
   }
   yield* after(0.4, startedMs);
@@ -75,13 +76,13 @@
   if (crashed) {
     say(`${crashed.address} of ${crashed.service} crashes and is replaced`);
     yield* fleet.crash(crashed);
-    yield* Clock.sleep(clock, 2500);
+    yield* sleep(clock, 2500);
     yield* fleet.replace(crashed, crashed.service);
   }
   if (leaver) {
     say(`${leaver.address} of ${leaver.service} leaves`);
     yield* fleet.workload.leave(leaver);
-    yield* Clock.sleep(clock, 3000);
+    yield* sleep(clock, 3000);
     yield* fleet.crash(leaver);
   }
   if (reused) {
@@ -90,7 +91,7 @@
       reused.service;
     say(`${reused.address} of ${reused.service} is reused by ${other}`);
     yield* fleet.crash(reused);
-    yield* Clock.sleep(clock, 1500);
+    yield* sleep(clock, 1500);
     fleet.recorder.world.push({
       kind: "reused",
       atMs: clock.nowMs(),
@@ -158,10 +159,10 @@
     fleet.start(applyConfigurations(fleet));
     await fleet.perform(
       options.calm
-        ? Clock.sleep(fleet.clock, options.seconds * 1000)
+        ? sleep(fleet.clock, options.seconds * 1000)
         : trouble(fleet, options.seconds * 1000),
     );
-    if (!options.calm) await fleet.perform(Clock.sleep(fleet.clock, settleMs));
+    if (!options.calm) await fleet.perform(sleep(fleet.clock, settleMs));
     const breaches = await stopFleet(fleet, fromMs);
     await fleet.end(options.keep ?? false);
     process.exit(breaches > 0 ? 1 : 0);
--- a/src/fleet/report.ts
+++ b/src/fleet/report.ts
@@ -1,9 +1,9 @@
-import { Clock } from "../runtime/clock.js";
+import { sleep } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import type { Fleet } from "./fleet.js";
 import type { ClientRecord } from "../simulation/event-recorder.js";
 import { checkRules, rules, servedPart, worstRepeats } from "../simulation/invariant-checker.js";
-import { Profile } from "../simulation/profile.js";
+import { type Profile, shippedProfiles } from "../simulation/profile.js";
 
 const upMs = 30_000;
 const lastCallsMs = 3500;
@@ -106,7 +106,7 @@
 export const stopFleet = async (fleet: Fleet, fromMs: number): Promise<number> => {
   fleet.recorder.endMs = fleet.clock.nowMs();
   fleet.workload.isOver = true;
-  await fleet.perform(Clock.sleep(fleet.clock, lastCallsMs));
+  await fleet.perform(sleep(fleet.clock, lastCallsMs));
   fleet.workload.isOver = false;
   await fleet.perform(fleet.workload.readBack());
   return report(fleet, fromMs);
@@ -116,16 +116,16 @@
 export const applyConfigurations = function* (fleet: Fleet): Task {
   while (!fleet.workload.isOver) {
     yield* fleet.workload.putConfig();
-    yield* Clock.sleep(fleet.clock, 3000);
+    yield* sleep(fleet.clock, 3000);
   }
 };
 
 /** The profile of a name; undefined, and the names there are on the error stream, when there is none. */
 export const profileNamed = (name: string): Profile | undefined => {
-  const profile = Object.values(Profile.all).find((one) => one.name === name);
+  const profile = Object.values(shippedProfiles).find((one) => one.name === name);
   if (!profile)
     process.stderr.write(
-      `There is no profile "${name}"; there are ${Object.keys(Profile.all).join(" and ")}.\n`,
+      `There is no profile "${name}"; there are ${Object.keys(shippedProfiles).join(" and ")}.\n`,
     );
   return profile;
 };
--- a/src/fleet/zone-drill.ts
+++ b/src/fleet/zone-drill.ts
@@ -1,5 +1,5 @@
 import { cac } from "cac";
-import { Clock } from "../runtime/clock.js";
+import { sleep } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import { Fleet } from "./fleet.js";
 import { servedPart } from "../simulation/invariant-checker.js";
@@ -69,10 +69,10 @@
     const fromMs = clock.nowMs();
     fleet.beginCalls();
     fleet.start(applyConfigurations(fleet));
-    await fleet.perform(Clock.sleep(clock, hours.quietMs));
+    await fleet.perform(sleep(clock, hours.quietMs));
     const outMs = clock.nowMs();
     await fleet.perform(takeOut(fleet, zone));
-    await fleet.perform(Clock.sleep(clock, options.seconds * 1000));
+    await fleet.perform(sleep(clock, options.seconds * 1000));
     const backMs = clock.nowMs();
     await fleet.perform(bringBack(fleet, zone));
     recorder.world.push({ kind: "recovered", atMs: clock.nowMs() });
@@ -80,7 +80,7 @@
       fleet.until(() => fleet.machines.every(({ isReady }) => isReady), hours.recoverMs),
     );
     const readyMs = clock.nowMs() - backMs;
-    await fleet.perform(Clock.sleep(clock, Math.max(0, hours.recoverMs - readyMs) + hours.afterMs));
+    await fleet.perform(sleep(clock, Math.max(0, hours.recoverMs - readyMs) + hours.afterMs));
     const endMs = clock.nowMs();
     const breaches = await stopFleet(fleet, fromMs);
     say(
--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -2,7 +2,7 @@
 import type { RuleOverride } from "./random-search.js";
 import { MemberGroup } from "./member-group.js";
 import type { Counterexample } from "./search-run.js";
-import { GroupSettings } from "./group-settings.js";
+import { type GroupSettings, groupSettingsOf } from "./group-settings.js";
 import type { Step } from "./step.js";
 
 /** What an exhaustive exploration saw. */
@@ -67,7 +67,7 @@
   mostSteps: number,
   alteration: RuleOverride = {},
 ): Coverage => {
-  const settings = GroupSettings.of(3, 0, 1, alteration);
+  const settings = groupSettingsOf(3, 0, 1, alteration);
   const seen = new Set<string>();
   let frontier: Place[] = [settled(settings)];
   let steps = 0;
--- a/src/model-checker/group-settings.ts
+++ b/src/model-checker/group-settings.ts
@@ -1,6 +1,6 @@
 import { safetyRules, type SafetyRules } from "../consensus/safety-rules.js";
 import type { ElectionTimeouts } from "../consensus/state.js";
-import { ReplicationTimeouts } from "../replication/replication-node.js";
+import { defaultReplicationTimeouts } from "../replication/replication-timeouts.js";
 
 /** What an explored group is made of. */
 export interface GroupSettings {
@@ -22,27 +22,25 @@
 /** How far clocks may differ: the lease and the election wait leave room for 11% each way. */
 const clockSpread = 0.08;
 
-export const GroupSettings = {
-  /** A group with production's waits and rules. */
-  of(
-    voters: number,
-    spares: number,
-    seed: number,
-    change: { rules?: Partial<SafetyRules>; waits?: Partial<ElectionTimeouts> } = {},
-  ): GroupSettings {
-    const names = Array.from({ length: voters + spares }, (_, at) => `m${at + 1}`);
-    const clockRates = names.map((_, at) => 1 + clockSpread * (((seed + at * 2) % 3) - 1));
-    return {
-      names,
-      wantedVoters: voters,
-      clockRates,
-      seed,
-      waits: { ...ReplicationTimeouts.defaults, ...change.waits },
-      replaceAfterMs: ReplicationTimeouts.defaults.replaceAfterMs,
-      provenAfterMs: ReplicationTimeouts.defaults.responsiveAfterMs,
-      forgetAfterMs: ReplicationTimeouts.defaults.forgetAfterMs,
-      batchEntries: seed % 4 < 2 ? 1 : 8,
-      rules: { ...safetyRules, ...change.rules },
-    };
-  },
-};
+/** A group with production's waits and rules. */
+export function groupSettingsOf(
+  voters: number,
+  spares: number,
+  seed: number,
+  change: { rules?: Partial<SafetyRules>; waits?: Partial<ElectionTimeouts> } = {},
+): GroupSettings {
+  const names = Array.from({ length: voters + spares }, (_, at) => `m${at + 1}`);
+  const clockRates = names.map((_, at) => 1 + clockSpread * (((seed + at * 2) % 3) - 1));
+  return {
+    names,
+    wantedVoters: voters,
+    clockRates,
+    seed,
+    waits: { ...defaultReplicationTimeouts, ...change.waits },
+    replaceAfterMs: defaultReplicationTimeouts.replaceAfterMs,
+    provenAfterMs: defaultReplicationTimeouts.responsiveAfterMs,
+    forgetAfterMs: defaultReplicationTimeouts.forgetAfterMs,
+    batchEntries: seed % 4 < 2 ? 1 : 8,
+    rules: { ...safetyRules, ...change.rules },
+  };
+}
--- a/src/model-checker/invariant-checks.ts
+++ b/src/model-checker/invariant-checks.ts
@@ -1,5 +1,5 @@
 import { majoritiesOverlap } from "../consensus/membership-change.js";
-import { Members } from "../consensus/members.js";
+import { type Members, membersIn } from "../consensus/members.js";
 import type { ModelMember } from "./model-member.js";
 
 /** A promise of the agreement that was broken, and by what. */
@@ -71,7 +71,7 @@
     if (known === undefined) {
       this.committed.set(index, { term, text, committedInTerm: state.term });
       this.lastCommittedIndex = Math.max(this.lastCommittedIndex, index);
-      const members = Members.in(text);
+      const members = membersIn(text);
       if (members !== undefined && index > this.latestMembersIndex) {
         if (!majoritiesOverlap(this.latestMembers, members))
           throw new InvariantViolation(
--- a/src/model-checker/member-group.ts
+++ b/src/model-checker/member-group.ts
@@ -1,4 +1,4 @@
-import { Members } from "../consensus/members.js";
+import { type Members, membersIn } from "../consensus/members.js";
 import { emptyContent } from "./disk-contents.js";
 import { InvariantChecks } from "./invariant-checks.js";
 import { OperationHistory } from "./history/operation-history.js";
@@ -151,13 +151,13 @@
       ({ disk }) =>
         disk.content?.entries.some(
           ({ index, text }) =>
-            index > this.checks.lastCommittedIndex && Members.in(text) !== undefined,
+            index > this.checks.lastCommittedIndex && membersIn(text) !== undefined,
         ) === true ||
         disk.pending.some(
           ({ content }) =>
             "records" in content &&
             content.records.some(
-              (record) => record.kind === "entry" && Members.in(record.text) !== undefined,
+              (record) => record.kind === "entry" && membersIn(record.text) !== undefined,
             ),
         ),
     );
--- a/src/model-checker/random-search.ts
+++ b/src/model-checker/random-search.ts
@@ -1,7 +1,7 @@
 import type { SafetyRules } from "../consensus/safety-rules.js";
 import type { ElectionTimeouts } from "../consensus/state.js";
 import { runRandomly, type Counterexample } from "./search-run.js";
-import { GroupSettings } from "./group-settings.js";
+import { type GroupSettings, groupSettingsOf } from "./group-settings.js";
 
 /** What is changed of production's rules and waits; nothing for production itself. */
 export interface RuleOverride {
@@ -27,7 +27,7 @@
 
 /** The group of a seed: three to five members, one or two spares. */
 export const settingsFor = (seed: number, alteration: RuleOverride): GroupSettings =>
-  GroupSettings.of(seed % 3 === 2 ? 5 : 3, 1 + (seed % 2), seed, alteration);
+  groupSettingsOf(seed % 3 === 2 ? 5 : 3, 1 + (seed % 2), seed, alteration);
 
 /** Runs of fixed length, seed after seed, until one breaks a promise or the steps are used up. */
 export const exploreRandomly = (extent: SearchLimits, alteration: RuleOverride = {}): Finding => {
--- a/src/proxy/admission-filter.ts
+++ b/src/proxy/admission-filter.ts
@@ -1,12 +1,12 @@
 /** The first filter: whether this daemon takes requests at all now. */
 import type { ClusterView } from "../cluster-view/cluster-view.js";
-import { Clock } from "../runtime/clock.js";
+import { type Clock, withTimeout } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import type { HeaderNames } from "./header-names.js";
 import type { ProxyRequest } from "./proxy-request.js";
 import type { RequestContext } from "./request-context.js";
 import type { NextHandler, RequestFilter } from "./request-filter.js";
-import { RequestOutcome } from "./request-outcome.js";
+import { type RequestOutcome, unavailableOutcome, rejectedOutcome } from "./request-outcome.js";
 import { RETRY_AFTER_MS } from "./retry-after.js";
 import type { ServingView } from "./serving-view.js";
 
@@ -49,19 +49,19 @@
   *handle(context: RequestContext, next: NextHandler): Task<RequestOutcome> {
     const { clusterView, servingView, headerNames, activeRequests } = this.options;
     if (this.isClosed)
-      return RequestOutcome.unavailable("This daemon is stopping.", RETRY_AFTER_MS.otherDaemon);
+      return unavailableOutcome("This daemon is stopping.", RETRY_AFTER_MS.otherDaemon);
     if (activeRequests.size > MAX_ACTIVE_REQUESTS)
-      return RequestOutcome.unavailable("This daemon has too much in hand.", RETRY_AFTER_MS.soon);
+      return unavailableOutcome("This daemon has too much in hand.", RETRY_AFTER_MS.soon);
     if (!servingView.isUsable) yield* this.awaitLease(context.clientRequest);
     if (clusterView.configSequence === 0)
-      return RequestOutcome.unavailable("No config is in force yet.", RETRY_AFTER_MS.viewSettled);
+      return unavailableOutcome("No config is in force yet.", RETRY_AFTER_MS.viewSettled);
     if (!servingView.isUsable)
-      return RequestOutcome.unavailable(
+      return unavailableOutcome(
         "This daemon's view is not proven fresh.",
         RETRY_AFTER_MS.viewSettled,
       );
     if (headerNames.clientRequestId !== undefined && context.requestId === undefined)
-      return RequestOutcome.rejected(400, "The request names no try.");
+      return rejectedOutcome(400, "The request names no try.");
     return yield* next();
   }
 
@@ -71,7 +71,7 @@
     const { deadline } = headerNames;
     const givenMs = deadline === undefined ? Number.NaN : Number(headers[deadline]);
     if (!(givenMs > 0) || this.leaseWaiters.length >= MAX_ACTIVE_REQUESTS) return;
-    yield* Clock.withTimeout<true>(
+    yield* withTimeout<true>(
       clock,
       Math.min(givenMs * LEASE_WAIT_FRACTION, MAX_LEASE_WAIT_MS),
       (done) => this.leaseWaiters.push(() => done(true)),
--- a/src/proxy/attempt-runner.ts
+++ b/src/proxy/attempt-runner.ts
@@ -5,7 +5,7 @@
 import type { EdgeCounts } from "../retry-budget/edge-counts.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
-import type { Registration } from "../state/state-machine.js";
+import type { Registration } from "../state/registration.js";
 import type { BulkAdmission } from "./bulk-admission.js";
 import type { HeaderNames } from "./header-names.js";
 import { endToEndHeaders } from "./hop-by-hop-headers.js";
--- a/src/proxy/header-names.ts
+++ b/src/proxy/header-names.ts
@@ -37,5 +37,4 @@
   proof: "connection",
 };
 
-/** The daemon's own protocol, where no adapter replaces it. */
-export const HeaderNames = { own: OWN_HEADER_NAMES };
+export const ownHeaderNames = OWN_HEADER_NAMES;
--- a/src/proxy/http-proxy.ts
+++ b/src/proxy/http-proxy.ts
@@ -21,7 +21,7 @@
 import type { ClientConnection, ProxyRequest } from "./proxy-request.js";
 import { newRequestContext, type RequestContext } from "./request-context.js";
 import { runFilters, type RequestFilter } from "./request-filter.js";
-import { ClientResponse, type RequestOutcome } from "./request-outcome.js";
+import { type ClientResponse, jsonResponse, type RequestOutcome } from "./request-outcome.js";
 import { MAX_BUFFERED_RESPONSE_BYTES, ResponseForwarder } from "./response-forwarder.js";
 import { RETRY_AFTER_MS, withSpreadRetryAfter } from "./retry-after.js";
 import { RetryHandler } from "./retry-handler.js";
@@ -140,7 +140,7 @@
     } catch (error) {
       this.log.error("request handler failed", error);
       client.respond(
-        ClientResponse.json(500, {
+        jsonResponse(500, {
           error: "The daemon broke down over this request.",
           verdict: "mayHaveRun",
         }),
@@ -158,7 +158,7 @@
       if (context.isStreaming) context.client.abort();
       else
         context.client.respond(
-          ClientResponse.json(
+          jsonResponse(
             504,
             {
               error: "This daemon stops before the back end returned.",
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -2,12 +2,20 @@
 import { createHash } from "node:crypto";
 import type { CommandForwarder } from "../../cluster-view/command-forwarder.js";
 import { normalizedHost } from "../../cluster-view/route-table.js";
-import { ClaimResponse, overloadedResponse, type Command } from "../../control-protocol/command.js";
-import { Clock } from "../../runtime/clock.js";
-import { Runtime } from "../../runtime/runtime.js";
+import { type ClaimResponse, readClaimResponse } from "../../control-protocol/claim-response.js";
+import { overloadedResponse } from "../../control-protocol/command-response.js";
+import type { Command } from "../../control-protocol/command.js";
+import { sleep } from "../../runtime/clock.js";
+import { type Runtime, startTask } from "../../runtime/runtime.js";
 import type { Task } from "../../runtime/task.js";
-import { ProxyRequest } from "../proxy-request.js";
-import { RequestOutcome } from "../request-outcome.js";
+import { type ProxyRequest, requestPath } from "../proxy-request.js";
+import {
+  type RequestOutcome,
+  forwardedOutcome,
+  failedOutcome,
+  unavailableOutcome,
+  rejectedOutcome,
+} from "../request-outcome.js";
 import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
 import type { OutcomeReplicator } from "./outcome-replicator.js";
 
@@ -83,7 +91,7 @@
   hashOf(
     normalizedHost(clientRequest.headers["host"] ?? ""),
     clientRequest.method,
-    ProxyRequest.path(clientRequest),
+    requestPath(clientRequest),
     key,
   );
 
@@ -94,21 +102,21 @@
   switch (outcome.kind) {
     case "ran": {
       const { code, headers, body } = outcome.response;
-      return RequestOutcome.forwarded({
+      return forwardedOutcome({
         code,
         headers: { ...headers, "x-daledoor-repeated": "true" },
         body,
       });
     }
     case "ranNotKept":
-      return RequestOutcome.failed(
+      return failedOutcome(
         502,
         "The first request with this key ran; its response is not kept.",
         "ran",
         LOST_RESPONSE_RETRY_AFTER_MS,
       );
     case "mayHaveRun":
-      return RequestOutcome.failed(
+      return failedOutcome(
         502,
         "The first request with this key may have run; its response was lost.",
         "mayHaveRun",
@@ -173,9 +181,7 @@
         return { kind: "claimed", claim };
       }
       if ("full" in response)
-        return answered(
-          RequestOutcome.unavailable("Too many keys are held.", TABLE_FULL_RETRY_AFTER_MS),
-        );
+        return answered(unavailableOutcome("Too many keys are held.", TABLE_FULL_RETRY_AFTER_MS));
       const outcome = yield* this.answerRepeat(pending, response.held);
       if (outcome) return answered(outcome);
       replacedId = response.held.job;
@@ -218,7 +224,7 @@
     };
     const text = yield* this.forwarder.command(command, timeoutMs);
     if (text === undefined || text === overloadedResponse) return undefined;
-    return ClaimResponse.read(text);
+    return readClaimResponse(text);
   }
 
   /** The answer to a request whose key is claimed already; undefined where the existing claim may be replaced. */
@@ -228,7 +234,7 @@
   ): Task<RequestOutcome | undefined> {
     if (existing.bodyHash !== bodyHash) {
       this.outcomes.note(request, { kind: "neverRan" });
-      return RequestOutcome.rejected(422, "This key came before with another body.");
+      return rejectedOutcome(422, "This key came before with another body.");
     }
     const waitMs = Math.min(OUTCOME_WAIT_MS, (deadlineMs - startedMs) / 2);
     const outcome = yield* this.awaitOutcome(request.scope, existing, startedMs + waitMs);
@@ -241,14 +247,11 @@
   /** Ends a claim whose fate is unknown: its request is never sent, so that a repeat may replace the claim. */
   private giveUp(request: KeyedRequest): RequestOutcome {
     this.outcomes.note(request, { kind: "neverRan" });
-    return RequestOutcome.unavailable(
-      "The key could not be claimed in the record.",
-      this.retryAfterMs,
-    );
+    return unavailableOutcome("The key could not be claimed in the record.", this.retryAfterMs);
   }
 
   private inProgressOutcome(): RequestOutcome {
-    return RequestOutcome.failed(
+    return failedOutcome(
       409,
       "The first request with this key is still in hand.",
       "mayHaveRun",
@@ -258,7 +261,7 @@
 
   /** The daemon that the first request went through can't be reached now. */
   private unreachableOutcome(): RequestOutcome {
-    return RequestOutcome.failed(
+    return failedOutcome(
       502,
       "Nobody who was reached can tell whether the first request with this key ran.",
       "mayHaveRun",
@@ -281,7 +284,7 @@
       if (outcome === "unknown") return { kind: "mayHaveRun" };
       if (outcome !== "unreachable" && outcome.kind !== "inHand") return outcome;
       if (clock.nowMs() + OUTCOME_POLL_INTERVAL_MS > untilMs) return outcome;
-      yield* Clock.sleep(clock, OUTCOME_POLL_INTERVAL_MS);
+      yield* sleep(clock, OUTCOME_POLL_INTERVAL_MS);
     }
   }
 
@@ -291,7 +294,7 @@
 
   private start(task: Task): void {
     this.activeTasks += 1;
-    Runtime.start(this.runtime, "proxy", task, () => {
+    startTask(this.runtime, "proxy", task, () => {
       this.activeTasks -= 1;
     });
   }
--- a/src/proxy/idempotency/idempotency-filter.ts
+++ b/src/proxy/idempotency/idempotency-filter.ts
@@ -1,13 +1,13 @@
 /** The last filter: claims the idempotency key of a request, so that it runs at most once in the cluster. */
 import type { ActiveRoute } from "../../cluster-view/active-route.js";
 import type { ClusterView } from "../../cluster-view/cluster-view.js";
-import { safeMethods } from "../../configuration/config.js";
+import { safeMethods } from "../../configuration/config-shape.js";
 import type { Task } from "../../runtime/task.js";
 import { isFirstAttempt } from "../first-attempt.js";
 import type { HeaderNames } from "../header-names.js";
 import type { RequestContext } from "../request-context.js";
 import type { NextHandler, RequestFilter } from "../request-filter.js";
-import { RequestOutcome } from "../request-outcome.js";
+import { type RequestOutcome, rejectedOutcome, unavailableOutcome } from "../request-outcome.js";
 import { RETRY_AFTER_MS } from "../retry-after.js";
 import type { IdempotencyClaims } from "./idempotency-claims.js";
 
@@ -30,12 +30,12 @@
   if (key === undefined)
     return {
       kind: "invalid",
-      outcome: RequestOutcome.rejected(400, `This route wants the header ${keyHeader}.`),
+      outcome: rejectedOutcome(400, `This route wants the header ${keyHeader}.`),
     };
   if (key.length === 0 || key.length > MAX_KEY_LENGTH)
     return {
       kind: "invalid",
-      outcome: RequestOutcome.rejected(400, "A key has 1 to 200 characters."),
+      outcome: rejectedOutcome(400, "A key has 1 to 200 characters."),
     };
   return { kind: "keyed", key };
 };
@@ -57,7 +57,7 @@
     if (check.kind === "unkeyed") return yield* next();
     if (check.kind === "invalid") return check.outcome;
     if (!this.clusterView.holdsLease)
-      return RequestOutcome.unavailable(
+      return unavailableOutcome(
         "This daemon's view is not proven fresh.",
         RETRY_AFTER_MS.viewSettled,
       );
--- a/src/proxy/idempotency/keyed-outcome.ts
+++ b/src/proxy/idempotency/keyed-outcome.ts
@@ -1,6 +1,6 @@
 /** The outcome of a request with an idempotency key, and its encoding in RPC messages. */
 import { create, record, string } from "superstruct";
-import type { RpcMethod } from "../../rpc/rpc-method.js";
+import type { rpcMethods } from "../../rpc/rpc-method.js";
 import type { DecodedMessage } from "../../rpc/rpc-endpoint.js";
 import type { ClientResponse } from "../request-outcome.js";
 
@@ -22,7 +22,7 @@
   | { readonly kind: "ran"; readonly response: ClientResponse };
 
 /** An outcome in an RPC message; `unknown` where the daemon has no record of the request. */
-export type OutcomeMessage = DecodedMessage<typeof RpcMethod.keyedOutcome.response>;
+export type OutcomeMessage = DecodedMessage<typeof rpcMethods.keyedOutcome.response>;
 
 /** By the number that stands for each in a message. */
 const MESSAGE_KINDS = ["unknown", "inHand", "neverRan", "ran", "ranNotKept", "mayHaveRun"] as const;
@@ -36,20 +36,17 @@
   body: Uint8Array.from(body),
 });
 
-/** The encoding of outcomes in RPC messages. */
-export const KeyedOutcome = {
-  /** The message that states an outcome, or `unknown` for undefined. */
-  message(outcome: KeyedOutcome | undefined): OutcomeMessage {
-    const state = MESSAGE_KINDS.indexOf(outcome?.kind ?? "unknown");
-    if (outcome?.kind !== "ran") return { state, ...EMPTY_RESPONSE };
-    const { code, headers, body } = outcome.response;
-    return { state, code, headers: JSON.stringify(headers), body };
-  },
+/** The message that states an outcome, or `unknown` for undefined. */
+export function encodeKeyedOutcome(outcome: KeyedOutcome | undefined): OutcomeMessage {
+  const state = MESSAGE_KINDS.indexOf(outcome?.kind ?? "unknown");
+  if (outcome?.kind !== "ran") return { state, ...EMPTY_RESPONSE };
+  const { code, headers, body } = outcome.response;
+  return { state, code, headers: JSON.stringify(headers), body };
+}
 
-  /** The outcome that a message states; undefined for `unknown`, and for a kind that only a later build knows. */
-  read(message: OutcomeMessage): KeyedOutcome | undefined {
-    const kind = MESSAGE_KINDS[message.state];
-    if (kind === undefined || kind === "unknown") return undefined;
-    return kind === "ran" ? { kind, response: responseOf(message) } : { kind };
-  },
-};
+/** The outcome that a message states; undefined for `unknown`, and for a kind that only a later build knows. */
+export function decodeKeyedOutcome(message: OutcomeMessage): KeyedOutcome | undefined {
+  const kind = MESSAGE_KINDS[message.state];
+  if (kind === undefined || kind === "unknown") return undefined;
+  return kind === "ran" ? { kind, response: responseOf(message) } : { kind };
+}
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -1,8 +1,13 @@
 /** Replication of the outcomes of keyed requests beside the replicated log. */
-import { RpcMethod } from "../../rpc/rpc-method.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import type { Task } from "../../runtime/task.js";
-import { KeyedOutcome, type KeyedRequest } from "./keyed-outcome.js";
+import {
+  type KeyedOutcome,
+  decodeKeyedOutcome,
+  encodeKeyedOutcome,
+  type KeyedRequest,
+} from "./keyed-outcome.js";
 import type { OutcomeCache } from "./outcome-cache.js";
 
 /** A replica of the log that stores outcomes for other daemons. */
@@ -47,13 +52,13 @@
   /** Serves the requests of other daemons to store outcomes and to look them up. */
   serve(): void {
     const { cache } = this;
-    this.rpc.serve(RpcMethod.replicateOutcome, function* ({ scope, job, ...message }) {
-      const outcome = KeyedOutcome.read(message);
+    this.rpc.serve(rpcMethods.replicateOutcome, function* ({ scope, job, ...message }) {
+      const outcome = decodeKeyedOutcome(message);
       if (outcome) cache.note({ scope, requestId: job }, outcome);
       return { isKept: outcome !== undefined };
     });
-    this.rpc.serve(RpcMethod.keyedOutcome, function* ({ scope, job }) {
-      return KeyedOutcome.message(cache.find({ scope, requestId: job }));
+    this.rpc.serve(rpcMethods.keyedOutcome, function* ({ scope, job }) {
+      return encodeKeyedOutcome(cache.find({ scope, requestId: job }));
     });
   }
 
@@ -78,8 +83,8 @@
       if (holder === this.rpc.self) continue;
       yield* this.rpc.call(
         holder,
-        RpcMethod.replicateOutcome,
-        { scope, job: requestId, ...KeyedOutcome.message(outcome) },
+        rpcMethods.replicateOutcome,
+        { scope, job: requestId, ...encodeKeyedOutcome(outcome) },
         STORE_TIMEOUT_MS,
       );
     }
@@ -105,11 +110,11 @@
       }
       const response = yield* this.rpc.call(
         holder,
-        RpcMethod.keyedOutcome,
+        rpcMethods.keyedOutcome,
         { scope, job: requestId },
         LOOKUP_TIMEOUT_MS,
       );
-      const outcome = response && KeyedOutcome.read(response);
+      const outcome = response && decodeKeyedOutcome(response);
       if (outcome) return outcome;
       isOwnerReached ||= holder === owner && response !== undefined;
     }
--- a/src/proxy/outcome-rules.ts
+++ b/src/proxy/outcome-rules.ts
@@ -1,6 +1,11 @@
 /** What follows from the way an attempt at a backend ended: one table for the proxy, its tests and docs/control.md. */
 import type { ActiveRoute } from "../cluster-view/active-route.js";
-import { RequestOutcome, type ExecutionStatus } from "./request-outcome.js";
+import {
+  type RequestOutcome,
+  unavailableOutcome,
+  failedOutcome,
+  type ExecutionStatus,
+} from "./request-outcome.js";
 
 /**
  * How an attempt at a backend can end.
@@ -134,8 +139,8 @@
 export const outcomeOfFailure = (cause: FailureCause, afterMs: number): RequestOutcome => {
   const { execution, clientStatus, why } = FAILURE_RULES[cause];
   return clientStatus === 503
-    ? RequestOutcome.unavailable(why, afterMs)
-    : RequestOutcome.failed(clientStatus, why, execution, afterMs);
+    ? unavailableOutcome(why, afterMs)
+    : failedOutcome(clientStatus, why, execution, afterMs);
 };
 
 /**
--- a/src/proxy/pipelining-filter.ts
+++ b/src/proxy/pipelining-filter.ts
@@ -2,7 +2,7 @@
 import type { Task } from "../runtime/task.js";
 import type { RequestContext } from "./request-context.js";
 import type { NextHandler, RequestFilter } from "./request-filter.js";
-import { RequestOutcome } from "./request-outcome.js";
+import { type RequestOutcome, unavailableOutcome } from "./request-outcome.js";
 import { RETRY_AFTER_MS } from "./retry-after.js";
 
 /**
@@ -13,7 +13,7 @@
   *handle({ route, client }: RequestContext, next: NextHandler): Task<RequestOutcome> {
     const isRepeatable = route?.repeatable === true;
     if (!isRepeatable && client.awaitEarlierResponses && !(yield* client.awaitEarlierResponses()))
-      return RequestOutcome.unavailable(
+      return unavailableOutcome(
         "The answer before this one closed the connection.",
         RETRY_AFTER_MS.otherDaemon,
       );
--- a/src/proxy/proxy-request.ts
+++ b/src/proxy/proxy-request.ts
@@ -34,11 +34,8 @@
   abort(): void;
 }
 
-/** Reads requests. */
-export const ProxyRequest = {
-  /** The path without its query. */
-  path(clientRequest: ProxyRequest): string {
-    const queryIndex = clientRequest.target.indexOf("?");
-    return queryIndex < 0 ? clientRequest.target : clientRequest.target.slice(0, queryIndex);
-  },
-};
+/** The path without its query. */
+export function requestPath(clientRequest: ProxyRequest): string {
+  const queryIndex = clientRequest.target.indexOf("?");
+  return queryIndex < 0 ? clientRequest.target : clientRequest.target.slice(0, queryIndex);
+}
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -20,7 +20,8 @@
   readonly afterMs?: number;
 }
 
-const json = (
+/** A response with a JSON body that ends in a line feed. */
+export const jsonResponse = (
   code: number,
   body: Record<string, unknown>,
   headers: Record<string, string> = {},
@@ -30,11 +31,7 @@
   body: Buffer.from(`${JSON.stringify(body)}\n`),
 });
 
-/** Builds responses. */
-export const ClientResponse = {
-  /** A response with a JSON body and a line feed after it. */
-  json,
-};
+/** A response with a JSON body and a line feed after it. */
 
 /** When clients had better retry where nothing more is known. */
 const DEFAULT_RETRY_AFTER_MS = 1000;
@@ -49,38 +46,35 @@
   execution,
   why,
   afterMs,
-  response: json(
+  response: jsonResponse(
     code,
     { error: why, verdict: execution, retryAfterS: afterMs / 1000 },
     { "retry-after": String(Math.ceil(afterMs / 1000)) },
   ),
 });
 
-/** Builds outcomes. */
-export const RequestOutcome = {
-  /** 503: the request has not run and won't; the client may retry. */
-  unavailable: (why: string, afterMs = DEFAULT_RETRY_AFTER_MS): RequestOutcome =>
-    withRetryAfter(503, why, "neverRan", afterMs),
+/** 503: the request has not run and won't; the client may retry. */
+export const unavailableOutcome = (why: string, afterMs = DEFAULT_RETRY_AFTER_MS): RequestOutcome =>
+  withRetryAfter(503, why, "neverRan", afterMs);
 
-  /** The request is invalid: a retry won't help. */
-  rejected(code: number, why: string): RequestOutcome {
-    return {
-      execution: "neverRan",
-      why,
-      response: json(code, { error: why, verdict: "neverRan" }),
-    };
-  },
+/** The request is invalid: a retry won't help. */
+export function rejectedOutcome(code: number, why: string): RequestOutcome {
+  return {
+    execution: "neverRan",
+    why,
+    response: jsonResponse(code, { error: why, verdict: "neverRan" }),
+  };
+}
 
-  /** The request ended without a backend's response, and may have run. */
-  failed: (
-    code: 409 | 502 | 504,
-    why: string,
-    execution: ExecutionStatus,
-    afterMs = DEFAULT_RETRY_AFTER_MS,
-  ): RequestOutcome => withRetryAfter(code, why, execution, afterMs),
+/** The request ended without a backend's response, and may have run. */
+export const failedOutcome = (
+  code: 409 | 502 | 504,
+  why: string,
+  execution: ExecutionStatus,
+  afterMs = DEFAULT_RETRY_AFTER_MS,
+): RequestOutcome => withRetryAfter(code, why, execution, afterMs);
 
-  /** A backend's response, unchanged. */
-  forwarded(response: ClientResponse): RequestOutcome {
-    return { execution: "ran", response, why: "" };
-  },
-};
+/** A backend's response, unchanged. */
+export function forwardedOutcome(response: ClientResponse): RequestOutcome {
+  return { execution: "ran", response, why: "" };
+}
--- a/src/proxy/response-forwarder.ts
+++ b/src/proxy/response-forwarder.ts
@@ -3,13 +3,13 @@
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { Logger } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
-import type { Registration } from "../state/state-machine.js";
+import type { Registration } from "../state/registration.js";
 import type { BulkAdmission } from "./bulk-admission.js";
 import type { HeaderNames } from "./header-names.js";
 import { endToEndHeaders } from "./hop-by-hop-headers.js";
 import { outcomeOfFailure, outcomeRuleOf, type FailureCause } from "./outcome-rules.js";
 import type { RequestContext } from "./request-context.js";
-import { RequestOutcome } from "./request-outcome.js";
+import { type RequestOutcome, forwardedOutcome } from "./request-outcome.js";
 import { RETRY_AFTER_MS } from "./retry-after.js";
 import type { BackendResponse } from "./upstream/backend-client.js";
 import { responseBodyEnd, responseHeadFault } from "./upstream/response-validation.js";
@@ -106,7 +106,7 @@
       headers["content-length"] = contentLength;
     const [first] = chunks;
     const body = chunks.length === 1 && first ? first : Buffer.concat(chunks);
-    return RequestOutcome.forwarded({ code: response.code, headers, body });
+    return forwardedOutcome({ code: response.code, headers, body });
   }
 
   /** Forwards a body as it arrives, first what was buffered of it; cuts the client's connection where it fails. */
--- a/src/proxy/retry-handler.ts
+++ b/src/proxy/retry-handler.ts
@@ -10,7 +10,7 @@
 import { mayRetry } from "./outcome-rules.js";
 import type { ProxyCounters } from "./proxy-counters.js";
 import type { RequestContext } from "./request-context.js";
-import { RequestOutcome } from "./request-outcome.js";
+import { type RequestOutcome, unavailableOutcome, rejectedOutcome } from "./request-outcome.js";
 import { RETRY_AFTER_MS } from "./retry-after.js";
 import type { ServingView } from "./serving-view.js";
 
@@ -54,7 +54,7 @@
   { uncertainOutcome }: RetryProgress,
   why: string,
   afterMs: number = RETRY_AFTER_MS.soon,
-): RequestOutcome => uncertainOutcome ?? RequestOutcome.unavailable(why, afterMs);
+): RequestOutcome => uncertainOutcome ?? unavailableOutcome(why, afterMs);
 
 /** The end of the chain: forwards requests, with retries. Keeps no state beyond a request. */
 export class RetryHandler {
@@ -99,7 +99,7 @@
     const route = servingView.routeFor(context.clientRequest);
     if (!route)
       return endWith(
-        progress.uncertainOutcome ?? RequestOutcome.rejected(404, "No route takes this request."),
+        progress.uncertainOutcome ?? rejectedOutcome(404, "No route takes this request."),
       );
     if (!servingView.maySend(context.clientRequest, route))
       return endWith(
--- a/src/proxy/routing-filter.ts
+++ b/src/proxy/routing-filter.ts
@@ -11,7 +11,7 @@
 import type { ProxyRequest } from "./proxy-request.js";
 import type { RequestContext } from "./request-context.js";
 import type { NextHandler, RequestFilter } from "./request-filter.js";
-import { RequestOutcome } from "./request-outcome.js";
+import { type RequestOutcome, rejectedOutcome, unavailableOutcome } from "./request-outcome.js";
 import { RETRY_AFTER_MS } from "./retry-after.js";
 import type { ServingView } from "./serving-view.js";
 
@@ -39,17 +39,14 @@
     const route = servingView.routeFor(context.clientRequest);
     if (!route)
       return clusterView.holdsLease
-        ? RequestOutcome.rejected(404, "No route takes this request.")
-        : RequestOutcome.unavailable(
-            "This daemon's view is not proven fresh.",
-            RETRY_AFTER_MS.viewSettled,
-          );
+        ? rejectedOutcome(404, "No route takes this request.")
+        : unavailableOutcome("This daemon's view is not proven fresh.", RETRY_AFTER_MS.viewSettled);
     context.route = route;
     context.service = route.choose(context.splitDraw);
     context.deadlineMs = context.arrivedMs + this.timeoutMs(context.clientRequest, route);
     context.client.dueMs = context.arrivedMs + route.latencyTargetMs;
     if (!this.admitsResponse(context, route))
-      return RequestOutcome.unavailable(
+      return unavailableOutcome(
         "This daemon's link is full for as long as there is time.",
         RETRY_AFTER_MS.otherDaemon,
       );
--- a/src/proxy/serving-view.ts
+++ b/src/proxy/serving-view.ts
@@ -3,7 +3,7 @@
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { LinkPacer } from "../runtime/link-pacer.js";
 import type { ExpiredLeasePolicy } from "./expired-lease-policy.js";
-import { ProxyRequest } from "./proxy-request.js";
+import { type ProxyRequest, requestPath } from "./proxy-request.js";
 
 /** Decides by the lease of the view, and by the policy for expired leases. Keeps no state of its own. */
 export class ServingView {
@@ -40,7 +40,7 @@
   routeFor(clientRequest: ProxyRequest): ActiveRoute | undefined {
     return this.clusterView.routeTable.find(
       clientRequest.method,
-      ProxyRequest.path(clientRequest),
+      requestPath(clientRequest),
       clientRequest.headers["host"] ?? "",
     );
   }
--- a/src/proxy/upstream/backend-connection.ts
+++ b/src/proxy/upstream/backend-connection.ts
@@ -3,7 +3,7 @@
 import { Client } from "undici";
 import type { Clock } from "../../runtime/clock.js";
 import { Address } from "../../runtime/network.js";
-import { Task } from "../../runtime/task.js";
+import { type Task, waitFor } from "../../runtime/task.js";
 import { openFailure, type OpenFailure } from "./backend-client.js";
 import { ConnectionClosedError } from "./connection-errors.js";
 
@@ -22,7 +22,7 @@
   address: string,
   timeoutMs: number,
 ): Task<OpenedSocket | OpenFailure> {
-  return yield* Task.wait<OpenedSocket | OpenFailure>((done) => {
+  return yield* waitFor<OpenedSocket | OpenFailure>((done) => {
     const socket = connect({ ...Address.parts(address), noDelay: true });
     const cancelTimeout = clock.after(timeoutMs, () => {
       socket.destroy();
--- a/src/proxy/upstream/http-backend-client.ts
+++ b/src/proxy/upstream/http-backend-client.ts
@@ -1,7 +1,7 @@
 /** A backend client over HTTP/1.1 by undici, whose own pools, retries and pipelining stay unused. */
 import type { Clock } from "../../runtime/clock.js";
-import { LinkPacers } from "../../runtime/link-pacer.js";
-import { Task } from "../../runtime/task.js";
+import { type LinkPacers, linkPacersOf } from "../../runtime/link-pacer.js";
+import { type Task, fromPromise } from "../../runtime/task.js";
 import type { HeaderNames } from "../header-names.js";
 import {
   CONNECT_TIMEOUT_MS,
@@ -47,7 +47,7 @@
     const {
       proof = "connection",
       connectTimeoutMs = CONNECT_TIMEOUT_MS,
-      pacers = LinkPacers.of(clock, undefined),
+      pacers = linkPacersOf(clock, undefined),
     } = options;
     this.clock = clock;
     this.provesConnections = proof === "connection";
@@ -118,7 +118,7 @@
     const cancelTimeout = this.clock.after(this.connectTimeoutMs, () =>
       this.pool.reset(connection),
     );
-    const named = yield* Task.fromPromise(
+    const named = yield* fromPromise(
       connection.client
         .request({ method: "GET", path: SERVICE_PROOF_PATH })
         .then(async ({ headers, body }) => body.dump().then(() => headers[SERVICE_HEADER])),
--- a/src/proxy/upstream/http-exchange.ts
+++ b/src/proxy/upstream/http-exchange.ts
@@ -2,7 +2,7 @@
 import { errors } from "undici";
 import type { Clock } from "../../runtime/clock.js";
 import type { LinkPacers } from "../../runtime/link-pacer.js";
-import { Task } from "../../runtime/task.js";
+import { type Task, waitFor } from "../../runtime/task.js";
 import {
   openedResponse,
   openFailure,
@@ -150,7 +150,7 @@
   connection: BackendConnection,
   attempt: BackendAttempt,
 ): Task<ExchangeResult> {
-  return yield* Task.wait<ExchangeResult>((done) =>
+  return yield* waitFor<ExchangeResult>((done) =>
     new HttpExchange({ ...options, connection, attempt, done }).start(),
   );
 };
--- a/src/proxy/upstream/response-reader.ts
+++ b/src/proxy/upstream/response-reader.ts
@@ -1,7 +1,7 @@
 /** Reads one response as it arrives, and pauses the backend while too much of it is unread. */
 import type { Dispatcher } from "undici";
 import type { LinkPacer, Transfer } from "../../runtime/link-pacer.js";
-import { Task } from "../../runtime/task.js";
+import { type Task, waitFor } from "../../runtime/task.js";
 import { ResponseBufferOverflowError } from "./connection-errors.js";
 
 /** How much of a response is buffered before the backend is paused. */
@@ -136,7 +136,7 @@
         return chunk;
       }
       if (this.ending !== undefined) return this.ending;
-      yield* Task.wait<true>((done) => {
+      yield* waitFor<true>((done) => {
         this.resumeReader = () => done(true);
       });
     }
--- a/src/replication/bootstrap/bootstrap-status.ts
+++ b/src/replication/bootstrap/bootstrap-status.ts
@@ -2,7 +2,7 @@
 import type { Members } from "../../consensus/members.js";
 import type { MemberStage } from "../../consensus/member-rights.js";
 import type { DecodedMessage } from "../../rpc/rpc-endpoint.js";
-import type { RpcMethod } from "../../rpc/rpc-method.js";
+import type { rpcMethods } from "../../rpc/rpc-method.js";
 import type { Task } from "../../runtime/task.js";
 
 /** A node's own status: how far it is part of a fleet's log, and which members that log began with. */
@@ -24,10 +24,10 @@
 }
 
 /** What a daemon sends when it probes another. */
-export type ProbeRequest = DecodedMessage<typeof RpcMethod.discover.request>;
+export type ProbeRequest = DecodedMessage<typeof rpcMethods.discover.request>;
 
 /** What a daemon replies when it is probed, as it travels. */
-export type ProbeResponse = DecodedMessage<typeof RpcMethod.discover.response>;
+export type ProbeResponse = DecodedMessage<typeof rpcMethods.discover.response>;
 
 /** The state of a probed daemon: its node's stage, `none` where it has no node, or a value that this build doesn't know. */
 export type PeerState = MemberStage | "none" | "unknown";
--- a/src/replication/bootstrap/cluster-bootstrap.ts
+++ b/src/replication/bootstrap/cluster-bootstrap.ts
@@ -4,11 +4,11 @@
  */
 import type { Members } from "../../consensus/members.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
-import { RpcMethod } from "../../rpc/rpc-method.js";
-import { Clock } from "../../runtime/clock.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
+import { sleep } from "../../runtime/clock.js";
 import type { Logger } from "../../runtime/logger.js";
-import { Runtime } from "../../runtime/runtime.js";
-import { Task } from "../../runtime/task.js";
+import { type Runtime, randomNonce, startTask } from "../../runtime/runtime.js";
+import { type Task, runAll } from "../../runtime/task.js";
 import {
   encodePeerState,
   hasFormed,
@@ -19,7 +19,7 @@
   type ProbeRequest,
   type ProbeResponse,
 } from "./bootstrap-status.js";
-import { NodeLocation } from "./node-location.js";
+import { type NodeLocation, chooseMembers, wantedVoterCount } from "./node-location.js";
 import { PeerProber, PROBE_TIMEOUT_MS } from "./peer-prober.js";
 
 /** What a daemon knows besides: who leads, and which nodes of the replicated log there are. */
@@ -89,7 +89,7 @@
     this.hints = hints;
     this.log = runtime.loggers.component("record");
     this.prober = new PeerProber(runtime, rpc, location.self);
-    this.incarnation = Runtime.nonce(runtime);
+    this.incarnation = randomNonce(runtime);
   }
 
   /** Has a node take part; called before the bootstrap runs. */
@@ -109,7 +109,7 @@
   /** Serves the probes of other daemons. */
   serve(): void {
     const respond = (request: ProbeRequest): Task<ProbeResponse> => this.onProbe(request);
-    this.rpc.serve(RpcMethod.discover, (request) => respond(request));
+    this.rpc.serve(rpcMethods.discover, (request) => respond(request));
   }
 
   /** Probes others for as long as the daemon runs. */
@@ -117,11 +117,11 @@
     const { clock } = this.runtime;
     for (;;) {
       const { state } = this;
-      if (state === "loading") yield* Clock.sleep(clock, LOADING_INTERVAL_MS);
+      if (state === "loading") yield* sleep(clock, LOADING_INTERVAL_MS);
       else if (state === "formed") {
         this.isLogKnown = true;
         yield* this.prober.probeAll(this.location.seeds(), this.probeRequest);
-        yield* Clock.sleep(clock, FORMED_INTERVAL_MS);
+        yield* sleep(clock, FORMED_INTERVAL_MS);
       } else {
         const known = this.discovered;
         if (state !== "none" || this.mayInitiate) yield* this.runRound();
@@ -129,7 +129,7 @@
         const intervalMs = isNew
           ? DISCOVERY_INTERVAL_MS
           : ROUND_INTERVAL_MS * (1 + this.runtime.random());
-        yield* Clock.sleep(clock, intervalMs);
+        yield* sleep(clock, intervalMs);
       }
     }
   }
@@ -272,7 +272,7 @@
     const haveAll = seeds.every((seed) => seed === this.location.self || statuses.has(seed));
     const waitMs = haveAll ? CANDIDATE_WAIT_MS.all : CANDIDATE_WAIT_MS.some;
     if (nowMs - this.candidatesSinceMs < waitMs) return;
-    const fleet = Runtime.nonce(this.runtime);
+    const fleet = randomNonce(this.runtime);
     this.formation = { fleet, members, startedMs: nowMs };
     this.log.info("forming the log", { fleet, ...members });
     yield* this.complete(fleet, members, statuses);
@@ -283,11 +283,11 @@
     const candidates = [...statuses]
       .filter(([, { state, founds }]) => state === "empty" && founds)
       .map(([peer, { machine, zone }]) => ({ peer, machine, zone }));
-    const members = damaged ? undefined : NodeLocation.choose(this.location, candidates);
+    const members = damaged ? undefined : chooseMembers(this.location, candidates);
     if (!members)
       this.warnWaiting("waiting for candidates to form the log", {
         candidates: candidates.map(({ machine }) => machine),
-        voters: NodeLocation.voters(this.location),
+        voters: wantedVoterCount(this.location),
         damaged,
       });
     return members;
@@ -333,7 +333,7 @@
       if (peer !== self) tasks.push(prober.probe(peer, request, FORM_TIMEOUT_MS, statuses));
       else if (member) tasks.push(member.form(fleet, { voters, learners }));
     }
-    yield* Task.all((task) => Runtime.start(this.runtime, "record", task), tasks);
+    yield* runAll((task) => startTask(this.runtime, "record", task), tasks);
     if (member) statuses.set(self, this.ownStatus);
   }
 
@@ -347,7 +347,7 @@
     const others = [...voters, ...learners].filter((peer) => peer !== this.location.self);
     for (const peer of others) {
       const opening = this.prober.probe(peer, request, PROBE_TIMEOUT_MS, statuses);
-      Runtime.start(this.runtime, "record", opening);
+      startTask(this.runtime, "record", opening);
     }
   }
 
--- a/src/replication/bootstrap/node-formation.ts
+++ b/src/replication/bootstrap/node-formation.ts
@@ -4,11 +4,12 @@
 import { restoredState } from "../../consensus/state.js";
 import type { Logger } from "../../runtime/logger.js";
 import { Queue } from "../../runtime/queue.js";
-import { Runtime } from "../../runtime/runtime.js";
-import { Task } from "../../runtime/task.js";
+import { type Runtime, randomNonce } from "../../runtime/runtime.js";
+import { type Task, waitFor } from "../../runtime/task.js";
 import type { StateMachine } from "../../state/state-machine.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
-import type { DurableState, LoadResult, LogStore } from "../log/log-store.js";
+import type { DurableState } from "../log/durable-state.js";
+import type { LoadResult, LogStore } from "../log/log-store.js";
 import type { LogWriter } from "../log/log-writer.js";
 import type { BootstrapMember, BootstrapStatus } from "./bootstrap-status.js";
 
@@ -93,7 +94,7 @@
   *rejoin(fleet: string, { voters, learners }: Members): Task {
     const { runtime, log } = this.options;
     if (this.isWriting || (this.isFormed && !this.isForming)) return;
-    const durableState = this.emptyState(fleet, Runtime.nonce(runtime), { voters, learners });
+    const durableState = this.emptyState(fleet, randomNonce(runtime), { voters, learners });
     yield* this.write(durableState);
     log.warn("rejoin started", { fleet });
     this.adopt(durableState);
@@ -122,7 +123,7 @@
   private *write(durableState: DurableState): Task {
     const { writer } = this.options;
     this.isWriting = true;
-    yield* Task.wait<boolean>((done) => writer.writeSnapshot(durableState, () => done(true)));
+    yield* waitFor<boolean>((done) => writer.writeSnapshot(durableState, () => done(true)));
     this.isWriting = false;
   }
 
--- a/src/replication/bootstrap/peer-prober.ts
+++ b/src/replication/bootstrap/peer-prober.ts
@@ -1,8 +1,8 @@
 /** Probes other daemons for their bootstrap status. */
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
-import { RpcMethod } from "../../rpc/rpc-method.js";
-import { Runtime } from "../../runtime/runtime.js";
-import { Task } from "../../runtime/task.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
+import { type Runtime, startTask } from "../../runtime/runtime.js";
+import { type Task, waitFor } from "../../runtime/task.js";
 import { decodePeerStatus, type PeerStatus, type ProbeRequest } from "./bootstrap-status.js";
 
 /** How long the reply to a probe is awaited. */
@@ -27,7 +27,7 @@
     timeoutMs: number,
     statuses: Map<string, PeerStatus>,
   ): Task {
-    const response = yield* this.rpc.call(peer, RpcMethod.discover, request, timeoutMs);
+    const response = yield* this.rpc.call(peer, rpcMethods.discover, request, timeoutMs);
     if (response) statuses.set(peer, decodePeerStatus(response));
   }
 
@@ -41,10 +41,10 @@
     const others = peers.filter((peer) => peer !== this.self);
     let pendingCount = others.length;
     if (pendingCount === 0) return statuses;
-    yield* Task.wait<boolean>((done) => {
+    yield* waitFor<boolean>((done) => {
       for (const peer of others) {
         const probing = this.probe(peer, request, PROBE_TIMEOUT_MS, statuses);
-        Runtime.start(this.runtime, "record", probing, () => {
+        startTask(this.runtime, "record", probing, () => {
           pendingCount -= 1;
           const status = statuses.get(peer);
           if (pendingCount === 0 || (status && suffices(status))) done(true);
--- a/src/replication/bootstrap/restore-as-only-voter.ts
+++ b/src/replication/bootstrap/restore-as-only-voter.ts
@@ -1,7 +1,7 @@
 /** Restores a log whose majority is lost for good from one member's disk. */
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
-import { LogCommand } from "../../state/state-machine.js";
+import { encodeLogCommand } from "../../state/log-command.js";
 import { LogStore } from "../log/log-store.js";
 
 /** The result of a restore, or why it was refused. */
@@ -27,8 +27,8 @@
   const term = durableState.term + 1;
   const lastIndex = durableState.lastIndex + durableState.entries.length;
   const added = [
-    LogCommand.text({ kind: "members", voters: [self], learners: [] }),
-    LogCommand.text({
+    encodeLogCommand({ kind: "members", voters: [self], learners: [] }),
+    encodeLogCommand({
       kind: "note",
       text: `An operator restored the record from ${self} alone, in term ${term}.`,
     }),
--- a/src/replication/history/config-history.ts
+++ b/src/replication/history/config-history.ts
@@ -1,7 +1,7 @@
 /** The accepted configs on a member's disk. */
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
-import type { AcceptedConfig } from "../../state/state-machine.js";
+import type { AcceptedConfig } from "../../state/accepted-config.js";
 import {
   encodeCompleteConfig,
   encodeNextConfig,
--- a/src/replication/history/history-format.ts
+++ b/src/replication/history/history-format.ts
@@ -5,8 +5,8 @@
   acceptedConfigShape,
   storedConfig,
   type AcceptedConfig,
-} from "../../state/state-machine.js";
-import { TextDelta, textDeltaShape } from "../../state/text-delta.js";
+} from "../../state/accepted-config.js";
+import { textDeltaBetween, applyTextDelta, textDeltaShape } from "../../state/text-delta.js";
 import { readRecords, withChecksum } from "../log/checksum.js";
 
 /**
@@ -32,12 +32,12 @@
 
 const encodeDelta = (previous: AcceptedConfig, config: AcceptedConfig): Buffer => {
   const { text, delta, ...rest } = config;
-  return encodeRecord({ ...rest, delta: delta ?? TextDelta.between(previous.text, text) });
+  return encodeRecord({ ...rest, delta: delta ?? textDeltaBetween(previous.text, text) });
 };
 
 const decodeDelta = (previous: AcceptedConfig, body: Buffer): AcceptedConfig => {
   const { delta, ...rest } = create(decodeRecord(body), deltaShape);
-  return { ...rest, text: TextDelta.apply(previous.text, delta) };
+  return { ...rest, text: applyTextDelta(previous.text, delta) };
 };
 
 /** The record of a complete config. */
--- a/src/replication/history/history-service.ts
+++ b/src/replication/history/history-service.ts
@@ -1,11 +1,12 @@
 /** Stores accepted configs on this member's disk, fetches missing ones from other members, and reads them back. */
 import type { DecodedMessage, RpcEndpoint } from "../../rpc/rpc-endpoint.js";
-import { RpcMethod } from "../../rpc/rpc-method.js";
-import { Clock } from "../../runtime/clock.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
+import { sleep } from "../../runtime/clock.js";
 import type { Logger } from "../../runtime/logger.js";
 import type { Runtime } from "../../runtime/runtime.js";
-import { Task } from "../../runtime/task.js";
-import type { AcceptedConfig, StateMachine } from "../../state/state-machine.js";
+import { type Task, waitFor } from "../../runtime/task.js";
+import type { AcceptedConfig } from "../../state/accepted-config.js";
+import type { StateMachine } from "../../state/state-machine.js";
 import type { LogWriter } from "../log/log-writer.js";
 import { CONFIGS_PER_FILE, ConfigHistory, type SequenceRange } from "./config-history.js";
 
@@ -81,7 +82,7 @@
 
   /** Serves the configs that are stored here to other members. */
   serve(): void {
-    this.options.rpc.serve(RpcMethod.history, ({ from }) => this.pieceFrom(from));
+    this.options.rpc.serve(rpcMethods.history, ({ from }) => this.pieceFrom(from));
   }
 
   /** Measures the stored files, then fetches what is missing, newest first, for as long as the daemon runs. */
@@ -96,9 +97,9 @@
         const startedMs = clock.nowMs();
         yield* this.fetchMissing();
         const tookMs = clock.nowMs() - startedMs;
-        yield* Clock.sleep(clock, RESTS_PER_FETCH * tookMs);
+        yield* sleep(clock, RESTS_PER_FETCH * tookMs);
       }
-      yield* Clock.sleep(clock, FETCH_INTERVAL_MS);
+      yield* sleep(clock, FETCH_INTERVAL_MS);
     }
   }
 
@@ -156,7 +157,7 @@
     return configs.length > 1 && textBytesOf(configs) > maxPendingBytes * PERSIST_PART;
   }
 
-  private *pieceFrom(from: number): Task<DecodedMessage<typeof RpcMethod.history.response>> {
+  private *pieceFrom(from: number): Task<DecodedMessage<typeof rpcMethods.history.response>> {
     const { stateMachine, history, isFormed } = this.options;
     if (!isFormed()) return { configs: new Uint8Array() };
     const stored = yield* history.piece(from);
@@ -176,7 +177,7 @@
       if (tried.has(peer)) continue;
       tried.add(peer);
       if (this.isUnreachable(peer)) continue;
-      const response = yield* rpc.call(peer, RpcMethod.history, { from }, FETCH_TIMEOUT_MS);
+      const response = yield* rpc.call(peer, rpcMethods.history, { from }, FETCH_TIMEOUT_MS);
       if (!response) continue;
       replied.add(peer);
       const configs = ConfigHistory.unpack(response.configs, from);
@@ -233,7 +234,7 @@
 
   private *insert(configs: AcceptedConfig[]): Task {
     const { history, writer } = this.options;
-    yield* Task.wait<boolean>((done) => writer.attempt(() => history.add(configs), done));
+    yield* waitFor<boolean>((done) => writer.attempt(() => history.add(configs), done));
   }
 
   /** Measures the files in a turn of the disk's writer, since what is damaged is cut off. */
@@ -243,12 +244,12 @@
     const check = function* (): Task {
       lost.push(...(yield* history.check()));
     };
-    yield* Task.wait<boolean>((done) => writer.attempt(check, done));
+    yield* waitFor<boolean>((done) => writer.attempt(check, done));
     for (const range of lost) {
       this.log.warn("history file damaged", { ...range });
       this.damaged.push(range);
     }
-    yield* Task.wait<boolean>((done) => writer.attempt(() => this.shrink(), done));
+    yield* waitFor<boolean>((done) => writer.attempt(() => this.shrink(), done));
   }
 
   private reportRepairs(): void {
--- a/src/replication/leadership/election-driver.ts
+++ b/src/replication/leadership/election-driver.ts
@@ -15,9 +15,9 @@
   type VoteRequest,
 } from "../../consensus/vote.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
-import { RpcMethod } from "../../rpc/rpc-method.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { Logger } from "../../runtime/logger.js";
-import { Runtime } from "../../runtime/runtime.js";
+import { type Runtime, startTask } from "../../runtime/runtime.js";
 import type { Task } from "../../runtime/task.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
 import type { LogWriter } from "../log/log-writer.js";
@@ -145,12 +145,12 @@
     const reply: VoteReply = { term, granted: true };
     events.put({ kind: "voteReceived", received: { peer: self, isPreVote, term, reply } });
     for (const peer of consensus.current.members.voters.filter((voter) => voter !== self))
-      Runtime.start(runtime, "record", this.requestVote(peer, request));
+      startTask(runtime, "record", this.requestVote(peer, request));
   }
 
   private *requestVote(peer: string, request: VoteRequest): Task {
     const { rpc, events, timeouts } = this.options;
-    const reply = yield* rpc.call(peer, RpcMethod.vote, request, timeouts.electionMinMs);
+    const reply = yield* rpc.call(peer, rpcMethods.vote, request, timeouts.electionMinMs);
     if (!reply) return;
     const { isPreVote, term } = request;
     events.put({ kind: "voteReceived", received: { peer, isPreVote, term, reply } });
--- a/src/replication/leadership/leader-driver.ts
+++ b/src/replication/leadership/leader-driver.ts
@@ -6,9 +6,9 @@
   transferTargetOf,
 } from "../../consensus/leadership.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
-import { RpcMethod } from "../../rpc/rpc-method.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { Logger } from "../../runtime/logger.js";
-import { Runtime } from "../../runtime/runtime.js";
+import { type Runtime, startTask } from "../../runtime/runtime.js";
 import type { Task } from "../../runtime/task.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
 import type { MembershipManager } from "../membership/membership-manager.js";
@@ -79,9 +79,9 @@
     consensus.follow(term, "");
     if (target === undefined) return;
     const offer = (function* (): Task {
-      yield* rpc.call(target, RpcMethod.handOver, { term }, TRANSFER_TIMEOUT_MS);
+      yield* rpc.call(target, rpcMethods.handOver, { term }, TRANSFER_TIMEOUT_MS);
     })();
-    Runtime.start(runtime, "record", offer);
+    startTask(runtime, "record", offer);
   }
 
   /** Begins to lead; returns the term. */
--- a/src/replication/leadership/leader-replication.ts
+++ b/src/replication/leadership/leader-replication.ts
@@ -2,7 +2,7 @@
 import { membersAt } from "../../consensus/state.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { Queue } from "../../runtime/queue.js";
-import { Runtime } from "../../runtime/runtime.js";
+import { type Runtime, startTask } from "../../runtime/runtime.js";
 import type { Task } from "../../runtime/task.js";
 import type { StateMachine } from "../../state/state-machine.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
@@ -48,7 +48,7 @@
       if (peer === consensus.current.self || this.wakeups.has(peer)) continue;
       const wakeup = new Queue<true>();
       this.wakeups.set(peer, wakeup);
-      Runtime.start(runtime, "record", this.replicate(peer, term, wakeup));
+      startTask(runtime, "record", this.replicate(peer, term, wakeup));
     }
   }
 
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -8,7 +8,7 @@
   type Progress,
 } from "../../consensus/replication.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
-import { RpcMethod } from "../../rpc/rpc-method.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { Clock } from "../../runtime/clock.js";
 import type { Queue } from "../../runtime/queue.js";
 import type { Task } from "../../runtime/task.js";
@@ -74,7 +74,7 @@
     const sent = { ...this.progress, next: Math.max(this.progress.next, baseIndex + 1) };
     const request = appendRequestFor(consensus.current, sent, APPEND_BATCH_LIMIT);
     const timeoutMs = appendTimeoutMs(request, timeouts);
-    const reply = yield* rpc.call(peer, RpcMethod.append, request, timeoutMs);
+    const reply = yield* rpc.call(peer, rpcMethods.append, request, timeoutMs);
     if (reply && reply.term > term) events.put({ kind: "newerTermSeen", term: reply.term });
     if (reply?.term !== term) return false;
     const { fits, counts } = reply;
@@ -122,11 +122,11 @@
     const leader = consensus.current.self;
     if (message.kind === "piece") {
       const piece = { term, leader, ...message.piece };
-      return yield* rpc.call(peer, RpcMethod.snapshotPiece, piece, SNAPSHOT_TIMEOUT_MS);
+      return yield* rpc.call(peer, rpcMethods.snapshotPiece, piece, SNAPSHOT_TIMEOUT_MS);
     }
     const { lastIndex, lastTerm } = message.snapshot.identity;
     const complete = { term, leader, lastIndex, lastTerm, text: message.snapshot.text };
-    const reply = yield* rpc.call(peer, RpcMethod.snapshot, complete, SNAPSHOT_TIMEOUT_MS);
+    const reply = yield* rpc.call(peer, rpcMethods.snapshot, complete, SNAPSHOT_TIMEOUT_MS);
     return reply && { ...reply, receivedBytes: 0 };
   }
 }
--- a/src/replication/log/log-store.ts
+++ b/src/replication/log/log-store.ts
@@ -1,7 +1,7 @@
 /** The files of a member's durable state: two snapshot slots written in turn, and a log after the newer one. */
 import type { LogRecord } from "../../consensus/log-record.js";
 import type { Disk } from "../../runtime/disk.js";
-import { Task } from "../../runtime/task.js";
+import type { Task } from "../../runtime/task.js";
 import { ConfigHistory } from "../history/config-history.js";
 import { SnapshotPartFile } from "../snapshot/snapshot-part-file.js";
 import { CHECKSUM_HEADER_BYTES, readChecksummed, readRecords } from "./checksum.js";
@@ -14,8 +14,6 @@
   type SnapshotSlot,
 } from "./durable-state.js";
 
-export type { DurableState } from "./durable-state.js";
-
 /** What a member finds on its disk. */
 export type LoadResult =
   | { readonly kind: "empty" }
--- a/src/replication/log/log-writer.ts
+++ b/src/replication/log/log-writer.ts
@@ -1,12 +1,13 @@
 /** The owner of a member's disk: writes one after another, many records in one sync, and retries after a failure. */
 import type { LogRecord } from "../../consensus/log-record.js";
-import { Clock } from "../../runtime/clock.js";
+import { type Clock, sleep } from "../../runtime/clock.js";
 import { DiskError } from "../../runtime/disk.js";
 import type { Logger } from "../../runtime/logger.js";
 import { Queue } from "../../runtime/queue.js";
-import { Task } from "../../runtime/task.js";
+import type { Task } from "../../runtime/task.js";
 import { DiskReclaimer } from "./disk-reclaimer.js";
-import type { DurableState, LogStore } from "./log-store.js";
+import type { DurableState } from "./durable-state.js";
+import type { LogStore } from "./log-store.js";
 
 /** Records that are to be appended to the log. */
 interface AppendRequest {
@@ -121,7 +122,7 @@
         if (!(error instanceof DiskError)) throw error;
         if (yield* this.reclaimer.refused()) continue;
         this.onFailure(error);
-        yield* Clock.sleep(this.clock, RETRY_INTERVAL_MS);
+        yield* sleep(this.clock, RETRY_INTERVAL_MS);
       }
     }
   }
--- a/src/replication/membership/membership-join.ts
+++ b/src/replication/membership/membership-join.ts
@@ -1,10 +1,10 @@
 /** Asks the leader to make this node a member whenever it has to be one. */
-import { RpcMethod } from "../../rpc/rpc-method.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
-import { Clock } from "../../runtime/clock.js";
+import { sleep } from "../../runtime/clock.js";
 import type { Logger } from "../../runtime/logger.js";
 import type { Task } from "../../runtime/task.js";
-import { Runtime } from "../../runtime/runtime.js";
+import { type Runtime, startTask } from "../../runtime/runtime.js";
 
 /** How long a response is awaited: the leader may have to commit two entries on slow disks. */
 const REQUEST_TIMEOUT_MS = 2000;
@@ -60,7 +60,7 @@
     for (;;) {
       const { request } = this.member;
       if (request !== undefined) yield* this.requestMembership(request);
-      yield* Clock.sleep(this.runtime.clock, CHECK_INTERVAL_MS);
+      yield* sleep(this.runtime.clock, CHECK_INTERVAL_MS);
     }
   }
 
@@ -90,7 +90,7 @@
   private *waitUntil(maxMs: number, isOver: () => boolean): Task {
     const { clock } = this.runtime;
     const untilMs = clock.nowMs() + maxMs;
-    while (!isOver() && clock.nowMs() < untilMs) yield* Clock.sleep(clock, POLL_INTERVAL_MS);
+    while (!isOver() && clock.nowMs() < untilMs) yield* sleep(clock, POLL_INTERVAL_MS);
   }
 
   /** Sends to all contacts at once, so that unreachable ones cost no time; only the leader carries the request out. */
@@ -104,11 +104,11 @@
     this.triedPeers.add(peer);
     const calling = this.rpc.call(
       peer,
-      RpcMethod.command,
+      rpcMethods.command,
       { forwarded, text: request },
       REQUEST_TIMEOUT_MS,
     );
-    Runtime.start(this.runtime, "record", calling, (response) => {
+    startTask(this.runtime, "record", calling, (response) => {
       this.pending.delete(peer);
       if (!response) return;
       if (isAccepted(response.text)) this.acceptedRequest = request;
--- a/src/replication/membership/membership-leave.ts
+++ b/src/replication/membership/membership-leave.ts
@@ -1,9 +1,9 @@
 /** Reports to the leader that this node is about to stop, until it may. */
 import { create, object, boolean, type Infer } from "superstruct";
-import { RpcMethod } from "../../rpc/rpc-method.js";
+import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
-import { Clock } from "../../runtime/clock.js";
-import { Task } from "../../runtime/task.js";
+import { sleep } from "../../runtime/clock.js";
+import type { Task } from "../../runtime/task.js";
 import type { Runtime } from "../../runtime/runtime.js";
 
 /** How long the leader's response is awaited; it needs no disk and no other member. */
@@ -48,7 +48,7 @@
     while (clock.nowMs() < untilMs) {
       const status = yield* this.report();
       if (status && satisfies(status)) return true;
-      yield* Clock.sleep(clock, Math.max(0, Math.min(REPORT_INTERVAL_MS, untilMs - clock.nowMs())));
+      yield* sleep(clock, Math.max(0, Math.min(REPORT_INTERVAL_MS, untilMs - clock.nowMs())));
     }
     return false;
   }
@@ -59,7 +59,7 @@
     const text = JSON.stringify({ kind: "stopping", machine: self, lastIndex });
     const response = yield* this.rpc.call(
       leader,
-      RpcMethod.command,
+      rpcMethods.command,
       { forwarded: true, text },
       REPORT_TIMEOUT_MS,
     );
--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -3,7 +3,7 @@
 import type { Members } from "../../consensus/members.js";
 import type { Clock } from "../../runtime/clock.js";
 import type { Logger } from "../../runtime/logger.js";
-import { NodeLocation } from "../bootstrap/node-location.js";
+import { type NodeLocation, wantedVoterCount } from "../bootstrap/node-location.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
 import type { LeaderLog } from "../leadership/leader-log.js";
 import type { LearnerRequest } from "../node-event.js";
@@ -107,7 +107,7 @@
       voters: members.voters,
       learners: members.learners,
       stopping: this.stoppingMembers(),
-      wantedVoters: NodeLocation.voters(location),
+      wantedVoters: wantedVoterCount(location),
       committedIndex,
       progressOf: (member) =>
         member === self
--- a/src/replication/node-event.ts
+++ b/src/replication/node-event.ts
@@ -3,22 +3,22 @@
 import type { AppendReply, AppendRequest } from "../consensus/append.js";
 import type { ReceivedVote, VoteReply, VoteRequest } from "../consensus/vote.js";
 import type { DecodedMessage } from "../rpc/rpc-endpoint.js";
-import type { RpcMethod } from "../rpc/rpc-method.js";
+import type { rpcMethods } from "../rpc/rpc-method.js";
 import type { Queue } from "../runtime/queue.js";
 import type { LeaveStatus } from "./membership/membership-leave.js";
 import type { Proposal } from "./proposals/proposal.js";
 
 /** A complete snapshot in one message. */
-export type SnapshotRequest = DecodedMessage<typeof RpcMethod.snapshot.request>;
+export type SnapshotRequest = DecodedMessage<typeof rpcMethods.snapshot.request>;
 
 /** The reply to a complete snapshot. */
-export type SnapshotResponse = DecodedMessage<typeof RpcMethod.snapshot.response>;
+export type SnapshotResponse = DecodedMessage<typeof rpcMethods.snapshot.response>;
 
 /** One piece of a snapshot. */
-export type SnapshotPieceRequest = DecodedMessage<typeof RpcMethod.snapshotPiece.request>;
+export type SnapshotPieceRequest = DecodedMessage<typeof rpcMethods.snapshotPiece.request>;
 
 /** The reply to a piece of a snapshot. */
-export type SnapshotPieceResponse = DecodedMessage<typeof RpcMethod.snapshotPiece.response>;
+export type SnapshotPieceResponse = DecodedMessage<typeof rpcMethods.snapshotPiece.response>;
 
 /** A machine that asks the leader to be added as a learner. */
 export interface LearnerRequest {
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -8,9 +8,9 @@
 import type { RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import type { Logger } from "../runtime/logger.js";
 import { Queue } from "../runtime/queue.js";
-import { Runtime } from "../runtime/runtime.js";
+import { type Runtime, startTask } from "../runtime/runtime.js";
 import { StepTimer } from "../runtime/step-timer.js";
-import { Task } from "../runtime/task.js";
+import { type Task, waitFor } from "../runtime/task.js";
 import type { StateMachine } from "../state/state-machine.js";
 import { encodePeerState, type BootstrapStatus } from "./bootstrap/bootstrap-status.js";
 import { ClusterBootstrap } from "./bootstrap/cluster-bootstrap.js";
@@ -38,9 +38,6 @@
 import { SnapshotInstaller } from "./snapshot/snapshot-installer.js";
 import { SnapshotWriter } from "./snapshot/snapshot-writer.js";
 
-export { ReplicationTimeouts } from "./replication-timeouts.js";
-export type { ProposalResult } from "./proposals/proposal.js";
-
 /** What a replication node works with. */
 export interface ReplicationNodeOptions {
   readonly runtime: Runtime;
@@ -200,14 +197,14 @@
 
   /** Proposes an entry; ends once its result is known, or known to be unknown. */
   *propose(text: string): Task<ProposalResult> {
-    return yield* Task.wait<ProposalResult>((respond) =>
+    return yield* waitFor<ProposalResult>((respond) =>
       this.events.put({ kind: "proposed", proposal: { text, respond } }),
     );
   }
 
   /** Adds a machine as a learner, unless it is a member; false where this node doesn't lead. */
   *addLearner(machine: string): Task<boolean> {
-    return yield* Task.wait<boolean>((respond) =>
+    return yield* waitFor<boolean>((respond) =>
       this.events.put({ kind: "learnerRequested", learner: { machine, respond } }),
     );
   }
@@ -215,12 +212,12 @@
   /** Steps down in favour of the voter whose log is the furthest. */
   *yieldLeadership(): Task {
     if (this.state.role === "leader")
-      yield* Task.wait<true>((respond) => this.events.put({ kind: "leadershipYielded", respond }));
+      yield* waitFor<true>((respond) => this.events.put({ kind: "leadershipYielded", respond }));
   }
 
   /** Notes, as the leader, that a member is about to stop; returns its status, or nothing where this node doesn't lead. */
   *onMemberStopping(machine: string, lastIndex: number): Task<LeaveStatus | undefined> {
-    return yield* Task.wait<LeaveStatus | undefined>((respond) =>
+    return yield* waitFor<LeaveStatus | undefined>((respond) =>
       this.events.put({ kind: "memberStopping", machine, lastIndex, respond }),
     );
   }
@@ -254,15 +251,15 @@
   *run(): Task {
     const { runtime, consensus, formation, elections, leadership } = this;
     this.serve();
-    Runtime.start(runtime, "record", this.writer.run());
+    startTask(runtime, "record", this.writer.run());
     const loaded = yield* this.store.load();
     this.installer.resume(this.store.snapshotPart.takeLoaded());
     yield* formation.restore(loaded);
-    Runtime.start(runtime, "record", this.bootstrap.run());
+    startTask(runtime, "record", this.bootstrap.run());
     yield* formation.waitUntilOpen();
     consensus.update(stateAfterRestart(consensus.current, consensus.context));
-    Runtime.start(runtime, "record", this.ownMembership.join().run());
-    Runtime.start(runtime, "record", this.history.run());
+    startTask(runtime, "record", this.ownMembership.join().run());
+    startTask(runtime, "record", this.history.run());
     for (;;) {
       switch (this.state.role) {
         case "follower":
--- a/src/replication/replication-rpc.ts
+++ b/src/replication/replication-rpc.ts
@@ -2,8 +2,8 @@
 import type { AppendReply } from "../consensus/append.js";
 import type { VoteReply } from "../consensus/vote.js";
 import type { RpcEndpoint } from "../rpc/rpc-endpoint.js";
-import { RpcMethod } from "../rpc/rpc-method.js";
-import { Task } from "../runtime/task.js";
+import { rpcMethods } from "../rpc/rpc-method.js";
+import { waitFor } from "../runtime/task.js";
 import type { NodeEventSink, SnapshotPieceResponse, SnapshotResponse } from "./node-event.js";
 
 /** Serves votes, entries, snapshots and transfers of leadership; refuses all where the node takes no part yet. */
@@ -12,33 +12,33 @@
   events: NodeEventSink,
   takesPart: () => boolean,
 ): void => {
-  rpc.serve(RpcMethod.vote, function* (request) {
+  rpc.serve(rpcMethods.vote, function* (request) {
     if (!takesPart()) return { term: 0, granted: false };
-    return yield* Task.wait<VoteReply>((respond) =>
+    return yield* waitFor<VoteReply>((respond) =>
       events.put({ kind: "voteRequested", request, respond }),
     );
   });
-  rpc.serve(RpcMethod.append, function* (request) {
+  rpc.serve(rpcMethods.append, function* (request) {
     if (!takesPart()) return { term: 0, fits: false, counts: false, matched: 0 };
-    return yield* Task.wait<AppendReply>((respond) =>
+    return yield* waitFor<AppendReply>((respond) =>
       events.put({ kind: "appendRequested", request, respond }),
     );
   });
-  rpc.serve(RpcMethod.snapshot, function* (request) {
+  rpc.serve(rpcMethods.snapshot, function* (request) {
     if (!takesPart()) return { term: 0, counts: false, matched: 0 };
-    return yield* Task.wait<SnapshotResponse>((respond) =>
+    return yield* waitFor<SnapshotResponse>((respond) =>
       events.put({ kind: "snapshotReceived", request, respond }),
     );
   });
-  rpc.serve(RpcMethod.snapshotPiece, function* (request) {
+  rpc.serve(rpcMethods.snapshotPiece, function* (request) {
     if (!takesPart()) return { term: 0, counts: false, matched: 0, receivedBytes: 0 };
-    return yield* Task.wait<SnapshotPieceResponse>((respond) =>
+    return yield* waitFor<SnapshotPieceResponse>((respond) =>
       events.put({ kind: "snapshotPieceReceived", request, respond }),
     );
   });
-  rpc.serve(RpcMethod.handOver, function* ({ term }) {
+  rpc.serve(rpcMethods.handOver, function* ({ term }) {
     if (!takesPart()) return { taken: false };
-    const taken = yield* Task.wait<boolean>((respond) =>
+    const taken = yield* waitFor<boolean>((respond) =>
       events.put({ kind: "leadershipOffered", term, respond }),
     );
     return { taken };
--- a/src/replication/replication-timeouts.ts
+++ b/src/replication/replication-timeouts.ts
@@ -19,17 +19,14 @@
   snapshotBytes: number;
 }
 
-/** The timeouts that apply where the settings give none. */
-export const ReplicationTimeouts = {
-  defaults: {
-    heartbeatMs: 60,
-    electionMinMs: 300,
-    electionMaxMs: 500,
-    leaderLeaseMs: 240,
-    stallMs: 700,
-    replaceAfterMs: 1000,
-    responsiveAfterMs: 4000,
-    forgetAfterMs: 60_000,
-    snapshotBytes: 4 * 1024 * 1024,
-  },
+export const defaultReplicationTimeouts = {
+  heartbeatMs: 60,
+  electionMinMs: 300,
+  electionMaxMs: 500,
+  leaderLeaseMs: 240,
+  stallMs: 700,
+  replaceAfterMs: 1000,
+  responsiveAfterMs: 4000,
+  forgetAfterMs: 60_000,
+  snapshotBytes: 4 * 1024 * 1024,
 };
--- a/src/replication/snapshot/snapshot-installer.ts
+++ b/src/replication/snapshot/snapshot-installer.ts
@@ -3,7 +3,8 @@
 import type { StateMachine } from "../../state/state-machine.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
 import type { LogApplier } from "../log/log-applier.js";
-import type { DurableState, LogStore } from "../log/log-store.js";
+import type { DurableState } from "../log/durable-state.js";
+import type { LogStore } from "../log/log-store.js";
 import type { LogWriter } from "../log/log-writer.js";
 import type {
   SnapshotPieceRequest,
--- a/src/replication/snapshot/snapshot-writer.ts
+++ b/src/replication/snapshot/snapshot-writer.ts
@@ -8,7 +8,8 @@
 import type { StepTimer } from "../../runtime/step-timer.js";
 import type { StateMachine } from "../../state/state-machine.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
-import type { DurableState, LogStore } from "../log/log-store.js";
+import type { DurableState } from "../log/durable-state.js";
+import type { LogStore } from "../log/log-store.js";
 import type { LogWriter } from "../log/log-writer.js";
 import type { NodeEventSink } from "../node-event.js";
 
--- a/src/retry-budget/count-aggregator.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -1,7 +1,7 @@
 /** A collector of the tree that merges the request counts of all edges. */
-import { RpcMethod } from "../rpc/rpc-method.js";
+import { rpcMethods } from "../rpc/rpc-method.js";
 import type { DecodedMessage, RpcEndpoint } from "../rpc/rpc-endpoint.js";
-import { Clock } from "../runtime/clock.js";
+import { sleep } from "../runtime/clock.js";
 import type { Logger } from "../runtime/logger.js";
 import { Queue } from "../runtime/queue.js";
 import type { Runtime } from "../runtime/runtime.js";
@@ -9,9 +9,11 @@
 import { SketchMismatchError } from "../sketch/ecm-sketch.js";
 import { ChildAssignments } from "./child-assignments.js";
 import {
-  AggregatedCounts,
+  type AggregatedCounts,
+  readAggregatedCounts,
   childKey,
-  CountPush,
+  type CountPush,
+  readCountPush,
   EXPEDITED_PUSH_MS,
   isSameChild,
   isSameProcess,
@@ -22,8 +24,8 @@
 } from "./count-messages.js";
 import { RequestCounts, type RequestCountsFormat } from "./request-counts.js";
 
-type PushRequest = DecodedMessage<typeof RpcMethod.pushCounts.request>;
-type PushResponse = DecodedMessage<typeof RpcMethod.pushCounts.response>;
+type PushRequest = DecodedMessage<typeof rpcMethods.pushCounts.request>;
+type PushResponse = DecodedMessage<typeof rpcMethods.pushCounts.response>;
 
 const NO_COVERAGE: CountCoverage = { edges: 0, oldestMs: 0 };
 
@@ -101,7 +103,7 @@
     this.leader = leader;
     this.log = runtime.loggers.component("retry-budget");
     const handle = (request: PushRequest): PushResponse => this.handlePush(request);
-    rpc.serve(RpcMethod.pushCounts, function* (request) {
+    rpc.serve(rpcMethods.pushCounts, function* (request) {
       return handle(request);
     });
   }
@@ -118,7 +120,7 @@
     const { clock } = this.runtime;
     for (;;) {
       const startedMs = clock.nowMs();
-      yield* Clock.sleep(clock, EXPEDITED_PUSH_MS);
+      yield* sleep(clock, EXPEDITED_PUSH_MS);
       const expedited = yield* this.expedited.takeUntil(clock, startedMs + pushMs);
       const prepared = this.preparePush(expedited !== undefined);
       const leader = this.leader();
@@ -130,7 +132,7 @@
       const isRoot = leader === this.self;
       const response = isRoot
         ? this.handlePush(request)
-        : yield* this.rpc.call(leader, RpcMethod.pushCounts, request, pushMs);
+        : yield* this.rpc.call(leader, rpcMethods.pushCounts, request, pushMs);
       if (!response) continue;
       this.halfTripMs = isRoot ? 0 : (clock.nowMs() - prepared.sentMs) / 2;
       this.receive(response, prepared.includedPushes);
@@ -171,7 +173,7 @@
   }
 
   private receive(response: PushResponse, includedPushes: ReadonlyMap<string, number>): void {
-    const { taken, granted, coverage } = AggregatedCounts.read(response.text);
+    const { taken, granted, coverage } = readAggregatedCounts(response.text);
     if (taken !== "") return;
     this.granted = granted;
     const nowMs = this.runtime.clock.nowMs();
@@ -192,7 +194,7 @@
     const nowMs = this.runtime.clock.nowMs();
     let received: ReceivedPush;
     try {
-      const push = CountPush.read(request.text);
+      const push = readCountPush(request.text);
       const counts = RequestCounts.decode(request.sketches, this.format, nowMs, push.halfTripMs);
       received = { push, counts, atMs: nowMs };
     } catch (error) {
--- a/src/retry-budget/count-messages.ts
+++ b/src/retry-budget/count-messages.ts
@@ -61,13 +61,12 @@
 const readAggregated = fastValidator(aggregatedShape);
 const readPush = fastValidator(pushShape);
 
-export const CountPush = {
-  read: (text: string): CountPush => readPush(JSON.parse(text)),
-};
+/** Reads a push; throws where it isn't of the shape. */
+export const readCountPush = (text: string): CountPush => readPush(JSON.parse(text));
 
-export const AggregatedCounts = {
-  read: (text: string): AggregatedCounts => readAggregated(JSON.parse(text)),
-};
+/** Reads the aggregated counts that a parent returned; throws where they aren't of the shape. */
+export const readAggregatedCounts = (text: string): AggregatedCounts =>
+  readAggregated(JSON.parse(text));
 
 /** The process of a child, whichever parent it has. */
 export const childKey = ({ machine, incarnation }: ChildReport): string =>
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -1,16 +1,17 @@
 /** The request counts of an edge, and its exchange with the tree of collectors. */
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { RpcEndpoint } from "../rpc/rpc-endpoint.js";
-import { RpcMethod } from "../rpc/rpc-method.js";
+import { rpcMethods } from "../rpc/rpc-method.js";
 import { Queue } from "../runtime/queue.js";
-import { Clock } from "../runtime/clock.js";
+import { sleep } from "../runtime/clock.js";
 import type { Logger } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
 import type { Runtime } from "../runtime/runtime.js";
 import { defaultRetryRules, type SketchQuota } from "./retry-budget.js";
 import type { RetryRules } from "./retry-rules.js";
 import {
-  AggregatedCounts,
+  type AggregatedCounts,
+  readAggregatedCounts,
   EXPEDITED_PUSH_MS,
   ROUTE_COUNTS_INTERVAL_MS,
   type CountCoverage,
@@ -164,7 +165,7 @@
     const { clock } = this.runtime;
     for (;;) {
       const startedMs = clock.nowMs();
-      yield* Clock.sleep(clock, EXPEDITED_PUSH_MS);
+      yield* sleep(clock, EXPEDITED_PUSH_MS);
       const jitter = PUSH_JITTER.min + this.runtime.random() * PUSH_JITTER.range;
       const expedited = yield* this.expedited.takeUntil(clock, startedMs + pushMs * jitter);
       const sentMs = clock.nowMs();
@@ -175,7 +176,7 @@
       const push = this.nextPush(expedited !== undefined, sentMs);
       const response = yield* this.rpc.call(
         parent,
-        RpcMethod.pushCounts,
+        rpcMethods.pushCounts,
         { text: JSON.stringify(push), sketches: this.own.encode(sentMs, withRoutes) },
         pushMs,
       );
@@ -186,7 +187,7 @@
       }
       this.halfTripMs = (receivedMs - sentMs) / 2;
       if (withRoutes) this.routesSentMs = sentMs;
-      this.receive(AggregatedCounts.read(response.text), response.sketches, receivedMs);
+      this.receive(readAggregatedCounts(response.text), response.sketches, receivedMs);
     }
   }
 
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -22,22 +22,20 @@
   readonly routeBits: number;
 }
 
-export const RequestCountsFormat = {
-  /** The default: a window twice the retry budget's, so that late counts still fall inside, and as many routes as there are numbers. */
-  defaults: {
-    attempts: { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 1 },
-    routes: { epsilon: 0.2, delta: 0.1, windowMs: 20_000, seed: 101 },
-    routeBits: Math.log2(ID_LIMIT),
-  },
-
-  /** The default format for another window of the retry budget; as long as the stamps allow. */
-  forWindow(retryWindowMs: number): RequestCountsFormat {
-    const { attempts: tries, routes, routeBits } = RequestCountsFormat.defaults;
-    const windowMs = Math.min(2 * retryWindowMs, MAX_WINDOW_MS);
-    return { attempts: { ...tries, windowMs }, routes: { ...routes, windowMs }, routeBits };
-  },
+/** The default: a window twice the retry budget's, so that late counts still fall inside, and as many routes as there are numbers. */
+export const defaultRequestCountsFormat = {
+  attempts: { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 1 },
+  routes: { epsilon: 0.2, delta: 0.1, windowMs: 20_000, seed: 101 },
+  routeBits: Math.log2(ID_LIMIT),
 };
 
+/** The default format for another window of the retry budget; as long as the stamps allow. */
+export function requestCountsFormatFor(retryWindowMs: number): RequestCountsFormat {
+  const { attempts: tries, routes, routeBits } = defaultRequestCountsFormat;
+  const windowMs = Math.min(2 * retryWindowMs, MAX_WINDOW_MS);
+  return { attempts: { ...tries, windowMs }, routes: { ...routes, windowMs }, routeBits };
+}
+
 /** First attempts and retries of a service. */
 export interface AttemptCounts {
   readonly firstAttempts: number;
--- a/src/retry-budget/retry-budget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -1,9 +1,9 @@
 /** The decision whether a retry may be sent, by the sketch of the cluster and an exact local guard. */
-import { RetryRules } from "./retry-rules.js";
+import { type RetryRules, retryRulesOf } from "./retry-rules.js";
 import { RETRY_WINDOW_MS } from "./request-counts.js";
 
 /** The rules unless settings say otherwise: a fifth of a service's requests and seventy more in any ten seconds. */
-export const defaultRetryRules: RetryRules = RetryRules.of(0.2, 70, RETRY_WINDOW_MS);
+export const defaultRetryRules: RetryRules = retryRulesOf(0.2, 70, RETRY_WINDOW_MS);
 
 export const {
   rule: defaultRetryRule,
--- a/src/retry-budget/retry-rules.ts
+++ b/src/retry-budget/retry-rules.ts
@@ -19,14 +19,12 @@
   readonly windowMs: number;
 }
 
-export const RetryRules = {
-  /** The rules by which each window has at most `ratio` retries for each request, and `extra` more. */
-  of(ratio: number, extra: number, windowMs: number): RetryRules {
-    return {
-      rule: { earned: ratio, pool: extra },
-      sketch: { earned: ratio * 0.825, pool: (extra * 45) / 70 },
-      guard: { earned: ratio * 0.925, pool: (extra * 66) / 70 },
-      windowMs,
-    };
-  },
-};
+/** The rules by which each window has at most `ratio` retries for each request, and `extra` more. */
+export function retryRulesOf(ratio: number, extra: number, windowMs: number): RetryRules {
+  return {
+    rule: { earned: ratio, pool: extra },
+    sketch: { earned: ratio * 0.825, pool: (extra * 45) / 70 },
+    guard: { earned: ratio * 0.925, pool: (extra * 66) / 70 },
+    windowMs,
+  };
+}
--- a/src/rpc/frame.ts
+++ b/src/rpc/frame.ts
@@ -41,9 +41,8 @@
   throw new FrameError("The bytes are cut short or too many.");
 };
 
-export const Frame = {
-  encode: (value: Frame): Uint8Array => frameStruct.toBuffer(value),
-};
+/** The bytes of a frame, ready to send. */
+export const encodeFrame = (value: Frame): Uint8Array => frameStruct.toBuffer(value);
 
 /** Assembles frames from the pieces in which their bytes arrive. */
 export class FrameReader {
--- a/src/rpc/peer-connection.ts
+++ b/src/rpc/peer-connection.ts
@@ -1,9 +1,9 @@
 /** The outgoing connection to one peer: opened when there is a request to send, and again after it broke. */
-import { Clock } from "../runtime/clock.js";
+import { type Clock, withTimeout, sleep } from "../runtime/clock.js";
 import type { Connection } from "../runtime/network.js";
 import { Queue } from "../runtime/queue.js";
 import type { Task } from "../runtime/task.js";
-import { Frame, FrameReader } from "./frame.js";
+import { encodeFrame, FrameReader } from "./frame.js";
 import { PacedConnection } from "./paced-connection.js";
 import { PendingCalls } from "./pending-calls.js";
 import type { RpcContext } from "./rpc-context.js";
@@ -58,9 +58,9 @@
     timeoutMs: number,
   ): Task<Uint8Array | undefined> {
     this.unansweredSinceMs ??= this.clock.nowMs();
-    const body = yield* Clock.withTimeout<Uint8Array | undefined>(this.clock, timeoutMs, (done) => {
+    const body = yield* withTimeout<Uint8Array | undefined>(this.clock, timeoutMs, (done) => {
       this.pending.add(requestId, done);
-      const frame = Frame.encode({
+      const frame = encodeFrame({
         version: this.version,
         methodId,
         isResponse: false,
@@ -99,7 +99,7 @@
       else this.lastFailedMs = this.clock.nowMs();
       this.outgoing.drain();
       this.pending.failAll();
-      yield* Clock.sleep(this.clock, RECONNECT_DELAY_MS);
+      yield* sleep(this.clock, RECONNECT_DELAY_MS);
     }
   }
 
--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -1,7 +1,7 @@
 /** A daemon's end of the links to its peers: calls of their methods, and the service of its own. */
 import type * as r from "restructure";
-import { LinkPacers } from "../runtime/link-pacer.js";
-import { Runtime } from "../runtime/runtime.js";
+import { linkPacersOf } from "../runtime/link-pacer.js";
+import { type Runtime, startTask } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
 import { decodeExactly, FRAME_VERSION } from "./frame.js";
 import { PeerConnection } from "./peer-connection.js";
@@ -36,7 +36,7 @@
     runtime: Runtime,
     self: string,
     newestVersion = FRAME_VERSION,
-    pacers = LinkPacers.of(runtime.clock, undefined),
+    pacers = linkPacersOf(runtime.clock, undefined),
   ) {
     this.self = self;
     this.guard = new ProtocolGuard(runtime.loggers.component("rpc"));
@@ -105,7 +105,7 @@
     if (known) return known;
     const peer = new PeerConnection(this.context, address);
     this.peers.set(address, peer);
-    Runtime.start(this.context.runtime, "rpc", peer.run());
+    startTask(this.context.runtime, "rpc", peer.run());
     return peer;
   }
 }
--- a/src/rpc/rpc-server.ts
+++ b/src/rpc/rpc-server.ts
@@ -1,7 +1,7 @@
 /** The server side of the links between daemons: requests that arrive, and the responses to them. */
-import { Runtime } from "../runtime/runtime.js";
+import { startTask } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
-import { decodeExactly, Frame, FrameError, FrameReader } from "./frame.js";
+import { decodeExactly, type Frame, encodeFrame, FrameError, FrameReader } from "./frame.js";
 import { PacedConnection } from "./paced-connection.js";
 import type { RpcContext } from "./rpc-context.js";
 import type { RpcMethod } from "./rpc-method.js";
@@ -45,7 +45,7 @@
         runtime.clock,
         RESPONSE_PATIENCE_MS,
       );
-      Runtime.start(runtime, "rpc", this.serve(connection));
+      startTask(runtime, "rpc", this.serve(connection));
     });
   }
 
@@ -59,7 +59,7 @@
       pacers.ingress.note(piece.length);
       try {
         for (const frame of reader.read(piece))
-          Runtime.start(runtime, "rpc", this.respond(connection, frame, this.handlerOf(frame)));
+          startTask(runtime, "rpc", this.respond(connection, frame, this.handlerOf(frame)));
       } catch (error) {
         guard.refuse(connection, error);
         return;
@@ -78,7 +78,7 @@
     const expiresMs = runtime.clock.nowMs() + handler.waitMs;
     try {
       const body = yield* handler.handle(frame.body);
-      connection.send(Frame.encode({ ...frame, isResponse: true, body }), expiresMs);
+      connection.send(encodeFrame({ ...frame, isResponse: true, body }), expiresMs);
     } catch (error) {
       guard.refuse(connection, error);
     }
