--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -9,7 +9,7 @@
   newTimeline,
 } from "@most/scheduler";
 import type { Scheduler } from "@most/types";
-import { Task } from "./task.js";
+import { type Task, waitFor } from "./task.js";
 
 /** A machine's monotonic clock, in milliseconds. Its readings are never compared with another machine's. */
 export interface Clock {
@@ -22,53 +22,51 @@
 /** Added to the due time: the scheduler runs what is due within a millisecond at its start, which would be early. */
 const ROUNDING_MS = 0.001;
 
-export const Clock = {
-  /** The clock of a scheduler of streams. */
-  of(scheduler: Scheduler): Clock {
-    return {
-      scheduler,
-      nowMs: () => currentTime(scheduler),
-      after(waitMs, run) {
-        const nowMs = currentTime(scheduler);
-        const dueMs = Math.ceil(nowMs + Math.max(0, waitMs)) + ROUNDING_MS;
-        const scheduled = delay(
-          dueMs - nowMs,
-          {
-            run,
-            error(_time: number, error: Error) {
-              throw error;
-            },
-            dispose() {},
+/** The clock of a scheduler of streams. */
+export function clockOf(scheduler: Scheduler): Clock {
+  return {
+    scheduler,
+    nowMs: () => currentTime(scheduler),
+    after(waitMs, run) {
+      const nowMs = currentTime(scheduler);
+      const dueMs = Math.ceil(nowMs + Math.max(0, waitMs)) + ROUNDING_MS;
+      const scheduled = delay(
+        dueMs - nowMs,
+        {
+          run,
+          error(_time: number, error: Error) {
+            throw error;
           },
-          scheduler,
-        );
-        return () => cancelTask(scheduled);
-      },
-    };
-  },
+          dispose() {},
+        },
+        scheduler,
+      );
+      return () => cancelTask(scheduled);
+    },
+  };
+}
 
-  /** The clock of the machine this process runs on. */
-  real(): Clock {
-    return Clock.of(newScheduler(newClockTimer(newPlatformClock()), newTimeline()));
-  },
+/** The clock of the machine this process runs on. */
+export function systemClock(): Clock {
+  return clockOf(newScheduler(newClockTimer(newPlatformClock()), newTimeline()));
+}
 
-  /** Suspends a task for a time. */
-  *sleep(clock: Clock, waitMs: number): Task {
-    yield* Task.wait<boolean>((done) => clock.after(waitMs, () => done(true)));
-  },
+/** Suspends a task for a time. */
+export function* sleep(clock: Clock, waitMs: number): Task {
+  yield* waitFor<boolean>((done) => clock.after(waitMs, () => done(true)));
+}
 
-  /** Waits for an outcome, at most `waitMs`; `undefined` where none came in time. */
-  *withTimeout<T>(
-    clock: Clock,
-    waitMs: number,
-    start: (done: (outcome: T) => void) => void,
-  ): Task<T | undefined> {
-    return yield* Task.wait<T | undefined>((done) => {
-      const cancel = clock.after(waitMs, () => done(undefined));
-      start((outcome) => {
-        cancel();
-        done(outcome);
-      });
+/** Waits for an outcome, at most `waitMs`; `undefined` where none came in time. */
+export function* withTimeout<T>(
+  clock: Clock,
+  waitMs: number,
+  start: (done: (outcome: T) => void) => void,
+): Task<T | undefined> {
+  return yield* waitFor<T | undefined>((done) => {
+    const cancel = clock.after(waitMs, () => done(undefined));
+    start((outcome) => {
+      cancel();
+      done(outcome);
     });
-  },
-};
+  });
+}
--- a/src/runtime/disk.ts
+++ b/src/runtime/disk.ts
@@ -1,7 +1,7 @@
 /** Durable files in the data folder of a daemon. */
 import { open, mkdir, readFile, readdir, unlink, type FileHandle } from "node:fs/promises";
 import { join } from "node:path";
-import { Task } from "./task.js";
+import { type Task, fromPromise } from "./task.js";
 
 /** Thrown where the disk is full, stalled or failing. */
 export class DiskError extends Error {}
@@ -36,7 +36,7 @@
 
 /** Waits for an operation of the file system; what it throws is the cause of a `DiskError`. */
 const awaitDisk = function* <T>(promise: Promise<T>): Task<T> {
-  const outcome = yield* Task.fromPromise(promise);
+  const outcome = yield* fromPromise(promise);
   if ("value" in outcome) return outcome.value;
   throw new DiskError("The disk failed.", { cause: outcome.error });
 };
@@ -130,10 +130,8 @@
   }
 }
 
-export const Disk = {
-  /** The data folder of a real machine, made where it is missing. */
-  *open(folder: string): Task<Disk> {
-    yield* awaitDisk(mkdir(folder, { recursive: true }));
-    return new DataFolder(folder);
-  },
-};
+/** The data folder of a real machine, made where it is missing. */
+export function* openDisk(folder: string): Task<Disk> {
+  yield* awaitDisk(mkdir(folder, { recursive: true }));
+  return new DataFolder(folder);
+}
--- a/src/runtime/link-pacer.ts
+++ b/src/runtime/link-pacer.ts
@@ -1,6 +1,6 @@
 /** Pacing of large transfers on the link of the machine, so that small messages aren't delayed by them. */
 import type { Clock } from "./clock.js";
-import { Task } from "./task.js";
+import { type Task, waitFor } from "./task.js";
 
 /** The class of a bulk transfer: control traffic precedes requests, and those precede responses to clients. */
 export type TransferClass = "control" | "request" | "response";
@@ -135,7 +135,7 @@
     return {
       onTurn,
       *turn(part) {
-        yield* Task.wait<true>((done) => {
+        yield* waitFor<true>((done) => {
           onTurn(part, () => done(true));
         });
       },
@@ -193,9 +193,7 @@
   readonly ingress: LinkPacer;
 }
 
-export const LinkPacers = {
-  /** The two directions of a link of that rate each. */
-  of(clock: Clock, linkMbps: number | undefined): LinkPacers {
-    return { egress: new LinkPacer(clock, linkMbps), ingress: new LinkPacer(clock, linkMbps) };
-  },
-};
+/** The two directions of a link of that rate each. */
+export function linkPacersOf(clock: Clock, linkMbps: number | undefined): LinkPacers {
+  return { egress: new LinkPacer(clock, linkMbps), ingress: new LinkPacer(clock, linkMbps) };
+}
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -16,35 +16,36 @@
 /** The lowest level that is written. */
 export type LogLevel = "debug" | "info" | "warn" | "error";
 
-export const LoggerFactory = {
-  /** Writes to the standard error stream through bunyan. */
-  create(machine: string, level: LogLevel): LoggerFactory & { setLevel(level: LogLevel): void } {
-    const log = bunyan.createLogger({ name: "daledoor", machine, level, stream: process.stderr });
-    return {
-      setLevel: (changed) => log.level(changed),
-      component: (name) => ({
-        info: (event, fields) => log.info(fields ?? {}, `${name}: ${event}`),
-        warn: (event, fields) => log.warn(fields ?? {}, `${name}: ${event}`),
-        error: (event, error) => log.error({ err: error }, `${name}: ${event}`),
-      }),
-    };
-  },
+/** Writes to the standard error stream through bunyan. */
+export function createLoggers(
+  machine: string,
+  level: LogLevel,
+): LoggerFactory & { setLevel(level: LogLevel): void } {
+  const log = bunyan.createLogger({ name: "daledoor", machine, level, stream: process.stderr });
+  return {
+    setLevel: (changed) => log.level(changed),
+    component: (name) => ({
+      info: (event, fields) => log.info(fields ?? {}, `${name}: ${event}`),
+      warn: (event, fields) => log.warn(fields ?? {}, `${name}: ${event}`),
+      error: (event, error) => log.error({ err: error }, `${name}: ${event}`),
+    }),
+  };
+}
 
-  /** Passes lines to a function and throws errors, for tests and the simulator. */
-  toLines(lines: (line: string) => void): LoggerFactory {
-    return {
-      component: (name) => ({
-        info: (event, fields) =>
-          lines(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
-        warn: (event, fields) =>
-          lines(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
-        error(event, error) {
-          lines(
-            `${name}: ${event} ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
-          );
-          throw error;
-        },
-      }),
-    };
-  },
-};
+/** Passes lines to a function and throws errors, for tests and the simulator. */
+export function lineLoggers(lines: (line: string) => void): LoggerFactory {
+  return {
+    component: (name) => ({
+      info: (event, fields) =>
+        lines(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
+      warn: (event, fields) =>
+        lines(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
+      error(event, error) {
+        lines(
+          `${name}: ${event} ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
+        );
+        throw error;
+      },
+    }),
+  };
+}
--- a/src/runtime/network.ts
+++ b/src/runtime/network.ts
@@ -1,7 +1,7 @@
 /** Connections between daemons. */
 import { createServer, connect as connectSocket, type Server, type Socket } from "node:net";
 import { Queue } from "./queue.js";
-import { Task } from "./task.js";
+import { type Task, waitFor } from "./task.js";
 
 /** A bidirectional stream of bytes between two processes. */
 export interface Connection {
@@ -52,50 +52,48 @@
   },
 };
 
-export const Network = {
-  /** TCP connections; `close` ends all of them. */
-  tcp(): Network & { close(): void } {
-    const servers: Server[] = [];
-    const sockets = new Set<Socket>();
-    const track = (socket: Socket): Socket => {
-      sockets.add(socket);
-      socket.on("close", () => sockets.delete(socket));
-      return socket;
-    };
-    return {
-      *connect(address) {
-        return yield* Task.wait<Connection | undefined>((done) => {
-          const socket = track(
-            connectSocket({ ...Address.parts(address), timeout: CONNECT_TIMEOUT_MS }),
-          );
-          const fail = (): void => {
-            socket.destroy();
-            done(undefined);
-          };
-          socket.once("error", fail);
-          socket.once("timeout", fail);
-          socket.once("connect", () => {
-            socket.setTimeout(0);
-            socket.off("error", fail);
-            socket.off("timeout", fail);
-            done(connectionOf(socket));
-          });
-        });
-      },
-      *listen(address, accept) {
-        const outcome = yield* Task.wait<Error | "listening">((done) => {
-          const server = createServer((socket) => accept(connectionOf(track(socket))));
-          servers.push(server);
-          server.once("error", done);
-          server.listen(Address.parts(address), () => done("listening"));
+/** TCP connections; `close` ends all of them. */
+export function tcpNetwork(): Network & { close(): void } {
+  const servers: Server[] = [];
+  const sockets = new Set<Socket>();
+  const track = (socket: Socket): Socket => {
+    sockets.add(socket);
+    socket.on("close", () => sockets.delete(socket));
+    return socket;
+  };
+  return {
+    *connect(address) {
+      return yield* waitFor<Connection | undefined>((done) => {
+        const socket = track(
+          connectSocket({ ...Address.parts(address), timeout: CONNECT_TIMEOUT_MS }),
+        );
+        const fail = (): void => {
+          socket.destroy();
+          done(undefined);
+        };
+        socket.once("error", fail);
+        socket.once("timeout", fail);
+        socket.once("connect", () => {
+          socket.setTimeout(0);
+          socket.off("error", fail);
+          socket.off("timeout", fail);
+          done(connectionOf(socket));
         });
-        if (outcome !== "listening")
-          throw new ListenError(`Can't listen for peers on ${address}.`, { cause: outcome });
-      },
-      close() {
-        for (const server of servers) server.close();
-        for (const socket of sockets) socket.destroy();
-      },
-    };
-  },
-};
+      });
+    },
+    *listen(address, accept) {
+      const outcome = yield* waitFor<Error | "listening">((done) => {
+        const server = createServer((socket) => accept(connectionOf(track(socket))));
+        servers.push(server);
+        server.once("error", done);
+        server.listen(Address.parts(address), () => done("listening"));
+      });
+      if (outcome !== "listening")
+        throw new ListenError(`Can't listen for peers on ${address}.`, { cause: outcome });
+    },
+    close() {
+      for (const server of servers) server.close();
+      for (const socket of sockets) socket.destroy();
+    },
+  };
+}
--- a/src/runtime/queue.ts
+++ b/src/runtime/queue.ts
@@ -2,7 +2,7 @@
 import { runEffects, tap } from "@most/core";
 import type { Stream } from "@most/types";
 import type { Clock } from "./clock.js";
-import { Task } from "./task.js";
+import { type Task, waitFor } from "./task.js";
 
 /** An unbounded queue: items go to the takers that wait, in order, or are retained for the next ones. */
 export class Queue<T> {
@@ -34,12 +34,12 @@
 
   /** Waits for the next item. */
   *take(): Task<T> {
-    return yield* Task.wait<T>((done) => this.begin(done));
+    return yield* waitFor<T>((done) => this.begin(done));
   }
 
   /** Waits for the next item until a moment of the clock; `undefined` where none came. */
   *takeUntil(clock: Clock, untilMs: number): Task<T | undefined> {
-    return yield* Task.wait<T | undefined>((done) => {
+    return yield* waitFor<T | undefined>((done) => {
       let isWaiting = true;
       const cancel = clock.after(untilMs - clock.nowMs(), () => {
         isWaiting = false;
--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -3,7 +3,7 @@
 import type { Clock } from "./clock.js";
 import type { Disk } from "./disk.js";
 import type { LoggerFactory } from "./logger.js";
-import { Task } from "./task.js";
+import { type Task, runTask } from "./task.js";
 
 /** The machine that a daemon runs on: real in a process, virtual and deterministic in the simulator. */
 export interface Runtime {
@@ -19,16 +19,19 @@
   wallTime(): Date;
 }
 
-export const Runtime = {
-  /** Starts a task of a component; if it fails, `onTaskFailure` is called. */
-  start<T>(runtime: Runtime, part: string, task: Task<T>, ended?: (value: T) => void): void {
-    Task.start(task, (error) => runtime.onTaskFailure(part, error), ended);
-  },
+/** Starts a task of a component; if it fails, `onTaskFailure` is called. */
+export function startTask<T>(
+  runtime: Runtime,
+  part: string,
+  task: Task<T>,
+  ended?: (value: T) => void,
+): void {
+  runTask(task, (error) => runtime.onTaskFailure(part, error), ended);
+}
 
-  /** A random text that is unique for all practical purposes. */
-  nonce(runtime: Runtime): string {
-    return Array.from({ length: 3 }, () =>
-      Math.floor(runtime.random() * 2 ** 32).toString(36),
-    ).join("-");
-  },
-};
+/** A random text that is unique for all practical purposes. */
+export function randomNonce(runtime: Runtime): string {
+  return Array.from({ length: 3 }, () => Math.floor(runtime.random() * 2 ** 32).toString(36)).join(
+    "-",
+  );
+}
--- a/src/runtime/task.ts
+++ b/src/runtime/task.ts
@@ -9,74 +9,76 @@
 /** Thrown where a task was resumed without an outcome. */
 export class MissingOutcomeError extends Error {}
 
-export const Task = {
-  /** Waits for the first outcome of something that is started now. */
-  *wait<T>(start: (done: (outcome: T) => void) => void): Task<T> {
-    const outcomes: T[] = [];
-    yield (resume) =>
-      start((outcome) => {
-        if (outcomes.length > 0) return;
-        outcomes.push(outcome);
-        resume();
-      });
-    for (const outcome of outcomes) return outcome;
-    throw new MissingOutcomeError("A task was resumed without an outcome.");
-  },
+/** Waits for the first outcome of something that is started now. */
+export function* waitFor<T>(start: (done: (outcome: T) => void) => void): Task<T> {
+  const outcomes: T[] = [];
+  yield (resume) =>
+    start((outcome) => {
+      if (outcomes.length > 0) return;
+      outcomes.push(outcome);
+      resume();
+    });
+  for (const outcome of outcomes) return outcome;
+  throw new MissingOutcomeError("A task was resumed without an outcome.");
+}
 
-  /** Runs a task to its end; then calls `ended` with its value, or `failed` with what it threw. */
-  start<T>(task: Task<T>, failed: (error: unknown) => void, ended?: (value: T) => void): void {
-    let isRunning = false;
-    let pendingSteps = 0;
-    const step = (): void => {
-      pendingSteps += 1;
-      if (isRunning) return;
-      isRunning = true;
-      try {
-        while (pendingSteps > 0) {
-          pendingSteps -= 1;
-          const next = task.next();
-          if (next.done === true) {
-            ended?.(next.value);
-            return;
-          }
-          next.value(step);
+/** Runs a task to its end; then calls `ended` with its value, or `failed` with what it threw. */
+export function runTask<T>(
+  task: Task<T>,
+  failed: (error: unknown) => void,
+  ended?: (value: T) => void,
+): void {
+  let isRunning = false;
+  let pendingSteps = 0;
+  const step = (): void => {
+    pendingSteps += 1;
+    if (isRunning) return;
+    isRunning = true;
+    try {
+      while (pendingSteps > 0) {
+        pendingSteps -= 1;
+        const next = task.next();
+        if (next.done === true) {
+          ended?.(next.value);
+          return;
         }
-      } catch (error) {
-        failed(error);
-      } finally {
-        isRunning = false;
+        next.value(step);
       }
-    };
-    step();
-  },
+    } catch (error) {
+      failed(error);
+    } finally {
+      isRunning = false;
+    }
+  };
+  step();
+}
 
-  /** Waits for a promise; a rejection is returned as its error. */
-  *fromPromise<T>(promise: Promise<T>): Task<{ value: T } | { error: unknown }> {
-    return yield* Task.wait<{ value: T } | { error: unknown }>((done) => {
-      promise.then(
-        (value) => done({ value }),
-        (error: unknown) => done({ error }),
-      );
-    });
-  },
+/** Waits for a promise; a rejection is returned as its error. */
+export function* fromPromise<T>(promise: Promise<T>): Task<{ value: T } | { error: unknown }> {
+  return yield* waitFor<{ value: T } | { error: unknown }>((done) => {
+    promise.then(
+      (value) => done({ value }),
+      (error: unknown) => done({ error }),
+    );
+  });
+}
 
-  /** Starts tasks by `start`, and waits until all have ended. */
-  *all(start: (task: Task) => void, tasks: Task[]): Task {
-    let remaining = tasks.length;
-    if (remaining === 0) return;
-    yield* Task.wait<boolean>((done) => {
-      for (const task of tasks) {
-        start(
-          (function* () {
-            try {
-              yield* task;
-            } finally {
-              remaining -= 1;
-              if (remaining === 0) done(true);
-            }
-          })(),
-        );
-      }
-    });
-  },
-};
+/** Starts tasks by `start`, and waits until all have ended. */
+export function* runAll(start: (task: Task) => void, tasks: Task[]): Task {
+  let remaining = tasks.length;
+  if (remaining === 0) return;
+  yield* waitFor<boolean>((done) => {
+    for (const task of tasks) {
+      start(
+        (function* () {
+          try {
+            yield* task;
+          } finally {
+            remaining -= 1;
+            if (remaining === 0) done(true);
+          }
+        })(),
+      );
+    }
+  });
+}
--- a/src/simulation/client-call.ts
+++ b/src/simulation/client-call.ts
@@ -1,7 +1,7 @@
 /** One request of a simulated client to a daemon's proxy, over the virtual network. */
 import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
-import { Clock } from "../runtime/clock.js";
-import { Task } from "../runtime/task.js";
+import { type Clock, withTimeout } from "../runtime/clock.js";
+import { type Task, waitFor } from "../runtime/task.js";
 import type { ClientSide } from "./client-transport.js";
 import { EventGate } from "./event-gate.js";
 import type { SimulatedMachine } from "./simulated-machine.js";
@@ -64,7 +64,7 @@
   /** Sends the request; a client that has no response by its timeout hangs up. */
   *run(timeoutMs: number): Task<ClientSide> {
     const { clock, network } = this.environment;
-    const end = yield* Clock.withTimeout<ClientSide>(clock, timeoutMs, (done) => {
+    const end = yield* withTimeout<ClientSide>(clock, timeoutMs, (done) => {
       const arrive = (): void => this.arrive(done);
       clock.after(network.connectMs(), () =>
         network.deliver(CLIENTS_LOCATION, this.name, outsideGate, arrive, () =>
@@ -131,7 +131,7 @@
       *writeChunk(bytes) {
         open?.chunks.push(Buffer.from(bytes));
         if (random() < BACKPRESSURE_FRACTION)
-          yield* Task.wait<boolean>((drained) =>
+          yield* waitFor<boolean>((drained) =>
             clock.after(BACKPRESSURE_MS, () => gate.pass(() => drained(true))),
           );
         return !isClosed;
--- a/src/simulation/config-workload.ts
+++ b/src/simulation/config-workload.ts
@@ -1,12 +1,12 @@
 import { create, number, optional, type, unknown } from "superstruct";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
-import { Clock } from "../runtime/clock.js";
+import { sleep } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 
 import type { EventRecorder } from "./event-recorder.js";
 import { malformedConfigs } from "./malformed-configs.js";
 import type { ClientTransport } from "./client-transport.js";
-import { Profile } from "./profile.js";
+import { type Profile, profileConfig } from "./profile.js";
 
 /** A change of the configuration as an operator has drawn it up; sent again, it keeps its bytes. */
 export interface ConfigChange {
@@ -93,7 +93,7 @@
     for (const [route, services] of Object.entries(this.profile.moves))
       if (this.outside.random() < 0.3)
         this.moved[route] = services[Math.floor(this.outside.random() * services.length)] ?? "";
-    const config = Profile.config(this.profile, probe, this.moved, this.extraRoutes);
+    const config = profileConfig(this.profile, probe, this.moved, this.extraRoutes);
     return {
       base,
       version,
@@ -135,7 +135,7 @@
         this.recorder.world.push({ kind: "rejected", atMs, probe });
         return false;
       }
-      yield* Clock.sleep(clock, pauseMs);
+      yield* sleep(clock, pauseMs);
     }
     return false;
   }
@@ -153,7 +153,7 @@
   /** An operator who reads the newest configuration now and then, from any daemon. */
   *reading(everyMs: number): Task {
     while (!this.isOver()) {
-      yield* Clock.sleep(this.outside.clock, everyMs * (0.5 + this.outside.random()));
+      yield* sleep(this.outside.clock, everyMs * (0.5 + this.outside.random()));
       this.outside.start(this.read(undefined));
     }
   }
@@ -162,7 +162,7 @@
   *putMalformed(): Task {
     this.changes += 1;
     const probe = (this.sequence + 1) * 1000 + (this.changes % 1000);
-    const bad = malformedConfigs(Profile.config(this.profile, probe), this.profile, probe);
+    const bad = malformedConfigs(profileConfig(this.profile, probe), this.profile, probe);
     const body = Buffer.from(bad[Math.floor(this.outside.random() * bad.length)] ?? "");
     const response = yield* this.outside.desk(undefined, {
       method: "PUT",
@@ -195,7 +195,7 @@
       if (response?.code === 200)
         return JSON.stringify(create(jsonIn(response.body), foundConfig).config);
       if (response && response.code !== 503) return undefined;
-      yield* Clock.sleep(this.outside.clock, readPauseMs);
+      yield* sleep(this.outside.clock, readPauseMs);
     }
     return undefined;
   }
--- a/src/simulation/faults/catch-up-faults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -1,5 +1,5 @@
-import { Bounds } from "../../daemon/bounds.js";
-import { Clock } from "../../runtime/clock.js";
+import { boundsOf } from "../../daemon/bounds.js";
+import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
 import type { FaultScenario } from "./fault.js";
@@ -25,20 +25,20 @@
 /** A member is behind by hundreds of changes when the others are lost in turn. */
 export const catchUpFaults: Record<string, FaultScenario> = {
   *changeWhileMemberIsAway(simulation) {
-    const { catchUpMs } = Bounds.of(simulation.profile).values;
+    const { catchUpMs } = boundsOf(simulation.profile).values;
     const away = pick(simulation, diskMachines(simulation));
     if (!away) return;
     simulation.kill(away, true);
     yield* changeManyTimes(simulation, changesMeanwhile);
     simulation.boot(away);
-    yield* Clock.sleep(simulation.clock, catchUpMs);
+    yield* sleep(simulation.clock, catchUpMs);
     for (const other of diskMachines(simulation).filter((one) => one !== away)) {
       simulation.kill(other, true);
-      yield* Clock.sleep(simulation.clock, orderAfterMs);
+      yield* sleep(simulation.clock, orderAfterMs);
       simulation.start(timedCommand(simulation, "one lost after many changes"));
-      yield* Clock.sleep(simulation.clock, downMs);
+      yield* sleep(simulation.clock, downMs);
       simulation.boot(other);
-      yield* Clock.sleep(simulation.clock, catchUpMs);
+      yield* sleep(simulation.clock, catchUpMs);
     }
     yield* rest(simulation, 200, 500);
   },
--- a/src/simulation/faults/lost-response-faults.ts
+++ b/src/simulation/faults/lost-response-faults.ts
@@ -1,5 +1,6 @@
 import type { Task } from "../../runtime/task.js";
-import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { SimulatedMachine } from "../simulated-machine.js";
+import type { Simulation } from "../simulation.js";
 import type { FaultScenario } from "./fault.js";
 import { reboot } from "./restarts.js";
 import { diskMachines, pick, rest } from "./targets.js";
--- a/src/simulation/faults/member-partition-faults.ts
+++ b/src/simulation/faults/member-partition-faults.ts
@@ -1,6 +1,7 @@
-import { Clock } from "../../runtime/clock.js";
+import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
-import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { SimulatedMachine } from "../simulated-machine.js";
+import type { Simulation } from "../simulation.js";
 import { routesBetween, type PartitionedRoutes } from "./partitions.js";
 import type { FaultScenario } from "./fault.js";
 import { reboot } from "./restarts.js";
@@ -78,7 +79,7 @@
   simulation.start(leaveMeanwhile(simulation));
   while (simulation.virtualClock.nowMs() < untilMs) {
     raceAcross(simulation, member, others);
-    yield* Clock.sleep(simulation.clock, raceEveryMs);
+    yield* sleep(simulation.clock, raceEveryMs);
   }
   simulation.kill(member, simulation.random() < 0.5);
   for (const [from, to] of ways) simulation.network.mend(from, to);
--- a/src/simulation/faults/network-faults.ts
+++ b/src/simulation/faults/network-faults.ts
@@ -1,4 +1,4 @@
-import { CLIENTS_LOCATION } from "../simulation.js";
+import { CLIENTS_LOCATION } from "../client-call.js";
 import { degrade, partition, isolate, oneWayOf, routesBetween } from "./partitions.js";
 import {
   runningMachines,
--- a/src/simulation/faults/partitions.ts
+++ b/src/simulation/faults/partitions.ts
@@ -1,5 +1,6 @@
 import type { Task } from "../../runtime/task.js";
-import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { SimulatedMachine } from "../simulated-machine.js";
+import type { Simulation } from "../simulation.js";
 import { machineNameOf, rest } from "./targets.js";
 
 /** Ways of the network, each from one place to another. */
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -1,7 +1,8 @@
-import { Bounds } from "../../daemon/bounds.js";
-import { Clock } from "../../runtime/clock.js";
+import { boundsOf } from "../../daemon/bounds.js";
+import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
-import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { SimulatedMachine } from "../simulated-machine.js";
+import type { Simulation } from "../simulation.js";
 import type { FaultScenario } from "./fault.js";
 import { allFormed, diskMachines, leaders, rest } from "./targets.js";
 import { timedCommand } from "./timed-command.js";
@@ -16,11 +17,11 @@
 /** One way to lose a member; it tells from when on the member no longer counts as lost. */
 type Loss = (simulation: Simulation, member: SimulatedMachine) => Task<number>;
 
-const syncMs = (simulation: Simulation): number => Bounds.of(simulation.profile).values.catchUpMs;
+const syncMs = (simulation: Simulation): number => boundsOf(simulation.profile).values.catchUpMs;
 
 const replacedSuddenly: Loss = function* (simulation, member) {
   simulation.remove(member);
-  yield* Clock.sleep(simulation.clock, successorMs);
+  yield* sleep(simulation.clock, successorMs);
   simulation.addSpare(member.settings.zone);
   return simulation.virtualClock.nowMs() + syncMs(simulation);
 };
@@ -28,7 +29,7 @@
 const replacedInOrder: Loss = function* (simulation, member) {
   simulation.addSpare(member.settings.zone);
   const wholeMs = simulation.virtualClock.nowMs() + syncMs(simulation);
-  yield* Clock.sleep(simulation.clock, successorMs);
+  yield* sleep(simulation.clock, successorMs);
   yield* simulation.stop(member);
   simulation.remove(member);
   return wholeMs;
@@ -38,14 +39,14 @@
   simulation.kill(member, true);
   member.disk?.wipe();
   member.isEmptied = true;
-  yield* Clock.sleep(simulation.clock, successorMs);
+  yield* sleep(simulation.clock, successorMs);
   simulation.boot(member);
   return simulation.virtualClock.nowMs() + syncMs(simulation);
 };
 
 const unpowered: Loss = function* (simulation, member) {
   simulation.kill(member, true);
-  yield* Clock.sleep(simulation.clock, downMs);
+  yield* sleep(simulation.clock, downMs);
   simulation.boot(member);
   return simulation.virtualClock.nowMs() + syncMs(simulation);
 };
@@ -73,11 +74,11 @@
         wholeMs.push(yield* lose(simulation, member));
       })(),
     );
-  yield* Clock.sleep(simulation.clock, orderAfterMs);
+  yield* sleep(simulation.clock, orderAfterMs);
   simulation.start(timedCommand(simulation, name));
-  while (wholeMs.length < members.length) yield* Clock.sleep(simulation.clock, watchMs);
+  while (wholeMs.length < members.length) yield* sleep(simulation.clock, watchMs);
   const untilMs = Math.max(...wholeMs);
-  yield* Clock.sleep(simulation.clock, Math.max(0, untilMs - simulation.virtualClock.nowMs()));
+  yield* sleep(simulation.clock, Math.max(0, untilMs - simulation.virtualClock.nowMs()));
 };
 
 /** Loses members again and again, each time at the first moment that the bounds allow. */
@@ -86,7 +87,7 @@
   losses: ReadonlyArray<readonly [name: string, lose: Loss]>,
 ): Task {
   // Whoever was lost before counts as lost for so long.
-  yield* Clock.sleep(simulation.clock, syncMs(simulation));
+  yield* sleep(simulation.clock, syncMs(simulation));
   if (!allFormed(simulation)) return;
   simulation.isLosingDisk = true;
   for (const [name, lose] of losses) yield* loseAtOnce(simulation, lose, name);
--- a/src/simulation/faults/restarts.ts
+++ b/src/simulation/faults/restarts.ts
@@ -1,5 +1,6 @@
 import type { Task } from "../../runtime/task.js";
-import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { SimulatedMachine } from "../simulated-machine.js";
+import type { Simulation } from "../simulation.js";
 import { rest } from "./targets.js";
 
 /** Ends the processes of some machines at once, with their power where told, and starts them again together. */
--- a/src/simulation/faults/targets.ts
+++ b/src/simulation/faults/targets.ts
@@ -1,6 +1,7 @@
-import { Clock } from "../../runtime/clock.js";
+import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
-import type { SimulatedMachine, Simulation } from "../simulation.js";
+import type { SimulatedMachine } from "../simulated-machine.js";
+import type { Simulation } from "../simulation.js";
 import type { TestBackend } from "../test-backend.js";
 
 /** One of some items, drawn by the simulation's seed. */
@@ -9,7 +10,7 @@
 
 /** Waits for a drawn time between two bounds. */
 export const rest = (simulation: Simulation, leastMs: number, mostMs: number): Task =>
-  Clock.sleep(simulation.clock, leastMs + simulation.random() * (mostMs - leastMs));
+  sleep(simulation.clock, leastMs + simulation.random() * (mostMs - leastMs));
 
 /** The machines whose process runs and was not told to stop. */
 export const runningMachines = (simulation: Simulation): SimulatedMachine[] =>
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -1,4 +1,5 @@
-import { Config, safeMethods } from "../configuration/config.js";
+import { parseConfig } from "../configuration/config-validation.js";
+import { safeMethods } from "../configuration/config-shape.js";
 import { RouteTable } from "../cluster-view/route-table.js";
 import { configHistoryFaults } from "./config-history-check.js";
 import { EventRecorder, type ClientRecord, type RunRecord } from "./event-recorder.js";
@@ -172,7 +173,7 @@
   const configs = recorder
     .of("sent")
     .filter((record) => !rejected.has(record.probe))
-    .map(({ text }) => new RouteTable(Config.parse(text)));
+    .map(({ text }) => new RouteTable(parseConfig(text)));
   const known = new Map<string, Set<string>>();
   for (const run of recorder.runs) {
     const name = `${run.method} ${run.path}`;
--- a/src/simulation/main.ts
+++ b/src/simulation/main.ts
@@ -1,7 +1,7 @@
 import { cac } from "cac";
 import { writeFileSync } from "node:fs";
 import { faults } from "./faults.js";
-import { Profile } from "./profile.js";
+import { shippedProfiles, fiveMemberProfile } from "./profile.js";
 import { simulateDay } from "./simulated-day.js";
 
 interface Options {
@@ -28,8 +28,8 @@
     const [from = 1, to = from] = String(options.seeds).split("-").map(Number);
     const profiles =
       options.profile === "both"
-        ? Object.values(Profile.all)
-        : [...Object.values(Profile.all), Profile.five].filter(
+        ? Object.values(shippedProfiles)
+        : [...Object.values(shippedProfiles), fiveMemberProfile].filter(
             ({ name }) => options.profile === name,
           );
     let broken = 0;
--- a/src/simulation/profile.ts
+++ b/src/simulation/profile.ts
@@ -142,40 +142,39 @@
   syncs: "/syncs/*",
 };
 
-export const Profile = {
-  all: { kovacic, rastro },
-  five,
+export const shippedProfiles = { kovacic, rastro };
 
-  /** A config for a profile; `probe` names a route that no other config has. */
-  config(
-    profile: Profile,
-    probe: number,
-    moved: Readonly<Record<string, string>> = {},
-    extraRoutes = 0,
-  ): Config {
-    const config: Config = { services: {}, routes: {}, goals: {} };
-    const [first] = Object.keys(profile.backEnds);
-    for (const service of Object.keys(profile.backEnds)) config.services[service] = {};
-    for (const { route, service, method, keyed } of profile.traffic) {
-      config.routes[route] = {
-        match: { path: routePaths[route] ?? `/${route}/*`, methods: [method] },
-        service: moved[route] ?? service,
-        ...(keyed ? { keyed } : {}),
-        giveUpMs: 3000,
-      };
-      if (config.goals)
-        config.goals[route] = { latencyMs: method === "GET" ? 250 : 400, furtherTries: 2 };
-    }
-    for (let extra = 0; extra < extraRoutes; extra += 1)
-      config.routes[`extra-${extra}`] = {
-        match: { path: `/extra/${extra}/*` },
-        service: first ?? "",
-      };
-    config.routes[`probe-${probe}`] = {
-      match: { path: `/probe/${probe}`, methods: ["GET"] },
-      service: first ?? "",
+export { five as fiveMemberProfile };
+
+/** A config for a profile; `probe` names a route that no other config has. */
+export function profileConfig(
+  profile: Profile,
+  probe: number,
+  moved: Readonly<Record<string, string>> = {},
+  extraRoutes = 0,
+): Config {
+  const config: Config = { services: {}, routes: {}, goals: {} };
+  const [first] = Object.keys(profile.backEnds);
+  for (const service of Object.keys(profile.backEnds)) config.services[service] = {};
+  for (const { route, service, method, keyed } of profile.traffic) {
+    config.routes[route] = {
+      match: { path: routePaths[route] ?? `/${route}/*`, methods: [method] },
+      service: moved[route] ?? service,
+      ...(keyed ? { keyed } : {}),
       giveUpMs: 3000,
     };
-    return config;
-  },
-};
+    if (config.goals)
+      config.goals[route] = { latencyMs: method === "GET" ? 250 : 400, furtherTries: 2 };
+  }
+  for (let extra = 0; extra < extraRoutes; extra += 1)
+    config.routes[`extra-${extra}`] = {
+      match: { path: `/extra/${extra}/*` },
+      service: first ?? "",
+    };
+  config.routes[`probe-${probe}`] = {
+    match: { path: `/probe/${probe}`, methods: ["GET"] },
+    service: first ?? "",
+    giveUpMs: 3000,
+  };
+  return config;
+}
--- a/src/simulation/simulated-day.ts
+++ b/src/simulation/simulated-day.ts
@@ -1,5 +1,5 @@
-import { Clock } from "../runtime/clock.js";
-import type { ReplicationTimeouts } from "../replication/replication-node.js";
+import { sleep } from "../runtime/clock.js";
+import type { ReplicationTimeouts } from "../replication/replication-timeouts.js";
 import type { Task } from "../runtime/task.js";
 import { RandomDraw } from "./random-draw.js";
 import { FaultSelection } from "./fault-selection.js";
@@ -57,19 +57,19 @@
 
   const strike = function* (): Task {
     const name = draw.begin();
-    if (name === undefined) return yield* Clock.sleep(simulation.clock, nothingDrawnMs);
+    if (name === undefined) return yield* sleep(simulation.clock, nothingDrawnMs);
     struck.push(name);
     simulation.recorder.world.push({
       kind: "fault",
       atMs: simulation.virtualClock.nowMs(),
       what: name,
     });
-    yield* faults[name]?.(simulation) ?? Clock.sleep(simulation.clock, 1);
+    yield* faults[name]?.(simulation) ?? sleep(simulation.clock, 1);
     draw.end(name);
   };
   const striking = function* (): Task {
     while (simulation.virtualClock.nowMs() < settleMs + dayMs) {
-      yield* Clock.sleep(simulation.clock, random() * 3000);
+      yield* sleep(simulation.clock, random() * 3000);
       if (simulation.virtualClock.nowMs() < settleMs + dayMs) yield* strike();
     }
     yield* strike();
@@ -88,7 +88,7 @@
   const configuring = function* (): Task {
     while (!simulation.workload.isOver) {
       yield* simulation.workload.putConfig();
-      yield* Clock.sleep(simulation.clock, 1500 + random() * 4000);
+      yield* sleep(simulation.clock, 1500 + random() * 4000);
     }
   };
 
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -2,11 +2,11 @@
 import type { BackendClient } from "../proxy/upstream/backend-client.js";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
-import { Clock } from "../runtime/clock.js";
+import { type Clock, sleep, withTimeout } from "../runtime/clock.js";
 import { Daemon } from "../daemon/daemon.js";
 import type { Settings } from "../daemon/settings.js";
-import type { ReplicationTimeouts } from "../replication/replication-node.js";
-import { Task } from "../runtime/task.js";
+import type { ReplicationTimeouts } from "../replication/replication-timeouts.js";
+import { type Task, runTask, waitFor } from "../runtime/task.js";
 import { Workload } from "./workload.js";
 import type { ClientSide, ClientTransport } from "./client-transport.js";
 import { RandomDraw } from "./random-draw.js";
@@ -22,9 +22,6 @@
 import { VirtualNetwork } from "./virtual-network.js";
 import { virtualRuntime } from "./virtual-runtime.js";
 
-export { CLIENTS_LOCATION } from "./client-call.js";
-export type { SimulatedMachine } from "./simulated-machine.js";
-
 /** What determines the layout of a machine. */
 interface MachineLayout {
   readonly index: number;
@@ -187,7 +184,7 @@
   }
 
   start(task: Task<unknown>): void {
-    Task.start(task, (error) => {
+    runTask(task, (error) => {
       throw error;
     });
   }
@@ -248,12 +245,12 @@
     if (!daemon || machine.isStopping) return;
     const atMs = this.virtualClock.nowMs();
     machine.isStopping = true;
-    yield* Task.wait<boolean>((done) => {
+    yield* waitFor<boolean>((done) => {
       machine.exitListeners.add(() => done(false));
-      Task.start(daemon.drain(), this.fail, () => gate.pass(() => done(true)));
+      runTask(daemon.drain(), this.fail, () => gate.pass(() => done(true)));
     });
     if (!gate.isAlive) return;
-    yield* Clock.sleep(this.clock, 50);
+    yield* sleep(this.clock, 50);
     this.recorder.world.push({
       kind: "stopped",
       atMs,
@@ -312,7 +309,7 @@
     if (!machine) return undefined;
     const { network } = this;
     const location = machine.settings.machine;
-    return yield* Clock.withTimeout<ClientResponse | undefined>(this.clock, timeoutMs, (done) => {
+    return yield* withTimeout<ClientResponse | undefined>(this.clock, timeoutMs, (done) => {
       const back = (response: ClientResponse | undefined): void => {
         if (from === OPERATORS_LOCATION && response && this.random() < this.lostAnswerPart) return;
         network.deliver(
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -7,7 +7,7 @@
   type OpenResult,
 } from "../proxy/upstream/backend-client.js";
 import type { Clock } from "../runtime/clock.js";
-import { Task } from "../runtime/task.js";
+import { type Task, waitFor } from "../runtime/task.js";
 import { EventGate } from "./event-gate.js";
 import type { Reply, TestBackend } from "./test-backend.js";
 import type { VirtualNetwork } from "./virtual-network.js";
@@ -75,7 +75,7 @@
     address,
     service,
   }: BackendAttempt): Task<Line | "refused" | "foreign" | "unreached"> {
-    return yield* Task.wait<Line | "refused" | "foreign" | "unreached">((done) => {
+    return yield* waitFor<Line | "refused" | "foreign" | "unreached">((done) => {
       let isOver = false;
       const give = (outcome: Line | "refused" | "foreign" | "unreached"): void => {
         if (isOver) return;
@@ -120,7 +120,7 @@
   ): Task<OpenResult> {
     const { standIn: testBackend } = line;
     const { address } = testBackend;
-    return yield* Task.wait<OpenResult>((done) => {
+    return yield* waitFor<OpenResult>((done) => {
       let isOver = false;
       const give = (opened: OpenResult): void => {
         if (isOver) return;
@@ -184,7 +184,7 @@
           rest(line, pool);
           return "end";
         }
-        const came = yield* Task.wait<boolean>((done) =>
+        const came = yield* waitFor<boolean>((done) =>
           network.deliver(
             address,
             place,
--- a/src/simulation/virtual-disk.ts
+++ b/src/simulation/virtual-disk.ts
@@ -1,7 +1,6 @@
-import type { Clock } from "../runtime/clock.js";
-import { Clock as Clocks } from "../runtime/clock.js";
+import { type Clock, sleep } from "../runtime/clock.js";
 import { DiskError, type Disk } from "../runtime/disk.js";
-import { Task } from "../runtime/task.js";
+import type { Task } from "../runtime/task.js";
 
 /** A disk in memory: what was not synced when the power went is gone, or half there. */
 export class VirtualDisk implements Disk {
@@ -108,7 +107,7 @@
   }
 
   private *rest(): Task {
-    yield* Clocks.sleep(
+    yield* sleep(
       this.clock,
       0.3 + this.random() * 2 + Math.max(0, this.stalledUntilMs - this.clock.nowMs()),
     );
--- a/src/simulation/virtual-network.ts
+++ b/src/simulation/virtual-network.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
-import { Task } from "../runtime/task.js";
+import { waitFor } from "../runtime/task.js";
 import type { Connection, Network } from "../runtime/network.js";
 import type { EventGate } from "./event-gate.js";
 
@@ -113,7 +113,7 @@
         listen(address, accept);
       },
       *connect(address) {
-        return yield* Task.wait<Connection | undefined>((done) => connect(address, done));
+        return yield* waitFor<Connection | undefined>((done) => connect(address, done));
       },
     };
   }
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -1,8 +1,8 @@
 /** The traffic around a fleet, simulated or of real processes: clients, backends and operators. */
 import { string, type, type Struct } from "superstruct";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
-import { Clock } from "../runtime/clock.js";
-import { Task } from "../runtime/task.js";
+import { sleep } from "../runtime/clock.js";
+import type { Task } from "../runtime/task.js";
 import { ConfigWorkload } from "./config-workload.js";
 import type { ClientSide, ClientTransport } from "./client-transport.js";
 import type { ClientRecord, EventRecorder } from "./event-recorder.js";
@@ -83,14 +83,14 @@
     const { clock } = this.outside;
     for (let nextMs = clock.nowMs(); !this.isOver;) {
       if (this.crowd === 0) {
-        yield* Clock.sleep(clock, 50);
+        yield* sleep(clock, 50);
         nextMs = clock.nowMs();
         continue;
       }
       nextMs +=
         (-Math.log(1 - this.outside.random()) * 1000) /
         (traffic.perSecond * this.rateFactor * this.crowd);
-      if (nextMs > clock.nowMs()) yield* Clock.sleep(clock, nextMs - clock.nowMs());
+      if (nextMs > clock.nowMs()) yield* sleep(clock, nextMs - clock.nowMs());
       this.outside.start(this.client(traffic));
     }
   }
@@ -98,7 +98,7 @@
   /** Requests for routes that only one config has. */
   *probers(perSecond: number): Task {
     while (!this.isOver) {
-      yield* Clock.sleep(this.outside.clock, 1000 / perSecond);
+      yield* sleep(this.outside.clock, 1000 / perSecond);
       const accepted = this.recorder.of("accepted").slice(-3);
       const probe = accepted[Math.floor(this.outside.random() * accepted.length)]?.probe;
       const [service] = Object.keys(this.profile.backEnds);
@@ -132,7 +132,7 @@
             service,
           });
       }
-      yield* Clock.sleep(this.outside.clock, everyMs * (0.9 + this.outside.random() * 0.2));
+      yield* sleep(this.outside.clock, everyMs * (0.9 + this.outside.random() * 0.2));
     }
   }
 
@@ -156,7 +156,7 @@
         });
         return true;
       }
-      yield* Clock.sleep(this.outside.clock, 200);
+      yield* sleep(this.outside.clock, 200);
     }
     return false;
   }
@@ -202,7 +202,7 @@
       const record = yield* this.oneCall(traffic.service, traffic.method, path, key, body);
       if (record.code > 0 && record.code < 500) return;
       if (record.broke === "hungUp") continue;
-      yield* Clock.sleep(this.outside.clock, this.retryDelayMs(record));
+      yield* sleep(this.outside.clock, this.retryDelayMs(record));
     }
   }
 
@@ -262,7 +262,7 @@
       retryAfterS: undefined,
       verdict: "",
     };
-    if (daemon === "") yield* Clock.sleep(clock, 20);
+    if (daemon === "") yield* sleep(clock, 20);
     else {
       const headers = {
         "x-caller": record.id,
--- a/src/sketch/ecm-sketch.ts
+++ b/src/sketch/ecm-sketch.ts
@@ -26,14 +26,9 @@
 /** Thrown where sketches of different dimensions or hash functions are combined. */
 export class SketchMismatchError extends Error {}
 
-export const SketchFormat = {
-  /** Whether sketches of two formats can be merged. */
-  same: (a: SketchFormat, b: SketchFormat): boolean =>
-    a.epsilon === b.epsilon &&
-    a.delta === b.delta &&
-    a.windowMs === b.windowMs &&
-    a.seed === b.seed,
-};
+/** Whether sketches of two formats can be merged. */
+export const isSameSketchFormat = (a: SketchFormat, b: SketchFormat): boolean =>
+  a.epsilon === b.epsilon && a.delta === b.delta && a.windowMs === b.windowMs && a.seed === b.seed;
 
 /** A Count-Min array whose cells are exponential histograms: frequencies of items in a sliding window. */
 export class EcmSketch {
@@ -104,7 +99,7 @@
 
   /** A sketch from its aged form; `olderMs` is how long it was in transit. */
   static ofAged(aged: AgedSketch, format: SketchFormat, now: number, olderMs: number): EcmSketch {
-    if (!SketchFormat.same(aged.format, format))
+    if (!isSameSketchFormat(aged.format, format))
       throw new SketchMismatchError("The sketch has other dimensions.");
     const sketch = new EcmSketch(format);
     for (const { cell, histogram } of aged.cells) {
@@ -123,7 +118,7 @@
     const merged = new EcmSketch(format);
     const byCell = new Map<number, ExponentialHistogram[]>();
     for (const input of inputs) {
-      if (!SketchFormat.same(input.format, format))
+      if (!isSameSketchFormat(input.format, format))
         throw new SketchMismatchError("The sketch has other dimensions.");
       for (const [cell, histogram] of input.cells) {
         const histograms = byCell.get(cell);
--- a/src/state/config-payload.ts
+++ b/src/state/config-payload.ts
@@ -1,7 +1,7 @@
 /** The form in which a log entry carries the text of a configuration: whole or as a delta, compressed where it is long. */
 import { optional, string } from "superstruct";
 import { TextCompression } from "../runtime/text-compression.js";
-import { TextDelta, textDeltaShape } from "./text-delta.js";
+import { type TextDelta, textDeltaBetween, applyTextDelta, textDeltaShape } from "./text-delta.js";
 
 /** The length beyond which a text or a delta is stored compressed, in characters. */
 const COMPRESSION_THRESHOLD_CHARS = 4096;
@@ -49,26 +49,27 @@
 const lengthOf = ({ text, packedText, packedDelta }: ConfigPayload): number =>
   (text ?? packedText ?? packedDelta ?? "").length;
 
-export const ConfigPayload = {
-  /** The shorter of a text and its delta from the former text, compressed where it is long. */
-  of(former: string | undefined, text: string): ConfigPayload {
-    if (former === undefined) return textPayload(text);
-    const delta = TextDelta.between(former, text);
-    const json = JSON.stringify(delta);
-    if (json.length <= COMPRESSION_THRESHOLD_CHARS) return { delta };
-    const compressed = { packedDelta: TextCompression.compress(json) };
-    const whole = textPayload(text);
-    return lengthOf(compressed) < lengthOf(whole) ? compressed : whole;
-  },
+/** The shorter of a text and its delta from the former text, compressed where it is long. */
+export function encodeConfigPayload(former: string | undefined, text: string): ConfigPayload {
+  if (former === undefined) return textPayload(text);
+  const delta = textDeltaBetween(former, text);
+  const json = JSON.stringify(delta);
+  if (json.length <= COMPRESSION_THRESHOLD_CHARS) return { delta };
+  const compressed = { packedDelta: TextCompression.compress(json) };
+  const whole = textPayload(text);
+  return lengthOf(compressed) < lengthOf(whole) ? compressed : whole;
+}
 
-  /** The text itself; `former` is the one that the entry builds on. */
-  read(payload: ConfigPayload, former: string | undefined): DecodedConfigText {
-    if (payload.text !== undefined) return { text: payload.text };
-    if (payload.packedText !== undefined)
-      return { text: TextCompression.decompress(payload.packedText) };
-    const delta = deltaOf(payload);
-    if (delta === undefined || former === undefined)
-      throw new ConfigPayloadError("An entry holds no text of a configuration, or no base for it.");
-    return { text: TextDelta.apply(former, delta), delta };
-  },
-};
+/** The text itself; `former` is the one that the entry builds on. */
+export function decodeConfigPayload(
+  payload: ConfigPayload,
+  former: string | undefined,
+): DecodedConfigText {
+  if (payload.text !== undefined) return { text: payload.text };
+  if (payload.packedText !== undefined)
+    return { text: TextCompression.decompress(payload.packedText) };
+  const delta = deltaOf(payload);
+  if (delta === undefined || former === undefined)
+    throw new ConfigPayloadError("An entry holds no text of a configuration, or no base for it.");
+  return { text: applyTextDelta(former, delta), delta };
+}
--- a/src/state/config-table.ts
+++ b/src/state/config-table.ts
@@ -8,7 +8,7 @@
   type AcceptedConfig,
   type ConfigNumbers,
 } from "./accepted-config.js";
-import { ConfigPayload } from "./config-payload.js";
+import { decodeConfigPayload } from "./config-payload.js";
 import { IdAllocator } from "./id-allocator.js";
 import type { Journal } from "./journal.js";
 import type { LogCommandOf } from "./log-command.js";
@@ -126,7 +126,7 @@
       index,
       changeId,
       acceptedAt,
-      ...ConfigPayload.read(command, this.active?.text),
+      ...decodeConfigPayload(command, this.active?.text),
     });
     this.recent = [
       ...this.recent.slice(1 - MAX_RECENT_CONFIGS),
--- a/src/state/log-command.ts
+++ b/src/state/log-command.ts
@@ -111,15 +111,13 @@
 const isCommand = (kind: keyof typeof commandShapes, value: unknown): value is LogCommand =>
   matchesStruct(commandShapes[kind], value);
 
-export const LogCommand = {
-  /** The stored text of a command. */
-  text: (command: LogCommand): string => JSON.stringify(command),
+/** The stored text of a command. */
+export const encodeLogCommand = (command: LogCommand): string => JSON.stringify(command);
 
-  /** Reads the stored text of a command; throws an `UnknownLogCommandError` for one of an unknown kind. */
-  read(text: string): LogCommand {
-    const value: unknown = JSON.parse(text);
-    const kind = kindField(value);
-    if (!isCommandKind(kind)) throw new UnknownLogCommandError(kind);
-    return isCommand(kind, value) ? value : commandShapes[kind].create(value);
-  },
-};
+/** Reads the stored text of a command; throws an `UnknownLogCommandError` for one of an unknown kind. */
+export function readLogCommand(text: string): LogCommand {
+  const value: unknown = JSON.parse(text);
+  const kind = kindField(value);
+  if (!isCommandKind(kind)) throw new UnknownLogCommandError(kind);
+  return isCommand(kind, value) ? value : commandShapes[kind].create(value);
+}
--- a/src/state/registration.ts
+++ b/src/state/registration.ts
@@ -65,8 +65,6 @@
   hasLifecycleFields(value) &&
   hasCapacityFields(value);
 
-export const Registration = {
-  /** Whether a value is a list of complete registrations; it travels often, so that plain code checks it. */
-  areAll: (value: unknown): value is Registration[] =>
-    Array.isArray(value) && value.every(isRegistration),
-};
+/** Whether a value is a list of complete registrations; it travels often, so that plain code checks it. */
+export const areRegistrations = (value: unknown): value is Registration[] =>
+  Array.isArray(value) && value.every(isRegistration);
--- a/src/state/state-machine.ts
+++ b/src/state/state-machine.ts
@@ -7,25 +7,13 @@
 import type { IdempotencyClaim } from "./idempotency-claim.js";
 import { claimsShape, IdempotencyClaimTable } from "./idempotency-claim-table.js";
 import { Journal, journalShape, type JournalEntry } from "./journal.js";
-import { LogCommand, type LogCommandOf } from "./log-command.js";
+import { type LogCommand, readLogCommand, type LogCommandOf } from "./log-command.js";
 import type { LogOutcome } from "./log-outcome.js";
 import { registrationShape, type Registration } from "./registration.js";
 import { RegistrationTable } from "./registration-table.js";
 import { RetryCapacityHolderTable } from "./retry-capacity-holder-table.js";
 import { tombstonesShape, TombstoneTable } from "./tombstone-table.js";
 
-export {
-  acceptedConfigShape,
-  storedConfig,
-  versionOf,
-  type AcceptedConfig,
-} from "./accepted-config.js";
-export type { IdempotencyClaim } from "./idempotency-claim.js";
-export { MAX_IDEMPOTENCY_CLAIMS } from "./idempotency-claim-table.js";
-export { LogCommand } from "./log-command.js";
-export { Registration } from "./registration.js";
-export { MAX_TOMBSTONES } from "./tombstone-table.js";
-
 /** The stored shape of a snapshot; `recent`, `gone` and `holders` are missing in those of former builds. */
 const snapshotShape = type({
   voters: array(string()),
@@ -143,7 +131,7 @@
 
   /** Applies the text of a log entry; returns the outcome as JSON. */
   apply(index: number, text: string): string {
-    const command = LogCommand.read(text);
+    const command = readLogCommand(text);
     const outcome = this.applyCommand(index, command);
     for (const hook of this.appliedHooks) hook(command, index);
     return JSON.stringify(outcome);
--- a/src/state/text-delta.ts
+++ b/src/state/text-delta.ts
@@ -116,26 +116,24 @@
   return steps;
 };
 
-export const TextDelta = {
-  /** The delta that makes a text from a base: short where most of the text occurs in the base. */
-  between(base: string, text: string): TextDelta {
-    const prefix = commonLengthFrom(base, 0, text, 0);
-    const maxSuffix = Math.min(base.length, text.length) - prefix;
-    const suffix = commonLengthBefore(base, base.length, text, text.length, maxSuffix);
-    const steps = stepsBetween(base, { from: prefix, to: base.length - suffix }, text, {
-      from: prefix,
-      to: text.length - suffix,
-    });
-    if (prefix > 0) steps.unshift([0, prefix]);
-    if (suffix > 0) steps.push([base.length - suffix, suffix]);
-    return steps;
-  },
+/** The delta that makes a text from a base: short where most of the text occurs in the base. */
+export function textDeltaBetween(base: string, text: string): TextDelta {
+  const prefix = commonLengthFrom(base, 0, text, 0);
+  const maxSuffix = Math.min(base.length, text.length) - prefix;
+  const suffix = commonLengthBefore(base, base.length, text, text.length, maxSuffix);
+  const steps = stepsBetween(base, { from: prefix, to: base.length - suffix }, text, {
+    from: prefix,
+    to: text.length - suffix,
+  });
+  if (prefix > 0) steps.unshift([0, prefix]);
+  if (suffix > 0) steps.push([base.length - suffix, suffix]);
+  return steps;
+}
 
-  /** The text that a delta makes from its base. */
-  apply(base: string, delta: TextDelta): string {
-    let text = "";
-    for (const step of delta)
-      text += typeof step === "string" ? step : base.slice(step[0], step[0] + step[1]);
-    return text;
-  },
-};
+/** The text that a delta makes from its base. */
+export function applyTextDelta(base: string, delta: TextDelta): string {
+  let text = "";
+  for (const step of delta)
+    text += typeof step === "string" ? step : base.slice(step[0], step[0] + step[1]);
+  return text;
+}
--- a/test/admin/config-archive.test.ts
+++ b/test/admin/config-archive.test.ts
@@ -4,14 +4,14 @@
 import { join } from "node:path";
 import git from "isomorphic-git";
 import { expect, test } from "vitest";
-import { LoggerFactory } from "../../src/runtime/logger.js";
-import { Task } from "../../src/runtime/task.js";
+import { lineLoggers } from "../../src/runtime/logger.js";
+import { runTask } from "../../src/runtime/task.js";
 import { ConfigArchive } from "../../src/admin/config-archive.js";
-import type { AcceptedConfig } from "../../src/state/state-machine.js";
+import type { AcceptedConfig } from "../../src/state/accepted-config.js";
 
 test("commits each config once, also across a restart", async () => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-archive-"));
-  const log = LoggerFactory.toLines(() => undefined).component("operator");
+  const log = lineLoggers(() => undefined).component("operator");
   const config = (sequence: number): AcceptedConfig => ({
     sequence,
     index: sequence,
@@ -26,7 +26,7 @@
   const run = async (sequences: number[], expected: number): Promise<void> => {
     const archive = new ConfigArchive(folder, log);
     for (const sequence of sequences) archive.enqueue(config(sequence));
-    Task.start(archive.run(), (error) => {
+    runTask(archive.run(), (error) => {
       throw error;
     });
     await expect.poll(async () => (await messages()).length, { timeout: 20_000 }).toBe(expected);
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -2,26 +2,36 @@
 import { enums, object, string, type Infer } from "superstruct";
 import {
   failureResponse,
-  ClaimResponse,
   isFailureResponse,
-  Command,
   overloadedResponse,
-  WatchRequest,
-} from "../../src/control-protocol/command.js";
-import { CompressedText } from "../../src/control-protocol/compressed-text.js";
+} from "../../src/control-protocol/command-response.js";
+import { readClaimResponse } from "../../src/control-protocol/claim-response.js";
+import { readCommand } from "../../src/control-protocol/command.js";
+import { readWatchRequest, readLeasedView } from "../../src/control-protocol/watch-request.js";
+import { readCompressedText } from "../../src/control-protocol/compressed-text.js";
 import {
-  KeyedOutcome,
+  encodeKeyedOutcome,
+  decodeKeyedOutcome,
   type KeyedOutcome as Outcome,
 } from "../../src/proxy/idempotency/keyed-outcome.js";
-import { decodeExactly, Frame, FrameReader, FRAME_VERSION } from "../../src/rpc/frame.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import {
+  decodeExactly,
+  type Frame,
+  encodeFrame,
+  FrameReader,
+  FRAME_VERSION,
+} from "../../src/rpc/frame.js";
+import { type RpcMethod, rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import type { Task } from "../../src/runtime/task.js";
 import type { Connection, Network } from "../../src/runtime/network.js";
-import { AggregatedCounts } from "../../src/retry-budget/count-messages.js";
-import { RequestCounts, RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
+import { readAggregatedCounts } from "../../src/retry-budget/count-messages.js";
+import {
+  RequestCounts,
+  defaultRequestCountsFormat,
+} from "../../src/retry-budget/request-counts.js";
 import { FleetStage, type MachineLife, type StageMachine } from "../replication/fleet-stage.js";
 import { historyPiece, recordTexts, runOn } from "./stored-data.js";
 
@@ -48,7 +58,7 @@
 ): Sample => {
   const frameOf = (body: T): string =>
     Buffer.from(
-      Frame.encode({
+      encodeFrame({
         version: FRAME_VERSION,
         methodId,
         isResponse,
@@ -87,7 +97,7 @@
 export const samples: readonly Sample[] = [
   ...exchange(
     "vote",
-    RpcMethod.vote,
+    rpcMethods.vote,
     {
       isPreVote: true,
       term: 7,
@@ -100,7 +110,7 @@
   ),
   ...exchange(
     "hand-over vote",
-    RpcMethod.vote,
+    rpcMethods.vote,
     {
       isPreVote: false,
       term: 7,
@@ -113,25 +123,25 @@
   ),
   ...exchange(
     "append",
-    RpcMethod.append,
+    rpcMethods.append,
     { term: 7, leader: "10.0.0.1:7000", previousIndex: 10, previousTerm: 4, committed: 3, entries },
     { term: 9, fits: true, counts: false, matched: 12 },
   ),
   ...exchange(
     "refused append",
-    RpcMethod.append,
+    rpcMethods.append,
     { term: 7, leader: "", previousIndex: 0, previousTerm: 0, committed: 0, entries: [] },
     { term: 9, fits: false, counts: true, matched: 0 },
   ),
   ...exchange(
     "snapshot",
-    RpcMethod.snapshot,
+    rpcMethods.snapshot,
     { term: 7, leader: "10.0.0.1:7000", lastIndex: 10, lastTerm: 4, text: "{}" },
     { term: 9, counts: true, matched: 10 },
   ),
   ...exchange(
     "meeting",
-    RpcMethod.discover,
+    rpcMethods.discover,
     {
       peer: "10.0.0.1:7000",
       fleet: "fleet",
@@ -153,35 +163,35 @@
       recorders: ["10.0.0.5:7000"],
     },
   ),
-  ...exchange("hand-over", RpcMethod.handOver, { term: 7 }, { taken: true }),
+  ...exchange("hand-over", rpcMethods.handOver, { term: 7 }, { taken: true }),
   ...exchange(
     "poll",
-    RpcMethod.watch,
+    rpcMethods.watch,
     { forwarded: true, text: "{}" },
     { leader: "leader", text: "{}" },
   ),
   ...exchange(
     "command",
-    RpcMethod.command,
+    rpcMethods.command,
     { forwarded: false, text: "{}" },
     { leader: "leader", text: overloadedResponse },
   ),
   ...exchange(
     "refused command",
-    RpcMethod.command,
+    rpcMethods.command,
     { forwarded: true, text: "{}" },
     { leader: "", text: failureResponse("notLeader") },
   ),
   ...exchange(
     "sketch",
-    RpcMethod.pushCounts,
+    rpcMethods.pushCounts,
     { text: "{}", sketches: bytes },
     { text: "[]", sketches: bytes },
   ),
-  ...exchange("history", RpcMethod.history, { from: 2 }, { configs: bytes }),
+  ...exchange("history", rpcMethods.history, { from: 2 }, { configs: bytes }),
   ...exchange(
     "snapshot piece",
-    RpcMethod.snapshotPiece,
+    rpcMethods.snapshotPiece,
     {
       term: 7,
       leader: "10.0.0.1:7000",
@@ -196,11 +206,11 @@
   ),
   ...exchange(
     "keeping an outcome",
-    RpcMethod.replicateOutcome,
+    rpcMethods.replicateOutcome,
     { ...keyed, state: 3, code: 200, headers: '{"a":"b"}', body: bytes },
     { isKept: true },
   ),
-  ...exchange("asking for an outcome", RpcMethod.keyedOutcome, keyed, {
+  ...exchange("asking for an outcome", rpcMethods.keyedOutcome, keyed, {
     state: 3,
     code: 200,
     headers: '{"a":"b"}',
@@ -222,7 +232,7 @@
   return Object.fromEntries(
     outcomes.map((outcome) => [
       outcome?.kind ?? "unknown",
-      Buffer.from(RpcMethod.keyedOutcome.response.toBuffer(KeyedOutcome.message(outcome))).toString(
+      Buffer.from(rpcMethods.keyedOutcome.response.toBuffer(encodeKeyedOutcome(outcome))).toString(
         "hex",
       ),
     ]),
@@ -231,16 +241,16 @@
 
 /** The outcome that a recorded message tells, encoded again. */
 export const rewrittenOutcome = (hex: string): string => {
-  const outcome = KeyedOutcome.read(
-    decodeExactly(RpcMethod.keyedOutcome.response, Buffer.from(hex, "hex")),
+  const outcome = decodeKeyedOutcome(
+    decodeExactly(rpcMethods.keyedOutcome.response, Buffer.from(hex, "hex")),
   );
-  const message = KeyedOutcome.message(outcome);
-  return Buffer.from(RpcMethod.keyedOutcome.response.toBuffer(message)).toString("hex");
+  const message = encodeKeyedOutcome(outcome);
+  return Buffer.from(rpcMethods.keyedOutcome.response.toBuffer(message)).toString("hex");
 };
 
 /** How sketches were encoded: tries of two services and requests of two routes at fixed moments. */
 export const sketch = (withRoutes: boolean): string => {
-  const counts = new RequestCounts(RequestCountsFormat.defaults);
+  const counts = new RequestCounts(defaultRequestCountsFormat);
   for (let at = 0; at < 40; at += 1) {
     counts.countAttempt(1, at % 4 === 0, 1000 + at * 50);
     counts.countAttempt(2, false, 1010 + at * 40);
@@ -252,19 +262,16 @@
 /** A recorded sketch, decoded and encoded again. */
 export const rewrittenSketch = (base64: string): string =>
   Buffer.from(
-    RequestCounts.decode(
-      Buffer.from(base64, "base64"),
-      RequestCountsFormat.defaults,
+    RequestCounts.decode(Buffer.from(base64, "base64"), defaultRequestCountsFormat, 5000, 0).encode(
       5000,
-      0,
-    ).encode(5000),
+    ),
   ).toString("base64");
 
 /** What a recorded sketch says of two services and of the heaviest routes. */
 export const sketchEstimates = (base64: string) => {
   const counts = RequestCounts.decode(
     Buffer.from(base64, "base64"),
-    RequestCountsFormat.defaults,
+    defaultRequestCountsFormat,
     5000,
     0,
   );
@@ -279,16 +286,16 @@
 
 /** Reads a JSON body by the present code, and gives what the receiver holds then as JSON. */
 export const readers: Readonly<Record<string, (text: string) => string>> = {
-  command: (text) => JSON.stringify(Command.read(text)),
-  poll: (text) => JSON.stringify(WatchRequest.read(text)),
-  view: (text) => JSON.stringify(WatchRequest.readResponse(text)),
-  claim: (text) => JSON.stringify(ClaimResponse.read(text)),
-  sketchResponse: (text) => JSON.stringify(AggregatedCounts.read(text)),
+  command: (text) => JSON.stringify(readCommand(text)),
+  poll: (text) => JSON.stringify(readWatchRequest(text)),
+  view: (text) => JSON.stringify(readLeasedView(text)),
+  claim: (text) => JSON.stringify(readClaimResponse(text)),
+  sketchResponse: (text) => JSON.stringify(readAggregatedCounts(text)),
   breakdown: (text) => JSON.stringify(isFailureResponse(text)),
 };
 
 /** The text of a packed answer. */
-export const unpackedText = (packedText: string): string => CompressedText.read({ packedText });
+export const unpackedText = (packedText: string): string => readCompressedText({ packedText });
 
 /** The JSON texts of a piece of the history. */
 export const historyTexts = (): string[] => recordTexts(historyPiece());
@@ -390,25 +397,25 @@
 
   /** Sends a command to a daemon and gives the text of its answer. */
   command(to: StageMachine, text: string): string {
-    return this.run(this.rpc.call(to.peer, RpcMethod.command, { forwarded: true, text }, 5000))
+    return this.run(this.rpc.call(to.peer, rpcMethods.command, { forwarded: true, text }, 5000))
       .text;
   }
 
   /** Sends a poll to a daemon and gives the text of its answer. */
   poll(to: StageMachine, text: string): string {
-    return this.run(this.rpc.call(to.peer, RpcMethod.watch, { forwarded: true, text }, 5000)).text;
+    return this.run(this.rpc.call(to.peer, rpcMethods.watch, { forwarded: true, text }, 5000)).text;
   }
 
   /** Sends a sketch to a daemon and gives the text of its answer. */
   push(to: StageMachine, text: string, base64: string): string {
     const ask = { text, sketches: Buffer.from(base64, "base64") };
-    return this.run(this.rpc.call(to.peer, RpcMethod.pushCounts, ask, 5000)).text;
+    return this.run(this.rpc.call(to.peer, rpcMethods.pushCounts, ask, 5000)).text;
   }
 
   /** How a daemon says that it stands, when it is met. */
   meetingState(to: StageMachine): string {
     const ask = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
-    return this.run(this.rpc.call(to.peer, RpcMethod.discover, ask, 5000)).state;
+    return this.run(this.rpc.call(to.peer, rpcMethods.discover, ask, 5000)).state;
   }
 }
 
@@ -457,17 +464,17 @@
   }
 
   private note({ methodId, isResponse, body }: Frame): void {
-    if (methodId === RpcMethod.discover.id && isResponse)
-      this.meetingStates.add(decodeExactly(RpcMethod.discover.response, body).state);
+    if (methodId === rpcMethods.discover.id && isResponse)
+      this.meetingStates.add(decodeExactly(rpcMethods.discover.response, body).state);
     if (isResponse) return;
-    if (methodId === RpcMethod.watch.id)
-      this.sent.note("poll", decodeExactly(RpcMethod.watch.request, body).text);
-    if (methodId === RpcMethod.pushCounts.id)
-      this.notePush(decodeExactly(RpcMethod.pushCounts.request, body).text);
-    if (methodId === RpcMethod.command.id)
-      this.noteCommand(decodeExactly(RpcMethod.command.request, body).text);
-    if (methodId === RpcMethod.append.id)
-      for (const { text } of decodeExactly(RpcMethod.append.request, body).entries)
+    if (methodId === rpcMethods.watch.id)
+      this.sent.note("poll", decodeExactly(rpcMethods.watch.request, body).text);
+    if (methodId === rpcMethods.pushCounts.id)
+      this.notePush(decodeExactly(rpcMethods.pushCounts.request, body).text);
+    if (methodId === rpcMethods.command.id)
+      this.noteCommand(decodeExactly(rpcMethods.command.request, body).text);
+    if (methodId === rpcMethods.append.id)
+      for (const { text } of decodeExactly(rpcMethods.append.request, body).entries)
         this.sent.note(`log entry ${kindOfText(text)}`, text);
   }
 
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -1,26 +1,24 @@
 import { createHash } from "node:crypto";
 import { inflateRawSync } from "node:zlib";
-import { ConfigReader } from "../../src/configuration/config.js";
-import type { DaemonOptions } from "../../src/daemon/daemon.js";
-import {
-  StateMachine,
-  LogCommand,
-  storedConfig,
-  type AcceptedConfig,
-} from "../../src/state/state-machine.js";
+import { ConfigReader } from "../../src/configuration/config-validation.js";
+import type { DaemonOptions } from "../../src/daemon/daemon-options.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { encodeLogCommand, readLogCommand } from "../../src/state/log-command.js";
+import { storedConfig, type AcceptedConfig } from "../../src/state/accepted-config.js";
 import { ConfigHistory } from "../../src/replication/history/config-history.js";
 import { encodeCompleteConfig } from "../../src/replication/history/history-format.js";
-import { Members } from "../../src/consensus/members.js";
+import { membersIn } from "../../src/consensus/members.js";
 import {
   withChecksum,
   CHECKSUM_HEADER_BYTES,
   readChecksummed,
 } from "../../src/replication/log/checksum.js";
 import { SharedSnapshot } from "../../src/replication/snapshot/snapshot-sender.js";
-import { LogStore, type DurableState } from "../../src/replication/log/log-store.js";
+import { LogStore } from "../../src/replication/log/log-store.js";
+import type { DurableState } from "../../src/replication/log/durable-state.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
-import { Task } from "../../src/runtime/task.js";
+import { type Task, runTask } from "../../src/runtime/task.js";
 import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
 
 /** The files of a data folder, by name. */
@@ -53,7 +51,7 @@
 /** Runs a task on a virtual clock to its end, within 30 virtual seconds, and gives its value. */
 export const runOn = <T>(time: VirtualClock, task: Task<T>): T => {
   const values: T[] = [];
-  Task.start(
+  runTask(
     task,
     (error) => {
       throw error;
@@ -182,7 +180,7 @@
   const { state: durableState } = load(new DiskStage(files));
   const stateMachine = new StateMachine();
   const { voters, learners } = stateMachine.restore(durableState.snapshot);
-  const members = Members.in(LogCommand.text({ kind: "members", voters, learners }));
+  const members = membersIn(encodeLogCommand({ kind: "members", voters, learners }));
   if (!members) throw new Error("A membership entry isn't read as one.");
   return { stored: durableState.snapshot, rewritten: stateMachine.snapshot(members) };
 };
@@ -194,7 +192,7 @@
 export const rewrittenEntries = (files: Files): Array<{ stored: string; rewritten: string }> =>
   load(new DiskStage(files)).state.entries.map(({ text }) => ({
     stored: text,
-    rewritten: LogCommand.text(LogCommand.read(text)),
+    rewritten: encodeLogCommand(readLogCommand(text)),
   }));
 
 /** The kinds of the log entries of a data folder, by their stored texts. */
--- a/test/configuration/config-serializer.test.ts
+++ b/test/configuration/config-serializer.test.ts
@@ -1,6 +1,7 @@
 import fc from "fast-check";
 import { describe, expect, test } from "vitest";
-import { applyItemChanges, Config } from "../../src/configuration/config.js";
+import { applyItemChanges } from "../../src/configuration/config-changes.js";
+import { checkConfig } from "../../src/configuration/config-validation.js";
 import { configText } from "../../src/configuration/config-serializer.js";
 
 const name = fc.stringMatching(/^[a-z0-9._-]{1,6}$/).filter((one) => one !== "__proto__");
@@ -42,7 +43,7 @@
               routes: gone,
               goals: gone,
             });
-            const checked = Config.check(config);
+            const checked = checkConfig(config);
             if ("faults" in checked) continue;
             expect(configText(checked.config)).toBe(JSON.stringify(checked.config));
           }
--- a/test/configuration/config.test.ts
+++ b/test/configuration/config.test.ts
@@ -1,11 +1,7 @@
 import { describe, expect, test } from "vitest";
-import {
-  applyItemChanges,
-  Config,
-  ConfigReader,
-  configShape,
-  mergePatch,
-} from "../../src/configuration/config.js";
+import { applyItemChanges, mergePatch } from "../../src/configuration/config-changes.js";
+import { checkConfig, ConfigReader } from "../../src/configuration/config-validation.js";
+import { configShape } from "../../src/configuration/config-shape.js";
 import { Validated } from "../../src/configuration/validated.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
@@ -48,7 +44,7 @@
 };
 const copy = (): typeof whole => structuredClone(whole);
 const pathsOf = (value: unknown): string[] => {
-  const checked = Config.check(value);
+  const checked = checkConfig(value);
   return "faults" in checked ? checked.faults.map(({ path }) => path) : [];
 };
 const withRoute = (change: Record<string, unknown>): unknown => ({
@@ -58,7 +54,7 @@
 
 describe("Config", () => {
   test("a configuration with every field is accepted, and read as it was sent", () => {
-    expect(Config.check(copy())).toEqual({ config: whole });
+    expect(checkConfig(copy())).toEqual({ config: whole });
     expect(new ConfigReader().read(JSON.stringify(whole))).toEqual(whole);
   });
 
@@ -218,8 +214,8 @@
     goals: { post: { latencyMs: 200 } },
   };
   test("a configuration is refused with all faults and their paths", () => {
-    expect(Config.check(good)).toEqual({ config: good });
-    const checked = Config.check({
+    expect(checkConfig(good)).toEqual({ config: good });
+    const checked = checkConfig({
       ...good,
       goals: { post: { latencyMs: -3 }, ghost: { latencyMs: 5 } },
       extra: 1,
@@ -228,7 +224,7 @@
       "extra",
       "goals.post.latencyMs",
     ]);
-    const semantic = Config.check({
+    const semantic = checkConfig({
       ...good,
       routes: { post: { match: { path: "/x" }, service: "nowhere", repeat: "safe" } },
       goals: { ghost: { latencyMs: 5 } },
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -1,22 +1,24 @@
 import fc from "fast-check";
 import { describe, expect, test } from "vitest";
-import { applyItemChanges, Config, mergePatch } from "../../src/configuration/config.js";
+import { applyItemChanges, mergePatch } from "../../src/configuration/config-changes.js";
+import { type Config, EMPTY_CONFIG } from "../../src/configuration/config.js";
+import { checkConfig, parseConfig } from "../../src/configuration/config-validation.js";
 import { ConfigChangeLog } from "../../src/control-plane/config-change-log.js";
 import { ConfigReplica } from "../../src/cluster-view/config-replica.js";
 import { ConfigItems } from "../../src/configuration/config-items.js";
 import { RouteTable } from "../../src/cluster-view/route-table.js";
-import { WatchRequest } from "../../src/control-protocol/watch-request.js";
+import { readLeasedView } from "../../src/control-protocol/watch-request.js";
 import type { LeasedView } from "../../src/control-protocol/leased-view.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { StateMachine } from "../../src/state/state-machine.js";
-import { LogCommand } from "../../src/state/log-command.js";
+import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 import { stage } from "./control-plane-stage.js";
 
 /** A state machine with configurations in force, and the views that a leader makes of them. */
 class Leader {
   readonly stateMachine = new StateMachine();
-  private value: unknown = Config.empty;
-  private parsed = { text: "", value: Config.parse(JSON.stringify(Config.empty)) };
+  private value: unknown = EMPTY_CONFIG;
+  private parsed = { text: "", value: parseConfig(JSON.stringify(EMPTY_CONFIG)) };
   readonly changes = new ConfigChangeLog(this.stateMachine, () => this.parsed.value);
   private index = 0;
 
@@ -26,7 +28,7 @@
 
   /** Puts a configuration in force, if it has no fault. */
   enter(value: unknown): void {
-    const checked = Config.check(value);
+    const checked = checkConfig(value);
     if ("faults" in checked) return;
     this.value = value;
     this.index += 1;
@@ -42,7 +44,7 @@
       routes: Object.keys(checked.config.routes),
       rested: [...this.stateMachine.idAllocator.resting],
     };
-    this.stateMachine.apply(this.index, LogCommand.text(one));
+    this.stateMachine.apply(this.index, encodeLogCommand(one));
   }
 
   patch(value: unknown): void {
@@ -61,7 +63,7 @@
   view(known: number): LeasedView {
     const sequence = this.stateMachine.activeConfig?.sequence ?? 0;
     const part = known === sequence ? "" : `,${this.changes.viewPart(known)}`;
-    const view = WatchRequest.readResponse(
+    const view = readLeasedView(
       `{"granted":true,"grantMs":1,"configSequence":${sequence},"directorySequence":0,"grantNumber":"","capacities":[]${part}}`,
     );
     if (!view.granted) throw new Error("The response is no view.");
@@ -237,8 +239,8 @@
     expect(configSequence).toBeGreaterThan(0);
     send("PATCH", "/config", { routes: { "route-3": { service: "three" } } });
     const text =
-      exchange(RpcMethod.watch, watchRequestText({ directorySequence, configSequence }))[0]?.text ??
-      "";
+      exchange(rpcMethods.watch, watchRequestText({ directorySequence, configSequence }))[0]
+        ?.text ?? "";
     expect(text).toContain('"configChanges"');
     expect(text).toContain('"route-3"');
     expect(text).not.toContain('"route-4"');
--- a/test/control-plane/config-changes.test.ts
+++ b/test/control-plane/config-changes.test.ts
@@ -1,5 +1,5 @@
 import { beforeEach, describe, expect, test } from "vitest";
-import { Profile } from "../../src/simulation/profile.js";
+import { shippedProfiles } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
 
 interface Answer {
@@ -26,7 +26,7 @@
 
 let simulation: Simulation;
 beforeEach(() => {
-  simulation = new Simulation(Profile.all.rastro, 5, 0.01);
+  simulation = new Simulation(shippedProfiles.rastro, 5, 0.01);
   for (const machine of simulation.machines) simulation.boot(machine);
   simulation.virtualClock.runUntil(6000);
 });
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -1,15 +1,19 @@
 /** A simulated fleet for tests of the control plane: commands and watch requests sent to its leader from outside. */
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
-import { Task } from "../../src/runtime/task.js";
-import { Command } from "../../src/control-protocol/command.js";
-import { ControlPlaneTimeouts } from "../../src/control-plane/control-plane-timeouts.js";
+import { runTask } from "../../src/runtime/task.js";
+import { type Command, encodeCommand } from "../../src/control-protocol/command.js";
+import {
+  type ControlPlaneTimeouts,
+  defaultControlPlaneTimeouts,
+} from "../../src/control-plane/control-plane-timeouts.js";
 import type { Registration } from "../../src/state/registration.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
-import { Profile } from "../../src/simulation/profile.js";
-import { Simulation, type SimulatedMachine } from "../../src/simulation/simulation.js";
+import { shippedProfiles } from "../../src/simulation/profile.js";
+import { Simulation } from "../../src/simulation/simulation.js";
+import type { SimulatedMachine } from "../../src/simulation/simulated-machine.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
-import { WatchRequest } from "../../src/control-protocol/watch-request.js";
+import { type WatchRequest, readLeasedView } from "../../src/control-protocol/watch-request.js";
 
 export const address = "10.9.0.1:80";
 export const service = "issues";
@@ -21,7 +25,7 @@
 }
 
 /** The defaults, which `stage` overrides for the fleets that it creates. */
-const defaults = { ...ControlPlaneTimeouts.defaults };
+const defaults = { ...defaultControlPlaneTimeouts };
 
 export const fail = (error: unknown): void => {
   throw error;
@@ -29,8 +33,8 @@
 
 /** A simulated fleet whose own backends send no heartbeats, and an RPC endpoint outside it. */
 export const stage = (timeouts: Partial<ControlPlaneTimeouts> = {}, seed = 1) => {
-  Object.assign(ControlPlaneTimeouts.defaults, defaults, timeouts);
-  const simulation = new Simulation(Profile.all.rastro, seed, 0.0001);
+  Object.assign(defaultControlPlaneTimeouts, defaults, timeouts);
+  const simulation = new Simulation(shippedProfiles.rastro, seed, 0.0001);
   for (const testBackend of simulation.testBackends) testBackend.isAnnouncing = false;
   simulation.begin();
   simulation.virtualClock.runUntil(5000);
@@ -48,12 +52,12 @@
     return found;
   };
   const exchange = (
-    kind: typeof RpcMethod.command | typeof RpcMethod.watch,
+    kind: typeof rpcMethods.command | typeof rpcMethods.watch,
     text: string,
     waitMs = 300,
   ) => {
     const responses: Array<{ text: string; atMs: number }> = [];
-    Task.start(
+    runTask(
       rpc.call(leader().settings.peers, kind, { forwarded: true, text }, 2000),
       fail,
       (response) =>
@@ -63,7 +67,7 @@
     return responses;
   };
   const command = (sent: Command): string =>
-    exchange(RpcMethod.command, Command.text(sent))[0]?.text ?? "";
+    exchange(rpcMethods.command, encodeCommand(sent))[0]?.text ?? "";
   const heartbeat = (
     instance: string,
     more: Partial<Extract<Command, { kind: "announce" }>> = {},
@@ -97,9 +101,7 @@
       ...more,
     });
   const watch = (more: Partial<WatchRequest> = {}) => {
-    const view = WatchRequest.readResponse(
-      exchange(RpcMethod.watch, watchRequestText(more))[0]?.text ?? "",
-    );
+    const view = readLeasedView(exchange(rpcMethods.watch, watchRequestText(more))[0]?.text ?? "");
     if (!view.granted) throw new Error(view.why);
     return view;
   };
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -1,16 +1,16 @@
 import { describe, expect, test } from "vitest";
-import { Command } from "../../src/control-protocol/command.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { type Command, encodeCommand } from "../../src/control-protocol/command.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
-import { Profile } from "../../src/simulation/profile.js";
+import { shippedProfiles } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
 describe("ControlPlane", () => {
   test("a heartbeat that is older than the backend's deregistration, or than another service at its address, changes nothing", () => {
-    const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
+    const simulation = new Simulation(shippedProfiles.rastro, 1, 0.01);
     simulation.begin();
     simulation.virtualClock.runUntil(5000);
     const fail = (error: unknown): void => {
@@ -27,8 +27,8 @@
         .peers ?? "";
     const command = (sent: Command): string => {
       const returns: string[] = [];
-      Task.start(
-        rpc.call(leader, RpcMethod.command, { forwarded: true, text: Command.text(sent) }, 2000),
+      runTask(
+        rpc.call(leader, rpcMethods.command, { forwarded: true, text: encodeCommand(sent) }, 2000),
         fail,
         (ret) => returns.push(ret?.text ?? ""),
       );
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, test } from "vitest";
-import { Bounds } from "../../src/daemon/bounds.js";
+import { boundsOf } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { configOf, oneWayMs, zoneOf } from "./topology.js";
 import { DelayedNetwork } from "./delayed-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
-import { Task } from "../../src/runtime/task.js";
+import { type Task, runTask, waitFor } from "../../src/runtime/task.js";
 import { FleetStage } from "../replication/fleet-stage.js";
 
 const spread = { zones: 8, regions: 2 };
@@ -33,14 +33,14 @@
       runtime,
       { machine: name, zone, peer: `10.9.0.${at + 1}:7000` },
       [stage.at(0).peer],
-      Bounds.of({}),
+      boundsOf({}),
     );
     daemon.start();
     return { daemon, gate, wire, name };
   });
 
 const run = (task: Task<unknown>): void =>
-  Task.start(task, (error) => {
+  runTask(task, (error) => {
     throw error;
   });
 
@@ -66,7 +66,7 @@
     stage.wait(4000);
     const polls = sumOf(all, ({ daemon }) => daemon.clusterView.watchRequests) - before.polls;
     const out = sumOf(all, ({ wire }) => wire.totals.messagesOut) - before.out;
-    const { watchIntervalMs: pollMs, controlPlaneTimeouts } = Bounds.of({});
+    const { watchIntervalMs: pollMs, controlPlaneTimeouts } = boundsOf({});
     const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
     expect(polls).toBeGreaterThan(
       many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.holdMs + farMs + 50)),
@@ -107,7 +107,7 @@
         const daemon = all[(at + round) % (many - 6)]?.daemon;
         if (daemon && (yield* daemon.heartbeat(backend))) heard.known += 1;
         else heard.unknown += 1;
-        yield* Task.wait<boolean>((done) => stage.time.clock().after(1000, () => done(true)));
+        yield* waitFor<boolean>((done) => stage.time.clock().after(1000, () => done(true)));
       }
     };
     for (const at of backEnds.keys()) run(heartbeat(at));
--- a/test/control-plane/delayed-network.test.ts
+++ b/test/control-plane/delayed-network.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, test } from "vitest";
 import { EventGate } from "../../src/simulation/event-gate.js";
-import { Task } from "../../src/runtime/task.js";
+import { type Task, runTask } from "../../src/runtime/task.js";
 import { FleetStage } from "../replication/fleet-stage.js";
 import { DelayedNetwork } from "./delayed-network.js";
 
 const run = (task: Task<unknown>): void =>
-  Task.start(task, (error) => {
+  runTask(task, (error) => {
     throw error;
   });
 
--- a/test/control-plane/delayed-network.ts
+++ b/test/control-plane/delayed-network.ts
@@ -1,6 +1,6 @@
-import { Clock } from "../../src/runtime/clock.js";
+import { type Clock, sleep } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
-import { Task } from "../../src/runtime/task.js";
+import { type Task, runTask } from "../../src/runtime/task.js";
 import type { Connection, Network } from "../../src/runtime/network.js";
 
 /** Bytes and messages that went over a network, each way. */
@@ -26,7 +26,7 @@
 
   *connect(address: string): Task<Connection | undefined> {
     const waitMs = this.oneWayMs(address);
-    if (waitMs > 0) yield* Clock.sleep(this.clock, 2 * waitMs);
+    if (waitMs > 0) yield* sleep(this.clock, 2 * waitMs);
     const connection = yield* this.inner.connect(address);
     return connection && this.counted(connection, waitMs);
   }
@@ -48,7 +48,7 @@
         totals.messagesIn += 1;
       }
     };
-    Task.start(pump(), (error) => {
+    runTask(pump(), (error) => {
       throw error;
     });
     return {
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -2,16 +2,16 @@
 import { describe, expect, test } from "vitest";
 import { EndpointChangeLog } from "../../src/control-plane/endpoint-change-log.js";
 import { EndpointReplica } from "../../src/cluster-view/endpoint-replica.js";
-import { WatchRequest } from "../../src/control-protocol/watch-request.js";
+import { readLeasedView } from "../../src/control-protocol/watch-request.js";
 import type { LeasedView } from "../../src/control-protocol/leased-view.js";
 import { StateMachine } from "../../src/state/state-machine.js";
-import { LogCommand } from "../../src/state/log-command.js";
+import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 import type { Registration } from "../../src/state/registration.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { service, stage } from "./control-plane-stage.js";
 
 const viewOf = (changes: EndpointChangeLog, known: number): LeasedView => {
-  const view = WatchRequest.readResponse(
+  const view = readLeasedView(
     `{"granted":true,"grantMs":1,"configSequence":0,"grantNumber":"","capacities":[],${[
       `"directorySequence":${changes.sequence}`,
       `"directoryDigest":"${changes.digest}"`,
@@ -58,7 +58,7 @@
         const changes = new EndpointChangeLog(stateMachine);
         const replicas = [0, 1, 2].map(() => new EndpointReplica());
         for (const [at, [one, polling]] of steps.entries()) {
-          stateMachine.apply(at + 1, LogCommand.text(one));
+          stateMachine.apply(at + 1, encodeLogCommand(one));
           for (const [bit, replica] of replicas.entries()) {
             if ((polling >> bit) % 2 === 0) continue;
             expect(replica.take(viewOf(changes, replica.knownSequence))).not.toBe("differs");
@@ -85,7 +85,7 @@
         warmth: 1,
         capacity,
       };
-      stateMachine.apply(index, LogCommand.text(one));
+      stateMachine.apply(index, encodeLogCommand(one));
     };
     for (let index = 1; index <= 8; index += 1) heartbeat(index, `10.0.0.${index}:80`, 1);
     const replica = new EndpointReplica();
@@ -121,7 +121,7 @@
     const { directorySequence, configSequence } = known;
     const bytesOf = (sequence: number): number => {
       const text = exchange(
-        RpcMethod.watch,
+        rpcMethods.watch,
         watchRequestText({ directorySequence: sequence, configSequence }),
         600,
       )[0]?.text;
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -2,8 +2,8 @@
 import { CommandForwarder } from "../../src/cluster-view/command-forwarder.js";
 import { ControlPlane } from "../../src/control-plane/control-plane.js";
 import { ClusterView } from "../../src/cluster-view/cluster-view.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
-import { Task } from "../../src/runtime/task.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
+import { runTask } from "../../src/runtime/task.js";
 import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
 import { address, fail, service, stage } from "./control-plane-stage.js";
 
@@ -165,11 +165,11 @@
     const { directorySequence, configSequence } = watch();
     const upToDate = watchRequestText({ directorySequence, configSequence });
     const beganMs = simulation.virtualClock.nowMs();
-    const unchangedMs = exchange(RpcMethod.watch, upToDate, 600)[0]?.atMs ?? Infinity;
+    const unchangedMs = exchange(rpcMethods.watch, upToDate, 600)[0]?.atMs ?? Infinity;
     expect(unchangedMs - beganMs).toBeGreaterThan(240);
     expect(unchangedMs - beganMs).toBeLessThan(350);
     const sentMs = simulation.virtualClock.nowMs();
-    const returns = exchange(RpcMethod.watch, upToDate, 60);
+    const returns = exchange(rpcMethods.watch, upToDate, 60);
     expect(returns).toEqual([]);
     const before = simulation.virtualClock.nowMs();
     heartbeat("two");
@@ -184,7 +184,7 @@
     const { directorySequence, configSequence } = watch();
     const name = leader().settings.machine;
     const returns = exchange(
-      RpcMethod.watch,
+      rpcMethods.watch,
       watchRequestText({ directorySequence, configSequence }),
       50,
     );
@@ -226,7 +226,7 @@
       }),
       new RetryBudget(),
     );
-    Task.start(clusterView.run(200), fail);
+    runTask(clusterView.run(200), fail);
     wait(500);
     const [one, two] = ["one", "two"].map((instance) => clusterView.registrationOf(instance));
     if (!one || !two) throw new Error("A registration is missing.");
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, test } from "vitest";
-import { Bounds } from "../../src/daemon/bounds.js";
+import { boundsOf } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { DelayedNetwork } from "./delayed-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { LargeViewLimiter } from "../../src/control-plane/large-view-limiter.js";
 import type { WatchRequest } from "../../src/control-protocol/watch-request.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { FleetStage } from "../replication/fleet-stage.js";
 import { stage } from "./control-plane-stage.js";
@@ -60,13 +60,13 @@
       respond: () => undefined,
     });
     wait(600);
-    const first = exchange(RpcMethod.watch, watchRequestText())[0]?.text ?? "";
+    const first = exchange(rpcMethods.watch, watchRequestText())[0]?.text ?? "";
     expect(first).toContain('"packedConfig"');
     for (let round = 0; round < 3; round += 1)
-      expect(exchange(RpcMethod.watch, watchRequestText())[0]?.text).toContain("under way");
+      expect(exchange(rpcMethods.watch, watchRequestText())[0]?.text).toContain("under way");
     expect(watch({ configSequence: 1 }).configSequence).toBe(1);
     wait(1600);
-    expect(exchange(RpcMethod.watch, watchRequestText())[0]?.text).toContain('"packedConfig"');
+    expect(exchange(rpcMethods.watch, watchRequestText())[0]?.text).toContain('"packedConfig"');
   });
 
   test("a daemon whose views take longer than the request timeout has its lease from the sending of the request", () => {
@@ -77,7 +77,7 @@
     const clock = gate.clock(fleet.time.clock());
     const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
     const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
-    const bounds = Bounds.of({});
+    const bounds = boundsOf({});
     const daemon = new PollingDaemon(
       runtime,
       { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
--- a/test/control-plane/polling-daemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -4,7 +4,7 @@
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import type { Bounds } from "../../src/daemon/bounds.js";
 import type { Task } from "../../src/runtime/task.js";
-import { Runtime } from "../../src/runtime/runtime.js";
+import { type Runtime, randomNonce, startTask } from "../../src/runtime/runtime.js";
 import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
 import { EdgeCounts } from "../../src/retry-budget/edge-counts.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
@@ -38,7 +38,7 @@
   directoryChanges = 0;
 
   constructor(runtime: Runtime, info: PollingDaemonInfo, seeds: readonly string[], bounds: Bounds) {
-    const incarnation = Runtime.nonce(runtime);
+    const incarnation = randomNonce(runtime);
     const rpc = new RpcEndpoint(runtime, info.peer);
     const budget = new RetryBudget(bounds.retryRules);
     const loadBalancer = new LoadBalancer(info.zone, () => runtime.random());
@@ -75,8 +75,8 @@
 
   /** Starts the watch requests and the pushes. */
   start(): void {
-    Runtime.start(this.runtime, "contract", this.clusterView.run(this.pollMs, this.pollWaitMs));
-    Runtime.start(this.runtime, "zone", this.edgeCounts.run(PUSH_INTERVAL_MS));
+    startTask(this.runtime, "contract", this.clusterView.run(this.pollMs, this.pollWaitMs));
+    startTask(this.runtime, "zone", this.edgeCounts.run(PUSH_INTERVAL_MS));
   }
 
   /** How many edges the newest counts cover. */
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, test } from "vitest";
-import { Bounds } from "../../src/daemon/bounds.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { boundsOf } from "../../src/daemon/bounds.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { DelayedNetwork } from "./delayed-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
-import { Task } from "../../src/runtime/task.js";
+import { type Task, runTask } from "../../src/runtime/task.js";
 import { FleetStage } from "../replication/fleet-stage.js";
 import { stage } from "./control-plane-stage.js";
 
@@ -24,12 +24,12 @@
       runtime,
       { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
       [fleet.at(0).peer],
-      Bounds.of({}),
+      boundsOf({}),
     );
     daemon.start();
     fleet.wait(2000);
     const run = (task: Task<unknown>): void =>
-      Task.start(task, (error) => {
+      runTask(task, (error) => {
         throw error;
       });
     const bytesInASecond = (): { out: number; in: number } => {
@@ -64,7 +64,7 @@
     expect(members?.collectors.length).toBeGreaterThan(2);
     const known = { configSequence, directorySequence, grantNumber };
     const text = exchange(
-      RpcMethod.watch,
+      rpcMethods.watch,
       watchRequestText({ ...known, membersDigest: members?.digest }),
       600,
     )[0]?.text;
@@ -72,7 +72,7 @@
     expect(text).not.toMatch(/"members"|"capacities"/);
     expect(text?.length).toBeLessThan(260);
     const other = exchange(
-      RpcMethod.watch,
+      rpcMethods.watch,
       watchRequestText({ ...known, membersDigest: "another" }),
       600,
     )[0]?.text;
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -5,8 +5,8 @@
   type PlacedDaemon,
 } from "../../src/control-protocol/edge-placement.js";
 import { CommandForwarder } from "../../src/cluster-view/command-forwarder.js";
-import { WatchRequest } from "../../src/control-protocol/watch-request.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { type WatchRequest, readLeasedView } from "../../src/control-protocol/watch-request.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
@@ -60,8 +60,8 @@
     };
     stage.start(
       (function* () {
-        const text = yield* forwarder.forward(RpcMethod.watch, JSON.stringify(watchRequest), 450);
-        const view = text === undefined ? undefined : WatchRequest.readResponse(text);
+        const text = yield* forwarder.forward(rpcMethods.watch, JSON.stringify(watchRequest), 450);
+        const view = text === undefined ? undefined : readLeasedView(text);
         told.push(view?.granted === true ? view.place : undefined);
       })(),
     );
--- a/test/daemon/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -1,20 +1,20 @@
 import { expect, test } from "vitest";
-import { ControlPlaneTimeouts } from "../../src/control-plane/control-plane.js";
-import { Bounds } from "../../src/daemon/bounds.js";
-import { Settings } from "../../src/daemon/settings.js";
-import { ReplicationTimeouts } from "../../src/replication/replication-node.js";
+import { defaultControlPlaneTimeouts } from "../../src/control-plane/control-plane-timeouts.js";
+import { boundsOf, boundFaults } from "../../src/daemon/bounds.js";
+import { checkSettings } from "../../src/daemon/settings.js";
+import { defaultReplicationTimeouts } from "../../src/replication/replication-timeouts.js";
 import {
   defaultGuardRule,
   defaultRetryRule,
   defaultSketchRule,
 } from "../../src/retry-budget/retry-budget.js";
-import { RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
+import { defaultRequestCountsFormat } from "../../src/retry-budget/request-counts.js";
 
 test("derives the default timeouts from settings without bounds", () => {
-  const bounds = Bounds.of({});
-  expect(bounds.controlPlaneTimeouts).toEqual(ControlPlaneTimeouts.defaults);
-  expect(bounds.replicationTimeouts).toEqual(ReplicationTimeouts.defaults);
-  expect(bounds.requestCountsFormat).toEqual(RequestCountsFormat.defaults);
+  const bounds = boundsOf({});
+  expect(bounds.controlPlaneTimeouts).toEqual(defaultControlPlaneTimeouts);
+  expect(bounds.replicationTimeouts).toEqual(defaultReplicationTimeouts);
+  expect(bounds.requestCountsFormat).toEqual(defaultRequestCountsFormat);
   expect([bounds.leaseMs, bounds.watchIntervalMs, bounds.changeTimeoutMs]).toEqual([
     1600, 400, 4000,
   ]);
@@ -37,7 +37,7 @@
       watchIntervalMs: pollMs,
       watchTimeoutMs: pollWaitMs,
       controlPlaneTimeouts,
-    } = Bounds.of({
+    } = boundsOf({
       bounds: { applyMs, drainMs },
     });
     expect(leaseMs).toBeLessThan(Math.min(applyMs, drainMs));
@@ -52,7 +52,7 @@
 
 test("the leader's lease expires before any voter may start an election, whatever the bounds", () => {
   for (const contactMs of [1000, 2000, 3000, 30_000]) {
-    const { replicationTimeouts } = Bounds.of({ bounds: { contactMs } });
+    const { replicationTimeouts } = boundsOf({ bounds: { contactMs } });
     expect(replicationTimeouts.leaderLeaseMs).toBeLessThan(replicationTimeouts.electionMinMs);
     expect(replicationTimeouts.heartbeatMs * 3).toBeLessThan(replicationTimeouts.leaderLeaseMs);
     expect(replicationTimeouts.electionMaxMs * 3).toBeLessThanOrEqual(contactMs);
@@ -62,7 +62,7 @@
 test("a lost voter is replaced well within catchUpMs, whatever the bounds", () => {
   for (const catchUpMs of [1200, 1500, 2000, 4000, 6000, 60_000])
     for (const contactMs of [1000, 3000, 30_000]) {
-      const { replicationTimeouts } = Bounds.of({ bounds: { catchUpMs, contactMs } });
+      const { replicationTimeouts } = boundsOf({ bounds: { catchUpMs, contactMs } });
       expect(replicationTimeouts.replaceAfterMs).toBeGreaterThanOrEqual(
         2 * replicationTimeouts.electionMaxMs,
       );
@@ -76,13 +76,13 @@
         10 * replicationTimeouts.replaceAfterMs,
       );
     }
-  expect(Bounds.faults({ bounds: { catchUpMs: 1100 } }).map(({ path }) => path)).toEqual([
+  expect(boundFaults({ bounds: { catchUpMs: 1100 } }).map(({ path }) => path)).toEqual([
     "bounds.catchUpMs",
   ]);
 });
 
 test("the retry rules of sketch and guard are stricter than the configured one", () => {
-  const { retryRules: budget } = Bounds.of({
+  const { retryRules: budget } = boundsOf({
     bounds: { retryRatio: 0.1, retryExtra: 20, retryWindowMs: 5000 },
   });
   expect(budget.rule).toEqual({ earned: 0.1, pool: 20 });
@@ -90,7 +90,7 @@
   expect(budget.sketch.pool).toBeLessThan(budget.guard.pool);
   expect(budget.guard.earned).toBeLessThan(0.1);
   expect(budget.guard.pool).toBeLessThan(20);
-  expect(Bounds.of({ bounds: { retryWindowMs: 5000 } }).requestCountsFormat.attempts.windowMs).toBe(
+  expect(boundsOf({ bounds: { retryWindowMs: 5000 } }).requestCountsFormat.attempts.windowMs).toBe(
     10_000,
   );
 });
@@ -100,19 +100,19 @@
     controlPlaneTimeouts,
     acceptRequestsMs: serveOnMs,
     abandonMs,
-  } = Bounds.of({
+  } = boundsOf({
     bounds: { keyWindowMs: 60_000, graceMs: 6000 },
   });
   expect(controlPlaneTimeouts.keyMs).toBe(70_000);
   expect([serveOnMs, abandonMs]).toEqual([2600, 5600]);
-  const short = Bounds.of({ bounds: { graceMs: 1000 } });
+  const short = boundsOf({ bounds: { graceMs: 1000 } });
   expect(short.acceptRequestsMs).toBeLessThan(short.abandonMs);
   expect(short.abandonMs).toBeLessThan(1000);
 });
 
 test("a registration survives two missed heartbeats, whatever their interval", () => {
   for (const heartbeatMs of [200, 1300, 5000]) {
-    const { controlPlaneTimeouts } = Bounds.of({ heartbeatMs });
+    const { controlPlaneTimeouts } = boundsOf({ heartbeatMs });
     expect(controlPlaneTimeouts.heartbeatMs).toBe(heartbeatMs);
     expect(controlPlaneTimeouts.expiryMs).toBeGreaterThan(3 * heartbeatMs);
   }
@@ -128,7 +128,7 @@
     seeds: ["127.0.0.1:3"],
   };
   const paths = (bounds: Record<string, number>): string[] => {
-    const checked = Settings.check({ ...settings, bounds });
+    const checked = checkSettings({ ...settings, bounds });
     return "faults" in checked ? checked.faults.map(({ path }) => path) : [];
   };
   expect(paths({ applyMs: 2000, retryRatio: 0 })).toEqual([]);
@@ -140,6 +140,6 @@
     "bounds.retryExtra",
   ]);
   expect(paths({ colour: 1 })).toEqual(["bounds.colour"]);
-  const bad = Settings.check({ ...settings, heartbeatMs: 1 });
+  const bad = checkSettings({ ...settings, heartbeatMs: 1 });
   expect("faults" in bad && bad.faults[0]?.path).toBe("heartbeatMs");
 });
--- a/test/daemon/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { Task } from "../../src/runtime/task.js";
-import { Profile } from "../../src/simulation/profile.js";
+import { runTask } from "../../src/runtime/task.js";
+import { shippedProfiles } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
 
 test("a stop finishes what can be finished, and gives the rest a final answer before the process ends", () => {
-  const simulation = new Simulation(Profile.all.rastro, 5, 0.0001);
+  const simulation = new Simulation(shippedProfiles.rastro, 5, 0.0001);
   const fail = (error: unknown): void => {
     throw error;
   };
@@ -27,7 +27,7 @@
     testBackend.behave({ slowFactor: testBackend.service === "issues" ? 4000 : 150 });
   const codes: string[] = [];
   const call = (path: string): void =>
-    Task.start(
+    runTask(
       simulation.call(
         edge.settings.machine,
         { method: "GET", target: path, headers: { "x-caller": path }, body: Buffer.alloc(0) },
--- a/test/daemon/http-server.test.ts
+++ b/test/daemon/http-server.test.ts
@@ -2,7 +2,7 @@
 import { connect } from "node:net";
 import { expect, test } from "vitest";
 import { HttpServer } from "../../src/daemon/http-server.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 
 test("a request sent over an open connection right before the server starts closing client connections is answered", async () => {
   const server = new HttpServer((clientRequest, client) =>
@@ -15,9 +15,7 @@
     });
     probe.once("error", fail);
   });
-  await new Promise<void>((done, fail) =>
-    Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
-  );
+  await new Promise<void>((done, fail) => runTask(server.listen(`127.0.0.1:${port}`), fail, done));
   const received: string[] = [];
   const socket = connect(port, "127.0.0.1");
   socket.on("data", (bytes: Buffer) => received.push(bytes.toString()));
--- a/test/daemon/limits.test.ts
+++ b/test/daemon/limits.test.ts
@@ -2,7 +2,7 @@
 import { createServer } from "node:http";
 import { afterAll, expect, test } from "vitest";
 import { HttpServer } from "../../src/daemon/http-server.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 
 const taken: string[] = [];
 const server = new HttpServer(
@@ -25,9 +25,7 @@
   });
 
 const listening = freePort().then(async (port) => {
-  await new Promise<void>((done, fail) =>
-    Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
-  );
+  await new Promise<void>((done, fail) => runTask(server.listen(`127.0.0.1:${port}`), fail, done));
   return port;
 });
 
--- a/test/daemon/paced-responses.test.ts
+++ b/test/daemon/paced-responses.test.ts
@@ -1,9 +1,9 @@
 import { createServer, get } from "node:http";
 import { expect, test } from "vitest";
 import { HttpServer } from "../../src/daemon/http-server.js";
-import { Clock } from "../../src/runtime/clock.js";
+import { systemClock } from "../../src/runtime/clock.js";
 import { LinkPacer, type Transfer, type TransferRank } from "../../src/runtime/link-pacer.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 
 const freePort = (): Promise<number> =>
   new Promise((done, fail) => {
@@ -32,7 +32,7 @@
   });
 
 test("large responses, held whole or streamed, leave at the rate of the link and take turns; a short one waits for none of them", async () => {
-  const clock = Clock.real();
+  const clock = systemClock();
   const egress = new LinkPacer(clock, linkMbps);
   const server = new HttpServer(
     (clientRequest, client) => {
@@ -40,7 +40,7 @@
       if (clientRequest.target !== "/streamed")
         return client.respond({ code: 200, headers: {}, body });
       client.writeHead(200, { "content-length": String(body.length) });
-      Task.start(
+      runTask(
         (function* () {
           if (yield* client.writeChunk(body)) client.end();
         })(),
@@ -50,9 +50,7 @@
     { bufferWholeBodies: false, egress },
   );
   const port = await freePort();
-  await new Promise<void>((done, fail) =>
-    Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
-  );
+  await new Promise<void>((done, fail) => runTask(server.listen(`127.0.0.1:${port}`), fail, done));
   const ended: string[] = [];
   const noted = async (path: string): Promise<{ bytes: number; tookMs: number }> => {
     const outcome = await fetched(port, path);
@@ -75,16 +73,14 @@
 });
 
 test("a caller who hangs up in the middle of a large response frees the link for others", async () => {
-  const egress = new LinkPacer(Clock.real(), linkMbps);
+  const egress = new LinkPacer(systemClock(), linkMbps);
   const server = new HttpServer(
     (_job, client) =>
       client.respond({ code: 200, headers: {}, body: Buffer.alloc(largeBytes * 10, "x") }),
     { bufferWholeBodies: false, egress },
   );
   const port = await freePort();
-  await new Promise<void>((done, fail) =>
-    Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
-  );
+  await new Promise<void>((done, fail) => runTask(server.listen(`127.0.0.1:${port}`), fail, done));
   await new Promise<void>((done) => {
     const request = get({ host: "127.0.0.1", port, agent: false }, (response) => {
       response.once("data", () => {
@@ -111,7 +107,7 @@
 }
 
 test("large responses to operators are control traffic, those to callers are not", async () => {
-  const egress = new NotingPacer(Clock.real(), linkMbps * 100);
+  const egress = new NotingPacer(systemClock(), linkMbps * 100);
   const body = Buffer.alloc(largeBytes, "x");
   for (const transferClass of ["control", "response"] as const) {
     const server = new HttpServer(
@@ -123,7 +119,7 @@
     );
     const port = await freePort();
     await new Promise<void>((done, fail) =>
-      Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
+      runTask(server.listen(`127.0.0.1:${port}`), fail, done),
     );
     expect((await fetched(port, "/config")).bytes).toBe(largeBytes);
     server.close();
--- a/test/daemon/settings.test.ts
+++ b/test/daemon/settings.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Settings } from "../../src/daemon/settings.js";
+import { checkSettings, settingsDifference } from "../../src/daemon/settings.js";
 
 const good = {
   machine: "m1",
@@ -10,8 +10,8 @@
   seeds: ["127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"],
 };
 test("reports every fault of the settings at once, with its path", () => {
-  expect(Settings.check(good)).toEqual({ settings: good });
-  const bad = Settings.check({
+  expect(checkSettings(good)).toEqual({ settings: good });
+  const bad = checkSettings({
     ...good,
     machine: "",
     operators: "localhost:9",
@@ -24,7 +24,7 @@
     "seeds",
     "colour",
   ]);
-  const roles = Settings.check({ ...good, callers: undefined, roles: ["edge", "recorder"] });
+  const roles = checkSettings({ ...good, callers: undefined, roles: ["edge", "recorder"] });
   expect("faults" in roles && roles.faults.map(({ path }) => path)).toEqual([
     "dataFolder",
     "callers",
@@ -32,6 +32,6 @@
 });
 test("separates changes that apply at run time from those that need a restart", () => {
   expect(
-    Settings.difference(good, { ...good, zone: "b", logLevel: "warn", seeds: ["127.0.0.1:4"] }),
+    settingsDifference(good, { ...good, zone: "b", logLevel: "warn", seeds: ["127.0.0.1:4"] }),
   ).toEqual({ applied: ["logLevel", "seeds"], needRestart: ["zone"] });
 });
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -1,7 +1,8 @@
 import { spawn } from "node:child_process";
 import { create, is, number, string, type } from "superstruct";
 import { expect, test } from "vitest";
-import { daemonProgram, Fleet, type FleetMachine } from "../../src/fleet/fleet.js";
+import { daemonProgram, Fleet } from "../../src/fleet/fleet.js";
+import type { FleetMachine } from "../../src/fleet/fleet-layout.js";
 import { checkRules } from "../../src/simulation/invariant-checker.js";
 import type { Profile } from "../../src/simulation/profile.js";
 
--- a/test/load-balancing/load-balancer-warm-up.test.ts
+++ b/test/load-balancing/load-balancer-warm-up.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import type { Registration } from "../../src/state/state-machine.js";
+import type { Registration } from "../../src/state/registration.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -3,7 +3,7 @@
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
-import { Clock } from "../../src/runtime/clock.js";
+import { sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import { patchConfig, routeTo, type ConfigChangeBytes } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
@@ -65,7 +65,7 @@
     (function* (): Task {
       for (let at = 0; ; at += 1) {
         stage.start(claim(at));
-        yield* Clock.sleep(clock, claimEveryMs);
+        yield* sleep(clock, claimEveryMs);
       }
     })(),
   );
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -5,8 +5,8 @@
   type BackendClient,
 } from "../../src/proxy/upstream/backend-client.js";
 import type { ClientConnection } from "../../src/proxy/proxy-request.js";
-import type { DaemonOptions } from "../../src/daemon/daemon.js";
-import { Clock } from "../../src/runtime/clock.js";
+import type { DaemonOptions } from "../../src/daemon/daemon-options.js";
+import { type Clock, sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import type { ConfigChangeBytes } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
@@ -58,7 +58,7 @@
 const answering = (clock: Clock): BackendClient => ({
   *send({ request: job, maySend: mayStill }) {
     if (!mayStill()) return openFailure("withdrawn");
-    yield* Clock.sleep(clock, workMs);
+    yield* sleep(clock, workMs);
     const pieces = [Buffer.alloc(responseBytes, "r")];
     return openedResponse({
       code: 200,
@@ -110,7 +110,7 @@
         const dueCount = Math.min(count, ((time.nowMs() - startMs) * perSecond) / 1000);
         for (let at = stage.written.length; at < dueCount; at += 1)
           stage.send(edges[at % edges.length], `key-${at}`);
-        yield* Clock.sleep(time.clock(), 1);
+        yield* sleep(time.clock(), 1);
       }
     };
     this.start(writing(this));
@@ -150,7 +150,7 @@
       for (let calls = 1; !stage.leaving.has(id); calls += 1) {
         const edge = stage.edges[(id + calls) % stage.edges.length];
         if (edge) stage.heartbeat(edge, { id: `${id}`, calls, service: "ledger" });
-        yield* Clock.sleep(clock, beatMs);
+        yield* sleep(clock, beatMs);
       }
     };
     for (const id of ids) this.start(announcing(this, id));
@@ -173,12 +173,12 @@
           service: "ledger",
         });
         const untilMs = clock.nowMs() + patienceMs;
-        while (call.code === undefined && clock.nowMs() < untilMs) yield* Clock.sleep(clock, 5);
+        while (call.code === undefined && clock.nowMs() < untilMs) yield* sleep(clock, 5);
         if (call.code === 200) {
           tookMs[place] = clock.nowMs() - startedMs;
           return;
         }
-        yield* Clock.sleep(clock, 50);
+        yield* sleep(clock, 50);
       }
     };
     for (const [place, id] of ids.entries()) this.start(leaving(this, id, place));
--- a/test/load/machine-limits.ts
+++ b/test/load/machine-limits.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
-import { Task } from "../../src/runtime/task.js";
+import { type Task, runTask } from "../../src/runtime/task.js";
 import type { Connection, Network } from "../../src/runtime/network.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 
@@ -152,7 +152,7 @@
       });
     }
   };
-  Task.start(receiving(), fail);
+  runTask(receiving(), fail);
   return {
     incoming,
     send(bytes) {
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
 import { ExpiredLeasePolicy } from "../../src/proxy/expired-lease-policy.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
-import { Clock } from "../../src/runtime/clock.js";
+import { sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import { patchConfig, putConfig } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
@@ -35,7 +35,7 @@
     (function* (): Task {
       while (stage.time.nowMs() < untilMs) {
         for (const machine of busy) stage.processor(machine).charge(180);
-        yield* Clock.sleep(clock, 300);
+        yield* sleep(clock, 300);
       }
     })(),
   );
@@ -52,8 +52,8 @@
   const asking = function* (): Task {
     for (;;)
       for (const { peer } of stage.disks) {
-        yield* rpc.call(peer, RpcMethod.handOver, { term: 0 }, 200);
-        yield* Clock.sleep(runtime.clock, 350);
+        yield* rpc.call(peer, rpcMethods.handOver, { term: 0 }, 200);
+        yield* sleep(runtime.clock, 350);
       }
   };
   stage.start(asking());
--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { LogCommand } from "../../src/state/state-machine.js";
+import { encodeLogCommand } from "../../src/state/log-command.js";
 import { configText, type StageMachine } from "../replication/fleet-stage.js";
 import {
   patchConfig,
@@ -137,7 +137,7 @@
       if (!replicationNode) throw new Error("Nobody leads.");
       fixture.start(
         replicationNode.propose(
-          LogCommand.text({
+          encodeLogCommand({
             kind: "config",
             expected: sequence - 1,
             version: sequence + 100,
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -1,8 +1,10 @@
 import { describe, expect, test } from "vitest";
 import { control } from "../../platform/control.js";
-import { Config, applyItemChanges } from "../../src/configuration/config.js";
+import type { Config } from "../../src/configuration/config.js";
+import { checkConfig } from "../../src/configuration/config-validation.js";
+import { applyItemChanges } from "../../src/configuration/config-changes.js";
 import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
-import { ClientResponse } from "../../src/proxy/request-outcome.js";
+import { jsonResponse } from "../../src/proxy/request-outcome.js";
 import type { TranslatedRequest } from "../../src/daemon/adapter.js";
 
 const route = (name: string, more: Record<string, unknown> = {}) => ({
@@ -73,7 +75,7 @@
 const bodyOf = ({ body }: { body: Uint8Array }): unknown =>
   JSON.parse(Buffer.from(body).toString());
 const productOf = (value: unknown): Config => {
-  const checked = Config.check(value);
+  const checked = checkConfig(value);
   if ("faults" in checked) throw new Error(JSON.stringify(checked.faults));
   return checked.config;
 };
@@ -124,13 +126,10 @@
       warmMs: 1500,
     });
     expect(
-      bodyOf(
-        heartbeat.translateResponse(ClientResponse.json(200, { contract: 9, state: "taken" })),
-      ),
+      bodyOf(heartbeat.translateResponse(jsonResponse(200, { contract: 9, state: "taken" }))),
     ).toEqual({});
     expect(
-      heartbeat.translateResponse(ClientResponse.json(503, { error: "No leader could be asked." }))
-        .code,
+      heartbeat.translateResponse(jsonResponse(503, { error: "No leader could be asked." })).code,
     ).toBe(503);
     const leave = into(platformRequest("POST", "backends/i-7/deregister", ""));
     expect([
@@ -191,9 +190,9 @@
     });
     const got = into(platformRequest("GET", "config/get"));
     expect(
-      bodyOf(got.translateResponse(ClientResponse.json(200, { version: 7, sequence: 7, config }))),
+      bodyOf(got.translateResponse(jsonResponse(200, { version: 7, sequence: 7, config }))),
     ).toEqual(JSON.parse(JSON.stringify(whole)));
-    expect(got.translateResponse(ClientResponse.json(503, {})).code).toBe(503);
+    expect(got.translateResponse(jsonResponse(503, {})).code).toBe(503);
   });
 });
 
@@ -250,12 +249,12 @@
       routes: { x: productRoute(body, "x"), z: productRoute(body, "z") },
       goals: { x: null, z: { latencyMs: 250 } },
     };
-    const after = Config.check(
+    const after = checkConfig(
       applyItemChanges(before, items, { routes: ["y"], services: ["two"], goals: [] }),
     );
     if ("faults" in after) throw new Error(JSON.stringify(after.faults));
     const got = into(platformRequest("GET", "config/get")).translateResponse(
-      ClientResponse.json(200, { version: 9, config: after.config }),
+      jsonResponse(200, { version: 9, config: after.config }),
     );
     expect(bodyOf(got)).toEqual(
       JSON.parse(
@@ -281,7 +280,7 @@
       goals: { x: { latencyMs: 90 } },
     });
     const got = into(platformRequest("GET", "config/get")).translateResponse(
-      ClientResponse.json(200, { version: 3, config }),
+      jsonResponse(200, { version: 3, config }),
     );
     expect(bodyOf(got)).toEqual({
       ver: "r3",
@@ -313,7 +312,7 @@
       );
       return "code" in read
         ? read.code === 400
-        : "faults" in Config.check(bodyOf(read.clientRequest));
+        : "faults" in checkConfig(bodyOf(read.clientRequest));
     };
     const withRoute = (more: Record<string, unknown>) => ({
       ver: "r7",
--- a/test/platform/edge-fixture.ts
+++ b/test/platform/edge-fixture.ts
@@ -2,7 +2,7 @@
 import { createServer } from "node:http";
 import { connect, type Socket } from "node:net";
 import { HttpServer } from "../../src/daemon/http-server.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 import { RawBackendFixture } from "./raw-backend-fixture.js";
 
 const freePort = (): Promise<number> =>
@@ -80,7 +80,7 @@
     );
     const port = await freePort();
     await new Promise<void>((done, fail) =>
-      Task.start(server.listen(`127.0.0.1:${port}`), fail, done),
+      runTask(server.listen(`127.0.0.1:${port}`), fail, done),
     );
     return new EdgeFixture(raw, server, port);
   }
--- a/test/platform/proxy-fixture.ts
+++ b/test/platform/proxy-fixture.ts
@@ -17,9 +17,9 @@
 import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
-import { Clock } from "../../src/runtime/clock.js";
-import { LinkPacers } from "../../src/runtime/link-pacer.js";
-import { Task } from "../../src/runtime/task.js";
+import { type Clock, sleep } from "../../src/runtime/clock.js";
+import { type LinkPacers, linkPacersOf } from "../../src/runtime/link-pacer.js";
+import { type Task, runTask } from "../../src/runtime/task.js";
 
 /** One request as it reached a backend. */
 export interface ReceivedRequest {
@@ -164,7 +164,7 @@
   /** `backendClient` replaces the scripted backends, by real connections for example; `linkMbps` is the rate of the machine's link. */
   constructor({ backendClient, linkMbps }: ProxyFixtureOptions = {}) {
     this.clock = this.time.clock();
-    this.pacers = LinkPacers.of(this.clock, linkMbps);
+    this.pacers = linkPacersOf(this.clock, linkMbps);
     const random = RandomDraw.of(11);
     const network = new VirtualNetwork(this.clock, random);
     this.disk = new VirtualDisk(this.clock, random);
@@ -191,7 +191,7 @@
       backendClient: backendClient ? backendClient(this.clock) : this.scriptedClient(),
       pacers: this.pacers,
     });
-    Task.start(this.daemon.start(), fail);
+    runTask(this.daemon.start(), fail);
     this.advanceUntil(() => this.daemon.servingState.isGranted, 10_000);
     this.registerPeriodically();
   }
@@ -330,7 +330,7 @@
     maySend,
   }: BackendAttempt): Task<OpenResult> {
     const { clock } = this;
-    yield* Clock.sleep(clock, 1);
+    yield* sleep(clock, 1);
     const why = this.connectFailure(address);
     if (why !== undefined) return openFailure(why);
     if (!maySend()) return openFailure("withdrawn");
@@ -346,10 +346,10 @@
     this.receivedRequests.push(received);
     const reply = this.reply(received, this.receivedRequests.length - 1);
     if (reply === "late") {
-      yield* Clock.sleep(clock, untilMs - clock.nowMs());
+      yield* sleep(clock, untilMs - clock.nowMs());
       return openFailure("late");
     }
-    yield* Clock.sleep(clock, reply === "lost" ? 3 : (reply.waitMs ?? 3));
+    yield* sleep(clock, reply === "lost" ? 3 : (reply.waitMs ?? 3));
     if (reply === "lost") return openFailure("lost");
     const remaining = [...reply.chunks];
     const { code, headers, pieceMs = 0 } = reply;
@@ -358,7 +358,7 @@
       code,
       headers,
       *next() {
-        if (pieceMs > 0) yield* Clock.sleep(clock, pieceMs);
+        if (pieceMs > 0) yield* sleep(clock, pieceMs);
         return isCancelled ? "cut" : (remaining.shift() ?? "end");
       },
       cancel: () => {
--- a/test/proxy/outcome-rules.test.ts
+++ b/test/proxy/outcome-rules.test.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from "node:fs";
 import { describe, expect, test } from "vitest";
 import { responseHeadFault } from "../../src/proxy/upstream/response-validation.js";
-import { HeaderNames } from "../../src/proxy/header-names.js";
+import { type HeaderNames, ownHeaderNames } from "../../src/proxy/header-names.js";
 import { outcomeOfFailure, mayRetry, outcomeRules } from "../../src/proxy/outcome-rules.js";
 
 const strict: HeaderNames = {
-  ...HeaderNames.own,
+  ...ownHeaderNames,
   requestId: "name",
   echo: "name",
   seal: "stamp",
--- a/test/proxy/retry-after.test.ts
+++ b/test/proxy/retry-after.test.ts
@@ -1,5 +1,9 @@
 import { describe, expect, test } from "vitest";
-import { RequestOutcome, type ClientResponse } from "../../src/proxy/request-outcome.js";
+import {
+  unavailableOutcome,
+  forwardedOutcome,
+  type ClientResponse,
+} from "../../src/proxy/request-outcome.js";
 import { withSpreadRetryAfter } from "../../src/proxy/retry-after.js";
 
 const response: ClientResponse = { code: 503, headers: { own: "1" }, body: new Uint8Array() };
@@ -10,7 +14,7 @@
     [0.5, "0.100"],
     [1, "0.125"],
   ])("with a draw of %f, a delay of 100 ms is stated as %s s", (draw, stated) => {
-    const outcome = RequestOutcome.unavailable("busy", 100);
+    const outcome = unavailableOutcome("busy", 100);
     expect(withSpreadRetryAfter(outcome, response, () => draw).headers).toEqual({
       own: "1",
       "retry-after": stated,
@@ -20,7 +24,7 @@
   test("an outcome without a delay leaves its response as it is, and draws nothing", () => {
     let draws = 0;
     const random = (): number => (draws += 1);
-    const outcome = RequestOutcome.forwarded(response);
+    const outcome = forwardedOutcome(response);
     expect(withSpreadRetryAfter(outcome, response, random)).toBe(response);
     expect(draws).toBe(0);
   });
--- a/test/proxy/simulated-fleet.ts
+++ b/test/proxy/simulated-fleet.ts
@@ -1,8 +1,8 @@
 /** A fixture of a simulated fleet without faults, for keyed requests through its edges. */
 import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
-import { Profile } from "../../src/simulation/profile.js";
+import { shippedProfiles } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 
 /** How long a key may not run twice, by the settings of these fleets. */
 export const KEY_WINDOW_MS = 60_000;
@@ -18,7 +18,7 @@
 
 /** A simulated fleet without faults, with functions to send keyed requests and to observe their runs. */
 export const simulatedFleet = (seed = 7) => {
-  const simulation = new Simulation(Profile.all.rastro, seed, 0.0001);
+  const simulation = new Simulation(shippedProfiles.rastro, seed, 0.0001);
   simulation.begin();
   simulation.start(simulation.workload.putConfig());
   const wait = (forMs: number): void =>
@@ -38,7 +38,7 @@
       headers: { "idempotency-key": key, "x-caller": `${through.settings.machine} ${key}` },
       body: Buffer.from(body),
     };
-    Task.start(
+    runTask(
       simulation.call(through.settings.machine, clientRequest, timeoutMs),
       (error) => {
         throw error;
--- a/test/proxy/upstream/backend-deadline.test.ts
+++ b/test/proxy/upstream/backend-deadline.test.ts
@@ -2,8 +2,8 @@
 import { afterEach, describe, expect, test } from "vitest";
 import type { OpenResult } from "../../../src/proxy/upstream/backend-client.js";
 import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
-import { Clock } from "../../../src/runtime/clock.js";
-import { LinkPacers } from "../../../src/runtime/link-pacer.js";
+import { systemClock, sleep } from "../../../src/runtime/clock.js";
+import { linkPacersOf } from "../../../src/runtime/link-pacer.js";
 import type { Task } from "../../../src/runtime/task.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { attemptAt, ignoreErrors, listen, readText, run } from "./http-fixtures.js";
@@ -14,7 +14,7 @@
 const SETTLE_MS = 50;
 const CHUNKED_HEAD = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
-const clock = Clock.real();
+const clock = systemClock();
 const cleanups: Array<() => void> = [];
 afterEach(() => {
   for (const cleanup of cleanups.splice(0)) cleanup();
@@ -48,10 +48,10 @@
     const time = new VirtualClock();
     const result = await send(address, time);
     expect(result.kind).toBe("opened");
-    await run(Clock.sleep(clock, SETTLE_MS));
+    await run(sleep(clock, SETTLE_MS));
     time.runUntil(TIMEOUT_MS + 10);
     sockets[0]?.write("6\r\nsecond\r\n0\r\n\r\n");
-    await run(Clock.sleep(clock, SETTLE_MS));
+    await run(sleep(clock, SETTLE_MS));
     expect(await run(readText(result))).toMatch(/cut$/);
   });
 
@@ -61,7 +61,7 @@
     });
     const time = new VirtualClock();
     const text = run(readText(await send(address, time)));
-    await run(Clock.sleep(clock, SETTLE_MS));
+    await run(sleep(clock, SETTLE_MS));
     time.runUntil(TIMEOUT_MS + 10);
     expect(await text).toBe("first cut");
   });
@@ -73,7 +73,7 @@
     const address = await backend((socket) => {
       socket.write(response.repeat(2));
     });
-    const pacers = LinkPacers.of(clock, 100);
+    const pacers = linkPacersOf(clock, 100);
     const client = new HttpBackendClient(clock, { proof: "request", pacers });
     cleanups.push(() => client.close());
     const untilMs = clock.nowMs() + 20_000;
--- a/test/proxy/upstream/closing-responses.test.ts
+++ b/test/proxy/upstream/closing-responses.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, test } from "vitest";
 import type { BackendResponse } from "../../../src/proxy/upstream/backend-client.js";
 import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
-import { Clock } from "../../../src/runtime/clock.js";
-import { LinkPacers } from "../../../src/runtime/link-pacer.js";
+import { systemClock, sleep } from "../../../src/runtime/clock.js";
+import { linkPacersOf } from "../../../src/runtime/link-pacer.js";
 import type { Task } from "../../../src/runtime/task.js";
 import { attemptAt, ignoreErrors, listen, run } from "./http-fixtures.js";
 
@@ -13,7 +13,7 @@
 /** How long undici is given to raise what it raises once the connection has ended. */
 const AFTERMATH_MS = 200;
 
-const clock = Clock.real();
+const clock = systemClock();
 
 interface Received {
   readonly bytes: number;
@@ -38,7 +38,7 @@
     const chunk = yield* response.next();
     if (typeof chunk === "string") return { bytes, ending: chunk };
     bytes += chunk.length;
-    yield* Clock.sleep(clock, 5);
+    yield* sleep(clock, 5);
   }
   response.cancel();
   return { bytes, ending: "cancelled" };
@@ -47,13 +47,13 @@
 /** What is received of a backend's response. */
 const receive = async (server: Server, maxChunks = Infinity): Promise<Received> => {
   const address = await listen(server);
-  const pacers = LinkPacers.of(clock, LINK_MBPS);
+  const pacers = linkPacersOf(clock, LINK_MBPS);
   const client = new HttpBackendClient(clock, { proof: "request", pacers });
   const exchange = function* (): Task<Received> {
     const result = yield* client.send(attemptAt(address, clock.nowMs() + 20_000));
     if (result.kind === "failed") return { bytes: 0, ending: result.cause };
     const received = yield* readSlowly(result.response, maxChunks);
-    yield* Clock.sleep(clock, AFTERMATH_MS);
+    yield* sleep(clock, AFTERMATH_MS);
     return received;
   };
   try {
--- a/test/proxy/upstream/http-backend-client.test.ts
+++ b/test/proxy/upstream/http-backend-client.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, test } from "vitest";
 import { SERVICE_HEADER, SERVICE_PROOF_PATH } from "../../../src/proxy/upstream/backend-client.js";
 import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
-import { Clock } from "../../../src/runtime/clock.js";
+import { systemClock } from "../../../src/runtime/clock.js";
 import { attemptAt, exchangeText, listen, stop } from "./http-fixtures.js";
 
 const TIMEOUT_MS = 5000;
@@ -43,7 +43,7 @@
 
 describe("connections that prove their service", () => {
   test("a request is sent only where its service is proven, and not once it is withdrawn", async () => {
-    const clock = Clock.real();
+    const clock = systemClock();
     const client = new HttpBackendClient(clock);
     const backend = new ProvenBackend();
     const address = await backend.start("issues");
--- a/test/proxy/upstream/http-fixtures.ts
+++ b/test/proxy/upstream/http-fixtures.ts
@@ -6,7 +6,7 @@
   BackendClient,
   OpenResult,
 } from "../../../src/proxy/upstream/backend-client.js";
-import { Task } from "../../../src/runtime/task.js";
+import { type Task, runTask } from "../../../src/runtime/task.js";
 
 /** Listens on a free port of the loopback interface, or on the given one; returns the address. */
 export const listen = async (server: Server, port = 0): Promise<string> => {
@@ -29,7 +29,7 @@
 
 /** Runs a task to its end. */
 export const run = <T>(task: Task<T>): Promise<T> =>
-  new Promise((done, fail) => Task.start(task, fail, done));
+  new Promise((done, fail) => runTask(task, fail, done));
 
 /** An attempt as the proxy makes it: a GET of `/` that may be sent, unless told otherwise. */
 export const attemptAt = (
--- a/test/proxy/upstream/paced-backends.test.ts
+++ b/test/proxy/upstream/paced-backends.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, test } from "vitest";
 import type { BackendClient } from "../../../src/proxy/upstream/backend-client.js";
 import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
-import { Clock } from "../../../src/runtime/clock.js";
-import { LinkPacers } from "../../../src/runtime/link-pacer.js";
+import { systemClock, sleep } from "../../../src/runtime/clock.js";
+import { type LinkPacers, linkPacersOf } from "../../../src/runtime/link-pacer.js";
 import { attemptAt, bodyServer, listen, read, run } from "./http-fixtures.js";
 
 /** 8 Mbit/s: 1,000 bytes a millisecond, of which 900 are planned with. */
@@ -11,7 +11,7 @@
 const USABLE_BYTES_PER_MS = 900;
 const TIMEOUT_MS = 20_000;
 
-const clock = Clock.real();
+const clock = systemClock();
 
 interface Exchange {
   /** A short body's text; how a longer one ended, or why there was none. */
@@ -49,7 +49,7 @@
   use: (client: BackendClient, address: string, pacers: LinkPacers) => Promise<void>,
 ): Promise<void> => {
   const address = await listen(server);
-  const pacers = LinkPacers.of(clock, linkMbps);
+  const pacers = linkPacersOf(clock, linkMbps);
   const client = new HttpBackendClient(clock, { proof: "request", pacers });
   try {
     await use(client, address, pacers);
@@ -74,7 +74,7 @@
         return exchange;
       };
       const large = [sendAndNote("/one"), sendAndNote("/two")];
-      await run(Clock.sleep(clock, 100));
+      await run(sleep(clock, 100));
       expect((await sendAndNote("/short")).text).toBe("short");
       expect(ended).toEqual(["/short"]);
       const linkMs = (2 * largeBytes) / USABLE_BYTES_PER_MS;
--- a/test/replication/bootstrap/restore-as-only-voter.test.ts
+++ b/test/replication/bootstrap/restore-as-only-voter.test.ts
@@ -1,14 +1,14 @@
 import { expect, test } from "vitest";
-import { Task } from "../../../src/runtime/task.js";
+import { runTask } from "../../../src/runtime/task.js";
 import {
   restoreAsOnlyVoter,
   type RestoreResult,
 } from "../../../src/replication/bootstrap/restore-as-only-voter.js";
-import { Profile } from "../../../src/simulation/profile.js";
+import { shippedProfiles } from "../../../src/simulation/profile.js";
 import { Simulation } from "../../../src/simulation/simulation.js";
 
 test("a cluster that lost two of three disks is restored from the third; empty nodes join it and vote again", () => {
-  const simulation = new Simulation(Profile.all.rastro, 1, 0.01);
+  const simulation = new Simulation(shippedProfiles.rastro, 1, 0.01);
   const fail = (error: unknown): void => {
     throw error;
   };
@@ -23,7 +23,7 @@
   if (!kept?.disk) throw new Error("No disk is left.");
   kept.disk.restart(simulation.clock);
   const outcomes: RestoreResult[] = [];
-  Task.start(restoreAsOnlyVoter(kept.disk, kept.settings.peers), fail, (outcome) =>
+  runTask(restoreAsOnlyVoter(kept.disk, kept.settings.peers), fail, (outcome) =>
     outcomes.push(outcome),
   );
   wait(100);
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -1,8 +1,11 @@
 import { expect, test } from "vitest";
-import { Config } from "../../src/configuration/config.js";
-import { type AcceptedConfig, StateMachine, LogCommand } from "../../src/state/state-machine.js";
+import { checkConfig } from "../../src/configuration/config-validation.js";
+import type { AcceptedConfig } from "../../src/state/accepted-config.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { encodeLogCommand } from "../../src/state/log-command.js";
 import { encodeCompleteConfig } from "../../src/replication/history/history-format.js";
-import { type DurableState, LogStore } from "../../src/replication/log/log-store.js";
+import type { DurableState } from "../../src/replication/log/durable-state.js";
+import { LogStore } from "../../src/replication/log/log-store.js";
 import { FleetStage, type StageMachine } from "./fleet-stage.js";
 import { LargeConfig } from "./large-config.js";
 
@@ -32,7 +35,7 @@
     const replicationNode = this.stage.leader.daemon?.replicationNode;
     if (!replicationNode) return "no leader";
     const text = this.config.next();
-    const command = LogCommand.text({
+    const command = encodeLogCommand({
       kind: "config",
       expected: this.newest,
       changeId: `c${this.newest + 1}`,
@@ -92,7 +95,7 @@
 
 test("a large config is one that a gateway accepts", () => {
   const text = new LargeConfig(50).next();
-  expect(Config.check(JSON.parse(text))).not.toHaveProperty("faults");
+  expect(checkConfig(JSON.parse(text))).not.toHaveProperty("faults");
 });
 
 test("1,000 changes of a configuration with 2,500 routes fit on a disk of 64 MB, before and after a restart", () => {
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -1,6 +1,8 @@
 import { expect, test } from "vitest";
-import { StateMachine, LogCommand } from "../../src/state/state-machine.js";
-import { type DurableState, LogStore } from "../../src/replication/log/log-store.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
+import type { DurableState } from "../../src/replication/log/durable-state.js";
+import { LogStore } from "../../src/replication/log/log-store.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
 
@@ -13,7 +15,7 @@
   const stateMachine = new StateMachine();
   let index = 0;
   const apply = (command: LogCommand): unknown =>
-    stateMachine.apply((index += 1), LogCommand.text(command));
+    stateMachine.apply((index += 1), encodeLogCommand(command));
   apply({
     kind: "config",
     expected: 0,
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -1,9 +1,10 @@
-import { Daemon, type DaemonOptions } from "../../src/daemon/daemon.js";
+import { Daemon } from "../../src/daemon/daemon.js";
+import type { DaemonOptions } from "../../src/daemon/daemon-options.js";
 import type { Settings } from "../../src/daemon/settings.js";
 import type { Clock } from "../../src/runtime/clock.js";
 import type { Network } from "../../src/runtime/network.js";
-import { Task } from "../../src/runtime/task.js";
-import { LogCommand } from "../../src/state/state-machine.js";
+import { type Task, runTask } from "../../src/runtime/task.js";
+import { encodeLogCommand } from "../../src/state/log-command.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { unreachableBackends } from "../../src/simulation/unreachable-backends.js";
@@ -175,7 +176,7 @@
     const outcomes: boolean[] = [];
     const replicationNode = this.leader.daemon?.replicationNode;
     if (!replicationNode) return false;
-    const text = LogCommand.text({
+    const text = encodeLogCommand({
       kind: "config",
       expected: sequence - 1,
       changeId: `c${sequence}`,
@@ -210,6 +211,6 @@
   }
 
   start(task: Task<unknown>): void {
-    Task.start(task, fail);
+    runTask(task, fail);
   }
 }
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from "vitest";
-import { Task } from "../../../src/runtime/task.js";
-import type { AcceptedConfig } from "../../../src/state/state-machine.js";
+import { type Task, runTask } from "../../../src/runtime/task.js";
+import type { AcceptedConfig } from "../../../src/state/accepted-config.js";
 import { ConfigHistory } from "../../../src/replication/history/config-history.js";
 import { encodeCompleteConfig } from "../../../src/replication/history/history-format.js";
-import { TextDelta } from "../../../src/state/text-delta.js";
+import { applyTextDelta, textDeltaBetween } from "../../../src/state/text-delta.js";
 import { RandomDraw } from "../../../src/simulation/random-draw.js";
 import { checkRules } from "../../../src/simulation/invariant-checker.js";
-import { Profile } from "../../../src/simulation/profile.js";
+import { shippedProfiles } from "../../../src/simulation/profile.js";
 import { Simulation } from "../../../src/simulation/simulation.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../../src/simulation/virtual-disk.js";
@@ -26,7 +26,7 @@
   const errors: unknown[] = [];
   const run = <T>(task: Task<T>): T | undefined => {
     const values: T[] = [];
-    Task.start(
+    runTask(
       task,
       (error) => errors.push(error),
       (value) => values.push(value),
@@ -64,7 +64,7 @@
   const disk = new VirtualDisk(time.clock(), () => 0.5);
   const run = <T>(task: Task<T>): T => {
     const values: T[] = [];
-    Task.start(task, fail, (value) => values.push(value));
+    runTask(task, fail, (value) => values.push(value));
     time.runUntil(time.nowMs() + 5000);
     for (const value of values) return value;
     throw new Error("The task has not ended.");
@@ -78,7 +78,7 @@
 };
 
 test("hundreds of accepted configs are read back, also after one disk was lost, one damaged, and the third machine lost", () => {
-  const simulation = new Simulation(Profile.all.rastro, 3, 0.01);
+  const simulation = new Simulation(shippedProfiles.rastro, 3, 0.01);
   const wait = (forMs: number): void =>
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
   simulation.begin();
@@ -230,11 +230,11 @@
     Array.from({ length: 300 }, word).join(""),
   ];
   for (const text of texts) {
-    expect(TextDelta.apply(base, TextDelta.between(base, text))).toBe(text);
-    expect(TextDelta.apply(text, TextDelta.between(text, base))).toBe(base);
+    expect(applyTextDelta(base, textDeltaBetween(base, text))).toBe(text);
+    expect(applyTextDelta(text, textDeltaBetween(text, base))).toBe(base);
   }
-  expect(JSON.stringify(TextDelta.between(base, texts[5] ?? "")).length).toBeLessThan(120);
-  expect(JSON.stringify(TextDelta.between(base, texts[7] ?? "")).length).toBeLessThan(120);
+  expect(JSON.stringify(textDeltaBetween(base, texts[5] ?? "")).length).toBeLessThan(120);
+  expect(JSON.stringify(textDeltaBetween(base, texts[7] ?? "")).length).toBeLessThan(120);
 });
 
 test("a history with arbitrary damage returns a config as it was stored or none, and accepts more", () => {
--- a/test/replication/log/log-store.test.ts
+++ b/test/replication/log/log-store.test.ts
@@ -1,6 +1,7 @@
 import { expect, test } from "vitest";
-import { Task } from "../../../src/runtime/task.js";
-import { type DurableState, LogStore } from "../../../src/replication/log/log-store.js";
+import { type Task, runTask } from "../../../src/runtime/task.js";
+import type { DurableState } from "../../../src/replication/log/durable-state.js";
+import { LogStore } from "../../../src/replication/log/log-store.js";
 import { RandomDraw } from "../../../src/simulation/random-draw.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../../src/simulation/virtual-disk.js";
@@ -20,7 +21,7 @@
   const disk = new VirtualDisk(time.clock(), () => 0.5);
   const run = <T>(task: Task<T>): T => {
     const values: T[] = [];
-    Task.start(
+    runTask(
       task,
       (error) => {
         throw error;
--- a/test/replication/replacement.test.ts
+++ b/test/replication/replacement.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { LogCommand } from "../../src/state/state-machine.js";
+import { encodeLogCommand } from "../../src/state/log-command.js";
 import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
 
 const isLed = (stage: FleetStage) => (): boolean =>
@@ -138,7 +138,7 @@
   for (const beforeMs of [0, 10, 30]) {
     const stage = fleetOf(4, 3, 1);
     const { daemon } = stage.leader;
-    const text = LogCommand.text({ kind: "note", text: "n".repeat(3000) });
+    const text = encodeLogCommand({ kind: "note", text: "n".repeat(3000) });
     const outcomes: unknown[] = [];
     for (let count = 0; count < 2500; count += 1)
       stage.start(
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -1,13 +1,15 @@
 import { expect, test } from "vitest";
-import { type Entry, RpcMethod } from "../../src/rpc/rpc-method.js";
+import { type Entry, type RpcMethod, rpcMethods } from "../../src/rpc/rpc-method.js";
 import { type DecodedMessage, RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 import type { Runtime } from "../../src/runtime/runtime.js";
 import { StateMachine } from "../../src/state/state-machine.js";
 import { appendTimeoutMs, countWithinLimit } from "../../src/consensus/replication.js";
-import { ReplicationNode, ReplicationTimeouts } from "../../src/replication/replication-node.js";
+import { ReplicationNode } from "../../src/replication/replication-node.js";
+import { defaultReplicationTimeouts } from "../../src/replication/replication-timeouts.js";
 import { APPEND_BATCH_LIMIT } from "../../src/replication/leadership/peer-replicator.js";
-import { type DurableState, LogStore } from "../../src/replication/log/log-store.js";
+import type { DurableState } from "../../src/replication/log/durable-state.js";
+import { LogStore } from "../../src/replication/log/log-store.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
@@ -15,8 +17,8 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-type AppendAsk = DecodedMessage<typeof RpcMethod.append.request>;
-type VoteAsk = DecodedMessage<typeof RpcMethod.vote.request>;
+type AppendAsk = DecodedMessage<typeof rpcMethods.append.request>;
+type VoteAsk = DecodedMessage<typeof rpcMethods.vote.request>;
 
 const [own, second, third] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
 const note = (index: number, term: number): Entry => ({
@@ -56,16 +58,16 @@
       runtime,
       rpc,
       location: place,
-      timeouts: ReplicationTimeouts.defaults,
+      timeouts: defaultReplicationTimeouts,
       stateMachine: new StateMachine(),
       store: new LogStore(disk),
     });
-    Task.start(rpc.listen(), fail);
-    Task.start(replicationNode.run(), fail);
+    runTask(rpc.listen(), fail);
+    runTask(replicationNode.run(), fail);
     return replicationNode;
   };
   const player = new RpcEndpoint(worldOf("player"), second);
-  player.serve(RpcMethod.discover, function* () {
+  player.serve(rpcMethods.discover, function* () {
     return {
       machine: second,
       zone: "b",
@@ -79,10 +81,10 @@
       recorders: seeds,
     };
   });
-  Task.start(player.listen(), fail);
+  runTask(player.listen(), fail);
   const send = <A, R>(kind: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
     const returns: Array<R | undefined> = [];
-    Task.start(player.call(own, kind, asked, waitMs), fail, (ret) => returns.push(ret));
+    runTask(player.call(own, kind, asked, waitMs), fail, (ret) => returns.push(ret));
     time.runUntil(time.nowMs() + waitMs);
     return returns[0];
   };
@@ -97,7 +99,7 @@
       snapshot: new StateMachine().snapshot({ voters: seeds, learners: [] }),
       entries: [note(1, 1)],
     };
-    Task.start(new LogStore(disk).writeSnapshot(durableState), fail);
+    runTask(new LogStore(disk).writeSnapshot(durableState), fail);
     time.runUntil(100);
   }
   return { time, disk, begin, send };
@@ -122,20 +124,20 @@
   const { time, begin, send } = stage(true);
   begin();
   time.runUntil(150);
-  expect(send(RpcMethod.vote, vote(2, 9, 9))?.granted).toBe(false);
-  expect(send(RpcMethod.append, append(2, 1, 1, []))).toMatchObject({
+  expect(send(rpcMethods.vote, vote(2, 9, 9))?.granted).toBe(false);
+  expect(send(rpcMethods.append, append(2, 1, 1, []))).toMatchObject({
     fits: true,
     counts: true,
     matched: 1,
   });
-  expect(send(RpcMethod.vote, vote(3, 9, 9, true))?.granted).toBe(false);
+  expect(send(rpcMethods.vote, vote(3, 9, 9, true))?.granted).toBe(false);
   time.runUntil(time.nowMs() + 450);
-  expect(send(RpcMethod.vote, vote(9, 0, 0))?.granted).toBe(false);
-  expect(send(RpcMethod.vote, vote(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
+  expect(send(rpcMethods.vote, vote(9, 0, 0))?.granted).toBe(false);
+  expect(send(rpcMethods.vote, vote(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
   begin();
   time.runUntil(time.nowMs() + 10);
   time.runUntil(time.nowMs() + 500);
-  expect(send(RpcMethod.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
+  expect(send(rpcMethods.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
 });
 
 test("trace: an entry is acknowledged once it is on disk, and not after the term has changed", () => {
@@ -143,13 +145,13 @@
   begin();
   time.runUntil(150);
   disk.stall(600);
-  expect(send(RpcMethod.append, append(2, 1, 1, [note(2, 2)]), 100)).toBeUndefined();
-  expect(send(RpcMethod.append, append(3, 1, 1, [note(2, 3)]), 1500)).toMatchObject({
+  expect(send(rpcMethods.append, append(2, 1, 1, [note(2, 2)]), 100)).toBeUndefined();
+  expect(send(rpcMethods.append, append(3, 1, 1, [note(2, 3)]), 1500)).toMatchObject({
     term: 3,
     fits: true,
     matched: 2,
   });
-  expect(send(RpcMethod.append, append(2, 2, 2, [note(3, 2)]))).toMatchObject({
+  expect(send(rpcMethods.append, append(2, 2, 2, [note(3, 2)]))).toMatchObject({
     term: 3,
     fits: false,
   });
@@ -160,8 +162,8 @@
   const replicationNode = begin();
   time.runUntil(400);
   expect(replicationNode.status.state).toBe("rejoining");
-  expect(send(RpcMethod.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
-  expect(send(RpcMethod.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
+  expect(send(rpcMethods.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
+  expect(send(rpcMethods.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
     fits: true,
     counts: false,
     matched: 2,
@@ -171,15 +173,15 @@
     term: 5,
     text: JSON.stringify({ kind: "rejoined", machine: own, nonce: "another" }),
   };
-  expect(send(RpcMethod.append, append(5, 2, 5, [foreign], 3))).toMatchObject({ counts: false });
-  expect(send(RpcMethod.append, append(5, 3, 5, []))).toMatchObject({ counts: false });
+  expect(send(rpcMethods.append, append(5, 2, 5, [foreign], 3))).toMatchObject({ counts: false });
+  expect(send(rpcMethods.append, append(5, 3, 5, []))).toMatchObject({ counts: false });
   const mark = {
     index: 4,
     term: 5,
     text: JSON.stringify({ kind: "rejoined", machine: own, nonce: replicationNode.rejoinNonce }),
   };
-  send(RpcMethod.append, append(5, 3, 5, [mark], 4));
-  expect(send(RpcMethod.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
+  send(rpcMethods.append, append(5, 3, 5, [mark], 4));
+  expect(send(rpcMethods.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
 });
 
 test("batches and the retained log are bounded in entries and bytes; a single larger entry is a batch", () => {
@@ -196,11 +198,11 @@
 test("the timeout of an append request includes the time of its entries on a slow link", () => {
   const entries = [{ index: 1, term: 1, text: "x".repeat(4 * 1024 * 1024) }];
   const request = append(1, 0, 0, entries);
-  expect(appendTimeoutMs({ ...request, entries: [] }, ReplicationTimeouts.defaults)).toBe(
-    ReplicationTimeouts.defaults.electionMinMs,
+  expect(appendTimeoutMs({ ...request, entries: [] }, defaultReplicationTimeouts)).toBe(
+    defaultReplicationTimeouts.electionMinMs,
   );
   // A link of 5 Mbit/s takes 625 bytes in a millisecond.
-  expect(appendTimeoutMs(request, ReplicationTimeouts.defaults)).toBeGreaterThan(
+  expect(appendTimeoutMs(request, defaultReplicationTimeouts)).toBeGreaterThan(
     (4 * 1024 * 1024) / 625 + 300,
   );
 });
--- a/test/replication/tombstones.test.ts
+++ b/test/replication/tombstones.test.ts
@@ -1,5 +1,7 @@
 import { expect, test } from "vitest";
-import { StateMachine, LogCommand, MAX_TOMBSTONES } from "../../src/state/state-machine.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
+import { MAX_TOMBSTONES } from "../../src/state/tombstone-table.js";
 
 const registration = (
   instance: string,
@@ -25,7 +27,7 @@
 test("a registration that is entered after its instance left changes nothing, on a restored copy too", () => {
   const stateMachine = new StateMachine();
   const apply = (on: StateMachine, index: number, command: LogCommand): unknown =>
-    JSON.parse(on.apply(index, LogCommand.text(command)));
+    JSON.parse(on.apply(index, encodeLogCommand(command)));
   expect(apply(stateMachine, 1, registration("one"))).toEqual({ number: 1 });
   expect(apply(stateMachine, 2, leave("one"))).toEqual({ known: true });
   expect(apply(stateMachine, 3, leave("never-seen"))).toEqual({ known: false });
@@ -46,10 +48,10 @@
 
 test("a drain by address removes its instance for good; an older log is read as one without instances", () => {
   const stateMachine = new StateMachine();
-  stateMachine.apply(1, LogCommand.text(registration("one")));
+  stateMachine.apply(1, encodeLogCommand(registration("one")));
   stateMachine.apply(
     2,
-    LogCommand.text({ kind: "leave", address: "a:1", service: "s", drained: true }),
+    encodeLogCommand({ kind: "leave", address: "a:1", service: "s", drained: true }),
   );
   expect(stateMachine.tombstones.has("one")).toBe(true);
   const before = {
@@ -81,7 +83,7 @@
 test("tombstones are bounded: the oldest are removed", () => {
   const stateMachine = new StateMachine();
   for (let at = 1; at <= MAX_TOMBSTONES + 5; at += 1)
-    stateMachine.apply(at, LogCommand.text(leave(`i${at}`)));
+    stateMachine.apply(at, encodeLogCommand(leave(`i${at}`)));
   expect(stateMachine.tombstones.size).toBe(MAX_TOMBSTONES);
   expect([stateMachine.tombstones.has("i5"), stateMachine.tombstones.has("i6")]).toEqual([
     false,
--- a/test/replication/versions.test.ts
+++ b/test/replication/versions.test.ts
@@ -1,5 +1,6 @@
 import { expect, test } from "vitest";
-import { StateMachine, LogCommand } from "../../src/state/state-machine.js";
+import { StateMachine } from "../../src/state/state-machine.js";
+import { encodeLogCommand } from "../../src/state/log-command.js";
 
 const members = { voters: ["a"], learners: [] };
 const put = (
@@ -12,7 +13,7 @@
   JSON.parse(
     stateMachine.apply(
       index,
-      LogCommand.text({
+      encodeLogCommand({
         kind: "config",
         expected,
         changeId,
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 import type { Runtime } from "../../src/runtime/runtime.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
@@ -9,7 +9,10 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { CountAggregator } from "../../src/retry-budget/count-aggregator.js";
-import { RequestCounts, RequestCountsFormat } from "../../src/retry-budget/request-counts.js";
+import {
+  RequestCounts,
+  defaultRequestCountsFormat,
+} from "../../src/retry-budget/request-counts.js";
 
 test("an edge that changes its collector, also because that crashed, is never counted twice", () => {
   const time = new VirtualClock();
@@ -27,7 +30,7 @@
       random: RandomDraw.of(4),
     });
     const rpc = new RpcEndpoint(runtime, address);
-    Task.start(rpc.listen(), fail);
+    runTask(rpc.listen(), fail);
     return { runtime, rpc };
   };
   const [root, ...others] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map((address) => {
@@ -35,16 +38,16 @@
     const collector = new CountAggregator(
       runtime,
       rpc,
-      RequestCountsFormat.defaults,
+      defaultRequestCountsFormat,
       address,
       `i-${address}`,
       () => "10.0.0.1:1",
     );
-    Task.start(collector.run(2000), fail);
+    runTask(collector.run(2000), fail);
     return { address, collector };
   });
   const { runtime, rpc } = endpointAt("10.0.0.9:1");
-  const counts = new RequestCounts(RequestCountsFormat.defaults);
+  const counts = new RequestCounts(defaultRequestCountsFormat);
   const [left, right] = others;
   if (!root || !left || !right) throw new Error("A collector is missing.");
   let parent = left.address;
@@ -77,10 +80,10 @@
         wants: [],
         isHurried: false,
       });
-      Task.start(
+      runTask(
         rpc.call(
           parent,
-          RpcMethod.pushCounts,
+          rpcMethods.pushCounts,
           { text, sketches: counts.encode(runtime.clock.nowMs()) },
           1500,
         ),
--- a/test/rpc/frame.test.ts
+++ b/test/rpc/frame.test.ts
@@ -1,12 +1,13 @@
 import { expect, test } from "vitest";
 import {
   decodeExactly,
-  Frame,
+  type Frame,
+  encodeFrame,
   FrameError,
   FrameReader,
   FRAME_VERSION,
 } from "../../src/rpc/frame.js";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
 const decoderOf =
@@ -28,7 +29,7 @@
   body: new Uint8Array([1, 2, 3]),
 };
 test("frames are assembled from pieces of any size", () => {
-  const bytes = Buffer.concat([Frame.encode(sample), Frame.encode({ ...sample, requestId: 2 })]);
+  const bytes = Buffer.concat([encodeFrame(sample), encodeFrame({ ...sample, requestId: 2 })]);
   for (let size = 1; size <= bytes.length; size += 1) {
     const reader = new FrameReader();
     const frames: Frame[] = [];
@@ -40,7 +41,7 @@
 });
 test("random and truncated bytes are refused with a frame error, as frames and as messages of every method", async () => {
   const random = RandomDraw.of(9);
-  const decoders = Object.values(RpcMethod).flatMap((method) => [
+  const decoders = Object.values(rpcMethods).flatMap((method) => [
     decoderOf(method.request),
     decoderOf(method.response),
   ]);
@@ -67,9 +68,9 @@
   expect(refused).toBeGreaterThan(3000);
 });
 test("oversized frames and those of another version are refused", () => {
-  const large = Buffer.from(Frame.encode(sample));
+  const large = Buffer.from(encodeFrame(sample));
   large.writeUInt32BE(2 ** 31, 7);
   expect(() => new FrameReader().read(large)).toThrow(FrameError);
-  const otherVersion = Buffer.from(Frame.encode({ ...sample, version: 9 }));
+  const otherVersion = Buffer.from(encodeFrame({ ...sample, version: 9 }));
   expect(() => new FrameReader().read(otherVersion)).toThrow(FrameError);
 });
--- a/test/rpc/paced-connection.test.ts
+++ b/test/rpc/paced-connection.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { Frame, FrameReader } from "../../src/rpc/frame.js";
+import { encodeFrame, FrameReader } from "../../src/rpc/frame.js";
 import { PacedConnection } from "../../src/rpc/paced-connection.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { Queue } from "../../src/runtime/queue.js";
@@ -10,7 +10,7 @@
 const linkMbps = 3.2;
 
 const frameOf = (requestId: number, bytes: number): Uint8Array =>
-  Frame.encode({
+  encodeFrame({
     version: 3,
     methodId: 6,
     isResponse: true,
--- a/test/rpc/rpc-endpoint.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
-import { RpcMethod } from "../../src/rpc/rpc-method.js";
+import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
-import { Clock } from "../../src/runtime/clock.js";
+import { sleep } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
@@ -26,10 +26,10 @@
       address,
       newestVersion,
     );
-    rpc.serve(RpcMethod.handOver, function* ({ term }) {
+    rpc.serve(rpcMethods.handOver, function* ({ term }) {
       return { taken: term === 7 };
     });
-    Task.start(rpc.listen(), fail);
+    runTask(rpc.listen(), fail);
     return rpc;
   };
   const call = (
@@ -38,7 +38,7 @@
     waitMs = 500,
   ): boolean | undefined => {
     const responses: Array<boolean | undefined> = [];
-    Task.start(from.call(to.self, RpcMethod.handOver, { term: 7 }, waitMs), fail, (response) =>
+    runTask(from.call(to.self, rpcMethods.handOver, { term: 7 }, waitMs), fail, (response) =>
       responses.push(response?.taken),
     );
     time.runUntil(time.nowMs() + waitMs + 100);
@@ -66,7 +66,7 @@
   const { time, network, endpointAt, call } = stage();
   const [one, two] = [endpointAt("10.0.0.1:1", 1), endpointAt("10.0.0.2:1", 1)];
   const received: string[] = [];
-  Task.start(
+  runTask(
     (function* () {
       const connection = yield* network.wire("stranger", new EventGate()).connect(one.self);
       connection?.send(Buffer.from("GET / HTTP/1.1\r\n\r\n"));
@@ -87,8 +87,8 @@
   const { time, endpointAt, call } = stage();
   const endpoint = endpointAt("10.0.0.1:1", 3);
   const slow = endpointAt("10.0.0.2:1", 3);
-  slow.serve(RpcMethod.handOver, function* () {
-    yield* Clock.sleep(time.clock(), 700);
+  slow.serve(rpcMethods.handOver, function* () {
+    yield* sleep(time.clock(), 700);
     return { taken: true };
   });
   const absent = { self: "10.0.0.9:1" };
@@ -106,8 +106,8 @@
   const endpoint = endpointAt("10.0.0.1:1", 3);
   const slow = endpointAt("10.0.0.2:1", 3);
   expect(call(endpoint, slow)).toBe(true);
-  slow.serve(RpcMethod.handOver, function* () {
-    yield* Clock.sleep(time.clock(), 600);
+  slow.serve(rpcMethods.handOver, function* () {
+    yield* sleep(time.clock(), 600);
     return { taken: true };
   });
   for (let round = 0; round < 10; round += 1) {
--- a/test/runtime/disk.test.ts
+++ b/test/runtime/disk.test.ts
@@ -2,8 +2,8 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { afterEach, beforeEach, expect, test } from "vitest";
-import { Disk, DiskError } from "../../src/runtime/disk.js";
-import { Task } from "../../src/runtime/task.js";
+import { openDisk, DiskError } from "../../src/runtime/disk.js";
+import { type Task, runTask } from "../../src/runtime/task.js";
 
 let folder = "";
 
@@ -16,12 +16,12 @@
 });
 
 const run = <T>(task: Task<T>): Promise<T> =>
-  new Promise((resolve, reject) => Task.start(task, reject, resolve));
+  new Promise((resolve, reject) => runTask(task, reject, resolve));
 
 const bytes = (text: string): Uint8Array => Buffer.from(text);
 
 test("a file is replaced, appended to, truncated and removed", async () => {
-  const disk = await run(Disk.open(join(folder, "data")));
+  const disk = await run(openDisk(join(folder, "data")));
   const text = async (): Promise<string> =>
     Buffer.from((await run(disk.read("a"))) ?? bytes("none")).toString();
   expect(await text()).toBe("none");
@@ -39,7 +39,7 @@
 });
 
 test("an operation that the file system refuses throws a disk error with its cause", async () => {
-  const disk = await run(Disk.open(folder));
+  const disk = await run(openDisk(folder));
   const failure: unknown = await run(disk.remove("absent")).catch((error: unknown) => error);
   expect(failure).toBeInstanceOf(DiskError);
   expect(failure).toMatchObject({ cause: { code: "ENOENT" } });
--- a/test/runtime/link-pacer.test.ts
+++ b/test/runtime/link-pacer.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { LinkPacer, type TransferRank } from "../../src/runtime/link-pacer.js";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 
 const fail = (error: unknown): void => {
   throw error;
@@ -16,7 +16,7 @@
   const pacer = new LinkPacer(time.clock(), rate);
   const written: Array<{ name: string; atMs: number; bytes: number }> = [];
   const transfer = (name: string, bytes: number, rank: TransferRank): void =>
-    Task.start(
+    runTask(
       (function* () {
         const one = pacer.begin(rank, bytes);
         for (let remainingBytes = bytes; remainingBytes > 0;) {
--- a/test/runtime/task.test.ts
+++ b/test/runtime/task.test.ts
@@ -1,13 +1,13 @@
 import { expect, test } from "vitest";
-import { Task } from "../../src/runtime/task.js";
+import { runTask, waitFor } from "../../src/runtime/task.js";
 
 test("a task resumes with its first outcome, also if that is there at once", () => {
   const seen: number[] = [];
   const later: Array<(outcome: number) => void> = [];
-  Task.start(
+  runTask(
     (function* () {
-      seen.push(yield* Task.wait<number>((done) => done(1)));
-      seen.push(yield* Task.wait<number>((done) => later.push(done)));
+      seen.push(yield* waitFor<number>((done) => done(1)));
+      seen.push(yield* waitFor<number>((done) => later.push(done)));
     })(),
     (error) => {
       throw error;
--- a/test/simulation/control-plane-days.test.ts
+++ b/test/simulation/control-plane-days.test.ts
@@ -2,7 +2,7 @@
 import { safetyRules } from "../../src/consensus/safety-rules.js";
 import type { RuleViolation } from "../../src/simulation/invariant-checker.js";
 import type { ConfigCommandRecord, CommandAttempt } from "../../src/simulation/event-recorder.js";
-import { Profile } from "../../src/simulation/profile.js";
+import { type Profile, shippedProfiles, fiveMemberProfile } from "../../src/simulation/profile.js";
 import {
   simulateDay,
   type SimulationOptions,
@@ -13,11 +13,11 @@
 const ackMs = 5000;
 
 /** Enough requests in the last seconds that a few callers who hang up don't make a tenth of them. */
-const rateOf = (profile: Profile): number => (profile === Profile.all.kovacic ? 0.15 : 0.04);
+const rateOf = (profile: Profile): number => (profile === shippedProfiles.kovacic ? 0.15 : 0.04);
 
 const dayOf = (
   fault: string,
-  { profile = Profile.all.rastro, ...options }: Partial<SimulationOptions> = {},
+  { profile = shippedProfiles.rastro, ...options }: Partial<SimulationOptions> = {},
 ): SimulatedDay =>
   simulateDay({
     profile,
@@ -59,7 +59,7 @@
 });
 
 test("eight orders race for a number, answers are lost, and who acknowledged loses power", () => {
-  const day = dayOf("loseOperatorAnswers", { profile: Profile.all.kovacic });
+  const day = dayOf("loseOperatorAnswers", { profile: shippedProfiles.kovacic });
   const { recorder } = day.simulation;
   expect(day.breaches).toEqual([]);
   expect(recorder.of("killed").length).toBeGreaterThan(3);
@@ -77,7 +77,10 @@
   "replaceMembersInOrder",
   "replaceMembersAfterLosses",
 ].flatMap((fault) =>
-  [Profile.all.rastro, Profile.all.kovacic, Profile.five].map((profile) => ({ fault, profile })),
+  [shippedProfiles.rastro, shippedProfiles.kovacic, fiveMemberProfile].map((profile) => ({
+    fault,
+    profile,
+  })),
 );
 test.each(replacements)(
   "members are lost as soon as that is allowed, again and again: $fault, $profile.name",
--- a/test/simulation/simulated-day.test.ts
+++ b/test/simulation/simulated-day.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
-import { Profile } from "../../src/simulation/profile.js";
+import { shippedProfiles } from "../../src/simulation/profile.js";
 import { simulateDay } from "../../src/simulation/simulated-day.js";
 
-const days = Object.values(Profile.all).flatMap((profile) =>
+const days = Object.values(shippedProfiles).flatMap((profile) =>
   [1, 2, 3].map((seed) => ({ profile, seed, name: `${profile.name}, seed ${seed}` })),
 );
 test.each(days)("a day of all kinds of failures breaks no rule: $name", ({ profile, seed }) => {
@@ -47,7 +47,7 @@
 };
 test.each(Object.keys(points))("a day of one point breaks no rule: %s", (point) => {
   const day = simulateDay({
-    profile: Profile.all.rastro,
+    profile: shippedProfiles.rastro,
     seed: 11,
     dayMs: 9000,
     rateFactor: 0.08,
@@ -58,7 +58,7 @@
 });
 test("edges leave a leader that is cut from its core, and go on serving", () => {
   const day = simulateDay({
-    profile: Profile.all.kovacic,
+    profile: shippedProfiles.kovacic,
     seed: 1,
     dayMs: 10_000,
     rateFactor: 0.03,
@@ -79,7 +79,7 @@
 test("the same seed makes the same day", () => {
   const lines = (): string[] =>
     simulateDay({
-      profile: Profile.all.kovacic,
+      profile: shippedProfiles.kovacic,
       seed: 5,
       dayMs: 3000,
       rateFactor: 0.1,
--- a/test/simulation/virtual-backends.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { Task } from "../../src/runtime/task.js";
+import { runTask } from "../../src/runtime/task.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { checkRules } from "../../src/simulation/invariant-checker.js";
 import { EventRecorder } from "../../src/simulation/event-recorder.js";
-import { Profile } from "../../src/simulation/profile.js";
+import { shippedProfiles } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
 import { TestBackend } from "../../src/simulation/test-backend.js";
 import { virtualBackends } from "../../src/simulation/virtual-backends.js";
@@ -14,7 +14,7 @@
 test("connections that take their time don't carry work to a back end past its leave, though the edge is cut off", () => {
   let withdrawn = 0;
   for (let seed = 1; seed <= 3; seed += 1) {
-    const simulation = new Simulation(Profile.all.rastro, seed, 0.001);
+    const simulation = new Simulation(shippedProfiles.rastro, seed, 0.001);
     const wait = (forMs: number): void =>
       simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
     simulation.begin();
@@ -76,7 +76,7 @@
   });
   const ends: string[] = [];
   const send = (untilMs: number): void =>
-    Task.start(
+    runTask(
       (function* () {
         const opened = yield* backendClient.send({
           address: "b:1",
--- a/test/state/state-machine.test.ts
+++ b/test/state/state-machine.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from "vitest";
 import { StateMachine } from "../../src/state/state-machine.js";
-import { LogCommand } from "../../src/state/log-command.js";
+import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 
 const members = { voters: ["a"], learners: [] };
 describe("StateMachine", () => {
@@ -9,7 +9,7 @@
     const put = (index: number, expected: number, changeId: string) =>
       stateMachine.apply(
         index,
-        LogCommand.text({
+        encodeLogCommand({
           kind: "config",
           expected,
           changeId,
@@ -39,7 +39,7 @@
   test("an idempotency key is claimed by one request until it is released or expires, and names who knows the outcome", () => {
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
-      JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
+      JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
     expect(apply(1, claimOf("one"))).toEqual({ claimed: true });
     expect(apply(2, claimOf("one"))).toEqual({ claimed: true });
     const held = { bodyHash: "h", job: "one", verdict: "inHand", holders, atIndex: 1 };
@@ -55,7 +55,7 @@
   test("a claim is taken over from the request that it replaces, and from no other", () => {
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
-      JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
+      JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
     apply(1, claimOf("one"));
     expect(apply(2, claimOf("two", "zero"))).toMatchObject({ held: { job: "one" } });
     expect(apply(3, claimOf("two", "one"))).toEqual({ claimed: true });
@@ -68,7 +68,7 @@
   test("a claim that a former build settled stays settled when it arrives again", () => {
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
-      JSON.parse(stateMachine.apply(index, LogCommand.text(command)));
+      JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
     apply(1, claimOf("one"));
     apply(2, { kind: "settle", scope: "k", job: "one", verdict: "ran" });
     expect(apply(3, claimOf("one"))).toEqual({ claimed: true });
