--- a/src/consensus/member-rights.ts
+++ b/src/consensus/member-rights.ts
@@ -62,20 +62,21 @@
 /** What a member in this state may do. */
 export const memberRights = (member: MemberState): MemberRights => {
   const takePart = member.stage === "formed";
-  const hasItsPromises = takePart && !member.isRejoining;
-  const vote = hasItsPromises && !member.isBoundToLeader;
-  const canWrite = hasItsPromises && member.isDiskHealthy;
+  // While rejoining it may lack votes and entries that it acknowledged before its disk was lost.
+  const hasCompleteState = takePart && !member.isRejoining;
+  const vote = hasCompleteState && !member.isBoundToLeader;
+  const canWrite = hasCompleteState && member.isDiskHealthy;
   return {
     form: member.stage === "empty",
     takePart,
     preVote: vote,
     vote,
-    voteOnHandOver: hasItsPromises,
+    voteOnHandOver: hasCompleteState,
     campaign: canWrite && member.isNamedVoter && !member.isLeader && !member.isRetired,
-    countForCommit: hasItsPromises && !member.isRetired,
+    countForCommit: hasCompleteState && !member.isRetired,
     // A leader that is no longer a voter leads on until its removal is committed.
     lead: canWrite && member.isLeader,
-    serve: hasItsPromises && member.isLeader && member.hasLease,
+    serve: hasCompleteState && member.isLeader && member.hasLease,
     forward: true,
   };
 };
