--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -100,7 +100,7 @@
   private viewSince(leadingSinceMs: number): MembershipView {
     const { clock, location, consensus, timeouts } = this.options;
     const nowMs = clock.nowMs();
-    const { self, members, committedIndex, syncedIndex, matched } = consensus.current;
+    const { self, members, committedIndex, syncedIndex, matchIndexes: matched } = consensus.current;
     const { acknowledgedSentMs, responsiveSinceMs } = consensus.current;
     return {
       self,
--- a/test/consensus/member-rights.test.ts
+++ b/test/consensus/member-rights.test.ts
@@ -9,7 +9,7 @@
 const wholeVoter: MemberState = {
   stage: "formed",
   isRejoining: false,
-  isNamedVoter: true,
+  isVoter: true,
   isLeader: false,
   isRetired: false,
   isDiskHealthy: true,
@@ -20,10 +20,10 @@
 
 const rightNames = [
   "form",
-  "takePart",
+  "participate",
   "preVote",
   "vote",
-  "voteOnHandOver",
+  "voteOnLeadershipTransfer",
   "campaign",
   "countForCommit",
   "lead",
@@ -39,52 +39,64 @@
   ["empty", { stage: "empty" }, ["form", "forward"]],
   ["damaged", { stage: "damaged" }, ["forward"]],
   ["forming", { stage: "forming" }, ["forward"]],
-  ["rejoining", { isRejoining: true }, ["takePart", "forward"]],
+  ["rejoining", { isRejoining: true }, ["participate", "forward"]],
   [
     "rejoining, has contact with the leader",
     { isRejoining: true, isBoundToLeader: true },
-    ["takePart", "forward"],
+    ["participate", "forward"],
   ],
   [
     "restarted within the shortest election timeout, or has contact with a leader",
     { isBoundToLeader: true },
-    ["takePart", "voteOnHandOver", "campaign", "countForCommit", "forward"],
+    ["participate", "voteOnLeadershipTransfer", "campaign", "countForCommit", "forward"],
   ],
   [
     "learner",
-    { isNamedVoter: false },
-    ["takePart", "preVote", "vote", "voteOnHandOver", "countForCommit", "forward"],
+    { isVoter: false },
+    ["participate", "preVote", "vote", "voteOnLeadershipTransfer", "countForCommit", "forward"],
   ],
   [
     "voter whose disk accepts no writes",
     { isDiskHealthy: false },
-    ["takePart", "preVote", "vote", "voteOnHandOver", "countForCommit", "forward"],
+    ["participate", "preVote", "vote", "voteOnLeadershipTransfer", "countForCommit", "forward"],
   ],
   [
     "voter that is about to end",
     { isRetired: true },
-    ["takePart", "preVote", "vote", "voteOnHandOver", "forward"],
+    ["participate", "preVote", "vote", "voteOnLeadershipTransfer", "forward"],
   ],
   [
     "whole voter that hears no leader",
     {},
-    ["takePart", "preVote", "vote", "voteOnHandOver", "campaign", "countForCommit", "forward"],
+    [
+      "participate",
+      "preVote",
+      "vote",
+      "voteOnLeadershipTransfer",
+      "campaign",
+      "countForCommit",
+      "forward",
+    ],
   ],
   [
     "leader without a lease",
     { ...leader, hasLease: false },
-    ["takePart", "voteOnHandOver", "countForCommit", "lead", "forward"],
+    ["participate", "voteOnLeadershipTransfer", "countForCommit", "lead", "forward"],
+  ],
+  [
+    "leader",
+    leader,
+    ["participate", "voteOnLeadershipTransfer", "countForCommit", "lead", "serve", "forward"],
   ],
-  ["leader", leader, ["takePart", "voteOnHandOver", "countForCommit", "lead", "serve", "forward"]],
   [
     "leader whose disk accepts no writes",
     { ...leader, isDiskHealthy: false },
-    ["takePart", "voteOnHandOver", "countForCommit", "serve", "forward"],
+    ["participate", "voteOnLeadershipTransfer", "countForCommit", "serve", "forward"],
   ],
   [
     "leader that is no voter any more",
-    { ...leader, isNamedVoter: false },
-    ["takePart", "voteOnHandOver", "countForCommit", "lead", "serve", "forward"],
+    { ...leader, isVoter: false },
+    ["participate", "voteOnLeadershipTransfer", "countForCommit", "lead", "serve", "forward"],
   ],
 ];
 
@@ -108,7 +120,7 @@
   let states: MemberState[] = stages.map((stage) => ({ ...wholeVoter, stage }));
   for (const flag of [
     "isRejoining",
-    "isNamedVoter",
+    "isVoter",
     "isLeader",
     "isRetired",
     "isDiskHealthy",
@@ -126,7 +138,7 @@
     const inMajority =
       rights.preVote ||
       rights.vote ||
-      rights.voteOnHandOver ||
+      rights.voteOnLeadershipTransfer ||
       rights.campaign ||
       rights.countForCommit;
     if (forgot) expect([inMajority, rights.lead, rights.serve]).toEqual([false, false, false]);
