--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -18,7 +18,7 @@
   leadingSinceIndex: state.log.lastIndex + 1,
 });
 
-/** The first entry of a leader's term; its commit also commits all entries before it. */
+/** The text of the first entry of a leader's term, whose commit also commits all entries before it. */
 export const leadershipEntryText = (state: ConsensusState): string =>
   JSON.stringify({ kind: "leads", machine: state.self, term: state.term });
 
@@ -42,8 +42,8 @@
 };
 
 /**
- * Why a leader must step down now, or `undefined` if it need not: its removal from the voters is committed, or a majority has
- * not acknowledged its requests for more than two maximum election timeouts.
+ * Why a leader must step down now, or `undefined` if it need not: its removal from the voters is committed, or more than two
+ * maximum election timeouts have passed since its lease expired and since it was elected.
  */
 export const stepDownReason = (
   state: ConsensusState,
--- a/test/consensus/vote.test.ts
+++ b/test/consensus/vote.test.ts
@@ -8,6 +8,10 @@
   ...overrides,
 });
 
+/**
+ * Voters of a later term refuse a pre-vote for that term. A candidate one term behind that didn't adopt it would repeat the same
+ * pre-vote and never be elected.
+ */
 test("the later term in a refused pre-vote is adopted, even if it equals the requested term", () => {
   const reply = { term: 3, granted: false };
   const state = countVote(
