--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -20,7 +20,7 @@
     committedIndex,
     syncedIndex,
   } = state;
-  const change = MembershipPolicy.next({
+  const change = MembershipPolicy.nextChange({
     self,
     voters: members.voters,
     learners: members.learners,
@@ -44,5 +44,5 @@
       forgetAfterMs: settings.forgetAfterMs,
     },
   });
-  return change === undefined ? undefined : MembershipPolicy.after(members, change);
+  return change === undefined ? undefined : MembershipPolicy.applyChange(members, change);
 };
