--- a/src/model-checker/member-group.ts
+++ b/src/model-checker/member-group.ts
@@ -23,7 +23,7 @@
   readonly settings: GroupSettings;
   readonly members = new Map<string, ModelMember>();
   readonly messages = new Map<string, Message>();
-  /** The links that lose all messages, one direction each, as `from>to`. */
+  /** The links that deliver no messages, one direction each, as `from>to`. */
   readonly blockedLinks = new Set<string>();
   readonly history: OperationHistory;
   checks: InvariantChecks;
