--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { boundsOf } from "../../src/daemon/bounds.js";
+import { deriveBounds } from "../../src/daemon/bounds.js";
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
@@ -18,13 +18,13 @@
     fleet.wait(4000);
     const gate = new EventGate();
     const clock = gate.clock(fleet.virtualClock.clock());
-    const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
+    const wire = new DelayedNetwork(fleet.network.createInterface("one", gate), clock, () => 1);
     const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
     const daemon = new PollingDaemon(
       runtime,
       { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
       [fleet.machineAt(0).peer],
-      boundsOf({}),
+      deriveBounds({}),
     );
     daemon.start();
     fleet.wait(2000);
