--- a/test/consensus/member-rights.test.ts
+++ b/test/consensus/member-rights.test.ts
@@ -5,7 +5,7 @@
   type MemberState,
 } from "../../src/consensus/member-rights.js";
 
-/** A voter that holds all, hears no leader and may stand. */
+/** A voter with a complete log and no contact with a leader, which may campaign. */
 const healthyVoter: MemberState = {
   stage: "formed",
   isRejoining: false,
@@ -20,10 +20,10 @@
 
 const rightNames = [
   "form",
-  "takePart",
+  "participate",
   "preVote",
   "vote",
-  "voteOnHandOver",
+  "voteOnLeadershipTransfer",
   "campaign",
   "countForCommit",
   "lead",
@@ -31,65 +31,81 @@
   "forward",
 ] as const satisfies ReadonlyArray<keyof MemberRights>;
 
-/** One row of the table in docs/control.md: what a member is, and all that it may do. */
+/** The rows of the table in docs/control.md: a description of a member, its state, and all its rights. */
 const rightsTable: ReadonlyArray<
-  readonly [what: string, state: Partial<MemberState>, rights: ReadonlyArray<keyof MemberRights>]
+  readonly [
+    description: string,
+    state: Partial<MemberState>,
+    rights: ReadonlyArray<keyof MemberRights>,
+  ]
 > = [
   ["loading", { stage: "loading" }, ["forward"]],
   ["empty", { stage: "empty" }, ["form", "forward"]],
   ["damaged", { stage: "damaged" }, ["forward"]],
   ["forming", { stage: "forming" }, ["forward"]],
-  ["rejoining", { isRejoining: true }, ["takePart", "forward"]],
+  ["rejoining", { isRejoining: true }, ["participate", "forward"]],
   [
     "rejoining, has contact with the leader",
     { isRejoining: true, isBoundToLeader: true },
-    ["takePart", "forward"],
+    ["participate", "forward"],
   ],
   [
     "restarted within the shortest election timeout, or has contact with a leader",
     { isBoundToLeader: true },
-    ["takePart", "voteOnHandOver", "campaign", "countForCommit", "forward"],
+    ["participate", "voteOnLeadershipTransfer", "campaign", "countForCommit", "forward"],
   ],
   [
     "learner",
     { isVoter: false },
-    ["takePart", "preVote", "vote", "voteOnHandOver", "countForCommit", "forward"],
+    ["participate", "preVote", "vote", "voteOnLeadershipTransfer", "countForCommit", "forward"],
   ],
   [
     "voter whose disk accepts no writes",
     { isDiskHealthy: false },
-    ["takePart", "preVote", "vote", "voteOnHandOver", "countForCommit", "forward"],
+    ["participate", "preVote", "vote", "voteOnLeadershipTransfer", "countForCommit", "forward"],
   ],
   [
-    "voter that is about to end",
+    "voter that is shutting down",
     { isRetired: true },
-    ["takePart", "preVote", "vote", "voteOnHandOver", "forward"],
+    ["participate", "preVote", "vote", "voteOnLeadershipTransfer", "forward"],
   ],
   [
-    "whole voter that hears no leader",
+    "voter with a complete log and no contact with a leader",
     {},
-    ["takePart", "preVote", "vote", "voteOnHandOver", "campaign", "countForCommit", "forward"],
+    [
+      "participate",
+      "preVote",
+      "vote",
+      "voteOnLeadershipTransfer",
+      "campaign",
+      "countForCommit",
+      "forward",
+    ],
   ],
   [
     "leader without a lease",
     { ...leader, hasLease: false },
-    ["takePart", "voteOnHandOver", "countForCommit", "lead", "forward"],
+    ["participate", "voteOnLeadershipTransfer", "countForCommit", "lead", "forward"],
+  ],
+  [
+    "leader",
+    leader,
+    ["participate", "voteOnLeadershipTransfer", "countForCommit", "lead", "serve", "forward"],
   ],
-  ["leader", leader, ["takePart", "voteOnHandOver", "countForCommit", "lead", "serve", "forward"]],
   [
     "leader whose disk accepts no writes",
     { ...leader, isDiskHealthy: false },
-    ["takePart", "voteOnHandOver", "countForCommit", "serve", "forward"],
+    ["participate", "voteOnLeadershipTransfer", "countForCommit", "serve", "forward"],
   ],
   [
-    "leader that is no voter any more",
+    "leader that is no longer a voter",
     { ...leader, isVoter: false },
-    ["takePart", "voteOnHandOver", "countForCommit", "lead", "serve", "forward"],
+    ["participate", "voteOnLeadershipTransfer", "countForCommit", "lead", "serve", "forward"],
   ],
 ];
 
-for (const [what, state, allowed] of rightsTable)
-  test(`a member that is ${what} may ${allowed.join(", ")}, and nothing else`, () => {
+for (const [description, state, allowed] of rightsTable)
+  test(`${description}: has only the rights ${allowed.join(", ")}`, () => {
     const rights = memberRights({ ...healthyVoter, ...state });
     expect(rightNames.filter((name) => rights[name])).toEqual(allowed);
   });
@@ -103,12 +119,12 @@
 ];
 const booleans = [false, true];
 
-/** Every state that there is. */
+/** Lists every combination of stage and flags. */
 const listAllStates = (): MemberState[] => {
   let states: MemberState[] = stages.map((stage) => ({ ...healthyVoter, stage }));
   for (const flag of [
     "isRejoining",
-    "isNamedVoter",
+    "isVoter",
     "isLeader",
     "isRetired",
     "isDiskHealthy",
@@ -119,17 +135,18 @@
   return states;
 };
 
-test("in every state, a member that lost its promises counts in no majority, and one without a lease serves nothing", () => {
+test("in every state, a member with an incomplete log counts in no majority, and a member without a lease serves nothing", () => {
   for (const state of listAllStates()) {
     const rights = memberRights(state);
-    const forgot = state.isRejoining || state.stage !== "formed";
-    const inMajority =
+    const isIncomplete = state.isRejoining || state.stage !== "formed";
+    const countsInMajority =
       rights.preVote ||
       rights.vote ||
       rights.voteOnLeadershipTransfer ||
       rights.campaign ||
       rights.countForCommit;
-    if (forgot) expect([inMajority, rights.lead, rights.serve]).toEqual([false, false, false]);
+    if (isIncomplete)
+      expect([countsInMajority, rights.lead, rights.serve]).toEqual([false, false, false]);
     if (!state.hasLease || !state.isLeader) expect(rights.serve).toBe(false);
     if (state.isBoundToLeader) expect([rights.vote, rights.preVote]).toEqual([false, false]);
     if (state.isRetired) expect([rights.campaign, rights.countForCommit]).toEqual([false, false]);
--- a/test/model-checker/mutants.test.ts
+++ b/test/model-checker/mutants.test.ts
@@ -5,14 +5,14 @@
 const stepsPerRun = 1000;
 const staleRead = "no read older than an acknowledged change";
 
-test("twenty thousand random steps on production's rules break no promise", () => {
-  const found = exploreRandomly({ firstSeed: 1, maxSteps: 20_000, stepsPerRun });
-  expect(found.counterexample?.message).toBeUndefined();
+test("twenty thousand random steps under production's rules violate no invariant", () => {
+  const found = exploreRandomly({ firstSeed: 1, mostSteps: 20_000, stepsPerRun });
+  expect(found.counterexample?.how).toBeUndefined();
   expect(found.steps).toBe(20_000);
 });
 
-/** Where the search by `npm run explore -- --mutants` meets each mutant first: the seed, and the promise it breaks. */
-const detections: ReadonlyArray<readonly [name: string, seed: number, promise: string]> = [
+/** The first seed with which `npm run explore -- --mutants` detects each mutant, and the invariant that the mutant violates. */
+const detections: ReadonlyArray<readonly [name: string, seed: number, invariant: string]> = [
   ["several votes in a term", 4, "one leader a term"],
   ["a vote for a candidate with an older log", 10, "what is committed stays"],
   ["a vote while a leader is heard", 460, staleRead],
@@ -28,10 +28,10 @@
   ["a lease longer than the election wait", 30, staleRead],
 ];
 
-test.each(detections)("found: %s (seed %i)", (name, seed, promise) => {
-  const mutant = mutants.find((one) => one.name === name);
-  const extent = { firstSeed: seed, maxSteps: stepsPerRun, stepsPerRun };
-  const found = exploreRandomly(extent, mutant?.ruleOverride);
-  expect(found.counterexample?.invariant).toBe(promise);
-  expect(exploreRandomly(extent).counterexample?.message).toBeUndefined();
+test.each(detections)("the search detects the mutant: %s (seed %i)", (name, seed, invariant) => {
+  const mutant = mutants.find((candidate) => candidate.name === name);
+  const extent = { firstSeed: seed, mostSteps: stepsPerRun, stepsPerRun };
+  const found = exploreRandomly(extent, mutant?.alteration);
+  expect(found.counterexample?.promise).toBe(invariant);
+  expect(exploreRandomly(extent).counterexample?.how).toBeUndefined();
 });
