--- a/src/configuration/config-shape.ts
+++ b/src/configuration/config-shape.ts
@@ -3,118 +3,126 @@
 import { Validated } from "./validated.js";
 
 /** The name of a service or a route. */
-export const nameShape = Validated.text(
+export const nameShape = Validated.pattern(
   "name",
   /^(?!__proto__$)[A-Za-z0-9._-]{1,100}$/,
   "a name of letters, digits, dashes, underscores and dots, 100 at most",
 );
-const header = Validated.text("header", /^[a-z][a-z0-9-]{0,59}$/, "a header's name in lower case");
-const pathPattern = Validated.text(
+const header = Validated.pattern(
+  "header",
+  /^[a-z][a-z0-9-]{0,59}$/,
+  "a header's name in lower case",
+);
+const pathPattern = Validated.pattern(
   "path",
   /^\/[^\s?#*]{0,500}\*?$/,
   "a path that begins with / and may end with *",
 );
-const host = Validated.text(
+const host = Validated.pattern(
   "host",
   /^(?:[A-Za-z0-9._-]{1,253}|\[[0-9A-Fa-f:.]{2,45}\])$/,
   "a host's name without a port",
 );
-const healthPath = Validated.text("path", /^\/[^\s#]{0,999}$/, "a path that begins with /");
-const word = Validated.text("word", /^[\w./-]{1,40}$/, "a word");
-const weight = Validated.leaf<number>(
+const healthPath = Validated.pattern("path", /^\/[^\s#]{0,999}$/, "a path that begins with /");
+const word = Validated.pattern("word", /^[\w./-]{1,40}$/, "a word");
+const weight = Validated.custom<number>(
   "weight",
   (value) => typeof value === "number" && value >= 0 && value <= 1e12,
   "a weight of 0 or more",
 );
 /** Any JSON; it is stored and returned as it was sent. */
-export const opaqueShape = Validated.leaf<NonNullable<unknown> | null>(
+export const opaqueShape = Validated.custom<NonNullable<unknown> | null>(
   "JSON",
   (value) => value !== undefined,
   "JSON",
 );
 /** The HTTP methods that a route can match. */
 export const METHODS = ["GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"] as const;
-const { flag, many, maybe, one, section, whole, within } = Validated;
+const { boolean, nonEmptyArray, optional, oneOf, recordOf, objectOf, integerBetween } = Validated;
 
 /** Which requests of a route may be retried: safe ones and downloads always, unsafe ones never, idempotent ones run once for each key. */
 const ROUTE_KINDS = ["safe", "unsafe", "idempotent", "download"] as const;
 
-const serviceShape = whole(
+const serviceShape = objectOf(
   object({
     /** The header in which the service's backends echo a request's number and service. */
-    stampHeader: maybe(header),
+    stampHeader: optional(header),
     /** How many concurrent requests one daemon sends to one backend. */
-    inHand: maybe(within(1, 10_000)),
+    inHand: optional(integerBetween(1, 10_000)),
     /** The path of its backends' health checks. */
-    healthPath: maybe(healthPath),
+    healthPath: optional(healthPath),
     /** How many connections one backend accepts. */
-    maxConnections: maybe(within(1, 1_000_000)),
-    protocol: maybe(word),
-    tls: maybe(flag()),
+    maxConnections: optional(integerBetween(1, 1_000_000)),
+    protocol: optional(word),
+    tls: optional(boolean()),
     /** Whether its backends deduplicate requests by idempotency key themselves. */
-    keepsKeys: maybe(flag()),
+    keepsKeys: optional(boolean()),
     /** Data that an adapter stores with this item; never interpreted. */
-    origin: maybe(opaqueShape),
+    origin: optional(opaqueShape),
   }),
 );
 
-const routeShape = whole(
+const routeShape = objectOf(
   object({
-    match: whole(
-      object({ methods: maybe(many(one(METHODS))), path: pathPattern, host: maybe(host) }),
+    match: objectOf(
+      object({
+        methods: optional(nonEmptyArray(oneOf(METHODS))),
+        path: pathPattern,
+        host: optional(host),
+      }),
     ),
     /** The service that serves this route; `split` names several. */
-    service: maybe(nameShape),
+    service: optional(nameShape),
     /** Services that share this route by weight. */
-    split: maybe(many(whole(object({ service: nameShape, weight })))),
+    split: optional(nonEmptyArray(objectOf(object({ service: nameShape, weight })))),
     /** Which requests may be retried; it overrides `repeat`, `keyed` and the methods. */
-    kind: maybe(one(ROUTE_KINDS)),
+    kind: optional(oneOf(ROUTE_KINDS)),
     /** Whether an attempt that may have run may be retried; only for safe methods. */
-    repeat: maybe(one(["safe", "never"])),
+    repeat: optional(oneOf(["safe", "never"])),
     /** Whether writes on this route must carry an Idempotency-Key. */
-    keyed: maybe(flag()),
+    keyed: optional(boolean()),
     /** The largest number of attempts of one request, each at another backend. */
-    attempts: maybe(within(1, 10)),
+    attempts: optional(integerBetween(1, 10)),
     /** The timeout of one attempt, in milliseconds. */
-    giveUpMs: maybe(within(1, 600_000)),
+    giveUpMs: optional(integerBetween(1, 600_000)),
     /** The priority of its requests, 0 the highest. */
-    priority: maybe(within(0, 9)),
+    priority: optional(integerBetween(0, 9)),
     /** Data that an adapter stores with this item; never interpreted. */
-    origin: maybe(opaqueShape),
+    origin: optional(opaqueShape),
   }),
 );
 
-const goalShape = whole(
+const goalShape = objectOf(
   object({
-    latencyMs: within(1, 600_000),
-    furtherTries: maybe(within(0, 5)),
+    latencyMs: integerBetween(1, 600_000),
+    furtherTries: optional(integerBetween(0, 5)),
   }),
 );
 
-const limitsShape = whole(
+const limitsShape = objectOf(
   object({
     /** The largest size of a request's head, in bytes. */
-    headerBytes: maybe(within(1, 2 ** 31 - 1)),
+    headerBytes: optional(integerBetween(1, 2 ** 31 - 1)),
     /** The largest size of a request's body, in bytes. */
-    bodyBytes: maybe(within(0, Number.MAX_SAFE_INTEGER)),
+    bodyBytes: optional(integerBetween(0, Number.MAX_SAFE_INTEGER)),
     /** The timeout for the head of a request, in milliseconds. */
-    headerMs: maybe(within(1, 86_400_000)),
+    headerMs: optional(integerBetween(1, 86_400_000)),
     /** The timeout of a connection without a request, in milliseconds. */
-    idleMs: maybe(within(1, 86_400_000)),
+    idleMs: optional(integerBetween(1, 86_400_000)),
     /** Data that an adapter stores with this item; never interpreted. */
-    origin: maybe(opaqueShape),
+    origin: optional(opaqueShape),
   }),
 );
 
 /** The shape of a configuration; its field names are the operators' and are stored. */
-export const configShape = whole(
+export const configShape = objectOf(
   object({
-    services: section(nameShape, serviceShape),
-    routes: section(nameShape, routeShape),
-    goals: maybe(section(nameShape, goalShape)),
-    limits: maybe(limitsShape),
+    services: recordOf(nameShape, serviceShape),
+    routes: recordOf(nameShape, routeShape),
+    goals: optional(recordOf(nameShape, goalShape)),
+    limits: optional(limitsShape),
     /** Data that an adapter stores with the configuration; never interpreted. */
-    origin: maybe(opaqueShape),
+    origin: optional(opaqueShape),
   }),
 );
 
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -42,11 +42,11 @@
   /** The digest that a daemon's replica must have under this sequence. */
   get digest(): string {
     this.observe();
-    return this.setDigest.text;
+    return this.setDigest.hex;
   }
 
   /** The registration under a number. */
-  registration(number: number): Registration | undefined {
+  findRegistration(number: number): Registration | undefined {
     this.observe();
     return this.byNumber.get(number);
   }
@@ -56,7 +56,7 @@
     this.observe();
     const cached = this.viewParts.get(fromSequence);
     if (cached !== undefined) return cached;
-    const touched = this.changes.since(fromSequence);
+    const touched = this.changes.keysChangedSince(fromSequence);
     const part =
       touched && touched.size < this.registrations.size
         ? this.changesPart(fromSequence, touched)
@@ -108,7 +108,7 @@
     this.registrations = registrations;
     this.observedSequence = endpointSequence;
     this.viewParts.clear();
-    this.changes.note(endpointSequence, touched);
+    this.changes.record(endpointSequence, touched);
   }
 
   private add(registration: Registration): void {
--- a/src/state/id-allocator.ts
+++ b/src/state/id-allocator.ts
@@ -23,7 +23,7 @@
  */
 export class IdAllocator {
   private active = new Map<string, number>();
-  private restingIds = new Map<string, number>();
+  private quarantined = new Map<string, number>();
   private free: number[] = [];
   private nextId = 1;
 
@@ -33,15 +33,15 @@
   }
 
   /** The ids that rest until no window counts by them. */
-  get resting(): ReadonlySet<number> {
-    return new Set(this.restingIds.values());
+  get quarantinedIds(): ReadonlySet<number> {
+    return new Set(this.quarantined.values());
   }
 
   /** The stored state. */
   get state(): IdAllocatorState {
     return {
       inForce: [...this.active],
-      resting: [...this.restingIds],
+      resting: [...this.quarantined],
       free: this.free,
       next: this.nextId,
     };
@@ -50,7 +50,7 @@
   /** Takes over a stored state. */
   restore({ inForce, resting, free, next }: IdAllocatorState): void {
     this.active = new Map(inForce);
-    this.restingIds = new Map(resting);
+    this.quarantined = new Map(resting);
     this.free = [...free];
     this.nextId = next;
   }
@@ -66,14 +66,14 @@
   }
 
   /** Applies a configuration with these names; `rested` are ids that can be allocated again. */
-  adopt(names: readonly string[], rested: readonly number[]): void {
+  setActiveNames(names: readonly string[], rested: readonly number[]): void {
     const wanted = new Set(names);
     const removed = [...this.active.keys()].filter((name) => !wanted.has(name));
-    this.change({ added: [...wanted], removed }, rested);
+    this.applyNameChanges({ added: [...wanted], removed }, rested);
   }
 
   /** Applies the changes of names; `rested` are ids that can be allocated again. */
-  change({ added, removed }: NameChanges, rested: readonly number[]): void {
+  applyNameChanges({ added, removed }: NameChanges, rested: readonly number[]): void {
     this.release(rested);
     for (const name of removed) this.rest(name);
     for (const name of added) this.allocate(name);
@@ -82,9 +82,9 @@
   private release(rested: readonly number[]): void {
     if (rested.length === 0) return;
     const released = new Set(rested);
-    for (const [name, id] of this.restingIds) {
+    for (const [name, id] of this.quarantined) {
       if (!released.has(id)) continue;
-      this.restingIds.delete(name);
+      this.quarantined.delete(name);
       this.free.push(id);
     }
   }
@@ -93,17 +93,17 @@
     const id = this.active.get(name);
     if (id === undefined) return;
     this.active.delete(name);
-    this.restingIds.set(name, id);
+    this.quarantined.set(name, id);
   }
 
   private allocate(name: string): void {
     if (this.active.has(name)) return;
     const id =
-      this.restingIds.get(name) ??
+      this.quarantined.get(name) ??
       this.free.pop() ??
       (this.nextId < ID_LIMIT ? this.nextId++ : undefined);
     if (id === undefined) return;
-    this.restingIds.delete(name);
+    this.quarantined.delete(name);
     this.active.set(name, id);
   }
 }
--- a/src/state/idempotency-claim-table.ts
+++ b/src/state/idempotency-claim-table.ts
@@ -70,7 +70,7 @@
   }
 
   /** The stored form of the table. */
-  stored(): StoredClaim[] {
+  toStored(): StoredClaim[] {
     return [...this.claims].map(([scope, claim]) => ({ scope, claim }));
   }
 
--- a/src/state/retry-capacity-holder-table.ts
+++ b/src/state/retry-capacity-holder-table.ts
@@ -11,7 +11,7 @@
   }
 
   /** The stored form of the table. */
-  stored(): string[] {
+  toStored(): string[] {
     return [...this.names];
   }
 
--- a/src/state/tombstone-table.ts
+++ b/src/state/tombstone-table.ts
@@ -29,7 +29,7 @@
   }
 
   /** The stored form of the table. */
-  stored(): StoredTombstone[] {
+  toStored(): StoredTombstone[] {
     return [...this.indexes];
   }
 
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -80,7 +80,7 @@
     changeId,
     acceptedAt,
   })),
-  versionsByChange: changeIds.map((id) => [id, stateMachine.changeVersion(id) ?? null]),
+  versionsByChange: changeIds.map((id) => [id, stateMachine.findVersionOfChange(id) ?? null]),
   registrations: [...stateMachine.registrations.values()]
     .map((one) => ({
       address: one.address,
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -12,7 +12,7 @@
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { StateMachine } from "../../src/state/state-machine.js";
 import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
-import { stage } from "./control-plane-stage.js";
+import { createTestCluster } from "./control-plane-stage.js";
 
 /** A state machine with configurations in force, and the views that a leader makes of them. */
 class Leader {
@@ -42,7 +42,7 @@
       text,
       services: Object.keys(checked.config.services),
       routes: Object.keys(checked.config.routes),
-      rested: [...this.stateMachine.idAllocator.resting],
+      rested: [...this.stateMachine.idAllocator.quarantinedIds],
     };
     this.stateMachine.apply(this.index, encodeLogCommand(one));
   }
@@ -72,7 +72,7 @@
 }
 
 const plain = (config: Config): unknown => {
-  const kept = ConfigItems.wholeForEdges(config);
+  const kept = ConfigItems.configWithoutOrigins(config);
   const value: unknown = JSON.parse(JSON.stringify({ ...kept, goals: kept.goals ?? {} }));
   return value;
 };
@@ -222,9 +222,10 @@
   });
 
   test("edges apply a series of patches by items, also across a change of leader", () => {
-    const { simulation, exchange, watch, watchRequestText, leader, wait, daemons } = stage({
-      holdMs: 50,
-    });
+    const { simulation, exchange, watch, watchRequestText, leader, wait, daemons } =
+      createTestCluster({
+        maxWatchWaitMs: 50,
+      });
     const [one] = daemons(1);
     const send = (method: string, target: string, body: unknown): void => {
       one?.daemon?.adminRequests.emit({
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -2,7 +2,7 @@
 import { boundsOf } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
-import { configOf, oneWayMs, zoneOf } from "./topology.js";
+import { createConfig, oneWayMs, zoneOf } from "./topology.js";
 import { DelayedNetwork } from "./delayed-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { type Task, runTask, waitFor } from "../../src/runtime/task.js";
@@ -69,7 +69,7 @@
     const { watchIntervalMs: pollMs, controlPlaneTimeouts } = boundsOf({});
     const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
     expect(polls).toBeGreaterThan(
-      many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.holdMs + farMs + 50)),
+      many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.maxWatchWaitMs + farMs + 50)),
     );
     expect(polls).toBeLessThanOrEqual(many * Math.ceil(4000 / pollMs + 1));
     expect(
@@ -83,7 +83,7 @@
     expect(
       Math.abs(out - (sumOf(all, ({ wire }) => wire.totals.messagesIn) - before.back)),
     ).toBeLessThanOrEqual(2 * many);
-    expect(Math.max(...all.map(({ daemon }) => daemon.coverage))).toBe(many);
+    expect(Math.max(...all.map(({ daemon }) => daemon.coveredEdges))).toBe(many);
   });
 
   test("configurations reach daemons in order; unresponsive daemons are logged by name, backends without heartbeats removed", () => {
@@ -127,7 +127,7 @@
           first.daemon.command({
             kind: "put",
             changeId: `change-${sequence}`,
-            value: configOf({ services, routes: 9 }, sequence),
+            value: createConfig({ services, routes: 9 }, sequence),
           }),
         );
       stage.until(() => {
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -8,7 +8,7 @@
 import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 import type { Registration } from "../../src/state/registration.js";
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
-import { service, stage } from "./control-plane-stage.js";
+import { service, createTestCluster } from "./control-plane-stage.js";
 
 const viewOf = (changes: EndpointChangeLog, known: number): LeasedView => {
   const view = readLeasedView(
@@ -112,8 +112,8 @@
 
   test("a watch request with the sequence before gets only the changes, a few hundred bytes, from a new leader too", () => {
     const { simulation, heartbeat, exchange, watch, watchRequestText, leader, wait, registration } =
-      stage({
-        holdMs: 50,
+      createTestCluster({
+        maxWatchWaitMs: 50,
       });
     for (let at = 0; at < 8; at += 1) heartbeat(`life-${at}`, { address: `10.9.1.${at}:80` });
     const known = watch();
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -7,7 +7,7 @@
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { type Task, runTask } from "../../src/runtime/task.js";
 import { FleetStage } from "../replication/fleet-stage.js";
-import { stage } from "./control-plane-stage.js";
+import { createTestCluster } from "./control-plane-stage.js";
 
 const servicesCount = 40;
 
@@ -57,7 +57,7 @@
   });
 
   test("members and capacities that a request names aren't sent again", () => {
-    const { watch, exchange, watchRequestText } = stage({ holdMs: 50 });
+    const { watch, exchange, watchRequestText } = createTestCluster({ maxWatchWaitMs: 50 });
     const first = watch();
     const { members, grantNumber, configSequence, directorySequence } = first;
     expect(members?.recorders.length).toBeGreaterThan(2);
