--- a/src/proxy/upstream/backend-connection.ts
+++ b/src/proxy/upstream/backend-connection.ts
@@ -23,7 +23,7 @@
   timeoutMs: number,
 ): Task<OpenedSocket | OpenFailure> {
   return yield* waitFor<OpenedSocket | OpenFailure>((done) => {
-    const socket = connect({ ...Address.parts(address), noDelay: true });
+    const socket = connect({ ...Address.parse(address), noDelay: true });
     const cancelTimeout = clock.after(timeoutMs, () => {
       socket.destroy();
       done(openFailure("unreached"));
@@ -62,7 +62,7 @@
   readonly client: Client;
   readonly socket: Socket;
   /** A response came on it that named no request. */
-  hasUnnamedResponse = false;
+  hasUnidentifiedResponse = false;
 
   constructor(socket: Socket, address: string, pool: string) {
     this.socket = socket;
--- a/test/proxy/upstream/closing-responses.test.ts
+++ b/test/proxy/upstream/closing-responses.test.ts
@@ -3,7 +3,7 @@
 import type { BackendResponse } from "../../../src/proxy/upstream/backend-client.js";
 import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
 import { systemClock, sleep } from "../../../src/runtime/clock.js";
-import { linkPacersOf } from "../../../src/runtime/link-pacer.js";
+import { createLinkPacers } from "../../../src/runtime/link-pacer.js";
 import type { Task } from "../../../src/runtime/task.js";
 import { attemptAt, ignoreErrors, listen, run } from "./http-fixtures.js";
 
@@ -35,7 +35,7 @@
 const readSlowly = function* (response: BackendResponse, maxChunks: number): Task<Received> {
   let bytes = 0;
   for (let chunks = 0; chunks < maxChunks; chunks += 1) {
-    const chunk = yield* response.next();
+    const chunk = yield* response.nextChunk();
     if (typeof chunk === "string") return { bytes, ending: chunk };
     bytes += chunk.length;
     yield* sleep(clock, 5);
@@ -47,7 +47,7 @@
 /** What is received of a backend's response. */
 const receive = async (server: Server, maxChunks = Infinity): Promise<Received> => {
   const address = await listen(server);
-  const pacers = linkPacersOf(clock, LINK_MBPS);
+  const pacers = createLinkPacers(clock, LINK_MBPS);
   const client = new HttpBackendClient(clock, { proof: "request", pacers });
   const exchange = function* (): Task<Received> {
     const result = yield* client.send(attemptAt(address, clock.nowMs() + 20_000));
