--- a/src/control-plane/change-buffer.ts
+++ b/src/control-plane/change-buffer.ts
@@ -43,13 +43,13 @@
 
   /** The keys of the items that may differ from the table under `sequence`; `undefined` where that is no longer known. */
   keysChangedSince(sequence: number): ReadonlySet<string> | undefined {
-    const keys = new Set<string>();
+    const changedKeys = new Set<string>();
     for (let index = this.changes.length - 1; index >= 0; index -= 1) {
       const change = this.changes[index];
       if (!change || change.sequence < sequence) return undefined;
-      if (change.sequence === sequence) return keys;
-      for (const key of change.keys) keys.add(key);
+      if (change.sequence === sequence) return changedKeys;
+      for (const key of change.keys) changedKeys.add(key);
     }
-    return this.baseSequence === sequence ? keys : undefined;
+    return this.baseSequence === sequence ? changedKeys : undefined;
   }
 }
--- a/src/control-plane/claim-service.ts
+++ b/src/control-plane/claim-service.ts
@@ -33,7 +33,7 @@
   private readonly stateMachine: StateMachine;
   private readonly claimTtlMs: number;
   private readonly admission: ClaimAdmission;
-  private ages: ClaimAge[] = [];
+  private claimAges: ClaimAge[] = [];
 
   constructor({ clock, log, stateMachine, claimTtlMs }: ClaimServiceOptions) {
     this.clock = clock;
@@ -62,13 +62,14 @@
   /** Follows the claims that are made and expired in the replicated log. */
   onApplied(command: LogCommand, index: number): void {
     if (command.kind === "claim")
-      this.ages.push({ scope: command.scope, index, appliedMs: this.clock.nowMs() });
-    if (command.kind === "forget") this.ages = this.ages.filter((age) => age.index > command.upTo);
+      this.claimAges.push({ scope: command.scope, index, appliedMs: this.clock.nowMs() });
+    if (command.kind === "forget")
+      this.claimAges = this.claimAges.filter((age) => age.index > command.upTo);
   }
 
   /** Begins a term: the age of every claim counts from now. */
   startTerm(nowMs: number): void {
-    this.ages = [...this.stateMachine.claims].map(([scope, { atIndex }]) => ({
+    this.claimAges = [...this.stateMachine.claims].map(([scope, { atIndex }]) => ({
       scope,
       index: atIndex,
       appliedMs: nowMs,
@@ -77,7 +78,7 @@
 
   /** Proposes to remove the claims that are past their time. */
   expireClaims(nowMs: number): void {
-    const expired = this.ages.filter(({ appliedMs }) => nowMs - appliedMs > this.claimTtlMs);
+    const expired = this.claimAges.filter(({ appliedMs }) => nowMs - appliedMs > this.claimTtlMs);
     if (expired.length === 0) return;
     this.log.submit({
       kind: "forget",
--- a/src/control-plane/command-metrics.ts
+++ b/src/control-plane/command-metrics.ts
@@ -16,12 +16,12 @@
   private readonly clock: Clock;
   private readonly log: Logger;
   private readonly byKind = new Map<string, KindMetrics>();
-  private sinceMs: number;
+  private periodStartMs: number;
 
   constructor(clock: Clock, log: Logger) {
     this.clock = clock;
     this.log = log;
-    this.sinceMs = clock.nowMs();
+    this.periodStartMs = clock.nowMs();
   }
 
   /** Takes in a command that began at `startedMs` of the clock and is responded to now. */
@@ -34,7 +34,7 @@
       sumMs: sumMs + durationMs,
       maxMs: Math.max(maxMs, durationMs),
     });
-    if (nowMs - this.sinceMs >= REPORT_INTERVAL_MS) this.report(nowMs);
+    if (nowMs - this.periodStartMs >= REPORT_INTERVAL_MS) this.report(nowMs);
   }
 
   private report(nowMs: number): void {
@@ -44,8 +44,8 @@
       meanMs: Math.round(sumMs / count),
       maxMs: Math.round(maxMs),
     }));
-    this.log.info("command metrics", { periodMs: Math.round(nowMs - this.sinceMs), kinds });
+    this.log.info("command metrics", { periodMs: Math.round(nowMs - this.periodStartMs), kinds });
     this.byKind.clear();
-    this.sinceMs = nowMs;
+    this.periodStartMs = nowMs;
   }
 }
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -16,7 +16,7 @@
 const REMOVED_PREFIX = "-";
 
 /** The key of the part with the whole configuration. */
-const WHOLE = -1;
+const COMPLETE = -1;
 
 /** An item that was observed, with its hash. */
 interface ObservedItem {
@@ -28,20 +28,20 @@
 
 /** Whether the order of routes is the one that a daemon has after it removed some of the former ones and added others at the end. */
 const isOrderPreserved = (
-  former: Config["routes"],
+  previous: Config["routes"],
   next: Config["routes"],
   removed: ReadonlySet<string>,
 ): boolean => {
   const names = Object.keys(next);
   let index = 0;
-  for (const name of Object.keys(former)) {
+  for (const name of Object.keys(previous)) {
     if (removed.has(ConfigItems.key("routes", name))) continue;
     if (names[index] !== name) return false;
     index += 1;
   }
   return names
     .slice(index)
-    .every((name) => !Object.hasOwn(former, name) || isAddedAgain(name, removed));
+    .every((name) => !Object.hasOwn(previous, name) || isAddedAgain(name, removed));
 };
 
 /** Whether a route was removed and added again, so that it stands at the end. */
@@ -60,7 +60,7 @@
   /** The parts of views under the present sequence, by the sequence that the daemon has; the whole configuration under `WHOLE`. */
   private readonly viewParts = new Map<number, string>();
   private serviceNames: string[] = [];
-  private digestText = "";
+  private digest = "";
 
   /** Follows the active configuration, which `readActive` returns parsed. */
   constructor(stateMachine: StateMachine, readActive: () => Config) {
@@ -89,25 +89,25 @@
     this.observe();
     const cached = this.viewParts.get(fromSequence);
     if (cached !== undefined) return cached;
-    const touched = this.changes.keysChangedSince(fromSequence);
+    const changedKeys = this.changes.keysChangedSince(fromSequence);
     const content =
-      touched && touched.size < this.items.size / 2
-        ? this.changesPart(fromSequence, touched)
-        : this.wholePart();
-    const part = `${content},"configDigest":"${this.digestText}"`;
+      changedKeys && changedKeys.size < this.items.size / 2
+        ? this.changesPart(fromSequence, changedKeys)
+        : this.completePart();
+    const part = `${content},"configDigest":"${this.digest}"`;
     this.viewParts.set(fromSequence, part);
     return part;
   }
 
-  private changesPart(base: number, touched: ReadonlySet<string>): string {
+  private changesPart(base: number, changedKeys: ReadonlySet<string>): string {
     const update: ConfigUpdate = {
       base,
       put: { services: {}, routes: {}, goals: {} },
       removed: [],
       numbers: {},
     };
-    this.putTouched(update, touched);
-    for (const key of touched) {
+    this.putChangedItems(update, changedKeys);
+    for (const key of changedKeys) {
       if (key.startsWith(REMOVED_PREFIX)) update.removed.push(key.slice(REMOVED_PREFIX.length));
       const name = ConfigItems.parseIdKey(key) ?? "";
       const number = this.current.ids.get(name);
@@ -119,23 +119,23 @@
       : `"configChanges":${text}`;
   }
 
-  private putTouched({ put }: ConfigUpdate, touched: ReadonlySet<string>): void {
+  private putChangedItems({ put }: ConfigUpdate, changedKeys: ReadonlySet<string>): void {
     const { services, routes, goals, limits } = this.current.config;
-    const isTouched = (key: string): boolean => touched.has(key);
+    const isChanged = (key: string): boolean => changedKeys.has(key);
     for (const [name, service] of Object.entries(services))
-      if (isTouched(ConfigItems.key("services", name)))
+      if (isChanged(ConfigItems.key("services", name)))
         put.services[name] = ConfigItems.withoutOrigin(service);
     for (const [name, route] of Object.entries(routes))
-      if (isTouched(ConfigItems.key("routes", name)))
+      if (isChanged(ConfigItems.key("routes", name)))
         put.routes[name] = ConfigItems.withoutOrigin(route);
     put.goals = Object.fromEntries(
-      Object.entries(goals ?? {}).filter(([name]) => isTouched(ConfigItems.key("goals", name))),
+      Object.entries(goals ?? {}).filter(([name]) => isChanged(ConfigItems.key("goals", name))),
     );
-    if (limits && isTouched(ConfigItems.limitsKey)) put.limits = ConfigItems.withoutOrigin(limits);
+    if (limits && isChanged(ConfigItems.limitsKey)) put.limits = ConfigItems.withoutOrigin(limits);
   }
 
-  private wholePart(): string {
-    const cached = this.viewParts.get(WHOLE);
+  private completePart(): string {
+    const cached = this.viewParts.get(COMPLETE);
     if (cached !== undefined) return cached;
     const text = JSON.stringify(ConfigItems.configWithoutOrigins(this.current.config));
     const config =
@@ -143,7 +143,7 @@
         ? `"packedConfig":"${TextCompression.compress(text)}"`
         : `"config":${JSON.stringify(text)}`;
     const part = `${config},"numbers":${JSON.stringify(Object.fromEntries(this.current.ids))}`;
-    this.viewParts.set(WHOLE, part);
+    this.viewParts.set(COMPLETE, part);
     return part;
   }
 
@@ -156,9 +156,9 @@
       ids: new Map(this.stateMachine.idAllocator.activeIds),
     };
     const isFirst = this.currentSequence === 0;
-    const touched = this.takeItems(next);
+    const changedKeys = this.updateItems(next);
     const removed = new Set(
-      touched
+      changedKeys
         .filter((key) => key.startsWith(REMOVED_PREFIX))
         .map((key) => key.slice(REMOVED_PREFIX.length)),
     );
@@ -166,35 +166,35 @@
     this.current = next;
     this.currentSequence = sequence;
     this.viewParts.clear();
-    this.digestText = ConfigItems.digest(this.setDigest, next.config);
+    this.digest = ConfigItems.digest(this.setDigest, next.config);
     this.serviceNames = Object.keys(next.config.services);
     if (isFirst || !isInOrder) this.changes = new ChangeBuffer(sequence, DEFAULT_MAX_CHANGE_BYTES);
-    else this.changes.record(sequence, touched);
+    else this.changes.record(sequence, changedKeys);
   }
 
   /** Takes over all items; returns the keys of those that changed or were removed. */
-  private takeItems(next: NumberedConfig): string[] {
-    const touched: string[] = [];
-    const present = new Map<string, ObservedItem>();
+  private updateItems(next: NumberedConfig): string[] {
+    const changedKeys: string[] = [];
+    const currentItems = new Map<string, ObservedItem>();
     for (const item of ConfigItems.all(next)) {
-      const former = this.items.get(item.key);
-      if (former?.value === item.value) {
-        present.set(item.key, former);
+      const previous = this.items.get(item.key);
+      if (previous?.value === item.value) {
+        currentItems.set(item.key, previous);
         continue;
       }
       const hash = ConfigItems.hash(item);
-      present.set(item.key, { value: item.value, hash });
-      if (former?.hash === hash) continue;
-      touched.push(item.key);
-      if (former) this.setDigest.remove(former.hash);
+      currentItems.set(item.key, { value: item.value, hash });
+      if (previous?.hash === hash) continue;
+      changedKeys.push(item.key);
+      if (previous) this.setDigest.remove(previous.hash);
       this.setDigest.add(hash);
     }
     for (const [key, { hash }] of this.items) {
-      if (present.has(key)) continue;
-      touched.push(`${REMOVED_PREFIX}${key}`);
+      if (currentItems.has(key)) continue;
+      changedKeys.push(`${REMOVED_PREFIX}${key}`);
       this.setDigest.remove(hash);
     }
-    this.items = present;
-    return touched;
+    this.items = currentItems;
+    return changedKeys;
   }
 }
--- a/src/control-plane/config-service.ts
+++ b/src/control-plane/config-service.ts
@@ -28,7 +28,7 @@
 
 interface PendingChange {
   readonly command: ConfigCommand;
-  readonly done: (result: CommandResult) => void;
+  readonly onResult: (result: CommandResult) => void;
 }
 
 /** What the configuration service needs. */
@@ -48,7 +48,7 @@
   private readonly log: LeaderLog;
   private readonly stateMachine: StateMachine;
   private readonly steps: StepTimer;
-  private readonly restingIds: IdQuarantine;
+  private readonly idQuarantine: IdQuarantine;
   private readonly versions: ConfigVersionLookup;
   private readonly pending = new Queue<PendingChange>();
   /** The configuration that was parsed last, with its text. */
@@ -62,13 +62,13 @@
     replica,
     stateMachine,
     steps,
-    idQuarantineMs: idRestMs,
+    idQuarantineMs,
   }: ConfigServiceOptions) {
     this.runtime = runtime;
     this.log = log;
     this.stateMachine = stateMachine;
     this.steps = steps;
-    this.restingIds = new IdQuarantine(stateMachine, idRestMs);
+    this.idQuarantine = new IdQuarantine(stateMachine, idQuarantineMs);
     this.versions = new ConfigVersionLookup(stateMachine, replica);
   }
 
@@ -82,32 +82,33 @@
 
   /** Begins a term. */
   startTerm(): void {
-    this.restingIds.startTerm();
+    this.idQuarantine.startTerm();
   }
 
   /** Processes queued changes, one after another, for ever. */
   *run(): Task {
     for (;;) {
-      const { command, done } = yield* this.pending.take();
-      done(yield* this.apply(command));
+      const { command, onResult } = yield* this.pending.take();
+      onResult(yield* this.applyWithRetries(command));
     }
   }
 
   /** Queues a change and waits for its result. */
   *change(command: ConfigCommand): Task<CommandResult> {
-    return yield* waitFor<CommandResult>((done) => this.pending.put({ command, done }));
+    return yield* waitFor<CommandResult>((onResult) => this.pending.put({ command, onResult }));
   }
 
   /** Reads an accepted configuration back: the one of a version, or the active one. */
   *read(version: number | undefined): Task<CommandResult> {
     if (!this.log.holdsLease) return NO_LEASE;
     const { activeConfig, version: activeVersion } = this.stateMachine;
-    const wanted = version ?? activeVersion;
-    if (!activeConfig || wanted > activeVersion || wanted < 1) return completed({ found: null });
+    const requestedVersion = version ?? activeVersion;
+    if (!activeConfig || requestedVersion > activeVersion || requestedVersion < 1)
+      return completed({ found: null });
     const lookup: ConfigLookup =
-      wanted === activeVersion
+      requestedVersion === activeVersion
         ? { kind: "found", config: activeConfig }
-        : yield* this.versions.find(wanted, activeConfig.sequence);
+        : yield* this.versions.find(requestedVersion, activeConfig.sequence);
     switch (lookup.kind) {
       case "unknown":
         return failed("unknown");
@@ -116,7 +117,7 @@
       case "missing":
         return this.log.respond(() => ({ found: null }));
       case "found":
-        return this.log.respond(() => ({ found: this.responseOf(lookup.config) }));
+        return this.log.respond(() => ({ found: this.formatResponse(lookup.config) }));
     }
   }
 
@@ -132,11 +133,11 @@
     }));
   }
 
-  private *apply(command: ConfigCommand): Task<CommandResult> {
+  private *applyWithRetries(command: ConfigCommand): Task<CommandResult> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-      const early = this.resultWithoutProposal(command);
-      if (early) return early;
-      const result = yield* this.attempt(command);
+      const knownResult = this.resultWithoutProposal(command);
+      if (knownResult) return knownResult;
+      const result = yield* this.proposeChange(command);
       if (result !== "conflict") return result;
     }
     return failed("notLeader");
@@ -152,8 +153,8 @@
     const accepted = this.stateMachine.findVersionOfChange(changeId);
     if (accepted !== undefined) return completed({ accepted });
     const { version: activeVersion, changesForgottenUpTo: forgottenUpTo } = this.stateMachine;
-    const wanted = version ?? (base === undefined ? Infinity : base + 1);
-    if (wanted <= forgottenUpTo) return completed({ forgottenUpTo });
+    const requestedVersion = version ?? (base === undefined ? Infinity : base + 1);
+    if (requestedVersion <= forgottenUpTo) return completed({ forgottenUpTo });
     if (base !== undefined && base !== activeVersion) return completed({ lost: activeVersion });
     if (version === undefined || (Number.isSafeInteger(version) && version > activeVersion))
       return undefined;
@@ -162,20 +163,20 @@
   }
 
   /** Proposes a change upon the active configuration; a conflict is a change without a base that another one overtook. */
-  private *attempt(command: ConfigCommand): Task<CommandResult | "conflict"> {
+  private *proposeChange(command: ConfigCommand): Task<CommandResult | "conflict"> {
     const { activeConfig } = this.stateMachine;
-    const changed = this.steps.run("applyChange", () => this.changed(command));
-    yield* this.yieldToOthers();
-    const checked = this.steps.run("checkConfig", () => checkConfig(changed));
+    const changedConfig = this.steps.run("applyChange", () => this.computeChangedConfig(command));
+    yield* this.yieldToEventLoop();
+    const checked = this.steps.run("checkConfig", () => checkConfig(changedConfig));
     if ("faults" in checked) return completed({ faults: checked.faults });
     const { config } = checked;
-    yield* this.yieldToOthers();
+    yield* this.yieldToEventLoop();
     const text = this.steps.run("serializeConfig", () => configText(config));
-    yield* this.yieldToOthers();
+    yield* this.yieldToEventLoop();
     const payload = this.steps.run("computeDelta", () =>
       encodeConfigPayload(activeConfig?.text, text),
     );
-    yield* this.yieldToOthers();
+    yield* this.yieldToEventLoop();
     const result = yield* this.log.propose({
       kind: "config",
       expected: activeConfig?.sequence ?? 0,
@@ -184,7 +185,7 @@
       acceptedAt: this.runtime.wallTime().toISOString(),
       ...payload,
       names: this.nameChanges(config),
-      rested: this.restingIds.findReusableIds(this.runtime.clock.nowMs()),
+      rested: this.idQuarantine.findReusableIds(this.runtime.clock.nowMs()),
     });
     if (result.kind === "failed") return result;
     const [error, outcome] = configOutcomeShape.validate(JSON.parse(result.json));
@@ -197,12 +198,12 @@
   }
 
   /** Lets heartbeats and other waiting work run between the steps of a change, each of which may take long. */
-  private *yieldToOthers(): Task {
+  private *yieldToEventLoop(): Task {
     yield* sleep(this.runtime.clock, 0);
   }
 
   /** The configuration that a command makes of the active one. */
-  private changed(command: ConfigCommand): unknown {
+  private computeChangedConfig(command: ConfigCommand): unknown {
     if (command.kind === "put") return command.value;
     const current = this.active;
     return command.kind === "patch"
@@ -212,18 +213,18 @@
 
   /** How a configuration changes the names that have ids; a name for which no id was left before is tried again. */
   private nameChanges({ services, routes }: Config): NameChanges {
-    const { activeIds: inForce } = this.stateMachine.idAllocator;
-    const present = new Set([
+    const { activeIds } = this.stateMachine.idAllocator;
+    const names = new Set([
       ...Object.keys(services).map((service) => IdAllocator.serviceName(service)),
       ...Object.keys(routes).map((route) => IdAllocator.routeName(route)),
     ]);
     return {
-      added: [...present].filter((name) => !inForce.has(name)),
-      removed: [...inForce.keys()].filter((name) => !present.has(name)),
+      added: [...names].filter((name) => !activeIds.has(name)),
+      removed: [...activeIds.keys()].filter((name) => !names.has(name)),
     };
   }
 
-  private responseOf(config: AcceptedConfig): Record<string, unknown> {
+  private formatResponse(config: AcceptedConfig): Record<string, unknown> {
     return {
       sequence: config.sequence,
       version: versionOf(config),
--- a/src/control-plane/config-version-lookup.ts
+++ b/src/control-plane/config-version-lookup.ts
@@ -28,7 +28,7 @@
 
   /** The configuration of a version below the active one's; `newestSequence` is the active one's sequence. */
   *find(version: number, newestSequence: number): Task<ConfigLookup> {
-    const recent = this.recentFrom(version);
+    const recent = this.findRecentFrom(version);
     if (!recent) return yield* this.search(version, newestSequence);
     if (versionOf(recent) !== version) return { kind: "missing" };
     const read = yield* this.replica.readConfig(recent.sequence);
@@ -36,7 +36,7 @@
   }
 
   /** The first recent configuration of the version or above; `undefined` where an older one may be of the version. */
-  private recentFrom(version: number): RecentConfig | undefined {
+  private findRecentFrom(version: number): RecentConfig | undefined {
     const { recentConfigs: recent } = this.stateMachine;
     const index = recent.findIndex((config) => versionOf(config) >= version);
     const found = recent[index];
--- a/src/control-plane/daemon-registry.ts
+++ b/src/control-plane/daemon-registry.ts
@@ -29,7 +29,7 @@
   private readonly replica: DaemonRegistryOptions["replica"];
   private readonly logger: Logger;
   private readonly unresponsiveMs: number;
-  private readonly daemons = new Map<string, ObservedDaemon>();
+  private readonly observedDaemons = new Map<string, ObservedDaemon>();
   /** The placements of all edges, until an edge appears or disappears. */
   private placements: ReadonlyMap<string, EdgePlacement> | undefined;
 
@@ -47,30 +47,30 @@
 
   /** All daemons that were seen in this term. */
   get all(): readonly ObservedDaemon[] {
-    return [...this.daemons.values()];
+    return [...this.observedDaemons.values()];
   }
 
   /** Begins a term: no daemon has been seen. */
   startTerm(): void {
     this.placements = undefined;
-    this.daemons.clear();
+    this.observedDaemons.clear();
   }
 
   /** Takes in that a daemon sent a watch request. */
   recordWatchRequest(info: DaemonInfo, nowMs: number): void {
-    const former = this.daemons.get(info.name);
-    const isAppearing = !former || former.isUnresponsive;
-    if (isAppearing || former.info.draining !== info.draining) this.placements = undefined;
-    if (isAppearing || former.info.incarnation !== info.incarnation)
+    const previous = this.observedDaemons.get(info.name);
+    const hasAppeared = !previous || previous.isUnresponsive;
+    if (hasAppeared || previous.info.draining !== info.draining) this.placements = undefined;
+    if (hasAppeared || previous.info.incarnation !== info.incarnation)
       this.logger.info("daemon appeared", { machine: info.name, zone: info.zone });
-    this.daemons.set(info.name, { info, lastSeenMs: nowMs, isUnresponsive: false });
+    this.observedDaemons.set(info.name, { info, lastSeenMs: nowMs, isUnresponsive: false });
   }
 
   /** Marks the daemons that sent no watch request for long, and notes them in the replicated journal. */
   markUnresponsive(nowMs: number): void {
-    for (const [name, daemon] of this.daemons) {
+    for (const [name, daemon] of this.observedDaemons) {
       if (daemon.isUnresponsive || nowMs - daemon.lastSeenMs < this.unresponsiveMs) continue;
-      this.daemons.set(name, { ...daemon, isUnresponsive: true });
+      this.observedDaemons.set(name, { ...daemon, isUnresponsive: true });
       this.placements = undefined;
       this.logger.warn("daemon unresponsive", { machine: name });
       this.log.submit({
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -8,7 +8,7 @@
 import { SetDigest } from "../configuration/set-digest.js";
 
 /** The key of the part with all registrations: the sequence of a daemon that has none yet. */
-const WHOLE = -1;
+const COMPLETE = -1;
 
 /**
  * What views contain of the registrations: those that changed since the sequence that a daemon has, or all of them. It follows
@@ -56,19 +56,19 @@
     this.observe();
     const cached = this.viewParts.get(fromSequence);
     if (cached !== undefined) return cached;
-    const touched = this.changes.keysChangedSince(fromSequence);
+    const changedAddresses = this.changes.keysChangedSince(fromSequence);
     const part =
-      touched && touched.size < this.registrations.size
-        ? this.changesPart(fromSequence, touched)
-        : this.wholePart();
+      changedAddresses && changedAddresses.size < this.registrations.size
+        ? this.changesPart(fromSequence, changedAddresses)
+        : this.completePart();
     this.viewParts.set(fromSequence, part);
     return part;
   }
 
-  private changesPart(base: number, touched: ReadonlySet<string>): string {
+  private changesPart(base: number, changedAddresses: ReadonlySet<string>): string {
     const put: Registration[] = [];
     const removed: string[] = [];
-    for (const address of touched) {
+    for (const address of changedAddresses) {
       const registration = this.registrations.get(address);
       if (registration) put.push(registration);
       else removed.push(address);
@@ -76,15 +76,15 @@
     return `"directoryChanges":${JSON.stringify({ base, put, removed })}`;
   }
 
-  private wholePart(): string {
-    const cached = this.viewParts.get(WHOLE);
+  private completePart(): string {
+    const cached = this.viewParts.get(COMPLETE);
     if (cached !== undefined) return cached;
     const text = JSON.stringify([...this.registrations.values()]);
     const part =
       text.length > COMPRESSION_THRESHOLD_CHARS
         ? `"packedDirectory":"${TextCompression.compress(text)}"`
         : `"directory":${text}`;
-    this.viewParts.set(WHOLE, part);
+    this.viewParts.set(COMPLETE, part);
     return part;
   }
 
@@ -92,23 +92,23 @@
   private observe(): void {
     const { registrations, endpointSequence } = this.stateMachine;
     if (registrations === this.registrations && endpointSequence === this.observedSequence) return;
-    const touched: string[] = [];
+    const changedAddresses: string[] = [];
     for (const [address, registration] of registrations) {
-      const former = this.registrations.get(address);
-      if (former === registration) continue;
-      touched.push(address);
-      this.remove(former);
+      const previous = this.registrations.get(address);
+      if (previous === registration) continue;
+      changedAddresses.push(address);
+      this.remove(previous);
       this.add(registration);
     }
-    for (const [address, former] of this.registrations) {
+    for (const [address, previous] of this.registrations) {
       if (registrations.has(address)) continue;
-      touched.push(address);
-      this.remove(former);
+      changedAddresses.push(address);
+      this.remove(previous);
     }
     this.registrations = registrations;
     this.observedSequence = endpointSequence;
     this.viewParts.clear();
-    this.changes.record(endpointSequence, touched);
+    this.changes.record(endpointSequence, changedAddresses);
   }
 
   private add(registration: Registration): void {
--- a/src/control-plane/endpoint-registry.ts
+++ b/src/control-plane/endpoint-registry.ts
@@ -38,7 +38,7 @@
   readonly warmMs: number;
 };
 
-const heartbeatOf = (command: AnnounceCommand): Heartbeat => ({
+const withDefaults = (command: AnnounceCommand): Heartbeat => ({
   ...command,
   instance: command.instance ?? "",
   capacity: command.capacity ?? 0,
@@ -73,7 +73,7 @@
   private readonly heartbeats = new HeartbeatTable();
   private readonly tombstoneAges: TombstoneAges;
   /** The numbers of registrations whose end is proposed since a connection was refused. */
-  private readonly ending = new Set<number>();
+  private readonly pendingEnds = new Set<number>();
 
   constructor({ clock, log, stateMachine, endpointChanges, timeouts }: EndpointRegistryOptions) {
     this.clock = clock;
@@ -86,7 +86,7 @@
 
   /** Begins a term: nothing has been observed of any backend. */
   startTerm(nowMs: number): void {
-    this.ending.clear();
+    this.pendingEnds.clear();
     this.heartbeats.clear();
     this.tombstoneAges.startTerm(nowMs);
   }
@@ -107,7 +107,7 @@
   /** Processes a backend's heartbeat: registers it, or renews its registration. */
   *heartbeat(command: AnnounceCommand): Task<CommandResult> {
     if (!this.log.holdsLease) return NO_LEASE;
-    const heartbeat = heartbeatOf(command);
+    const heartbeat = withDefaults(command);
     const current = this.stateMachine.registrations.get(heartbeat.address);
     if (heartbeat.draining) return yield* this.drainingHeartbeat(heartbeat, current);
     const nowMs = this.clock.nowMs();
@@ -158,12 +158,12 @@
     }
     for (const { address, number } of refused) {
       const registration = this.endpointChanges.findRegistration(number);
-      if (registration?.address !== address || registration.leaving || this.ending.has(number))
+      if (registration?.address !== address || registration.leaving || this.pendingEnds.has(number))
         continue;
-      this.ending.add(number);
+      this.pendingEnds.add(number);
       const why = `it refused a connection from ${machine.name}, or another service is there`;
       this.log.submit({ kind: "end", address, number, why }, (result) => {
-        if (result.kind === "failed") this.ending.delete(number);
+        if (result.kind === "failed") this.pendingEnds.delete(number);
       });
     }
   }
@@ -239,8 +239,8 @@
   ): HeartbeatStatus | undefined {
     const { number, leaving, drained } = registration;
     const { address, instance, zone, capacity, order } = heartbeat;
-    const hasJustLeft = instance === "" && nowMs - leftMs < this.timeouts.holdDownMs;
-    if (leaving && !drained && hasJustLeft) return { number, state: "leaving" };
+    const isHeldDown = instance === "" && nowMs - leftMs < this.timeouts.holdDownMs;
+    if (leaving && !drained && isHeldDown) return { number, state: "leaving" };
     this.heartbeats.recordHeartbeat(address, nowMs);
     this.heartbeats.recordSequence(instance, order ?? 0);
     if (drained) return { number, state: "drained" };
@@ -291,12 +291,18 @@
     drained: boolean,
   ): Task<CommandResult> {
     const current = this.stateMachine.registrations.get(address);
-    const isDone = current?.service === service && current.leaving && (current.drained || !drained);
-    if (isDone) {
+    const isDeregistered =
+      current?.service === service && current.leaving && (current.drained || !drained);
+    if (isDeregistered) {
       this.heartbeats.recordDeparture(address, this.clock.nowMs());
       return completed({ known: true });
     }
-    const result = yield* this.log.propose({ kind: "leave", address, service, drained });
+    const result = yield* this.log.propose({
+      kind: "leave",
+      address,
+      service,
+      drained,
+    });
     this.heartbeats.recordDeparture(address, this.clock.nowMs());
     return result;
   }
--- a/src/control-plane/large-view-limiter.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -12,7 +12,7 @@
 /** How often the transit time of a view that didn't arrive is doubled. */
 const MAX_DOUBLINGS = 4;
 
-const daemonStateOf = ({ machine, configSequence, directorySequence }: WatchRequest): string =>
+const formatDaemonState = ({ machine, configSequence, directorySequence }: WatchRequest): string =>
   `${machine.incarnation} ${configSequence} ${directorySequence}`;
 
 /**
@@ -31,16 +31,16 @@
   /** Whether a view for this state of the daemon was sent a short while ago. */
   isInTransit(request: WatchRequest, nowMs: number): boolean {
     const sent = this.sent.get(request.machine.name);
-    return sent?.daemonState === daemonStateOf(request) && nowMs - sent.sentMs < sent.transitMs;
+    return sent?.daemonState === formatDaemonState(request) && nowMs - sent.sentMs < sent.transitMs;
   }
 
   /** Notes that a large view is sent now. */
   recordSent(request: WatchRequest, nowMs: number): void {
-    const daemonState = daemonStateOf(request);
-    const former = this.sent.get(request.machine.name);
+    const daemonState = formatDaemonState(request);
+    const previous = this.sent.get(request.machine.name);
     const transitMs =
-      former?.daemonState === daemonState
-        ? Math.min(2 * former.transitMs, this.initialTransitMs * 2 ** MAX_DOUBLINGS)
+      previous?.daemonState === daemonState
+        ? Math.min(2 * previous.transitMs, this.initialTransitMs * 2 ** MAX_DOUBLINGS)
         : this.initialTransitMs;
     this.sent.set(request.machine.name, { daemonState, sentMs: nowMs, transitMs });
   }
--- a/src/control-plane/lease-manager.ts
+++ b/src/control-plane/lease-manager.ts
@@ -47,31 +47,31 @@
 /** Gives daemons their views under a lease, as soon as there is an update for them. */
 export class LeaseManager {
   private readonly options: LeaseManagerOptions;
-  private readonly hub: WatchHub;
+  private readonly watchHub: WatchHub;
   private readonly largeViews: LargeViewLimiter;
-  private leadsSinceMs = Infinity;
+  private leaderSinceMs = Infinity;
 
   constructor(options: LeaseManagerOptions) {
     this.options = options;
-    this.hub = new WatchHub(options.runtime.clock, options.timeouts.maxWatchWaitMs);
+    this.watchHub = new WatchHub(options.runtime.clock, options.timeouts.maxWatchWaitMs);
     this.largeViews = new LargeViewLimiter(options.timeouts.leaseMs);
   }
 
   /** Begins a term. */
   startTerm(nowMs: number): void {
-    this.leadsSinceMs = nowMs;
+    this.leaderSinceMs = nowMs;
     this.options.configChanges.reset();
     this.largeViews.reset();
   }
 
   /** Releases the buffered watch requests where a command updated what views contain. */
   onApplied(command: LogCommand): void {
-    if (UPDATING_KINDS.has(command.kind)) this.hub.notify();
+    if (UPDATING_KINDS.has(command.kind)) this.watchHub.notify();
   }
 
   /** Releases the buffered watch requests, since the leader has changed. */
   onLeadershipChange(): void {
-    this.hub.notify();
+    this.watchHub.notify();
   }
 
   /** Processes the text of a watch request; returns the text of the response. */
@@ -84,20 +84,20 @@
     daemons.recordWatchRequest(request.machine, nowMs);
     endpoints.observeWatchRequest(request, nowMs);
     const allocation = quotas.allocate(request, this.services(), nowMs);
-    if (this.mustWait(request, allocation)) {
-      yield* this.hub.nextUpdate();
+    if (this.mustBuffer(request, allocation)) {
+      yield* this.watchHub.nextUpdate();
       if (!log.holdsLease) return encodeCommandResult(NO_LEASE);
     }
-    return this.limited(request, this.viewText(request, allocation));
+    return this.limitLargeView(request, this.viewText(request, allocation));
   }
 
   private services(): readonly string[] {
     return this.options.steps.run("observeConfig", () => this.options.configChanges.services);
   }
 
-  private mustWait(request: WatchRequest, allocation: CapacityAllocation): boolean {
+  private mustBuffer(request: WatchRequest, allocation: CapacityAllocation): boolean {
     return (
-      this.hub.isEnabled &&
+      this.watchHub.isEnabled &&
       allocation.number === request.grantNumber &&
       request.configSequence === this.configSequence &&
       request.directorySequence === this.options.stateMachine.endpointSequence
@@ -148,13 +148,13 @@
   /** An edge's placement, once this member has led for a lease, so that every live edge has sent it a watch request. */
   private placementFor(name: string): Pick<LeasedView, "place"> {
     const { runtime, timeouts, daemons } = this.options;
-    if (runtime.clock.nowMs() - this.leadsSinceMs < timeouts.leaseMs) return {};
-    const place = daemons.findPlacement(name);
-    return place === undefined ? {} : { place };
+    if (runtime.clock.nowMs() - this.leaderSinceMs < timeouts.leaseMs) return {};
+    const placement = daemons.findPlacement(name);
+    return placement === undefined ? {} : { place: placement };
   }
 
   /** The view's text, or a refusal where it is large and the same was sent a short while ago. */
-  private limited(request: WatchRequest, viewText: string): string {
+  private limitLargeView(request: WatchRequest, viewText: string): string {
     if (viewText.length <= COMPRESSION_THRESHOLD_CHARS) return viewText;
     const nowMs = this.options.runtime.clock.nowMs();
     if (this.largeViews.isInTransit(request, nowMs)) return VIEW_IN_TRANSIT;
--- a/src/control-plane/quota-service.ts
+++ b/src/control-plane/quota-service.ts
@@ -28,11 +28,11 @@
   private readonly stateMachine: StateMachine;
   private readonly allocator: RetryCapacityAllocator;
   /** Edges whose registration as holders is proposed; none of them is allocated any capacity. */
-  private readonly entering = new Set<string>();
+  private readonly pendingRegistrations = new Set<string>();
   /** Edges whose removal as holders is proposed; none of them is allocated any capacity. */
-  private readonly parting = new Set<string>();
+  private readonly pendingRemovals = new Set<string>();
   /** Whether the allocator has begun this term: it does with the first watch request. */
-  private hasBegun = false;
+  private hasStartedAllocations = false;
 
   constructor({ runtime, log, stateMachine, allocator }: QuotaServiceOptions) {
     this.runtime = runtime;
@@ -43,15 +43,15 @@
 
   /** Begins a term. */
   startTerm(): void {
-    this.hasBegun = false;
-    this.entering.clear();
-    this.parting.clear();
+    this.hasStartedAllocations = false;
+    this.pendingRegistrations.clear();
+    this.pendingRemovals.clear();
   }
 
   /** Begins the term's allocations, if none was made yet. */
   startAllocations(nowMs: number): void {
-    if (this.hasBegun) return;
-    this.hasBegun = true;
+    if (this.hasStartedAllocations) return;
+    this.hasStartedAllocations = true;
     this.allocator.beginTerm(
       nowMs,
       randomNonce(this.runtime),
@@ -63,13 +63,13 @@
   allocate(request: WatchRequest, services: readonly string[], nowMs: number): CapacityAllocation {
     const { machine } = request;
     const isEdge = machine.roles.includes("edge") && !machine.draining;
-    const edge = QuotaService.holderName(machine);
+    const edge = QuotaService.formatHolder(machine);
     const isHolder = this.stateMachine.retryCapacityHolders.has(edge);
-    if (isEdge && !isHolder && !this.entering.has(edge)) {
-      this.entering.add(edge);
+    if (isEdge && !isHolder && !this.pendingRegistrations.has(edge)) {
+      this.pendingRegistrations.add(edge);
       this.log.submit({ kind: "holder", edge });
     }
-    if (!isEdge || !isHolder || this.parting.has(edge))
+    if (!isEdge || !isHolder || this.pendingRemovals.has(edge))
       return { number: "", capacities: new Map() };
     return this.allocator.allocate(
       edge,
@@ -85,23 +85,24 @@
 
   /** Follows the registrations and removals of holders in the replicated log. */
   onApplied(command: LogCommand): void {
-    if (command.kind === "holder") this.entering.delete(command.edge);
-    if (command.kind === "holdersPast") for (const edge of command.edges) this.parting.delete(edge);
+    if (command.kind === "holder") this.pendingRegistrations.delete(command.edge);
+    if (command.kind === "holdersPast")
+      for (const edge of command.edges) this.pendingRemovals.delete(edge);
   }
 
   /** Proposes to remove the holders whose capacities lapsed. */
   removeLapsedHolders(nowMs: number): void {
-    if (!this.hasBegun) return;
+    if (!this.hasStartedAllocations) return;
     const lapsed = this.allocator
       .expiredEdges(nowMs, this.stateMachine.retryCapacityHolders)
-      .filter((edge) => !this.parting.has(edge));
+      .filter((edge) => !this.pendingRemovals.has(edge));
     if (lapsed.length === 0) return;
     this.log.submit({ kind: "holdersPast", edges: lapsed });
-    for (const edge of lapsed) this.parting.add(edge);
+    for (const edge of lapsed) this.pendingRemovals.add(edge);
   }
 
   /** One life of an edge, as the replicated log names it. */
-  private static holderName({ name, incarnation }: DaemonInfo): string {
+  private static formatHolder({ name, incarnation }: DaemonInfo): string {
     return `${name} ${incarnation}`;
   }
 }
--- a/src/control-plane/resting-ids.ts
+++ b/src/control-plane/resting-ids.ts
@@ -4,14 +4,14 @@
 /** Observes since when ids have been out of use, so that they can be given to other names after a time. */
 export class IdQuarantine {
   private readonly stateMachine: StateMachine;
-  private readonly restMs: number;
+  private readonly quarantineMs: number;
   /** Since when this leader has observed an id to rest. */
   private readonly sinceMs = new Map<number, number>();
 
   /** An id rests for `restMs`. */
-  constructor(stateMachine: StateMachine, restMs: number) {
+  constructor(stateMachine: StateMachine, quarantineMs: number) {
     this.stateMachine = stateMachine;
-    this.restMs = restMs;
+    this.quarantineMs = quarantineMs;
   }
 
   /** Begins a term: every id's rest counts from the next observation. */
@@ -21,11 +21,11 @@
 
   /** The ids that have rested for long enough; also observes which ids rest now. */
   findReusableIds(nowMs: number): number[] {
-    const { quarantinedIds: resting } = this.stateMachine.idAllocator;
-    for (const id of this.sinceMs.keys()) if (!resting.has(id)) this.sinceMs.delete(id);
-    for (const id of resting) if (!this.sinceMs.has(id)) this.sinceMs.set(id, nowMs);
+    const { quarantinedIds } = this.stateMachine.idAllocator;
+    for (const id of this.sinceMs.keys()) if (!quarantinedIds.has(id)) this.sinceMs.delete(id);
+    for (const id of quarantinedIds) if (!this.sinceMs.has(id)) this.sinceMs.set(id, nowMs);
     return [...this.sinceMs]
-      .filter(([, sinceMs]) => nowMs - sinceMs > this.restMs)
+      .filter(([, sinceMs]) => nowMs - sinceMs > this.quarantineMs)
       .map(([id]) => id);
   }
 }
--- a/src/control-plane/retry-capacity-allocator.ts
+++ b/src/control-plane/retry-capacity-allocator.ts
@@ -3,15 +3,15 @@
 /** The leader's allocation of each service's retry capacity among the edges. */
 export interface RetryCapacityAllocator {
   /** Begins a term at `nowMs` under the leader's name, with the edges that may hold capacity. */
-  beginTerm(nowMs: number, leaderName: string, expected: ReadonlySet<string>): void;
+  beginTerm(nowMs: number, leaderName: string, holders: ReadonlySet<string>): void;
   /** Allocates the capacities of one edge, given those that it holds and its recent demand for retries by service. */
   allocate(
     edge: string,
     report: { readonly number: string; readonly capacities: Map<string, number> },
-    wished: ReadonlyMap<string, number>,
+    retryDemand: ReadonlyMap<string, number>,
     services: readonly string[],
     nowMs: number,
   ): { number: string; capacities: Map<string, number> };
   /** The edges among `known` whose capacities have lapsed. */
-  expiredEdges(nowMs: number, known: Iterable<string>): string[];
+  expiredEdges(nowMs: number, holders: Iterable<string>): string[];
 }
--- a/src/control-plane/watch-hub.ts
+++ b/src/control-plane/watch-hub.ts
@@ -3,7 +3,7 @@
 import type { Task } from "../runtime/task.js";
 
 /** How long updates are gathered at least before buffered watch requests are released. */
-const MIN_GATHER_MS = 5;
+const MIN_RELEASE_DELAY_MS = 5;
 /** The pause after a release for each request that it released, so that successive updates take only a part of the leader's time. */
 const PAUSE_PER_REQUEST_MS = 0.75;
 
@@ -11,8 +11,8 @@
 export class WatchHub {
   private readonly clock: Clock;
   private readonly maxWaitMs: number;
-  private readonly waiting = new Set<() => void>();
-  private isReleasePlanned = false;
+  private readonly bufferedRequests = new Set<() => void>();
+  private isReleaseScheduled = false;
   /** Before this time of the clock nothing is released. */
   private nextReleaseMs = -Infinity;
 
@@ -32,9 +32,9 @@
     let release = (): void => undefined;
     yield* withTimeout<boolean>(this.clock, this.maxWaitMs, (done) => {
       release = () => done(true);
-      this.waiting.add(release);
+      this.bufferedRequests.add(release);
     });
-    this.waiting.delete(release);
+    this.bufferedRequests.delete(release);
   }
 
   /**
@@ -42,16 +42,17 @@
    * the longer, the more requests the last release had and the more recent it was.
    */
   notify(): void {
-    if (this.waiting.size === 0 || this.isReleasePlanned) return;
-    this.isReleasePlanned = true;
+    if (this.bufferedRequests.size === 0 || this.isReleaseScheduled) return;
+    this.isReleaseScheduled = true;
     const pauseMs = this.nextReleaseMs - this.clock.nowMs();
-    this.clock.after(Math.max(MIN_GATHER_MS, pauseMs), () => this.releaseAll());
+    this.clock.after(Math.max(MIN_RELEASE_DELAY_MS, pauseMs), () => this.releaseAll());
   }
 
   private releaseAll(): void {
-    this.isReleasePlanned = false;
+    this.isReleaseScheduled = false;
     this.nextReleaseMs =
-      this.clock.nowMs() + Math.min(this.waiting.size * PAUSE_PER_REQUEST_MS, this.maxWaitMs / 2);
-    for (const release of [...this.waiting]) release();
+      this.clock.nowMs() +
+      Math.min(this.bufferedRequests.size * PAUSE_PER_REQUEST_MS, this.maxWaitMs / 2);
+    for (const release of [...this.bufferedRequests]) release();
   }
 }
--- a/src/state/config-table.ts
+++ b/src/state/config-table.ts
@@ -48,11 +48,11 @@
   /** The last configurations, without their texts. */
   recent: RecentConfig[] = [];
   private changes = new Map<string, ConfigNumbers>();
-  private readonly ids: IdAllocator;
+  private readonly idAllocator: IdAllocator;
   private readonly journal: Journal;
 
-  constructor(ids: IdAllocator, journal: Journal) {
-    this.ids = ids;
+  constructor(idAllocator: IdAllocator, journal: Journal) {
+    this.idAllocator = idAllocator;
     this.journal = journal;
   }
 
@@ -81,13 +81,13 @@
 
   /** Drops the configurations up to a sequence, which the history contains, except the active one. */
   release(upToSequence: number): void {
-    this.accepted = this.after(upToSequence);
+    this.accepted = this.retainedAfter(upToSequence);
   }
 
   /** The stored form of the table, without the configurations up to a sequence, which the history contains. */
   toStored(historyUpTo: number): StoredConfigTable {
     return {
-      configs: this.after(historyUpTo).map(storedConfig),
+      configs: this.retainedAfter(historyUpTo).map(storedConfig),
       recent: this.recent,
       changes: [...this.changes].map(([changeId, numbers]) => ({ changeId, ...numbers })),
     };
@@ -132,13 +132,13 @@
       ...this.recent.slice(1 - MAX_RECENT_CONFIGS),
       { ...numbers, changeId, acceptedAt },
     ];
-    this.noteChange(changeId, numbers);
+    this.recordChange(changeId, numbers);
     this.allocateIds(command);
     this.journal.add(index, `Config ${version} is in force (change ${changeId}).`);
     return { accepted: version };
   }
 
-  private noteChange(changeId: string, numbers: ConfigNumbers): void {
+  private recordChange(changeId: string, numbers: ConfigNumbers): void {
     this.changes.set(changeId, numbers);
     for (const oldest of this.changes.keys()) {
       if (this.changes.size <= MAX_CHANGE_IDS) break;
@@ -151,22 +151,22 @@
     services = [],
     routes = [],
     names,
-    rested = [],
+    rested: reusableIds = [],
   }: LogCommandOf<"config">): void {
     if (names) {
-      this.ids.applyNameChanges(names, rested);
+      this.idAllocator.applyNameChanges(names, reusableIds);
       return;
     }
-    this.ids.setActiveNames(
+    this.idAllocator.setActiveNames(
       [
         ...services.map((service) => IdAllocator.serviceName(service)),
         ...routes.map((route) => IdAllocator.routeName(route)),
       ],
-      rested,
+      reusableIds,
     );
   }
 
-  private after(sequence: number): AcceptedConfig[] {
+  private retainedAfter(sequence: number): AcceptedConfig[] {
     return this.accepted.filter(
       (config, index) => config.sequence > sequence || index === this.accepted.length - 1,
     );
--- a/src/state/id-allocator.ts
+++ b/src/state/id-allocator.ts
@@ -66,30 +66,30 @@
   }
 
   /** Applies a configuration with these names; `rested` are ids that can be allocated again. */
-  setActiveNames(names: readonly string[], rested: readonly number[]): void {
-    const wanted = new Set(names);
-    const removed = [...this.active.keys()].filter((name) => !wanted.has(name));
-    this.applyNameChanges({ added: [...wanted], removed }, rested);
+  setActiveNames(names: readonly string[], reusableIds: readonly number[]): void {
+    const activeNames = new Set(names);
+    const removed = [...this.active.keys()].filter((name) => !activeNames.has(name));
+    this.applyNameChanges({ added: [...activeNames], removed }, reusableIds);
   }
 
   /** Applies the changes of names; `rested` are ids that can be allocated again. */
-  applyNameChanges({ added, removed }: NameChanges, rested: readonly number[]): void {
-    this.release(rested);
-    for (const name of removed) this.rest(name);
+  applyNameChanges({ added, removed }: NameChanges, reusableIds: readonly number[]): void {
+    this.release(reusableIds);
+    for (const name of removed) this.quarantine(name);
     for (const name of added) this.allocate(name);
   }
 
-  private release(rested: readonly number[]): void {
-    if (rested.length === 0) return;
-    const released = new Set(rested);
+  private release(reusableIds: readonly number[]): void {
+    if (reusableIds.length === 0) return;
+    const releasedIds = new Set(reusableIds);
     for (const [name, id] of this.quarantined) {
-      if (!released.has(id)) continue;
+      if (!releasedIds.has(id)) continue;
       this.quarantined.delete(name);
       this.free.push(id);
     }
   }
 
-  private rest(name: string): void {
+  private quarantine(name: string): void {
     const id = this.active.get(name);
     if (id === undefined) return;
     this.active.delete(name);
--- a/src/state/journal.ts
+++ b/src/state/journal.ts
@@ -40,11 +40,13 @@
     index: number,
     command: LogCommandOf<"leads" | "members" | "rejoined" | "note">,
   ): Readonly<Record<string, never>> {
-    this.add(index, Journal.line(command));
+    this.add(index, Journal.formatLine(command));
     return {};
   }
 
-  private static line(command: LogCommandOf<"leads" | "members" | "rejoined" | "note">): string {
+  private static formatLine(
+    command: LogCommandOf<"leads" | "members" | "rejoined" | "note">,
+  ): string {
     switch (command.kind) {
       case "leads":
         return `${command.machine} leads the record in term ${command.term}.`;
--- a/src/state/registration-table.ts
+++ b/src/state/registration-table.ts
@@ -70,10 +70,10 @@
     const { address, service, zone, warmth } = command;
     const { instance = "", capacity = 0, warmMs = 0, order = 0 } = command;
     if (this.tombstones.has(instance)) return { gone: true };
-    const former = this.registrations.get(address);
-    const number = RegistrationTable.isContinued(former, command) ? former.number : index;
-    if (former && former.instance !== instance) this.tombstones.add(index, former.instance);
-    this.markOthersLeft(index, { address, instance });
+    const previous = this.registrations.get(address);
+    const number = RegistrationTable.keepsNumber(previous, command) ? previous.number : index;
+    if (previous && previous.instance !== instance) this.tombstones.add(index, previous.instance);
+    this.leaveOtherAddresses(index, { address, instance });
     this.set({
       address,
       service,
@@ -89,22 +89,22 @@
       order,
     });
     this.changedAt = index;
-    if (former && former.service !== service)
-      this.journal.add(index, `${address} now serves ${service}, no longer ${former.service}.`);
+    if (previous && previous.service !== service)
+      this.journal.add(index, `${address} now serves ${service}, no longer ${previous.service}.`);
     return { number };
   }
 
   /** Whether a registration that a command replaces keeps its number: only its capacity, warmth or order differ. */
-  private static isContinued(
-    former: Registration | undefined,
+  private static keepsNumber(
+    previous: Registration | undefined,
     { service, zone, instance = "" }: LogCommandOf<"contract">,
-  ): former is Registration {
+  ): previous is Registration {
     return (
       instance !== "" &&
-      former?.instance === instance &&
-      former.service === service &&
-      !former.leaving &&
-      former.zone === zone
+      previous?.instance === instance &&
+      previous.service === service &&
+      !previous.leaving &&
+      previous.zone === zone
     );
   }
 
@@ -113,7 +113,7 @@
     { address, service, drained }: LogCommandOf<"leave">,
   ): LogOutcome {
     const registration =
-      this.registrations.get(address) ?? RegistrationTable.unknown(index, address, service);
+      this.registrations.get(address) ?? RegistrationTable.createDeparted(index, address, service);
     if (registration.service !== service) return { known: false };
     this.tombstones.add(index, registration.instance);
     this.markLeft(index, registration, drained);
@@ -123,7 +123,7 @@
   }
 
   /** The registration of a backend that leaves without having registered. */
-  private static unknown(index: number, address: string, service: string): Registration {
+  private static createDeparted(index: number, address: string, service: string): Registration {
     return {
       address,
       service,
@@ -165,7 +165,7 @@
   }
 
   /** An instance that moves leaves its other addresses. */
-  private markOthersLeft(
+  private leaveOtherAddresses(
     index: number,
     { address, instance }: Pick<Registration, "address" | "instance">,
   ): void {
--- a/src/state/retry-capacity-holder-table.ts
+++ b/src/state/retry-capacity-holder-table.ts
@@ -3,27 +3,27 @@
 
 /** The edges that may hold retry capacity. */
 export class RetryCapacityHolderTable {
-  private names = new Set<string>();
+  private holders = new Set<string>();
 
   /** The edges, each as its name and incarnation. */
   get edges(): ReadonlySet<string> {
-    return this.names;
+    return this.holders;
   }
 
   /** The stored form of the table. */
   toStored(): string[] {
-    return [...this.names];
+    return [...this.holders];
   }
 
   /** Takes over stored edges. */
   restore(stored: readonly string[]): void {
-    this.names = new Set(stored);
+    this.holders = new Set(stored);
   }
 
   /** Applies a log command. */
   apply(command: LogCommandOf<"holder" | "holdersPast">): Readonly<Record<string, never>> {
-    if (command.kind === "holder") this.names.add(command.edge);
-    else for (const edge of command.edges) this.names.delete(edge);
+    if (command.kind === "holder") this.holders.add(command.edge);
+    else for (const edge of command.edges) this.holders.delete(edge);
     return {};
   }
 }
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -105,8 +105,8 @@
     if (!view.granted) throw new Error(view.why);
     return view;
   };
-  const registration = (ofAddress = address): Registration | undefined =>
-    watch().directory?.find((one) => one.address === ofAddress);
+  const registration = (backendAddress = address): Registration | undefined =>
+    watch().directory?.find((candidate) => candidate.address === backendAddress);
   const daemons = (count: number): SimulatedMachine[] =>
     simulation.machines.filter(({ settings }) => settings.callers !== undefined).slice(0, count);
   const post = (
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -13,7 +13,7 @@
     const simulation = new Simulation(shippedProfiles.rastro, 1, 0.01);
     simulation.begin();
     simulation.virtualClock.runUntil(5000);
-    const fail = (error: unknown): void => {
+    const rethrow = (error: unknown): void => {
       throw error;
     };
     const runtime = virtualRuntime({
@@ -26,20 +26,20 @@
       simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease)?.settings
         .peers ?? "";
     const command = (sent: Command): string => {
-      const returns: string[] = [];
+      const responses: string[] = [];
       runTask(
         rpc.call(leader, rpcMethods.command, { forwarded: true, text: encodeCommand(sent) }, 2000),
-        fail,
-        (ret) => returns.push(ret?.text ?? ""),
+        rethrow,
+        (response) => responses.push(response?.text ?? ""),
       );
       simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 200);
-      return returns[0] ?? "";
+      return responses[0] ?? "";
     };
-    const [one] = simulation.testBackends;
-    if (!one) throw new Error("There is no backend.");
-    one.isAnnouncing = false;
-    const { address, service, zone } = one;
-    const late: Command = {
+    const [backend] = simulation.testBackends;
+    if (!backend) throw new Error("There is no backend.");
+    backend.isAnnouncing = false;
+    const { address, service, zone } = backend;
+    const delayedHeartbeat: Command = {
       kind: "announce",
       address,
       service,
@@ -49,10 +49,10 @@
     };
     expect(command({ kind: "leave", address, service })).toBe('{"known":true}');
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 4000);
-    expect(command(late)).toContain('"overtaken"');
-    const fresh = { ...late, seen: 1_000_000 };
-    expect(command({ ...fresh, service: "triage" })).toContain('"taken"');
-    expect(command(late)).toContain('"overtaken"');
-    expect(command(fresh)).toContain('"taken"');
+    expect(command(delayedHeartbeat)).toContain('"overtaken"');
+    const currentHeartbeat = { ...delayedHeartbeat, seen: 1_000_000 };
+    expect(command({ ...currentHeartbeat, service: "triage" })).toContain('"taken"');
+    expect(command(delayedHeartbeat)).toContain('"overtaken"');
+    expect(command(currentHeartbeat)).toContain('"taken"');
   });
 });
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -8,9 +8,9 @@
 import { type Task, runTask, waitFor } from "../../src/runtime/task.js";
 import { ClusterFixture } from "../replication/fleet-stage.js";
 
-const spread = { zones: 8, regions: 2 };
-const many = 24;
-const services = 3;
+const topology = { zones: 8, regions: 2 };
+const daemonCount = 24;
+const serviceCount = 3;
 
 interface TestDaemon {
   readonly daemon: PollingDaemon;
@@ -19,19 +19,19 @@
   readonly name: string;
 }
 
-const pollingDaemons = (stage: ClusterFixture, count: number): TestDaemon[] =>
-  Array.from({ length: count }, (_, at) => {
-    const zone = zoneOf(at, spread);
+const startPollingDaemons = (stage: ClusterFixture, count: number): TestDaemon[] =>
+  Array.from({ length: count }, (_, index) => {
+    const zone = zoneOf(index, topology);
     const gate = new EventGate();
     const clock = gate.clock(stage.virtualClock.clock());
-    const name = `daemon-${at}`;
+    const name = `daemon-${index}`;
     const wire = new DelayedNetwork(stage.network.wire(name, gate), clock, () =>
-      oneWayMs(zone, "zone-1", spread),
+      oneWayMs(zone, "zone-1", topology),
     );
     const runtime = virtualRuntime({ clock, network: wire, random: stage.random });
     const daemon = new PollingDaemon(
       runtime,
-      { machine: name, zone, peer: `10.9.0.${at + 1}:7000` },
+      { machine: name, zone, peer: `10.9.0.${index + 1}:7000` },
       [stage.machineAt(0).peer],
       boundsOf({}),
     );
@@ -44,114 +44,124 @@
     throw error;
   });
 
-const sumOf = (all: readonly TestDaemon[], of: (one: TestDaemon) => number): number =>
-  all.reduce((sum, one) => sum + of(one), 0);
+const sumBy = (
+  testDaemons: readonly TestDaemon[],
+  select: (testDaemon: TestDaemon) => number,
+): number => testDaemons.reduce((sum, testDaemon) => sum + select(testDaemon), 0);
 
 describe("control traffic", () => {
   test("daemons send watch requests, push counts and receive views at the configured rates", () => {
     const stage = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
     stage.bootAll();
     stage.wait(4000);
-    const all = pollingDaemons(stage, many);
+    const all = startPollingDaemons(stage, daemonCount);
     stage.waitUntil(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
-    expect(all.filter(({ daemon }) => daemon.clusterView.holdsLease)).toHaveLength(many);
+    expect(all.filter(({ daemon }) => daemon.clusterView.holdsLease)).toHaveLength(daemonCount);
     stage.wait(6000);
 
     const before = {
-      polls: sumOf(all, ({ daemon }) => daemon.clusterView.watchRequests),
-      grants: sumOf(all, ({ daemon }) => daemon.clusterView.leaseRenewals),
-      out: sumOf(all, ({ wire }) => wire.totals.messagesOut),
-      back: sumOf(all, ({ wire }) => wire.totals.messagesIn),
+      watchRequests: sumBy(all, ({ daemon }) => daemon.clusterView.watchRequests),
+      grants: sumBy(all, ({ daemon }) => daemon.clusterView.leaseRenewals),
+      out: sumBy(all, ({ wire }) => wire.totals.messagesOut),
+      back: sumBy(all, ({ wire }) => wire.totals.messagesIn),
     };
     stage.wait(4000);
-    const polls = sumOf(all, ({ daemon }) => daemon.clusterView.watchRequests) - before.polls;
-    const out = sumOf(all, ({ wire }) => wire.totals.messagesOut) - before.out;
-    const { watchIntervalMs: pollMs, controlPlaneTimeouts } = boundsOf({});
-    const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
-    expect(polls).toBeGreaterThan(
-      many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.maxWatchWaitMs + farMs + 50)),
+    const watchRequests =
+      sumBy(all, ({ daemon }) => daemon.clusterView.watchRequests) - before.watchRequests;
+    const out = sumBy(all, ({ wire }) => wire.totals.messagesOut) - before.out;
+    const { watchIntervalMs, controlPlaneTimeouts } = boundsOf({});
+    const maxRoundTripMs = 2 * oneWayMs("zone-1", "zone-8", topology);
+    expect(watchRequests).toBeGreaterThan(
+      daemonCount *
+        Math.floor(
+          4000 / (watchIntervalMs + controlPlaneTimeouts.maxWatchWaitMs + maxRoundTripMs + 50),
+        ),
     );
-    expect(polls).toBeLessThanOrEqual(many * Math.ceil(4000 / pollMs + 1));
+    expect(watchRequests).toBeLessThanOrEqual(daemonCount * Math.ceil(4000 / watchIntervalMs + 1));
     expect(
       Math.abs(
-        polls - (sumOf(all, ({ daemon }) => daemon.clusterView.leaseRenewals) - before.grants),
+        watchRequests -
+          (sumBy(all, ({ daemon }) => daemon.clusterView.leaseRenewals) - before.grants),
       ),
-    ).toBeLessThanOrEqual(many);
+    ).toBeLessThanOrEqual(daemonCount);
     // Only watch requests are sent, and one push every two seconds.
-    expect(out - polls).toBeGreaterThanOrEqual(many);
-    expect(out - polls).toBeLessThanOrEqual(many * 3);
+    expect(out - watchRequests).toBeGreaterThanOrEqual(daemonCount);
+    expect(out - watchRequests).toBeLessThanOrEqual(daemonCount * 3);
     expect(
-      Math.abs(out - (sumOf(all, ({ wire }) => wire.totals.messagesIn) - before.back)),
-    ).toBeLessThanOrEqual(2 * many);
-    expect(Math.max(...all.map(({ daemon }) => daemon.coveredEdges))).toBe(many);
+      Math.abs(out - (sumBy(all, ({ wire }) => wire.totals.messagesIn) - before.back)),
+    ).toBeLessThanOrEqual(2 * daemonCount);
+    expect(Math.max(...all.map(({ daemon }) => daemon.coveredEdges))).toBe(daemonCount);
   });
 
   test("configurations reach daemons in order; unresponsive daemons are logged by name, backends without heartbeats removed", () => {
     const stage = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
     stage.bootAll();
     stage.wait(4000);
-    const all = pollingDaemons(stage, many);
+    const all = startPollingDaemons(stage, daemonCount);
     stage.waitUntil(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
 
-    const backEnds = Array.from({ length: 30 }, (_, at) => ({
-      address: `10.8.0.${at + 1}:80`,
-      service: `service-${at % services}`,
-      zone: zoneOf(at, spread),
+    const backends = Array.from({ length: 30 }, (_, index) => ({
+      address: `10.8.0.${index + 1}:80`,
+      service: `service-${index % serviceCount}`,
+      zone: zoneOf(index, topology),
     }));
-    const announcing = new Set(backEnds);
-    const heard = { known: 0, unknown: 0 };
-    const heartbeat = function* (at: number): Task {
-      const backend = backEnds[at];
+    const activeBackends = new Set(backends);
+    const heartbeatResults = { known: 0, unknown: 0 };
+    const heartbeat = function* (index: number): Task {
+      const backend = backends[index];
       if (!backend) return;
-      for (let round = 0; announcing.has(backend); round += 1) {
-        const daemon = all[(at + round) % (many - 6)]?.daemon;
-        if (daemon && (yield* daemon.heartbeat(backend))) heard.known += 1;
-        else heard.unknown += 1;
+      for (let round = 0; activeBackends.has(backend); round += 1) {
+        const daemon = all[(index + round) % (daemonCount - 6)]?.daemon;
+        if (daemon && (yield* daemon.heartbeat(backend))) heartbeatResults.known += 1;
+        else heartbeatResults.unknown += 1;
         yield* waitFor<boolean>((done) => stage.virtualClock.clock().after(1000, () => done(true)));
       }
     };
-    for (const at of backEnds.keys()) run(heartbeat(at));
-    const known = ({ daemon }: TestDaemon): number =>
+    for (const index of backends.keys()) run(heartbeat(index));
+    const countKnownBackends = ({ daemon }: TestDaemon): number =>
       daemon.clusterView.services.reduce(
         (sum, service) => sum + daemon.clusterView.backendsOf(service).length,
         0,
       );
-    stage.waitUntil(() => all.every((one) => known(one) === backEnds.length), 8000);
-    expect(all.map(known)).toEqual(all.map(() => backEnds.length));
+    stage.waitUntil(
+      () => all.every((testDaemon) => countKnownBackends(testDaemon) === backends.length),
+      8000,
+    );
+    expect(all.map(countKnownBackends)).toEqual(all.map(() => backends.length));
 
-    const seen = new Map(all.map(({ name }) => [name, [0]]));
+    const sequencesByDaemon = new Map(all.map(({ name }) => [name, [0]]));
     for (let sequence = 1; sequence <= 3; sequence += 1) {
-      const first = all[sequence];
-      if (first)
+      const sender = all[sequence];
+      if (sender)
         run(
-          first.daemon.command({
+          sender.daemon.command({
             kind: "put",
             changeId: `change-${sequence}`,
-            value: createConfig({ services, routes: 9 }, sequence),
+            value: createConfig({ services: serviceCount, routes: 9 }, sequence),
           }),
         );
       stage.waitUntil(() => {
         for (const { name, daemon } of all) {
-          const one = seen.get(name);
-          if (one && one.at(-1) !== daemon.clusterView.configSequence)
-            one.push(daemon.clusterView.configSequence);
+          const sequences = sequencesByDaemon.get(name);
+          if (sequences && sequences.at(-1) !== daemon.clusterView.configSequence)
+            sequences.push(daemon.clusterView.configSequence);
         }
         return all.every(({ daemon }) => daemon.clusterView.configSequence === sequence);
       }, 5000);
     }
-    expect([...seen.values()]).toEqual(all.map(() => [0, 1, 2, 3]));
+    expect([...sequencesByDaemon.values()]).toEqual(all.map(() => [0, 1, 2, 3]));
 
     const killed = all.slice(-6);
     for (const { gate } of killed) gate.kill();
-    for (const gone of backEnds.slice(0, 4)) announcing.delete(gone);
+    for (const stoppedBackend of backends.slice(0, 4)) activeBackends.delete(stoppedBackend);
     stage.wait(9000);
     const unresponsive = stage.logLines.filter((line) => line.includes("daemon unresponsive"));
     expect(
       killed.filter(({ name }) => unresponsive.some((line) => line.includes(`"${name}"`))),
     ).toHaveLength(killed.length);
     expect(unresponsive).toHaveLength(killed.length);
-    const left = all.slice(0, -6);
-    expect(left.map(known)).toEqual(left.map(() => backEnds.length - 4));
-    expect(heard.unknown).toBe(0);
+    const remaining = all.slice(0, -6);
+    expect(remaining.map(countKnownBackends)).toEqual(remaining.map(() => backends.length - 4));
+    expect(heartbeatResults.unknown).toBe(0);
   });
 });
--- a/test/control-plane/delayed-network.test.ts
+++ b/test/control-plane/delayed-network.test.ts
@@ -16,37 +16,37 @@
     const gate = new EventGate();
     const far = new DelayedNetwork(stage.network.wire("far", gate), clock, () => 0);
     const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
-    const got: string[] = [];
+    const received: string[] = [];
     run(
       far.listen("10.0.0.9:1", (connection) => {
         const echo = function* (): Task {
           for (;;) {
-            const piece = yield* connection.incoming.take();
-            if (piece === "closed") return;
-            got.push(Buffer.from(piece).toString());
-            connection.send(piece);
+            const bytes = yield* connection.incoming.take();
+            if (bytes === "closed") return;
+            received.push(Buffer.from(bytes).toString());
+            connection.send(bytes);
           }
         };
         run(echo());
       }),
     );
-    const back: string[] = [];
-    const speak = function* (): Task {
+    const echoed: string[] = [];
+    const sendAndReceive = function* (): Task {
       const connection = yield* near.connect("10.0.0.9:1");
       if (!connection) return;
-      for (const word of ["a", "bb", "ccc"]) connection.send(Buffer.from(word));
+      for (const text of ["a", "bb", "ccc"]) connection.send(Buffer.from(text));
       for (;;) {
-        const piece = yield* connection.incoming.take();
-        if (piece === "closed") return;
-        back.push(Buffer.from(piece).toString());
+        const bytes = yield* connection.incoming.take();
+        if (bytes === "closed") return;
+        echoed.push(Buffer.from(bytes).toString());
       }
     };
-    run(speak());
+    run(sendAndReceive());
     stage.wait(60);
-    expect(got).toEqual([]);
+    expect(received).toEqual([]);
     stage.wait(2000);
-    expect(got).toEqual(["a", "bb", "ccc"]);
-    expect(back).toEqual(["a", "bb", "ccc"]);
+    expect(received).toEqual(["a", "bb", "ccc"]);
+    expect(echoed).toEqual(["a", "bb", "ccc"]);
     expect(near.totals).toEqual({ bytesIn: 6, bytesOut: 6, messagesIn: 3, messagesOut: 3 });
   });
 });
--- a/test/control-plane/delayed-network.ts
+++ b/test/control-plane/delayed-network.ts
@@ -25,26 +25,26 @@
   }
 
   *connect(address: string): Task<Connection | undefined> {
-    const waitMs = this.oneWayMs(address);
-    if (waitMs > 0) yield* sleep(this.clock, 2 * waitMs);
+    const delayMs = this.oneWayMs(address);
+    if (delayMs > 0) yield* sleep(this.clock, 2 * delayMs);
     const connection = yield* this.inner.connect(address);
-    return connection && this.counted(connection, waitMs);
+    return connection && this.wrap(connection, delayMs);
   }
 
   *listen(address: string, accept: (connection: Connection) => void): Task {
-    yield* this.inner.listen(address, (connection) => accept(this.counted(connection, 0)));
+    yield* this.inner.listen(address, (connection) => accept(this.wrap(connection, 0)));
   }
 
-  private counted(connection: Connection, waitMs: number): Connection {
+  private wrap(connection: Connection, delayMs: number): Connection {
     const { totals } = this;
     const incoming = new Queue<Uint8Array | "closed">();
-    const [away, back] = [this.inOrder(waitMs), this.inOrder(waitMs)];
+    const [delayOutgoing, delayIncoming] = [this.createDelay(delayMs), this.createDelay(delayMs)];
     const pump = function* (): Task {
       for (;;) {
-        const piece = yield* connection.incoming.take();
-        back(() => incoming.put(piece));
-        if (piece === "closed") return;
-        totals.bytesIn += piece.length;
+        const bytes = yield* connection.incoming.take();
+        delayIncoming(() => incoming.put(bytes));
+        if (bytes === "closed") return;
+        totals.bytesIn += bytes.length;
         totals.messagesIn += 1;
       }
     };
@@ -56,19 +56,19 @@
       send(bytes) {
         totals.bytesOut += bytes.length;
         totals.messagesOut += 1;
-        away(() => connection.send(bytes));
+        delayOutgoing(() => connection.send(bytes));
       },
-      close: () => away(() => connection.close()),
+      close: () => delayOutgoing(() => connection.close()),
     };
   }
 
   /** Runs what it is handed a while later, in the order in which it came. */
-  private inOrder(waitMs: number): (run: () => void) => void {
-    if (waitMs <= 0) return (run) => run();
-    const waiting: Array<() => void> = [];
+  private createDelay(delayMs: number): (run: () => void) => void {
+    if (delayMs <= 0) return (run) => run();
+    const queue: Array<() => void> = [];
     return (run) => {
-      waiting.push(run);
-      this.clock.after(waitMs, () => waiting.shift()?.());
+      queue.push(run);
+      this.clock.after(delayMs, () => queue.shift()?.());
     };
   }
 }
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -88,10 +88,10 @@
         post(one, "/backends/announce", { ...heartbeatBody, order: 2, draining: true }, 60),
       ).toMatchObject({ code: 200 });
       expect(post(one, "/backends/leave", { instance: "life-2" }, 60)).toMatchObject({ code: 200 });
-      const former = leader();
-      simulation.kill(former, true);
+      const formerLeader = leader();
+      simulation.kill(formerLeader, true);
       wait(4000);
-      simulation.boot(former);
+      simulation.boot(formerLeader);
       for (const instance of ["life-1", "life-2"])
         expect(
           post(two, "/backends/announce", { ...heartbeatBody, instance, order: 9 }).text,
@@ -145,15 +145,20 @@
     const { simulation, daemons, post } = createTestCluster();
     const [one] = daemons(1);
     const heartbeatBody = { service, address, zone: "x", instance: "life-1" };
-    const faults = (told: { code: number; text: string }): string => `${told.code} ${told.text}`;
+    const formatResponse = (response: { code: number; text: string }): string =>
+      `${response.code} ${response.text}`;
     expect(
-      faults(post(one, "/backends/announce", { ...heartbeatBody, capacity: -1, draining: "yes" })),
+      formatResponse(
+        post(one, "/backends/announce", { ...heartbeatBody, capacity: -1, draining: "yes" }),
+      ),
     ).toMatch(/^400 .*capacity.*draining/);
-    expect(faults(post(one, "/backends/announce", { ...heartbeatBody, instance: "" }))).toMatch(
+    expect(
+      formatResponse(post(one, "/backends/announce", { ...heartbeatBody, instance: "" })),
+    ).toMatch(/^400 .*instance/);
+    expect(formatResponse(post(one, "/backends/leave", { instance: 7 }))).toMatch(
       /^400 .*instance/,
     );
-    expect(faults(post(one, "/backends/leave", { instance: 7 }))).toMatch(/^400 .*instance/);
-    expect(faults(post(one, "/backends/leave", { service }))).toMatch(/^400 .*address/);
+    expect(formatResponse(post(one, "/backends/leave", { service }))).toMatch(/^400 .*address/);
     for (const machine of simulation.machines)
       if (machine.settings.callers === undefined) simulation.kill(machine);
     expect(post(one, "/backends/announce", heartbeatBody, 990).code).toBe(503);
@@ -166,18 +171,18 @@
     heartbeat("one");
     const { directorySequence, configSequence } = watch();
     const upToDate = watchRequestText({ directorySequence, configSequence });
-    const beganMs = simulation.virtualClock.nowMs();
+    const startMs = simulation.virtualClock.nowMs();
     const unchangedMs = exchange(rpcMethods.watch, upToDate, 600)[0]?.atMs ?? Infinity;
-    expect(unchangedMs - beganMs).toBeGreaterThan(240);
-    expect(unchangedMs - beganMs).toBeLessThan(350);
+    expect(unchangedMs - startMs).toBeGreaterThan(240);
+    expect(unchangedMs - startMs).toBeLessThan(350);
     const sentMs = simulation.virtualClock.nowMs();
-    const returns = exchange(rpcMethods.watch, upToDate, 60);
-    expect(returns).toEqual([]);
-    const before = simulation.virtualClock.nowMs();
+    const responses = exchange(rpcMethods.watch, upToDate, 60);
+    expect(responses).toEqual([]);
+    const changedAtMs = simulation.virtualClock.nowMs();
     heartbeat("two");
-    expect(returns[0]?.text).toContain('"instance":"two"');
-    expect((returns[0]?.atMs ?? Infinity) - before).toBeLessThan(150);
-    expect((returns[0]?.atMs ?? Infinity) - sentMs).toBeLessThan(240);
+    expect(responses[0]?.text).toContain('"instance":"two"');
+    expect((responses[0]?.atMs ?? Infinity) - changedAtMs).toBeLessThan(150);
+    expect((responses[0]?.atMs ?? Infinity) - sentMs).toBeLessThan(240);
     expect(simulation.machines.every(({ daemon }) => daemon?.servingState.isGranted)).toBe(true);
   });
 
@@ -187,7 +192,7 @@
     });
     const { directorySequence, configSequence } = watch();
     const name = leader().settings.machine;
-    const returns = exchange(
+    const responses = exchange(
       rpcMethods.watch,
       watchRequestText({ directorySequence, configSequence }),
       50,
@@ -197,7 +202,7 @@
       simulation.network.cut(settings.machine, name);
     }
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 1200);
-    expect(returns[0]?.text).toContain('"breakdown"');
+    expect(responses[0]?.text).toContain('"breakdown"');
   });
 
   test("a tombstone expires after its time, unless its instance still sends heartbeats", () => {
--- a/test/control-plane/polling-daemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -32,10 +32,10 @@
   private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
   private readonly edgeCounts: EdgeCounts;
-  private readonly pollMs: number;
-  private readonly pollWaitMs: number;
+  private readonly watchIntervalMs: number;
+  private readonly watchTimeoutMs: number;
   /** How often the registrations changed here. */
-  directoryChanges = 0;
+  endpointUpdates = 0;
 
   constructor(runtime: Runtime, info: PollingDaemonInfo, seeds: readonly string[], bounds: Bounds) {
     const incarnation = randomNonce(runtime);
@@ -43,8 +43,8 @@
     const budget = new RetryBudget(bounds.retryRules);
     const loadBalancer = new LoadBalancer(info.zone, () => runtime.random());
     this.runtime = runtime;
-    this.pollMs = bounds.watchIntervalMs;
-    this.pollWaitMs = bounds.watchTimeoutMs;
+    this.watchIntervalMs = bounds.watchIntervalMs;
+    this.watchTimeoutMs = bounds.watchTimeoutMs;
     this.forwarder = new CommandForwarder(runtime, rpc, () => seeds);
     this.clusterView = new ClusterView(
       runtime,
@@ -60,7 +60,7 @@
       budget,
     );
     this.clusterView.onEndpoints = (registrations) => {
-      this.directoryChanges += 1;
+      this.endpointUpdates += 1;
       loadBalancer.setBackends(registrations, runtime.clock.nowMs());
     };
     this.edgeCounts = new EdgeCounts(
@@ -75,7 +75,11 @@
 
   /** Starts the watch requests and the pushes. */
   start(): void {
-    startTask(this.runtime, "contract", this.clusterView.run(this.pollMs, this.pollWaitMs));
+    startTask(
+      this.runtime,
+      "contract",
+      this.clusterView.run(this.watchIntervalMs, this.watchTimeoutMs),
+    );
     startTask(this.runtime, "zone", this.edgeCounts.run(PUSH_INTERVAL_MS));
   }
 
--- a/test/control-plane/topology.ts
+++ b/test/control-plane/topology.ts
@@ -26,9 +26,9 @@
   { services, routes }: { readonly services: number; readonly routes: number },
   change: number,
 ): Record<string, unknown> => {
-  const named = Array.from({ length: services }, (_, index) => `service-${index}`);
+  const serviceNames = Array.from({ length: services }, (_, index) => `service-${index}`);
   return {
-    services: Object.fromEntries(named.map((name) => [name, {}])),
+    services: Object.fromEntries(serviceNames.map((name) => [name, {}])),
     routes: Object.fromEntries(
       Array.from({ length: routes }, (_, index) => [
         `route-${index}`,
@@ -38,7 +38,7 @@
             methods: ["GET"],
             host: `tenant-${index % 997}.example`,
           },
-          service: named[index % named.length],
+          service: serviceNames[index % serviceNames.length],
           giveUpMs: 3000 + (index === 0 ? change % 1000 : 0),
         },
       ]),
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -9,7 +9,7 @@
 import { ClusterFixture } from "../replication/fleet-stage.js";
 import { createTestCluster } from "./control-plane-stage.js";
 
-const servicesCount = 40;
+const serviceCount = 40;
 
 describe("watch traffic", () => {
   test("an idle daemon's requests and views don't grow with the number of services: only demand names them", () => {
@@ -32,7 +32,7 @@
       runTask(task, (error) => {
         throw error;
       });
-    const bytesInASecond = (): { out: number; in: number } => {
+    const measureBytesPerSecond = (): { out: number; in: number } => {
       const before = { ...wire.totals };
       fleet.wait(2500);
       return {
@@ -40,20 +40,20 @@
         in: (wire.totals.bytesIn - before.bytesIn) / 2.5,
       };
     };
-    const bare = bytesInASecond();
-    for (let at = 0; at < servicesCount; at += 1)
+    const withoutServices = measureBytesPerSecond();
+    for (let index = 0; index < serviceCount; index += 1)
       run(
         daemon.heartbeat({
-          address: `10.8.0.${at + 1}:80`,
-          service: `service-${at}`,
+          address: `10.8.0.${index + 1}:80`,
+          service: `service-${index}`,
           zone: "zone-1",
         }),
       );
     fleet.wait(1000);
-    expect(daemon.clusterView.services.length).toBe(servicesCount);
-    const many = bytesInASecond();
-    expect(many.out - bare.out).toBeLessThan(servicesCount * 10);
-    expect(many.in - bare.in).toBeLessThan(servicesCount * 10);
+    expect(daemon.clusterView.services.length).toBe(serviceCount);
+    const withServices = measureBytesPerSecond();
+    expect(withServices.out - withoutServices.out).toBeLessThan(serviceCount * 10);
+    expect(withServices.in - withoutServices.in).toBeLessThan(serviceCount * 10);
   });
 
   test("members and capacities that a request names aren't sent again", () => {
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -26,14 +26,14 @@
 
 describe("computeEdgePlacements", () => {
   test("edges are placed by name within their zone; daemons without the role and draining ones aren't placed", () => {
-    const places = computeEdgePlacements([
+    const placements = computeEdgePlacements([
       edge("c", "z"),
       edge("a", "z"),
       edge("b", "y"),
       edge("d", "z", { draining: true }),
       edge("e", "y", { roles: ["recorder"] }),
     ]);
-    expect(Object.fromEntries(places)).toEqual({
+    expect(Object.fromEntries(placements)).toEqual({
       a: { zoneIndex: 0, zoneCount: 2, count: 3 },
       c: { zoneIndex: 1, zoneCount: 2, count: 3 },
       b: { zoneIndex: 0, zoneCount: 1, count: 3 },
@@ -41,12 +41,12 @@
   });
 
   /** What the leader tells an edge of its place, if anything. */
-  const toldPlace = (
+  const requestPlacement = (
     stage: ClusterFixture,
     name: string,
     zone: string,
   ): EdgePlacement | undefined => {
-    const told: Array<EdgePlacement | undefined> = [];
+    const placements: Array<EdgePlacement | undefined> = [];
     const peer = "10.0.9.7:7000";
     const runtime = virtualRuntime({
       clock: stage.virtualClock.clock(),
@@ -70,27 +70,35 @@
       (function* () {
         const text = yield* forwarder.forward(rpcMethods.watch, JSON.stringify(watchRequest), 450);
         const view = text === undefined ? undefined : readLeasedView(text);
-        told.push(view?.granted === true ? view.place : undefined);
+        placements.push(view?.granted === true ? view.place : undefined);
       })(),
     );
-    stage.waitUntil(() => told.length > 0, 2000);
-    return told[0];
+    stage.waitUntil(() => placements.length > 0, 2000);
+    return placements[0];
   };
 
   test("a leader sends placements once it has led for a lease, and excludes unresponsive edges", () => {
     const stage = new ClusterFixture(["d:a", "d:b", "d:c", "e:a", "e:b", "e:c", "e:a"], [0, 1, 2]);
     stage.bootAll();
     stage.wait(6000);
-    expect(toldPlace(stage, "edge-0", "a")).toEqual({ zoneIndex: 0, zoneCount: 3, count: 5 });
-    const former = stage.leader;
-    stage.kill(former);
+    expect(requestPlacement(stage, "edge-0", "a")).toEqual({
+      zoneIndex: 0,
+      zoneCount: 3,
+      count: 5,
+    });
+    const formerLeader = stage.leader;
+    stage.kill(formerLeader);
     stage.waitUntil(
       () => stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
       5000,
     );
-    expect(toldPlace(stage, "edge-0", "a")).toBeUndefined();
+    expect(requestPlacement(stage, "edge-0", "a")).toBeUndefined();
     stage.kill(stage.machineAt(6));
     stage.wait(6000);
-    expect(toldPlace(stage, "edge-0", "a")).toEqual({ zoneIndex: 0, zoneCount: 2, count: 4 });
+    expect(requestPlacement(stage, "edge-0", "a")).toEqual({
+      zoneIndex: 0,
+      zoneCount: 2,
+      count: 4,
+    });
   });
 });
--- a/test/state/state-machine.test.ts
+++ b/test/state/state-machine.test.ts
@@ -27,7 +27,7 @@
     expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
   });
   const holders = ["10.0.0.1:7000", "10.0.0.2:7000"];
-  const claimOf = (job: string, replaces?: string): LogCommand => ({
+  const createClaim = (job: string, replaces?: string): LogCommand => ({
     kind: "claim",
     scope: "k",
     bodyHash: "h",
@@ -40,39 +40,39 @@
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
       JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
-    expect(apply(1, claimOf("one"))).toEqual({ claimed: true });
-    expect(apply(2, claimOf("one"))).toEqual({ claimed: true });
+    expect(apply(1, createClaim("one"))).toEqual({ claimed: true });
+    expect(apply(2, createClaim("one"))).toEqual({ claimed: true });
     const held = { bodyHash: "h", job: "one", verdict: "inHand", holders, atIndex: 1 };
-    expect(apply(3, claimOf("two"))).toEqual({ held });
+    expect(apply(3, createClaim("two"))).toEqual({ held });
     apply(4, { kind: "release", scope: "k", job: "two" });
-    expect(apply(5, claimOf("two"))).toEqual({ held });
+    expect(apply(5, createClaim("two"))).toEqual({ held });
     apply(6, { kind: "release", scope: "k", job: "one" });
-    expect(apply(7, claimOf("two"))).toEqual({ claimed: true });
+    expect(apply(7, createClaim("two"))).toEqual({ claimed: true });
     apply(8, { kind: "forget", scopes: ["k"], upTo: 7 });
-    expect(apply(9, claimOf("three"))).toEqual({ claimed: true });
+    expect(apply(9, createClaim("three"))).toEqual({ claimed: true });
   });
 
   test("a claim is taken over from the request that it replaces, and from no other", () => {
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
       JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
-    apply(1, claimOf("one"));
-    expect(apply(2, claimOf("two", "zero"))).toMatchObject({ held: { job: "one" } });
-    expect(apply(3, claimOf("two", "one"))).toEqual({ claimed: true });
-    expect(apply(4, claimOf("three", "one"))).toMatchObject({ held: { job: "two" } });
-    expect(apply(5, claimOf("one"))).toMatchObject({ held: { job: "two" } });
+    apply(1, createClaim("one"));
+    expect(apply(2, createClaim("two", "zero"))).toMatchObject({ held: { job: "one" } });
+    expect(apply(3, createClaim("two", "one"))).toEqual({ claimed: true });
+    expect(apply(4, createClaim("three", "one"))).toMatchObject({ held: { job: "two" } });
+    expect(apply(5, createClaim("one"))).toMatchObject({ held: { job: "two" } });
     apply(6, { kind: "release", scope: "k", job: "one" });
-    expect(apply(7, claimOf("three"))).toMatchObject({ held: { job: "two" } });
+    expect(apply(7, createClaim("three"))).toMatchObject({ held: { job: "two" } });
   });
 
   test("a claim that a former build settled stays settled when it arrives again", () => {
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
       JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
-    apply(1, claimOf("one"));
+    apply(1, createClaim("one"));
     apply(2, { kind: "settle", scope: "k", job: "one", verdict: "ran" });
-    expect(apply(3, claimOf("one"))).toEqual({ claimed: true });
-    expect(apply(4, claimOf("other"))).toMatchObject({ held: { verdict: "ran", holders } });
+    expect(apply(3, createClaim("one"))).toEqual({ claimed: true });
+    expect(apply(4, createClaim("other"))).toMatchObject({ held: { verdict: "ran", holders } });
   });
 
   test("log entries and snapshots of a former build, which contain responses, are read without them", () => {
