--- a/src/configuration/config-changes.ts
+++ b/src/configuration/config-changes.ts
@@ -1,9 +1,9 @@
-/** Changes of configurations: merge patches, and items that are put and removed. */
+/** Changes of configurations: merge patches, and the replacement and removal of items. */
 import { array, object, optional, record, string, type Infer } from "superstruct";
 import { opaqueShape } from "./config-shape.js";
 import { isObject } from "./validated.js";
 
-/** The shape of items to put, each replaced as a whole; a goal that is null is removed, and so are limits that are null. */
+/** The shape of items to put, each of which replaces the existing item; null removes a goal or the limits. */
 export const itemsShape = object({
   services: optional(record(string(), opaqueShape)),
   routes: optional(record(string(), opaqueShape)),
@@ -48,7 +48,7 @@
   return Object.fromEntries([...retained, ...Object.entries(put)]);
 };
 
-/** Removes named items of a configuration and puts others, each as a whole; a route's goal is removed with it. */
+/** Removes items of a configuration by name, and replaces or adds others; a route's goal is removed with it. */
 export const applyItemChanges = (
   target: unknown,
   put: Infer<typeof itemsShape>,
--- a/src/configuration/config-items.ts
+++ b/src/configuration/config-items.ts
@@ -1,4 +1,4 @@
-/** The items of a configuration: the units in which it changes, travels and is compared. */
+/** The items of a configuration: the units in which it is changed, transmitted and compared. */
 import type { Config } from "./config.js";
 import { itemHash, SetDigest } from "./set-digest.js";
 
@@ -25,13 +25,13 @@
     Object.entries(section).map(([name, item]) => [name, ConfigItems.withoutOrigin(item)]),
   );
 
-/** A configuration with the ids of its services and routes, as edges have them. */
+/** A configuration with the ids of its services and routes, as edges store it. */
 export interface NumberedConfig {
   readonly config: Config;
   readonly ids: ReadonlyMap<string, number>;
 }
 
-/** Operations on the items of configurations. Edges get items without the data that adapters store with them. */
+/** Operations on the items of configurations. Edges get items without `origin`, the data that adapters store with them. */
 export const ConfigItems = {
   /** The sections whose items have names. */
   sections: SECTIONS,
@@ -44,13 +44,13 @@
   /** The key of the id of a service or route. */
   idKey: (name: string): string => `${ID_KEY_PREFIX}${name}`,
 
-  /** The section and the name of a key; `undefined` for limits and ids. */
+  /** The section and the name in an item's key; `undefined` for the keys of limits and ids. */
   parseItemKey(key: string): { section: ConfigSection; name: string } | undefined {
     const section = SECTIONS.find((name) => key.startsWith(`${name} `));
     return section && { section, name: key.slice(section.length + 1) };
   },
 
-  /** The service's or route's name of the key of an id. */
+  /** The name in the key of an id; `undefined` for other keys. */
   parseIdKey: (key: string): string | undefined =>
     key.startsWith(ID_KEY_PREFIX) ? key.slice(ID_KEY_PREFIX.length) : undefined,
 
@@ -63,10 +63,10 @@
     for (const [name, value] of numbers) yield { key: ConfigItems.idKey(name), value };
   },
 
-  /** An item without the data that an adapter stores with it. */
+  /** Removes the data that an adapter stores with an item. */
   withoutOrigin: <T extends object>(item: T): T => ({ ...item, origin: undefined }),
 
-  /** A configuration without the data that adapters store with it. */
+  /** Removes the data that adapters store with a configuration and its items. */
   configWithoutOrigins: ({ services, routes, goals, limits }: Config): Config => ({
     services: itemsWithoutOrigin(services),
     routes: itemsWithoutOrigin(routes),
@@ -74,13 +74,13 @@
     ...(limits ? { limits: ConfigItems.withoutOrigin(limits) } : {}),
   }),
 
-  /** The hash of an item, over all that edges get of it. */
+  /** The hash of an item, over the fields that edges get. */
   hash: ({ key, value }: ConfigItem): bigint =>
     itemHash(
       `${key} ${typeof value === "number" ? value : JSON.stringify(ConfigItems.withoutOrigin(value))}`,
     ),
 
-  /** The digest of a configuration: of its items and of the order of its routes, since the first of several matches is used. */
+  /** The digest of a configuration. It covers the order of routes, since the first of several matching routes is used. */
   digest(items: SetDigest, config: Config): string {
     const order = itemHash(Object.keys(config.routes).join(" "));
     return `${items.hex}-${order.toString(16)}`;
--- a/src/configuration/config-serializer.ts
+++ b/src/configuration/config-serializer.ts
@@ -1,7 +1,7 @@
-/** Serializes configurations, reusing the texts of items that were serialized before. */
+/** Serializes configurations with a cache of the texts of their items. */
 import type { Config } from "./config-shape.js";
 
-/** The texts of items that were serialized before: an item is never changed once it has been read. */
+/** The cached texts of items, which are immutable once they are read. */
 const itemTexts = new WeakMap<object, string>();
 
 const itemText = (item: object): string => {
@@ -22,8 +22,8 @@
 };
 
 /**
- * A configuration as JSON, the same text that `JSON.stringify` returns. Each item is serialized once, so that a change of a few
- * items costs little, however many there are.
+ * Serializes a configuration to the same text as `JSON.stringify`. Each item is serialized once, so that the cost of a change
+ * depends on the number of changed items only.
  */
 export const configText = (config: Config): string => {
   const fields: string[] = [];
--- a/src/configuration/config-shape.ts
+++ b/src/configuration/config-shape.ts
@@ -30,7 +30,7 @@
   (value) => typeof value === "number" && value >= 0 && value <= 1e12,
   "a weight of 0 or more",
 );
-/** Any JSON; it is stored and returned as it was sent. */
+/** Any JSON, which is stored and returned unchanged. */
 export const opaqueShape = Validated.custom<NonNullable<unknown> | null>(
   "JSON",
   (value) => value !== undefined,
@@ -40,18 +40,18 @@
 export const METHODS = ["GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"] as const;
 const { boolean, nonEmptyArray, optional, oneOf, recordOf, objectOf, integerBetween } = Validated;
 
-/** Which requests of a route may be retried: safe ones and downloads always, unsafe ones never, idempotent ones run once for each key. */
+/** The retry rules of routes: safe requests and downloads may be retried, unsafe ones not, idempotent ones run once per key. */
 const ROUTE_KINDS = ["safe", "unsafe", "idempotent", "download"] as const;
 
 const serviceShape = objectOf(
   object({
     /** The header in which the service's backends echo a request's number and service. */
     stampHeader: optional(header),
-    /** How many concurrent requests one daemon sends to one backend. */
+    /** Maximum number of concurrent requests from one daemon to one backend. */
     inHand: optional(integerBetween(1, 10_000)),
     /** The path of its backends' health checks. */
     healthPath: optional(healthPath),
-    /** How many connections one backend accepts. */
+    /** Maximum number of connections to one backend. */
     maxConnections: optional(integerBetween(1, 1_000_000)),
     protocol: optional(word),
     tls: optional(boolean()),
@@ -77,15 +77,15 @@
     split: optional(nonEmptyArray(objectOf(object({ service: nameShape, weight })))),
     /** Which requests may be retried; it overrides `repeat`, `keyed` and the methods. */
     kind: optional(oneOf(ROUTE_KINDS)),
-    /** Whether an attempt that may have run may be retried; only for safe methods. */
+    /** Whether to retry an attempt that may have run; `safe` requires safe methods. */
     repeat: optional(oneOf(["safe", "never"])),
     /** Whether writes on this route must carry an Idempotency-Key. */
     keyed: optional(boolean()),
-    /** The largest number of attempts of one request, each at another backend. */
+    /** Maximum number of attempts of one request, each at a different backend. */
     attempts: optional(integerBetween(1, 10)),
     /** The timeout of one attempt, in milliseconds. */
     giveUpMs: optional(integerBetween(1, 600_000)),
-    /** The priority of its requests, 0 the highest. */
+    /** The priority of its requests; 0 is the highest. */
     priority: optional(integerBetween(0, 9)),
     /** Data that an adapter stores with this item; never interpreted. */
     origin: optional(opaqueShape),
@@ -101,9 +101,9 @@
 
 const limitsShape = objectOf(
   object({
-    /** The largest size of a request's head, in bytes. */
+    /** Maximum size of a request's head, in bytes. */
     headerBytes: optional(integerBetween(1, 2 ** 31 - 1)),
-    /** The largest size of a request's body, in bytes. */
+    /** Maximum size of a request's body, in bytes. */
     bodyBytes: optional(integerBetween(0, Number.MAX_SAFE_INTEGER)),
     /** The timeout for the head of a request, in milliseconds. */
     headerMs: optional(integerBetween(1, 86_400_000)),
@@ -114,7 +114,7 @@
   }),
 );
 
-/** The shape of a configuration; its field names are the operators' and are stored. */
+/** The shape of a configuration; its field names are part of the operators' interface and are stored. */
 export const configShape = objectOf(
   object({
     services: recordOf(nameShape, serviceShape),
@@ -136,5 +136,5 @@
 export const trafficSplitOf = (route: Route): ReadonlyArray<{ service: string; weight: number }> =>
   route.split ?? (route.service === undefined ? [] : [{ service: route.service, weight: 1 }]);
 
-/** Methods that change nothing. */
+/** Methods without side effects. */
 export const safeMethods: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS"]);
--- a/src/configuration/config-validation.ts
+++ b/src/configuration/config-validation.ts
@@ -1,4 +1,4 @@
-/** Validation of configurations: of those that operators send, with all faults, and of accepted ones by their shape alone. */
+/** Validation of configurations: full checks with all faults for new ones, and a shape check for accepted ones. */
 import { validate } from "superstruct";
 import {
   configShape,
@@ -10,27 +10,27 @@
 } from "./config-shape.js";
 import { Validated } from "./validated.js";
 
-/** A fault of a value that was sent. */
+/** A fault of a validated value. */
 export interface ValidationFault {
   /** The path of the faulty field, separated by dots. */
   path: string;
-  /** What was expected there. */
+  /** The expected value. */
   expected: string;
 }
 
 /** The result of a check: the configuration, or all its faults. */
 export type ConfigCheck = { config: Config } | { faults: ValidationFault[] };
 
-/** Raised when the stored text of an accepted configuration is invalid. */
+/** Thrown when the stored text of an accepted configuration is invalid. */
 export class InvalidConfigError extends Error {
   readonly code = "INVALID_CONFIG";
 
   constructor(readonly faults: readonly ValidationFault[]) {
-    super(`An accepted configuration is invalid: ${JSON.stringify(faults)}`);
+    super(`accepted configuration is invalid: ${JSON.stringify(faults)}`);
   }
 }
 
-/** The faults of a value that a superstruct refused. */
+/** Converts the failures of a superstruct validation to faults. */
 export const validationFaults = (
   failures: Iterable<{
     path: Array<string | number>;
@@ -81,7 +81,7 @@
   return error ? validationFaults(error.failures()) : [{ path: "(whole)", expected: "a config" }];
 };
 
-/** Checks a configuration as it was sent: its shape, and that it is consistent. */
+/** Checks the shape and the consistency of a configuration. */
 export const checkConfig = (value: unknown): ConfigCheck => {
   if (!Validated.accepts(configShape, value)) return { faults: shapeFaults(value) };
   const faults: ValidationFault[] = [];
@@ -93,7 +93,7 @@
   return faults.length > 0 ? { faults } : { config: value };
 };
 
-/** Reads the text of an accepted configuration and checks it again; throws an `InvalidConfigError`. */
+/** Parses the text of an accepted configuration and checks it again; throws an `InvalidConfigError`. */
 export const parseConfig = (text: string): Config => {
   const value: unknown = JSON.parse(text);
   const checked = checkConfig(value);
@@ -101,9 +101,9 @@
   return checked.config;
 };
 
-/** Reads the texts of accepted configurations, checking their shape alone. */
+/** Parses the texts of accepted configurations, and checks only their shape. */
 export class ConfigReader {
-  /** The configuration of a text; throws an `InvalidConfigError` where its shape is wrong. */
+  /** Parses a configuration; throws an `InvalidConfigError` where its shape is invalid. */
   read(text: string): Config {
     const value: unknown = JSON.parse(text);
     if (Validated.accepts(configShape, value)) return value;
--- a/src/configuration/validated.ts
+++ b/src/configuration/validated.ts
@@ -1,4 +1,4 @@
-/** Shapes with fast guards: plain code that decides the common case, so that only refused values go through superstruct. */
+/** Superstruct shapes with fast guards: plain code checks each value, and superstruct only explains why a value is refused. */
 import {
   array,
   define,
@@ -12,13 +12,13 @@
   type Struct,
 } from "superstruct";
 
-/** Whether a value is an object of named fields. */
+/** Whether a value is an object other than an array. */
 export const isObject = (value: unknown): value is Record<string, unknown> =>
   typeof value === "object" && value !== null && !Array.isArray(value);
 
 type Guard = (value: unknown) => boolean;
 
-/** A guard that checks each object once: values that were read from outside are never changed afterwards. */
+/** Caches the objects that pass a guard: parsed values are never changed afterwards. */
 const memoized = (guard: Guard): Guard => {
   const passed = new WeakSet();
   return (value) => {
@@ -40,9 +40,9 @@
 const findFieldGuards = <T>({ schema }: Struct<T, Record<string, object>>): Map<string, Guard> =>
   new Map(Object.entries(schema).map(([name, struct]) => [name, findGuard(struct)]));
 
-/** Builders of shapes with a guard each: a value that passes the guard is valid; the shape itself says why another isn't. */
+/** Builders of shapes with guards. A value that passes the guard is valid; the shape reports the faults of other values. */
 export const Validated = {
-  /** A value that a guard decides. */
+  /** A value that is valid if it passes the guard. */
   custom: <T>(type: string, guard: Guard, expected: string): Struct<T, null> =>
     withGuard(
       define<T>(type, (value) => guard(value) || `Expected ${expected}`),
@@ -57,7 +57,7 @@
       expected,
     ),
 
-  /** An integer within limits, inclusive. */
+  /** An integer in an inclusive range. */
   integerBetween: (minValue: number, maxValue: number) =>
     withGuard(
       max(min(integer(), minValue), maxValue),
@@ -72,7 +72,7 @@
   boolean: () =>
     Validated.custom<boolean>("boolean", (value) => typeof value === "boolean", "true or false"),
 
-  /** One of some words. */
+  /** One of the given strings. */
   oneOf: <const T extends readonly [string, ...string[]]>(values: T) =>
     withGuard(enums(values), (value) => values.some((allowed) => allowed === value)),
 
@@ -82,7 +82,7 @@
     return withGuard(optional(struct), (value) => value === undefined || guard(value));
   },
 
-  /** A list that isn't empty. */
+  /** A non-empty array. */
   nonEmptyArray: <T, S>(struct: Struct<T, S>) => {
     const guard = findGuard(struct);
     return withGuard(
@@ -91,7 +91,7 @@
     );
   },
 
-  /** An object, guarded by the guards of its fields. */
+  /** An object with the fields of a shape, and no others. */
   objectOf: <T, S extends Record<string, object>>(struct: Struct<T, S>): Struct<T, S> => {
     const fields = findFieldGuards(struct);
     const required = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
@@ -104,7 +104,7 @@
     );
   },
 
-  /** A record of named items. */
+  /** An object whose keys and values have given shapes. */
   recordOf: <T>(
     name: Struct<string, null>,
     item: Struct<T, unknown>,
--- a/src/control-plane/change-buffer.ts
+++ b/src/control-plane/change-buffer.ts
@@ -1,9 +1,9 @@
-/** A bounded buffer of the last changes of a table, so that updates can be sent in place of the whole table. */
+/** A bounded buffer of a table's recent changes, which lets the leader send updates instead of the whole table. */
 
-/** What a buffered change weighs beside the keys of its items. */
+/** Estimated memory of a buffered change, without the keys of its items. */
 const CHANGE_OVERHEAD_BYTES = 64;
 
-/** How much the changes of a table may weigh by default; beyond that the oldest are dropped. */
+/** Default limit of the buffered changes of a table; the oldest changes beyond it are dropped. */
 export const DEFAULT_MAX_CHANGE_BYTES = 1024 * 1024;
 
 interface Change {
@@ -12,21 +12,21 @@
   readonly sizeBytes: number;
 }
 
-/** The keys of the items that the last changes of a table touched, by the table's sequence. */
+/** The keys of the items that recent changes of a table affected, by the table's sequence after the change. */
 export class ChangeBuffer {
   private changes: Change[] = [];
-  /** The sequence of the table before the oldest buffered change. */
+  /** The table's sequence before the oldest buffered change. */
   private baseSequence: number;
   private sizeBytes = 0;
   private readonly maxBytes: number;
 
-  /** Begins with a table as it is under `sequence`; buffers changes up to `maxBytes`. */
+  /** Buffers the changes after `sequence`, up to `maxBytes`. */
   constructor(sequence: number, maxBytes: number) {
     this.baseSequence = sequence;
     this.maxBytes = maxBytes;
   }
 
-  /** Adds the keys of the items that changed when the table came to `sequence`; drops the oldest changes beyond the limit. */
+  /** Adds the keys of the items that changed when the table reached `sequence`; drops the oldest changes beyond the limit. */
   record(sequence: number, keys: readonly string[]): void {
     const sizeBytes = keys.reduce((sum, key) => sum + key.length, CHANGE_OVERHEAD_BYTES);
     this.changes.push({ sequence, keys, sizeBytes });
@@ -41,7 +41,7 @@
     if (dropped > 0) this.changes = this.changes.slice(dropped);
   }
 
-  /** The keys of the items that may differ from the table under `sequence`; `undefined` where that is no longer known. */
+  /** The keys of the items that changed after `sequence`; `undefined` where the buffer doesn't reach back to it. */
   keysChangedSince(sequence: number): ReadonlySet<string> | undefined {
     const changedKeys = new Set<string>();
     for (let index = this.changes.length - 1; index >= 0; index -= 1) {
--- a/src/control-plane/claim-admission.ts
+++ b/src/control-plane/claim-admission.ts
@@ -4,27 +4,27 @@
 import { failed, OVERLOADED, type CommandResult } from "../control-protocol/command-response.js";
 
 /**
- * For how long the oldest claim in progress may have waited when another one is admitted. The first attempt of a request waits
- * for its claim for a fifth of its route's latency goal, so that claims queued behind an older one would mostly be in vain.
+ * Age of the oldest claim in progress beyond which new claims are refused. The first attempt of a request waits for its claim
+ * for a fifth of its route's latency goal, so most claims queued behind an older one would time out before they commit.
  */
 const MAX_CLAIM_WAIT_MS = 150;
 
 /**
- * Decides which idempotency claims a leader admits. Claims are most of what it commits, so where it falls behind, they are
- * refused at once: leases, deregistrations and operators' commands are then still processed in time.
+ * Decides which idempotency claims a leader admits. Claims are most of the leader's commits. A leader that falls behind
+ * refuses new claims at once, so that it still processes leases, deregistrations and operators' commands in time.
  */
 export class ClaimAdmission {
   private readonly clock: Clock;
-  /** The claims in progress with the time of their admission, the oldest first. */
+  /** The claims in progress with their admission times, oldest first. */
   private readonly inProgress = new Set<{ readonly admittedMs: number }>();
-  /** How many claims were refused. */
+  /** The number of refused claims. */
   refused = 0;
 
   constructor(clock: Clock) {
     this.clock = clock;
   }
 
-  /** Runs the proposal of a claim, or refuses it without running it. */
+  /** Runs the proposal of a claim, or refuses the claim without proposing it. */
   *admit(proposal: Task<CommandResult>): Task<CommandResult> {
     if (this.oldestWaitMs > MAX_CLAIM_WAIT_MS) {
       this.refused += 1;
--- a/src/control-plane/claim-service.ts
+++ b/src/control-plane/claim-service.ts
@@ -9,24 +9,24 @@
 import { ClaimAdmission } from "./claim-admission.js";
 import type { LeaderLog } from "./leader-log.js";
 
-/** A claim as this member saw it applied. */
+/** The age of a claim, counted from the time at which this member applied it. */
 interface ClaimAge {
   readonly scope: string;
-  /** The index of the log entry that made the claim. */
+  /** The index of the log entry that created the claim. */
   readonly index: number;
   readonly appliedMs: number;
 }
 
-/** What the claim service needs. */
+/** The dependencies and settings of the claim service. */
 export interface ClaimServiceOptions {
   readonly clock: Clock;
   readonly log: LeaderLog;
   readonly stateMachine: StateMachine;
-  /** How long a claim is retained, in milliseconds. */
+  /** Retention time of a claim, in milliseconds. */
   readonly claimTtlMs: number;
 }
 
-/** Takes and releases idempotency claims, and expires old ones. */
+/** Grants and releases idempotency claims, and expires old ones. */
 export class ClaimService {
   private readonly clock: Clock;
   private readonly log: LeaderLog;
@@ -43,7 +43,7 @@
     this.admission = new ClaimAdmission(clock);
   }
 
-  /** Claims an idempotency key for a request, unless another request has it or the table is full. */
+  /** Claims an idempotency key for a request, unless another request holds it or the table is full. */
   *claim(command: Extract<Command, { kind: "claim" }>): Task<CommandResult> {
     const { claims } = this.stateMachine;
     const current = claims.get(command.scope);
@@ -59,7 +59,7 @@
     return yield* this.log.propose(command);
   }
 
-  /** Follows the claims that are made and expired in the replicated log. */
+  /** Tracks the claims that log commands create and remove. */
   onApplied(command: LogCommand, index: number): void {
     if (command.kind === "claim")
       this.claimAges.push({ scope: command.scope, index, appliedMs: this.clock.nowMs() });
@@ -67,7 +67,7 @@
       this.claimAges = this.claimAges.filter((age) => age.index > command.upTo);
   }
 
-  /** Begins a term: the age of every claim counts from now. */
+  /** Starts a term: the age of every claim counts from now. */
   startTerm(nowMs: number): void {
     this.claimAges = [...this.stateMachine.claims].map(([scope, { atIndex }]) => ({
       scope,
@@ -76,7 +76,7 @@
     }));
   }
 
-  /** Proposes to remove the claims that are past their time. */
+  /** Proposes to remove the claims that are older than their retention time. */
   expireClaims(nowMs: number): void {
     const expired = this.claimAges.filter(({ appliedMs }) => nowMs - appliedMs > this.claimTtlMs);
     if (expired.length === 0) return;
--- a/src/control-plane/cluster-status.ts
+++ b/src/control-plane/cluster-status.ts
@@ -4,7 +4,7 @@
 import type { EndpointRegistry } from "./endpoint-registry.js";
 import type { LeaderReplica } from "./leader-log.js";
 
-/** The sources of the status, and the time to which ages are measured. */
+/** The sources of the status, and the current time, from which ages are computed. */
 export interface ClusterStatusSources {
   readonly replica: Pick<LeaderReplica, "self" | "currentMembers">;
   readonly stateMachine: StateMachine;
@@ -13,7 +13,7 @@
   readonly nowMs: number;
 }
 
-/** The body of the response to a `fleet` command; its field names travel. */
+/** The body of the response to a `fleet` command; its field names are part of the protocol. */
 export const clusterStatus = ({
   replica,
   stateMachine,
--- a/src/control-plane/command-metrics.ts
+++ b/src/control-plane/command-metrics.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/logger.js";
 
-/** The interval between two log lines. */
+/** Interval between two log lines. */
 const REPORT_INTERVAL_MS = 5000;
 
 interface KindMetrics {
@@ -11,7 +11,7 @@
   readonly maxMs: number;
 }
 
-/** Counts the commands that a leader processes, by kind, with the time of each until its response; logs them periodically. */
+/** Counts the commands that a leader processes, by kind, with the durations until their responses; logs them periodically. */
 export class CommandMetrics {
   private readonly clock: Clock;
   private readonly log: Logger;
@@ -24,7 +24,7 @@
     this.periodStartMs = clock.nowMs();
   }
 
-  /** Takes in a command that began at `startedMs` of the clock and is responded to now. */
+  /** Records a command that started at `startedMs` of the clock and completes now. */
   record(kind: string, startedMs: number): void {
     const nowMs = this.clock.nowMs();
     const durationMs = nowMs - startedMs;
--- a/src/control-plane/command-router.ts
+++ b/src/control-plane/command-router.ts
@@ -22,7 +22,7 @@
   readonly clusterStatus: () => CommandResult;
 }
 
-/** Decodes commands, hands each to the service that is responsible for it, and encodes the results. */
+/** Decodes commands, dispatches each to the responsible service, and encodes the results. */
 export class CommandRouter {
   private readonly options: CommandRouterOptions;
 
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -1,4 +1,4 @@
-/** The updates of the configuration that leased views contain. */
+/** The configuration updates in leased views. */
 import type { StateMachine } from "../state/state-machine.js";
 import { TextCompression } from "../runtime/text-compression.js";
 import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
@@ -12,13 +12,13 @@
 import { ChangeBuffer, DEFAULT_MAX_CHANGE_BYTES } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-/** The prefix of the key of a removed item among the keys of changed items. */
+/** Marks the keys of removed items among the keys of changed items. */
 const REMOVED_PREFIX = "-";
 
-/** The key of the part with the whole configuration. */
+/** The key of the view part that contains the complete configuration. */
 const COMPLETE = -1;
 
-/** An item that was observed, with its hash. */
+/** A configuration item as last observed, with its hash. */
 interface ObservedItem {
   readonly value: ConfigItem["value"];
   readonly hash: bigint;
@@ -26,7 +26,10 @@
 
 const NO_ITEMS: NumberedConfig = { config: EMPTY_CONFIG, ids: new Map() };
 
-/** Whether the order of routes is the one that a daemon has after it removed some of the former ones and added others at the end. */
+/**
+ * Whether a daemon that removes the `removed` items and appends the new routes gets the routes in their new order. Otherwise
+ * it needs the complete configuration, since the first of several matching routes is used.
+ */
 const isOrderPreserved = (
   previous: Config["routes"],
   next: Config["routes"],
@@ -44,11 +47,11 @@
     .every((name) => !Object.hasOwn(previous, name) || isAddedAgain(name, removed));
 };
 
-/** Whether a route was removed and added again, so that it stands at the end. */
+/** Whether a route was removed and added again, which moves it to the end. */
 const isAddedAgain = (name: string, removed: ReadonlySet<string>): boolean =>
   removed.has(ConfigItems.key("routes", name));
 
-/** What views contain of the active configuration: the items that changed since the sequence that a daemon has, or all. */
+/** Builds the configuration part of views: the items that changed since a daemon's sequence, or the complete configuration. */
 export class ConfigChangeLog {
   private readonly stateMachine: StateMachine;
   private readonly readActive: () => Config;
@@ -57,12 +60,12 @@
   private items = new Map<string, ObservedItem>();
   private setDigest = new SetDigest();
   private changes = new ChangeBuffer(0, DEFAULT_MAX_CHANGE_BYTES);
-  /** The parts of views under the present sequence, by the sequence that the daemon has; the whole configuration under `WHOLE`. */
+  /** The view parts of the current sequence by the daemon's sequence; `COMPLETE` is the key of the complete configuration. */
   private readonly viewParts = new Map<number, string>();
   private serviceNames: string[] = [];
   private digest = "";
 
-  /** Follows the active configuration, which `readActive` returns parsed. */
+  /** Tracks the active configuration, which `readActive` returns parsed. */
   constructor(stateMachine: StateMachine, readActive: () => Config) {
     this.stateMachine = stateMachine;
     this.readActive = readActive;
@@ -74,7 +77,7 @@
     return this.serviceNames;
   }
 
-  /** Forgets all observations, at the begin of a term: the next one takes the active configuration as the first. */
+  /** Clears all state at the start of a term: the next observation counts as the first one. */
   reset(): void {
     this.current = NO_ITEMS;
     this.currentSequence = 0;
@@ -84,7 +87,7 @@
     this.viewParts.clear();
   }
 
-  /** The part of a view that updates a daemon from the sequence that it has to the active one. */
+  /** The part of a view that updates a daemon from its sequence to the active one. */
   viewPart(fromSequence: number): string {
     this.observe();
     const cached = this.viewParts.get(fromSequence);
@@ -147,7 +150,7 @@
     return part;
   }
 
-  /** Compares the active configuration with the one of the last observation; what differs has changed since. */
+  /** Compares the active configuration with the last observed one, and records the differences as changes. */
   private observe(): void {
     const sequence = this.stateMachine.activeConfig?.sequence ?? 0;
     if (sequence === this.currentSequence) return;
@@ -172,7 +175,7 @@
     else this.changes.record(sequence, changedKeys);
   }
 
-  /** Takes over all items; returns the keys of those that changed or were removed. */
+  /** Replaces the observed items; returns the keys of those that changed or were removed. */
   private updateItems(next: NumberedConfig): string[] {
     const changedKeys: string[] = [];
     const currentItems = new Map<string, ObservedItem>();
--- a/src/control-plane/config-service.ts
+++ b/src/control-plane/config-service.ts
@@ -1,4 +1,4 @@
-/** Configuration changes at the leader, one after another, and reading accepted configurations back. */
+/** Configuration changes at the leader, processed one at a time, and reads of accepted configurations. */
 import { number, object, union } from "superstruct";
 import { applyItemChanges, mergePatch } from "../configuration/config-changes.js";
 import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
@@ -20,7 +20,7 @@
 import { NO_LEASE, type LeaderLog, type LeaderReplica } from "./leader-log.js";
 import { IdQuarantine } from "./resting-ids.js";
 
-/** How often a change without a base is applied anew where another change was accepted meanwhile. */
+/** Maximum attempts of a change without a base, which is applied again where another change was accepted meanwhile. */
 const MAX_ATTEMPTS = 5;
 
 /** The outcome of the log entry of a configuration. */
@@ -31,18 +31,18 @@
   readonly onResult: (result: CommandResult) => void;
 }
 
-/** What the configuration service needs. */
+/** The dependencies and settings of the configuration service. */
 export interface ConfigServiceOptions {
   readonly runtime: Runtime;
   readonly log: LeaderLog;
   readonly replica: Pick<LeaderReplica, "readConfig">;
   readonly stateMachine: StateMachine;
   readonly steps: StepTimer;
-  /** How long an id rests before another name may take it, in milliseconds. */
+  /** Time for which an unused id is quarantined before another name may get it, in milliseconds. */
   readonly idQuarantineMs: number;
 }
 
-/** Checks, versions and proposes configurations, and reads accepted ones back. */
+/** Checks, versions and proposes configurations, and reads accepted ones. */
 export class ConfigService {
   private readonly runtime: Runtime;
   private readonly log: LeaderLog;
@@ -51,9 +51,9 @@
   private readonly idQuarantine: IdQuarantine;
   private readonly versions: ConfigVersionLookup;
   private readonly pending = new Queue<PendingChange>();
-  /** The configuration that was parsed last, with its text. */
+  /** The last parsed configuration, with its text. */
   private parsed: { text: string; value: Config } = { text: "", value: EMPTY_CONFIG };
-  /** The text of the configuration that was read back last, as it travels. */
+  /** The encoded text of the last configuration that was read. */
   private encoded: { sequence: number; text: CompressedText } = { sequence: -1, text: {} };
 
   constructor({
@@ -72,7 +72,7 @@
     this.versions = new ConfigVersionLookup(stateMachine, replica);
   }
 
-  /** The active configuration, parsed once for each change. */
+  /** The active configuration, parsed once per change. */
   get active(): Config {
     const text = this.stateMachine.activeConfig?.text;
     if (text === undefined) return EMPTY_CONFIG;
@@ -80,12 +80,12 @@
     return this.parsed.value;
   }
 
-  /** Begins a term. */
+  /** Starts a term. */
   startTerm(): void {
     this.idQuarantine.startTerm();
   }
 
-  /** Processes queued changes, one after another, for ever. */
+  /** Processes queued changes one at a time; never returns. */
   *run(): Task {
     for (;;) {
       const { command, onResult } = yield* this.pending.take();
@@ -98,7 +98,7 @@
     return yield* waitFor<CommandResult>((onResult) => this.pending.put({ command, onResult }));
   }
 
-  /** Reads an accepted configuration back: the one of a version, or the active one. */
+  /** Reads an accepted configuration: that of a version, or the active one. */
   *read(version: number | undefined): Task<CommandResult> {
     if (!this.log.holdsLease) return NO_LEASE;
     const { activeConfig, version: activeVersion } = this.stateMachine;
@@ -143,7 +143,7 @@
     return failed("notLeader");
   }
 
-  /** The result of a change that was accepted before or can't be accepted; `undefined` where it must be tried. */
+  /** The result of a change that was accepted before or can't be accepted; `undefined` where the change must be proposed. */
   private resultWithoutProposal({
     changeId,
     base,
@@ -162,7 +162,7 @@
     return completed({ faults: [{ path: "version", expected }] });
   }
 
-  /** Proposes a change upon the active configuration; a conflict is a change without a base that another one overtook. */
+  /** Proposes a change of the active configuration; `conflict` where another change preceded one that has no base. */
   private *proposeChange(command: ConfigCommand): Task<CommandResult | "conflict"> {
     const { activeConfig } = this.stateMachine;
     const changedConfig = this.steps.run("applyChange", () => this.computeChangedConfig(command));
@@ -197,12 +197,12 @@
     return command.base === undefined ? "conflict" : result;
   }
 
-  /** Lets heartbeats and other waiting work run between the steps of a change, each of which may take long. */
+  /** Lets heartbeats and other pending work run between the steps of a change, each of which may take long. */
   private *yieldToEventLoop(): Task {
     yield* sleep(this.runtime.clock, 0);
   }
 
-  /** The configuration that a command makes of the active one. */
+  /** The configuration that results from applying a command to the active one. */
   private computeChangedConfig(command: ConfigCommand): unknown {
     if (command.kind === "put") return command.value;
     const current = this.active;
@@ -211,7 +211,7 @@
       : applyItemChanges(current, command.put, command.remove);
   }
 
-  /** How a configuration changes the names that have ids; a name for which no id was left before is tried again. */
+  /** The names that a configuration adds and removes. A name that got no id, since none was free, counts as added again. */
   private nameChanges({ services, routes }: Config): NameChanges {
     const { activeIds } = this.stateMachine.idAllocator;
     const names = new Set([
@@ -234,7 +234,7 @@
     };
   }
 
-  /** The text of a configuration as it travels, compressed once for all readers where it is long. */
+  /** The encoded text of a configuration; a long text is compressed once for all readers. */
   private encodedText({ sequence, text }: AcceptedConfig): CompressedText {
     if (this.encoded.sequence !== sequence)
       this.encoded = { sequence, text: encodeCompressedText(text) };
--- a/src/control-plane/config-version-lookup.ts
+++ b/src/control-plane/config-version-lookup.ts
@@ -1,4 +1,4 @@
-/** Finds accepted configurations by their version, where the history is read by sequence. */
+/** Finds accepted configurations by version; the history is indexed by sequence. */
 import type { LeaderReplica } from "./leader-log.js";
 import { versionOf, type AcceptedConfig } from "../state/accepted-config.js";
 import type { StateMachine } from "../state/state-machine.js";
@@ -9,9 +9,9 @@
   | { readonly kind: "found"; readonly config: AcceptedConfig }
   /** No configuration was accepted under this version. */
   | { readonly kind: "missing" }
-  /** It may have been accepted, and was removed since for lack of disk space. */
+  /** It may have been accepted and removed since, to free disk space. */
   | { readonly kind: "removed" }
-  /** No member that was reached has it, and not all were reached. */
+  /** No reachable member has it, and some members were unreachable. */
   | { readonly kind: "unknown" };
 
 type RecentConfig = StateMachine["recentConfigs"][number];
@@ -26,7 +26,7 @@
     this.replica = replica;
   }
 
-  /** The configuration of a version below the active one's; `newestSequence` is the active one's sequence. */
+  /** Finds a version below the active one; `newestSequence` is the sequence of the active configuration. */
   *find(version: number, newestSequence: number): Task<ConfigLookup> {
     const recent = this.findRecentFrom(version);
     if (!recent) return yield* this.search(version, newestSequence);
@@ -35,7 +35,7 @@
     return read;
   }
 
-  /** The first recent configuration of the version or above; `undefined` where an older one may be of the version. */
+  /** The first recent configuration with this version or a higher one; `undefined` where an older one may have the version. */
   private findRecentFrom(version: number): RecentConfig | undefined {
     const { recentConfigs: recent } = this.stateMachine;
     const index = recent.findIndex((config) => versionOf(config) >= version);
@@ -43,7 +43,7 @@
     return found && (index > 0 || versionOf(found) === version) ? found : undefined;
   }
 
-  /** Searches the older configurations by bisection: versions rise with the sequences. */
+  /** Searches the older configurations by bisection, since versions increase with sequences. */
   private *search(version: number, newestSequence: number): Task<ConfigLookup> {
     let low = 1;
     let high = Math.min(version, this.stateMachine.recentConfigs[0]?.sequence ?? newestSequence);
--- a/src/control-plane/control-plane-timeouts.ts
+++ b/src/control-plane/control-plane-timeouts.ts
@@ -1,26 +1,26 @@
-/** The periods and timeouts of the control plane; settings derive them in src/daemon/bounds.ts. */
+/** The intervals and timeouts of the control plane, which src/daemon/bounds.ts derives from the settings. */
 
-/** The periods and timeouts by which the leader maintains leases, registrations and idempotency claims, in milliseconds. */
+/** The intervals and timeouts of leases, registrations and idempotency claims at the leader, in milliseconds. */
 export interface ControlPlaneTimeouts {
-  /** How long a view's lease is valid. */
+  /** Duration of a view's lease. */
   leaseMs: number;
-  /** The interval between two heartbeats of a backend. */
+  /** Interval between two heartbeats of a backend. */
   heartbeatMs: number;
-  /** The time without a heartbeat after which a registration ends. */
+  /** Time without a heartbeat after which a registration ends. */
   expiryMs: number;
-  /** How long a registration without an instance stays ended after its backend left, whatever heartbeats arrive late. */
+  /** Time after a deregistration without an instance during which heartbeats, which may be delayed, don't revive it. */
   holdDownMs: number;
-  /** How long the registration of a backend that left is retained. */
+  /** Retention time of the registration of a backend that left. */
   purgeMs: number;
-  /** How long an idempotency claim is retained. */
+  /** Retention time of an idempotency claim. */
   keyMs: number;
-  /** The time without a watch request after which a daemon counts as unresponsive. */
+  /** Time without a watch request after which a daemon counts as unresponsive. */
   unresponsiveAfterMs: number;
-  /** How long an id rests before another name may take it: three windows of the sketches that count by it. */
+  /** Quarantine of an unused id before another name may get it: three windows of the sketches that count by it. */
   idQuarantineMs: number;
-  /** How long a watch request is buffered at most while there is no update for it; well below the lease. */
+  /** Maximum time for which a watch request without an update is buffered; well below the lease. */
   maxWatchWaitMs: number;
-  /** How long the tombstone of an instance is retained at least. */
+  /** Minimum retention time of the tombstone of an instance. */
   tombstoneMs: number;
 }
 
--- a/src/control-plane/control-plane.ts
+++ b/src/control-plane/control-plane.ts
@@ -1,4 +1,4 @@
-/** Puts the leader's services together: they share the replicated state, and follow its changes and those of the leadership. */
+/** Wires the leader's services, which share the replicated state and react to its changes and to leadership changes. */
 import { sleep } from "../runtime/clock.js";
 import type { Runtime } from "../runtime/runtime.js";
 import { StepTimer } from "../runtime/step-timer.js";
@@ -21,10 +21,10 @@
 import { QuotaService } from "./quota-service.js";
 import type { RetryCapacityAllocator } from "./retry-capacity-allocator.js";
 
-/** The interval between two rounds of maintenance. */
+/** Interval between two rounds of maintenance. */
 const MAINTENANCE_INTERVAL_MS = 500;
 
-/** What only the leader does: processes commands, maintains registrations and claims, and gives daemons their leased views. */
+/** The leader's part of the cluster: processes commands, maintains registrations and claims, and sends daemons leased views. */
 export class ControlPlane {
   private readonly runtime: Runtime;
   private readonly log: LeaderLog;
@@ -96,12 +96,12 @@
     return yield* this.leases.watch(text);
   }
 
-  /** Processes configuration changes, one after another, for ever. */
+  /** Processes configuration changes one at a time; never returns. */
   *runConfigChanges(): Task {
     yield* this.configs.run();
   }
 
-  /** Ends what has expired and marks daemons that are unresponsive, in intervals, for ever. */
+  /** Periodically expires registrations, tombstones and claims, and marks unresponsive daemons; never returns. */
   *runMaintenance(): Task {
     for (;;) {
       yield* sleep(this.runtime.clock, MAINTENANCE_INTERVAL_MS);
--- a/src/control-plane/daemon-registry.ts
+++ b/src/control-plane/daemon-registry.ts
@@ -1,4 +1,4 @@
-/** The daemons of the cluster as the leader observes them by their watch requests. */
+/** The daemons of the cluster, which the leader tracks by their watch requests. */
 import type { ControlPlanePeers } from "../control-protocol/leased-view.js";
 import type { DaemonInfo } from "../control-protocol/watch-request.js";
 import { computeEdgePlacements, type EdgePlacement } from "../control-protocol/edge-placement.js";
@@ -9,28 +9,28 @@
 /** A daemon with the time of its last watch request. */
 export interface ObservedDaemon {
   readonly info: DaemonInfo;
-  /** By the leader's clock. */
+  /** Time of the last watch request, by the leader's clock. */
   readonly lastSeenMs: number;
   readonly isUnresponsive: boolean;
 }
 
-/** What the daemon registry needs. */
+/** The dependencies and settings of the daemon registry. */
 export interface DaemonRegistryOptions {
   readonly log: LeaderLog;
   readonly replica: Pick<LeaderReplica, "self" | "currentMembers">;
   readonly logger: Logger;
-  /** The time without a watch request after which a daemon counts as unresponsive, in milliseconds. */
+  /** Time without a watch request after which a daemon counts as unresponsive, in milliseconds. */
   readonly unresponsiveAfterMs: number;
 }
 
-/** Knows when each daemon was last seen, and from that the control plane's peers and the placement of edges. */
+/** Tracks each daemon's last watch request, from which it derives the control plane's peers and the placement of edges. */
 export class DaemonRegistry {
   private readonly log: LeaderLog;
   private readonly replica: DaemonRegistryOptions["replica"];
   private readonly logger: Logger;
   private readonly unresponsiveMs: number;
   private readonly observedDaemons = new Map<string, ObservedDaemon>();
-  /** The placements of all edges, until an edge appears or disappears. */
+  /** The cached placements of all edges; cleared when an edge appears or becomes unresponsive. */
   private placements: ReadonlyMap<string, EdgePlacement> | undefined;
 
   constructor({
@@ -45,18 +45,18 @@
     this.unresponsiveMs = unresponsiveMs;
   }
 
-  /** All daemons that were seen in this term. */
+  /** All daemons that sent a watch request in this term. */
   get all(): readonly ObservedDaemon[] {
     return [...this.observedDaemons.values()];
   }
 
-  /** Begins a term: no daemon has been seen. */
+  /** Starts a term without any daemons. */
   startTerm(): void {
     this.placements = undefined;
     this.observedDaemons.clear();
   }
 
-  /** Takes in that a daemon sent a watch request. */
+  /** Records the watch request of a daemon. */
   recordWatchRequest(info: DaemonInfo, nowMs: number): void {
     const previous = this.observedDaemons.get(info.name);
     const hasAppeared = !previous || previous.isUnresponsive;
@@ -66,7 +66,7 @@
     this.observedDaemons.set(info.name, { info, lastSeenMs: nowMs, isUnresponsive: false });
   }
 
-  /** Marks the daemons that sent no watch request for long, and notes them in the replicated journal. */
+  /** Marks the daemons that sent no watch request in time, and adds them to the replicated journal. */
   markUnresponsive(nowMs: number): void {
     for (const [name, daemon] of this.observedDaemons) {
       if (daemon.isUnresponsive || nowMs - daemon.lastSeenMs < this.unresponsiveMs) continue;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** The collectors and members that daemons reach, as observed and agreed now. */
+  /** The responsive collectors and the current members of the replicated log, with their digest. */
   peers(): ControlPlanePeers {
     const collectors = this.responsive
       .filter(({ roles }) => roles.includes("collector"))
@@ -93,7 +93,7 @@
     return { digest, collectors, recorders, operators };
   }
 
-  /** The placement of an edge among all that are responsive. */
+  /** The placement of an edge among all responsive edges. */
   findPlacement(name: string): EdgePlacement | undefined {
     this.placements ??= computeEdgePlacements(this.responsive);
     return this.placements.get(name);
@@ -103,7 +103,7 @@
     return this.all.filter(({ isUnresponsive }) => !isUnresponsive).map(({ info }) => info);
   }
 
-  /** Where followers serve operators; the leader is spared that load. */
+  /** The admin addresses of followers; the leader's isn't listed, to spare it that load. */
   private followerAdminAddresses(members: ReadonlySet<string>): string[] {
     return this.responsive
       .filter(({ draining, peer }) => !draining && members.has(peer))
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -1,4 +1,4 @@
-/** The updates of the endpoints that leased views contain. */
+/** The endpoint updates in leased views. */
 import type { StateMachine } from "../state/state-machine.js";
 import type { Registration } from "../state/registration.js";
 import { TextCompression } from "../runtime/text-compression.js";
@@ -7,12 +7,12 @@
 import { ChangeBuffer, DEFAULT_MAX_CHANGE_BYTES } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-/** The key of the part with all registrations: the sequence of a daemon that has none yet. */
+/** The key of the view part that contains all registrations: the sequence of a daemon without any. */
 const COMPLETE = -1;
 
 /**
- * What views contain of the registrations: those that changed since the sequence that a daemon has, or all of them. It follows
- * the state machine on every member of the replicated log, so that a new leader knows the same changes as the former one.
+ * Builds the endpoint part of views: the registrations that changed since a daemon's sequence, or all of them. It tracks the
+ * state machine on every member of the replicated log, so that a new leader has the same changes as the previous one.
  */
 export class EndpointChangeLog {
   private readonly stateMachine: StateMachine;
@@ -22,7 +22,7 @@
   private readonly hashes = new Map<string, bigint>();
   private readonly byNumber = new Map<number, Registration>();
   private readonly setDigest = new SetDigest();
-  /** The parts of views under the present sequence, by the sequence that the daemon has; the whole table under `WHOLE`. */
+  /** The view parts of the current sequence by the daemon's sequence; `COMPLETE` is the key of the complete table. */
   private readonly viewParts = new Map<number, string>();
 
   constructor(stateMachine: StateMachine) {
@@ -33,25 +33,25 @@
     stateMachine.onApplied(() => this.observe());
   }
 
-  /** The newest sequence of the registrations. */
+  /** The current sequence of the registrations. */
   get sequence(): number {
     this.observe();
     return this.observedSequence;
   }
 
-  /** The digest that a daemon's replica must have under this sequence. */
+  /** The digest that a daemon's replica must have at this sequence. */
   get digest(): string {
     this.observe();
     return this.setDigest.hex;
   }
 
-  /** The registration under a number. */
+  /** The registration with a number. */
   findRegistration(number: number): Registration | undefined {
     this.observe();
     return this.byNumber.get(number);
   }
 
-  /** The part of a view that updates a daemon from the sequence that it has to the newest one. */
+  /** The part of a view that updates a daemon from its sequence to the current one. */
   viewPart(fromSequence: number): string {
     this.observe();
     const cached = this.viewParts.get(fromSequence);
@@ -88,7 +88,7 @@
     return part;
   }
 
-  /** Compares the registrations with those of the last observation; what differs has changed since. */
+  /** Compares the registrations with the last observed ones, and records the differences as changes. */
   private observe(): void {
     const { registrations, endpointSequence } = this.stateMachine;
     if (registrations === this.registrations && endpointSequence === this.observedSequence) return;
--- a/src/control-plane/endpoint-registry.ts
+++ b/src/control-plane/endpoint-registry.ts
@@ -20,7 +20,7 @@
   gone: optional(literal(true)),
 });
 
-/** What the leader responds to a heartbeat, in the words of the protocol. */
+/** The protocol's states in the leader's response to a heartbeat. */
 type HeartbeatState = "known" | "taken" | "leaving" | "drained" | "gone" | "overtaken" | "behind";
 
 interface HeartbeatStatus {
@@ -31,7 +31,7 @@
 
 type AnnounceCommand = Extract<Command, { kind: "announce" }>;
 
-/** A heartbeat with the defaults of the fields that a backend may leave out. */
+/** A heartbeat whose optional fields have their defaults. */
 type Heartbeat = Omit<AnnounceCommand, "instance" | "capacity" | "warmMs"> & {
   readonly instance: string;
   readonly capacity: number;
@@ -51,7 +51,7 @@
 ): registration is Registration =>
   registration?.service === service && registration.instance === instance;
 
-/** What the endpoint registry needs. */
+/** The dependencies and timeouts of the endpoint registry. */
 export interface EndpointRegistryOptions {
   readonly clock: Clock;
   readonly log: LeaderLog;
@@ -63,7 +63,7 @@
   >;
 }
 
-/** Registers backends by their heartbeats and ends, purges and forgets registrations by their timeouts. */
+/** Registers backends by their heartbeats, and ends and purges registrations by their timeouts. */
 export class EndpointRegistry {
   private readonly clock: Clock;
   private readonly log: LeaderLog;
@@ -72,7 +72,7 @@
   private readonly timeouts: EndpointRegistryOptions["timeouts"];
   private readonly heartbeats = new HeartbeatTable();
   private readonly tombstoneAges: TombstoneAges;
-  /** The numbers of registrations whose end is proposed since a connection was refused. */
+  /** The numbers of registrations whose end was proposed because of a refused connection. */
   private readonly pendingEnds = new Set<number>();
 
   constructor({ clock, log, stateMachine, endpointChanges, timeouts }: EndpointRegistryOptions) {
@@ -84,14 +84,14 @@
     this.tombstoneAges = new TombstoneAges(stateMachine);
   }
 
-  /** Begins a term: nothing has been observed of any backend. */
+  /** Starts a term without any observed heartbeats. */
   startTerm(nowMs: number): void {
     this.pendingEnds.clear();
     this.heartbeats.clear();
     this.tombstoneAges.startTerm(nowMs);
   }
 
-  /** Follows the tombstones in the replicated log. */
+  /** Tracks the tombstones that log commands create and remove. */
   onApplied(command: LogCommand): void {
     if (command.kind === "leave" || command.kind === "contract")
       this.tombstoneAges.observe(() => this.clock.nowMs());
@@ -148,7 +148,7 @@
     return yield* this.deregisterAddress(registration.address, registration.service, true);
   }
 
-  /** Takes from a watch request which backends sent heartbeats to its daemon, and which refused connections. */
+  /** Records the backends that a watch request reports: those that sent heartbeats to its daemon or refused connections. */
   observeWatchRequest({ machine, heard = [], refused }: WatchRequest, nowMs: number): void {
     for (const { number, order } of heard) {
       const registration = this.endpointChanges.findRegistration(number);
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Ends registrations without heartbeats and purges those of backends that left long ago. */
+  /** Ends registrations without heartbeats, and purges those of backends that left more than `purgeMs` ago. */
   expireRegistrations(nowMs: number): void {
     for (const registration of this.stateMachine.registrations.values()) {
       const { address, number, leaving } = registration;
@@ -189,7 +189,7 @@
     }
   }
 
-  /** Proposes to remove old tombstones, and drops the heartbeat sequences that aren't needed any more. */
+  /** Proposes to remove old tombstones, and drops the heartbeat sequences of unregistered instances. */
   expireTombstones(nowMs: number): void {
     const instances = this.tombstoneAges.expired(nowMs, this.timeouts.tombstoneMs);
     if (instances.length > 0) this.log.submit({ kind: "forgetGone", instances });
@@ -208,7 +208,7 @@
     });
   }
 
-  /** The response to a heartbeat that changes nothing in the replicated state; `undefined` where the backend must be registered. */
+  /** The response to a heartbeat that doesn't change the replicated state; `undefined` where the backend must be registered. */
   private statusWithoutProposal(
     heartbeat: Heartbeat,
     current: Registration | undefined,
@@ -225,13 +225,13 @@
     const leftMs = this.leftMs(heartbeat.address, current, nowMs);
     const renewed = isSame ? this.renew(current, heartbeat, { leftMs, nowMs }) : undefined;
     if (renewed) return renewed;
-    // A backend that counts its heartbeats gets no acknowledgment: another daemon may know a newer directory and register it.
+    // A backend that numbers its heartbeats gets no acknowledgment: another daemon may have newer registrations and register it.
     if (current && seen < Math.max(current.number, current.leftAt))
       return { number: current.number, state: order === undefined ? "overtaken" : "behind" };
     return undefined;
   }
 
-  /** Renews the registration that a heartbeat is of; `undefined` where the registration must change. */
+  /** Renews the registration of a heartbeat's backend; `undefined` where the registration must change. */
   private renew(
     registration: Registration,
     heartbeat: Heartbeat,
@@ -248,7 +248,7 @@
     return !leaving && isUnchanged ? { number, state: "known" } : undefined;
   }
 
-  /** When the backend at an address left; a new leader doesn't know, so that it may have been just now. */
+  /** The time at which the backend at an address left. A new leader doesn't know it, and assumes the current time. */
   private leftMs(address: string, current: Registration | undefined, nowMs: number): number {
     const times = this.heartbeats.findTimes(address);
     if (times) return times.leftMs;
--- a/src/control-plane/leader-log.ts
+++ b/src/control-plane/leader-log.ts
@@ -1,4 +1,4 @@
-/** The leader's access to the replicated log: the lease that lets it respond, and proposals with typed results. */
+/** The leader's access to the replicated log: the leader lease, which permits responses, and proposals with typed results. */
 import {
   completed,
   failed,
@@ -10,10 +10,10 @@
 import type { Task } from "../runtime/task.js";
 import { type LogCommand, encodeLogCommand } from "../state/log-command.js";
 
-/** The result where this member doesn't hold the leader's lease, so that it must not respond. */
+/** The result of a member that doesn't hold the leader lease and so must not respond from its state. */
 export const NO_LEASE: FailedCommand = failed("noGrant");
 
-/** What the control plane uses of the member of the replicated log. */
+/** The part of a replication node that the control plane uses. */
 export type LeaderReplica = Pick<
   ReplicationNode,
   | "self"
@@ -27,7 +27,7 @@
   | "onLeadershipChange"
 >;
 
-/** Proposes commands to the replicated log and guards reads by the leader's lease. */
+/** Proposes commands to the replicated log, and guards reads by the leader lease. */
 export class LeaderLog {
   private readonly runtime: Runtime;
   private readonly replica: LeaderReplica;
@@ -37,12 +37,12 @@
     this.replica = replica;
   }
 
-  /** Whether this member leads and may respond from its state. */
+  /** Whether this member leads and holds the lease, so that it may respond from its state. */
   get holdsLease(): boolean {
     return this.replica.holdsLease;
   }
 
-  /** The response with the body that `read` makes, if this member may respond. */
+  /** The response with the body that `read` returns, if this member holds the lease. */
   respond(read: () => unknown): CommandResult {
     return this.holdsLease ? completed(read()) : NO_LEASE;
   }
@@ -55,7 +55,7 @@
       : failed(proposed.kind);
   }
 
-  /** Proposes a command in a task of its own; `onResult` receives the result. */
+  /** Proposes a command in a separate task; `onResult` receives the result. */
   submit(command: LogCommand, onResult: (result: CommandResult) => void = () => undefined): void {
     startTask(this.runtime, "control-plane", this.propose(command), onResult);
   }
--- a/src/control-plane/lease-manager.ts
+++ b/src/control-plane/lease-manager.ts
@@ -1,4 +1,4 @@
-/** Responds to watch requests with leased views: what changed of the configuration, the endpoints and the cluster. */
+/** Responds to watch requests with leased views: the changes of the configuration, the endpoints and the cluster. */
 import { COMPRESSION_THRESHOLD_CHARS } from "../control-protocol/compressed-text.js";
 import { type WatchRequest, readWatchRequest } from "../control-protocol/watch-request.js";
 import type { LeasedView } from "../control-protocol/leased-view.js";
@@ -27,10 +27,10 @@
   "purge",
 ]);
 
-/** The response to a watch request whose large view was sent just before. */
+/** The response to a watch request whose large view is still in transit. */
 const VIEW_IN_TRANSIT = JSON.stringify({ granted: false, why: "the view is under way" });
 
-/** What the lease manager needs. */
+/** The dependencies and timeouts of the lease manager. */
 export interface LeaseManagerOptions {
   readonly runtime: Runtime;
   readonly log: LeaderLog;
@@ -44,7 +44,7 @@
   readonly timeouts: Pick<ControlPlaneTimeouts, "leaseMs" | "heartbeatMs" | "maxWatchWaitMs">;
 }
 
-/** Gives daemons their views under a lease, as soon as there is an update for them. */
+/** Sends daemons views under a lease as soon as there is an update for them. */
 export class LeaseManager {
   private readonly options: LeaseManagerOptions;
   private readonly watchHub: WatchHub;
@@ -57,19 +57,19 @@
     this.largeViews = new LargeViewLimiter(options.timeouts.leaseMs);
   }
 
-  /** Begins a term. */
+  /** Starts a term. */
   startTerm(nowMs: number): void {
     this.leaderSinceMs = nowMs;
     this.options.configChanges.reset();
     this.largeViews.reset();
   }
 
-  /** Releases the buffered watch requests where a command updated what views contain. */
+  /** Releases the buffered watch requests where a command updated the content of views. */
   onApplied(command: LogCommand): void {
     if (UPDATING_KINDS.has(command.kind)) this.watchHub.notify();
   }
 
-  /** Releases the buffered watch requests, since the leader has changed. */
+  /** Releases the buffered watch requests after a leadership change. */
   onLeadershipChange(): void {
     this.watchHub.notify();
   }
@@ -145,7 +145,7 @@
     };
   }
 
-  /** An edge's placement, once this member has led for a lease, so that every live edge has sent it a watch request. */
+  /** An edge's placement, once this member has led for a lease: by then every live edge has sent it a watch request. */
   private placementFor(name: string): Pick<LeasedView, "place"> {
     const { runtime, timeouts, daemons } = this.options;
     if (runtime.clock.nowMs() - this.leaderSinceMs < timeouts.leaseMs) return {};
@@ -153,7 +153,7 @@
     return placement === undefined ? {} : { place: placement };
   }
 
-  /** The view's text, or a refusal where it is large and the same was sent a short while ago. */
+  /** The view's text, or a refusal where the view is large and the same view is still in transit. */
   private limitLargeView(request: WatchRequest, viewText: string): string {
     if (viewText.length <= COMPRESSION_THRESHOLD_CHARS) return viewText;
     const nowMs = this.options.runtime.clock.nowMs();
--- a/src/control-plane/membership-service.ts
+++ b/src/control-plane/membership-service.ts
@@ -1,9 +1,9 @@
-/** Commands by which members of the replicated log rejoin, join and stop. */
+/** The commands with which members of the replicated log rejoin, join and stop. */
 import { completed, failed, type CommandResult } from "../control-protocol/command-response.js";
 import type { Task } from "../runtime/task.js";
 import { NO_LEASE, type LeaderLog, type LeaderReplica } from "./leader-log.js";
 
-/** Changes the members of the replicated log for members that request it. */
+/** Changes the members of the replicated log at their request. */
 export class MembershipService {
   private readonly log: LeaderLog;
   private readonly replica: LeaderReplica;
@@ -21,7 +21,7 @@
     return recorded.kind === "failed" ? recorded : completed({ taken: true });
   }
 
-  /** Adds a member that has this cluster's log, and was removed while it was away. */
+  /** Adds a member that has this cluster's log and was removed while it was unreachable. */
   *join(machine: string, cluster: string): Task<CommandResult> {
     if (!this.log.holdsLease) return NO_LEASE;
     if (cluster !== this.replica.bootstrapStatus.fleet) return completed({ foreign: true });
@@ -29,7 +29,7 @@
     return taken ? completed({ taken }) : failed("busy");
   }
 
-  /** Moves on the departure of a member that is about to stop; `lastIndex` is the last index of its log. */
+  /** Advances the removal of a member that is about to stop; `lastIndex` is the last index of its log. */
   *stop(machine: string, lastIndex: number): Task<CommandResult> {
     if (!this.log.holdsLease) return NO_LEASE;
     const status = yield* this.replica.onMemberStopping(machine, lastIndex);
--- a/src/control-plane/quota-service.ts
+++ b/src/control-plane/quota-service.ts
@@ -1,4 +1,4 @@
-/** Retry capacity at the leader: which edges may hold a part of it, as agreed in the replicated log. */
+/** Retry capacity at the leader: the replicated log decides which edges may hold a part of it. */
 import type { DaemonInfo, WatchRequest } from "../control-protocol/watch-request.js";
 import { type Runtime, randomNonce } from "../runtime/runtime.js";
 import type { LogCommand } from "../state/log-command.js";
@@ -6,14 +6,14 @@
 import type { LeaderLog } from "./leader-log.js";
 import type { RetryCapacityAllocator } from "./retry-capacity-allocator.js";
 
-/** The capacities of an edge under the number of their allocation. */
+/** The capacities of an edge, with the number of their allocation. */
 export interface CapacityAllocation {
   readonly number: string;
   /** The retry capacity by service. */
   readonly capacities: ReadonlyMap<string, number>;
 }
 
-/** What the quota service needs. */
+/** The dependencies of the quota service. */
 export interface QuotaServiceOptions {
   readonly runtime: Runtime;
   readonly log: LeaderLog;
@@ -27,11 +27,11 @@
   private readonly log: LeaderLog;
   private readonly stateMachine: StateMachine;
   private readonly allocator: RetryCapacityAllocator;
-  /** Edges whose registration as holders is proposed; none of them is allocated any capacity. */
+  /** Edges whose registration as holders is proposed; they get no capacity yet. */
   private readonly pendingRegistrations = new Set<string>();
-  /** Edges whose removal as holders is proposed; none of them is allocated any capacity. */
+  /** Edges whose removal as holders is proposed; they get no capacity any more. */
   private readonly pendingRemovals = new Set<string>();
-  /** Whether the allocator has begun this term: it does with the first watch request. */
+  /** Whether the allocator has started this term; the first watch request starts it. */
   private hasStartedAllocations = false;
 
   constructor({ runtime, log, stateMachine, allocator }: QuotaServiceOptions) {
@@ -41,14 +41,14 @@
     this.allocator = allocator;
   }
 
-  /** Begins a term. */
+  /** Starts a term. */
   startTerm(): void {
     this.hasStartedAllocations = false;
     this.pendingRegistrations.clear();
     this.pendingRemovals.clear();
   }
 
-  /** Begins the term's allocations, if none was made yet. */
+  /** Starts the term's allocations, unless they have started. */
   startAllocations(nowMs: number): void {
     if (this.hasStartedAllocations) return;
     this.hasStartedAllocations = true;
@@ -83,14 +83,14 @@
     );
   }
 
-  /** Follows the registrations and removals of holders in the replicated log. */
+  /** Tracks the holders that log commands register and remove. */
   onApplied(command: LogCommand): void {
     if (command.kind === "holder") this.pendingRegistrations.delete(command.edge);
     if (command.kind === "holdersPast")
       for (const edge of command.edges) this.pendingRemovals.delete(edge);
   }
 
-  /** Proposes to remove the holders whose capacities lapsed. */
+  /** Proposes to remove the holders whose capacities have lapsed. */
   removeLapsedHolders(nowMs: number): void {
     if (!this.hasStartedAllocations) return;
     const lapsed = this.allocator
@@ -101,7 +101,7 @@
     for (const edge of lapsed) this.pendingRemovals.add(edge);
   }
 
-  /** One life of an edge, as the replicated log names it. */
+  /** The name of an edge's incarnation in the replicated log. */
   private static formatHolder({ name, incarnation }: DaemonInfo): string {
     return `${name} ${incarnation}`;
   }
--- a/src/control-plane/resting-ids.ts
+++ b/src/control-plane/resting-ids.ts
@@ -1,25 +1,25 @@
-/** The ids of services and routes that are out of use, by the leader's clock. */
+/** The quarantine of the ids of services and routes that are no longer in use, by the leader's clock. */
 import type { StateMachine } from "../state/state-machine.js";
 
-/** Observes since when ids have been out of use, so that they can be given to other names after a time. */
+/** Tracks how long each unused id has been quarantined; afterwards another name may get it. */
 export class IdQuarantine {
   private readonly stateMachine: StateMachine;
   private readonly quarantineMs: number;
-  /** Since when this leader has observed an id to rest. */
+  /** The time at which this leader first observed each quarantined id. */
   private readonly sinceMs = new Map<number, number>();
 
-  /** An id rests for `restMs`. */
+  /** Quarantines each unused id for `quarantineMs`. */
   constructor(stateMachine: StateMachine, quarantineMs: number) {
     this.stateMachine = stateMachine;
     this.quarantineMs = quarantineMs;
   }
 
-  /** Begins a term: every id's rest counts from the next observation. */
+  /** Starts a term: the quarantine of every id counts from the next observation. */
   startTerm(): void {
     this.sinceMs.clear();
   }
 
-  /** The ids that have rested for long enough; also observes which ids rest now. */
+  /** The ids whose quarantine is over; also starts the quarantine of ids that are newly out of use. */
   findReusableIds(nowMs: number): number[] {
     const { quarantinedIds } = this.stateMachine.idAllocator;
     for (const id of this.sinceMs.keys()) if (!quarantinedIds.has(id)) this.sinceMs.delete(id);
--- a/src/control-plane/retry-capacity-allocator.ts
+++ b/src/control-plane/retry-capacity-allocator.ts
@@ -1,10 +1,10 @@
-/** What the control plane needs of the allocation of retry capacity; src/retry-budget implements it. */
+/** The allocation of retry capacity, as the control plane uses it; src/retry-budget implements it. */
 
 /** The leader's allocation of each service's retry capacity among the edges. */
 export interface RetryCapacityAllocator {
-  /** Begins a term at `nowMs` under the leader's name, with the edges that may hold capacity. */
+  /** Starts a term at `nowMs` under the leader's name, with the edges that may hold capacity. */
   beginTerm(nowMs: number, leaderName: string, holders: ReadonlySet<string>): void;
-  /** Allocates the capacities of one edge, given those that it holds and its recent demand for retries by service. */
+  /** Allocates the capacities of one edge from those that it holds and its recent demand for retries by service. */
   allocate(
     edge: string,
     report: { readonly number: string; readonly capacities: Map<string, number> },
@@ -12,6 +12,6 @@
     services: readonly string[],
     nowMs: number,
   ): { number: string; capacities: Map<string, number> };
-  /** The edges among `known` whose capacities have lapsed. */
+  /** The edges among `holders` whose capacities have lapsed. */
   expiredEdges(nowMs: number, holders: Iterable<string>): string[];
 }
--- a/src/control-plane/tombstone-ages.ts
+++ b/src/control-plane/tombstone-ages.ts
@@ -1,10 +1,10 @@
-/** The ages of tombstones as this member observed them; they decide when a tombstone may be removed. */
+/** The ages of tombstones as this member observes them, which decide when a tombstone may be removed. */
 import type { StateMachine } from "../state/state-machine.js";
 
-/** The factor by which the oldest tombstone outlasts its time before any is removed, so that many are removed in one log entry. */
+/** Factor by which the oldest tombstone exceeds its retention time before any is removed, so that a log entry removes many. */
 const REMOVAL_BATCH_FACTOR = 1.1;
 
-/** Since when each instance with a tombstone has been removed, or last sent a heartbeat, as observed by this member. */
+/** The time of each tombstone's creation, or of the last heartbeat of its instance, as observed by this member. */
 export class TombstoneAges {
   private readonly stateMachine: StateMachine;
   private readonly sinceMs = new Map<string, number>();
@@ -13,13 +13,13 @@
     this.stateMachine = stateMachine;
   }
 
-  /** Begins a term: the age of every tombstone counts from now. */
+  /** Starts a term: the age of every tombstone counts from now. */
   startTerm(nowMs: number): void {
     this.sinceMs.clear();
     for (const instance of this.stateMachine.tombstones.keys()) this.sinceMs.set(instance, nowMs);
   }
 
-  /** Takes in tombstones that are new; reads the clock only where there may be some. */
+  /** Records new tombstones; reads the clock only if there may be any. */
   observe(nowMs: () => number): void {
     if (this.sinceMs.size === this.stateMachine.tombstones.size) return;
     const observedMs = nowMs();
@@ -27,17 +27,17 @@
       if (!this.sinceMs.has(instance)) this.sinceMs.set(instance, observedMs);
   }
 
-  /** Lets the age of an instance's tombstone count from now, since the instance still sends heartbeats. */
+  /** Resets the age of an instance's tombstone, since the instance still sends heartbeats. */
   renew(instance: string, nowMs: number): void {
     this.sinceMs.set(instance, nowMs);
   }
 
-  /** Drops the age of a tombstone that was removed. */
+  /** Removes the age of a tombstone that was removed. */
   delete(instance: string): void {
     this.sinceMs.delete(instance);
   }
 
-  /** The instances whose tombstones are older than `retentionMs`; none until the oldest is older by a tenth. */
+  /** The instances whose tombstones are older than `retentionMs`; none until the oldest exceeds it by `REMOVAL_BATCH_FACTOR`. */
   expired(nowMs: number, retentionMs: number): string[] {
     for (const instance of this.sinceMs.keys())
       if (!this.stateMachine.tombstones.has(instance)) this.sinceMs.delete(instance);
--- a/src/control-plane/watch-hub.ts
+++ b/src/control-plane/watch-hub.ts
@@ -1,10 +1,10 @@
-/** Watch requests that are buffered until there is an update for them. */
+/** The buffer of watch requests for which there is no update yet. */
 import { type Clock, withTimeout } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 
-/** How long updates are gathered at least before buffered watch requests are released. */
+/** Minimum delay between an update and the release of the buffered requests, during which further updates are batched. */
 const MIN_RELEASE_DELAY_MS = 5;
-/** The pause after a release for each request that it released, so that successive updates take only a part of the leader's time. */
+/** Pause after a release, per released request, so that successive updates take only a part of the leader's CPU time. */
 const PAUSE_PER_REQUEST_MS = 0.75;
 
 /** Buffers watch requests and releases them together when something is updated. */
@@ -13,21 +13,21 @@
   private readonly maxWaitMs: number;
   private readonly bufferedRequests = new Set<() => void>();
   private isReleaseScheduled = false;
-  /** Before this time of the clock nothing is released. */
+  /** The earliest time of the next release, by the clock. */
   private nextReleaseMs = -Infinity;
 
-  /** A request is buffered for `maxWaitMs` at most; 0 buffers none. */
+  /** Buffers a request for `maxWaitMs` at most; 0 disables buffering. */
   constructor(clock: Clock, maxWaitMs: number) {
     this.clock = clock;
     this.maxWaitMs = maxWaitMs;
   }
 
-  /** Whether requests are buffered at all. */
+  /** Whether requests are buffered. */
   get isEnabled(): boolean {
     return this.maxWaitMs > 0;
   }
 
-  /** Waits for the next update, or until the longest wait is over. */
+  /** Waits for the next update, or until the maximum wait is over. */
   *nextUpdate(): Task {
     let release = (): void => undefined;
     yield* withTimeout<boolean>(this.clock, this.maxWaitMs, (done) => {
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Plans the release of the buffered requests. It is delayed a little, so that updates close to each other are sent together:
-   * the longer, the more requests the last release had and the more recent it was.
+   * Schedules the release of the buffered requests. The delay batches updates that are close together; it is longer after a
+   * recent release of many requests.
    */
   notify(): void {
     if (this.bufferedRequests.size === 0 || this.isReleaseScheduled) return;
--- a/src/control-protocol/claim-response.ts
+++ b/src/control-protocol/claim-response.ts
@@ -18,7 +18,7 @@
   claimedShape,
   /** The leader's table of claims is full. */
   object({ full: literal(true) }),
-  /** Another request has the key. */
+  /** Another request holds the key. */
   object({
     held: type({
       bodyHash: string(),
@@ -29,7 +29,7 @@
   }),
 ]);
 
-/** What the leader responds to the claim of an idempotency key. */
+/** The leader's response to the claim of an idempotency key. */
 export type ClaimResponse = Infer<typeof claimResponseShape>;
 
 const readClaimed = fastValidator(claimedShape);
--- a/src/control-protocol/command-response.ts
+++ b/src/control-protocol/command-response.ts
@@ -1,15 +1,15 @@
 /**
- * The response to a command: what the leader's services return inside, and the one codec for the JSON text in which a response
- * travels. A failure travels as `{"breakdown":"<reason>"}`.
+ * The response to a command: the result type of the leader's services, and the codec of its JSON text. A failure is encoded as
+ * `{"breakdown":"<reason>"}`.
  */
 
-/** The command was carried out; the response's body as JSON text. */
+/** The command was executed; `json` is the response's body. */
 export interface CompletedCommand {
   readonly kind: "completed";
   readonly json: string;
 }
 
-/** The command wasn't carried out, or its outcome is unknown. */
+/** The command wasn't executed, or its outcome is unknown. */
 export interface FailedCommand {
   readonly kind: "failed";
   readonly reason: string;
@@ -18,7 +18,7 @@
 /** The result of a command at the leader. */
 export type CommandResult = CompletedCommand | FailedCommand;
 
-/** The result of a command whose response has this body. */
+/** The result of a command with this response body. */
 export const completed = (body: unknown): CompletedCommand => ({
   kind: "completed",
   json: JSON.stringify(body),
@@ -30,15 +30,15 @@
 /** The text of a response that reports a failure. */
 export const failureResponse = (reason: string): string => JSON.stringify({ breakdown: reason });
 
-/** Whether the text of a response reports a failure: the command wasn't carried out, or its outcome is unknown. */
+/** Whether the text of a response reports a failure: the command wasn't executed, or its outcome is unknown. */
 export const isFailureResponse = (text: string): boolean => text.startsWith('{"breakdown":');
 
-/** The text in which a result travels. */
+/** The response text of a result. */
 export const encodeCommandResult = (result: CommandResult): string =>
   result.kind === "completed" ? result.json : failureResponse(result.reason);
 
-/** The reason of a leader that refuses a command since it couldn't commit it in time. */
+/** The reason with which a leader refuses a command that it couldn't commit in time. */
 export const OVERLOADED = "overloaded";
 
-/** The response of a leader that refuses a command since it couldn't commit it in time; a retry would only add to its load. */
+/** The response of a leader to a command that it couldn't commit in time; a retry would only increase its load. */
 export const overloadedResponse = failureResponse(OVERLOADED);
--- a/src/control-protocol/command.ts
+++ b/src/control-protocol/command.ts
@@ -1,4 +1,4 @@
-/** The commands that daemons forward to the leader, with the codec of the text in which they travel. */
+/** The commands that daemons forward to the leader, with the codec of their text. */
 import {
   array,
   boolean,
@@ -17,14 +17,14 @@
 import { TextCompression } from "../runtime/text-compression.js";
 import { COMPRESSION_THRESHOLD_CHARS } from "./compressed-text.js";
 
-/** The fields of every configuration change: its id, the version that it builds on and the version that it is to get. */
+/** The fields of every configuration change: its id, the version that it is based on and the version that it requests. */
 const configChangeFields = {
   changeId: string(),
   base: optional(number()),
   version: optional(number()),
 };
 
-/** The shapes of the commands; kinds and field names travel. */
+/** The shapes of the commands; kinds and field names are part of the protocol. */
 const commandShapes = {
   /** A backend's heartbeat. */
   announce: object({
@@ -38,7 +38,7 @@
     instance: optional(string()),
     capacity: optional(number()),
     warmMs: optional(number()),
-    /** The sequence of the heartbeat among those of its instance. */
+    /** The sequence number of the heartbeat, per instance. */
     order: optional(number()),
     draining: optional(boolean()),
   }),
@@ -60,7 +60,7 @@
     put: itemsShape,
     remove: namesShape,
   }),
-  /** Reads an accepted configuration back. */
+  /** Reads an accepted configuration. */
   get: object({ kind: literal("get"), version: optional(number()) }),
   /** Lists the recent configurations and the journal. */
   history: object({ kind: literal("history") }),
@@ -70,21 +70,21 @@
     scope: string(),
     bodyHash: string(),
     job: string(),
-    /** The daemons that will know the outcome of the request. */
+    /** The daemons that store the outcome of the request. */
     holders: optional(array(string())),
-    /** The request whose claim this one takes over, since it never ran and never will. */
+    /** The request whose claim this one takes over, since that request never ran and never will. */
     replaces: optional(string()),
   }),
   release: object({ kind: literal("release"), scope: string(), job: string() }),
-  /** A member that lost its disk is added again. */
+  /** Adds a member again that lost its disk. */
   rejoin: object({ kind: literal("rejoin"), machine: string(), nonce: string() }),
-  /** A member that was removed while it was away is added again. */
+  /** Adds a member again that was removed while it was unreachable. */
   join: object({ kind: literal("join"), machine: string(), fleet: string() }),
-  /** A member is about to stop. */
+  /** Announces that a member is about to stop. */
   stopping: object({ kind: literal("stopping"), machine: string(), lastIndex: number() }),
-  /** Reports the status of the cluster. */
+  /** Requests the status of the cluster. */
   fleet: object({ kind: literal("fleet") }),
-  /** An operator drains a backend. */
+  /** Drains a backend for an operator. */
   drainBackEnd: object({ kind: literal("drainBackEnd"), address: string() }),
 };
 
@@ -111,20 +111,20 @@
     const value: unknown = JSON.parse(TextCompression.decompress(packed));
     return value;
   } catch (error) {
-    throw new FrameError("A packed command can't be read.", { cause: error });
+    throw new FrameError("cannot decompress the command", { cause: error });
   }
 };
 
-/** Reads the text of a command; throws a `FrameError` where it is of an unknown kind or can't be decompressed. */
+/** Decodes the text of a command; throws a `FrameError` where its kind is unknown or it can't be decompressed. */
 export function readCommand(text: string): Command {
   const received: unknown = JSON.parse(text);
   const value = isCompressed(received) ? decompressCommand(received.packed) : received;
   const kind = kindField(value);
-  if (!isCommandKind(kind)) throw new FrameError(`No command is of the kind "${kind}".`);
+  if (!isCommandKind(kind)) throw new FrameError(`unknown command kind "${kind}"`);
   return isCommand(kind, value) ? value : commandShapes[kind].create(value);
 }
 
-/** The text in which a command travels: JSON, compressed where it is long. */
+/** Encodes a command as JSON, compressed where it is long. */
 export function encodeCommand(command: Command): string {
   const text = JSON.stringify(command);
   return text.length > COMPRESSION_THRESHOLD_CHARS
--- a/src/control-protocol/compressed-text.ts
+++ b/src/control-protocol/compressed-text.ts
@@ -1,22 +1,22 @@
-/** Texts that travel between daemons, compressed where they are long, since the links of small machines are slow. */
+/** Texts in messages between daemons. Long texts are compressed, since the links of small machines are slow. */
 import { TextCompression } from "../runtime/text-compression.js";
 
-/** The length beyond which a text travels compressed, in characters. */
+/** Length above which a text is compressed, in characters. */
 export const COMPRESSION_THRESHOLD_CHARS = 4096;
 
-/** A text in a response, plain or compressed; the field names travel. */
+/** A text in a response, plain or compressed; the field names are part of the protocol. */
 export interface CompressedText {
   readonly text?: string | undefined;
-  /** Deflated, in base 64. */
+  /** The deflated text in Base64. */
   readonly packedText?: string | undefined;
 }
 
-/** The form in which a text travels. */
+/** Encodes a text, compressed where it is long. */
 export const encodeCompressedText = (text: string): CompressedText =>
   text.length > COMPRESSION_THRESHOLD_CHARS
     ? { packedText: TextCompression.compress(text) }
     : { text };
 
-/** The text itself; throws an error where it was compressed and can't be read. */
+/** Decodes a text; throws an error where it can't be decompressed. */
 export const readCompressedText = ({ text, packedText }: CompressedText): string =>
   packedText === undefined ? (text ?? "") : TextCompression.decompress(packedText);
--- a/src/control-protocol/edge-placement.ts
+++ b/src/control-protocol/edge-placement.ts
@@ -1,13 +1,13 @@
-/** The placement of edges: which place each edge has among all, from which it follows which backends it uses. */
+/** The placement of edges: the position of each edge among all, which determines the backends that it uses. */
 import { number, object, type Infer } from "superstruct";
 
-/** The shape of an edge's placement as it travels. */
+/** The shape of an edge's placement in messages. */
 export const edgePlacementShape = object({
   /** The index among the edges of the same zone, from 0. */
   zoneIndex: number(),
-  /** How many edges there are in the same zone. */
+  /** The number of edges in the same zone. */
   zoneCount: number(),
-  /** How many edges there are in all zones. */
+  /** The number of edges in all zones. */
   count: number(),
 });
 
@@ -25,7 +25,7 @@
 const isEdge = ({ roles, draining }: PlacementCandidate): boolean =>
   roles.includes("edge") && !draining;
 
-/** The placements of all edges, in the order of their names: a restart changes none, and one that leaves changes few. */
+/** The placements of all edges, ordered by name: a restart changes no placement, and the removal of an edge changes few. */
 export const computeEdgePlacements = (
   daemons: Iterable<PlacementCandidate>,
 ): ReadonlyMap<string, EdgePlacement> => {
--- a/src/control-protocol/leased-view.ts
+++ b/src/control-protocol/leased-view.ts
@@ -1,4 +1,4 @@
-/** The view of the cluster that a daemon gets under a lease: the response to a watch request. */
+/** The view of the cluster under a lease, which is the leader's response to a daemon's watch request. */
 import {
   array,
   create,
@@ -28,19 +28,19 @@
     Object.values(value).every((id) => typeof id === "number"),
 );
 
-/** The shape of an update of the configuration; its field names travel. */
+/** The shape of a configuration update; its field names are part of the protocol. */
 const configUpdateShape = object({
   /** The sequence of the configuration that the update applies to. */
   base: number(),
   /** Items that are replaced or new. */
   put: define<Config>("items of a config", (value) => Validated.accepts(configShape, value)),
-  /** The keys of items that were removed; they are removed before the others are put. */
+  /** The keys of removed items; they are removed before the other items are put. */
   removed: array(string()),
-  /** The ids of services and routes that are new or have changed. */
+  /** The new and changed ids of services and routes. */
   numbers: idsShape,
 });
 
-/** What changed in the configuration, by item. */
+/** The changed items of the configuration. */
 export type ConfigUpdate = Infer<typeof configUpdateShape>;
 
 const registrationsShape = define<Registration[]>("directory", areRegistrations);
@@ -50,14 +50,14 @@
   collectors: array(object({ zone: string(), peer: string() })),
   /** The members of the replicated log. */
   recorders: array(string()),
-  /** Where members of the replicated log that don't lead serve operators. */
+  /** The admin addresses of the followers. */
   operators: optional(array(string())),
 });
 
-/** The control plane's collectors and members of the replicated log, as daemons reach them. */
+/** The addresses of the collectors and of the members of the replicated log. */
 export type ControlPlanePeers = Infer<typeof peersShape>;
 
-/** The shape of a view; its field names travel. */
+/** The shape of a view; its field names are part of the protocol. */
 const viewShape = object({
   granted: literal(true),
   /** The duration of the lease, in milliseconds. */
@@ -65,22 +65,22 @@
   /** The interval of backends' heartbeats, in milliseconds. */
   announceMs: optional(number()),
   configSequence: number(),
-  /** The whole configuration, as JSON. */
+  /** The complete configuration, as JSON. */
   config: optional(string()),
-  /** The same, compressed where it is long. */
+  /** The complete configuration, compressed; used where it is long. */
   packedConfig: optional(string()),
-  /** What changed since the configuration that the daemon has; compressed where it is long. */
+  /** The changes since the daemon's configuration; a long update is compressed. */
   configChanges: optional(configUpdateShape),
   packedConfigChanges: optional(string()),
   /** The digest of the daemon's configuration after this view. */
   configDigest: optional(string()),
-  /** The ids of the services and routes of a whole configuration. */
+  /** The ids of the services and routes of a complete configuration. */
   numbers: optional(idsShape),
   directorySequence: number(),
-  /** All registrations; compressed where they are long. */
+  /** All registrations; a long list is compressed. */
   directory: optional(registrationsShape),
   packedDirectory: optional(string()),
-  /** What changed since the registrations under `base`: the changed ones, and the addresses of removed ones. */
+  /** The changes since the sequence `base`: the changed registrations, and the addresses of the removed ones. */
   directoryChanges: optional(
     object({ base: number(), put: registrationsShape, removed: array(string()) }),
   ),
@@ -88,27 +88,27 @@
   directoryDigest: optional(string()),
   /** The number of the allocation of retry capacities. */
   grantNumber: string(),
-  /** The retry capacities; left out where the watch request named this allocation. */
+  /** The retry capacities; omitted where the watch request named this allocation. */
   capacities: optional(array(object({ service: string(), capacity: number() }))),
-  /** The control plane's members; left out where the watch request named their digest. */
+  /** The control plane's members; omitted where the watch request named their digest. */
   members: optional(peersShape),
-  /** The placement of the edge that sent the request; left out until the leader has seen all edges. */
+  /** The placement of the edge that sent the request; omitted until the leader has had a request from every edge. */
   place: optional(edgePlacementShape),
 });
 
-/** A view of the cluster with the lease to serve under it. */
+/** A view of the cluster, with the lease that permits serving requests by it. */
 export type LeasedView = Infer<typeof viewShape>;
 
 const responseShape = union([viewShape, object({ granted: literal(false), why: string() })]);
 
-/** The response to a watch request: a view, or why there is none. */
+/** The response to a watch request: a view, or the reason for its refusal. */
 export type WatchResponse = Infer<typeof responseShape>;
 
 const validateView = fastValidator(viewShape);
 const validateConfigUpdate = fastValidator(configUpdateShape);
 const validateRegistrations = fastValidator(registrationsShape);
 
-/** The view with its registrations decompressed, where they are compressed. */
+/** Decompresses the registrations of a view, if they are compressed. */
 const withRegistrations = (view: LeasedView): LeasedView =>
   view.packedDirectory === undefined
     ? view
@@ -119,7 +119,7 @@
         ),
       };
 
-/** Reads the text of the response to a watch request. */
+/** Decodes the response to a watch request. */
 export const readWatchResponse = (text: string): WatchResponse => {
   const value: unknown = JSON.parse(text);
   const isView =
@@ -127,7 +127,7 @@
   return isView ? withRegistrations(validateView(value)) : create(value, responseShape);
 };
 
-/** The update of the configuration in a view, if there is one. */
+/** The configuration update in a view, if there is one. */
 export const readConfigUpdate = ({
   configChanges,
   packedConfigChanges,
--- a/src/control-protocol/watch-request.ts
+++ b/src/control-protocol/watch-request.ts
@@ -1,4 +1,4 @@
-/** Watch requests: what daemons send to the leader to renew their leases and to get updates. */
+/** Watch requests, by which daemons renew their leases and get updates from the leader. */
 import { array, boolean, number, object, optional, string, type Infer } from "superstruct";
 import { fastValidator } from "../runtime/fast-validator.js";
 import { readConfigUpdate, readWatchResponse } from "./leased-view.js";
@@ -9,46 +9,46 @@
   roles: array(string()),
   /** The address at which peers reach it. */
   peer: string(),
-  /** One life of the daemon. */
+  /** Identifies one run of the daemon's process. */
   incarnation: string(),
   draining: boolean(),
-  /** The address at which it serves operators. */
+  /** The address of its admin API. */
   operators: optional(string()),
 });
 
 /** A daemon as it identifies itself to the cluster. */
 export type DaemonInfo = Infer<typeof daemonInfoShape>;
 
-/** The shape of a watch request; its field names travel. */
+/** The shape of a watch request; its field names are part of the protocol. */
 const watchRequestShape = object({
   machine: daemonInfoShape,
-  /** The sequence of the configuration that the daemon has. */
+  /** The sequence of the daemon's configuration. */
   configSequence: number(),
-  /** The sequence of the registrations that the daemon has. */
+  /** The sequence of the daemon's registrations. */
   directorySequence: number(),
-  /** The number of the newest allocation of retry capacities that the daemon has, and those capacities. */
+  /** The number of the daemon's newest allocation of retry capacities, and those capacities. */
   grantNumber: string(),
   capacities: array(object({ service: string(), capacity: number() })),
-  /** The demand for retries by service; services without any are left out. */
+  /** The demand for retries by service; services without demand are omitted. */
   wished: array(object({ service: string(), count: number() })),
-  /** The digest of the control plane's members that the daemon has. */
+  /** The digest of the control plane's members that the daemon knows. */
   membersDigest: optional(string()),
-  /** Registrations whose address refused a connection. */
+  /** Registrations whose backends refused a connection. */
   refused: array(object({ address: string(), number: number() })),
-  /** Registrations whose backends sent heartbeats here since the last request, with the newest sequence of each. */
+  /** Registrations whose backends sent heartbeats to the daemon since its last request, each with its newest sequence. */
   heard: optional(array(object({ number: number(), order: number() }))),
 });
 
-/** What a daemon sends to get a new view. */
+/** A daemon's request for a new view. */
 export type WatchRequest = Infer<typeof watchRequestShape>;
 
 const validateRequest = fastValidator(watchRequestShape);
 
-/** Reads the text of a watch request. */
+/** Decodes a watch request. */
 export const readWatchRequest = (text: string): WatchRequest => validateRequest(JSON.parse(text));
 
-/** The update of the configuration in a view, if there is one. */
+/** The configuration update in a view, if there is one. */
 export const configUpdateIn = readConfigUpdate;
 
-/** Reads the text of the response to a watch request. */
+/** Decodes the response to a watch request. */
 export const readLeasedView = readWatchResponse;
--- a/src/state/accepted-config.ts
+++ b/src/state/accepted-config.ts
@@ -1,4 +1,4 @@
-/** Configurations as they were accepted, with the codec of their stored form. */
+/** Accepted configurations, with the codec of their stored form. */
 import { number, object, optional, string, type Infer } from "superstruct";
 import type { TextDelta } from "./text-delta.js";
 
@@ -12,16 +12,16 @@
   text: string(),
 });
 
-/** A configuration as it was accepted; its version is left out where it equals its sequence. */
+/** An accepted configuration; its version is omitted where it equals its sequence. */
 export type AcceptedConfig = Infer<typeof acceptedConfigShape> & {
-  /** How its text was made from the one before, where the log entry contained that; in memory only. */
+  /** The delta from the previous text, where the log entry contains it; in memory only. */
   readonly delta?: TextDelta;
 };
 
-/** The sequence of a configuration, and its version where that differs. */
+/** The sequence of a configuration, and its version where it differs from the sequence. */
 export type ConfigNumbers = Pick<AcceptedConfig, "sequence" | "version">;
 
-/** The stored form of a configuration: without the fields that are in memory only. */
+/** The stored form of a configuration, without the fields that exist in memory only. */
 export const storedConfig = ({
   sequence,
   version,
@@ -38,7 +38,7 @@
   text,
 });
 
-/** The version under which operators know a configuration: always above the one before. */
+/** The version of a configuration, as operators see it; versions always increase. */
 export const versionOf = ({ sequence, version }: ConfigNumbers): number => version ?? sequence;
 
 /** The stored numbers of a configuration. */
--- a/src/state/config-payload.ts
+++ b/src/state/config-payload.ts
@@ -1,23 +1,23 @@
-/** The form in which a log entry carries the text of a configuration: whole or as a delta, compressed where it is long. */
+/** The text of a configuration in a log entry: complete or as a delta, compressed where it is long. */
 import { optional, string } from "superstruct";
 import { TextCompression } from "../runtime/text-compression.js";
 import { type TextDelta, computeTextDelta, applyTextDelta, textDeltaShape } from "./text-delta.js";
 
-/** The length beyond which a text or a delta is stored compressed, in characters. */
+/** Length above which a text or a delta is stored compressed, in characters. */
 const COMPRESSION_THRESHOLD_CHARS = 4096;
 
 /** The stored fields of a configuration's text in a log entry; exactly one of them is set. */
 export const configPayloadFields = {
   text: optional(string()),
-  /** The whole text, deflated, in base 64. */
+  /** The complete text, deflated, in Base64. */
   packedText: optional(string()),
-  /** The delta from the active configuration that the entry builds on. */
+  /** The delta from the text of the active configuration, which the entry is based on. */
   delta: optional(textDeltaShape),
-  /** The delta as JSON, deflated, in base 64. */
+  /** The delta as JSON, deflated, in Base64. */
   packedDelta: optional(string()),
 };
 
-/** The text of a configuration as a log entry carries it. */
+/** The text of a configuration as a log entry contains it. */
 export interface ConfigPayload {
   readonly text?: string | undefined;
   readonly packedText?: string | undefined;
@@ -25,13 +25,13 @@
   readonly packedDelta?: string | undefined;
 }
 
-/** A configuration's text, and the delta that made it, where the entry carried one. */
+/** A configuration's text, and the delta from the previous text where the entry contains it. */
 export interface DecodedConfigText {
   readonly text: string;
   readonly delta?: TextDelta;
 }
 
-/** Raised when the text of a log entry can't be restored; the member must not go on. */
+/** Thrown when a configuration can't be decoded from its log entry; the member must not apply further entries. */
 export class ConfigPayloadError extends Error {
   readonly code = "INVALID_CONFIG_PAYLOAD";
 }
@@ -49,7 +49,7 @@
 const payloadLength = ({ text, packedText, packedDelta }: ConfigPayload): number =>
   (text ?? packedText ?? packedDelta ?? "").length;
 
-/** The shorter of a text and its delta from the former text, compressed where it is long. */
+/** Encodes a text as itself or as its delta from the previous text, whichever is shorter, compressed where it is long. */
 export function encodeConfigPayload(previousText: string | undefined, text: string): ConfigPayload {
   if (previousText === undefined) return encodeWholeText(text);
   const delta = computeTextDelta(previousText, text);
@@ -60,7 +60,7 @@
   return payloadLength(compressed) < payloadLength(whole) ? compressed : whole;
 }
 
-/** The text itself; `former` is the one that the entry builds on. */
+/** Decodes a text; `previousText` is the text that the entry is based on. */
 export function decodeConfigPayload(
   payload: ConfigPayload,
   previousText: string | undefined,
@@ -70,6 +70,10 @@
     return { text: TextCompression.decompress(payload.packedText) };
   const delta = decodeDelta(payload);
   if (delta === undefined || previousText === undefined)
-    throw new ConfigPayloadError("An entry holds no text of a configuration, or no base for it.");
+    throw new ConfigPayloadError(
+      delta === undefined
+        ? "the log entry contains neither the text of a configuration nor a delta"
+        : "the log entry contains a delta, but there is no active configuration to apply it to",
+    );
   return { text: applyTextDelta(previousText, delta), delta };
 }
--- a/src/state/config-table.ts
+++ b/src/state/config-table.ts
@@ -1,4 +1,4 @@
-/** Accepted configurations, their versions, and the changes that made them. */
+/** Accepted configurations, their versions, and the ids of their changes. */
 import { array, number, object, optional, string, type Infer } from "superstruct";
 import {
   acceptedConfigShape,
@@ -14,15 +14,15 @@
 import type { LogCommandOf } from "./log-command.js";
 import type { LogOutcome } from "./log-outcome.js";
 
-/** How many configurations are listed without their texts. */
+/** Maximum number of configurations that are listed without their texts. */
 const MAX_RECENT_CONFIGS = 200;
-/** How many accepted changes are retained by their ids, so that a retry of one gets the same outcome. */
+/** Maximum number of retained change ids, by which the retry of an accepted change gets the same outcome. */
 const MAX_CHANGE_IDS = 2000;
 
 /** An accepted configuration without its text. */
 export type RecentConfig = Omit<AcceptedConfig, "text" | "index">;
 
-/** The stored fields of the table in a snapshot; snapshots of former builds have no `recent`. */
+/** The stored fields of the table in a snapshot; snapshots of older builds lack `recent`. */
 export const configTableShape = object({
   configs: array(acceptedConfigShape),
   recent: optional(
@@ -38,12 +38,12 @@
   changes: array(object({ changeId: string(), sequence: number(), version: optional(number()) })),
 });
 
-/** The table as it is read from a snapshot. */
+/** The table as stored in a snapshot. */
 export type StoredConfigTable = Infer<typeof configTableShape>;
 
-/** The configurations that were accepted, the active one last. */
+/** The table of accepted configurations. */
 export class ConfigTable {
-  /** The active configuration, and before it those that this member's history may not contain yet. */
+  /** Configurations that this member's history may not contain yet, followed by the active one. */
   accepted: AcceptedConfig[] = [];
   /** The last configurations, without their texts. */
   recent: RecentConfig[] = [];
@@ -66,25 +66,25 @@
     return this.active ? versionOf(this.active) : 0;
   }
 
-  /** The version under which a change was accepted, if it was and is retained. */
+  /** The version that an accepted change got, if its id is still retained. */
   findVersionOfChange(changeId: string): number | undefined {
     const numbers = this.changes.get(changeId);
     return numbers && versionOf(numbers);
   }
 
-  /** The version up to which the ids of changes aren't retained any more, or 0. */
+  /** The version up to which the ids of changes were dropped, or 0. */
   get forgottenUpTo(): number {
     if (this.changes.size < MAX_CHANGE_IDS) return 0;
     const [oldest] = this.changes.values();
     return oldest ? versionOf(oldest) - 1 : 0;
   }
 
-  /** Drops the configurations up to a sequence, which the history contains, except the active one. */
+  /** Drops the configurations up to a sequence, which the history contains; retains the active one. */
   release(upToSequence: number): void {
     this.accepted = this.retainedAfter(upToSequence);
   }
 
-  /** The stored form of the table, without the configurations up to a sequence, which the history contains. */
+  /** The stored form of the table, without the configurations up to `historyUpTo`, which the history contains. */
   toStored(historyUpTo: number): StoredConfigTable {
     return {
       configs: this.retainedAfter(historyUpTo).map(storedConfig),
@@ -93,7 +93,7 @@
     };
   }
 
-  /** Takes over a stored table. */
+  /** Loads a stored table. */
   restore({ configs, recent, changes }: StoredConfigTable): void {
     this.accepted = configs;
     this.recent =
@@ -111,7 +111,7 @@
     );
   }
 
-  /** Accepts a configuration, unless its change was accepted before or another one is active than it builds on. */
+  /** Accepts a configuration, unless its change was accepted before or it isn't based on the active configuration. */
   apply(index: number, command: LogCommandOf<"config">): LogOutcome {
     const { changeId, acceptedAt } = command;
     const activeSequence = this.active?.sequence ?? 0;
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Allocates ids to the names that a configuration brings into use. */
+  /** Allocates ids to the names that a configuration adds. */
   private allocateIds({
     services = [],
     routes = [],
--- a/src/state/id-allocator.ts
+++ b/src/state/id-allocator.ts
@@ -1,9 +1,9 @@
-/** Allocates numeric ids to the names of services and routes; sketches count by them. */
+/** Allocates numeric ids to the names of services and routes; sketches count requests by id. */
 
-/** One above the largest id: as many as the sketch of routes distinguishes. */
+/** Exclusive upper limit of ids: the number of keys that the sketch of routes distinguishes. */
 export const ID_LIMIT = 2 ** 16;
 
-/** The stored state: ids by name in use, ids by name out of use, ids that can be allocated again, and the next new id. */
+/** The stored state: active ids by name, quarantined ids by name, free ids, and the next new id. */
 export interface IdAllocatorState {
   inForce: Array<[name: string, number: number]>;
   resting: Array<[name: string, number: number]>;
@@ -11,15 +11,15 @@
   next: number;
 }
 
-/** The names that a configuration brings into use and takes out of use. */
+/** The names that a configuration adds and removes. */
 export interface NameChanges {
   readonly added: string[];
   readonly removed: string[];
 }
 
 /**
- * Allocates an id to each name in use. An id whose name goes out of use rests until the leader says that no window counts by it
- * any more; only then can it be allocated to another name.
+ * Allocates an id to each active name. The id of a removed name is quarantined until the leader declares that no sketch window
+ * counts by it any more. Only then can another name get it.
  */
 export class IdAllocator {
   private active = new Map<string, number>();
@@ -27,12 +27,12 @@
   private free: number[] = [];
   private nextId = 1;
 
-  /** The ids of the names in use. */
+  /** The ids of the active names. */
   get activeIds(): ReadonlyMap<string, number> {
     return this.active;
   }
 
-  /** The ids that rest until no window counts by them. */
+  /** The ids of removed names, which sketch windows may still count by. */
   get quarantinedIds(): ReadonlySet<number> {
     return new Set(this.quarantined.values());
   }
@@ -47,7 +47,7 @@
     };
   }
 
-  /** Takes over a stored state. */
+  /** Loads a stored state. */
   restore({ inForce, resting, free, next }: IdAllocatorState): void {
     this.active = new Map(inForce);
     this.quarantined = new Map(resting);
@@ -55,24 +55,24 @@
     this.nextId = next;
   }
 
-  /** The name under which a service has its id. */
+  /** The name by which a service gets its id. */
   static serviceName(service: string): string {
     return `service ${service}`;
   }
 
-  /** The name under which a route has its id. */
+  /** The name by which a route gets its id. */
   static routeName(route: string): string {
     return `route ${route}`;
   }
 
-  /** Applies a configuration with these names; `rested` are ids that can be allocated again. */
+  /** Replaces the active names; the quarantine of `reusableIds` is over. */
   setActiveNames(names: readonly string[], reusableIds: readonly number[]): void {
     const activeNames = new Set(names);
     const removed = [...this.active.keys()].filter((name) => !activeNames.has(name));
     this.applyNameChanges({ added: [...activeNames], removed }, reusableIds);
   }
 
-  /** Applies the changes of names; `rested` are ids that can be allocated again. */
+  /** Adds and removes names; the quarantine of `reusableIds` is over. */
   applyNameChanges({ added, removed }: NameChanges, reusableIds: readonly number[]): void {
     this.release(reusableIds);
     for (const name of removed) this.quarantine(name);
--- a/src/state/idempotency-claim-table.ts
+++ b/src/state/idempotency-claim-table.ts
@@ -1,13 +1,16 @@
-/** Idempotency claims: which request has each idempotency key, and which daemons know its outcome. */
+/** Idempotency claims: the request that holds each idempotency key, and the daemons that store its outcome. */
 import { array, define, string } from "superstruct";
 import type { IdempotencyClaim } from "./idempotency-claim.js";
 import type { LogCommandOf } from "./log-command.js";
 import type { LogOutcome } from "./log-outcome.js";
 
-/** How many claims are retained; beyond that new ones are refused, so that a snapshot fits a frame and is made within a lease. */
+/**
+ * Maximum number of claims; new claims beyond it are refused. The limit lets a snapshot fit into a frame, and lets a member
+ * write it within a lease.
+ */
 export const MAX_IDEMPOTENCY_CLAIMS = 40_000;
 
-/** A claim under its scope: the idempotency key and what it applies to. */
+/** A claim with its scope: the idempotency key and what it applies to. */
 export interface StoredClaim {
   readonly scope: string;
   readonly claim: IdempotencyClaim;
@@ -39,13 +42,13 @@
   "claim" in value &&
   isClaim(value.claim);
 
-/** The stored shape of the table; it is large, so that plain code checks it. */
+/** The stored shape of the table. Plain code checks it, since the table is large. */
 export const claimsShape = define<StoredClaim[]>(
   "keys",
   (value) => Array.isArray(value) && value.every(isStoredClaim),
 );
 
-/** A claim without the fields that a former build stored beside it. */
+/** Removes the additional fields that an older build stored in a claim. */
 const withoutLegacyFields = ({
   bodyHash,
   job,
@@ -74,7 +77,7 @@
     return [...this.claims].map(([scope, claim]) => ({ scope, claim }));
   }
 
-  /** Takes over stored claims. */
+  /** Loads stored claims. */
   restore(stored: readonly StoredClaim[]): void {
     this.claims = new Map(stored.map(({ scope, claim }) => [scope, withoutLegacyFields(claim)]));
   }
--- a/src/state/idempotency-claim.ts
+++ b/src/state/idempotency-claim.ts
@@ -1,12 +1,12 @@
-/** The claim of an idempotency key; the field names are stored and travel. */
+/** The claim of an idempotency key; its field names are stored and part of the protocol. */
 export interface IdempotencyClaim {
   bodyHash: string;
-  /** The request that has the key. */
+  /** The request that holds the key. */
   job: string;
-  /** How the request ended, where a former build recorded it here; else `inHand`. */
+  /** The outcome of the request, if an older build recorded it here; otherwise `inHand`. */
   verdict: "inHand" | "ran" | "mayHaveRun";
-  /** The daemons that know the outcome of the request, which isn't replicated. */
+  /** The daemons that store the outcome of the request, which isn't replicated. */
   holders?: readonly string[];
-  /** The index of the log entry that made the claim. */
+  /** The index of the log entry that created the claim. */
   atIndex: number;
 }
--- a/src/state/journal.ts
+++ b/src/state/journal.ts
@@ -1,11 +1,11 @@
-/** The replicated journal: what happened in the cluster, for operators to read. */
+/** The replicated journal of cluster events, for operators. */
 import { array, number, object, string } from "superstruct";
 import type { LogCommandOf } from "./log-command.js";
 
-/** How many entries are retained. */
+/** Maximum number of entries. */
 const MAX_JOURNAL_ENTRIES = 1000;
 
-/** A line of the journal under the index of its log entry. */
+/** A line of the journal, with the index of its log entry. */
 export interface JournalEntry {
   index: number;
   text: string;
@@ -18,12 +18,12 @@
 export class Journal {
   private retained: JournalEntry[] = [];
 
-  /** The entries, the oldest first; also their stored form. */
+  /** The entries, oldest first; also the stored form of the journal. */
   get entries(): JournalEntry[] {
     return this.retained;
   }
 
-  /** Takes over stored entries. */
+  /** Loads stored entries. */
   restore(entries: JournalEntry[]): void {
     this.retained = entries;
   }
--- a/src/state/log-command.ts
+++ b/src/state/log-command.ts
@@ -1,4 +1,4 @@
-/** The commands of the replicated log with the codec of their stored form; their kinds and field names are stored. */
+/** The commands of the replicated log, with the codec of their stored form; kinds and field names are stored. */
 import {
   array,
   boolean,
@@ -16,11 +16,11 @@
 import { configPayloadFields } from "./config-payload.js";
 
 const commandShapes = {
-  /** A member leads in a term. */
+  /** A member became the leader of a term. */
   leads: object({ kind: literal("leads"), machine: string(), term: number() }),
   members: object({ kind: literal("members"), voters: array(string()), learners: array(string()) }),
   rejoined: object({ kind: literal("rejoined"), machine: string(), nonce: string() }),
-  /** A configuration is accepted, unless another one was since the one that it builds on. */
+  /** Accepts a configuration, if it is based on the active one. */
   config: object({
     kind: literal("config"),
     expected: number(),
@@ -28,15 +28,15 @@
     changeId: string(),
     acceptedAt: string(),
     ...configPayloadFields,
-    /** All names in use; entries that contain only the changes of names leave them out. */
+    /** All active names; omitted in entries that contain the changes of names. */
     services: optional(array(string())),
     routes: optional(array(string())),
-    /** Names of services and routes, as ids are allocated to them, that come into use and that go out of use. */
+    /** The added and removed names of services and routes, by which ids are allocated. */
     names: optional(object({ added: array(string()), removed: array(string()) })),
-    /** Ids that have rested for long enough to be allocated again. */
+    /** Ids whose quarantine is over, so that they can be allocated again. */
     rested: optional(array(number())),
   }),
-  /** A backend registers. */
+  /** Registers a backend. */
   contract: object({
     kind: literal("contract"),
     address: string(),
@@ -48,7 +48,7 @@
     warmMs: optional(number()),
     order: optional(number()),
   }),
-  /** A backend deregisters, or is drained by an operator. */
+  /** Deregisters a backend, or drains it for an operator. */
   leave: object({
     kind: literal("leave"),
     address: string(),
@@ -56,11 +56,11 @@
     drained: boolean(),
     instance: optional(string()),
   }),
-  /** A registration ends without the backend's doing. */
+  /** Ends a registration that the backend didn't end itself. */
   end: object({ kind: literal("end"), address: string(), number: number(), why: string() }),
-  /** A registration that ended is removed. */
+  /** Removes a registration that ended. */
   purge: object({ kind: literal("purge"), address: string(), number: number() }),
-  /** Tombstones are removed. */
+  /** Removes tombstones. */
   forgetGone: object({ kind: literal("forgetGone"), instances: array(string()) }),
   claim: object({
     kind: literal("claim"),
@@ -70,38 +70,38 @@
     holders: optional(array(string())),
     replaces: optional(string()),
   }),
-  /** How a request with an idempotency key ended; only in logs of former builds. */
+  /** The outcome of a request with an idempotency key; only in logs of older builds. */
   settle: object({
     kind: literal("settle"),
     scope: string(),
     job: string(),
     verdict: union([literal("ran"), literal("mayHaveRun")]),
-    /** The response itself; it is dropped. */
+    /** The response; it is ignored. */
     return: optional(type({ code: number() })),
   }),
   release: object({ kind: literal("release"), scope: string(), job: string() }),
-  /** Claims expire. */
+  /** Removes expired claims. */
   forget: object({ kind: literal("forget"), scopes: array(string()), upTo: number() }),
-  /** A line for the journal. */
+  /** Adds a line to the journal. */
   note: object({ kind: literal("note"), text: string() }),
-  /** An edge may hold retry capacity from now on. */
+  /** Registers an edge as a holder of retry capacity. */
   holder: object({ kind: literal("holder"), edge: string() }),
-  /** Edges hold no retry capacity any more. */
+  /** Removes edges that no longer hold retry capacity. */
   holdersPast: object({ kind: literal("holdersPast"), edges: array(string()) }),
 };
 
 /** The command of a log entry, as it is stored. */
 export type LogCommand = Infer<(typeof commandShapes)[keyof typeof commandShapes]>;
 
-/** The log command of a kind. */
+/** The log command with a kind. */
 export type LogCommandOf<Kind extends LogCommand["kind"]> = Extract<LogCommand, { kind: Kind }>;
 
-/** Raised when a log entry is of a kind that this build doesn't know; the member must not go on. */
+/** Thrown for a log entry of a kind that this build doesn't know; the member must not apply further entries. */
 export class UnknownLogCommandError extends Error {
   readonly code = "UNKNOWN_LOG_COMMAND";
 
   constructor(readonly kind: string) {
-    super(`The log contains an entry of the unknown kind "${kind}".`);
+    super(`unknown log command kind "${kind}"`);
   }
 }
 
@@ -114,7 +114,7 @@
 /** The stored text of a command. */
 export const encodeLogCommand = (command: LogCommand): string => JSON.stringify(command);
 
-/** Reads the stored text of a command; throws an `UnknownLogCommandError` for one of an unknown kind. */
+/** Decodes the stored text of a command; throws an `UnknownLogCommandError` where its kind is unknown. */
 export function readLogCommand(text: string): LogCommand {
   const value: unknown = JSON.parse(text);
   const kind = kindField(value);
--- a/src/state/log-outcome.ts
+++ b/src/state/log-outcome.ts
@@ -1,13 +1,13 @@
-/** The outcomes of log commands, as their proposers get them in JSON. */
+/** The outcomes of log commands, which their proposers get as JSON. */
 import type { IdempotencyClaim } from "./idempotency-claim.js";
 
-/** What applying a log command resulted in; the field names travel. */
+/** The outcome of applying a log command; its field names are part of the protocol. */
 export type LogOutcome =
-  /** Whether what the command names existed. */
+  /** Whether the object of the command existed. */
   | { readonly known: boolean }
   /** The version of the configuration that was accepted. */
   | { readonly accepted: number }
-  /** The active version, where a configuration builds on another one. */
+  /** The active version, where a rejected configuration isn't based on it. */
   | { readonly lost: number }
   /** The number of the registration. */
   | { readonly number: number }
--- a/src/state/registration-table.ts
+++ b/src/state/registration-table.ts
@@ -6,7 +6,7 @@
 import type { Registration } from "./registration.js";
 import type { TombstoneTable } from "./tombstone-table.js";
 
-/** The registrations by address, and the index of the log entry that changed them last. */
+/** The registrations by address, and the index of the last log entry that changed them. */
 export class RegistrationTable {
   private registrations = ImmutableMap<string, Registration>();
   private changedAt = 0;
@@ -18,17 +18,17 @@
     this.journal = journal;
   }
 
-  /** The registrations by address; another object after each change. */
+  /** The registrations by address; a new object after each change. */
   get byAddress(): ImmutableMap<string, Registration> {
     return this.registrations;
   }
 
-  /** The index of the log entry that changed the table last, or 0. */
+  /** The index of the last log entry that changed the table, or 0. */
   get sequence(): number {
     return this.changedAt;
   }
 
-  /** The registrations of an instance: at most one that isn't leaving, and others that it left before. */
+  /** The registrations of an instance: at most one active one, and those at addresses that it left. */
   findByInstance(instance: string): Registration[] {
     return instance === ""
       ? []
@@ -42,7 +42,7 @@
     return [...this.registrations.values()];
   }
 
-  /** Takes over stored registrations. */
+  /** Loads stored registrations. */
   restore(stored: readonly Registration[], sequence: number): void {
     this.registrations = ImmutableMap(
       stored.map((registration) => [registration.address, registration]),
@@ -94,7 +94,7 @@
     return { number };
   }
 
-  /** Whether a registration that a command replaces keeps its number: only its capacity, warmth or order differ. */
+  /** Whether a registration keeps its number when a command replaces it: only its capacity, warmth or order may differ. */
   private static keepsNumber(
     previous: Registration | undefined,
     { service, zone, instance = "" }: LogCommandOf<"contract">,
@@ -122,7 +122,7 @@
     return { known: true };
   }
 
-  /** The registration of a backend that leaves without having registered. */
+  /** The registration of a backend that left without having registered. */
   private static createDeparted(index: number, address: string, service: string): Registration {
     return {
       address,
@@ -164,7 +164,7 @@
     return { known: true };
   }
 
-  /** An instance that moves leaves its other addresses. */
+  /** Ends the registrations of an instance at its other addresses, since it has moved. */
   private leaveOtherAddresses(
     index: number,
     { address, instance }: Pick<Registration, "address" | "instance">,
--- a/src/state/registration.ts
+++ b/src/state/registration.ts
@@ -1,4 +1,4 @@
-/** Registrations of backends: their stored shape, which is also the one that travels. */
+/** Registrations of backends, with their shape in storage and in messages. */
 import { boolean, defaulted, number, object, string, type Infer } from "superstruct";
 
 /** The stored shape of a registration. */
@@ -7,21 +7,21 @@
   service: string(),
   zone: string(),
   warmth: number(),
-  /** The index of the log entry that made this registration; unique among registrations. */
+  /** The index of the log entry that created this registration; unique among registrations. */
   number: number(),
-  /** Whether the backend left, was drained or expired; retained for a while, so that a late heartbeat can't revive it. */
+  /** Whether the backend left, was drained or expired. Its registration is retained, so that a late heartbeat can't revive it. */
   leaving: boolean(),
   /** The index of the log entry by which it left, or 0. */
   leftAt: number(),
-  /** Whether an operator drained it: no heartbeat revives it. */
+  /** Whether an operator drained it, after which no heartbeat revives it. */
   drained: boolean(),
-  /** One life of a backend; empty where the backend names none. */
+  /** Identifies one run of the backend's process; empty where the backend sends none. */
   instance: defaulted(string(), ""),
-  /** How many requests the backend processes concurrently; 0 where that is unknown. */
+  /** The number of requests that the backend processes concurrently; 0 if unknown. */
   capacity: defaulted(number(), 0),
-  /** How much longer the backend expected to be slow when it registered, in milliseconds. */
+  /** The remaining warm-up time that the backend reported when it registered, in milliseconds. */
   warmMs: defaulted(number(), 0),
-  /** The sequence of the heartbeat that made this registration among those of its instance. */
+  /** The sequence number of the heartbeat that created this registration, per instance. */
   order: defaulted(number(), 0),
 });
 
@@ -65,6 +65,6 @@
   hasLifecycleFields(value) &&
   hasCapacityFields(value);
 
-/** Whether a value is a list of complete registrations; it travels often, so that plain code checks it. */
+/** Whether a value is a list of complete registrations. Plain code checks it, since views often contain such a list. */
 export const areRegistrations = (value: unknown): value is Registration[] =>
   Array.isArray(value) && value.every(isRegistration);
--- a/src/state/retry-capacity-holder-table.ts
+++ b/src/state/retry-capacity-holder-table.ts
@@ -1,11 +1,11 @@
-/** The edges that may hold a part of the retry capacity, so that a new leader knows which to wait for. */
+/** The edges that may hold a part of the retry capacity, whose reports a new leader waits for. */
 import type { LogCommandOf } from "./log-command.js";
 
 /** The edges that may hold retry capacity. */
 export class RetryCapacityHolderTable {
   private holders = new Set<string>();
 
-  /** The edges, each as its name and incarnation. */
+  /** The edges, each identified by its name and incarnation. */
   get edges(): ReadonlySet<string> {
     return this.holders;
   }
@@ -15,7 +15,7 @@
     return [...this.holders];
   }
 
-  /** Takes over stored edges. */
+  /** Loads stored edges. */
   restore(stored: readonly string[]): void {
     this.holders = new Set(stored);
   }
--- a/src/state/state-machine.ts
+++ b/src/state/state-machine.ts
@@ -1,4 +1,4 @@
-/** The replicated state machine: its tables, and their common snapshot. */
+/** The replicated state machine: its tables, and the snapshot of all tables. */
 import { array, create, number, optional, string, tuple, type } from "superstruct";
 import type { Members } from "../consensus/members.js";
 import type { AcceptedConfig } from "./accepted-config.js";
@@ -14,7 +14,7 @@
 import { RetryCapacityHolderTable } from "./retry-capacity-holder-table.js";
 import { tombstonesShape, TombstoneTable } from "./tombstone-table.js";
 
-/** The stored shape of a snapshot; `recent`, `gone` and `holders` are missing in those of former builds. */
+/** The stored shape of a snapshot; snapshots of older builds lack `recent`, `gone` and `holders`. */
 const snapshotShape = type({
   voters: array(string()),
   learners: array(string()),
@@ -33,10 +33,10 @@
   holders: optional(array(string())),
 });
 
-/** Notified of each command once it is applied, with the index of its log entry. */
+/** Called after a command is applied, with the index of its log entry. */
 export type AppliedHook = (command: LogCommand, index: number) => void;
 
-/** The replicated tables, the same on every member that has applied the same log entries. */
+/** The replicated tables, which are equal on all members that applied the same log entries. */
 export class StateMachine {
   /** The ids of services and routes, by which sketches count them. */
   readonly idAllocator = new IdAllocator();
@@ -51,7 +51,7 @@
   private readonly holderTable = new RetryCapacityHolderTable();
   private readonly appliedHooks = new Set<AppliedHook>();
 
-  /** The active configuration, and before it those that this member's history may not contain yet. */
+  /** Configurations that this member's history may not contain yet, followed by the active one. */
   get configs(): AcceptedConfig[] {
     return this.configTable.accepted;
   }
@@ -79,32 +79,32 @@
     return this.configTable.version;
   }
 
-  /** The version under which a change was accepted, if it was and is retained. */
+  /** The version that an accepted change got, if its id is still retained. */
   findVersionOfChange(changeId: string): number | undefined {
     return this.configTable.findVersionOfChange(changeId);
   }
 
-  /** The version up to which the ids of changes aren't retained any more, or 0. */
+  /** The version up to which the ids of changes were dropped, or 0. */
   get changesForgottenUpTo(): number {
     return this.configTable.forgottenUpTo;
   }
 
-  /** The registrations of backends by address; another object after each change. */
+  /** The registrations of backends by address; a new object after each change. */
   get registrations(): RegistrationTable["byAddress"] {
     return this.registrationTable.byAddress;
   }
 
-  /** The index of the log entry that changed the registrations last, or 0. */
+  /** The index of the last log entry that changed the registrations, or 0. */
   get endpointSequence(): number {
     return this.registrationTable.sequence;
   }
 
-  /** The registrations of an instance: at most one that isn't leaving, and others that it left before. */
+  /** The registrations of an instance: at most one active one, and those at addresses that it left. */
   findRegistrations(instance: string): Registration[] {
     return this.registrationTable.findByInstance(instance);
   }
 
-  /** The instances that never register again, with the index of the log entry by which each left. */
+  /** The instances that can't register again, with the indexes of the log entries by which they left. */
   get tombstones(): ReadonlyMap<string, number> {
     return this.tombstoneTable.byInstance;
   }
@@ -137,12 +137,12 @@
     return JSON.stringify(outcome);
   }
 
-  /** Drops the configurations up to a sequence, which the history contains, except the active one. */
+  /** Drops the configurations up to a sequence, which the history contains; retains the active one. */
   releaseConfigs(upTo: number): void {
     this.configTable.release(upTo);
   }
 
-  /** The text of a snapshot, without the configurations up to a sequence, which the history contains. */
+  /** The text of a snapshot, without the configurations up to `historyUpTo`, which the history contains. */
   snapshot(members: Members, historyUpTo = 0): string {
     return JSON.stringify({
       ...members,
@@ -157,7 +157,7 @@
     });
   }
 
-  /** Takes over the tables of a snapshot's text; returns the members of the log that it names. */
+  /** Loads the tables from a snapshot's text; returns the members of the log at the time of the snapshot. */
   restore(text: string): Members {
     const stored = create(JSON.parse(text), snapshotShape);
     this.configTable.restore(stored);
--- a/src/state/text-delta.ts
+++ b/src/state/text-delta.ts
@@ -1,4 +1,4 @@
-/** Deltas between texts: a text as copies from a base text and inserted text. */
+/** Deltas between texts: a text as a series of copies from a base text and insertions. */
 import { array, number, string, tuple, union, type Infer } from "superstruct";
 
 /** The stored shape of a step: a range of the base that is copied (start, length), or text that is inserted. */
@@ -9,16 +9,16 @@
 
 type Step = Infer<typeof stepShape>;
 
-/** The steps that make a text from its base, in order. */
+/** The steps that produce a text from its base, in order. */
 export type TextDelta = Step[];
 
-/** A range of a text: from an index up to another one, exclusive. */
+/** A range of a text, from one index up to another one, exclusive. */
 interface Range {
   readonly from: number;
   readonly to: number;
 }
 
-/** The length of the blocks of the base that are searched in the text, in characters. */
+/** The length of the blocks of the base that are searched for in the text, in characters. */
 const BLOCK_CHARS = 32;
 
 /** The factor of a block's rolling hash: the hash of the characters c0 to cn is c0 f^n + ... + cn, in 32 bits. */
@@ -29,7 +29,7 @@
   1,
 );
 
-/** The hash of the block of a text that begins at an index. */
+/** The hash of the block of a text that starts at an index. */
 const blockHash = (text: string, from: number): number => {
   let hash = 0;
   for (let index = from; index < from + BLOCK_CHARS; index += 1)
@@ -37,13 +37,13 @@
   return hash;
 };
 
-/** The hash of the block that begins one character after the block with `hash` at an index. */
+/** The hash of the block that starts one character after the block at an index, whose hash is `hash`. */
 const nextHash = (hash: number, text: string, from: number): number => {
   const rest = (hash - Math.imul(text.charCodeAt(from), FIRST_CHAR_FACTOR)) | 0;
   return (Math.imul(rest, HASH_FACTOR) + text.charCodeAt(from + BLOCK_CHARS)) | 0;
 };
 
-/** The index of each block of a range of the base by its hash; of those with equal hashes the first. */
+/** The indexes of the blocks of a range of the base by hash; of several blocks with equal hashes the first. */
 const indexBlocks = (base: string, { from, to }: Range): Map<number, number> => {
   const blocks = new Map<number, number>();
   for (let index = from; index + BLOCK_CHARS <= to; index += BLOCK_CHARS) {
@@ -53,7 +53,7 @@
   return blocks;
 };
 
-/** How many characters two texts have in common from two indexes on. */
+/** The number of equal characters of two texts from two indexes on. */
 const commonLengthFrom = (
   base: string,
   baseIndex: number,
@@ -70,7 +70,7 @@
   return length;
 };
 
-/** How many characters two texts have in common before two indexes, up to `maxLength`. */
+/** The number of equal characters of two texts before two indexes, up to `maxLength`. */
 const commonLengthBefore = (
   base: string,
   baseIndex: number,
@@ -87,10 +87,10 @@
   return length;
 };
 
-/** The steps for a range of the text, found by the blocks of a range of the base. */
+/** Computes the steps for a range of the text by looking up blocks of a range of the base. */
 const computeSteps = (base: string, baseRange: Range, text: string, textRange: Range): Step[] => {
   const steps: Step[] = [];
-  /** Where the text begins for which there is no step yet. */
+  /** The start of the text that no step covers yet. */
   let pendingFrom = textRange.from;
   let index = textRange.from;
   const blocks =
@@ -116,7 +116,7 @@
   return steps;
 };
 
-/** The delta that makes a text from a base: short where most of the text occurs in the base. */
+/** Computes the delta from a base to a text; it is short where most of the text occurs in the base. */
 export function computeTextDelta(base: string, text: string): TextDelta {
   const prefix = commonLengthFrom(base, 0, text, 0);
   const maxSuffix = Math.min(base.length, text.length) - prefix;
@@ -130,7 +130,7 @@
   return steps;
 }
 
-/** The text that a delta makes from its base. */
+/** Applies a delta to its base. */
 export function applyTextDelta(base: string, delta: TextDelta): string {
   let text = "";
   for (const step of delta)
--- a/src/state/tombstone-table.ts
+++ b/src/state/tombstone-table.ts
@@ -1,10 +1,10 @@
-/** Tombstones: the instances of backends that left, were drained or were replaced, and never register again. */
+/** Tombstones: the instances of backends that left, were drained or were replaced, and can't register again. */
 import { define } from "superstruct";
 
-/** How many tombstones are retained; beyond that the oldest are dropped. */
+/** Maximum number of tombstones; the oldest ones beyond it are dropped. */
 export const MAX_TOMBSTONES = 20_000;
 
-/** A tombstone as it is stored: the instance, and the index of the log entry by which it left. */
+/** The stored form of a tombstone: the instance, and the index of the log entry by which it left. */
 export type StoredTombstone = [instance: string, leftAt: number];
 
 const isStoredTombstone = (value: unknown): value is StoredTombstone =>
@@ -13,13 +13,13 @@
   typeof value[0] === "string" &&
   typeof value[1] === "number";
 
-/** The stored shape of the table; it is large, so that plain code checks it. */
+/** The stored shape of the table. Plain code checks it, since the table is large. */
 export const tombstonesShape = define<StoredTombstone[]>(
   "gone instances",
   (value) => Array.isArray(value) && value.every(isStoredTombstone),
 );
 
-/** The tombstones by instance, the oldest first. */
+/** The tombstones by instance, oldest first. */
 export class TombstoneTable {
   private indexes = new Map<string, number>();
 
@@ -33,7 +33,7 @@
     return [...this.indexes];
   }
 
-  /** Takes over stored tombstones. */
+  /** Loads stored tombstones. */
   restore(stored: readonly StoredTombstone[]): void {
     this.indexes = new Map(stored);
   }
@@ -43,7 +43,7 @@
     return this.indexes.has(instance);
   }
 
-  /** Adds a tombstone for an instance, if it is named and has none, and drops the oldest beyond the limit. */
+  /** Adds a tombstone for an instance, unless it is empty or has one, and drops the oldest beyond the limit. */
   add(index: number, instance: string): void {
     if (instance === "" || this.indexes.has(instance)) return;
     this.indexes.set(instance, index);
--- a/test/configuration/config-serializer.test.ts
+++ b/test/configuration/config-serializer.test.ts
@@ -29,11 +29,11 @@
   { requiredKeys: [] },
 );
 
-/** A fast-check record has undefined fields and no prototype; what is read from a wire hasn't. */
+/** Removes undefined fields and restores the prototype, which fast-check's records lack and parsed JSON has. */
 const asParsedJson = (value: unknown): Record<string, never> => JSON.parse(JSON.stringify(value));
 
 describe("configText", () => {
-  test("the text of a configuration equals that of JSON.stringify, after any changes", () => {
+  test("the serialized text equals that of JSON.stringify after arbitrary changes", () => {
     fc.assert(
       fc.property(
         fc.array(putArbitrary, { maxLength: 5 }),
--- a/test/configuration/config.test.ts
+++ b/test/configuration/config.test.ts
@@ -53,7 +53,7 @@
 });
 
 describe("Config", () => {
-  test("a configuration with every field is accepted, and read as it was sent", () => {
+  test("a configuration with every field is accepted, and its text is read unchanged", () => {
     expect(checkConfig(copyFullConfig())).toEqual({ config: fullConfig });
     expect(new ConfigReader().read(JSON.stringify(fullConfig))).toEqual(fullConfig);
   });
@@ -61,7 +61,7 @@
   test.each<[string, unknown, string[]]>([
     ["an unknown service", withChangedRoute({ service: "nowhere" }), ["routes.plain.service"]],
     [
-      "a service that only every object has",
+      "a service named like an inherited property",
       withChangedRoute({ service: "constructor" }),
       ["routes.plain.service"],
     ],
@@ -86,11 +86,7 @@
       withChangedRoute({ service: undefined, split: [{ service: "b", weight: 0 }] }),
       ["routes.plain.split"],
     ],
-    [
-      "a split of nothing",
-      withChangedRoute({ service: undefined, split: [] }),
-      ["routes.plain.split"],
-    ],
+    ["an empty split", withChangedRoute({ service: undefined, split: [] }), ["routes.plain.split"]],
     [
       "both a service and a split",
       withChangedRoute({ split: [{ service: "b", weight: 1 }] }),
@@ -101,18 +97,22 @@
       withChangedRoute({ service: undefined }),
       ["routes.plain.service"],
     ],
-    ["a time over ten minutes", withChangedRoute({ giveUpMs: 600_001 }), ["routes.plain.giveUpMs"]],
+    [
+      "a timeout over ten minutes",
+      withChangedRoute({ giveUpMs: 600_001 }),
+      ["routes.plain.giveUpMs"],
+    ],
     ["no attempts", withChangedRoute({ attempts: 0 }), ["routes.plain.attempts"]],
     ["too many attempts", withChangedRoute({ attempts: 11 }), ["routes.plain.attempts"]],
     ["an unknown kind", withChangedRoute({ kind: "risky" }), ["routes.plain.kind"]],
-    ["a rank out of bounds", withChangedRoute({ priority: 10 }), ["routes.plain.priority"]],
+    ["a priority out of range", withChangedRoute({ priority: 10 }), ["routes.plain.priority"]],
     [
       "a host with a port",
       withChangedRoute({ match: { path: "/", host: "a:80" } }),
       ["routes.plain.match.host"],
     ],
     [
-      "a limit that is no number",
+      "a limit that isn't a number",
       { ...copyFullConfig(), limits: { bodyBytes: "much" } },
       ["limits.bodyBytes"],
     ],
@@ -123,12 +123,12 @@
       [`services.${"n".repeat(101)}`],
     ],
     [
-      "a name that no object should have",
+      "the name __proto__",
       { ...copyFullConfig(), services: { ...copyFullConfig().services, ["__proto__"]: {} } },
       ["services.__proto__"],
     ],
     [
-      "a goal of no route",
+      "a goal without a route",
       { ...copyFullConfig(), goals: { toString: { latencyMs: 1 } } },
       ["goals.toString"],
     ],
@@ -136,7 +136,7 @@
     expect(findFaultPaths(value)).toEqual(paths);
   });
 
-  test("items are replaced as a whole or removed, and a route's goal is removed with it", () => {
+  test("items are replaced completely or removed, and a route's goal is removed with it", () => {
     const none = { services: [], routes: [], goals: [] };
     const put = applyItemChanges(
       fullConfig,
@@ -173,7 +173,7 @@
     ).toEqual(["services.__proto__"]);
   });
 
-  test("whatever part of a configuration is altered, the fast guard accepts exactly what the shapes accept", () => {
+  test("the fast guard accepts exactly what the shapes accept, whichever part of a configuration is altered", () => {
     const random = RandomDraw.of(3);
     const replacements = [
       null,
@@ -244,7 +244,7 @@
     ]);
   });
 
-  test("a reader of accepted configurations is independent of those that it read before", () => {
+  test("a configuration reader's results don't depend on the configurations that it read before", () => {
     const reader = new ConfigReader();
     const extendedConfig = {
       ...validConfig,
@@ -264,7 +264,7 @@
     ).toThrow();
   });
 
-  test("a merge patch adds, changes and removes", () => {
+  test("a merge patch adds, changes and removes fields", () => {
     expect(mergePatch({ a: { b: 1, c: 2 }, d: [1] }, { a: { b: null, e: 3 }, d: [2] })).toEqual({
       a: { c: 2, e: 3 },
       d: [2],
--- a/test/control-plane/change-buffer.test.ts
+++ b/test/control-plane/change-buffer.test.ts
@@ -2,7 +2,7 @@
 import { ChangeBuffer } from "../../src/control-plane/change-buffer.js";
 
 describe("ChangeBuffer", () => {
-  test("it is limited by bytes: changes since a sequence before the oldest one are unknown", () => {
+  test("the buffer is limited in bytes, and changes before the oldest buffered one are unknown", () => {
     const changes = new ChangeBuffer(5, 400);
     for (let sequence = 6; sequence < 16; sequence += 1)
       changes.record(sequence, [`item-${sequence}`]);
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -14,7 +14,7 @@
 import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 import { createTestCluster } from "./control-plane-stage.js";
 
-/** A state machine with configurations in force, and the views that a leader makes of them. */
+/** A state machine with an active configuration, and the views that a leader builds from it. */
 class TestLeader {
   readonly stateMachine = new StateMachine();
   private value: unknown = EMPTY_CONFIG;
@@ -26,7 +26,7 @@
     return this.parsed.value;
   }
 
-  /** Puts a configuration in force, if it has no fault. */
+  /** Activates a configuration, if it is valid. */
   activate(value: unknown): void {
     const checked = checkConfig(value);
     if ("faults" in checked) return;
@@ -66,7 +66,7 @@
     const view = readLeasedView(
       `{"granted":true,"grantMs":1,"configSequence":${sequence},"directorySequence":0,"grantNumber":"","capacities":[]${part}}`,
     );
-    if (!view.granted) throw new Error("The response is no view.");
+    if (!view.granted) throw new Error(`the watch request was refused: ${view.why}`);
     return view;
   }
 }
@@ -125,7 +125,7 @@
 );
 
 describe("ConfigChangeLog", () => {
-  test("replicas that apply updates at times equal the active configuration, by digest too", () => {
+  test("replicas that apply updates at random times match the active configuration and its digest", () => {
     fc.assert(
       fc.property(fc.array(fc.tuple(stepArbitrary, fc.nat(7)), { maxLength: 30 }), (steps) => {
         const leader = new TestLeader();
@@ -165,12 +165,12 @@
     goals: {},
   });
 
-  test("one changed route of 1,400 takes a few hundred bytes, and unchanged items stay the same objects", () => {
+  test("an update of one of 1,400 routes takes a few hundred bytes, and unchanged items remain the same objects", () => {
     const leader = new TestLeader();
     leader.activate(createLargeConfig(1400));
     const replica = new ConfigReplica();
     expect(replica.apply(leader.viewSince(replica.knownSequence))).toBe("changed");
-    const former = new RouteTable(replica.config);
+    const previousTable = new RouteTable(replica.config);
     const unchangedRoute = replica.config.routes["route-8"];
     leader.patch({ routes: { "route-7": { service: "two" } } });
     leader.patch({
@@ -181,14 +181,14 @@
     expect(replica.apply(view)).toBe("changed");
     expectEqualConfig(replica, leader);
     expect(replica.config.routes["route-8"]).toBe(unchangedRoute);
-    const routeTable = new RouteTable(replica.config, former);
-    expect(routeTable.findByName("route-8")).toBe(former.findByName("route-8"));
+    const routeTable = new RouteTable(replica.config, previousTable);
+    expect(routeTable.findByName("route-8")).toBe(previousTable.findByName("route-8"));
     expect(routeTable.findByName("route-7")?.service).toBe("two");
     expect(routeTable.find("GET", "/late")?.name).toBe("late");
     expect(routeTable.find("GET", "/things/9/x", "api.example")).toBeUndefined();
   });
 
-  test("a replica whose digest differs keeps its sequence, requests the complete configuration and recovers by it", () => {
+  test("a replica whose digest differs keeps its sequence, requests the complete configuration and recovers with it", () => {
     const leader = new TestLeader();
     leader.activate(createLargeConfig(20));
     const replica = new ConfigReplica();
@@ -207,16 +207,16 @@
     expect(replica.apply(missedView)).toBe("changed");
   });
 
-  test("an update of a configuration older than the replica's is outdated and requests nothing", () => {
+  test("an update based on an older configuration than the replica's is outdated and triggers no request", () => {
     const leader = new TestLeader();
     leader.activate(createLargeConfig(20));
     const replica = new ConfigReplica();
     replica.apply(leader.viewSince(replica.knownSequence));
-    const former = replica.knownSequence;
+    const previousSequence = replica.knownSequence;
     leader.patch({ routes: { "route-7": { service: "two" } } });
-    expect(replica.apply(leader.viewSince(former))).toBe("changed");
+    expect(replica.apply(leader.viewSince(previousSequence))).toBe("changed");
     leader.patch({ routes: { "route-8": { service: "two" } } });
-    expect(replica.apply(leader.viewSince(former))).toBe("outdated");
+    expect(replica.apply(leader.viewSince(previousSequence))).toBe("outdated");
     expect([replica.sequence, replica.knownSequence]).toEqual([2, 2]);
     expect(replica.apply(leader.viewSince(replica.knownSequence))).toBe("changed");
     expectEqualConfig(replica, leader);
@@ -250,7 +250,7 @@
     expect(new RouteTable(replica.config).find("GET", "/x")?.name).toBe("b");
   });
 
-  test("edges apply a series of patches by items, also across a change of leader", () => {
+  test("edges apply a series of patches item by item, also across a leader change", () => {
     const { simulation, exchange, watch, watchRequestText, leader, wait, daemons } =
       createTestCluster({
         maxWatchWaitMs: 50,
--- a/test/control-plane/config-changes.test.ts
+++ b/test/control-plane/config-changes.test.ts
@@ -75,7 +75,7 @@
 });
 
 describe("configuration changes", () => {
-  test("versions may be chosen with gaps, and each is read back under its own, with every origin as it was sent", () => {
+  test("chosen versions may have gaps, and each configuration is read by its version, with every origin unchanged", () => {
     expect(request("PUT", "/config", sampleConfig, versionHeaders(7, 0))).toEqual({
       code: 200,
       etag: '"7"',
@@ -111,7 +111,7 @@
     ).toEqual([404, 404, 404, 404, 404, 404]);
   });
 
-  test("a retry precedes the check of the base, that one the check of the version, and a version must rise", () => {
+  test("a retry is recognized before the base is checked, the base is checked before the version, and versions must increase", () => {
     request("PUT", "/config", sampleConfig, versionHeaders(7, 0));
     expect(request("PUT", "/config", sampleConfig, versionHeaders(7, 0, "other"))).toMatchObject({
       code: 412,
@@ -132,7 +132,7 @@
     });
   });
 
-  test("of several concurrent changes on one base one is accepted, and its configuration is active", () => {
+  test("one of several concurrent changes with the same base is accepted, and its configuration is active", () => {
     const concurrentResponses = [10, 12, 11].map((version, index) =>
       send(
         "PUT",
@@ -151,7 +151,7 @@
     });
   });
 
-  test("items are replaced as a whole and removed by name, and the others stay as they were sent", () => {
+  test("items are replaced completely and removed by name, and the other items remain unchanged", () => {
     request("PUT", "/config", sampleConfig, versionHeaders(3, 0));
     const route = {
       match: { path: "/b/*" },
@@ -196,7 +196,7 @@
     ).toBe(400);
   });
 
-  test("an old version is found among hundreds", () => {
+  test("an old version is found among hundreds of configurations", () => {
     const versions: number[] = [];
     for (let index = 0; index < 260; index += 1) {
       const version = (versions.at(-1) ?? 0) + 1 + ((index * 7) % 5);
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -1,4 +1,4 @@
-/** A simulated fleet for tests of the control plane: commands and watch requests sent to its leader from outside. */
+/** A simulated cluster for tests of the control plane, with commands and watch requests sent to its leader from outside. */
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
 import { runTask } from "../../src/runtime/task.js";
@@ -24,14 +24,14 @@
   text: string;
 }
 
-/** The defaults, which `stage` overrides for the fleets that it creates. */
+/** The original timeouts, which `createTestCluster` overrides for the cluster that it creates. */
 const defaults = { ...defaultControlPlaneTimeouts };
 
 export const rethrow = (error: unknown): void => {
   throw error;
 };
 
-/** A simulated fleet whose own backends send no heartbeats, and an RPC endpoint outside it. */
+/** Creates a simulated cluster whose backends send no heartbeats, and an RPC endpoint outside it. */
 export const createTestCluster = (timeouts: Partial<ControlPlaneTimeouts> = {}, seed = 1) => {
   Object.assign(defaultControlPlaneTimeouts, defaults, timeouts);
   const simulation = new Simulation(shippedProfiles.rastro, seed, 0.0001);
@@ -48,7 +48,7 @@
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
   const leader = (): SimulatedMachine => {
     const found = simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease);
-    if (!found) throw new Error("There is no leader.");
+    if (!found) throw new Error("no member holds the leader lease");
     return found;
   };
   const exchange = (
@@ -70,7 +70,7 @@
     exchange(rpcMethods.command, encodeCommand(sent))[0]?.text ?? "";
   const heartbeat = (
     instance: string,
-    more: Partial<Extract<Command, { kind: "announce" }>> = {},
+    overrides: Partial<Extract<Command, { kind: "announce" }>> = {},
   ): string =>
     command({
       kind: "announce",
@@ -80,9 +80,9 @@
       warmth: 1,
       seen: 1_000_000,
       instance,
-      ...more,
+      ...overrides,
     });
-  const watchRequestText = (more: Partial<WatchRequest> = {}): string =>
+  const watchRequestText = (overrides: Partial<WatchRequest> = {}): string =>
     JSON.stringify({
       machine: {
         name: "stranger",
@@ -98,10 +98,12 @@
       capacities: [],
       wished: [],
       refused: [],
-      ...more,
+      ...overrides,
     });
-  const watch = (more: Partial<WatchRequest> = {}) => {
-    const view = readLeasedView(exchange(rpcMethods.watch, watchRequestText(more))[0]?.text ?? "");
+  const watch = (overrides: Partial<WatchRequest> = {}) => {
+    const view = readLeasedView(
+      exchange(rpcMethods.watch, watchRequestText(overrides))[0]?.text ?? "",
+    );
     if (!view.granted) throw new Error(view.why);
     return view;
   };
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -9,7 +9,7 @@
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
 describe("ControlPlane", () => {
-  test("a heartbeat that is older than the backend's deregistration, or than another service at its address, changes nothing", () => {
+  test("a heartbeat that is older than the backend's deregistration, or than another service's registration at its address, is ignored", () => {
     const simulation = new Simulation(shippedProfiles.rastro, 1, 0.01);
     simulation.begin();
     simulation.virtualClock.runUntil(5000);
@@ -36,7 +36,7 @@
       return responses[0] ?? "";
     };
     const [backend] = simulation.testBackends;
-    if (!backend) throw new Error("There is no backend.");
+    if (!backend) throw new Error("the simulation has no backend");
     backend.isAnnouncing = false;
     const { address, service, zone } = backend;
     const delayedHeartbeat: Command = {
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -19,20 +19,20 @@
   readonly name: string;
 }
 
-const startPollingDaemons = (stage: ClusterFixture, count: number): TestDaemon[] =>
+const startPollingDaemons = (cluster: ClusterFixture, count: number): TestDaemon[] =>
   Array.from({ length: count }, (_, index) => {
     const zone = zoneOf(index, topology);
     const gate = new EventGate();
-    const clock = gate.clock(stage.virtualClock.clock());
+    const clock = gate.clock(cluster.virtualClock.clock());
     const name = `daemon-${index}`;
-    const wire = new DelayedNetwork(stage.network.wire(name, gate), clock, () =>
+    const wire = new DelayedNetwork(cluster.network.wire(name, gate), clock, () =>
       oneWayMs(zone, "zone-1", topology),
     );
-    const runtime = virtualRuntime({ clock, network: wire, random: stage.random });
+    const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
     const daemon = new PollingDaemon(
       runtime,
       { machine: name, zone, peer: `10.9.0.${index + 1}:7000` },
-      [stage.machineAt(0).peer],
+      [cluster.machineAt(0).peer],
       boundsOf({}),
     );
     daemon.start();
@@ -51,13 +51,13 @@
 
 describe("control traffic", () => {
   test("daemons send watch requests, push counts and receive views at the configured rates", () => {
-    const stage = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-    stage.bootAll();
-    stage.wait(4000);
-    const all = startPollingDaemons(stage, daemonCount);
-    stage.waitUntil(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
+    const cluster = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    cluster.bootAll();
+    cluster.wait(4000);
+    const all = startPollingDaemons(cluster, daemonCount);
+    cluster.waitUntil(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
     expect(all.filter(({ daemon }) => daemon.clusterView.holdsLease)).toHaveLength(daemonCount);
-    stage.wait(6000);
+    cluster.wait(6000);
 
     const before = {
       watchRequests: sumBy(all, ({ daemon }) => daemon.clusterView.watchRequests),
@@ -65,7 +65,7 @@
       out: sumBy(all, ({ wire }) => wire.totals.messagesOut),
       back: sumBy(all, ({ wire }) => wire.totals.messagesIn),
     };
-    stage.wait(4000);
+    cluster.wait(4000);
     const watchRequests =
       sumBy(all, ({ daemon }) => daemon.clusterView.watchRequests) - before.watchRequests;
     const out = sumBy(all, ({ wire }) => wire.totals.messagesOut) - before.out;
@@ -84,7 +84,7 @@
           (sumBy(all, ({ daemon }) => daemon.clusterView.leaseRenewals) - before.grants),
       ),
     ).toBeLessThanOrEqual(daemonCount);
-    // Only watch requests are sent, and one push every two seconds.
+    // The only other messages are pushes of counts, one every two seconds.
     expect(out - watchRequests).toBeGreaterThanOrEqual(daemonCount);
     expect(out - watchRequests).toBeLessThanOrEqual(daemonCount * 3);
     expect(
@@ -93,12 +93,12 @@
     expect(Math.max(...all.map(({ daemon }) => daemon.coveredEdges))).toBe(daemonCount);
   });
 
-  test("configurations reach daemons in order; unresponsive daemons are logged by name, backends without heartbeats removed", () => {
-    const stage = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-    stage.bootAll();
-    stage.wait(4000);
-    const all = startPollingDaemons(stage, daemonCount);
-    stage.waitUntil(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
+  test("configurations reach daemons in order, unresponsive daemons are logged by name, and backends without heartbeats are removed", () => {
+    const cluster = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    cluster.bootAll();
+    cluster.wait(4000);
+    const all = startPollingDaemons(cluster, daemonCount);
+    cluster.waitUntil(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
 
     const backends = Array.from({ length: 30 }, (_, index) => ({
       address: `10.8.0.${index + 1}:80`,
@@ -114,7 +114,9 @@
         const daemon = all[(index + round) % (daemonCount - 6)]?.daemon;
         if (daemon && (yield* daemon.heartbeat(backend))) heartbeatResults.known += 1;
         else heartbeatResults.unknown += 1;
-        yield* waitFor<boolean>((done) => stage.virtualClock.clock().after(1000, () => done(true)));
+        yield* waitFor<boolean>((done) =>
+          cluster.virtualClock.clock().after(1000, () => done(true)),
+        );
       }
     };
     for (const index of backends.keys()) run(heartbeat(index));
@@ -123,7 +125,7 @@
         (sum, service) => sum + daemon.clusterView.backendsOf(service).length,
         0,
       );
-    stage.waitUntil(
+    cluster.waitUntil(
       () => all.every((testDaemon) => countKnownBackends(testDaemon) === backends.length),
       8000,
     );
@@ -140,7 +142,7 @@
             value: createConfig({ services: serviceCount, routes: 9 }, sequence),
           }),
         );
-      stage.waitUntil(() => {
+      cluster.waitUntil(() => {
         for (const { name, daemon } of all) {
           const sequences = sequencesByDaemon.get(name);
           if (sequences && sequences.at(-1) !== daemon.clusterView.configSequence)
@@ -154,8 +156,8 @@
     const killed = all.slice(-6);
     for (const { gate } of killed) gate.kill();
     for (const stoppedBackend of backends.slice(0, 4)) activeBackends.delete(stoppedBackend);
-    stage.wait(9000);
-    const unresponsive = stage.logLines.filter((line) => line.includes("daemon unresponsive"));
+    cluster.wait(9000);
+    const unresponsive = cluster.logLines.filter((line) => line.includes("daemon unresponsive"));
     expect(
       killed.filter(({ name }) => unresponsive.some((line) => line.includes(`"${name}"`))),
     ).toHaveLength(killed.length);
--- a/test/control-plane/delayed-network.test.ts
+++ b/test/control-plane/delayed-network.test.ts
@@ -11,11 +11,11 @@
 
 describe("DelayedNetwork", () => {
   test("it preserves the order of messages and counts them", () => {
-    const stage = new ClusterFixture([], []);
-    const clock = stage.virtualClock.clock();
+    const cluster = new ClusterFixture([], []);
+    const clock = cluster.virtualClock.clock();
     const gate = new EventGate();
-    const far = new DelayedNetwork(stage.network.wire("far", gate), clock, () => 0);
-    const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
+    const far = new DelayedNetwork(cluster.network.wire("far", gate), clock, () => 0);
+    const near = new DelayedNetwork(cluster.network.wire("near", gate), clock, () => 30);
     const received: string[] = [];
     run(
       far.listen("10.0.0.9:1", (connection) => {
@@ -42,9 +42,9 @@
       }
     };
     run(sendAndReceive());
-    stage.wait(60);
+    cluster.wait(60);
     expect(received).toEqual([]);
-    stage.wait(2000);
+    cluster.wait(2000);
     expect(received).toEqual(["a", "bb", "ccc"]);
     expect(echoed).toEqual(["a", "bb", "ccc"]);
     expect(near.totals).toEqual({ bytesIn: 6, bytesOut: 6, messagesIn: 3, messagesOut: 3 });
--- a/test/control-plane/delayed-network.ts
+++ b/test/control-plane/delayed-network.ts
@@ -3,7 +3,7 @@
 import { type Task, runTask } from "../../src/runtime/task.js";
 import type { Connection, Network } from "../../src/runtime/network.js";
 
-/** Bytes and messages that went over a network, each way. */
+/** Bytes and messages that a network transferred, by direction. */
 export interface TrafficTotals {
   bytesIn: number;
   bytesOut: number;
@@ -11,7 +11,7 @@
   messagesOut: number;
 }
 
-/** A network that counts its traffic and adds a one-way delay that depends on the remote address. */
+/** A network that counts its traffic and adds a one-way delay by remote address. */
 export class DelayedNetwork implements Network {
   readonly totals: TrafficTotals = { bytesIn: 0, bytesOut: 0, messagesIn: 0, messagesOut: 0 };
   private readonly inner: Network;
@@ -62,7 +62,7 @@
     };
   }
 
-  /** Runs what it is handed a while later, in the order in which it came. */
+  /** Creates a function that runs callbacks after a delay, in the order in which it gets them. */
   private createDelay(delayMs: number): (run: () => void) => void {
     if (delayMs <= 0) return (run) => run();
     const queue: Array<() => void> = [];
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -18,7 +18,7 @@
       ...(knownSequence === changes.sequence ? [] : [changes.viewPart(knownSequence)]),
     ].join(",")}}`,
   );
-  if (!view.granted) throw new Error("The response is no view.");
+  if (!view.granted) throw new Error(`the watch request was refused: ${view.why}`);
   return view;
 };
 
@@ -56,7 +56,7 @@
 );
 
 describe("EndpointChangeLog", () => {
-  test("replicas that apply updates at times equal the state machine's registrations, by digest too", () => {
+  test("replicas that apply updates at random times match the state machine's registrations and their digest", () => {
     fc.assert(
       fc.property(fc.array(fc.tuple(commandArbitrary, fc.nat(7)), { maxLength: 40 }), (steps) => {
         const stateMachine = new StateMachine();
@@ -78,7 +78,7 @@
     );
   });
 
-  test("a replica whose digest differs is detected, requests all registrations and recovers by them", () => {
+  test("a replica whose digest differs is detected, requests all registrations and recovers with them", () => {
     const stateMachine = new StateMachine();
     const changes = new EndpointChangeLog(stateMachine);
     const heartbeat = (index: number, address: string, capacity: number): void => {
@@ -121,7 +121,7 @@
     expect(replica.apply(skippedView)).toBe("changed");
   });
 
-  test("a watch request with the sequence before gets only the changes, a few hundred bytes, from a new leader too", () => {
+  test("a watch request with the previous sequence gets only the changes, in a few hundred bytes, also from a new leader", () => {
     const { simulation, heartbeat, exchange, watch, watchRequestText, leader, wait, registration } =
       createTestCluster({
         maxWatchWaitMs: 50,
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -8,7 +8,7 @@
 import { address, rethrow, service, createTestCluster } from "./control-plane-stage.js";
 
 describe("EndpointRegistry", () => {
-  test("an instance that left, was replaced or is draining never registers again, however late its heartbeats are", () => {
+  test("an instance that left, was replaced or is draining isn't registered again by delayed heartbeats", () => {
     const { command, heartbeat, registration } = createTestCluster();
     expect(heartbeat("one")).toContain('"taken"');
     expect(command({ kind: "leave", instance: "one" })).toBe('{"known":true}');
@@ -60,41 +60,43 @@
     expect(registration()).toBeUndefined();
   });
 
-  test("heartbeats older than the newest one change nothing, at whichever daemon they arrive", () => {
+  test("heartbeats older than the newest one are ignored at every daemon", () => {
     const { daemons, post, registration, wait } = createTestCluster();
-    const [one, two] = daemons(2);
+    const [firstDaemon, secondDaemon] = daemons(2);
     const heartbeatBody = { service, address, zone: "x", instance: "life-1", capacity: 2 };
-    const heartbeat = (at: typeof one, more: Record<string, unknown>): string =>
-      post(at, "/backends/announce", { ...heartbeatBody, ...more }).text;
-    expect(heartbeat(one, { order: 5 })).toContain('"taken"');
+    const heartbeat = (at: typeof firstDaemon, overrides: Record<string, unknown>): string =>
+      post(at, "/backends/announce", { ...heartbeatBody, ...overrides }).text;
+    expect(heartbeat(firstDaemon, { order: 5 })).toContain('"taken"');
     wait(1000);
-    expect(heartbeat(two, { order: 3, zone: "y" })).toContain('"overtaken"');
-    expect(heartbeat(one, { order: 4, zone: "y" })).toContain('"overtaken"');
-    expect(heartbeat(one, { order: 9 })).toContain('"known"');
+    expect(heartbeat(secondDaemon, { order: 3, zone: "y" })).toContain('"overtaken"');
+    expect(heartbeat(firstDaemon, { order: 4, zone: "y" })).toContain('"overtaken"');
+    expect(heartbeat(firstDaemon, { order: 9 })).toContain('"known"');
     wait(500);
-    expect(heartbeat(two, { order: 7, zone: "y" })).toContain('"overtaken"');
+    expect(heartbeat(secondDaemon, { order: 7, zone: "y" })).toContain('"overtaken"');
     expect(registration()).toMatchObject({ zone: "x", leaving: false });
-    expect(heartbeat(two, { order: 11, zone: "y" })).toContain('"taken"');
+    expect(heartbeat(secondDaemon, { order: 11, zone: "y" })).toContain('"taken"');
     expect(registration()).toMatchObject({ zone: "y" });
   });
 
   test("an acknowledged deregistration survives the leader's immediate loss of power, and a snapshot", () => {
     for (const seed of [1, 2, 3]) {
       const { simulation, leader, daemons, post, registration, wait } = createTestCluster({}, seed);
-      const [one, two] = daemons(2);
+      const [firstDaemon, secondDaemon] = daemons(2);
       const heartbeatBody = { service, address, zone: "x", instance: "life-1" };
-      post(one, "/backends/announce", heartbeatBody);
+      post(firstDaemon, "/backends/announce", heartbeatBody);
       expect(
-        post(one, "/backends/announce", { ...heartbeatBody, order: 2, draining: true }, 60),
+        post(firstDaemon, "/backends/announce", { ...heartbeatBody, order: 2, draining: true }, 60),
       ).toMatchObject({ code: 200 });
-      expect(post(one, "/backends/leave", { instance: "life-2" }, 60)).toMatchObject({ code: 200 });
+      expect(post(firstDaemon, "/backends/leave", { instance: "life-2" }, 60)).toMatchObject({
+        code: 200,
+      });
       const formerLeader = leader();
       simulation.kill(formerLeader, true);
       wait(4000);
       simulation.boot(formerLeader);
       for (const instance of ["life-1", "life-2"])
         expect(
-          post(two, "/backends/announce", { ...heartbeatBody, instance, order: 9 }).text,
+          post(secondDaemon, "/backends/announce", { ...heartbeatBody, instance, order: 9 }).text,
         ).toContain('"gone"');
       expect(registration()?.leaving ?? true).toBe(true);
     }
@@ -102,16 +104,20 @@
 
   test("daemons respond to heartbeats that change nothing and report them in watch requests; registrations without heartbeats end", () => {
     const { daemons, post, registration, wait } = createTestCluster();
-    const [one, two] = daemons(2);
+    const [firstDaemon, secondDaemon] = daemons(2);
     const heartbeatBody = { service, address, zone: "x", instance: "life-1", capacity: 2 };
-    post(one, "/backends/announce", { ...heartbeatBody, order: 1 });
+    post(firstDaemon, "/backends/announce", { ...heartbeatBody, order: 1 });
     wait(700);
     const number = registration()?.number;
     const commandSpy = vi.spyOn(ControlPlane.prototype, "command");
     for (let order = 2; order < 22; order += 1)
       expect(
-        post(order % 2 === 0 ? one : two, "/backends/announce", { ...heartbeatBody, order }, 1000)
-          .text,
+        post(
+          order % 2 === 0 ? firstDaemon : secondDaemon,
+          "/backends/announce",
+          { ...heartbeatBody, order },
+          1000,
+        ).text,
       ).toContain('"known"');
     expect(commandSpy.mock.calls.filter(([text]) => text.includes("announce"))).toEqual([]);
     commandSpy.mockRestore();
@@ -120,19 +126,19 @@
     expect(registration()?.leaving).toBe(false);
     wait(1800);
     expect(registration()).toMatchObject({ number, leaving: true });
-    expect(post(two, "/backends/announce", { ...heartbeatBody, order: 30 }).text).toContain(
-      '"taken"',
-    );
+    expect(
+      post(secondDaemon, "/backends/announce", { ...heartbeatBody, order: 30 }).text,
+    ).toContain('"taken"');
   });
 
-  test("a heartbeat whose report was lost is reported with a later watch request", () => {
+  test("a heartbeat whose report was lost is reported again with a later watch request", () => {
     const { simulation, daemons, post, registration, wait } = createTestCluster();
-    const [one] = daemons(1);
+    const [firstDaemon] = daemons(1);
     const heartbeatBody = { service, address, zone: "x", instance: "life-1" };
-    post(one, "/backends/announce", heartbeatBody);
+    post(firstDaemon, "/backends/announce", heartbeatBody);
     wait(1700);
-    const name = one?.settings.machine ?? "";
-    post(one, "/backends/announce", heartbeatBody, 0);
+    const name = firstDaemon?.settings.machine ?? "";
+    post(firstDaemon, "/backends/announce", heartbeatBody, 0);
     for (const { settings } of simulation.machines) simulation.network.cut(name, settings.machine);
     wait(700);
     simulation.network.drop(name);
@@ -141,27 +147,33 @@
     expect(registration()?.leaving).toBe(false);
   });
 
-  test("malformed heartbeats and deregistrations are refused with reasons, and without a leader the response comes soon", () => {
+  test("malformed heartbeats and deregistrations are refused with reasons, and heartbeats get a prompt error without a leader", () => {
     const { simulation, daemons, post } = createTestCluster();
-    const [one] = daemons(1);
+    const [firstDaemon] = daemons(1);
     const heartbeatBody = { service, address, zone: "x", instance: "life-1" };
     const formatResponse = (response: { code: number; text: string }): string =>
       `${response.code} ${response.text}`;
     expect(
       formatResponse(
-        post(one, "/backends/announce", { ...heartbeatBody, capacity: -1, draining: "yes" }),
+        post(firstDaemon, "/backends/announce", {
+          ...heartbeatBody,
+          capacity: -1,
+          draining: "yes",
+        }),
       ),
     ).toMatch(/^400 .*capacity.*draining/);
     expect(
-      formatResponse(post(one, "/backends/announce", { ...heartbeatBody, instance: "" })),
+      formatResponse(post(firstDaemon, "/backends/announce", { ...heartbeatBody, instance: "" })),
     ).toMatch(/^400 .*instance/);
-    expect(formatResponse(post(one, "/backends/leave", { instance: 7 }))).toMatch(
+    expect(formatResponse(post(firstDaemon, "/backends/leave", { instance: 7 }))).toMatch(
       /^400 .*instance/,
     );
-    expect(formatResponse(post(one, "/backends/leave", { service }))).toMatch(/^400 .*address/);
+    expect(formatResponse(post(firstDaemon, "/backends/leave", { service }))).toMatch(
+      /^400 .*address/,
+    );
     for (const machine of simulation.machines)
       if (machine.settings.callers === undefined) simulation.kill(machine);
-    expect(post(one, "/backends/announce", heartbeatBody, 990).code).toBe(503);
+    expect(post(firstDaemon, "/backends/announce", heartbeatBody, 990).code).toBe(503);
   });
 
   test("a buffered watch request is released when the registrations change, and after its timeout when nothing does", () => {
@@ -205,7 +217,7 @@
     expect(responses[0]?.text).toContain('"breakdown"');
   });
 
-  test("a tombstone expires after its time, unless its instance still sends heartbeats", () => {
+  test("a tombstone expires after its retention time, unless its instance still sends heartbeats", () => {
     const { command, heartbeat, wait } = createTestCluster({ tombstoneMs: 4000 });
     command({ kind: "leave", instance: "one" });
     command({ kind: "leave", instance: "two" });
@@ -217,7 +229,7 @@
     expect(heartbeat("two")).toContain('"taken"');
   });
 
-  test("a view finds registrations by service, number and instance, and excludes those that refused connections", () => {
+  test("a view finds registrations by service, number and instance, and excludes those whose backends refused connections", () => {
     const { runtime, rpc, leader, heartbeat, wait, simulation } = createTestCluster();
     heartbeat("one");
     heartbeat("two", { address: "10.9.0.2:80" });
@@ -237,24 +249,26 @@
     );
     runTask(clusterView.run(200), rethrow);
     wait(500);
-    const [one, two] = ["one", "two"].map((instance) => clusterView.registrationOf(instance));
-    if (!one || !two) throw new Error("A registration is missing.");
-    expect(clusterView.backendsOf(service)).toEqual([one, two]);
+    const [firstRegistration, secondRegistration] = ["one", "two"].map((instance) =>
+      clusterView.registrationOf(instance),
+    );
+    if (!firstRegistration || !secondRegistration) throw new Error("the view lacks a registration");
+    expect(clusterView.backendsOf(service)).toEqual([firstRegistration, secondRegistration]);
     expect([
-      clusterView.isRegistered(one),
-      clusterView.isRegistered({ ...two, number: 0 }),
+      clusterView.isRegistered(firstRegistration),
+      clusterView.isRegistered({ ...secondRegistration, number: 0 }),
     ]).toEqual([true, false]);
-    clusterView.markRefused(one);
-    expect([clusterView.isRegistered(one), clusterView.backendsOf(service)]).toEqual([
+    clusterView.markRefused(firstRegistration);
+    expect([clusterView.isRegistered(firstRegistration), clusterView.backendsOf(service)]).toEqual([
       false,
-      [two],
+      [secondRegistration],
     ]);
     wait(1000);
     expect(clusterView.registrationOf("one")).toMatchObject({ leaving: true });
     expect(simulation.machines.length).toBeGreaterThan(0);
   });
 
-  test("a heartbeat through a daemon with older registrations isn't acknowledged, through an updated daemon it is", () => {
+  test("a heartbeat is acknowledged through an up-to-date daemon, but not through one with older registrations", () => {
     const { heartbeat, watch, registration, wait } = createTestCluster();
     heartbeat("one", { order: 1 });
     const number = registration()?.number ?? -1;
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -22,7 +22,7 @@
 });
 
 describe("LargeViewLimiter", () => {
-  test("a large view is in transit for a while, for twice that the next time, and not for another incarnation or state", () => {
+  test("a large view counts as in transit for the initial time, for twice that after a resend, and not for another incarnation or state", () => {
     const views = new LargeViewLimiter(1000);
     expect(views.isInTransit(createWatchRequest("one", 0), 0)).toBe(false);
     views.recordSent(createWatchRequest("one", 0), 0);
@@ -71,27 +71,27 @@
     expect(exchange(rpcMethods.watch, watchRequestText())[0]?.text).toContain('"packedConfig"');
   });
 
-  test("a daemon whose views take longer than the request timeout has its lease from the sending of the request", () => {
-    const fleet = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-    fleet.bootAll();
-    fleet.wait(4000);
+  test("a daemon whose views take longer than the request timeout counts its lease from the time of the request", () => {
+    const cluster = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    cluster.bootAll();
+    cluster.wait(4000);
     const gate = new EventGate();
-    const clock = gate.clock(fleet.virtualClock.clock());
-    const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
-    const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
+    const clock = gate.clock(cluster.virtualClock.clock());
+    const wire = new DelayedNetwork(cluster.network.wire("far", gate), clock, () => 350);
+    const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
     const bounds = boundsOf({});
     const daemon = new PollingDaemon(
       runtime,
       { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
-      [fleet.machineAt(0).peer],
+      [cluster.machineAt(0).peer],
       bounds,
     );
     daemon.start();
-    fleet.wait(6000);
+    cluster.wait(6000);
     expect(2 * 350).toBeGreaterThan(bounds.watchTimeoutMs);
     let pollsWithLease = 0;
     for (let poll = 0; poll < 100; poll += 1) {
-      fleet.wait(40);
+      cluster.wait(40);
       if (daemon.clusterView.holdsLease) pollsWithLease += 1;
       expect(daemon.clusterView.leaseRemainingMs).toBeLessThanOrEqual(bounds.leaseMs - 700);
     }
--- a/test/control-plane/polling-daemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -16,7 +16,7 @@
   readonly peer: string;
 }
 
-/** A backend, as it registers itself. */
+/** The fields by which a backend registers. */
 export interface BackendAddress {
   readonly address: string;
   readonly service: string;
@@ -26,7 +26,7 @@
 const PUSH_INTERVAL_MS = 2000;
 const COMMAND_TIMEOUT_MS = 900;
 
-/** The control part of an edge: it sends watch requests and pushes its request counts, and serves no requests. */
+/** The control-plane client of an edge: it sends watch requests and pushes request counts, and serves no requests. */
 export class PollingDaemon {
   readonly clusterView: ClusterView;
   private readonly runtime: Runtime;
@@ -34,7 +34,7 @@
   private readonly edgeCounts: EdgeCounts;
   private readonly watchIntervalMs: number;
   private readonly watchTimeoutMs: number;
-  /** How often the registrations changed here. */
+  /** The number of endpoint updates that this daemon applied. */
   endpointUpdates = 0;
 
   constructor(runtime: Runtime, info: PollingDaemonInfo, seeds: readonly string[], bounds: Bounds) {
@@ -83,12 +83,12 @@
     startTask(this.runtime, "zone", this.edgeCounts.run(PUSH_INTERVAL_MS));
   }
 
-  /** How many edges the newest counts cover. */
+  /** The number of edges that the newest counts cover. */
   get coveredEdges(): number {
     return this.edgeCounts.latest?.coverage.edges ?? 0;
   }
 
-  /** Sends a command to the leader; `undefined` where there was no response in time. */
+  /** Sends a command to the leader; returns `undefined` without a response in time. */
   *command(command: Command): Task<string | undefined> {
     return yield* this.forwarder.command(command, COMMAND_TIMEOUT_MS);
   }
--- a/test/control-plane/topology.ts
+++ b/test/control-plane/topology.ts
@@ -1,4 +1,4 @@
-/** How many zones and regions a fleet of a test spans; zones of a region are numbered consecutively. */
+/** The number of zones and regions of a test cluster; the zones of a region are numbered consecutively. */
 export interface Topology {
   readonly zones: number;
   readonly regions: number;
@@ -7,7 +7,7 @@
 const SAME_REGION_ONE_WAY_MS = 1;
 const OTHER_REGION_ONE_WAY_MS = 30;
 
-/** The zone of the daemon or backend with an index; zones take turns. */
+/** The zone of the daemon or backend with an index; zones are assigned round-robin. */
 export const zoneOf = (index: number, { zones }: Topology): string => `zone-${(index % zones) + 1}`;
 
 const regionOf = (zone: string, { zones, regions }: Topology): number =>
@@ -21,7 +21,7 @@
     : OTHER_REGION_ONE_WAY_MS;
 };
 
-/** A configuration with so many services and routes; `change` varies one field of it. */
+/** Creates a configuration with a number of services and routes; `change` varies one of its fields. */
 export const createConfig = (
   { services, routes }: { readonly services: number; readonly routes: number },
   change: number,
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -12,29 +12,29 @@
 const serviceCount = 40;
 
 describe("watch traffic", () => {
-  test("an idle daemon's requests and views don't grow with the number of services: only demand names them", () => {
-    const fleet = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-    fleet.bootAll();
-    fleet.wait(4000);
+  test("an idle daemon's requests and views don't grow with the number of services, since they name only services with demand", () => {
+    const cluster = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    cluster.bootAll();
+    cluster.wait(4000);
     const gate = new EventGate();
-    const clock = gate.clock(fleet.virtualClock.clock());
-    const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
-    const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
+    const clock = gate.clock(cluster.virtualClock.clock());
+    const wire = new DelayedNetwork(cluster.network.wire("one", gate), clock, () => 1);
+    const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
     const daemon = new PollingDaemon(
       runtime,
       { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
-      [fleet.machineAt(0).peer],
+      [cluster.machineAt(0).peer],
       boundsOf({}),
     );
     daemon.start();
-    fleet.wait(2000);
+    cluster.wait(2000);
     const run = (task: Task<unknown>): void =>
       runTask(task, (error) => {
         throw error;
       });
     const measureBytesPerSecond = (): { out: number; in: number } => {
       const before = { ...wire.totals };
-      fleet.wait(2500);
+      cluster.wait(2500);
       return {
         out: (wire.totals.bytesOut - before.bytesOut) / 2.5,
         in: (wire.totals.bytesIn - before.bytesIn) / 2.5,
@@ -49,7 +49,7 @@
           zone: "zone-1",
         }),
       );
-    fleet.wait(1000);
+    cluster.wait(1000);
     expect(daemon.clusterView.services.length).toBe(serviceCount);
     const withServices = measureBytesPerSecond();
     expect(withServices.out - withoutServices.out).toBeLessThan(serviceCount * 10);
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -15,13 +15,13 @@
 const edge = (
   name: string,
   zone: string,
-  more: Partial<PlacementCandidate> = {},
+  overrides: Partial<PlacementCandidate> = {},
 ): PlacementCandidate => ({
   name,
   zone,
   roles: ["edge"],
   draining: false,
-  ...more,
+  ...overrides,
 });
 
 describe("computeEdgePlacements", () => {
@@ -40,22 +40,22 @@
     });
   });
 
-  /** What the leader tells an edge of its place, if anything. */
+  /** Sends a watch request as an edge; returns the placement in the response, if there is one. */
   const requestPlacement = (
-    stage: ClusterFixture,
+    cluster: ClusterFixture,
     name: string,
     zone: string,
   ): EdgePlacement | undefined => {
     const placements: Array<EdgePlacement | undefined> = [];
     const peer = "10.0.9.7:7000";
     const runtime = virtualRuntime({
-      clock: stage.virtualClock.clock(),
-      network: stage.network.wire(`poll-${stage.virtualClock.nowMs()}`, new EventGate()),
-      random: stage.random,
+      clock: cluster.virtualClock.clock(),
+      network: cluster.network.wire(`poll-${cluster.virtualClock.nowMs()}`, new EventGate()),
+      random: cluster.random,
     });
     const rpc = new RpcEndpoint(runtime, peer);
     const forwarder = new CommandForwarder(runtime, rpc, () =>
-      stage.diskMachines.map((machine) => machine.peer),
+      cluster.diskMachines.map((machine) => machine.peer),
     );
     const watchRequest: WatchRequest = {
       machine: { name, zone, roles: ["edge"], peer, incarnation: "1", draining: false },
@@ -66,36 +66,39 @@
       wished: [],
       refused: [],
     };
-    stage.startTask(
+    cluster.startTask(
       (function* () {
         const text = yield* forwarder.forward(rpcMethods.watch, JSON.stringify(watchRequest), 450);
         const view = text === undefined ? undefined : readLeasedView(text);
         placements.push(view?.granted === true ? view.place : undefined);
       })(),
     );
-    stage.waitUntil(() => placements.length > 0, 2000);
+    cluster.waitUntil(() => placements.length > 0, 2000);
     return placements[0];
   };
 
-  test("a leader sends placements once it has led for a lease, and excludes unresponsive edges", () => {
-    const stage = new ClusterFixture(["d:a", "d:b", "d:c", "e:a", "e:b", "e:c", "e:a"], [0, 1, 2]);
-    stage.bootAll();
-    stage.wait(6000);
-    expect(requestPlacement(stage, "edge-0", "a")).toEqual({
+  test("a leader sends placements after it has led for the duration of a lease, and excludes unresponsive edges", () => {
+    const cluster = new ClusterFixture(
+      ["d:a", "d:b", "d:c", "e:a", "e:b", "e:c", "e:a"],
+      [0, 1, 2],
+    );
+    cluster.bootAll();
+    cluster.wait(6000);
+    expect(requestPlacement(cluster, "edge-0", "a")).toEqual({
       zoneIndex: 0,
       zoneCount: 3,
       count: 5,
     });
-    const formerLeader = stage.leader;
-    stage.kill(formerLeader);
-    stage.waitUntil(
-      () => stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+    const formerLeader = cluster.leader;
+    cluster.kill(formerLeader);
+    cluster.waitUntil(
+      () => cluster.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
       5000,
     );
-    expect(requestPlacement(stage, "edge-0", "a")).toBeUndefined();
-    stage.kill(stage.machineAt(6));
-    stage.wait(6000);
-    expect(requestPlacement(stage, "edge-0", "a")).toEqual({
+    expect(requestPlacement(cluster, "edge-0", "a")).toBeUndefined();
+    cluster.kill(cluster.machineAt(6));
+    cluster.wait(6000);
+    expect(requestPlacement(cluster, "edge-0", "a")).toEqual({
       zoneIndex: 0,
       zoneCount: 2,
       count: 4,
--- a/test/state/id-allocator.test.ts
+++ b/test/state/id-allocator.test.ts
@@ -2,7 +2,7 @@
 import { IdAllocator } from "../../src/state/id-allocator.js";
 
 describe("IdAllocator", () => {
-  test("over thousands of configurations no id is reused within its rest, and ids don't run out", () => {
+  test("over thousands of configurations no id is reused within its quarantine, and ids don't run out", () => {
     const ids = new IdAllocator();
     const lastNameById = new Map<number, { name: string; round: number }>();
     const quarantinedAt = new Map<number, number>();
--- a/test/state/state-machine.test.ts
+++ b/test/state/state-machine.test.ts
@@ -4,7 +4,7 @@
 
 const members = { voters: ["a"], learners: [] };
 describe("StateMachine", () => {
-  test("one of two concurrent configurations is rejected, a retried change gets its first outcome, and a snapshot contains all", () => {
+  test("one of two concurrent configurations is rejected, a retried change gets its original outcome, and a snapshot restores the whole state", () => {
     const stateMachine = new StateMachine();
     const put = (index: number, expected: number, changeId: string) =>
       stateMachine.apply(
@@ -36,7 +36,7 @@
     ...(replaces === undefined ? {} : { replaces }),
   });
 
-  test("an idempotency key is claimed by one request until it is released or expires, and names who knows the outcome", () => {
+  test("an idempotency key is held by one request until its release or expiry, and the claim names the daemons that store the outcome", () => {
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
       JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
@@ -52,7 +52,7 @@
     expect(apply(9, createClaim("three"))).toEqual({ claimed: true });
   });
 
-  test("a claim is taken over from the request that it replaces, and from no other", () => {
+  test("a claim is taken over only from the request that it replaces", () => {
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
       JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
@@ -65,7 +65,7 @@
     expect(apply(7, createClaim("three"))).toMatchObject({ held: { job: "two" } });
   });
 
-  test("a claim that a former build settled stays settled when it arrives again", () => {
+  test("a claim that an older build settled remains settled when its request claims the key again", () => {
     const stateMachine = new StateMachine();
     const apply = (index: number, command: LogCommand): unknown =>
       JSON.parse(stateMachine.apply(index, encodeLogCommand(command)));
@@ -75,7 +75,7 @@
     expect(apply(4, createClaim("other"))).toMatchObject({ held: { verdict: "ran", holders } });
   });
 
-  test("log entries and snapshots of a former build, which contain responses, are read without them", () => {
+  test("responses in log entries and snapshots of an older build are ignored", () => {
     const stateMachine = new StateMachine();
     const claim = { kind: "claim", scope: "k", bodyHash: "h", job: "one" };
     const response = { code: 201, headers: {}, body: "x".repeat(64 * 1024) };
@@ -85,7 +85,8 @@
     expect(stateMachine.snapshot(members).length).toBeLessThan(1000);
     const copy = new StateMachine();
     const former: unknown = JSON.parse(stateMachine.snapshot(members));
-    if (typeof former !== "object" || former === null) throw new Error("The copy is no object.");
+    if (typeof former !== "object" || former === null)
+      throw new Error("the snapshot isn't an object");
     const atIndex = 1;
     const held = { bodyHash: "h", job: "one", verdict: "ran", return: response, atIndex };
     copy.restore(
