--- a/src/load-balancing/backend-stats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -2,8 +2,8 @@
 import type { AttemptSample } from "./attempt-sample.js";
 
 /** How much the newest sample counts in the moving means. */
-const LATENCY_RATE = 0.2;
-const FAILURE_RATE = 0.1;
+const LATENCY_SMOOTHING = 0.2;
+const FAILURE_SMOOTHING = 0.1;
 const INITIAL_LATENCY_MS = 20;
 const MIN_WEIGHT = 0.1;
 const WEIGHT_STEP = { down: 0.85, up: 1.05 };
@@ -11,7 +11,7 @@
 /** A backend misses its latency target also where more than this part of its attempts fail. */
 const MAX_FAILURE_RATE = 0.2;
 /** From how many failures in a row on a backend is avoided. */
-const MIN_FAILURES_IN_A_ROW = 2;
+const MIN_CONSECUTIVE_FAILURES = 2;
 /** How long a backend is avoided after failures in a row: doubled with each, up to a limit, and spread at random. */
 const AVOIDANCE = { initialMs: 250, maxDoublings: 6, maxMs: 5000, spread: 0.5 };
 
@@ -29,7 +29,7 @@
   weightReason = "";
   inFlight = 0;
   attempts = 0;
-  failuresInARow = 0;
+  consecutiveFailures = 0;
   avoidUntilMs = 0;
   /** When this daemon learned of it. */
   readonly knownSinceMs: number;
@@ -77,12 +77,12 @@
     random: () => number,
   ): void {
     this.relativeLatency +=
-      (tookMs / Math.max(1, expectedMs) - this.relativeLatency) * LATENCY_RATE;
-    this.latencyMs += (tookMs - this.latencyMs) * LATENCY_RATE;
-    this.failureRate += ((isWhole ? 0 : 1) - this.failureRate) * FAILURE_RATE;
-    this.failuresInARow = isWhole ? 0 : this.failuresInARow + 1;
-    if (this.failuresInARow < MIN_FAILURES_IN_A_ROW) return;
-    const doublings = Math.min(this.failuresInARow, AVOIDANCE.maxDoublings);
+      (tookMs / Math.max(1, expectedMs) - this.relativeLatency) * LATENCY_SMOOTHING;
+    this.latencyMs += (tookMs - this.latencyMs) * LATENCY_SMOOTHING;
+    this.failureRate += ((isWhole ? 0 : 1) - this.failureRate) * FAILURE_SMOOTHING;
+    this.consecutiveFailures = isWhole ? 0 : this.consecutiveFailures + 1;
+    if (this.consecutiveFailures < MIN_CONSECUTIVE_FAILURES) return;
+    const doublings = Math.min(this.consecutiveFailures, AVOIDANCE.maxDoublings);
     const avoidMs = Math.min(AVOIDANCE.maxMs, AVOIDANCE.initialMs * 2 ** doublings);
     this.avoidUntilMs = nowMs + avoidMs * (1 - AVOIDANCE.spread / 2 + random() * AVOIDANCE.spread);
   }
--- a/src/load-balancing/load-balancer.ts
+++ b/src/load-balancing/load-balancer.ts
@@ -12,7 +12,7 @@
 /** A backend is failing where more than this part of its attempts fail: more than one in ten, one after the other. */
 const FAILING_RATE = 0.15;
 /** How much a KiB of a response from another zone costs, as a delay. */
-const REMOTE_KIB_MS = 2;
+const REMOTE_MS_PER_KIB = 2;
 /** How long a backend may go without progress: a multiple of what its routes usually take, and some more. */
 const TOLERANCE = { factor: 3, extraMs: 150, defaultLatencyMs: 500 };
 /** How often a backend is chosen by weight alone, so that the recovery of a slow one is noticed. */
@@ -41,7 +41,7 @@
 }
 
 /** Identifies a registration of a backend. */
-const keyOf = ({ address, number }: Backend): string => `${address} ${number}`;
+const registrationKey = ({ address, number }: Backend): string => `${address} ${number}`;
 
 /** Chooses among a service's backends by what this daemon has measured of them. */
 export class LoadBalancer {
@@ -123,7 +123,7 @@
 
   /** Whether a backend fails so often that the failures are its own rather than its requests'. */
   isFailing(backend: Backend): boolean {
-    return (this.statsByKey.get(keyOf(backend))?.failureRate ?? 0) > FAILING_RATE;
+    return (this.statsByKey.get(registrationKey(backend))?.failureRate ?? 0) > FAILING_RATE;
   }
 
   /** Why each backend has its weight. */
@@ -134,7 +134,7 @@
       if (backend.zone !== this.zone) reasons.push("in another zone");
       if (this.warmth(backend, stats, nowMs) < 1) reasons.push("still warming up");
       if (stats.avoidUntilMs > nowMs)
-        reasons.push(`avoided after ${stats.failuresInARow} failures in a row`);
+        reasons.push(`avoided after ${stats.consecutiveFailures} failures in a row`);
       return {
         address: backend.address,
         zone: backend.zone,
@@ -150,7 +150,7 @@
   /** Sets the known backends: new ones start to warm up now, others are forgotten. */
   setBackends(backends: readonly Backend[], nowMs: number): void {
     for (const backend of backends) this.stats(backend, nowMs);
-    const keys = new Set(backends.map(keyOf));
+    const keys = new Set(backends.map(registrationKey));
     for (const key of this.statsByKey.keys()) if (!keys.has(key)) this.statsByKey.delete(key);
     this.statsCache = new WeakMap();
   }
@@ -185,7 +185,7 @@
   private stats(backend: Backend, nowMs: number): BackendStats {
     const cached = this.statsCache.get(backend);
     if (cached) return cached;
-    const key = keyOf(backend);
+    const key = registrationKey(backend);
     const stats = this.statsByKey.get(key) ?? new BackendStats(nowMs);
     this.statsByKey.set(key, stats);
     this.statsCache.set(backend, stats);
@@ -211,7 +211,7 @@
     const queued = 1 + stats.inFlight / Math.max(1, backend.capacity);
     const isRemote = backend.zone !== this.zone;
     const responseBytes = route?.meanResponseBytes ?? DEFAULT_RESPONSE_BYTES;
-    const transferMs = isRemote ? (responseBytes / 1024) * REMOTE_KIB_MS : 0;
+    const transferMs = isRemote ? (responseBytes / 1024) * REMOTE_MS_PER_KIB : 0;
     const expectedMs = route?.meanLatencyMs ?? stats.latencyMs;
     return (expectedMs * stats.relativeLatency * queued) / this.weight(backend, nowMs) + transferMs;
   }
--- a/src/load-balancing/route-stats.ts
+++ b/src/load-balancing/route-stats.ts
@@ -6,7 +6,7 @@
 /** The table is cleared when it has as many routes as this. */
 const MAX_ROUTES = 4096;
 /** How much the newest sample counts in the moving means. */
-const LEARNING_RATE = 0.05;
+const SMOOTHING_FACTOR = 0.05;
 
 /** Moving means of a route's complete responses. */
 export interface RouteStats {
@@ -34,11 +34,11 @@
   }: AttemptSample): RouteStats {
     const stats = this.statsOf(route, tookMs);
     if (!isWhole) return stats;
-    stats.meanLatencyMs += (tookMs - stats.meanLatencyMs) * LEARNING_RATE;
+    stats.meanLatencyMs += (tookMs - stats.meanLatencyMs) * SMOOTHING_FACTOR;
     if (bytes !== undefined)
       stats.meanResponseBytes +=
         (bytes - stats.meanResponseBytes) *
-        (stats.meanResponseBytes === DEFAULT_RESPONSE_BYTES ? 1 : LEARNING_RATE);
+        (stats.meanResponseBytes === DEFAULT_RESPONSE_BYTES ? 1 : SMOOTHING_FACTOR);
     return stats;
   }
 
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -80,15 +80,15 @@
 /** When clients had better retry a key whose response is lost: once the key is free again. */
 const LOST_RESPONSE_RETRY_AFTER_MS = 120_000;
 
-const hashOf = (...parts: Array<string | Uint8Array>): string => {
+const computeHash = (...parts: Array<string | Uint8Array>): string => {
   const hash = createHash("sha256");
   for (const part of parts) hash.update(part).update("\0");
   return hash.digest("hex");
 };
 
 /** The scope within which a key is unique: a host, method and path. */
-const scopeOf = (clientRequest: ProxyRequest, key: string): string =>
-  hashOf(
+const computeScope = (clientRequest: ProxyRequest, key: string): string =>
+  computeHash(
     normalizeHost(clientRequest.headers["host"] ?? ""),
     clientRequest.method,
     requestPath(clientRequest),
@@ -161,8 +161,8 @@
     const { clock } = this.runtime;
     const startedMs = clock.nowMs();
     this.claims += 1;
-    const scope = scopeOf(clientRequest, key);
-    const bodyHash = hashOf(clientRequest.target, clientRequest.body);
+    const scope = computeScope(clientRequest, key);
+    const bodyHash = computeHash(clientRequest.target, clientRequest.body);
     const request: KeyedRequest = { scope, requestId: `${this.incarnation}/${this.claims}` };
     const holders = this.outcomes.holdersFor(scope);
     const pending: PendingClaim = { request, bodyHash, holders, startedMs, deadlineMs };
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -28,10 +28,11 @@
 const STORE_TIMEOUT_MS = 400;
 const LOOKUP_TIMEOUT_MS = 400;
 /** How many hexadecimal digits of a scope choose its replica. */
-const DRAW_DIGITS = 6;
+const REPLICA_DRAW_DIGITS = 6;
 
 /** A number that differs from scope to scope: the last digits of what is a hash already. */
-const drawOf = (scope: string): number => Number.parseInt(scope.slice(-DRAW_DIGITS), 16) || 0;
+const replicaDraw = (scope: string): number =>
+  Number.parseInt(scope.slice(-REPLICA_DRAW_DIGITS), 16) || 0;
 
 /**
  * Stores and finds the outcomes of keyed requests. The log stores the claim of a key only, and the holders of its outcome:
@@ -128,6 +129,6 @@
     const followers = others.filter(({ peer }) => peer !== leader);
     const sameZone = followers.filter((member) => member.zone === zone);
     const candidates = [sameZone, followers, others].find((group) => group.length > 0) ?? [];
-    return candidates[drawOf(scope) % candidates.length]?.peer;
+    return candidates[replicaDraw(scope) % candidates.length]?.peer;
   }
 }
--- a/src/proxy/outcome-rules.ts
+++ b/src/proxy/outcome-rules.ts
@@ -63,7 +63,7 @@
   readonly clientStatus: 502 | 503 | 504;
 }
 
-const notSent = (why: string, connection: OutcomeRule["connection"] = "none"): FailureRule => ({
+const notSentRule = (why: string, connection: OutcomeRule["connection"] = "none"): FailureRule => ({
   execution: "neverRan",
   isSent: false,
   connection,
@@ -71,7 +71,7 @@
   reason: why,
 });
 
-const declined = (why: string): FailureRule => ({
+const declinedRule = (why: string): FailureRule => ({
   execution: "neverRan",
   isSent: true,
   connection: "keep",
@@ -79,7 +79,7 @@
   reason: why,
 });
 
-const uncertain = (why: string, clientStatus: 502 | 504 = 502): FailureRule => ({
+const uncertainRule = (why: string, clientStatus: 502 | 504 = 502): FailureRule => ({
   execution: "mayHaveRun",
   isSent: true,
   connection: "close",
@@ -88,25 +88,25 @@
 });
 
 const FAILURE_RULES: Readonly<Record<FailureCause, FailureRule>> = {
-  refused: notSent("The back end took no connection."),
-  foreign: notSent("The back end took no connection."),
-  unreached: notSent("The back end took no connection."),
-  withdrawn: notSent("This daemon's view changed before the request could be sent.", "keep"),
-  lost: uncertain("The connection to the back end broke."),
-  late: uncertain("The back end did not return in time.", 504),
-  otherInstance: declined("Another instance has the address."),
-  notRun: declined("The back end did not take the request."),
-  otherRequest: uncertain("The return carries no stamp of this request."),
-  bareRefusal: uncertain("The back end itself says try later."),
-  noSeal: uncertain("The return carries no seal."),
-  encoded: uncertain("The return's body is encoded."),
-  noLength: uncertain("The return states no length."),
-  bodyCut: uncertain("The back end's body was cut short."),
-  bodyTooLong: uncertain("The back end's body is longer than stated."),
-  answered: uncertain("The caller has its answer already."),
+  refused: notSentRule("The back end took no connection."),
+  foreign: notSentRule("The back end took no connection."),
+  unreached: notSentRule("The back end took no connection."),
+  withdrawn: notSentRule("This daemon's view changed before the request could be sent.", "keep"),
+  lost: uncertainRule("The connection to the back end broke."),
+  late: uncertainRule("The back end did not return in time.", 504),
+  otherInstance: declinedRule("Another instance has the address."),
+  notRun: declinedRule("The back end did not take the request."),
+  otherRequest: uncertainRule("The return carries no stamp of this request."),
+  bareRefusal: uncertainRule("The back end itself says try later."),
+  noSeal: uncertainRule("The return carries no seal."),
+  encoded: uncertainRule("The return's body is encoded."),
+  noLength: uncertainRule("The return states no length."),
+  bodyCut: uncertainRule("The back end's body was cut short."),
+  bodyTooLong: uncertainRule("The back end's body is longer than stated."),
+  answered: uncertainRule("The caller has its answer already."),
 };
 
-const FORWARDED: OutcomeRule = {
+const FORWARDED_RULE: OutcomeRule = {
   execution: "ran",
   isSent: true,
   connection: "keep",
@@ -116,8 +116,8 @@
 
 const OUTCOME_RULES: Readonly<Record<AttemptResult, OutcomeRule>> = {
   ...FAILURE_RULES,
-  whole: FORWARDED,
-  streamed: FORWARDED,
+  whole: FORWARDED_RULE,
+  streamed: FORWARDED_RULE,
   streamCut: {
     execution: "mayHaveRun",
     isSent: true,
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -37,7 +37,7 @@
 const DEFAULT_RETRY_AFTER_MS = 1000;
 
 /** An outcome whose JSON body and headers state when to retry. */
-const withRetryAfter = (
+const retryableOutcome = (
   code: number,
   why: string,
   execution: ExecutionStatus,
@@ -55,7 +55,7 @@
 
 /** 503: the request has not run and won't; the client may retry. */
 export const unavailableOutcome = (why: string, afterMs = DEFAULT_RETRY_AFTER_MS): RequestOutcome =>
-  withRetryAfter(503, why, "neverRan", afterMs);
+  retryableOutcome(503, why, "neverRan", afterMs);
 
 /** The request is invalid: a retry won't help. */
 export function rejectedOutcome(code: number, why: string): RequestOutcome {
@@ -72,7 +72,7 @@
   why: string,
   execution: ExecutionStatus,
   afterMs = DEFAULT_RETRY_AFTER_MS,
-): RequestOutcome => withRetryAfter(code, why, execution, afterMs);
+): RequestOutcome => retryableOutcome(code, why, execution, afterMs);
 
 /** A backend's response, unchanged. */
 export function forwardedOutcome(response: ClientResponse): RequestOutcome {
--- a/src/proxy/upstream/response-validation.ts
+++ b/src/proxy/upstream/response-validation.ts
@@ -21,7 +21,7 @@
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** How a backend states that it did not run the request; a response that names no request may state it too. */
-const declinedBy = (
+const findDeclineCause = (
   { code, headers }: ResponseHead,
   {
     headerNames: { expectedInstance: expected, notRun },
@@ -43,7 +43,7 @@
   const { code, headers } = head;
   const { headerNames, requestId: id, echoHeader } = expectedResponse;
   const { seal, proof } = headerNames;
-  const declined = declinedBy(head, expectedResponse);
+  const declined = findDeclineCause(head, expectedResponse);
   if (declined !== undefined) return declined;
   if (headers[echoHeader] !== id) return "otherRequest";
   if (NOT_RUN_STATUSES.has(code)) return "bareRefusal";
