--- a/test/configuration/config-serializer.test.ts
+++ b/test/configuration/config-serializer.test.ts
@@ -4,7 +4,9 @@
 import { checkConfig } from "../../src/configuration/config-validation.js";
 import { configText } from "../../src/configuration/config-serializer.js";
 
-const nameArbitrary = fc.stringMatching(/^[a-z0-9._-]{1,6}$/).filter((one) => one !== "__proto__");
+const nameArbitrary = fc
+  .stringMatching(/^[a-z0-9._-]{1,6}$/)
+  .filter((name) => name !== "__proto__");
 const originArbitrary = fc.option(fc.jsonValue(), { nil: undefined });
 const routeArbitrary = fc.record(
   {
@@ -38,10 +40,10 @@
       fc.property(
         fc.array(putArbitrary, { maxLength: 5 }),
         fc.array(nameArbitrary, { maxLength: 4 }),
-        (puts, removedNames) => {
+        (putSequence, removedNames) => {
           let config: Record<string, unknown> = { services: { one: {} }, routes: {} };
-          for (const one of puts) {
-            config = applyItemChanges(config, asParsedJson(one), {
+          for (const changes of putSequence) {
+            config = applyItemChanges(config, asParsedJson(changes), {
               services: [],
               routes: removedNames,
               goals: removedNames,
--- a/test/configuration/config.test.ts
+++ b/test/configuration/config.test.ts
@@ -173,6 +173,7 @@
     ).toEqual(["services.__proto__"]);
   });
 
+  // The guard alone decides whether a configuration is accepted, so a difference from the shapes would let an invalid one pass.
   test("the fast guard accepts exactly what the shapes accept, whichever part of a configuration is altered", () => {
     const random = RandomDraw.of(3);
     const replacements = [
@@ -196,12 +197,14 @@
       if (depth === 0 || typeof value !== "object" || value === null)
         return replacements[Math.floor(random() * replacements.length)];
       const entries: Array<[string, unknown]> = Object.entries(value);
-      const at = Math.floor(random() * (entries.length + 1));
-      const altered = entries.map<[string, unknown]>(([key, one], place) =>
-        place === at ? [key, alter(one, depth - 1)] : [key, one],
+      const alteredIndex = Math.floor(random() * (entries.length + 1));
+      const altered = entries.map<[string, unknown]>(([key, entryValue], index) =>
+        index === alteredIndex ? [key, alter(entryValue, depth - 1)] : [key, entryValue],
       );
-      if (at === entries.length) altered.push([random() < 0.5 ? "extra" : "origin", 1]);
-      return Array.isArray(value) ? altered.map(([, one]) => one) : Object.fromEntries(altered);
+      if (alteredIndex === entries.length) altered.push([random() < 0.5 ? "extra" : "origin", 1]);
+      return Array.isArray(value)
+        ? altered.map(([, entryValue]) => entryValue)
+        : Object.fromEntries(altered);
     };
     let refused = 0;
     for (let round = 0; round < 4000; round += 1) {
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -255,9 +255,9 @@
       createTestCluster({
         maxWatchWaitMs: 50,
       });
-    const [one] = daemons(1);
+    const [edge] = daemons(1);
     const send = (method: string, target: string, body: unknown): void => {
-      one?.daemon?.adminRequests.emit({
+      edge?.daemon?.adminRequests.emit({
         clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
         respond: () => undefined,
       });
@@ -274,17 +274,17 @@
     expect(text).toContain('"configChanges"');
     expect(text).toContain('"route-3"');
     expect(text).not.toContain('"route-4"');
-    const known = watch({ directorySequence, configSequence });
+    const knownView = watch({ directorySequence, configSequence });
     simulation.kill(leader());
     wait(3000);
     for (let index = 0; index < 4; index += 1)
       send("PATCH", "/config", { routes: { [`route-${index}`]: { service: "three" } } });
-    const after = watch({ directorySequence: known.directorySequence, configSequence });
-    expect(after.configSequence).toBe(known.configSequence + 4);
+    const updatedView = watch({ directorySequence: knownView.directorySequence, configSequence });
+    expect(updatedView.configSequence).toBe(knownView.configSequence + 4);
     for (const machine of simulation.machines) {
       if (!machine.daemon) continue;
       expect(machine.daemon.servingState).toEqual({
-        configSequence: after.configSequence,
+        configSequence: updatedView.configSequence,
         isGranted: true,
       });
     }
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -9,6 +9,7 @@
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
 describe("ControlPlane", () => {
+  // Guards against the revival of a deregistered backend by a delayed heartbeat, whose daemon knew older registrations.
   test("a heartbeat that is older than the backend's deregistration, or than another service's registration at its address, is ignored", () => {
     const simulation = new Simulation(shippedProfiles.rastro, 1, 0.01);
     simulation.begin();
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -126,11 +126,12 @@
       createTestCluster({
         maxWatchWaitMs: 50,
       });
-    for (let at = 0; at < 8; at += 1) heartbeat(`life-${at}`, { address: `10.9.1.${at}:80` });
-    const known = watch();
+    for (let index = 0; index < 8; index += 1)
+      heartbeat(`life-${index}`, { address: `10.9.1.${index}:80` });
+    const knownView = watch();
     heartbeat("late", { address: "10.9.2.1:80" });
-    const { directorySequence, configSequence } = known;
-    const bytesOf = (sequence: number): number => {
+    const { directorySequence, configSequence } = knownView;
+    const measureViewBytes = (sequence: number): number => {
       const text = exchange(
         rpcMethods.watch,
         watchRequestText({ directorySequence: sequence, configSequence }),
@@ -139,17 +140,15 @@
       expect(text).toContain('"granted":true');
       return text?.length ?? 0;
     };
-    const unchangedBytes = bytesOf(watch().directorySequence);
-    expect(bytesOf(directorySequence) - unchangedBytes).toBeLessThan(400);
+    const unchangedBytes = measureViewBytes(watch().directorySequence);
+    expect(measureViewBytes(directorySequence) - unchangedBytes).toBeLessThan(400);
     expect(watch({ directorySequence }).directoryChanges?.put).toHaveLength(1);
 
     simulation.kill(leader());
     wait(2500);
     const viewOfNewLeader = watch({ directorySequence, configSequence });
     expect(viewOfNewLeader.directory).toBeUndefined();
-    expect(viewOfNewLeader.directoryChanges?.put.map(({ instance: life }) => life)).toContain(
-      "late",
-    );
+    expect(viewOfNewLeader.directoryChanges?.put.map(({ instance }) => instance)).toContain("late");
     expect(registration("10.9.1.7:80")).toMatchObject({ instance: "life-7" });
   });
 });
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -64,8 +64,8 @@
     const { daemons, post, registration, wait } = createTestCluster();
     const [firstDaemon, secondDaemon] = daemons(2);
     const heartbeatBody = { service, address, zone: "x", instance: "life-1", capacity: 2 };
-    const heartbeat = (at: typeof firstDaemon, overrides: Record<string, unknown>): string =>
-      post(at, "/backends/announce", { ...heartbeatBody, ...overrides }).text;
+    const heartbeat = (daemon: typeof firstDaemon, overrides: Record<string, unknown>): string =>
+      post(daemon, "/backends/announce", { ...heartbeatBody, ...overrides }).text;
     expect(heartbeat(firstDaemon, { order: 5 })).toContain('"taken"');
     wait(1000);
     expect(heartbeat(secondDaemon, { order: 3, zone: "y" })).toContain('"overtaken"');
@@ -131,6 +131,8 @@
     ).toContain('"taken"');
   });
 
+  // Guards against the expiry of a live backend: its daemon acknowledges the heartbeat itself, and the watch request that
+  // reports it to the leader is lost in a partition.
   test("a heartbeat whose report was lost is reported again with a later watch request", () => {
     const { simulation, daemons, post, registration, wait } = createTestCluster();
     const [firstDaemon] = daemons(1);
@@ -198,6 +200,7 @@
     expect(simulation.machines.every(({ daemon }) => daemon?.servingState.isGranted)).toBe(true);
   });
 
+  // Guards against a lease from a deposed leader: the leader's own lease ends while it buffers the request.
   test("a watch request that is buffered while its leader is partitioned gets no lease", () => {
     const { simulation, leader, exchange, watch, watchRequestText } = createTestCluster({
       maxWatchWaitMs: 900,
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -40,11 +40,12 @@
     expect(views.isInTransit(createWatchRequest("one", 1), 4001)).toBe(false);
   });
 
+  // Guards against repeated copies of a large view on a slow link, each of which delays the next one.
   test("the leader sends a large view once to a daemon that retries at once", () => {
     const { exchange, watchRequestText, watch, daemons, wait } = createTestCluster({
       maxWatchWaitMs: 50,
     });
-    const [one] = daemons(1);
+    const [edge] = daemons(1);
     const draw = RandomDraw.of(7);
     const routes = Object.fromEntries(
       Array.from({ length: 600 }, () => [
@@ -52,7 +53,7 @@
         { match: { path: `/${draw()}` }, service: "s" },
       ]),
     );
-    one?.daemon?.adminRequests.emit({
+    edge?.daemon?.adminRequests.emit({
       clientRequest: {
         method: "PUT",
         target: "/config",
@@ -71,6 +72,8 @@
     expect(exchange(rpcMethods.watch, watchRequestText())[0]?.text).toContain('"packedConfig"');
   });
 
+  // Guards against a lease that outlasts the one that the leader granted: counted from the response, it would end a transit
+  // time too late.
   test("a daemon whose views take longer than the request timeout counts its lease from the time of the request", () => {
     const cluster = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
     cluster.bootAll();
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -62,20 +62,20 @@
     const { members, grantNumber, configSequence, directorySequence } = first;
     expect(members?.recorders.length).toBeGreaterThan(2);
     expect(members?.collectors.length).toBeGreaterThan(2);
-    const known = { configSequence, directorySequence, grantNumber };
+    const knownState = { configSequence, directorySequence, grantNumber };
     const text = exchange(
       rpcMethods.watch,
-      watchRequestText({ ...known, membersDigest: members?.digest }),
+      watchRequestText({ ...knownState, membersDigest: members?.digest }),
       600,
     )[0]?.text;
     expect(text).toContain('"granted":true');
     expect(text).not.toMatch(/"members"|"capacities"/);
     expect(text?.length).toBeLessThan(260);
-    const other = exchange(
+    const textForOtherDigest = exchange(
       rpcMethods.watch,
-      watchRequestText({ ...known, membersDigest: "another" }),
+      watchRequestText({ ...knownState, membersDigest: "another" }),
       600,
     )[0]?.text;
-    expect(other).toContain('"members"');
+    expect(textForOtherDigest).toContain('"members"');
   });
 });
--- a/test/state/id-allocator.test.ts
+++ b/test/state/id-allocator.test.ts
@@ -2,6 +2,7 @@
 import { IdAllocator } from "../../src/state/id-allocator.js";
 
 describe("IdAllocator", () => {
+  // Guards against requests that are counted for the wrong route: windows still count by the id of a removed name.
   test("over thousands of configurations no id is reused within its quarantine, and ids don't run out", () => {
     const ids = new IdAllocator();
     const lastNameById = new Map<number, { name: string; round: number }>();
--- a/test/state/state-machine.test.ts
+++ b/test/state/state-machine.test.ts
@@ -84,13 +84,13 @@
     stateMachine.apply(2, JSON.stringify(settle));
     expect(stateMachine.snapshot(members).length).toBeLessThan(1000);
     const copy = new StateMachine();
-    const former: unknown = JSON.parse(stateMachine.snapshot(members));
-    if (typeof former !== "object" || former === null)
+    const snapshotFields: unknown = JSON.parse(stateMachine.snapshot(members));
+    if (typeof snapshotFields !== "object" || snapshotFields === null)
       throw new Error("the snapshot isn't an object");
     const atIndex = 1;
     const held = { bodyHash: "h", job: "one", verdict: "ran", return: response, atIndex };
     copy.restore(
-      JSON.stringify({ ...former, returns: ["k"], keys: [{ scope: "k", claim: held }] }),
+      JSON.stringify({ ...snapshotFields, returns: ["k"], keys: [{ scope: "k", claim: held }] }),
     );
     expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
     expect(JSON.parse(copy.apply(3, JSON.stringify({ ...claim, job: "other" })))).toEqual({
