--- a/test/proxy/upstream/paced-backends.test.ts
+++ b/test/proxy/upstream/paced-backends.test.ts
@@ -26,7 +26,7 @@
   readonly durationMs: number;
 }
 
-const send = (
+const sendRequest = (
   client: BackendClient,
   address: string,
   path: string,
@@ -75,7 +75,7 @@
     await withBackend(server, LINK_MBPS, async (client, address) => {
       const ended: string[] = [];
       const sendAndNote = async (path: string): Promise<Exchange> => {
-        const exchange = await send(client, address, path);
+        const exchange = await sendRequest(client, address, path);
         ended.push(path);
         return exchange;
       };
@@ -101,7 +101,7 @@
     const server = createBodyServer(() => Buffer.alloc(largeBytes, "x"));
     await withBackend(server, 100, async (client, address) => {
       const exchanges = Array.from({ length: 40 }, (_none, index) =>
-        send(client, address, `/${index}`),
+        sendRequest(client, address, `/${index}`),
       );
       for (const { text, bytes } of await Promise.all(exchanges))
         expect({ text, bytes }).toEqual({ text: "end", bytes: largeBytes });
@@ -122,7 +122,7 @@
       );
     });
     await withBackend(server, LINK_MBPS, async (client, address, pacers) => {
-      const exchange = send(client, address, "/", body);
+      const exchange = sendRequest(client, address, "/", body);
       await new Promise((done) => setTimeout(done, 50));
       expect(pacers.egress.queueMs).toBeLessThanOrEqual(30);
       expect((await exchange).text).toBe("200000 200000");
