--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { boundsOf } from "../../src/daemon/bounds.js";
+import { deriveBounds } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { createConfig, oneWayMs, zoneOf } from "./topology.js";
@@ -33,7 +33,7 @@
       runtime,
       { machine: name, zone, peer: `10.9.0.${index + 1}:7000` },
       [cluster.machineAt(0).peer],
-      boundsOf({}),
+      deriveBounds({}),
     );
     daemon.start();
     return { daemon, gate, wire, name };
@@ -69,7 +69,7 @@
     const watchRequests =
       sumBy(all, ({ daemon }) => daemon.clusterView.watchRequests) - before.watchRequests;
     const out = sumBy(all, ({ wire }) => wire.totals.messagesOut) - before.out;
-    const { watchIntervalMs, controlPlaneTimeouts } = boundsOf({});
+    const { watchIntervalMs, controlPlaneTimeouts } = deriveBounds({});
     const maxRoundTripMs = 2 * oneWayMs("zone-1", "zone-8", topology);
     expect(watchRequests).toBeGreaterThan(
       daemonCount *
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { boundsOf } from "../../src/daemon/bounds.js";
+import { deriveBounds } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { DelayedNetwork } from "./delayed-network.js";
@@ -82,7 +82,7 @@
     const clock = gate.clock(cluster.virtualClock.clock());
     const wire = new DelayedNetwork(cluster.network.wire("far", gate), clock, () => 350);
     const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
-    const bounds = boundsOf({});
+    const bounds = deriveBounds({});
     const daemon = new PollingDaemon(
       runtime,
       { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
