--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -12,14 +12,14 @@
   // Guards against the revival of a deregistered backend by a delayed heartbeat, whose daemon knew older registrations.
   test("a heartbeat that is older than the backend's deregistration, or than another service's registration at its address, is ignored", () => {
     const simulation = new Simulation(shippedProfiles.rastro, 1, 0.01);
-    simulation.begin();
+    simulation.startAll();
     simulation.virtualClock.runUntil(5000);
     const rethrow = (error: unknown): void => {
       throw error;
     };
     const runtime = virtualRuntime({
       clock: simulation.clock,
-      network: simulation.network.wire("late", new EventGate()),
+      network: simulation.network.createInterface("late", new EventGate()),
       random: simulation.random,
     });
     const rpc = new RpcEndpoint(runtime, "late");
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -25,7 +25,7 @@
     const gate = new EventGate();
     const clock = gate.clock(cluster.virtualClock.clock());
     const name = `daemon-${index}`;
-    const wire = new DelayedNetwork(cluster.network.wire(name, gate), clock, () =>
+    const wire = new DelayedNetwork(cluster.network.createInterface(name, gate), clock, () =>
       oneWayMs(zone, "zone-1", topology),
     );
     const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
--- a/test/control-plane/delayed-network.test.ts
+++ b/test/control-plane/delayed-network.test.ts
@@ -14,8 +14,8 @@
     const cluster = new ClusterFixture([], []);
     const clock = cluster.virtualClock.clock();
     const gate = new EventGate();
-    const far = new DelayedNetwork(cluster.network.wire("far", gate), clock, () => 0);
-    const near = new DelayedNetwork(cluster.network.wire("near", gate), clock, () => 30);
+    const far = new DelayedNetwork(cluster.network.createInterface("far", gate), clock, () => 0);
+    const near = new DelayedNetwork(cluster.network.createInterface("near", gate), clock, () => 30);
     const received: string[] = [];
     run(
       far.listen("10.0.0.9:1", (connection) => {
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -80,7 +80,7 @@
     cluster.wait(4000);
     const gate = new EventGate();
     const clock = gate.clock(cluster.virtualClock.clock());
-    const wire = new DelayedNetwork(cluster.network.wire("far", gate), clock, () => 350);
+    const wire = new DelayedNetwork(cluster.network.createInterface("far", gate), clock, () => 350);
     const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
     const bounds = deriveBounds({});
     const daemon = new PollingDaemon(
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -18,7 +18,7 @@
     cluster.wait(4000);
     const gate = new EventGate();
     const clock = gate.clock(cluster.virtualClock.clock());
-    const wire = new DelayedNetwork(cluster.network.wire("one", gate), clock, () => 1);
+    const wire = new DelayedNetwork(cluster.network.createInterface("one", gate), clock, () => 1);
     const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
     const daemon = new PollingDaemon(
       runtime,
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -50,7 +50,10 @@
     const peer = "10.0.9.7:7000";
     const runtime = virtualRuntime({
       clock: cluster.virtualClock.clock(),
-      network: cluster.network.wire(`poll-${cluster.virtualClock.nowMs()}`, new EventGate()),
+      network: cluster.network.createInterface(
+        `poll-${cluster.virtualClock.nowMs()}`,
+        new EventGate(),
+      ),
       random: cluster.random,
     });
     const rpc = new RpcEndpoint(runtime, peer);
