--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -1,4 +1,4 @@
-/** The updates of the configuration that leased views contain. */
+/** The configuration updates in leased views. */
 import type { StateMachine } from "../state/state-machine.js";
 import { TextCompression } from "../runtime/text-compression.js";
 import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
@@ -12,13 +12,13 @@
 import { ChangeBuffer, DEFAULT_MAX_CHANGE_BYTES } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-/** The prefix of the key of a removed item among the keys of changed items. */
+/** Marks the keys of removed items among the keys of changed items. */
 const REMOVED_PREFIX = "-";
 
-/** The key of the part with the whole configuration. */
+/** The key of the view part that contains the complete configuration. */
 const COMPLETE = -1;
 
-/** An item that was observed, with its hash. */
+/** A configuration item as last observed, with its hash. */
 interface ObservedItem {
   readonly value: ConfigItem["value"];
   readonly hash: bigint;
@@ -26,29 +26,32 @@
 
 const NO_ITEMS: NumberedConfig = { config: EMPTY_CONFIG, ids: new Map() };
 
-/** Whether the order of routes is the one that a daemon has after it removed some of the former ones and added others at the end. */
+/**
+ * Whether a daemon that removes the `removed` items and appends the new routes gets the routes in their new order. Otherwise
+ * it needs the complete configuration, since the first of several matching routes is used.
+ */
 const isOrderPreserved = (
-  former: Config["routes"],
+  previous: Config["routes"],
   next: Config["routes"],
   removed: ReadonlySet<string>,
 ): boolean => {
   const names = Object.keys(next);
   let index = 0;
-  for (const name of Object.keys(former)) {
+  for (const name of Object.keys(previous)) {
     if (removed.has(ConfigItems.key("routes", name))) continue;
     if (names[index] !== name) return false;
     index += 1;
   }
   return names
     .slice(index)
-    .every((name) => !Object.hasOwn(former, name) || isAddedAgain(name, removed));
+    .every((name) => !Object.hasOwn(previous, name) || isAddedAgain(name, removed));
 };
 
-/** Whether a route was removed and added again, so that it stands at the end. */
+/** Whether a route was removed and added again, which moves it to the end. */
 const isAddedAgain = (name: string, removed: ReadonlySet<string>): boolean =>
   removed.has(ConfigItems.key("routes", name));
 
-/** What views contain of the active configuration: the items that changed since the sequence that a daemon has, or all. */
+/** Builds the configuration part of views: the items that changed since a daemon's sequence, or the complete configuration. */
 export class ConfigChangeLog {
   private readonly stateMachine: StateMachine;
   private readonly readActive: () => Config;
@@ -57,12 +60,12 @@
   private items = new Map<string, ObservedItem>();
   private setDigest = new SetDigest();
   private changes = new ChangeBuffer(0, DEFAULT_MAX_CHANGE_BYTES);
-  /** The parts of views under the present sequence, by the sequence that the daemon has; the whole configuration under `WHOLE`. */
+  /** The view parts of the current sequence by the daemon's sequence; `COMPLETE` is the key of the complete configuration. */
   private readonly viewParts = new Map<number, string>();
   private serviceNames: string[] = [];
-  private digestText = "";
+  private digest = "";
 
-  /** Follows the active configuration, which `readActive` returns parsed. */
+  /** Tracks the active configuration, which `readActive` returns parsed. */
   constructor(stateMachine: StateMachine, readActive: () => Config) {
     this.stateMachine = stateMachine;
     this.readActive = readActive;
@@ -74,7 +77,7 @@
     return this.serviceNames;
   }
 
-  /** Forgets all observations, at the begin of a term: the next one takes the active configuration as the first. */
+  /** Clears all state at the start of a term: the next observation counts as the first one. */
   reset(): void {
     this.current = NO_ITEMS;
     this.currentSequence = 0;
@@ -84,30 +87,30 @@
     this.viewParts.clear();
   }
 
-  /** The part of a view that updates a daemon from the sequence that it has to the active one. */
+  /** The part of a view that updates a daemon from its sequence to the active one. */
   viewPart(fromSequence: number): string {
     this.observe();
     const cached = this.viewParts.get(fromSequence);
     if (cached !== undefined) return cached;
-    const touched = this.changes.keysChangedSince(fromSequence);
+    const changedKeys = this.changes.keysChangedSince(fromSequence);
     const content =
-      touched && touched.size < this.items.size / 2
-        ? this.changesPart(fromSequence, touched)
-        : this.wholePart();
-    const part = `${content},"configDigest":"${this.digestText}"`;
+      changedKeys && changedKeys.size < this.items.size / 2
+        ? this.changesPart(fromSequence, changedKeys)
+        : this.completePart();
+    const part = `${content},"configDigest":"${this.digest}"`;
     this.viewParts.set(fromSequence, part);
     return part;
   }
 
-  private changesPart(base: number, touched: ReadonlySet<string>): string {
+  private changesPart(base: number, changedKeys: ReadonlySet<string>): string {
     const update: ConfigUpdate = {
       base,
       put: { services: {}, routes: {}, goals: {} },
       removed: [],
       numbers: {},
     };
-    this.putTouched(update, touched);
-    for (const key of touched) {
+    this.putChangedItems(update, changedKeys);
+    for (const key of changedKeys) {
       if (key.startsWith(REMOVED_PREFIX)) update.removed.push(key.slice(REMOVED_PREFIX.length));
       const name = ConfigItems.parseIdKey(key) ?? "";
       const number = this.current.ids.get(name);
@@ -119,22 +122,22 @@
       : `"configChanges":${text}`;
   }
 
-  private putTouched({ put }: ConfigUpdate, touched: ReadonlySet<string>): void {
+  private putChangedItems({ put }: ConfigUpdate, changedKeys: ReadonlySet<string>): void {
     const { services, routes, goals, limits } = this.current.config;
-    const isTouched = (key: string): boolean => touched.has(key);
+    const isChanged = (key: string): boolean => changedKeys.has(key);
     for (const [name, service] of Object.entries(services))
-      if (isTouched(ConfigItems.key("services", name)))
+      if (isChanged(ConfigItems.key("services", name)))
         put.services[name] = ConfigItems.withoutOrigin(service);
     for (const [name, route] of Object.entries(routes))
-      if (isTouched(ConfigItems.key("routes", name)))
+      if (isChanged(ConfigItems.key("routes", name)))
         put.routes[name] = ConfigItems.withoutOrigin(route);
     put.goals = Object.fromEntries(
-      Object.entries(goals ?? {}).filter(([name]) => isTouched(ConfigItems.key("goals", name))),
+      Object.entries(goals ?? {}).filter(([name]) => isChanged(ConfigItems.key("goals", name))),
     );
-    if (limits && isTouched(ConfigItems.limitsKey)) put.limits = ConfigItems.withoutOrigin(limits);
+    if (limits && isChanged(ConfigItems.limitsKey)) put.limits = ConfigItems.withoutOrigin(limits);
   }
 
-  private wholePart(): string {
+  private completePart(): string {
     const cached = this.viewParts.get(COMPLETE);
     if (cached !== undefined) return cached;
     const text = JSON.stringify(ConfigItems.configWithoutOrigins(this.current.config));
@@ -147,18 +150,18 @@
     return part;
   }
 
-  /** Compares the active configuration with the one of the last observation; what differs has changed since. */
+  /** Compares the active configuration with the last observed one, and records the differences as changes. */
   private observe(): void {
     const sequence = this.stateMachine.activeConfig?.sequence ?? 0;
     if (sequence === this.currentSequence) return;
     const next = {
       config: this.readActive(),
-      numbers: new Map(this.stateMachine.idAllocator.activeIds),
+      ids: new Map(this.stateMachine.idAllocator.activeIds),
     };
     const isFirst = this.currentSequence === 0;
-    const touched = this.takeItems(next);
+    const changedKeys = this.updateItems(next);
     const removed = new Set(
-      touched
+      changedKeys
         .filter((key) => key.startsWith(REMOVED_PREFIX))
         .map((key) => key.slice(REMOVED_PREFIX.length)),
     );
@@ -166,35 +169,35 @@
     this.current = next;
     this.currentSequence = sequence;
     this.viewParts.clear();
-    this.digestText = ConfigItems.digest(this.setDigest, next.config);
+    this.digest = ConfigItems.digest(this.setDigest, next.config);
     this.serviceNames = Object.keys(next.config.services);
     if (isFirst || !isInOrder) this.changes = new ChangeBuffer(sequence, DEFAULT_MAX_CHANGE_BYTES);
-    else this.changes.record(sequence, touched);
+    else this.changes.record(sequence, changedKeys);
   }
 
-  /** Takes over all items; returns the keys of those that changed or were removed. */
-  private takeItems(next: NumberedConfig): string[] {
-    const touched: string[] = [];
-    const present = new Map<string, ObservedItem>();
+  /** Replaces the observed items; returns the keys of those that changed or were removed. */
+  private updateItems(next: NumberedConfig): string[] {
+    const changedKeys: string[] = [];
+    const currentItems = new Map<string, ObservedItem>();
     for (const item of ConfigItems.all(next)) {
-      const former = this.items.get(item.key);
-      if (former?.value === item.value) {
-        present.set(item.key, former);
+      const previous = this.items.get(item.key);
+      if (previous?.value === item.value) {
+        currentItems.set(item.key, previous);
         continue;
       }
       const hash = ConfigItems.hash(item);
-      present.set(item.key, { value: item.value, hash });
-      if (former?.hash === hash) continue;
-      touched.push(item.key);
-      if (former) this.setDigest.remove(former.hash);
+      currentItems.set(item.key, { value: item.value, hash });
+      if (previous?.hash === hash) continue;
+      changedKeys.push(item.key);
+      if (previous) this.setDigest.remove(previous.hash);
       this.setDigest.add(hash);
     }
     for (const [key, { hash }] of this.items) {
-      if (present.has(key)) continue;
-      touched.push(`${REMOVED_PREFIX}${key}`);
+      if (currentItems.has(key)) continue;
+      changedKeys.push(`${REMOVED_PREFIX}${key}`);
       this.setDigest.remove(hash);
     }
-    this.items = present;
-    return touched;
+    this.items = currentItems;
+    return changedKeys;
   }
 }
--- a/src/control-plane/config-service.ts
+++ b/src/control-plane/config-service.ts
@@ -1,4 +1,4 @@
-/** Configuration changes at the leader, one after another, and reading accepted configurations back. */
+/** Configuration changes at the leader, processed one at a time, and reads of accepted configurations. */
 import { number, object, union } from "superstruct";
 import { applyItemChanges, mergePatch } from "../configuration/config-changes.js";
 import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
@@ -20,7 +20,7 @@
 import { NO_LEASE, type LeaderLog, type LeaderReplica } from "./leader-log.js";
 import { IdQuarantine } from "./resting-ids.js";
 
-/** How often a change without a base is applied anew where another change was accepted meanwhile. */
+/** Maximum attempts of a change without a base, which is applied again where another change was accepted meanwhile. */
 const MAX_ATTEMPTS = 5;
 
 /** The outcome of the log entry of a configuration. */
@@ -31,29 +31,29 @@
   readonly onResult: (result: CommandResult) => void;
 }
 
-/** What the configuration service needs. */
+/** The dependencies and settings of the configuration service. */
 export interface ConfigServiceOptions {
   readonly runtime: Runtime;
   readonly log: LeaderLog;
   readonly replica: Pick<LeaderReplica, "readConfig">;
   readonly stateMachine: StateMachine;
   readonly steps: StepTimer;
-  /** How long an id rests before another name may take it, in milliseconds. */
+  /** Time for which an unused id is quarantined before another name may get it, in milliseconds. */
   readonly idQuarantineMs: number;
 }
 
-/** Checks, versions and proposes configurations, and reads accepted ones back. */
+/** Checks, versions and proposes configurations, and reads accepted ones. */
 export class ConfigService {
   private readonly runtime: Runtime;
   private readonly log: LeaderLog;
   private readonly stateMachine: StateMachine;
   private readonly steps: StepTimer;
-  private readonly restingIds: IdQuarantine;
+  private readonly idQuarantine: IdQuarantine;
   private readonly versions: ConfigVersionLookup;
   private readonly pending = new Queue<PendingChange>();
-  /** The configuration that was parsed last, with its text. */
+  /** The last parsed configuration, with its text. */
   private parsed: { text: string; value: Config } = { text: "", value: EMPTY_CONFIG };
-  /** The text of the configuration that was read back last, as it travels. */
+  /** The encoded text of the last configuration that was read. */
   private encoded: { sequence: number; text: CompressedText } = { sequence: -1, text: {} };
 
   constructor({
@@ -62,17 +62,17 @@
     replica,
     stateMachine,
     steps,
-    idQuarantineMs: idRestMs,
+    idQuarantineMs,
   }: ConfigServiceOptions) {
     this.runtime = runtime;
     this.log = log;
     this.stateMachine = stateMachine;
     this.steps = steps;
-    this.restingIds = new IdQuarantine(stateMachine, idRestMs);
+    this.idQuarantine = new IdQuarantine(stateMachine, idQuarantineMs);
     this.versions = new ConfigVersionLookup(stateMachine, replica);
   }
 
-  /** The active configuration, parsed once for each change. */
+  /** The active configuration, parsed once per change. */
   get active(): Config {
     const text = this.stateMachine.activeConfig?.text;
     if (text === undefined) return EMPTY_CONFIG;
@@ -80,34 +80,35 @@
     return this.parsed.value;
   }
 
-  /** Begins a term. */
+  /** Starts a term. */
   startTerm(): void {
-    this.restingIds.startTerm();
+    this.idQuarantine.startTerm();
   }
 
-  /** Processes queued changes, one after another, for ever. */
+  /** Processes queued changes one at a time; never returns. */
   *run(): Task {
     for (;;) {
-      const { command, onResult: done } = yield* this.pending.take();
-      done(yield* this.apply(command));
+      const { command, onResult } = yield* this.pending.take();
+      onResult(yield* this.applyWithRetries(command));
     }
   }
 
   /** Queues a change and waits for its result. */
   *change(command: ConfigCommand): Task<CommandResult> {
-    return yield* waitFor<CommandResult>((done) => this.pending.put({ command, onResult: done }));
+    return yield* waitFor<CommandResult>((onResult) => this.pending.put({ command, onResult }));
   }
 
-  /** Reads an accepted configuration back: the one of a version, or the active one. */
+  /** Reads an accepted configuration: that of a version, or the active one. */
   *read(version: number | undefined): Task<CommandResult> {
     if (!this.log.holdsLease) return NO_LEASE;
     const { activeConfig, version: activeVersion } = this.stateMachine;
-    const wanted = version ?? activeVersion;
-    if (!activeConfig || wanted > activeVersion || wanted < 1) return completed({ found: null });
+    const requestedVersion = version ?? activeVersion;
+    if (!activeConfig || requestedVersion > activeVersion || requestedVersion < 1)
+      return completed({ found: null });
     const lookup: ConfigLookup =
-      wanted === activeVersion
+      requestedVersion === activeVersion
         ? { kind: "found", config: activeConfig }
-        : yield* this.versions.find(wanted, activeConfig.sequence);
+        : yield* this.versions.find(requestedVersion, activeConfig.sequence);
     switch (lookup.kind) {
       case "unknown":
         return failed("unknown");
@@ -116,7 +117,7 @@
       case "missing":
         return this.log.respond(() => ({ found: null }));
       case "found":
-        return this.log.respond(() => ({ found: this.responseOf(lookup.config) }));
+        return this.log.respond(() => ({ found: this.formatResponse(lookup.config) }));
     }
   }
 
@@ -132,17 +133,17 @@
     }));
   }
 
-  private *apply(command: ConfigCommand): Task<CommandResult> {
+  private *applyWithRetries(command: ConfigCommand): Task<CommandResult> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-      const early = this.resultWithoutProposal(command);
-      if (early) return early;
-      const result = yield* this.attempt(command);
+      const knownResult = this.resultWithoutProposal(command);
+      if (knownResult) return knownResult;
+      const result = yield* this.proposeChange(command);
       if (result !== "conflict") return result;
     }
     return failed("notLeader");
   }
 
-  /** The result of a change that was accepted before or can't be accepted; `undefined` where it must be tried. */
+  /** The result of a change that was accepted before or can't be accepted; `undefined` where the change must be proposed. */
   private resultWithoutProposal({
     changeId,
     base,
@@ -152,8 +153,8 @@
     const accepted = this.stateMachine.findVersionOfChange(changeId);
     if (accepted !== undefined) return completed({ accepted });
     const { version: activeVersion, changesForgottenUpTo: forgottenUpTo } = this.stateMachine;
-    const wanted = version ?? (base === undefined ? Infinity : base + 1);
-    if (wanted <= forgottenUpTo) return completed({ forgottenUpTo });
+    const requestedVersion = version ?? (base === undefined ? Infinity : base + 1);
+    if (requestedVersion <= forgottenUpTo) return completed({ forgottenUpTo });
     if (base !== undefined && base !== activeVersion) return completed({ lost: activeVersion });
     if (version === undefined || (Number.isSafeInteger(version) && version > activeVersion))
       return undefined;
@@ -161,21 +162,21 @@
     return completed({ faults: [{ path: "version", expected }] });
   }
 
-  /** Proposes a change upon the active configuration; a conflict is a change without a base that another one overtook. */
-  private *attempt(command: ConfigCommand): Task<CommandResult | "conflict"> {
+  /** Proposes a change of the active configuration; `conflict` where another change preceded one that has no base. */
+  private *proposeChange(command: ConfigCommand): Task<CommandResult | "conflict"> {
     const { activeConfig } = this.stateMachine;
-    const changed = this.steps.run("applyChange", () => this.changed(command));
-    yield* this.yieldToOthers();
-    const checked = this.steps.run("checkConfig", () => checkConfig(changed));
+    const changedConfig = this.steps.run("applyChange", () => this.computeChangedConfig(command));
+    yield* this.yieldToEventLoop();
+    const checked = this.steps.run("checkConfig", () => checkConfig(changedConfig));
     if ("faults" in checked) return completed({ faults: checked.faults });
     const { config } = checked;
-    yield* this.yieldToOthers();
+    yield* this.yieldToEventLoop();
     const text = this.steps.run("serializeConfig", () => configText(config));
-    yield* this.yieldToOthers();
+    yield* this.yieldToEventLoop();
     const payload = this.steps.run("computeDelta", () =>
       encodeConfigPayload(activeConfig?.text, text),
     );
-    yield* this.yieldToOthers();
+    yield* this.yieldToEventLoop();
     const result = yield* this.log.propose({
       kind: "config",
       expected: activeConfig?.sequence ?? 0,
@@ -184,7 +185,7 @@
       acceptedAt: this.runtime.wallTime().toISOString(),
       ...payload,
       names: this.nameChanges(config),
-      rested: this.restingIds.findReusableIds(this.runtime.clock.nowMs()),
+      rested: this.idQuarantine.findReusableIds(this.runtime.clock.nowMs()),
     });
     if (result.kind === "failed") return result;
     const [error, outcome] = configOutcomeShape.validate(JSON.parse(result.json));
@@ -196,13 +197,13 @@
     return command.base === undefined ? "conflict" : result;
   }
 
-  /** Lets heartbeats and other waiting work run between the steps of a change, each of which may take long. */
-  private *yieldToOthers(): Task {
+  /** Lets heartbeats and other pending work run between the steps of a change, each of which may take long. */
+  private *yieldToEventLoop(): Task {
     yield* sleep(this.runtime.clock, 0);
   }
 
-  /** The configuration that a command makes of the active one. */
-  private changed(command: ConfigCommand): unknown {
+  /** The configuration that results from applying a command to the active one. */
+  private computeChangedConfig(command: ConfigCommand): unknown {
     if (command.kind === "put") return command.value;
     const current = this.active;
     return command.kind === "patch"
@@ -210,20 +211,20 @@
       : applyItemChanges(current, command.put, command.remove);
   }
 
-  /** How a configuration changes the names that have ids; a name for which no id was left before is tried again. */
+  /** The names that a configuration adds and removes. A name that got no id, since none was free, counts as added again. */
   private nameChanges({ services, routes }: Config): NameChanges {
-    const { activeIds: inForce } = this.stateMachine.idAllocator;
-    const present = new Set([
+    const { activeIds } = this.stateMachine.idAllocator;
+    const names = new Set([
       ...Object.keys(services).map((service) => IdAllocator.serviceName(service)),
       ...Object.keys(routes).map((route) => IdAllocator.routeName(route)),
     ]);
     return {
-      added: [...present].filter((name) => !inForce.has(name)),
-      removed: [...inForce.keys()].filter((name) => !present.has(name)),
+      added: [...names].filter((name) => !activeIds.has(name)),
+      removed: [...activeIds.keys()].filter((name) => !names.has(name)),
     };
   }
 
-  private responseOf(config: AcceptedConfig): Record<string, unknown> {
+  private formatResponse(config: AcceptedConfig): Record<string, unknown> {
     return {
       sequence: config.sequence,
       version: versionOf(config),
@@ -233,7 +234,7 @@
     };
   }
 
-  /** The text of a configuration as it travels, compressed once for all readers where it is long. */
+  /** The encoded text of a configuration; a long text is compressed once for all readers. */
   private encodedText({ sequence, text }: AcceptedConfig): CompressedText {
     if (this.encoded.sequence !== sequence)
       this.encoded = { sequence, text: encodeCompressedText(text) };
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -1,4 +1,4 @@
-/** The updates of the endpoints that leased views contain. */
+/** The endpoint updates in leased views. */
 import type { StateMachine } from "../state/state-machine.js";
 import type { Registration } from "../state/registration.js";
 import { TextCompression } from "../runtime/text-compression.js";
@@ -7,12 +7,12 @@
 import { ChangeBuffer, DEFAULT_MAX_CHANGE_BYTES } from "./change-buffer.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-/** The key of the part with all registrations: the sequence of a daemon that has none yet. */
+/** The key of the view part that contains all registrations: the sequence of a daemon without any. */
 const COMPLETE = -1;
 
 /**
- * What views contain of the registrations: those that changed since the sequence that a daemon has, or all of them. It follows
- * the state machine on every member of the replicated log, so that a new leader knows the same changes as the former one.
+ * Builds the endpoint part of views: the registrations that changed since a daemon's sequence, or all of them. It tracks the
+ * state machine on every member of the replicated log, so that a new leader has the same changes as the previous one.
  */
 export class EndpointChangeLog {
   private readonly stateMachine: StateMachine;
@@ -22,7 +22,7 @@
   private readonly hashes = new Map<string, bigint>();
   private readonly byNumber = new Map<number, Registration>();
   private readonly setDigest = new SetDigest();
-  /** The parts of views under the present sequence, by the sequence that the daemon has; the whole table under `WHOLE`. */
+  /** The view parts of the current sequence by the daemon's sequence; `COMPLETE` is the key of the complete table. */
   private readonly viewParts = new Map<number, string>();
 
   constructor(stateMachine: StateMachine) {
@@ -33,50 +33,50 @@
     stateMachine.onApplied(() => this.observe());
   }
 
-  /** The newest sequence of the registrations. */
+  /** The current sequence of the registrations. */
   get sequence(): number {
     this.observe();
     return this.observedSequence;
   }
 
-  /** The digest that a daemon's replica must have under this sequence. */
+  /** The digest that a daemon's replica must have at this sequence. */
   get digest(): string {
     this.observe();
     return this.setDigest.hex;
   }
 
-  /** The registration under a number. */
+  /** The registration with a number. */
   findRegistration(number: number): Registration | undefined {
     this.observe();
     return this.byNumber.get(number);
   }
 
-  /** The part of a view that updates a daemon from the sequence that it has to the newest one. */
+  /** The part of a view that updates a daemon from its sequence to the current one. */
   viewPart(fromSequence: number): string {
     this.observe();
     const cached = this.viewParts.get(fromSequence);
     if (cached !== undefined) return cached;
-    const touched = this.changes.keysChangedSince(fromSequence);
+    const changedAddresses = this.changes.keysChangedSince(fromSequence);
     const part =
-      touched && touched.size < this.registrations.size
-        ? this.changesPart(fromSequence, touched)
-        : this.wholePart();
+      changedAddresses && changedAddresses.size < this.registrations.size
+        ? this.changesPart(fromSequence, changedAddresses)
+        : this.completePart();
     this.viewParts.set(fromSequence, part);
     return part;
   }
 
-  private changesPart(base: number, touched: ReadonlySet<string>): string {
+  private changesPart(base: number, changedAddresses: ReadonlySet<string>): string {
     const put: Registration[] = [];
     const removed: string[] = [];
-    for (const address of touched) {
-      const findRegistration = this.registrations.get(address);
-      if (findRegistration) put.push(findRegistration);
+    for (const address of changedAddresses) {
+      const registration = this.registrations.get(address);
+      if (registration) put.push(registration);
       else removed.push(address);
     }
     return `"directoryChanges":${JSON.stringify({ base, put, removed })}`;
   }
 
-  private wholePart(): string {
+  private completePart(): string {
     const cached = this.viewParts.get(COMPLETE);
     if (cached !== undefined) return cached;
     const text = JSON.stringify([...this.registrations.values()]);
@@ -88,41 +88,41 @@
     return part;
   }
 
-  /** Compares the registrations with those of the last observation; what differs has changed since. */
+  /** Compares the registrations with the last observed ones, and records the differences as changes. */
   private observe(): void {
     const { registrations, endpointSequence } = this.stateMachine;
     if (registrations === this.registrations && endpointSequence === this.observedSequence) return;
-    const touched: string[] = [];
-    for (const [address, findRegistration] of registrations) {
-      const former = this.registrations.get(address);
-      if (former === findRegistration) continue;
-      touched.push(address);
-      this.remove(former);
-      this.add(findRegistration);
+    const changedAddresses: string[] = [];
+    for (const [address, registration] of registrations) {
+      const previous = this.registrations.get(address);
+      if (previous === registration) continue;
+      changedAddresses.push(address);
+      this.remove(previous);
+      this.add(registration);
     }
-    for (const [address, former] of this.registrations) {
+    for (const [address, previous] of this.registrations) {
       if (registrations.has(address)) continue;
-      touched.push(address);
-      this.remove(former);
+      changedAddresses.push(address);
+      this.remove(previous);
     }
     this.registrations = registrations;
     this.observedSequence = endpointSequence;
     this.viewParts.clear();
-    this.changes.record(endpointSequence, touched);
+    this.changes.record(endpointSequence, changedAddresses);
   }
 
-  private add(findRegistration: Registration): void {
-    const hash = registrationHash(findRegistration);
-    this.hashes.set(findRegistration.address, hash);
+  private add(registration: Registration): void {
+    const hash = registrationHash(registration);
+    this.hashes.set(registration.address, hash);
     this.setDigest.add(hash);
-    this.byNumber.set(findRegistration.number, findRegistration);
+    this.byNumber.set(registration.number, registration);
   }
 
-  private remove(findRegistration: Registration | undefined): void {
-    if (!findRegistration) return;
-    this.setDigest.remove(this.hashes.get(findRegistration.address) ?? 0n);
-    this.hashes.delete(findRegistration.address);
-    if (this.byNumber.get(findRegistration.number) === findRegistration)
-      this.byNumber.delete(findRegistration.number);
+  private remove(registration: Registration | undefined): void {
+    if (!registration) return;
+    this.setDigest.remove(this.hashes.get(registration.address) ?? 0n);
+    this.hashes.delete(registration.address);
+    if (this.byNumber.get(registration.number) === registration)
+      this.byNumber.delete(registration.number);
   }
 }
--- a/src/control-plane/quota-service.ts
+++ b/src/control-plane/quota-service.ts
@@ -1,4 +1,4 @@
-/** Retry capacity at the leader: which edges may hold a part of it, as agreed in the replicated log. */
+/** Retry capacity at the leader: the replicated log decides which edges may hold a part of it. */
 import type { DaemonInfo, WatchRequest } from "../control-protocol/watch-request.js";
 import { type Runtime, randomNonce } from "../runtime/runtime.js";
 import type { LogCommand } from "../state/log-command.js";
@@ -6,14 +6,14 @@
 import type { LeaderLog } from "./leader-log.js";
 import type { RetryCapacityAllocator } from "./retry-capacity-allocator.js";
 
-/** The capacities of an edge under the number of their allocation. */
+/** The capacities of an edge, with the number of their allocation. */
 export interface CapacityAllocation {
   readonly number: string;
   /** The retry capacity by service. */
   readonly capacities: ReadonlyMap<string, number>;
 }
 
-/** What the quota service needs. */
+/** The dependencies of the quota service. */
 export interface QuotaServiceOptions {
   readonly runtime: Runtime;
   readonly log: LeaderLog;
@@ -27,12 +27,12 @@
   private readonly log: LeaderLog;
   private readonly stateMachine: StateMachine;
   private readonly allocator: RetryCapacityAllocator;
-  /** Edges whose registration as holders is proposed; none of them is allocated any capacity. */
-  private readonly entering = new Set<string>();
-  /** Edges whose removal as holders is proposed; none of them is allocated any capacity. */
-  private readonly parting = new Set<string>();
-  /** Whether the allocator has begun this term: it does with the first watch request. */
-  private hasBegun = false;
+  /** Edges whose registration as holders is proposed; they get no capacity yet. */
+  private readonly pendingRegistrations = new Set<string>();
+  /** Edges whose removal as holders is proposed; they get no capacity any more. */
+  private readonly pendingRemovals = new Set<string>();
+  /** Whether the allocator has started this term; the first watch request starts it. */
+  private hasStartedAllocations = false;
 
   constructor({ runtime, log, stateMachine, allocator }: QuotaServiceOptions) {
     this.runtime = runtime;
@@ -41,17 +41,17 @@
     this.allocator = allocator;
   }
 
-  /** Begins a term. */
+  /** Starts a term. */
   startTerm(): void {
-    this.hasBegun = false;
-    this.entering.clear();
-    this.parting.clear();
+    this.hasStartedAllocations = false;
+    this.pendingRegistrations.clear();
+    this.pendingRemovals.clear();
   }
 
-  /** Begins the term's allocations, if none was made yet. */
+  /** Starts the term's allocations, unless they have started. */
   startAllocations(nowMs: number): void {
-    if (this.hasBegun) return;
-    this.hasBegun = true;
+    if (this.hasStartedAllocations) return;
+    this.hasStartedAllocations = true;
     this.allocator.beginTerm(
       nowMs,
       randomNonce(this.runtime),
@@ -63,13 +63,13 @@
   allocate(request: WatchRequest, services: readonly string[], nowMs: number): CapacityAllocation {
     const { machine } = request;
     const isEdge = machine.roles.includes("edge") && !machine.draining;
-    const edge = QuotaService.holderName(machine);
+    const edge = QuotaService.formatHolder(machine);
     const isHolder = this.stateMachine.retryCapacityHolders.has(edge);
-    if (isEdge && !isHolder && !this.entering.has(edge)) {
-      this.entering.add(edge);
+    if (isEdge && !isHolder && !this.pendingRegistrations.has(edge)) {
+      this.pendingRegistrations.add(edge);
       this.log.submit({ kind: "holder", edge });
     }
-    if (!isEdge || !isHolder || this.parting.has(edge))
+    if (!isEdge || !isHolder || this.pendingRemovals.has(edge))
       return { number: "", capacities: new Map() };
     return this.allocator.allocate(
       edge,
@@ -83,25 +83,26 @@
     );
   }
 
-  /** Follows the registrations and removals of holders in the replicated log. */
+  /** Tracks the holders that log commands register and remove. */
   onApplied(command: LogCommand): void {
-    if (command.kind === "holder") this.entering.delete(command.edge);
-    if (command.kind === "holdersPast") for (const edge of command.edges) this.parting.delete(edge);
+    if (command.kind === "holder") this.pendingRegistrations.delete(command.edge);
+    if (command.kind === "holdersPast")
+      for (const edge of command.edges) this.pendingRemovals.delete(edge);
   }
 
-  /** Proposes to remove the holders whose capacities lapsed. */
+  /** Proposes to remove the holders whose capacities have lapsed. */
   removeLapsedHolders(nowMs: number): void {
-    if (!this.hasBegun) return;
+    if (!this.hasStartedAllocations) return;
     const lapsed = this.allocator
       .expiredEdges(nowMs, this.stateMachine.retryCapacityHolders)
-      .filter((edge) => !this.parting.has(edge));
+      .filter((edge) => !this.pendingRemovals.has(edge));
     if (lapsed.length === 0) return;
     this.log.submit({ kind: "holdersPast", edges: lapsed });
-    for (const edge of lapsed) this.parting.add(edge);
+    for (const edge of lapsed) this.pendingRemovals.add(edge);
   }
 
-  /** One life of an edge, as the replicated log names it. */
-  private static holderName({ name, incarnation }: DaemonInfo): string {
+  /** The name of an edge's incarnation in the replicated log. */
+  private static formatHolder({ name, incarnation }: DaemonInfo): string {
     return `${name} ${incarnation}`;
   }
 }
--- a/src/state/registration-table.ts
+++ b/src/state/registration-table.ts
@@ -6,7 +6,7 @@
 import type { Registration } from "./registration.js";
 import type { TombstoneTable } from "./tombstone-table.js";
 
-/** The registrations by address, and the index of the log entry that changed them last. */
+/** The registrations by address, and the index of the last log entry that changed them. */
 export class RegistrationTable {
   private registrations = ImmutableMap<string, Registration>();
   private changedAt = 0;
@@ -18,17 +18,17 @@
     this.journal = journal;
   }
 
-  /** The registrations by address; another object after each change. */
+  /** The registrations by address; a new object after each change. */
   get byAddress(): ImmutableMap<string, Registration> {
     return this.registrations;
   }
 
-  /** The index of the log entry that changed the table last, or 0. */
+  /** The index of the last log entry that changed the table, or 0. */
   get sequence(): number {
     return this.changedAt;
   }
 
-  /** The registrations of an instance: at most one that isn't leaving, and others that it left before. */
+  /** The registrations of an instance: at most one active one, and those at addresses that it left. */
   findByInstance(instance: string): Registration[] {
     return instance === ""
       ? []
@@ -42,10 +42,10 @@
     return [...this.registrations.values()];
   }
 
-  /** Takes over stored registrations. */
-  restore(toStored: readonly Registration[], sequence: number): void {
+  /** Loads stored registrations. */
+  restore(stored: readonly Registration[], sequence: number): void {
     this.registrations = ImmutableMap(
-      toStored.map((registration) => [registration.address, registration]),
+      stored.map((registration) => [registration.address, registration]),
     );
     this.changedAt = sequence;
   }
@@ -70,10 +70,10 @@
     const { address, service, zone, warmth } = command;
     const { instance = "", capacity = 0, warmMs = 0, order = 0 } = command;
     if (this.tombstones.has(instance)) return { gone: true };
-    const former = this.registrations.get(address);
-    const number = RegistrationTable.isContinued(former, command) ? former.number : index;
-    if (former && former.instance !== instance) this.tombstones.add(index, former.instance);
-    this.markOthersLeft(index, { address, instance });
+    const previous = this.registrations.get(address);
+    const number = RegistrationTable.keepsNumber(previous, command) ? previous.number : index;
+    if (previous && previous.instance !== instance) this.tombstones.add(index, previous.instance);
+    this.leaveOtherAddresses(index, { address, instance });
     this.set({
       address,
       service,
@@ -89,22 +89,22 @@
       order,
     });
     this.changedAt = index;
-    if (former && former.service !== service)
-      this.journal.add(index, `${address} now serves ${service}, no longer ${former.service}.`);
+    if (previous && previous.service !== service)
+      this.journal.add(index, `${address} now serves ${service}, no longer ${previous.service}.`);
     return { number };
   }
 
-  /** Whether a registration that a command replaces keeps its number: only its capacity, warmth or order differ. */
-  private static isContinued(
-    former: Registration | undefined,
+  /** Whether a registration keeps its number when a command replaces it: only its capacity, warmth or order may differ. */
+  private static keepsNumber(
+    previous: Registration | undefined,
     { service, zone, instance = "" }: LogCommandOf<"contract">,
-  ): former is Registration {
+  ): previous is Registration {
     return (
       instance !== "" &&
-      former?.instance === instance &&
-      former.service === service &&
-      !former.leaving &&
-      former.zone === zone
+      previous?.instance === instance &&
+      previous.service === service &&
+      !previous.leaving &&
+      previous.zone === zone
     );
   }
 
@@ -113,7 +113,7 @@
     { address, service, drained }: LogCommandOf<"leave">,
   ): LogOutcome {
     const registration =
-      this.registrations.get(address) ?? RegistrationTable.unknown(index, address, service);
+      this.registrations.get(address) ?? RegistrationTable.createDeparted(index, address, service);
     if (registration.service !== service) return { known: false };
     this.tombstones.add(index, registration.instance);
     this.markLeft(index, registration, drained);
@@ -122,8 +122,8 @@
     return { known: true };
   }
 
-  /** The registration of a backend that leaves without having registered. */
-  private static unknown(index: number, address: string, service: string): Registration {
+  /** The registration of a backend that left without having registered. */
+  private static createDeparted(index: number, address: string, service: string): Registration {
     return {
       address,
       service,
@@ -164,8 +164,8 @@
     return { known: true };
   }
 
-  /** An instance that moves leaves its other addresses. */
-  private markOthersLeft(
+  /** Ends the registrations of an instance at its other addresses, since it has moved. */
+  private leaveOtherAddresses(
     index: number,
     { address, instance }: Pick<Registration, "address" | "instance">,
   ): void {
--- a/src/state/retry-capacity-holder-table.ts
+++ b/src/state/retry-capacity-holder-table.ts
@@ -1,29 +1,29 @@
-/** The edges that may hold a part of the retry capacity, so that a new leader knows which to wait for. */
+/** The edges that may hold a part of the retry capacity, whose reports a new leader waits for. */
 import type { LogCommandOf } from "./log-command.js";
 
 /** The edges that may hold retry capacity. */
 export class RetryCapacityHolderTable {
-  private names = new Set<string>();
+  private holders = new Set<string>();
 
-  /** The edges, each as its name and incarnation. */
+  /** The edges, each identified by its name and incarnation. */
   get edges(): ReadonlySet<string> {
-    return this.names;
+    return this.holders;
   }
 
   /** The stored form of the table. */
   toStored(): string[] {
-    return [...this.names];
+    return [...this.holders];
   }
 
-  /** Takes over stored edges. */
-  restore(toStored: readonly string[]): void {
-    this.names = new Set(toStored);
+  /** Loads stored edges. */
+  restore(stored: readonly string[]): void {
+    this.holders = new Set(stored);
   }
 
   /** Applies a log command. */
   apply(command: LogCommandOf<"holder" | "holdersPast">): Readonly<Record<string, never>> {
-    if (command.kind === "holder") this.names.add(command.edge);
-    else for (const edge of command.edges) this.names.delete(edge);
+    if (command.kind === "holder") this.holders.add(command.edge);
+    else for (const edge of command.edges) this.holders.delete(edge);
     return {};
   }
 }
--- a/test/configuration/config-serializer.test.ts
+++ b/test/configuration/config-serializer.test.ts
@@ -4,7 +4,9 @@
 import { checkConfig } from "../../src/configuration/config-validation.js";
 import { configText } from "../../src/configuration/config-serializer.js";
 
-const nameArbitrary = fc.stringMatching(/^[a-z0-9._-]{1,6}$/).filter((one) => one !== "__proto__");
+const nameArbitrary = fc
+  .stringMatching(/^[a-z0-9._-]{1,6}$/)
+  .filter((name) => name !== "__proto__");
 const originArbitrary = fc.option(fc.jsonValue(), { nil: undefined });
 const routeArbitrary = fc.record(
   {
@@ -24,27 +26,27 @@
     routes: fc.dictionary(nameArbitrary, routeArbitrary),
     goals: fc.dictionary(nameArbitrary, fc.record({ latencyMs: fc.integer({ min: 1, max: 9 }) })),
     limits: fc.record({ bodyBytes: fc.nat(1000) }),
-    originArbitrary: fc.jsonValue(),
+    origin: fc.jsonValue(),
   },
   { requiredKeys: [] },
 );
 
-/** A fast-check record has undefined fields and no prototype; what is read from a wire hasn't. */
+/** Removes undefined fields and restores the prototype, which fast-check's records lack and parsed JSON has. */
 const asParsedJson = (value: unknown): Record<string, never> => JSON.parse(JSON.stringify(value));
 
 describe("configText", () => {
-  test("the text of a configuration equals that of JSON.stringify, after any changes", () => {
+  test("the serialized text equals that of JSON.stringify after arbitrary changes", () => {
     fc.assert(
       fc.property(
         fc.array(putArbitrary, { maxLength: 5 }),
         fc.array(nameArbitrary, { maxLength: 4 }),
-        (puts, gone) => {
+        (putSequence, removedNames) => {
           let config: Record<string, unknown> = { services: { one: {} }, routes: {} };
-          for (const one of puts) {
-            config = applyItemChanges(config, asParsedJson(one), {
+          for (const changes of putSequence) {
+            config = applyItemChanges(config, asParsedJson(changes), {
               services: [],
-              routes: gone,
-              goals: gone,
+              routes: removedNames,
+              goals: removedNames,
             });
             const checked = checkConfig(config);
             if ("faults" in checked) continue;
--- a/test/configuration/config.test.ts
+++ b/test/configuration/config.test.ts
@@ -53,7 +53,7 @@
 });
 
 describe("Config", () => {
-  test("a configuration with every field is accepted, and read as it was sent", () => {
+  test("a configuration with every field is accepted, and its text is read unchanged", () => {
     expect(checkConfig(copyFullConfig())).toEqual({ config: fullConfig });
     expect(new ConfigReader().read(JSON.stringify(fullConfig))).toEqual(fullConfig);
   });
@@ -61,7 +61,7 @@
   test.each<[string, unknown, string[]]>([
     ["an unknown service", withChangedRoute({ service: "nowhere" }), ["routes.plain.service"]],
     [
-      "a service that only every object has",
+      "a service named like an inherited property",
       withChangedRoute({ service: "constructor" }),
       ["routes.plain.service"],
     ],
@@ -86,11 +86,7 @@
       withChangedRoute({ service: undefined, split: [{ service: "b", weight: 0 }] }),
       ["routes.plain.split"],
     ],
-    [
-      "a split of nothing",
-      withChangedRoute({ service: undefined, split: [] }),
-      ["routes.plain.split"],
-    ],
+    ["an empty split", withChangedRoute({ service: undefined, split: [] }), ["routes.plain.split"]],
     [
       "both a service and a split",
       withChangedRoute({ split: [{ service: "b", weight: 1 }] }),
@@ -101,18 +97,22 @@
       withChangedRoute({ service: undefined }),
       ["routes.plain.service"],
     ],
-    ["a time over ten minutes", withChangedRoute({ giveUpMs: 600_001 }), ["routes.plain.giveUpMs"]],
+    [
+      "a timeout over ten minutes",
+      withChangedRoute({ giveUpMs: 600_001 }),
+      ["routes.plain.giveUpMs"],
+    ],
     ["no attempts", withChangedRoute({ attempts: 0 }), ["routes.plain.attempts"]],
     ["too many attempts", withChangedRoute({ attempts: 11 }), ["routes.plain.attempts"]],
     ["an unknown kind", withChangedRoute({ kind: "risky" }), ["routes.plain.kind"]],
-    ["a rank out of bounds", withChangedRoute({ priority: 10 }), ["routes.plain.priority"]],
+    ["a priority out of range", withChangedRoute({ priority: 10 }), ["routes.plain.priority"]],
     [
       "a host with a port",
       withChangedRoute({ match: { path: "/", host: "a:80" } }),
       ["routes.plain.match.host"],
     ],
     [
-      "a limit that is no number",
+      "a limit that isn't a number",
       { ...copyFullConfig(), limits: { bodyBytes: "much" } },
       ["limits.bodyBytes"],
     ],
@@ -123,12 +123,12 @@
       [`services.${"n".repeat(101)}`],
     ],
     [
-      "a name that no object should have",
+      "the name __proto__",
       { ...copyFullConfig(), services: { ...copyFullConfig().services, ["__proto__"]: {} } },
       ["services.__proto__"],
     ],
     [
-      "a goal of no route",
+      "a goal without a route",
       { ...copyFullConfig(), goals: { toString: { latencyMs: 1 } } },
       ["goals.toString"],
     ],
@@ -136,7 +136,7 @@
     expect(findFaultPaths(value)).toEqual(paths);
   });
 
-  test("items are replaced as a whole or removed, and a route's goal is removed with it", () => {
+  test("items are replaced completely or removed, and a route's goal is removed with it", () => {
     const none = { services: [], routes: [], goals: [] };
     const put = applyItemChanges(
       fullConfig,
@@ -173,9 +173,10 @@
     ).toEqual(["services.__proto__"]);
   });
 
-  test("whatever part of a configuration is altered, the fast guard accepts exactly what the shapes accept", () => {
+  // The guard alone decides whether a configuration is accepted, so a difference from the shapes would let an invalid one pass.
+  test("the fast guard accepts exactly what the shapes accept, whichever part of a configuration is altered", () => {
     const random = RandomDraw.of(3);
-    const junk = [
+    const replacements = [
       null,
       -1,
       0.5,
@@ -192,29 +193,31 @@
       "/a/*",
       ["GET", "FETCH"],
     ];
-    const bend = (value: unknown, depth: number): unknown => {
+    const alter = (value: unknown, depth: number): unknown => {
       if (depth === 0 || typeof value !== "object" || value === null)
-        return junk[Math.floor(random() * junk.length)];
+        return replacements[Math.floor(random() * replacements.length)];
       const entries: Array<[string, unknown]> = Object.entries(value);
-      const at = Math.floor(random() * (entries.length + 1));
-      const bent = entries.map<[string, unknown]>(([key, one], place) =>
-        place === at ? [key, bend(one, depth - 1)] : [key, one],
+      const alteredIndex = Math.floor(random() * (entries.length + 1));
+      const altered = entries.map<[string, unknown]>(([key, entryValue], index) =>
+        index === alteredIndex ? [key, alter(entryValue, depth - 1)] : [key, entryValue],
       );
-      if (at === entries.length) bent.push([random() < 0.5 ? "extra" : "origin", 1]);
-      return Array.isArray(value) ? bent.map(([, one]) => one) : Object.fromEntries(bent);
+      if (alteredIndex === entries.length) altered.push([random() < 0.5 ? "extra" : "origin", 1]);
+      return Array.isArray(value)
+        ? altered.map(([, entryValue]) => entryValue)
+        : Object.fromEntries(altered);
     };
     let refused = 0;
     for (let round = 0; round < 4000; round += 1) {
-      const value = bend(fullConfig, 1 + Math.floor(random() * 5));
-      const slow = configShape.is(value);
-      expect(Validated.accepts(configShape, value), JSON.stringify(value)).toBe(slow);
-      refused += slow ? 0 : 1;
+      const value = alter(fullConfig, 1 + Math.floor(random() * 5));
+      const acceptedByShape = configShape.is(value);
+      expect(Validated.accepts(configShape, value), JSON.stringify(value)).toBe(acceptedByShape);
+      refused += acceptedByShape ? 0 : 1;
     }
     expect(refused).toBeGreaterThan(1000);
     expect(refused).toBeLessThan(3900);
   });
 
-  const good = {
+  const validConfig = {
     services: { sightings: {} },
     routes: {
       post: { match: { methods: ["POST"], path: "/sightings" }, service: "sightings", keyed: true },
@@ -222,9 +225,9 @@
     goals: { post: { latencyMs: 200 } },
   };
   test("a configuration is refused with all faults and their paths", () => {
-    expect(checkConfig(good)).toEqual({ config: good });
+    expect(checkConfig(validConfig)).toEqual({ config: validConfig });
     const checked = checkConfig({
-      ...good,
+      ...validConfig,
       goals: { post: { latencyMs: -3 }, ghost: { latencyMs: 5 } },
       extra: 1,
     });
@@ -233,7 +236,7 @@
       "goals.post.latencyMs",
     ]);
     const semantic = checkConfig({
-      ...good,
+      ...validConfig,
       routes: { post: { match: { path: "/x" }, service: "nowhere", repeat: "safe" } },
       goals: { ghost: { latencyMs: 5 } },
     });
@@ -244,21 +247,27 @@
     ]);
   });
 
-  test("a reader of accepted configurations is independent of those that it read before", () => {
+  test("a configuration reader's results don't depend on the configurations that it read before", () => {
     const reader = new ConfigReader();
-    const more = {
-      ...good,
-      routes: { ...good.routes, late: { match: { path: "/late" }, service: "sightings" } },
+    const extendedConfig = {
+      ...validConfig,
+      routes: { ...validConfig.routes, late: { match: { path: "/late" }, service: "sightings" } },
       goals: { post: { latencyMs: 90 } },
     };
-    for (const config of [good, more, good, { services: {}, routes: {}, goals: {} }, more])
+    for (const config of [
+      validConfig,
+      extendedConfig,
+      validConfig,
+      { services: {}, routes: {}, goals: {} },
+      extendedConfig,
+    ])
       expect(reader.read(JSON.stringify(config))).toEqual(config);
     expect(() =>
-      reader.read(JSON.stringify({ ...good, goals: { post: { latencyMs: -1 } } })),
+      reader.read(JSON.stringify({ ...validConfig, goals: { post: { latencyMs: -1 } } })),
     ).toThrow();
   });
 
-  test("a merge patch adds, changes and removes", () => {
+  test("a merge patch adds, changes and removes fields", () => {
     expect(mergePatch({ a: { b: 1, c: 2 }, d: [1] }, { a: { b: null, e: 3 }, d: [2] })).toEqual({
       a: { c: 2, e: 3 },
       d: [2],
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -14,7 +14,7 @@
 import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 import { createTestCluster } from "./control-plane-stage.js";
 
-/** A state machine with configurations in force, and the views that a leader makes of them. */
+/** A state machine with an active configuration, and the views that a leader builds from it. */
 class TestLeader {
   readonly stateMachine = new StateMachine();
   private value: unknown = EMPTY_CONFIG;
@@ -26,7 +26,7 @@
     return this.parsed.value;
   }
 
-  /** Puts a configuration in force, if it has no fault. */
+  /** Activates a configuration, if it is valid. */
   activate(value: unknown): void {
     const checked = checkConfig(value);
     if ("faults" in checked) return;
@@ -34,7 +34,7 @@
     this.index += 1;
     const text = JSON.stringify(checked.config);
     this.parsed = { text, value: checked.config };
-    const one: LogCommand = {
+    const command: LogCommand = {
       kind: "config",
       expected: this.stateMachine.activeConfig?.sequence ?? 0,
       changeId: `change-${this.index}`,
@@ -44,7 +44,7 @@
       routes: Object.keys(checked.config.routes),
       rested: [...this.stateMachine.idAllocator.quarantinedIds],
     };
-    this.stateMachine.apply(this.index, encodeLogCommand(one));
+    this.stateMachine.apply(this.index, encodeLogCommand(command));
   }
 
   patch(value: unknown): void {
@@ -60,20 +60,22 @@
     );
   }
 
-  viewSince(known: number): LeasedView {
+  viewSince(knownSequence: number): LeasedView {
     const sequence = this.stateMachine.activeConfig?.sequence ?? 0;
-    const part = known === sequence ? "" : `,${this.changes.viewPart(known)}`;
-    const viewSince = readLeasedView(
+    const part = knownSequence === sequence ? "" : `,${this.changes.viewPart(knownSequence)}`;
+    const view = readLeasedView(
       `{"granted":true,"grantMs":1,"configSequence":${sequence},"directorySequence":0,"grantNumber":"","capacities":[]${part}}`,
     );
-    if (!viewSince.granted) throw new Error("The response is no view.");
-    return viewSince;
+    if (!view.granted) throw new Error(`the watch request was refused: ${view.why}`);
+    return view;
   }
 }
 
 const toComparable = (config: Config): unknown => {
-  const kept = ConfigItems.configWithoutOrigins(config);
-  const value: unknown = JSON.parse(JSON.stringify({ ...kept, goals: kept.goals ?? {} }));
+  const edgeConfig = ConfigItems.configWithoutOrigins(config);
+  const value: unknown = JSON.parse(
+    JSON.stringify({ ...edgeConfig, goals: edgeConfig.goals ?? {} }),
+  );
   return value;
 };
 
@@ -92,7 +94,7 @@
 );
 const routeArbitrary = fc.record({
   match: fc.record({ path: fc.constantFrom("/x", "/y/*") }),
-  serviceArbitrary: nameArbitrary,
+  service: nameArbitrary,
   origin: fc.integer({ min: 0, max: 9 }),
 });
 const sectionArbitrary = <T>(item: fc.Arbitrary<T>): fc.Arbitrary<Record<string, T>> =>
@@ -123,16 +125,16 @@
 );
 
 describe("ConfigChangeLog", () => {
-  test("replicas that apply updates at times equal the active configuration, by digest too", () => {
+  test("replicas that apply updates at random times match the active configuration and its digest", () => {
     fc.assert(
       fc.property(fc.array(fc.tuple(stepArbitrary, fc.nat(7)), { maxLength: 30 }), (steps) => {
         const leader = new TestLeader();
         leader.activate({ services: { a: {}, b: {}, 7: {} }, routes: {}, goals: {} });
         const replicas = [0, 1, 2].map(() => new ConfigReplica());
-        for (const [change, polling] of steps) {
+        for (const [change, pollingMask] of steps) {
           change(leader);
-          for (const [bit, replica] of replicas.entries()) {
-            if ((polling >> bit) % 2 === 0) continue;
+          for (const [replicaIndex, replica] of replicas.entries()) {
+            if ((pollingMask >> replicaIndex) % 2 === 0) continue;
             if (replica.apply(leader.viewSince(replica.knownSequence)) === "differs")
               expect(replica.apply(leader.viewSince(replica.knownSequence))).toBe("changed");
             expectEqualConfig(replica, leader);
@@ -144,74 +146,77 @@
     );
   });
 
-  const large = (routes: number): unknown => ({
+  const createLargeConfig = (routes: number): unknown => ({
     services: Object.fromEntries(["one", "two", "three"].map((name) => [name, { inHand: 20 }])),
     routes: Object.fromEntries(
-      Array.from({ length: routes }, (_, at) => [
-        `route-${at}`,
+      Array.from({ length: routes }, (_, index) => [
+        `route-${index}`,
         {
-          match: { methods: ["GET"], path: `/things/${at}/*`, host: "api.example" },
-          serviceArbitrary: ["one", "two", "three"][at % 3],
+          match: { methods: ["GET"], path: `/things/${index}/*`, host: "api.example" },
+          service: ["one", "two", "three"][index % 3],
           kind: "safe",
-          origin: { meta: { name: `route-${at}`, owner: "somebody" }, spec: { deadline: "900ms" } },
+          origin: {
+            meta: { name: `route-${index}`, owner: "somebody" },
+            spec: { deadline: "900ms" },
+          },
         },
       ]),
     ),
     goals: {},
   });
 
-  test("one changed route of 1,400 takes a few hundred bytes, and unchanged items stay the same objects", () => {
+  test("an update of one of 1,400 routes takes a few hundred bytes, and unchanged items remain the same objects", () => {
     const leader = new TestLeader();
-    leader.activate(large(1400));
+    leader.activate(createLargeConfig(1400));
     const replica = new ConfigReplica();
     expect(replica.apply(leader.viewSince(replica.knownSequence))).toBe("changed");
-    const former = new RouteTable(replica.config);
-    const untouched = replica.config.routes["route-8"];
-    leader.patch({ routes: { "route-7": { serviceArbitrary: "two" } } });
+    const previousTable = new RouteTable(replica.config);
+    const unchangedRoute = replica.config.routes["route-8"];
+    leader.patch({ routes: { "route-7": { service: "two" } } });
     leader.patch({
-      routes: { late: { match: { path: "/late" }, serviceArbitrary: "one" }, "route-9": null },
+      routes: { late: { match: { path: "/late" }, service: "one" }, "route-9": null },
     });
     const view = leader.viewSince(replica.knownSequence);
     expect(JSON.stringify(view).length).toBeLessThan(700);
     expect(replica.apply(view)).toBe("changed");
     expectEqualConfig(replica, leader);
-    expect(replica.config.routes["route-8"]).toBe(untouched);
-    const routeTable = new RouteTable(replica.config, former);
-    expect(routeTable.findByName("route-8")).toBe(former.findByName("route-8"));
+    expect(replica.config.routes["route-8"]).toBe(unchangedRoute);
+    const routeTable = new RouteTable(replica.config, previousTable);
+    expect(routeTable.findByName("route-8")).toBe(previousTable.findByName("route-8"));
     expect(routeTable.findByName("route-7")?.service).toBe("two");
     expect(routeTable.find("GET", "/late")?.name).toBe("late");
     expect(routeTable.find("GET", "/things/9/x", "api.example")).toBeUndefined();
   });
 
-  test("a replica whose digest differs keeps its sequence, requests the complete configuration and recovers by it", () => {
+  test("a replica whose digest differs keeps its sequence, requests the complete configuration and recovers with it", () => {
     const leader = new TestLeader();
-    leader.activate(large(20));
+    leader.activate(createLargeConfig(20));
     const replica = new ConfigReplica();
     replica.apply(leader.viewSince(replica.knownSequence));
-    leader.patch({ routes: { "route-7": { serviceArbitrary: "two" } } });
+    leader.patch({ routes: { "route-7": { service: "two" } } });
     const view = leader.viewSince(replica.knownSequence);
     expect(view.configChanges).toBeDefined();
     expect(replica.apply({ ...view, configDigest: "0-0" })).toBe("differs");
     expect([replica.sequence, replica.knownSequence]).toEqual([1, 0]);
     expect(replica.apply(leader.viewSince(replica.knownSequence))).toBe("changed");
     expectEqualConfig(replica, leader);
-    leader.patch({ routes: { "route-8": { serviceArbitrary: "two" } } });
-    const missed = leader.viewSince(replica.knownSequence);
-    leader.patch({ routes: { "route-9": { serviceArbitrary: "two" } } });
+    leader.patch({ routes: { "route-8": { service: "two" } } });
+    const missedView = leader.viewSince(replica.knownSequence);
+    leader.patch({ routes: { "route-9": { service: "two" } } });
     expect(replica.apply(leader.viewSince(3))).toBe("differs");
-    expect(replica.apply(missed)).toBe("changed");
+    expect(replica.apply(missedView)).toBe("changed");
   });
 
-  test("an update of a configuration older than the replica's is outdated and requests nothing", () => {
+  test("an update based on an older configuration than the replica's is outdated and triggers no request", () => {
     const leader = new TestLeader();
-    leader.activate(large(20));
+    leader.activate(createLargeConfig(20));
     const replica = new ConfigReplica();
     replica.apply(leader.viewSince(replica.knownSequence));
-    const former = replica.knownSequence;
-    leader.patch({ routes: { "route-7": { serviceArbitrary: "two" } } });
-    expect(replica.apply(leader.viewSince(former))).toBe("changed");
-    leader.patch({ routes: { "route-8": { serviceArbitrary: "two" } } });
-    expect(replica.apply(leader.viewSince(former))).toBe("outdated");
+    const previousSequence = replica.knownSequence;
+    leader.patch({ routes: { "route-7": { service: "two" } } });
+    expect(replica.apply(leader.viewSince(previousSequence))).toBe("changed");
+    leader.patch({ routes: { "route-8": { service: "two" } } });
+    expect(replica.apply(leader.viewSince(previousSequence))).toBe("outdated");
     expect([replica.sequence, replica.knownSequence]).toEqual([2, 2]);
     expect(replica.apply(leader.viewSince(replica.knownSequence))).toBe("changed");
     expectEqualConfig(replica, leader);
@@ -219,51 +224,67 @@
 
   test("reordered routes are sent as a complete configuration, since the first of several matches is used", () => {
     const leader = new TestLeader();
-    const alike = { match: { path: "/x" }, serviceArbitrary: "one" };
-    leader.activate({ services: { one: {} }, routes: { a: alike, b: alike, c: alike, d: alike } });
+    const overlappingRoute = { match: { path: "/x" }, service: "one" };
+    leader.activate({
+      services: { one: {} },
+      routes: {
+        a: overlappingRoute,
+        b: overlappingRoute,
+        c: overlappingRoute,
+        d: overlappingRoute,
+      },
+    });
     const replica = new ConfigReplica();
     replica.apply(leader.viewSince(replica.knownSequence));
-    leader.activate({ services: { one: {} }, routes: { b: alike, a: alike, c: alike, d: alike } });
+    leader.activate({
+      services: { one: {} },
+      routes: {
+        b: overlappingRoute,
+        a: overlappingRoute,
+        c: overlappingRoute,
+        d: overlappingRoute,
+      },
+    });
     expect(leader.viewSince(replica.knownSequence).config).toBeDefined();
     expect(replica.apply(leader.viewSince(replica.knownSequence))).toBe("changed");
     expect(new RouteTable(replica.config).find("GET", "/x")?.name).toBe("b");
   });
 
-  test("edges apply a series of patches by items, also across a change of leader", () => {
+  test("edges apply a series of patches item by item, also across a leader change", () => {
     const { simulation, exchange, watch, watchRequestText, leader, wait, daemons } =
       createTestCluster({
         maxWatchWaitMs: 50,
       });
-    const [one] = daemons(1);
+    const [edge] = daemons(1);
     const send = (method: string, target: string, body: unknown): void => {
-      one?.daemon?.adminRequests.emit({
+      edge?.daemon?.adminRequests.emit({
         clientRequest: { method, target, headers: {}, body: Buffer.from(JSON.stringify(body)) },
         respond: () => undefined,
       });
       wait(300);
     };
-    const config = large(300);
+    const config = createLargeConfig(300);
     send("PUT", "/config", config);
     const { directorySequence, configSequence } = watch();
     expect(configSequence).toBeGreaterThan(0);
-    send("PATCH", "/config", { routes: { "route-3": { serviceArbitrary: "three" } } });
+    send("PATCH", "/config", { routes: { "route-3": { service: "three" } } });
     const text =
       exchange(rpcMethods.watch, watchRequestText({ directorySequence, configSequence }))[0]
         ?.text ?? "";
     expect(text).toContain('"configChanges"');
     expect(text).toContain('"route-3"');
     expect(text).not.toContain('"route-4"');
-    const known = watch({ directorySequence, configSequence });
+    const knownView = watch({ directorySequence, configSequence });
     simulation.kill(leader());
     wait(3000);
-    for (let at = 0; at < 4; at += 1)
-      send("PATCH", "/config", { routes: { [`route-${at}`]: { serviceArbitrary: "three" } } });
-    const after = watch({ directorySequence: known.directorySequence, configSequence });
-    expect(after.configSequence).toBe(known.configSequence + 4);
+    for (let index = 0; index < 4; index += 1)
+      send("PATCH", "/config", { routes: { [`route-${index}`]: { service: "three" } } });
+    const updatedView = watch({ directorySequence: knownView.directorySequence, configSequence });
+    expect(updatedView.configSequence).toBe(knownView.configSequence + 4);
     for (const machine of simulation.machines) {
       if (!machine.daemon) continue;
       expect(machine.daemon.servingState).toEqual({
-        configSequence: after.configSequence,
+        configSequence: updatedView.configSequence,
         isGranted: true,
       });
     }
--- a/test/control-plane/config-changes.test.ts
+++ b/test/control-plane/config-changes.test.ts
@@ -36,11 +36,11 @@
   target: string,
   body?: unknown,
   headers: Record<string, string> = {},
-  at = 0,
+  machineIndex = 0,
 ): ConfigResponse[] => {
   const responses: ConfigResponse[] = [];
   const text = typeof body === "string" ? body : body === undefined ? "" : JSON.stringify(body);
-  simulation.machines[at]?.daemon?.adminRequests.emit({
+  simulation.machines[machineIndex]?.daemon?.adminRequests.emit({
     clientRequest: { method, target, headers, body: Buffer.from(text) },
     respond: (response) =>
       responses.push({
@@ -58,9 +58,9 @@
   target: string,
   body?: unknown,
   headers: Record<string, string> = {},
-  at = 0,
+  machineIndex = 0,
 ): ConfigResponse => {
-  const responses = send(method, target, body, headers, at);
+  const responses = send(method, target, body, headers, machineIndex);
   wait();
   return responses[0] ?? { code: 0, etag: undefined, body: undefined };
 };
@@ -75,7 +75,7 @@
 });
 
 describe("configuration changes", () => {
-  test("versions may be chosen with gaps, and each is read back under its own, with every origin as it was sent", () => {
+  test("chosen versions may have gaps, and each configuration is read by its version, with every origin unchanged", () => {
     expect(request("PUT", "/config", sampleConfig, versionHeaders(7, 0))).toEqual({
       code: 200,
       etag: '"7"',
@@ -111,7 +111,7 @@
     ).toEqual([404, 404, 404, 404, 404, 404]);
   });
 
-  test("a retry precedes the check of the base, that one the check of the version, and a version must rise", () => {
+  test("a retry is recognized before the base is checked, the base is checked before the version, and versions must increase", () => {
     request("PUT", "/config", sampleConfig, versionHeaders(7, 0));
     expect(request("PUT", "/config", sampleConfig, versionHeaders(7, 0, "other"))).toMatchObject({
       code: 412,
@@ -132,20 +132,26 @@
     });
   });
 
-  test("of several concurrent changes on one base one is accepted, and its configuration is active", () => {
-    const racers = [10, 12, 11].map((version, at) =>
-      send("PUT", "/config", { ...sampleConfig, origin: version }, versionHeaders(version, 0), at),
+  test("one of several concurrent changes with the same base is accepted, and its configuration is active", () => {
+    const concurrentResponses = [10, 12, 11].map((version, index) =>
+      send(
+        "PUT",
+        "/config",
+        { ...sampleConfig, origin: version },
+        versionHeaders(version, 0),
+        index,
+      ),
     );
     wait();
-    const codes = racers.map(([answer]) => answer?.code ?? 0);
+    const codes = concurrentResponses.map(([response]) => response?.code ?? 0);
     expect([...codes].sort()).toEqual([200, 412, 412]);
-    const won = [10, 12, 11][codes.indexOf(200)];
+    const acceptedVersion = [10, 12, 11][codes.indexOf(200)];
     expect(request("GET", "/config")).toMatchObject({
-      body: { version: won, config: { origin: won } },
+      body: { version: acceptedVersion, config: { origin: acceptedVersion } },
     });
   });
 
-  test("items are replaced as a whole and removed by name, and the others stay as they were sent", () => {
+  test("items are replaced completely and removed by name, and the other items remain unchanged", () => {
     request("PUT", "/config", sampleConfig, versionHeaders(3, 0));
     const route = {
       match: { path: "/b/*" },
@@ -190,30 +196,30 @@
     ).toBe(400);
   });
 
-  test("an old version is found among hundreds", () => {
+  test("an old version is found among hundreds of configurations", () => {
     const versions: number[] = [];
-    for (let at = 0; at < 260; at += 1) {
-      const version = (versions.at(-1) ?? 0) + 1 + ((at * 7) % 5);
+    for (let index = 0; index < 260; index += 1) {
+      const version = (versions.at(-1) ?? 0) + 1 + ((index * 7) % 5);
       versions.push(version);
       send("PUT", "/config", { ...sampleConfig, origin: version }, versionHeaders(version));
       wait(60);
     }
     wait();
-    const asked = Array.from({ length: 250 }, (_, at) => at + 1).map((version) => ({
+    const lookups = Array.from({ length: 250 }, (_, index) => index + 1).map((version) => ({
       version,
       responses: send("GET", `/config/${version}`),
     }));
     wait(4000);
-    for (const { version, answers: responses } of asked)
+    for (const { version, responses } of lookups)
       expect(responses, `${version}`).toMatchObject([
         versions.includes(version)
           ? { code: 200, body: { version, config: { origin: version } } }
           : { code: 404 },
       ]);
-    for (const at of [100, 200, 259])
-      expect(request("GET", `/config/${versions[at]}`)).toMatchObject({
+    for (const index of [100, 200, 259])
+      expect(request("GET", `/config/${versions[index]}`)).toMatchObject({
         code: 200,
-        body: { version: versions[at], config: { origin: versions[at] } },
+        body: { version: versions[index], config: { origin: versions[index] } },
       });
   });
 });
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -9,11 +9,12 @@
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
 describe("ControlPlane", () => {
-  test("a heartbeat that is older than the backend's deregistration, or than another service at its address, changes nothing", () => {
+  // Guards against the revival of a deregistered backend by a delayed heartbeat, whose daemon knew older registrations.
+  test("a heartbeat that is older than the backend's deregistration, or than another service's registration at its address, is ignored", () => {
     const simulation = new Simulation(shippedProfiles.rastro, 1, 0.01);
     simulation.startAll();
     simulation.virtualClock.runUntil(5000);
-    const fail = (error: unknown): void => {
+    const rethrow = (error: unknown): void => {
       throw error;
     };
     const runtime = virtualRuntime({
@@ -26,20 +27,20 @@
       simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease)?.settings
         .peers ?? "";
     const command = (sent: Command): string => {
-      const returns: string[] = [];
+      const responses: string[] = [];
       runTask(
         rpc.call(leader, rpcMethods.command, { forwarded: true, text: encodeCommand(sent) }, 2000),
-        fail,
-        (ret) => returns.push(ret?.text ?? ""),
+        rethrow,
+        (response) => responses.push(response?.text ?? ""),
       );
       simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 200);
-      return returns[0] ?? "";
+      return responses[0] ?? "";
     };
-    const [one] = simulation.testBackends;
-    if (!one) throw new Error("There is no backend.");
-    one.isAnnouncing = false;
-    const { address, service, zone } = one;
-    const late: Command = {
+    const [backend] = simulation.testBackends;
+    if (!backend) throw new Error("the simulation has no backend");
+    backend.isAnnouncing = false;
+    const { address, service, zone } = backend;
+    const delayedHeartbeat: Command = {
       kind: "announce",
       address,
       service,
@@ -49,10 +50,10 @@
     };
     expect(command({ kind: "leave", address, service })).toBe('{"known":true}');
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 4000);
-    expect(command(late)).toContain('"overtaken"');
-    const fresh = { ...late, seen: 1_000_000 };
-    expect(command({ ...fresh, service: "triage" })).toContain('"taken"');
-    expect(command(late)).toContain('"overtaken"');
-    expect(command(fresh)).toContain('"taken"');
+    expect(command(delayedHeartbeat)).toContain('"overtaken"');
+    const currentHeartbeat = { ...delayedHeartbeat, seen: 1_000_000 };
+    expect(command({ ...currentHeartbeat, service: "triage" })).toContain('"taken"');
+    expect(command(delayedHeartbeat)).toContain('"overtaken"');
+    expect(command(currentHeartbeat)).toContain('"taken"');
   });
 });
--- a/test/control-plane/delayed-network.test.ts
+++ b/test/control-plane/delayed-network.test.ts
@@ -11,42 +11,42 @@
 
 describe("DelayedNetwork", () => {
   test("it preserves the order of messages and counts them", () => {
-    const stage = new ClusterFixture([], []);
-    const clock = stage.virtualClock.clock();
+    const cluster = new ClusterFixture([], []);
+    const clock = cluster.virtualClock.clock();
     const gate = new EventGate();
-    const far = new DelayedNetwork(stage.network.createInterface("far", gate), clock, () => 0);
-    const near = new DelayedNetwork(stage.network.createInterface("near", gate), clock, () => 30);
-    const got: string[] = [];
+    const far = new DelayedNetwork(cluster.network.createInterface("far", gate), clock, () => 0);
+    const near = new DelayedNetwork(cluster.network.createInterface("near", gate), clock, () => 30);
+    const received: string[] = [];
     run(
       far.listen("10.0.0.9:1", (connection) => {
         const echo = function* (): Task {
           for (;;) {
-            const piece = yield* connection.incoming.take();
-            if (piece === "closed") return;
-            got.push(Buffer.from(piece).toString());
-            connection.send(piece);
+            const bytes = yield* connection.incoming.take();
+            if (bytes === "closed") return;
+            received.push(Buffer.from(bytes).toString());
+            connection.send(bytes);
           }
         };
         run(echo());
       }),
     );
-    const back: string[] = [];
-    const speak = function* (): Task {
+    const echoed: string[] = [];
+    const sendAndReceive = function* (): Task {
       const connection = yield* near.connect("10.0.0.9:1");
       if (!connection) return;
-      for (const word of ["a", "bb", "ccc"]) connection.send(Buffer.from(word));
+      for (const text of ["a", "bb", "ccc"]) connection.send(Buffer.from(text));
       for (;;) {
-        const piece = yield* connection.incoming.take();
-        if (piece === "closed") return;
-        back.push(Buffer.from(piece).toString());
+        const bytes = yield* connection.incoming.take();
+        if (bytes === "closed") return;
+        echoed.push(Buffer.from(bytes).toString());
       }
     };
-    run(speak());
-    stage.wait(60);
-    expect(got).toEqual([]);
-    stage.wait(2000);
-    expect(got).toEqual(["a", "bb", "ccc"]);
-    expect(back).toEqual(["a", "bb", "ccc"]);
+    run(sendAndReceive());
+    cluster.wait(60);
+    expect(received).toEqual([]);
+    cluster.wait(2000);
+    expect(received).toEqual(["a", "bb", "ccc"]);
+    expect(echoed).toEqual(["a", "bb", "ccc"]);
     expect(near.totals).toEqual({ bytesIn: 6, bytesOut: 6, messagesIn: 3, messagesOut: 3 });
   });
 });
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -22,7 +22,7 @@
 });
 
 describe("LargeViewLimiter", () => {
-  test("a large view is in transit for a while, for twice that the next time, and not for another incarnation or state", () => {
+  test("a large view counts as in transit for the initial time, for twice that after a resend, and not for another incarnation or state", () => {
     const views = new LargeViewLimiter(1000);
     expect(views.isInTransit(createWatchRequest("one", 0), 0)).toBe(false);
     views.recordSent(createWatchRequest("one", 0), 0);
@@ -40,11 +40,12 @@
     expect(views.isInTransit(createWatchRequest("one", 1), 4001)).toBe(false);
   });
 
+  // Guards against repeated copies of a large view on a slow link, each of which delays the next one.
   test("the leader sends a large view once to a daemon that retries at once", () => {
     const { exchange, watchRequestText, watch, daemons, wait } = createTestCluster({
       maxWatchWaitMs: 50,
     });
-    const [one] = daemons(1);
+    const [edge] = daemons(1);
     const draw = RandomDraw.of(7);
     const routes = Object.fromEntries(
       Array.from({ length: 600 }, () => [
@@ -52,7 +53,7 @@
         { match: { path: `/${draw()}` }, service: "s" },
       ]),
     );
-    one?.daemon?.adminRequests.emit({
+    edge?.daemon?.adminRequests.emit({
       clientRequest: {
         method: "PUT",
         target: "/config",
@@ -71,30 +72,32 @@
     expect(exchange(rpcMethods.watch, watchRequestText())[0]?.text).toContain('"packedConfig"');
   });
 
-  test("a daemon whose views take longer than the request timeout has its lease from the sending of the request", () => {
-    const fleet = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-    fleet.bootAll();
-    fleet.wait(4000);
+  // Guards against a lease that outlasts the one that the leader granted: counted from the response, it would end a transit
+  // time too late.
+  test("a daemon whose views take longer than the request timeout counts its lease from the time of the request", () => {
+    const cluster = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    cluster.bootAll();
+    cluster.wait(4000);
     const gate = new EventGate();
-    const clock = gate.clock(fleet.virtualClock.clock());
-    const wire = new DelayedNetwork(fleet.network.createInterface("far", gate), clock, () => 350);
-    const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
+    const clock = gate.clock(cluster.virtualClock.clock());
+    const wire = new DelayedNetwork(cluster.network.createInterface("far", gate), clock, () => 350);
+    const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
     const bounds = deriveBounds({});
     const daemon = new PollingDaemon(
       runtime,
       { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
-      [fleet.machineAt(0).peer],
+      [cluster.machineAt(0).peer],
       bounds,
     );
     daemon.start();
-    fleet.wait(6000);
+    cluster.wait(6000);
     expect(2 * 350).toBeGreaterThan(bounds.watchTimeoutMs);
-    let granted = 0;
-    for (let at = 0; at < 100; at += 1) {
-      fleet.wait(40);
-      if (daemon.clusterView.holdsLease) granted += 1;
+    let pollsWithLease = 0;
+    for (let poll = 0; poll < 100; poll += 1) {
+      cluster.wait(40);
+      if (daemon.clusterView.holdsLease) pollsWithLease += 1;
       expect(daemon.clusterView.leaseRemainingMs).toBeLessThanOrEqual(bounds.leaseMs - 700);
     }
-    expect(granted).toBeGreaterThan(95);
+    expect(pollsWithLease).toBeGreaterThan(95);
   });
 });
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -12,48 +12,48 @@
 const serviceCount = 40;
 
 describe("watch traffic", () => {
-  test("an idle daemon's requests and views don't grow with the number of services: only demand names them", () => {
-    const fleet = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
-    fleet.bootAll();
-    fleet.wait(4000);
+  test("an idle daemon's requests and views don't grow with the number of services, since they name only services with demand", () => {
+    const cluster = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    cluster.bootAll();
+    cluster.wait(4000);
     const gate = new EventGate();
-    const clock = gate.clock(fleet.virtualClock.clock());
-    const wire = new DelayedNetwork(fleet.network.createInterface("one", gate), clock, () => 1);
-    const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
+    const clock = gate.clock(cluster.virtualClock.clock());
+    const wire = new DelayedNetwork(cluster.network.createInterface("one", gate), clock, () => 1);
+    const runtime = virtualRuntime({ clock, network: wire, random: cluster.random });
     const daemon = new PollingDaemon(
       runtime,
       { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
-      [fleet.machineAt(0).peer],
+      [cluster.machineAt(0).peer],
       deriveBounds({}),
     );
     daemon.start();
-    fleet.wait(2000);
+    cluster.wait(2000);
     const run = (task: Task<unknown>): void =>
       runTask(task, (error) => {
         throw error;
       });
-    const bytesInASecond = (): { out: number; in: number } => {
+    const measureBytesPerSecond = (): { out: number; in: number } => {
       const before = { ...wire.totals };
-      fleet.wait(2500);
+      cluster.wait(2500);
       return {
         out: (wire.totals.bytesOut - before.bytesOut) / 2.5,
         in: (wire.totals.bytesIn - before.bytesIn) / 2.5,
       };
     };
-    const bare = bytesInASecond();
-    for (let at = 0; at < serviceCount; at += 1)
+    const withoutServices = measureBytesPerSecond();
+    for (let index = 0; index < serviceCount; index += 1)
       run(
         daemon.heartbeat({
-          address: `10.8.0.${at + 1}:80`,
-          service: `service-${at}`,
+          address: `10.8.0.${index + 1}:80`,
+          service: `service-${index}`,
           zone: "zone-1",
         }),
       );
-    fleet.wait(1000);
+    cluster.wait(1000);
     expect(daemon.clusterView.services.length).toBe(serviceCount);
-    const many = bytesInASecond();
-    expect(many.out - bare.out).toBeLessThan(serviceCount * 10);
-    expect(many.in - bare.in).toBeLessThan(serviceCount * 10);
+    const withServices = measureBytesPerSecond();
+    expect(withServices.out - withoutServices.out).toBeLessThan(serviceCount * 10);
+    expect(withServices.in - withoutServices.in).toBeLessThan(serviceCount * 10);
   });
 
   test("members and capacities that a request names aren't sent again", () => {
@@ -62,20 +62,20 @@
     const { members, grantNumber, configSequence, directorySequence } = first;
     expect(members?.recorders.length).toBeGreaterThan(2);
     expect(members?.collectors.length).toBeGreaterThan(2);
-    const known = { configSequence, directorySequence, grantNumber };
+    const knownState = { configSequence, directorySequence, grantNumber };
     const text = exchange(
       rpcMethods.watch,
-      watchRequestText({ ...known, membersDigest: members?.digest }),
+      watchRequestText({ ...knownState, membersDigest: members?.digest }),
       600,
     )[0]?.text;
     expect(text).toContain('"granted":true');
     expect(text).not.toMatch(/"members"|"capacities"/);
     expect(text?.length).toBeLessThan(260);
-    const other = exchange(
+    const textForOtherDigest = exchange(
       rpcMethods.watch,
-      watchRequestText({ ...known, membersDigest: "another" }),
+      watchRequestText({ ...knownState, membersDigest: "another" }),
       600,
     )[0]?.text;
-    expect(other).toContain('"members"');
+    expect(textForOtherDigest).toContain('"members"');
   });
 });
