--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -2,7 +2,7 @@
 import { TextCompression } from "../runtime/text-compression.js";
 import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
 import { ConfigReader } from "../configuration/config-validation.js";
-import { changesEffect, type ReplicaUpdate } from "./replica-update.js";
+import { classifyUpdate, type ReplicaUpdate } from "./replica-update.js";
 import {
   ConfigItems,
   type ConfigSection,
@@ -69,7 +69,7 @@
   }
 
   /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
-  take(view: LeasedView): ReplicaUpdate {
+  apply(view: LeasedView): ReplicaUpdate {
     const text = fullText(view);
     if (text !== undefined) {
       this.replaceAll(this.reader.read(text), view.numbers ?? {});
@@ -78,7 +78,7 @@
       return "changed";
     }
     const update = view.configSequence === this.sequence ? undefined : configUpdateIn(view);
-    const effect = changesEffect(this, view.configSequence, update?.base);
+    const effect = classifyUpdate(this, view.configSequence, update?.base);
     if (effect === "outdated" || effect === "same") return effect;
     if (effect === "differs") return this.markInconsistent();
     if (update) this.applyUpdate(update);
--- a/src/proxy/response-forwarder.ts
+++ b/src/proxy/response-forwarder.ts
@@ -159,7 +159,7 @@
     registration: Registration,
     cause: FailureCause,
   ): Task<RequestOutcome> {
-    if (cause === "otherInstance") this.options.clusterView.noteRefused(registration);
+    if (cause === "otherInstance") this.options.clusterView.markRefused(registration);
     if (outcomeRuleOf(cause).connection !== "keep") return this.discard(response, cause);
     let chunk = yield* response.next();
     while (typeof chunk !== "string") chunk = yield* response.next();
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -125,8 +125,8 @@
           change(leader);
           for (const [bit, replica] of replicas.entries()) {
             if ((polling >> bit) % 2 === 0) continue;
-            if (replica.take(leader.view(replica.knownSequence)) === "differs")
-              expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+            if (replica.apply(leader.view(replica.knownSequence)) === "differs")
+              expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
             expectSame(replica, leader);
             expect(replica.sequence).toBe(leader.stateMachine.activeConfig?.sequence);
           }
@@ -156,7 +156,7 @@
     const leader = new Leader();
     leader.enter(large(1400));
     const replica = new ConfigReplica();
-    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
     const former = new RouteTable(replica.config);
     const untouched = replica.config.routes["route-8"];
     leader.patch({ routes: { "route-7": { service: "two" } } });
@@ -165,12 +165,12 @@
     });
     const view = leader.view(replica.knownSequence);
     expect(JSON.stringify(view).length).toBeLessThan(700);
-    expect(replica.take(view)).toBe("changed");
+    expect(replica.apply(view)).toBe("changed");
     expectSame(replica, leader);
     expect(replica.config.routes["route-8"]).toBe(untouched);
     const routeTable = new RouteTable(replica.config, former);
-    expect(routeTable.named("route-8")).toBe(former.named("route-8"));
-    expect(routeTable.named("route-7")?.service).toBe("two");
+    expect(routeTable.findByName("route-8")).toBe(former.findByName("route-8"));
+    expect(routeTable.findByName("route-7")?.service).toBe("two");
     expect(routeTable.find("GET", "/late")?.name).toBe("late");
     expect(routeTable.find("GET", "/things/9/x", "api.example")).toBeUndefined();
   });
@@ -179,33 +179,33 @@
     const leader = new Leader();
     leader.enter(large(20));
     const replica = new ConfigReplica();
-    replica.take(leader.view(replica.knownSequence));
+    replica.apply(leader.view(replica.knownSequence));
     leader.patch({ routes: { "route-7": { service: "two" } } });
     const view = leader.view(replica.knownSequence);
     expect(view.configChanges).toBeDefined();
-    expect(replica.take({ ...view, configDigest: "0-0" })).toBe("differs");
+    expect(replica.apply({ ...view, configDigest: "0-0" })).toBe("differs");
     expect([replica.sequence, replica.knownSequence]).toEqual([1, 0]);
-    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
     expectSame(replica, leader);
     leader.patch({ routes: { "route-8": { service: "two" } } });
     const missed = leader.view(replica.knownSequence);
     leader.patch({ routes: { "route-9": { service: "two" } } });
-    expect(replica.take(leader.view(3))).toBe("differs");
-    expect(replica.take(missed)).toBe("changed");
+    expect(replica.apply(leader.view(3))).toBe("differs");
+    expect(replica.apply(missed)).toBe("changed");
   });
 
   test("an update of a configuration older than the replica's is outdated and requests nothing", () => {
     const leader = new Leader();
     leader.enter(large(20));
     const replica = new ConfigReplica();
-    replica.take(leader.view(replica.knownSequence));
+    replica.apply(leader.view(replica.knownSequence));
     const former = replica.knownSequence;
     leader.patch({ routes: { "route-7": { service: "two" } } });
-    expect(replica.take(leader.view(former))).toBe("changed");
+    expect(replica.apply(leader.view(former))).toBe("changed");
     leader.patch({ routes: { "route-8": { service: "two" } } });
-    expect(replica.take(leader.view(former))).toBe("outdated");
+    expect(replica.apply(leader.view(former))).toBe("outdated");
     expect([replica.sequence, replica.knownSequence]).toEqual([2, 2]);
-    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
     expectSame(replica, leader);
   });
 
@@ -214,10 +214,10 @@
     const alike = { match: { path: "/x" }, service: "one" };
     leader.enter({ services: { one: {} }, routes: { a: alike, b: alike, c: alike, d: alike } });
     const replica = new ConfigReplica();
-    replica.take(leader.view(replica.knownSequence));
+    replica.apply(leader.view(replica.knownSequence));
     leader.enter({ services: { one: {} }, routes: { b: alike, a: alike, c: alike, d: alike } });
     expect(leader.view(replica.knownSequence).config).toBeDefined();
-    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
     expect(new RouteTable(replica.config).find("GET", "/x")?.name).toBe("b");
   });
 
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -235,7 +235,7 @@
       clusterView.isRegistered(one),
       clusterView.isRegistered({ ...two, number: 0 }),
     ]).toEqual([true, false]);
-    clusterView.noteRefused(one);
+    clusterView.markRefused(one);
     expect([clusterView.isRegistered(one), clusterView.backendsOf(service)]).toEqual([
       false,
       [two],
