--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -28,10 +28,8 @@
 import { ServingLease } from "./serving-lease.js";
 import { DEFAULT_WATCH_TIMEOUT_MS, WatchLoop, type PreparedWatch } from "./watch-loop.js";
 
-const isSamePlacement = (one: EdgePlacement | undefined, other: EdgePlacement): boolean =>
-  one?.count === other.count &&
-  one.zoneIndex === other.zoneIndex &&
-  one.zoneCount === other.zoneCount;
+const isSamePlacement = (a: EdgePlacement | undefined, b: EdgePlacement): boolean =>
+  a?.count === b.count && a.zoneIndex === b.zoneIndex && a.zoneCount === b.zoneCount;
 
 /** A daemon's view of the cluster, brought up to date by watch requests to the leader. */
 export class ClusterView {
@@ -39,7 +37,7 @@
   private readonly machine: () => DaemonInfo;
   private readonly log: Logger;
   private readonly clock: Runtime["clock"];
-  private readonly steps: StepTimer;
+  private readonly stepTimer: StepTimer;
   private readonly lease: ServingLease;
   private readonly watchLoop: WatchLoop;
   private readonly endpoints = new EndpointReplica();
@@ -79,7 +77,7 @@
     this.machine = machine;
     this.clock = runtime.clock;
     this.log = runtime.loggers.component("cluster-view");
-    this.steps = new StepTimer(runtime.clock, this.log);
+    this.stepTimer = new StepTimer(runtime.clock, this.log);
     this.lease = new ServingLease(runtime.clock);
     this.retryCapacities = new RetryCapacityReplica(budget);
     this.watchLoop = new WatchLoop(runtime, forwarder, {
@@ -164,8 +162,8 @@
   }
 
   /** Sends watch requests for as long as the daemon runs; one without a response within `waitMs` is sent again. */
-  run(pollMs: number, waitMs = DEFAULT_WATCH_TIMEOUT_MS): Task {
-    return this.watchLoop.run(pollMs, waitMs);
+  run(intervalMs: number, timeoutMs = DEFAULT_WATCH_TIMEOUT_MS): Task {
+    return this.watchLoop.run(intervalMs, timeoutMs);
   }
 
   private prepareWatch(sentMs: number): PreparedWatch {
@@ -204,7 +202,7 @@
   ): void {
     const view = readLeasedView(response);
     if (!view.granted) return;
-    this.take(view, sentMs);
+    this.applyView(view, sentMs);
     this.heartbeats.acknowledge(reported);
     if (!this.holdsLease) this.watchLoop.expedite();
   }
@@ -213,7 +211,7 @@
     if (this.lease.markExpired()) this.log.warn("lease expired");
   }
 
-  private take(view: LeasedView, sentMs: number): void {
+  private applyView(view: LeasedView, sentMs: number): void {
     if (
       view.configSequence < this.configSequence ||
       view.directorySequence < this.endpointsSequence
@@ -222,10 +220,10 @@
       return;
     }
     const couldServe = this.canServe;
-    if (!this.takeReplicas(view)) return;
+    if (!this.applyReplicas(view)) return;
     this.heartbeats.intervalMs = view.announceMs ?? this.heartbeats.intervalMs;
-    if (view.members) this.takeMembers(view.members);
-    if (view.place) this.takePlacement(view.place);
+    if (view.members) this.applyMembers(view.members);
+    if (view.place) this.applyPlacement(view.place);
     // The leader takes a later request as proof that the capacities in responses to earlier ones weren't taken.
     if (sentMs === this.lastSentMs) this.retryCapacities.apply(view, this.clock.nowMs());
     this.lease.extend(sentMs + view.grantMs);
@@ -237,11 +235,12 @@
   }
 
   /** Brings the replicas up to a view; returns whether they are what the leader has. */
-  private takeReplicas(view: LeasedView): boolean {
-    const directory = this.steps.run("copyDirectory", () => this.endpoints.apply(view));
-    const config = this.steps.run("copyConfig", () => this.config.apply(view));
-    if (directory === "changed") this.steps.run("takeDirectory", () => this.takeEndpoints());
-    if (config === "changed") this.steps.run("takeConfig", () => this.takeConfig());
+  private applyReplicas(view: LeasedView): boolean {
+    const directory = this.stepTimer.run("copyDirectory", () => this.endpoints.apply(view));
+    const config = this.stepTimer.run("copyConfig", () => this.config.apply(view));
+    if (directory === "changed")
+      this.stepTimer.run("takeDirectory", () => this.activateEndpoints());
+    if (config === "changed") this.stepTimer.run("takeConfig", () => this.activateConfig());
     if (directory !== "differs" && config !== "differs")
       return directory !== "outdated" && config !== "outdated";
     this.log.warn("replica differs from leader, full copy requested", {
@@ -252,26 +251,26 @@
     return false;
   }
 
-  private takeMembers({ digest, collectors, recorders, operators = [] }: ControlPlanePeers): void {
+  private applyMembers({ digest, collectors, recorders, operators = [] }: ControlPlanePeers): void {
     this.memberAdminAddresses = operators;
     this.membersDigest = digest;
     this.collectors = collectors;
     this.forwarder.setMembers(recorders);
   }
 
-  private takePlacement(placement: EdgePlacement): void {
+  private applyPlacement(placement: EdgePlacement): void {
     if (isSamePlacement(this.placement, placement)) return;
     this.placement = placement;
     this.onPlacement(placement);
   }
 
-  private takeConfig(): void {
+  private activateConfig(): void {
     this.routeTable = new RouteTable(this.config.config, this.routeTable);
     for (const [name, number] of this.config.numbers) this.names.set(number, name);
     this.onConfig(this.routeTable);
   }
 
-  private takeEndpoints(): void {
+  private activateEndpoints(): void {
     const { registrations } = this.endpoints;
     this.index.retainRefused(registrations);
     this.rebuildIndex();
--- a/src/cluster-view/command-forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -40,7 +40,7 @@
 const attemptTimeoutMs = (text: string): number =>
   ATTEMPT_TIMEOUT_MS + text.length / SLOW_LINK_BYTES_PER_MS;
 
-const endingOf = (text: string | undefined): ForwardAttempt["ending"] => {
+const classifyEnding = (text: string | undefined): ForwardAttempt["ending"] => {
   if (text === undefined) return "silent";
   if (text === NOT_LEADER) return "notLeader";
   return isFailureResponse(text) ? "failed" : "answered";
@@ -163,13 +163,13 @@
     text: string,
     waitMs: number,
     late?: LateResponse<string>,
-    attempts?: (attempt: ForwardAttempt) => void,
+    onAttempt?: (attempt: ForwardAttempt) => void,
   ): Task<string | undefined> {
     const { clock } = this.runtime;
-    const untilMs = clock.nowMs() + waitMs;
+    const deadlineMs = clock.nowMs() + waitMs;
     const tried = new Set<string>();
     let hop = this.firstHop(tried);
-    while (hop.peer !== "" && clock.nowMs() < untilMs) {
+    while (hop.peer !== "" && clock.nowMs() < deadlineMs) {
       const { peer, isRelay } = hop;
       tried.add(peer);
       const isLeader = peer === this.leader;
@@ -178,12 +178,12 @@
         peer,
         method,
         { forwarded: !isRelay, text },
-        Math.min(untilMs - clock.nowMs(), isLeader || isRelay ? waitMs : UNCONFIRMED_TIMEOUT_MS),
-        late && this.lateFrom(peer, late),
+        Math.min(deadlineMs - clock.nowMs(), isLeader || isRelay ? waitMs : UNCONFIRMED_TIMEOUT_MS),
+        late && this.createLateHandler(peer, late),
       );
-      attempts?.({
+      onAttempt?.({
         peer,
-        ending: endingOf(response?.text),
+        ending: classifyEnding(response?.text),
         tookMs: Math.round(clock.nowMs() - sentMs),
       });
       const step: NextStep = response
@@ -239,7 +239,10 @@
   }
 
   /** Takes a response after its timeout: that of the leader, or only who leads. */
-  private lateFrom(peer: string, late: LateResponse<string>): LateResponse<LeaderResponse> {
+  private createLateHandler(
+    peer: string,
+    late: LateResponse<string>,
+  ): LateResponse<LeaderResponse> {
     return {
       waitMs: late.waitMs,
       onResponse: ({ leader, text }) => {
@@ -279,23 +282,23 @@
   *command(
     command: Command,
     waitMs: number,
-    attempts?: (attempt: ForwardAttempt) => void,
+    onAttempt?: (attempt: ForwardAttempt) => void,
   ): Task<string | undefined> {
     const { clock } = this.runtime;
-    const untilMs = clock.nowMs() + waitMs;
+    const deadlineMs = clock.nowMs() + waitMs;
     const text = encodeCommand(command);
     for (;;) {
-      const leftMs = untilMs - clock.nowMs();
-      if (leftMs <= 0) return undefined;
+      const remainingMs = deadlineMs - clock.nowMs();
+      if (remainingMs <= 0) return undefined;
       const response = yield* this.forward(
         rpcMethods.command,
         text,
-        Math.min(attemptTimeoutMs(text), leftMs),
+        Math.min(attemptTimeoutMs(text), remainingMs),
         undefined,
-        attempts,
+        onAttempt,
       );
       if (response !== undefined) return response;
-      yield* sleep(clock, Math.min(RETRY_PAUSE_MS, Math.max(0, untilMs - clock.nowMs())));
+      yield* sleep(clock, Math.min(RETRY_PAUSE_MS, Math.max(0, deadlineMs - clock.nowMs())));
     }
   }
 }
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -12,7 +12,7 @@
 import type { ConfigUpdate, LeasedView } from "../control-protocol/leased-view.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-const without = <T>(section: Record<string, T>, names: ReadonlySet<string>): Record<string, T> =>
+const omitNames = <T>(section: Record<string, T>, names: ReadonlySet<string>): Record<string, T> =>
   names.size === 0
     ? section
     : Object.fromEntries(Object.entries(section).filter(([name]) => !names.has(name)));
@@ -27,17 +27,17 @@
   );
 
 /** The full configuration that a view carries, if it carries one. */
-const fullText = ({ config, packedConfig }: LeasedView): string | undefined =>
+const fullConfigText = ({ config, packedConfig }: LeasedView): string | undefined =>
   config ?? (packedConfig === undefined ? undefined : TextCompression.decompress(packedConfig));
 
 /** A configuration after the items of an update were put and removed. */
 const updatedConfig = (config: Config, { put, removed }: ConfigUpdate): Config => {
-  const keptLimits = removed.includes(ConfigItems.limitsKey) ? undefined : config.limits;
-  const limits = put.limits ?? keptLimits;
+  const remainingLimits = removed.includes(ConfigItems.limitsKey) ? undefined : config.limits;
+  const limits = put.limits ?? remainingLimits;
   return {
-    services: { ...without(config.services, namesIn("services", removed)), ...put.services },
-    routes: { ...without(config.routes, namesIn("routes", removed)), ...put.routes },
-    goals: { ...without(config.goals ?? {}, namesIn("goals", removed)), ...put.goals },
+    services: { ...omitNames(config.services, namesIn("services", removed)), ...put.services },
+    routes: { ...omitNames(config.routes, namesIn("routes", removed)), ...put.routes },
+    goals: { ...omitNames(config.goals ?? {}, namesIn("goals", removed)), ...put.goals },
     ...(limits ? { limits } : {}),
   };
 };
@@ -70,7 +70,7 @@
 
   /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
   apply(view: LeasedView): ReplicaUpdate {
-    const text = fullText(view);
+    const text = fullConfigText(view);
     if (text !== undefined) {
       this.replaceAll(this.reader.read(text), view.numbers ?? {});
       this.sequence = view.configSequence;
@@ -103,7 +103,7 @@
 
   private applyUpdate(update: ConfigUpdate): void {
     const { put, removed, numbers } = update;
-    for (const key of new Set(removed)) this.drop(key);
+    for (const key of new Set(removed)) this.remove(key);
     for (const item of ConfigItems.all({ config: put, numbers: new Map(Object.entries(numbers)) }))
       this.put(item.key, ConfigItems.hash(item));
     this.current = {
@@ -123,15 +123,15 @@
   }
 
   private put(key: string, hash: bigint): void {
-    this.drop(key);
+    this.remove(key);
     this.hashes.set(key, hash);
     this.setDigest.add(hash);
   }
 
-  private drop(key: string): void {
-    const former = this.hashes.get(key);
-    if (former === undefined) return;
-    this.setDigest.remove(former);
+  private remove(key: string): void {
+    const previousHash = this.hashes.get(key);
+    if (previousHash === undefined) return;
+    this.setDigest.remove(previousHash);
     this.hashes.delete(key);
   }
 }
--- a/src/cluster-view/endpoint-replica.ts
+++ b/src/cluster-view/endpoint-replica.ts
@@ -89,9 +89,9 @@
   }
 
   private remove(address: string): void {
-    const former = this.byAddress.get(address);
-    if (!former) return;
-    this.setDigest.remove(registrationHash(former));
+    const previous = this.byAddress.get(address);
+    if (!previous) return;
+    this.setDigest.remove(registrationHash(previous));
     this.byAddress.delete(address);
   }
 }
--- a/src/cluster-view/heartbeat-tracker.ts
+++ b/src/cluster-view/heartbeat-tracker.ts
@@ -5,7 +5,7 @@
 /** How old an accepted heartbeat may be and still be reported. */
 const REPORTABLE_AGE_MS = 2000;
 /** How many instances' newest orders are retained beyond the number of registrations. */
-const SPARE_INSTANCES = 1000;
+const MAX_UNREGISTERED_INSTANCES = 1000;
 /** How often backends send heartbeats until the leader has said otherwise. */
 const DEFAULT_HEARTBEAT_INTERVAL_MS = 1000;
 
@@ -63,9 +63,9 @@
     if (this.isOutOfOrder(heartbeat)) return this.response("overtaken", registration?.number ?? 0);
     if (!registration || !mayAccept || !isUnchanged(registration, heartbeat)) return undefined;
     const { number } = registration;
-    const formerOrder = this.unreported.get(number)?.order ?? 0;
+    const previousOrder = this.unreported.get(number)?.order ?? 0;
     this.unreported.set(number, {
-      order: Math.max(heartbeat.order ?? 0, formerOrder),
+      order: Math.max(heartbeat.order ?? 0, previousOrder),
       atMs: nowMs,
     });
     return this.response("known", number);
@@ -90,7 +90,7 @@
 
   /** Bounds the retained orders: those of instances without a registration go once there are too many. */
   limitOrders(registrationCount: number, isRegistered: (instance: string) => boolean): void {
-    if (this.newestOrders.size <= registrationCount + SPARE_INSTANCES) return;
+    if (this.newestOrders.size <= registrationCount + MAX_UNREGISTERED_INSTANCES) return;
     for (const instance of this.newestOrders.keys())
       if (!isRegistered(instance)) this.newestOrders.delete(instance);
   }
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -23,10 +23,14 @@
 /** A host's name as hosts are compared: in lower case, without a port. */
 export const normalizeHost = (host: string): string => host.toLowerCase().replace(/:\d*$/, "");
 
-const chooseFrom = (splits: ActiveRoute["splits"], draw: number): string => {
-  const served = splits.filter(({ weight }) => weight > 0);
-  let left = draw * served.reduce((sum, { weight }) => sum + weight, 0);
-  return served.find(({ weight }) => (left -= weight) < 0)?.service ?? served.at(-1)?.service ?? "";
+const chooseWeighted = (splits: ActiveRoute["splits"], draw: number): string => {
+  const candidates = splits.filter(({ weight }) => weight > 0);
+  let remaining = draw * candidates.reduce((sum, { weight }) => sum + weight, 0);
+  return (
+    candidates.find(({ weight }) => (remaining -= weight) < 0)?.service ??
+    candidates.at(-1)?.service ??
+    ""
+  );
 };
 
 /** An item of a section by its own name, whatever objects inherit. */
@@ -34,7 +38,7 @@
   Object.hasOwn(section, name) ? section[name] : undefined;
 
 /** Which requests a route matches. */
-const matchOf = ({
+const buildMatch = ({
   match: { host, methods, path },
 }: Route): Pick<ActiveRoute, "host" | "methods" | "path" | "isPrefix"> => {
   const isPrefix = path.endsWith("*");
@@ -53,7 +57,7 @@
     : repeat === "safe";
 
 /** Which of a route's requests may be sent again. */
-const semanticsOf = (
+const deriveSemantics = (
   route: Route,
 ): Pick<ActiveRoute, "kind" | "isDownload" | "repeatable" | "keyed"> => {
   const { kind } = route;
@@ -71,35 +75,36 @@
 };
 
 /** How long requests of a route may take, and how often they may be sent. */
-const targetsOf = (route: Route, goal: Goal | undefined): RouteTargets => {
-  const furtherTries =
+const deriveTargets = (route: Route, goal: Goal | undefined): RouteTargets => {
+  const maxRetries =
     route.attempts === undefined
       ? (goal?.furtherTries ?? DEFAULTS.furtherTries)
       : route.attempts - 1;
   return {
-    attempts: furtherTries + 1,
-    maxRetries: furtherTries,
+    attempts: maxRetries + 1,
+    maxRetries,
     timeoutMs: route.giveUpMs ?? DEFAULTS.giveUpMs,
     latencyTargetMs: goal?.latencyMs ?? DEFAULTS.goalMs,
     priority: route.priority ?? DEFAULTS.priority,
   };
 };
 
-const activeRoute = (config: Config, name: string, route: Route): ActiveRoute => {
+const createActiveRoute = (config: Config, name: string, route: Route): ActiveRoute => {
   const splits = trafficSplitOf(route);
   const service = splits[0]?.service ?? "";
   const settings = ownItem(config.services, service);
   return {
     name,
-    ...matchOf(route),
-    ...semanticsOf(route),
-    ...targetsOf(route, ownItem(config.goals ?? {}, name)),
+    ...buildMatch(route),
+    ...deriveSemantics(route),
+    ...deriveTargets(route, ownItem(config.goals ?? {}, name)),
     splits,
     service,
     stampHeader: settings?.stampHeader ?? DEFAULTS.stampHeader,
     maxInFlight: settings?.inHand ?? DEFAULTS.inHandLimit,
-    chooseService: (draw) => (splits.length > 1 ? chooseFrom(splits, draw) : service),
-    routesTo: (wanted) => splits.some((split) => split.service === wanted && split.weight > 0),
+    chooseService: (draw) => (splits.length > 1 ? chooseWeighted(splits, draw) : service),
+    routesTo: (serviceName) =>
+      splits.some((split) => split.service === serviceName && split.weight > 0),
   };
 };
 
@@ -114,18 +119,19 @@
   private readonly config: Config;
 
   /** Prepares a configuration; routes whose items are identical to those of a former table are taken over from that. */
-  constructor(config: Config, former?: RouteTable) {
+  constructor(config: Config, previous?: RouteTable) {
     this.limits = config.limits ?? {};
     this.config = config;
     this.all = Object.entries(config.routes).map(
-      ([name, route]) => former?.unchangedIn(config, name) ?? activeRoute(config, name, route),
+      ([name, route]) =>
+        previous?.unchangedIn(config, name) ?? createActiveRoute(config, name, route),
     );
     for (const route of this.all) this.byName.set(route.name, route);
-    for (const route of this.all) if (!route.isPrefix) this.indexOf(route.host).add(route);
+    for (const route of this.all) if (!route.isPrefix) this.getOrCreateIndex(route.host).add(route);
     for (const route of this.all
       .filter(({ isPrefix }) => isPrefix)
       .sort((a, b) => (a.name < b.name ? -1 : 1)))
-      this.indexOf(route.host).add(route);
+      this.getOrCreateIndex(route.host).add(route);
   }
 
   /** The route of a request: one for its host before one for any, then the most specific path. */
@@ -156,7 +162,7 @@
     return isUnchanged ? route : undefined;
   }
 
-  private indexOf(host: string | undefined): PathIndex {
+  private getOrCreateIndex(host: string | undefined): PathIndex {
     if (host === undefined) return this.anyHost;
     const known = this.hosts.get(host);
     if (known) return known;
--- a/src/retry-budget/child-assignments.ts
+++ b/src/retry-budget/child-assignments.ts
@@ -33,7 +33,9 @@
     );
     const revoked = push.includes.filter((child) => !this.isAssigned(child, push.from));
     return {
-      granted: assigned.filter((child) => !revoked.some((one) => isSameChild(one, child))),
+      granted: assigned.filter(
+        (child) => !revoked.some((revokedChild) => isSameChild(revokedChild, child)),
+      ),
       isAcceptable: revoked.length === 0,
     };
   }
--- a/src/retry-budget/count-aggregator.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -79,7 +79,7 @@
   private readonly assignments = new ChildAssignments();
   private cluster: ClusterCounts | undefined;
   private encoded: EncodedCounts | undefined;
-  private lastPush = 0;
+  private lastPushNumber = 0;
   private routesSentMs = -Infinity;
   private halfTripMs = 0;
   private readonly expedited = new Queue<true>();
@@ -142,7 +142,7 @@
   private preparePush(isExpedited: boolean): PreparedPush {
     this.expire();
     const isGranted = (child: ChildReport): boolean =>
-      this.granted.some((one) => isSameChild(one, child));
+      this.granted.some((grantedChild) => isSameChild(grantedChild, child));
     const children = [...this.edges.values()].map(({ push }) => senderOf(push));
     const sentMs = this.runtime.clock.nowMs();
     const included = [...this.edges.values()].filter(({ push }) => isGranted(senderOf(push)));
@@ -154,12 +154,12 @@
       sentMs,
       withRoutes,
     );
-    this.lastPush += 1;
+    this.lastPushNumber += 1;
     const push: CountPush = {
       from: this.self,
       incarnation: this.incarnation,
       tier: "collector",
-      push: this.lastPush,
+      push: this.lastPushNumber,
       parentSequence: 0,
       halfTripMs: this.halfTripMs,
       includes: children.filter(isGranted),
@@ -216,9 +216,9 @@
   private handleEdge(received: ReceivedPush): PushResponse {
     const { push, counts } = received;
     const key = childKey(senderOf(push));
-    const former = this.edges.get(key);
-    if (!former || former.push.push <= push.push)
-      this.edges.set(key, { ...received, counts: counts.withRoutesOf(former?.counts) });
+    const previous = this.edges.get(key);
+    if (!previous || previous.push.push <= push.push)
+      this.edges.set(key, { ...received, counts: counts.withRoutesOf(previous?.counts) });
     if (push.isHurried) this.expedited.putIfEmpty(true);
     const includedPush = this.cluster?.includedPushes.get(key);
     const { bytes, atMs } = this.encodeCluster(counts.hasRoutes);
@@ -251,11 +251,14 @@
       (collector, child) => this.includes(collector, child),
       nowMs,
     );
-    const former = this.collectors.get(push.from);
+    const previous = this.collectors.get(push.from);
     if (isAcceptable)
-      this.collectors.set(push.from, { ...received, counts: counts.withRoutesOf(former?.counts) });
+      this.collectors.set(push.from, {
+        ...received,
+        counts: counts.withRoutesOf(previous?.counts),
+      });
     const merged = RequestCounts.merge(
-      [...this.collectors.values()].map((one) => one.counts),
+      [...this.collectors.values()].map((collectorPush) => collectorPush.counts),
       this.format,
       nowMs,
       counts.hasRoutes,
@@ -267,7 +270,7 @@
   /** Whether the newest acceptable push of a collector includes a child. */
   private includes(collector: string, child: ChildReport): boolean {
     const included = this.collectors.get(collector)?.push.includes ?? [];
-    return included.some((one) => isSameProcess(one, child));
+    return included.some((includedChild) => isSameProcess(includedChild, child));
   }
 
   private coverage(nowMs: number): CountCoverage {
--- a/src/retry-budget/count-messages.ts
+++ b/src/retry-budget/count-messages.ts
@@ -80,9 +80,9 @@
 });
 
 /** Whether two reports name the same process, whichever parent it has. */
-export const isSameProcess = (one: ChildReport, other: ChildReport): boolean =>
-  one.machine === other.machine && one.incarnation === other.incarnation;
+export const isSameProcess = (a: ChildReport, b: ChildReport): boolean =>
+  a.machine === b.machine && a.incarnation === b.incarnation;
 
 /** Whether two reports name the same process under the same parent. */
-export const isSameChild = (one: ChildReport, other: ChildReport): boolean =>
-  isSameProcess(one, other) && one.parentSequence === other.parentSequence;
+export const isSameChild = (a: ChildReport, b: ChildReport): boolean =>
+  isSameProcess(a, b) && a.parentSequence === b.parentSequence;
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -20,9 +20,9 @@
 import { RequestCounts, type AttemptCounts, type RequestCountsFormat } from "./request-counts.js";
 
 /** Which part of its quota a daemon may use before the next counts arrive: the others use theirs meanwhile, and not all of that is counted yet. */
-const ROUND_PART = 0.5;
+const ROUND_FRACTION = 0.5;
 /** The parts of the window in which the sketch compares retries with first attempts. */
-const WINDOW_PARTS = [0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.65, 0.8, 1];
+const WINDOW_FRACTIONS = [0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.65, 0.8, 1];
 /** How many retries each daemon is assumed to take when quotas are allotted. */
 const ASSUMED_RETRIES = 1;
 /** How far the time between pushes varies, as a part of it, around its mean. */
@@ -63,7 +63,7 @@
   private parent = "";
   private parentSequence = 0;
   private sentPushes: SentPush[] = [];
-  private lastPush = 0;
+  private lastPushNumber = 0;
   private readonly expedited = new Queue<true>();
   /** When the last push was sent that the cluster's counts include. */
   private includedMs = -Infinity;
@@ -102,8 +102,9 @@
 
   /** Counts an attempt that is sent to a backend of a service. */
   countAttempt(service: string, isRetry: boolean): void {
-    const number = this.clusterView.idOf("service", service);
-    if (number !== undefined) this.own.countAttempt(number, isRetry, this.runtime.clock.nowMs());
+    const serviceNumber = this.clusterView.idOf("service", service);
+    if (serviceNumber !== undefined)
+      this.own.countAttempt(serviceNumber, isRetry, this.runtime.clock.nowMs());
   }
 
   /**
@@ -112,41 +113,41 @@
    * took of the cluster's retries lately, and what its own first attempts earned since.
    */
   remainingQuota(service: string): SketchQuota | undefined {
-    const number = this.clusterView.idOf("service", service);
-    if (number === undefined || !this.cluster) return undefined;
+    const serviceNumber = this.clusterView.idOf("service", service);
+    if (serviceNumber === undefined || !this.cluster) return undefined;
     const { counts, coverage } = this.cluster;
     const { sketch, windowMs } = this.rules;
     const nowMs = this.runtime.clock.nowMs();
     let remaining = sketch.pool;
-    for (const windowPart of WINDOW_PARTS) {
-      const { firstAttempts: first, retries: further } = counts.ofService(
-        number,
+    for (const windowFraction of WINDOW_FRACTIONS) {
+      const { firstAttempts, retries } = counts.ofService(
+        serviceNumber,
         nowMs,
-        windowPart * windowMs,
+        windowFraction * windowMs,
       );
-      remaining = Math.min(remaining, sketch.pool + sketch.earned * first - further);
+      remaining = Math.min(remaining, sketch.pool + sketch.earned * firstAttempts - retries);
     }
-    const since = this.ownSinceIncluded(number, nowMs);
-    const ownRetries = this.own.ofService(number, nowMs, windowMs).retries - since.retries;
-    const clusterRetries = counts.ofService(number, nowMs, windowMs).retries;
-    const ownPart = Math.min(
+    const since = this.ownSinceIncluded(serviceNumber, nowMs);
+    const ownRetries = this.own.ofService(serviceNumber, nowMs, windowMs).retries - since.retries;
+    const clusterRetries = counts.ofService(serviceNumber, nowMs, windowMs).retries;
+    const ownFraction = Math.min(
       1,
       (ownRetries + ASSUMED_RETRIES) /
         (Math.max(ownRetries, clusterRetries) + ASSUMED_RETRIES * Math.max(1, coverage.edges)),
     );
     return {
-      limit: remaining * ownPart * ROUND_PART + sketch.earned * since.firstAttempts,
+      limit: remaining * ownFraction * ROUND_FRACTION + sketch.earned * since.firstAttempts,
       used: since.retries,
     };
   }
 
   /** First attempts and retries of a service across the cluster in the retry window, with this daemon's own since. */
   ofService(service: string): ClusterAttemptCounts | undefined {
-    const number = this.clusterView.idOf("service", service);
-    if (number === undefined || !this.cluster) return undefined;
+    const serviceNumber = this.clusterView.idOf("service", service);
+    if (serviceNumber === undefined || !this.cluster) return undefined;
     const nowMs = this.runtime.clock.nowMs();
-    const cluster = this.cluster.counts.ofService(number, nowMs, this.rules.windowMs);
-    const since = this.ownSinceIncluded(number, nowMs);
+    const cluster = this.cluster.counts.ofService(serviceNumber, nowMs, this.rules.windowMs);
+    const since = this.ownSinceIncluded(serviceNumber, nowMs);
     return {
       firstAttempts: cluster.firstAttempts + since.firstAttempts,
       retries: cluster.retries + since.retries,
@@ -192,8 +193,8 @@
   }
 
   private nextPush(isExpedited: boolean, sentMs: number): CountPush {
-    this.lastPush += 1;
-    this.sentPushes.push({ push: this.lastPush, atMs: sentMs });
+    this.lastPushNumber += 1;
+    this.sentPushes.push({ push: this.lastPushNumber, atMs: sentMs });
     this.sentPushes = this.sentPushes.filter(
       ({ atMs }) => atMs > sentMs - this.format.attempts.windowMs,
     );
@@ -201,7 +202,7 @@
       from: this.self.machine,
       incarnation: this.self.incarnation,
       tier: "edge",
-      push: this.lastPush,
+      push: this.lastPushNumber,
       parentSequence: this.parentSequence,
       halfTripMs: this.halfTripMs,
       includes: [],
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -31,9 +31,9 @@
 
 /** The default format for another window of the retry budget; as long as the stamps allow. */
 export function createRequestCountsFormat(retryWindowMs: number): RequestCountsFormat {
-  const { attempts: tries, routes, routeBits } = defaultRequestCountsFormat;
+  const { attempts, routes, routeBits } = defaultRequestCountsFormat;
   const windowMs = Math.min(2 * retryWindowMs, MAX_WINDOW_MS);
-  return { attempts: { ...tries, windowMs }, routes: { ...routes, windowMs }, routeBits };
+  return { attempts: { ...attempts, windowMs }, routes: { ...routes, windowMs }, routeBits };
 }
 
 /** First attempts and retries of a service. */
@@ -86,10 +86,10 @@
   }
 
   /** These counts with the routes of former ones, where these have none. */
-  withRoutesOf(former: RequestCounts | undefined): RequestCounts {
-    return this.hasRoutes || !former
+  withRoutesOf(previous: RequestCounts | undefined): RequestCounts {
+    return this.hasRoutes || !previous
       ? this
-      : new RequestCounts(this.format, this.attempts, former.routes, former.hasRoutes);
+      : new RequestCounts(this.format, this.attempts, previous.routes, previous.hasRoutes);
   }
 
   /** Counts an attempt sent to a backend of a service. */
--- a/src/retry-budget/retry-budget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -15,7 +15,7 @@
 /** How much longer than the window slots are retained: clocks run at their own pace, and a lossy network may bring retries closer together than they were sent. */
 const RETENTION_MARGIN_MS = 1000;
 /** A capacity with less than this left is nearly used up. */
-const SHORT_CAPACITY = 2;
+const LOW_CAPACITY = 2;
 
 /** What happened in one slot of time. */
 interface Slot {
@@ -72,7 +72,7 @@
     const slot = this.slot(account, nowMs);
     slot.requested += 1;
     const remaining = account.capacity - this.used(account);
-    if (remaining < SHORT_CAPACITY) this.onNearlyExhausted();
+    if (remaining < LOW_CAPACITY) this.onNearlyExhausted();
     if (sketch && sketch.used + 1 > sketch.limit) return "sketch";
     if (remaining < 1) return "guard";
     slot.retries += 1;
@@ -82,7 +82,7 @@
   /** Gives back a retry that was taken at `takenMs` and not sent. */
   refund(service: string, takenMs: number): void {
     const index = slotIndex(takenMs);
-    const slot = this.account(service).slots.find((one) => one.index === index);
+    const slot = this.account(service).slots.find((candidate) => candidate.index === index);
     if (slot && slot.retries > 0) slot.retries -= 1;
   }
 
@@ -117,14 +117,14 @@
    */
   private used(account: Account): number {
     let sum = 0;
-    let largest = 0;
+    let maxUsed = 0;
     for (let index = account.slots.length - 1; index >= 0; index -= 1) {
       const slot = account.slots[index];
       if (!slot) break;
-      largest = Math.max(largest, sum + slot.retries);
+      maxUsed = Math.max(maxUsed, sum + slot.retries);
       sum += slot.retries - this.rules.guard.earned * slot.requests;
     }
-    return largest;
+    return maxUsed;
   }
 
   private account(service: string): Account {
--- a/src/retry-budget/retry-quotas.ts
+++ b/src/retry-budget/retry-quotas.ts
@@ -5,7 +5,7 @@
 /** How much longer than its lease and the window an edge's capacities are assumed to be in use. */
 const RETENTION_MARGIN_MS = 400;
 /** Which part of the pool is distributed evenly: most of it while few retries are requested, so that a first burst finds some; otherwise little, so that it goes where it is requested. */
-const EVEN_PART = { quiet: 0.7, busy: 0.2 };
+const EVEN_FRACTION = { quiet: 0.7, busy: 0.2 };
 /** Up to how many requested retries a service is quiet. */
 const QUIET_REQUESTS = 3;
 /** An allotment is raised where it is below the target by more than this. */
@@ -44,7 +44,7 @@
   private leaderName = "";
   private lastNumber = 0;
   /** Edges that may use capacities which a former leader allotted, and haven't reported yet. */
-  private expected = new Set<string>();
+  private unreportedEdges = new Set<string>();
   private settledMs = 0;
 
   constructor(rules: RetryRules = defaultRetryRules, leaseMs = 1600) {
@@ -53,17 +53,17 @@
   }
 
   /** Begins a term as the leader: nothing is raised until each edge that may use capacities has reported them or can't use them any more. */
-  beginTerm(nowMs: number, leaderName: string, expected: ReadonlySet<string>): void {
+  beginTerm(nowMs: number, leaderName: string, unreportedEdges: ReadonlySet<string>): void {
     this.holders = new Map();
     this.leaderName = leaderName;
     this.lastNumber = 0;
-    this.expected = new Set(expected);
+    this.unreportedEdges = new Set(unreportedEdges);
     this.settledMs = nowMs + this.retentionMs;
   }
 
   /** Whether all that a former leader allotted is known here or out of use. */
   isSettled(nowMs: number): boolean {
-    return this.expected.size === 0 || nowMs >= this.settledMs;
+    return this.unreportedEdges.size === 0 || nowMs >= this.settledMs;
   }
 
   /** Those of some edges that can't use any capacities any more. */
@@ -82,8 +82,8 @@
     nowMs: number,
   ): QuotaAllotment {
     this.expire(nowMs);
-    const holder = this.holders.get(edge) ?? this.adopt(edge, report, nowMs);
-    this.expected.delete(edge);
+    const holder = this.holders.get(edge) ?? this.addHolder(edge, report, nowMs);
+    this.unreportedEdges.delete(edge);
     holder.untilMs = nowMs + this.retentionMs;
     holder.requested = requested;
     if (report.number === holder.number)
@@ -104,7 +104,7 @@
     const inUse = holder.inUse.get(service) ?? 0;
     const target = this.target(holder, service);
     if (target > inUse + RAISE_MARGIN && this.isSettled(nowMs)) {
-      const raised = inUse + Math.min(target - inUse, this.free(service));
+      const raised = inUse + Math.min(target - inUse, this.unallocated(service));
       holder.inUse.set(service, raised);
       return raised;
     }
@@ -123,9 +123,9 @@
   }
 
   /** Adds an edge; one that a former leader knew keeps the capacities that it reports. */
-  private adopt(edge: string, report: QuotaReport, nowMs: number): Holder {
+  private addHolder(edge: string, report: QuotaReport, nowMs: number): Holder {
     const inUse =
-      nowMs < this.settledMs && this.expected.has(edge)
+      nowMs < this.settledMs && this.unreportedEdges.has(edge)
         ? new Map(report.capacities)
         : new Map<string, number>();
     const holder: Holder = {
@@ -146,13 +146,15 @@
       0,
     );
     const isBusy = total > QUIET_REQUESTS;
-    const even = isBusy ? EVEN_PART.busy : EVEN_PART.quiet;
-    const byRequests = isBusy ? ((1 - even) * (holder.requested.get(service) ?? 0)) / total : 0;
-    return this.pool * (even / this.holders.size + byRequests);
+    const evenFraction = isBusy ? EVEN_FRACTION.busy : EVEN_FRACTION.quiet;
+    const byRequests = isBusy
+      ? ((1 - evenFraction) * (holder.requested.get(service) ?? 0)) / total
+      : 0;
+    return this.pool * (evenFraction / this.holders.size + byRequests);
   }
 
   /** What no edge may use of a pool. */
-  private free(service: string): number {
+  private unallocated(service: string): number {
     const inUse = [...this.holders.values()].reduce(
       (sum, holder) => sum + (holder.inUse.get(service) ?? 0),
       0,
--- a/src/rpc/frame.ts
+++ b/src/rpc/frame.ts
@@ -42,7 +42,7 @@
 };
 
 /** The bytes of a frame, ready to send. */
-export const encodeFrame = (value: Frame): Uint8Array => frameStruct.toBuffer(value);
+export const encodeFrame = (frame: Frame): Uint8Array => frameStruct.toBuffer(frame);
 
 /** Assembles frames from the pieces in which their bytes arrive. */
 export class FrameReader {
--- a/src/rpc/paced-connection.ts
+++ b/src/rpc/paced-connection.ts
@@ -30,21 +30,21 @@
   private readonly connection: Connection;
   private readonly egress: LinkPacer;
   private readonly clock: Clock;
-  private readonly patienceMs: number;
+  private readonly maxDeferralMs: number;
   /** Small frames that wait for the end of the large one that has been begun. */
-  private readonly small: Uint8Array[] = [];
+  private readonly smallFrames: Uint8Array[] = [];
   /** Large frames in the order of sending; the first may have been begun. */
-  private readonly large: LargeFrame[] = [];
+  private readonly largeFrames: LargeFrame[] = [];
   private cancelTurn: (() => void) | undefined;
   private isClosed = false;
 
   /** `patienceMs`: for how long frames may give way to those of other connections. */
-  constructor(connection: Connection, egress: LinkPacer, clock: Clock, patienceMs = 0) {
+  constructor(connection: Connection, egress: LinkPacer, clock: Clock, maxDeferralMs = 0) {
     this.connection = connection;
     this.incoming = connection.incoming;
     this.egress = egress;
     this.clock = clock;
-    this.patienceMs = patienceMs;
+    this.maxDeferralMs = maxDeferralMs;
   }
 
   /**
@@ -57,8 +57,8 @@
       this.enqueue(frame, expiresMs);
       return;
     }
-    const [first] = this.large;
-    if (first && first.sentBytes > 0) this.small.push(frame);
+    const [first] = this.largeFrames;
+    if (first && first.sentBytes > 0) this.smallFrames.push(frame);
     else this.write(frame);
   }
 
@@ -66,7 +66,7 @@
   close(): void {
     this.isClosed = true;
     this.cancelTurn?.();
-    for (const { transfer, cancelExpiry } of this.large.splice(0)) {
+    for (const { transfer, cancelExpiry } of this.largeFrames.splice(0)) {
       cancelExpiry();
       transfer.end();
     }
@@ -78,19 +78,19 @@
     const expires = expiresMs !== Infinity;
     const rank: FrameRank = {
       transferClass: "control",
-      dueMs: expires ? NEWEST_FIRST_MS - nowMs : nowMs + this.patienceMs,
+      dueMs: expires ? NEWEST_FIRST_MS - nowMs : nowMs + this.maxDeferralMs,
     };
     const transfer = this.egress.begin(rank, frame.length);
     const cancelExpiry = expires
       ? this.clock.after(expiresMs - nowMs, () => this.drop(frame))
       : () => undefined;
-    this.large.push({ frame, transfer, rank, sentBytes: 0, cancelExpiry });
-    if (this.large.length === 1) this.awaitTurn();
+    this.largeFrames.push({ frame, transfer, rank, sentBytes: 0, cancelExpiry });
+    if (this.largeFrames.length === 1) this.awaitTurn();
   }
 
   /** Sends the first of the large frames, a part at each turn, then the next one. */
   private awaitTurn(): void {
-    const [first] = this.large;
+    const [first] = this.largeFrames;
     if (!first) return;
     const { frame, transfer, sentBytes } = first;
     const part = frame.subarray(sentBytes, sentBytes + this.egress.turnBytes);
@@ -103,9 +103,9 @@
       first.sentBytes += part.length;
       this.connection.send(part);
       if (first.sentBytes >= frame.length) {
-        this.large.shift();
+        this.largeFrames.shift();
         transfer.end();
-        for (const small of this.small.splice(0)) this.write(small);
+        for (const smallFrame of this.smallFrames.splice(0)) this.write(smallFrame);
       }
       this.awaitTurn();
     });
@@ -114,8 +114,8 @@
 
   /** Drops a frame that hasn't been begun. */
   private drop(frame: Uint8Array): void {
-    const index = this.large.findIndex((one) => one.frame === frame);
-    const [dropped] = index < 0 ? [] : this.large.splice(index, 1);
+    const index = this.largeFrames.findIndex((queued) => queued.frame === frame);
+    const [dropped] = index < 0 ? [] : this.largeFrames.splice(index, 1);
     dropped?.transfer.end();
     if (index !== 0) return;
     this.cancelTurn?.();
--- a/src/rpc/peer-connection.ts
+++ b/src/rpc/peer-connection.ts
@@ -76,11 +76,11 @@
   }
 
   /** Goes on waiting for a response that didn't come in time, beside any later requests. */
-  awaitLate(requestId: number, waitMs: number, take: (body: Uint8Array) => void): void {
+  awaitLate(requestId: number, waitMs: number, onResponse: (body: Uint8Array) => void): void {
     const forget = (): void => this.pending.remove(requestId);
     this.pending.add(requestId, (body) => {
       forget();
-      if (body !== undefined) take(body);
+      if (body !== undefined) onResponse(body);
     });
     this.clock.after(waitMs, forget);
   }
@@ -95,7 +95,7 @@
     for (;;) {
       const first = yield* this.outgoing.take();
       const connected = yield* this.context.runtime.network.connect(this.address);
-      if (connected) yield* this.use(connected, first);
+      if (connected) yield* this.runConnection(connected, first);
       else this.lastFailedMs = this.clock.nowMs();
       this.outgoing.drain();
       this.pending.failAll();
@@ -104,7 +104,7 @@
   }
 
   /** Sends over a new connection until that ends. A peer that sent no frame may speak another version only. */
-  private *use(connected: Connection, first: Uint8Array): Task {
+  private *runConnection(connected: Connection, first: Uint8Array): Task {
     const { pacers, newestVersion } = this.context;
     const connection = new PacedConnection(connected, pacers.egress, this.clock);
     this.noteReceived();
@@ -112,8 +112,8 @@
     this.connection = connection;
     connection.send(first);
     for (const frame of this.outgoing.drain()) connection.send(frame);
-    const isUnderstood = yield* this.receive(connection);
-    if (!isUnderstood)
+    const receivedFrames = yield* this.receive(connection);
+    if (!receivedFrames)
       this.version =
         this.version === newestVersion ? Math.max(0, newestVersion - 1) : newestVersion;
     this.connection = undefined;
--- a/src/rpc/protocol-guard.ts
+++ b/src/rpc/protocol-guard.ts
@@ -10,7 +10,7 @@
 /** Closes connections whose peers violate the protocol, and counts them. */
 export class ProtocolGuard {
   private readonly log: Logger;
-  private count = 0;
+  private violationCount = 0;
 
   constructor(log: Logger) {
     this.log = log;
@@ -18,13 +18,13 @@
 
   /** How many violations there were. */
   get violations(): number {
-    return this.count;
+    return this.violationCount;
   }
 
   /** Closes the connection on which an error was raised by what a peer sent; any other error is thrown on. */
   closeOnViolation(connection: Connection | undefined, error: unknown): void {
     if (!isProtocolError(error)) throw error;
-    this.count += 1;
+    this.violationCount += 1;
     this.log.warn("frame refused, connection closed", { why: error.message });
     connection?.close();
   }
--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -77,8 +77,8 @@
     const body = yield* peer.request({ requestId, methodId: method.id, encodeBody }, timeoutMs);
     if (body === undefined) {
       if (late)
-        peer.awaitLate(requestId, late.waitMs, (found) =>
-          late.onResponse(decodeExactly(method.response, found)),
+        peer.awaitLate(requestId, late.waitMs, (lateBody) =>
+          late.onResponse(decodeExactly(method.response, lateBody)),
         );
       return undefined;
     }
--- a/src/rpc/rpc-server.ts
+++ b/src/rpc/rpc-server.ts
@@ -7,7 +7,7 @@
 import type { RpcMethod } from "./rpc-method.js";
 
 /** For how long a large response may give way to large requests. */
-const RESPONSE_PATIENCE_MS = 1000;
+const RESPONSE_DEFERRAL_MS = 1000;
 
 /** Handles the requests of one method. */
 interface MethodHandler {
@@ -43,7 +43,7 @@
         accepted,
         pacers.egress,
         runtime.clock,
-        RESPONSE_PATIENCE_MS,
+        RESPONSE_DEFERRAL_MS,
       );
       startTask(runtime, "rpc", this.serve(connection));
     });
--- a/src/runtime/event-stream.ts
+++ b/src/runtime/event-stream.ts
@@ -15,12 +15,12 @@
   };
 
   /** Hands an event to all subscribers. */
-  emit(item: T): void {
-    for (const [sink, scheduler] of this.sinks) sink.event(scheduler.currentTime(), item);
+  emit(event: T): void {
+    for (const [sink, scheduler] of this.sinks) sink.event(scheduler.currentTime(), event);
   }
 
   /** Calls a handler with each event from now on. */
-  subscribe(scheduler: Scheduler, handler: (item: T) => void): void {
+  subscribe(scheduler: Scheduler, handler: (event: T) => void): void {
     void runEffects(tap(handler, this.stream), scheduler);
   }
 }
--- a/src/runtime/fast-validator.ts
+++ b/src/runtime/fast-validator.ts
@@ -17,32 +17,32 @@
   unknown: () => true,
 };
 
-const fieldsOf = (schema: object, isExact: boolean): Guard => {
+const createObjectGuard = (schema: object, isExact: boolean): Guard => {
   const fields = new Map<string, Guard>();
   for (const [name, struct] of Object.entries(schema))
-    if (isStruct(struct)) fields.set(name, guardOf(struct));
+    if (isStruct(struct)) fields.set(name, getGuard(struct));
   const required = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
   return (value) => {
     if (typeof value !== "object" || value === null || Array.isArray(value)) return false;
     const actual = new Map<string, unknown>(Object.entries(value));
     for (const name of required) if (!actual.has(name)) return false;
-    for (const [name, one] of actual) {
+    for (const [name, fieldValue] of actual) {
       const guard = fields.get(name);
-      if (guard ? !guard(one) : isExact) return false;
+      if (guard ? !guard(fieldValue) : isExact) return false;
     }
     return true;
   };
 };
 
-const innerOf = (struct: Struct<unknown, unknown>): Guard => {
+const createInnerGuard = (struct: Struct<unknown, unknown>): Guard => {
   const { type, schema } = struct;
   const primitive = primitiveGuards[type];
   if (primitive) return primitive;
   if (type === "literal") return (value) => value === schema;
   if ((type === "object" || type === "type") && typeof schema === "object" && schema !== null)
-    return fieldsOf(schema, type === "object");
+    return createObjectGuard(schema, type === "object");
   if (type === "array" && isStruct(schema)) {
-    const guard = guardOf(schema);
+    const guard = getGuard(schema);
     return (value) => Array.isArray(value) && value.every(guard);
   }
   return (value) => struct.is(value);
@@ -50,16 +50,16 @@
 
 const guards = new WeakMap<object, Guard>();
 
-const guardOf = (struct: Struct<unknown, unknown>): Guard => {
+const getGuard = (struct: Struct<unknown, unknown>): Guard => {
   const cached = guards.get(struct);
   if (cached) return cached;
-  const guard = newGuardOf(struct);
+  const guard = createGuard(struct);
   guards.set(struct, guard);
   return guard;
 };
 
-const newGuardOf = (struct: Struct<unknown, unknown>): Guard => {
-  const inner = innerOf(struct);
+const createGuard = (struct: Struct<unknown, unknown>): Guard => {
+  const inner = createInnerGuard(struct);
   const allowsUndefined = struct.is(undefined);
   const allowsNull = struct.is(null);
   return (value) =>
@@ -68,10 +68,10 @@
 
 /** Whether a value is of a shape. */
 export const matchesStruct = (struct: object, value: unknown): boolean =>
-  isStruct(struct) && guardOf(struct)(value);
+  isStruct(struct) && getGuard(struct)(value);
 
 /** A function that returns a value of a shape as it is, and throws the library's own error for any other. For shapes without refinements. */
 export const fastValidator = <T, S>(struct: Struct<T, S>): ((value: unknown) => T) => {
-  const isOne = (value: unknown): value is T => matchesStruct(struct, value);
-  return (value) => (isOne(value) ? value : create(value, struct));
+  const isValid = (value: unknown): value is T => matchesStruct(struct, value);
+  return (value) => (isValid(value) ? value : create(value, struct));
 };
--- a/src/runtime/link-pacer.ts
+++ b/src/runtime/link-pacer.ts
@@ -39,18 +39,18 @@
 /** How much time of the link one turn may take, and how long the queue may be when it begins. */
 const TURN_MS = 15;
 /** Which part of the link's rate is used; the rest is for headers and acknowledgments. */
-const USABLE_PART = 0.9;
+const USABLE_FRACTION = 0.9;
 const BYTES_PER_MS_OF_MBPS = 125;
 /** Bodies that are larger than this aren't small on any link. */
 const MAX_SMALL_BYTES = 8 * 1024;
 
-const isBefore = (one: TransferRank, other: TransferRank, nowMs: number): boolean => {
-  if (one.transferClass !== other.transferClass)
-    return CLASS_ORDER[one.transferClass] < CLASS_ORDER[other.transferClass];
-  const isOneLate = one.transferClass === "response" && one.dueMs < nowMs;
-  const isOtherLate = other.transferClass === "response" && other.dueMs < nowMs;
-  if (isOneLate !== isOtherLate) return isOtherLate;
-  return one.dueMs < other.dueMs;
+const isBefore = (first: TransferRank, second: TransferRank, nowMs: number): boolean => {
+  if (first.transferClass !== second.transferClass)
+    return CLASS_ORDER[first.transferClass] < CLASS_ORDER[second.transferClass];
+  const isFirstLate = first.transferClass === "response" && first.dueMs < nowMs;
+  const isSecondLate = second.transferClass === "response" && second.dueMs < nowMs;
+  if (isFirstLate !== isSecondLate) return isSecondLate;
+  return first.dueMs < second.dueMs;
 };
 
 /**
@@ -78,7 +78,7 @@
     this.bytesPerMs =
       linkMbps === undefined || linkMbps <= 0
         ? Infinity
-        : linkMbps * BYTES_PER_MS_OF_MBPS * USABLE_PART;
+        : linkMbps * BYTES_PER_MS_OF_MBPS * USABLE_FRACTION;
     this.turnBytes = Math.ceil(this.bytesPerMs * TURN_MS);
     this.smallBytes = this.isPaced ? Math.min(this.turnBytes, MAX_SMALL_BYTES) : Infinity;
   }
@@ -118,32 +118,32 @@
   begin(rank: TransferRank, bytes = 0): Transfer {
     let remainingBytes = this.isPaced ? bytes : 0;
     this.remainingBulkBytes += remainingBytes;
-    const release = (part: number): void => {
-      const released = Math.min(remainingBytes, part);
+    const release = (chunkBytes: number): void => {
+      const released = Math.min(remainingBytes, chunkBytes);
       remainingBytes -= released;
       this.remainingBulkBytes -= released;
     };
-    const onTurn = (part: number, run: () => void): (() => void) =>
-      this.take({
+    const onTurn = (chunkBytes: number, run: () => void): (() => void) =>
+      this.enqueueTurn({
         rank,
-        bytes: part,
+        bytes: chunkBytes,
         run: () => {
-          release(part);
+          release(chunkBytes);
           run();
         },
       });
     return {
       onTurn,
-      *awaitTurn(part) {
+      *awaitTurn(chunkBytes) {
         yield* waitFor<true>((done) => {
-          onTurn(part, () => done(true));
+          onTurn(chunkBytes, () => done(true));
         });
       },
       end: () => release(remainingBytes),
     };
   }
 
-  private take(turn: WaitingTurn): () => void {
+  private enqueueTurn(turn: WaitingTurn): () => void {
     if (!this.isPaced) {
       turn.run();
       return () => undefined;
@@ -168,15 +168,15 @@
         });
         return;
       }
-      const next = this.next();
-      if (!next) return;
-      this.recordBytes(next.bytes);
-      next.run();
+      const turn = this.dequeueTurn();
+      if (!turn) return;
+      this.recordBytes(turn.bytes);
+      turn.run();
     }
   }
 
   /** Removes the turn that goes first; of equals, the one that has waited longest. */
-  private next(): WaitingTurn | undefined {
+  private dequeueTurn(): WaitingTurn | undefined {
     const nowMs = this.clock.nowMs();
     let first = 0;
     for (const [index, turn] of this.waiting.entries()) {
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -33,15 +33,15 @@
 }
 
 /** Passes lines to a function and throws errors, for tests and the simulator. */
-export function createLineLoggers(lines: (line: string) => void): LoggerFactory {
+export function createLineLoggers(writeLine: (line: string) => void): LoggerFactory {
   return {
     component: (name) => ({
       info: (event, fields) =>
-        lines(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
+        writeLine(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
       warn: (event, fields) =>
-        lines(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
+        writeLine(`${name}: ${event}${fields ? ` ${JSON.stringify(fields)}` : ""}`),
       error(event, error) {
-        lines(
+        writeLine(
           `${name}: ${event} ${error instanceof Error ? (error.stack ?? error.message) : String(error)}`,
         );
         throw error;
--- a/src/runtime/network.ts
+++ b/src/runtime/network.ts
@@ -25,7 +25,7 @@
 /** How long a connection may take to open. */
 const CONNECT_TIMEOUT_MS = 1000;
 
-const connectionOf = (socket: Socket): Connection => {
+const wrapSocket = (socket: Socket): Connection => {
   const incoming = new Queue<Uint8Array | "closed">();
   socket.setNoDelay(true);
   socket.on("data", (bytes: Buffer) => incoming.put(bytes));
@@ -77,13 +77,13 @@
           socket.setTimeout(0);
           socket.off("error", fail);
           socket.off("timeout", fail);
-          done(connectionOf(socket));
+          done(wrapSocket(socket));
         });
       });
     },
     *listen(address, accept) {
       const outcome = yield* waitFor<Error | "listening">((done) => {
-        const server = createServer((socket) => accept(connectionOf(track(socket))));
+        const server = createServer((socket) => accept(wrapSocket(track(socket))));
         servers.push(server);
         server.once("error", done);
         server.listen(Address.parse(address), () => done("listening"));
--- a/src/runtime/queue.ts
+++ b/src/runtime/queue.ts
@@ -34,7 +34,7 @@
 
   /** Waits for the next item. */
   *take(): Task<T> {
-    return yield* waitFor<T>((done) => this.begin(done));
+    return yield* waitFor<T>((done) => this.addTaker(done));
   }
 
   /** Waits for the next item until a moment of the clock; `undefined` where none came. */
@@ -45,7 +45,7 @@
         isWaiting = false;
         done(undefined);
       });
-      this.begin(
+      this.addTaker(
         (item) => {
           cancel();
           done(item);
@@ -64,7 +64,7 @@
   }
 
   /** Hands the next item to `done`, if the taker is still waiting by then. */
-  private begin(done: (item: T) => void, isWaiting: () => boolean = () => true): void {
+  private addTaker(done: (item: T) => void, isWaiting: () => boolean = () => true): void {
     const [first] = this.items.splice(0, 1);
     if (first !== undefined) {
       done(first);
--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -12,7 +12,7 @@
   readonly disk: Disk | undefined;
   readonly loggers: LoggerFactory;
   /** Called where a task failed with an unexpected error: the daemon has to stop rather than run without it. */
-  onTaskFailure(part: string, error: unknown): void;
+  onTaskFailure(component: string, error: unknown): void;
   /** A number from 0 up to 1. */
   random(): number;
   /** The wall clock, for display; nothing is decided by it. */
@@ -22,11 +22,11 @@
 /** Starts a task of a component; if it fails, `onTaskFailure` is called. */
 export function startTask<T>(
   runtime: Runtime,
-  part: string,
+  component: string,
   task: Task<T>,
-  ended?: (value: T) => void,
+  onDone?: (value: T) => void,
 ): void {
-  runTask(task, (error) => runtime.onTaskFailure(part, error), ended);
+  runTask(task, (error) => runtime.onTaskFailure(component, error), onDone);
 }
 
 /** A random text that is unique for all practical purposes. */
--- a/src/runtime/task.ts
+++ b/src/runtime/task.ts
@@ -25,8 +25,8 @@
 /** Runs a task to its end; then calls `ended` with its value, or `failed` with what it threw. */
 export function runTask<T>(
   task: Task<T>,
-  failed: (error: unknown) => void,
-  ended?: (value: T) => void,
+  onError: (error: unknown) => void,
+  onDone?: (value: T) => void,
 ): void {
   let isRunning = false;
   let pendingSteps = 0;
@@ -39,13 +39,13 @@
         pendingSteps -= 1;
         const next = task.next();
         if (next.done === true) {
-          ended?.(next.value);
+          onDone?.(next.value);
           return;
         }
         next.value(step);
       }
     } catch (error) {
-      failed(error);
+      onError(error);
     } finally {
       isRunning = false;
     }
--- a/src/sketch/dyadic-sketch.ts
+++ b/src/sketch/dyadic-sketch.ts
@@ -41,7 +41,7 @@
         level === this.bits - 1
           ? found
           : found.flatMap(({ item }) =>
-              [item * 2, item * 2 + 1].map((half) => ({ item: half, estimate: 0 })),
+              [item * 2, item * 2 + 1].map((childItem) => ({ item: childItem, estimate: 0 })),
             );
       found = ranges
         .map(({ item }) => ({
--- a/src/sketch/exponential-histogram.ts
+++ b/src/sketch/exponential-histogram.ts
@@ -133,10 +133,10 @@
     olderMs: number,
   ): ExponentialHistogram {
     const histogram = new ExponentialHistogram(epsilon, windowMs);
-    const rebased = (age: number): number =>
+    const toStamp = (age: number): number =>
       stampOf(now - Math.min(age + olderMs, STAMP_WRAP_MS / 2 - 1));
-    agedForm.levels.forEach((level, index) => histogram.level(index).push(...level.map(rebased)));
-    histogram.floor = agedForm.floorAge >= windowMs ? "before" : rebased(agedForm.floorAge);
+    agedForm.levels.forEach((level, index) => histogram.level(index).push(...level.map(toStamp)));
+    histogram.floor = agedForm.floorAge >= windowMs ? "before" : toStamp(agedForm.floorAge);
     const [first] = histogram.buckets(now);
     histogram.newest = stampOf(now - (first?.endAge ?? 0));
     histogram.expire(now);
--- a/test/cluster-view/command-forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -1,30 +1,36 @@
 import { expect, test } from "vitest";
 import { FleetStage } from "../replication/fleet-stage.js";
 
-const later = { bootstrap: false };
+const withoutBootstrap = { bootstrap: false };
 
 /** Whether the newest leader has seen all edges. */
-const edgesSeen = (stage: FleetStage): boolean => {
+const hasSeenAllEdges = (stage: FleetStage): boolean => {
   const electedIndex = stage.lines.findLastIndex((line) => line.includes("leader elected"));
-  const since = stage.lines.slice(electedIndex).filter((line) => line.includes("daemon appeared"));
+  const linesSinceElection = stage.lines
+    .slice(electedIndex)
+    .filter((line) => line.includes("daemon appeared"));
   return stage.machines
     .filter(({ disk }) => !disk)
-    .every(({ settings }) => since.some((line) => line.includes(`"${settings.machine}"`)));
+    .every(({ settings }) =>
+      linesSinceElection.some((line) => line.includes(`"${settings.machine}"`)),
+    );
 };
 
 test("a daemon whose seeds are all edges finds the leader, also after a new one was elected", () => {
   const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "e:d"], [0, 1, 2]);
-  const late = stage.at(6);
-  for (const machine of stage.machines) if (machine !== late) stage.boot(machine);
+  const lateEdge = stage.at(6);
+  for (const machine of stage.machines) if (machine !== lateEdge) stage.boot(machine);
   stage.wait(4000);
-  stage.boot(late, later);
-  expect(stage.until(() => late.daemon?.servingState.isGranted === true, 2000)).toBeLessThan(300);
-  const former = stage.leader;
-  stage.kill(former);
-  const isLed = (): boolean =>
+  stage.boot(lateEdge, withoutBootstrap);
+  expect(stage.until(() => lateEdge.daemon?.servingState.isGranted === true, 2000)).toBeLessThan(
+    300,
+  );
+  const previousLeader = stage.leader;
+  stage.kill(previousLeader);
+  const hasLeader = (): boolean =>
     stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
-  stage.until(isLed, 3000);
-  expect(stage.until(() => edgesSeen(stage), 2000)).toBeLessThan(200);
+  stage.until(hasLeader, 3000);
+  expect(stage.until(() => hasSeenAllEdges(stage), 2000)).toBeLessThan(200);
 });
 
 test("when the leader is partitioned from all machines, the next leader has seen all edges within a second", () => {
@@ -33,14 +39,16 @@
     const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c"], [0, 1, 2]);
     stage.bootAll();
     stage.wait(4000 + offsetMs);
-    const former = stage.leader;
-    for (const machine of stage.machines) if (machine !== former) stage.cut(former, machine);
-    const next = (): boolean =>
+    const previousLeader = stage.leader;
+    for (const machine of stage.machines)
+      if (machine !== previousLeader) stage.cut(previousLeader, machine);
+    const hasNewLeader = (): boolean =>
       stage.disks.some(
-        (machine) => machine !== former && machine.daemon?.replicationNode?.holdsLease === true,
+        (machine) =>
+          machine !== previousLeader && machine.daemon?.replicationNode?.holdsLease === true,
       );
-    const ledMs = stage.until(next, 3000);
-    takeoverMs.push(ledMs + stage.until(() => edgesSeen(stage), 2000));
+    const electedMs = stage.until(hasNewLeader, 3000);
+    takeoverMs.push(electedMs + stage.until(() => hasSeenAllEdges(stage), 2000));
   }
   expect(takeoverMs.filter((ms) => ms >= 1000)).toEqual([]);
 });
--- a/test/cluster-view/route-table.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -5,19 +5,20 @@
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
 /** The route that a linear search finds. */
-const searchAll = (
+const findLinearly = (
   all: readonly ActiveRoute[],
   method: string,
   path: string,
   host: string,
 ): ActiveRoute | undefined => {
-  const own = host.toLowerCase().split(":")[0];
+  const normalizedHost = host.toLowerCase().split(":")[0];
   const rank = (route: ActiveRoute): number =>
     (route.host === undefined ? 0 : 1e6) + (route.isPrefix ? route.path.length : 1e5);
   return all
     .filter(
       (route) =>
-        (route.host === undefined || route.host === own) && (route.methods?.has(method) ?? true),
+        (route.host === undefined || route.host === normalizedHost) &&
+        (route.methods?.has(method) ?? true),
     )
     .filter((route) => (route.isPrefix ? path.startsWith(route.path) : path === route.path))
     .sort((a, b) => rank(b) - rank(a))[0];
@@ -26,23 +27,23 @@
 test("among 3,000 routes over several hosts, a request finds the same one as a linear search does", () => {
   const random = RandomDraw.of(7);
   const pick = <T>(from: readonly T[]): T | undefined => from[Math.floor(random() * from.length)];
-  const words = ["a", "ab", "b", "c1", "lepu270", "d.e"];
+  const segments = ["a", "ab", "b", "c1", "lepu270", "d.e"];
   const path = (): string =>
-    `/${Array.from({ length: Math.floor(random() * 6) }, () => pick(words)).join("/")}`;
+    `/${Array.from({ length: Math.floor(random() * 6) }, () => pick(segments)).join("/")}`;
   const hosts = [undefined, "One.example", "two.example", "three.example", "four.example"];
   const routes: Config["routes"] = {};
   const taken = new Set<string>();
   for (let index = 0; taken.size < 3000; index += 1) {
     const host = pick(hosts);
     const own = path();
-    const ends =
+    const pattern =
       random() < 0.7 ? `${own.endsWith("/") ? own : `${own}/`}*` : random() < 0.5 ? `${own}*` : own;
     const methods = random() < 0.2 ? { methods: ["GET" as const] } : {};
-    const key = `${host} ${ends}`;
+    const key = `${host} ${pattern}`;
     if (taken.has(key)) continue;
     taken.add(key);
     routes[`r-${index}`] = {
-      match: { path: ends, ...(host === undefined ? {} : { host }), ...methods },
+      match: { path: pattern, ...(host === undefined ? {} : { host }), ...methods },
       service: "s",
     };
   }
@@ -61,13 +62,13 @@
         "",
       ]) ?? "",
     ] as const;
-    const expected = searchAll(routeTable.all, ...request);
+    const expected = findLinearly(routeTable.all, ...request);
     expect(routeTable.find(...request)?.name, request.join(" ")).toBe(expected?.name);
     found += expected ? 1 : 0;
   }
   expect(found).toBeGreaterThan(1000);
   expect(routeTable.find("GET", "/".repeat(100_000), "two.example")?.name).toBe(
-    searchAll(routeTable.all, "GET", "/".repeat(100_000), "two.example")?.name,
+    findLinearly(routeTable.all, "GET", "/".repeat(100_000), "two.example")?.name,
   );
 });
 
@@ -123,10 +124,10 @@
 });
 
 test("the kind of a route decides whether it is repeatable and keyed, whatever its methods and older fields say", () => {
-  const route = (more: Partial<Config["routes"][string]>): Config["routes"][string] => ({
+  const route = (fields: Partial<Config["routes"][string]>): Config["routes"][string] => ({
     match: { path: "/*", methods: ["POST"] },
     service: "s",
-    ...more,
+    ...fields,
   });
   const { all } = new RouteTable({
     services: { s: {} },
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -21,7 +21,7 @@
     throw error;
   };
   const gates = new Map<string, InstanceType<typeof EventGate>>();
-  const endpointAt = (address: string): { runtime: Runtime; rpc: RpcEndpoint } => {
+  const createEndpoint = (address: string): { runtime: Runtime; rpc: RpcEndpoint } => {
     const gate = new EventGate();
     gates.set(address, gate);
     const runtime = virtualRuntime({
@@ -34,7 +34,7 @@
     return { runtime, rpc };
   };
   const [root, ...others] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map((address) => {
-    const { runtime, rpc } = endpointAt(address);
+    const { runtime, rpc } = createEndpoint(address);
     const collector = new CountAggregator(
       runtime,
       rpc,
@@ -46,7 +46,7 @@
     runTask(collector.run(2000), fail);
     return { address, collector };
   });
-  const { runtime, rpc } = endpointAt("10.0.0.9:1");
+  const { runtime, rpc } = createEndpoint("10.0.0.9:1");
   const counts = new RequestCounts(defaultRequestCountsFormat);
   const [left, right] = others;
   if (!root || !left || !right) throw new Error("A collector is missing.");
--- a/test/retry-budget/retry-budget.test.ts
+++ b/test/retry-budget/retry-budget.test.ts
@@ -5,32 +5,34 @@
 import { RETRY_WINDOW_MS } from "../../src/retry-budget/request-counts.js";
 
 test("the guard alone enforces the rule in every window, though edges start and crash, leaders change, clients stop and reports are late", () => {
-  let taken = 0;
+  let totalRetries = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
     const random = RandomDraw.of(seed);
     const quotas = new RetryQuotas();
     const holders = new Set<string>();
     quotas.beginTerm(0, `l${seed}`, holders);
     let started = 0;
-    const start = () => ({
+    const startEdge = () => ({
       name: `e${(started += 1)}`,
       number: "",
       budget: new RetryBudget(),
       crashMs: random() * (seed % 4 === 0 ? 6000 : 120_000),
       leaseUntilMs: -Infinity,
     });
-    const edges = Array.from({ length: 6 }, start);
+    const edges = Array.from({ length: 6 }, startEdge);
     const requests: number[] = [];
     const retries: number[] = [];
-    const late: Array<{ atMs: number; run: () => void }> = [];
+    const delayedReports: Array<{ atMs: number; run: () => void }> = [];
     const stopsMs = seed % 3 === 0 ? 20_000 : Infinity;
     for (let nowMs = 0; nowMs < 50_000; nowMs += 20) {
       if (nowMs % (seed % 2 === 0 ? 7000 : 25_000) === 6980)
         quotas.beginTerm(nowMs, `l${seed}-${nowMs}`, new Set(holders));
-      for (const one of late.splice(0).filter((item) => item.atMs > nowMs || (item.run(), false)))
-        late.push(one);
+      for (const delayedReport of delayedReports
+        .splice(0)
+        .filter((item) => item.atMs > nowMs || (item.run(), false)))
+        delayedReports.push(delayedReport);
       edges.forEach((edge, index) => {
-        if (nowMs > edge.crashMs) edges[index] = start();
+        if (nowMs > edge.crashMs) edges[index] = startEdge();
         if (nowMs % 200 === 0 && random() < 0.9) {
           const report = { number: edge.number, capacities: edge.budget.capacities };
           const requested = new Map([["s", edge.budget.requested("s", nowMs)]]);
@@ -38,7 +40,8 @@
             holders.add(edge.name);
             return quotas.allocate(edge.name, report, requested, ["s"], nowMs);
           };
-          if (random() < 0.1) late.push({ atMs: nowMs + random() * 3000, run: () => void allot() });
+          if (random() < 0.1)
+            delayedReports.push({ atMs: nowMs + random() * 3000, run: () => void allot() });
           else {
             const allotted = allot();
             if (random() < 0.9) {
@@ -71,20 +74,20 @@
         defaultRetryRule.earned * inWindow(requests) + defaultRetryRule.pool,
       );
     }
-    taken += retries.length;
+    totalRetries += retries.length;
   }
-  expect(taken).toBeGreaterThan(40 * 150);
+  expect(totalRetries).toBeGreaterThan(40 * 150);
 });
 
 test("the sketch decides before the guard, and used capacity returns once the window is over", () => {
   const budget = new RetryBudget();
-  let short = 0;
-  budget.onNearlyExhausted = () => (short += 1);
+  let exhaustedCalls = 0;
+  budget.onNearlyExhausted = () => (exhaustedCalls += 1);
   budget.setCapacities(new Map([["s", 3]]), 0);
   expect(budget.take("s", { limit: 0.5, used: 0 }, 0)).toBe("sketch");
   for (const expected of ["granted", "granted", "granted", "guard"])
     expect(budget.take("s", { limit: 9, used: 1 }, 5000)).toBe(expected);
-  expect(short).toBeGreaterThan(0);
+  expect(exhaustedCalls).toBeGreaterThan(0);
   budget.refund("s", 5000);
   expect(budget.take("s", undefined, 5050)).toBe("granted");
   expect(budget.take("s", undefined, 15_000)).toBe("guard");
--- a/test/retry-budget/retry-quotas.test.ts
+++ b/test/retry-budget/retry-quotas.test.ts
@@ -3,7 +3,7 @@
 import { defaultGuardRule } from "../../src/retry-budget/retry-budget.js";
 
 const services = ["s"];
-const none = new Map<string, number>();
+const noCapacities = new Map<string, number>();
 
 test("the only edge with requested retries gets most of the pool at once; what an edge gives up is moved once it has reported that", () => {
   const quotas = new RetryQuotas();
@@ -32,31 +32,37 @@
   quotas.beginTerm(1000, "b", new Set(["one", "two"]));
   const report = { number: "a/7", capacities: new Map([["s", 20]]) };
   expect(
-    quotas.allocate("one", report, none, services, 1100).capacities.get("s"),
+    quotas.allocate("one", report, noCapacities, services, 1100).capacities.get("s"),
   ).toBeLessThanOrEqual(20);
   expect(
     quotas
-      .allocate("new", { number: "", capacities: none }, none, services, 1200)
+      .allocate("new", { number: "", capacities: noCapacities }, noCapacities, services, 1200)
       .capacities.get("s"),
   ).toBe(0);
   expect(quotas.isSettled(1300)).toBe(false);
-  quotas.allocate("two", report, none, services, 1300);
+  quotas.allocate("two", report, noCapacities, services, 1300);
   expect(quotas.isSettled(1300)).toBe(true);
   expect(
     quotas
-      .allocate("new", { number: "", capacities: none }, none, services, 1400)
+      .allocate("new", { number: "", capacities: noCapacities }, noCapacities, services, 1400)
       .capacities.get("s"),
   ).toBeGreaterThan(5);
   quotas.beginTerm(2000, "c", new Set(["crashed"]));
   expect(
     quotas
-      .allocate("new", { number: "b/9", capacities: new Map([["s", 50]]) }, none, services, 2100)
+      .allocate(
+        "new",
+        { number: "b/9", capacities: new Map([["s", 50]]) },
+        noCapacities,
+        services,
+        2100,
+      )
       .capacities.get("s"),
   ).toBe(0);
   expect(quotas.expiredEdges(13_000, ["crashed"])).toEqual([]);
   expect(
     quotas
-      .allocate("new", { number: "", capacities: none }, none, services, 14_100)
+      .allocate("new", { number: "", capacities: noCapacities }, noCapacities, services, 14_100)
       .capacities.get("s"),
   ).toBeGreaterThan(5);
   expect(quotas.expiredEdges(14_100, ["crashed", "new"])).toEqual(["crashed"]);
@@ -65,7 +71,13 @@
 test("a late report of an older allotment frees nothing", () => {
   const quotas = new RetryQuotas();
   quotas.beginTerm(0, "a", new Set());
-  const first = quotas.allocate("one", { number: "", capacities: none }, none, services, 0);
+  const first = quotas.allocate(
+    "one",
+    { number: "", capacities: noCapacities },
+    noCapacities,
+    services,
+    0,
+  );
   const raised = quotas.allocate(
     "one",
     { number: first.number, capacities: first.capacities },
@@ -76,14 +88,20 @@
   expect(raised.capacities.get("s")).toBeGreaterThan(60);
   quotas.allocate(
     "one",
-    { number: first.number, capacities: none },
+    { number: first.number, capacities: noCapacities },
     new Map([["s", 9]]),
     services,
     200,
   );
   expect(
     quotas
-      .allocate("two", { number: "", capacities: none }, new Map([["s", 90]]), services, 300)
+      .allocate(
+        "two",
+        { number: "", capacities: noCapacities },
+        new Map([["s", 90]]),
+        services,
+        300,
+      )
       .capacities.get("s"),
   ).toBeLessThan(1);
 });
--- a/test/rpc/frame.test.ts
+++ b/test/rpc/frame.test.ts
@@ -10,7 +10,7 @@
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
-const decoderOf =
+const createDecoder =
   (coder: { fromBuffer(bytes: Uint8Array): unknown; size(value: never): number }) =>
   (bytes: Uint8Array) =>
     decodeExactly(
@@ -42,8 +42,8 @@
 test("random and truncated bytes are refused with a frame error, as frames and as messages of every method", async () => {
   const random = RandomDraw.of(9);
   const decoders = Object.values(rpcMethods).flatMap((method) => [
-    decoderOf(method.request),
-    decoderOf(method.response),
+    createDecoder(method.request),
+    createDecoder(method.response),
   ]);
   let refused = 0;
   for (let round = 0; round < 3000; round += 1) {
--- a/test/rpc/paced-connection.test.ts
+++ b/test/rpc/paced-connection.test.ts
@@ -9,7 +9,7 @@
 /** 3.2 Mbit/s: 360 bytes a millisecond are usable. */
 const linkMbps = 3.2;
 
-const frameOf = (requestId: number, bytes: number): Uint8Array =>
+const createFrame = (requestId: number, bytes: number): Uint8Array =>
   encodeFrame({
     version: 3,
     methodId: 6,
@@ -18,11 +18,11 @@
     body: new Uint8Array(bytes),
   });
 
-const stage = () => {
+const createFixture = () => {
   const time = new VirtualClock();
   const clock = time.clock();
   const egress = new LinkPacer(clock, linkMbps);
-  const connectionOf = (patienceMs = 0) => {
+  const openConnection = (maxDeferralMs = 0) => {
     const written: Array<{ atMs: number; bytes: number }> = [];
     const received: Array<{ requestId: number; atMs: number }> = [];
     const reader = new FrameReader();
@@ -35,19 +35,19 @@
       },
       close: () => undefined,
     };
-    return { paced: new PacedConnection(wire, egress, clock, patienceMs), written, received };
+    return { paced: new PacedConnection(wire, egress, clock, maxDeferralMs), written, received };
   };
-  return { time, egress, connectionOf };
+  return { time, egress, openConnection };
 };
 
 test("large frames to many peers are written at the rate of the link, and a small frame on another connection at once", () => {
-  const { time, egress, connectionOf } = stage();
-  const connections = Array.from({ length: 5 }, () => connectionOf());
-  for (const { paced } of connections) paced.send(frameOf(1, 78_000));
+  const { time, egress, openConnection } = createFixture();
+  const connections = Array.from({ length: 5 }, () => openConnection());
+  for (const { paced } of connections) paced.send(createFrame(1, 78_000));
   time.runUntil(100);
   expect(egress.queueMs).toBeLessThanOrEqual(30);
-  const other = connectionOf();
-  other.paced.send(frameOf(2, 100));
+  const other = openConnection();
+  other.paced.send(createFrame(2, 100));
   expect(other.received).toHaveLength(1);
   time.runUntil(3000);
   for (const { received } of connections)
@@ -64,49 +64,49 @@
 });
 
 test("frames of one connection are never interleaved: a small one precedes a large one that waits, and follows one that has begun", () => {
-  const { time, connectionOf } = stage();
-  const { paced, received } = connectionOf();
-  paced.send(frameOf(1, 30_000));
-  paced.send(frameOf(2, 30_000));
-  paced.send(frameOf(3, 100));
+  const { time, openConnection } = createFixture();
+  const { paced, received } = openConnection();
+  paced.send(createFrame(1, 30_000));
+  paced.send(createFrame(2, 30_000));
+  paced.send(createFrame(3, 100));
   time.runUntil(2000);
   expect(received.map(({ requestId }) => requestId)).toEqual([1, 3, 2]);
 });
 
 test("large frames with patience give way to those without", () => {
-  const { time, connectionOf } = stage();
-  const responses = connectionOf(1000);
-  const requests = connectionOf();
-  responses.paced.send(frameOf(1, 100_000));
-  requests.paced.send(frameOf(2, 50_000));
+  const { time, openConnection } = createFixture();
+  const responses = openConnection(1000);
+  const requests = openConnection();
+  responses.paced.send(createFrame(1, 100_000));
+  requests.paced.send(createFrame(2, 50_000));
   time.runUntil(2000);
   expect(requests.received[0]?.atMs).toBeLessThan(responses.received[0]?.atMs ?? 0);
 });
 
 test("a closed connection releases its turns", () => {
-  const { time, egress, connectionOf } = stage();
-  const closed = connectionOf();
-  closed.paced.send(frameOf(1, 1_000_000));
+  const { time, egress, openConnection } = createFixture();
+  const closed = openConnection();
+  closed.paced.send(createFrame(1, 1_000_000));
   closed.paced.close();
   expect(egress.estimateWaitMs(0)).toBeLessThanOrEqual(30);
-  const other = connectionOf();
-  other.paced.send(frameOf(2, 20_000));
+  const other = openConnection();
+  other.paced.send(createFrame(2, 20_000));
   time.runUntil(200);
   expect(other.received).toHaveLength(1);
   expect(closed.received).toEqual([]);
 });
 
 test("on an overloaded link the newest responses are in time, the others are dropped, and no backlog remains", () => {
-  const { time, egress, connectionOf } = stage();
+  const { time, egress, openConnection } = createFixture();
   const waitMs = 450;
   const responseBytes = 20_000;
-  const connections = Array.from({ length: 30 }, () => connectionOf(1000));
+  const connections = Array.from({ length: 30 }, () => openConnection(1000));
   let requestId = 0;
   const inTime: number[] = [];
   for (let round = 0; round < 10; round += 1) {
     for (const { paced } of connections) {
       requestId += 1;
-      paced.send(frameOf(requestId, responseBytes), time.nowMs() + waitMs);
+      paced.send(createFrame(requestId, responseBytes), time.nowMs() + waitMs);
     }
     time.runUntil(time.nowMs() + waitMs);
     const received = connections.flatMap((one) => one.received.splice(0));
@@ -119,9 +119,9 @@
 });
 
 test("a connection that is closed in the middle of a frame writes no more of it", () => {
-  const { time, egress, connectionOf } = stage();
-  const { paced, written } = connectionOf();
-  paced.send(frameOf(1, egress.turnBytes * 5));
+  const { time, egress, openConnection } = createFixture();
+  const { paced, written } = openConnection();
+  paced.send(createFrame(1, egress.turnBytes * 5));
   const before = written.length;
   expect(before).toBeGreaterThan(0);
   paced.close();
--- a/test/rpc/rpc-endpoint.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -10,13 +10,13 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-const stage = () => {
+const createFixture = () => {
   const time = new VirtualClock();
   const network = new VirtualNetwork(time.clock(), RandomDraw.of(1));
   const fail = (error: unknown): void => {
     throw error;
   };
-  const endpointAt = (address: string, newestVersion: number): RpcEndpoint => {
+  const createEndpoint = (address: string, newestVersion: number): RpcEndpoint => {
     const rpc = new RpcEndpoint(
       virtualRuntime({
         clock: time.clock(),
@@ -44,15 +44,15 @@
     time.runUntil(time.nowMs() + waitMs + 100);
     return responses[0];
   };
-  return { time, network, endpointAt, call };
+  return { time, network, createEndpoint, call };
 };
 
 test("endpoints of adjacent frame versions understand each other, after one refused attempt at most", () => {
-  const { endpointAt, call } = stage();
+  const { createEndpoint, call } = createFixture();
   const [older, newer, far] = [
-    endpointAt("10.0.0.1:1", 3),
-    endpointAt("10.0.0.2:1", 4),
-    endpointAt("10.0.0.3:1", 6),
+    createEndpoint("10.0.0.1:1", 3),
+    createEndpoint("10.0.0.2:1", 4),
+    createEndpoint("10.0.0.3:1", 6),
   ];
   expect(call(older, newer)).toBe(true);
   call(newer, older);
@@ -63,8 +63,8 @@
 });
 
 test("the connection of a peer that sends no valid frame is closed, and others are still served", () => {
-  const { time, network, endpointAt, call } = stage();
-  const [one, two] = [endpointAt("10.0.0.1:1", 1), endpointAt("10.0.0.2:1", 1)];
+  const { time, network, createEndpoint, call } = createFixture();
+  const [one, two] = [createEndpoint("10.0.0.1:1", 1), createEndpoint("10.0.0.2:1", 1)];
   const received: string[] = [];
   runTask(
     (function* () {
@@ -84,9 +84,9 @@
 });
 
 test("a peer that refuses connections is unreachable, one that responds late is not", () => {
-  const { time, endpointAt, call } = stage();
-  const endpoint = endpointAt("10.0.0.1:1", 3);
-  const slow = endpointAt("10.0.0.2:1", 3);
+  const { time, createEndpoint, call } = createFixture();
+  const endpoint = createEndpoint("10.0.0.1:1", 3);
+  const slow = createEndpoint("10.0.0.2:1", 3);
   slow.serve(rpcMethods.handOver, function* () {
     yield* sleep(time.clock(), 700);
     return { taken: true };
@@ -102,9 +102,9 @@
 });
 
 test("a peer that was idle for long and then responds late is not unreachable", () => {
-  const { time, endpointAt, call } = stage();
-  const endpoint = endpointAt("10.0.0.1:1", 3);
-  const slow = endpointAt("10.0.0.2:1", 3);
+  const { time, createEndpoint, call } = createFixture();
+  const endpoint = createEndpoint("10.0.0.1:1", 3);
+  const slow = createEndpoint("10.0.0.2:1", 3);
   expect(call(endpoint, slow)).toBe(true);
   slow.serve(rpcMethods.handOver, function* () {
     yield* sleep(time.clock(), 600);
@@ -118,8 +118,8 @@
 });
 
 test("a peer that sends nothing for a second while requests are pending is unreachable until it sends something", () => {
-  const { time, network, endpointAt, call } = stage();
-  const [endpoint, peer] = [endpointAt("10.0.0.1:1", 3), endpointAt("10.0.0.2:1", 3)];
+  const { time, network, createEndpoint, call } = createFixture();
+  const [endpoint, peer] = [createEndpoint("10.0.0.1:1", 3), createEndpoint("10.0.0.2:1", 3)];
   expect(call(endpoint, peer)).toBe(true);
   const sinceMs = time.nowMs();
   const directions = [
--- a/test/runtime/fast-validator.test.ts
+++ b/test/runtime/fast-validator.test.ts
@@ -25,7 +25,7 @@
   named: record(string(), number()),
 });
 
-const good = {
+const validValue = {
   kind: "one",
   text: "",
   many: [{ at: 1, any: null }],
@@ -36,32 +36,32 @@
 
 test("a valid value is returned as it is; an invalid one is refused with the message of the library", () => {
   const read = fastValidator(shape);
-  expect(read(good)).toBe(good);
-  expect(read({ ...good, flag: true, either: { no: "x" } })).toMatchObject({ flag: true });
-  const bad: unknown[] = [
+  expect(read(validValue)).toBe(validValue);
+  expect(read({ ...validValue, flag: true, either: { no: "x" } })).toMatchObject({ flag: true });
+  const invalidValues: unknown[] = [
     undefined,
     null,
     7,
     [],
     {},
-    { ...good, kind: "two" },
-    { ...good, text: 1 },
-    { ...good, flag: 1 },
-    { ...good, flag: null },
-    { ...good, many: {} },
-    { ...good, many: [{ at: "1", any: 1 }] },
-    { ...good, many: [{ at: 1, any: 1, more: 1 }] },
-    { ...good, open: { inner: "2" } },
-    { ...good, either: false },
-    { ...good, named: { a: "1" } },
-    { ...good, more: 1 },
-    { ...good, text: undefined },
-    Object.fromEntries(Object.entries(good).filter(([name]) => name !== "named")),
+    { ...validValue, kind: "two" },
+    { ...validValue, text: 1 },
+    { ...validValue, flag: 1 },
+    { ...validValue, flag: null },
+    { ...validValue, many: {} },
+    { ...validValue, many: [{ at: "1", any: 1 }] },
+    { ...validValue, many: [{ at: 1, any: 1, more: 1 }] },
+    { ...validValue, open: { inner: "2" } },
+    { ...validValue, either: false },
+    { ...validValue, named: { a: "1" } },
+    { ...validValue, more: 1 },
+    { ...validValue, text: undefined },
+    Object.fromEntries(Object.entries(validValue).filter(([name]) => name !== "named")),
   ];
-  for (const value of bad) {
-    const messageOf = (take: () => unknown): string => {
+  for (const value of invalidValues) {
+    const messageOf = (validate: () => unknown): string => {
       try {
-        take();
+        validate();
         return "accepted";
       } catch (error) {
         return error instanceof Error ? error.message : "";
--- a/test/runtime/link-pacer.test.ts
+++ b/test/runtime/link-pacer.test.ts
@@ -11,7 +11,7 @@
 const linkMbps = 3.2;
 const usableBytesPerMs = 360;
 
-const stage = (rate: number | undefined = linkMbps) => {
+const createFixture = (rate: number | undefined = linkMbps) => {
   const time = new VirtualClock();
   const pacer = new LinkPacer(time.clock(), rate);
   const written: Array<{ name: string; atMs: number; bytes: number }> = [];
@@ -35,7 +35,7 @@
 };
 
 test("small messages never wait behind more than some tens of milliseconds of bulk, which uses the full rate of the link", () => {
-  const { time, pacer, written, transfer } = stage();
+  const { time, pacer, written, transfer } = createFixture();
   for (let one = 0; one < 10; one += 1)
     transfer(`download ${one}`, 300_000, { transferClass: "response", dueMs: 60_000 });
   for (let atMs = 1; atMs <= 2000; atMs += 1) {
@@ -48,7 +48,7 @@
 });
 
 test("small messages count: bulk waits until they have left", () => {
-  const { time, pacer, written, transfer } = stage();
+  const { time, pacer, written, transfer } = createFixture();
   pacer.recordBytes(usableBytesPerMs * 100);
   expect(pacer.queueMs).toBeCloseTo(100, 0);
   transfer("download", 1000, { transferClass: "response", dueMs: 1000 });
@@ -59,7 +59,7 @@
 });
 
 test("transfers of one deadline alternate, an earlier one goes first, control precedes responses, and late responses go last", () => {
-  const { time, transfer, endOf } = stage();
+  const { time, transfer, endOf } = createFixture();
   transfer("late", 50_000, { transferClass: "response", dueMs: -1 });
   transfer("one", 100_000, { transferClass: "response", dueMs: 3000 });
   transfer("other", 100_000, { transferClass: "response", dueMs: 3000 });
@@ -73,7 +73,7 @@
 });
 
 test("the estimated wait covers what is queued and what is yet to be written, without ended transfers", () => {
-  const { time, pacer } = stage();
+  const { time, pacer } = createFixture();
   const one = pacer.begin({ transferClass: "response", dueMs: 1000 }, usableBytesPerMs * 500);
   expect(pacer.estimateWaitMs(usableBytesPerMs * 100)).toBeCloseTo(600, 0);
   one.onTurn(usableBytesPerMs * 10, () => undefined);
@@ -85,7 +85,7 @@
 });
 
 test("a cancelled turn is not granted", () => {
-  const { time, pacer, written, transfer } = stage();
+  const { time, pacer, written, transfer } = createFixture();
   pacer.recordBytes(usableBytesPerMs * 100);
   const one = pacer.begin({ transferClass: "control", dueMs: 0 });
   const given: string[] = [];
@@ -97,7 +97,7 @@
 });
 
 test("without a known rate nothing is delayed", () => {
-  const { pacer, written, transfer } = stage(0);
+  const { pacer, written, transfer } = createFixture(0);
   pacer.recordBytes(10 ** 9);
   transfer("download", 10 ** 8, { transferClass: "response", dueMs: 0 });
   expect(written).toHaveLength(1);
