--- a/src/cluster-view/active-route.ts
+++ b/src/cluster-view/active-route.ts
@@ -1,30 +1,30 @@
-/** A route in the form in which requests are served by it, with all defaults filled in. */
+/** A configured route with all defaults filled in, in the form that the proxy uses to serve requests. */
 import type { Config } from "../configuration/config.js";
 
 type Route = Config["routes"][string];
 
-/** How long requests of a route may take, how often they may be sent, and their priority. */
+/** Timeout, latency target, number of attempts and priority of a route's requests. */
 export interface RouteTargets {
-  /** The largest number of backends that one request may be sent to. */
+  /** Maximum number of attempts of one request, including the first. */
   readonly attempts: number;
-  /** One less than `attempts`. */
+  /** Maximum number of retries: `attempts` - 1. */
   readonly maxRetries: number;
-  /** How long a request may take before it is answered with a timeout. */
+  /** Time limit of a request, in ms; after it the proxy responds with a timeout. */
   readonly timeoutMs: number;
-  /** The latency target, by which the load balancer judges backends. */
+  /** Latency target against which the load balancer measures backends, in ms. */
   readonly latencyTargetMs: number;
-  /** The priority of its requests, 0 the highest. */
+  /** Priority of the route's requests; 0 is the highest. */
   readonly priority: number;
 }
 
-/** A route of the configuration in force, prepared for serving. */
+/** A route of the active configuration. */
 export interface ActiveRoute extends RouteTargets {
   readonly name: string;
-  /** The host in lower case, or undefined for any. */
+  /** Host in lower case; `undefined` matches any host. */
   readonly host: string | undefined;
-  /** The services that serve its requests, with their weights. */
+  /** Services that receive the route's requests, with their weights. */
   readonly splits: ReadonlyArray<{ readonly service: string; readonly weight: number }>;
-  /** The first of its services. */
+  /** The first service of `splits`. */
   readonly service: string;
   readonly methods: ReadonlySet<string> | undefined;
   readonly path: string;
@@ -34,10 +34,10 @@
   readonly repeatable: boolean;
   readonly keyed: boolean;
   readonly stampHeader: string;
-  /** How many requests a daemon may have in flight at one backend. */
+  /** Maximum number of requests that one daemon has in flight at one backend. */
   readonly maxInFlight: number;
-  /** Chooses a service by weight; `draw` is a random number from 0 up to, but not including, 1. */
+  /** Chooses a service by weight; `draw` is a random number in [0, 1). */
   chooseService(draw: number): string;
-  /** Whether the route sends requests to a service. */
+  /** Whether the route sends requests to a service, with a weight above 0. */
   routesTo(service: string): boolean;
 }
--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -1,4 +1,4 @@
-/** What a daemon knows of the cluster: configuration, endpoints and control plane, and its lease to serve by them. */
+/** A daemon's view of the cluster: the active configuration, the registered endpoints, the control plane's members and the serving lease. */
 import { EMPTY_CONFIG } from "../configuration/config.js";
 import {
   type WatchRequest,
@@ -31,7 +31,7 @@
 const isSamePlacement = (a: EdgePlacement | undefined, b: EdgePlacement): boolean =>
   a?.count === b.count && a.zoneIndex === b.zoneIndex && a.zoneCount === b.zoneCount;
 
-/** A daemon's view of the cluster, brought up to date by watch requests to the leader. */
+/** A daemon's view of the cluster, which watch requests to the leader keep up to date. */
 export class ClusterView {
   private readonly forwarder: CommandForwarder;
   private readonly machine: () => DaemonInfo;
@@ -45,26 +45,27 @@
   private readonly heartbeats = new HeartbeatTracker();
   private readonly config = new ConfigReplica();
   private readonly retryCapacities: RetryCapacityReplica;
-  /** Names of services and routes by their numbers, also of those that are no longer in force. */
+  /** Names of services and routes by number, including those that are no longer configured. */
   private readonly names = new Map<number, string>();
   private lastSentMs = -Infinity;
   private membersDigest = "";
   private placement: EdgePlacement | undefined;
-  /** Called with all registrations whenever they have changed. */
+  /** Called with all registrations after each change. */
   onEndpoints: (registrations: readonly Registration[]) => void = () => undefined;
-  /** Called when there is a lease and a configuration to serve by, where one was missing. */
+  /** Called when the daemon becomes able to serve: it holds a lease and has a configuration. */
   onLease: () => void = () => undefined;
-  /** Called with this edge's placement among all edges whenever it has changed. */
+  /** Called with this edge's placement among all edges after each change. */
   onPlacement: (placement: EdgePlacement) => void = () => undefined;
-  /** Called with the routes of each configuration that comes into force here. */
+  /** Called with the routes of each configuration that becomes active on this daemon. */
   onConfig: (routeTable: RouteTable) => void = () => undefined;
-  /** The routes of the configuration in force. */
+  /** Routes of the active configuration. */
   routeTable = new RouteTable(EMPTY_CONFIG);
   collectors: ControlPlanePeers["collectors"] = [];
-  /** Admin addresses of members of the replicated log that don't lead. */
+  /** Admin addresses of the members of the replicated log, without the leader's. */
   memberAdminAddresses: readonly string[] = [];
-  /** How many watch requests were sent, and how many responses renewed the lease. */
+  /** Number of watch requests sent. */
   watchRequests = 0;
+  /** Number of watch responses that renewed the lease. */
   leaseRenewals = 0;
 
   constructor(
@@ -87,17 +88,17 @@
     budget.onNearlyExhausted = () => this.watchLoop.expedite();
   }
 
-  /** Whether this daemon may serve now: its view is proven recent. */
+  /** Whether the daemon holds its serving lease, which proves that its view is recent. */
   get holdsLease(): boolean {
     return this.lease.isHeld;
   }
 
-  /** The newest change of the endpoints that is known here. */
+  /** Sequence of the newest endpoint change in this view. */
   get endpointsSequence(): number {
     return this.endpoints.sequence;
   }
 
-  /** The sequence of the configuration that is in force here; 0 for none yet. */
+  /** Sequence of the active configuration; 0 before the first is received. */
   get configSequence(): number {
     return this.config.sequence;
   }
@@ -106,37 +107,40 @@
     return this.holdsLease && this.configSequence > 0;
   }
 
-  /** Milliseconds since the lease to serve ended; 0 while it is in force. */
+  /** Milliseconds since the serving lease expired; 0 while it is held. */
   get expiredForMs(): number {
     return this.lease.expiredForMs;
   }
 
-  /** Milliseconds until the lease to serve ends; negative once it has. */
+  /** Milliseconds until the serving lease expires; negative after that. */
   get leaseRemainingMs(): number {
     return this.lease.remainingMs;
   }
 
-  /** The registered backends of a service that aren't leaving. */
+  /** Active backends of a service: registered, not leaving, and without a refused connection. */
   backendsOf(service: string): readonly Registration[] {
     return this.index.backendsOf(service);
   }
 
-  /** Whether a registration is still in force, as far as is known here. */
+  /** Whether a registration is active in this view. */
   isRegistered(registration: Registration): boolean {
     return this.index.isActive(registration.number);
   }
 
-  /** The registration of an instance, which may be leaving. */
+  /** The registration of an instance, even if it is leaving. */
   registrationOf(instance: string): Registration | undefined {
     return this.index.findByInstance(instance);
   }
 
-  /** Names of the services that have registered backends. */
+  /** Names of the services that have active backends. */
   get services(): string[] {
     return this.index.services;
   }
 
-  /** The response to a heartbeat that changes nothing, which the next watch request reports; `undefined` where the leader has to decide. */
+  /**
+   * The response to a heartbeat that changes nothing in the registration, or `undefined` if the leader has to decide. The next watch
+   * request reports the accepted heartbeat to the leader.
+   */
   acceptHeartbeat(heartbeat: BackendHeartbeat): KnownRegistration | undefined {
     const registration = this.index.findByAddress(heartbeat.address);
     return this.heartbeats.accept(heartbeat, {
@@ -146,22 +150,22 @@
     });
   }
 
-  /** The number that the replicated log assigned to a service or a route. */
+  /** The number that the replicated log assigned to a service or route. */
   idOf(kind: "service" | "route", name: string): number | undefined {
     return this.config.numbers.get(`${kind} ${name}`);
   }
 
-  /** The name behind a number, also for a while after it went out of force. */
+  /** The name of a service or route by its number; it remains known after its removal from the configuration. */
   nameOf(number: number): string | undefined {
     return this.names.get(number);
   }
 
-  /** Notes that a registration's address refused a connection; the next watch request reports it. */
+  /** Marks a registration whose address refused a connection as inactive; the next watch request reports it. */
   markRefused(registration: Registration): void {
     if (this.index.markRefused(registration)) this.rebuildIndex();
   }
 
-  /** Sends watch requests for as long as the daemon runs; one without a response within `waitMs` is sent again. */
+  /** Sends a watch request every `intervalMs` while the daemon runs; without a response within `timeoutMs`, sends another one. */
   run(intervalMs: number, timeoutMs = DEFAULT_WATCH_TIMEOUT_MS): Task {
     return this.watchLoop.run(intervalMs, timeoutMs);
   }
@@ -194,7 +198,7 @@
     };
   }
 
-  /** Takes a response, which may come after its request's timeout: the lease counts from when the request was sent. */
+  /** Handles a response, even after its request's timeout: the lease starts when the request was sent, so a late response is safe. */
   private receive(
     response: string,
     sentMs: number,
@@ -224,7 +228,7 @@
     this.heartbeats.intervalMs = view.announceMs ?? this.heartbeats.intervalMs;
     if (view.members) this.applyMembers(view.members);
     if (view.place) this.applyPlacement(view.place);
-    // The leader takes a later request as proof that the capacities in responses to earlier ones weren't taken.
+    // A later request proves to the leader that this daemon didn't adopt the capacities of responses to earlier ones.
     if (sentMs === this.lastSentMs) this.retryCapacities.apply(view, this.clock.nowMs());
     this.lease.extend(sentMs + view.grantMs);
     if (!this.holdsLease) return;
@@ -234,7 +238,7 @@
       this.log.info("lease acquired", { sequence: view.configSequence });
   }
 
-  /** Brings the replicas up to a view; returns whether they are what the leader has. */
+  /** Applies a view to the replicas; returns whether they are identical to the leader's. */
   private applyReplicas(view: LeasedView): boolean {
     const directory = this.stepTimer.run("copyDirectory", () => this.endpoints.apply(view));
     const config = this.stepTimer.run("copyConfig", () => this.config.apply(view));
@@ -287,6 +291,6 @@
   }
 }
 
-/** The name of the connection pool of one registration. */
+/** Key of a registration's connection pool. */
 export const connectionPoolKey = (registration: Registration): string =>
   `${registration.address} ${registration.number}`;
--- a/src/cluster-view/command-forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -1,4 +1,4 @@
-/** The way of commands and watch requests from any daemon to the leader. */
+/** Forwarding of commands and watch requests from any daemon to the leader. */
 import { rpcMethods } from "../rpc/rpc-method.js";
 import type { DecodedMessage, LateResponse, RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import { sleep } from "../runtime/clock.js";
@@ -16,24 +16,25 @@
 type LeaderRequest = DecodedMessage<typeof rpcMethods.command.request>;
 type LeaderResponse = DecodedMessage<typeof rpcMethods.command.response>;
 
-/** What a voter or learner knows of the leadership: whether it leads itself, and who leads otherwise. */
+/** Leadership state of a member of the replicated log. */
 export interface LeadershipSource {
+  /** Whether this member is the leader. */
   readonly leads: boolean;
-  /** Address of the leader; empty where none is known. */
+  /** Address of the leader; empty if unknown. */
   readonly leader: string;
 }
 
-/** How long one attempt waits for its response, besides what its bytes take. */
+/** Timeout of one attempt, without the transmission time of its bytes. */
 const ATTEMPT_TIMEOUT_MS = 700;
-/** How many bytes of a command even a slow link takes in a millisecond. */
+/** Assumed transmission rate of a slow link. */
 const SLOW_LINK_BYTES_PER_MS = 100;
-/** How long a peer that isn't known to lead may take, before another is tried. */
+/** Timeout of an attempt at a peer that is not known to be the leader. */
 const UNCONFIRMED_TIMEOUT_MS = 200;
-/** How long a peer that didn't respond is tried only after the others. */
+/** How long a peer that didn't respond is tried only after all others. */
 const UNRESPONSIVE_MS = 3000;
-/** How often a peer that forwards to the leader checks whether another one leads by now. */
+/** How often a member that forwards a request checks whether the leader has changed. */
 const LEADER_CHECK_INTERVAL_MS = 20;
-/** How long a command pauses between attempts, at most. */
+/** Maximum pause between two attempts of a command. */
 const RETRY_PAUSE_MS = 40;
 const NOT_LEADER = failureResponse("notLeader");
 
@@ -46,40 +47,40 @@
   return isFailureResponse(text) ? "failed" : "answered";
 };
 
-/** One attempt to bring a command to the leader, as it is reported to operators. */
+/** One attempt to send a command to the leader, in the form that is logged. */
 export interface ForwardAttempt {
   readonly peer: string;
   readonly ending: "answered" | "silent" | "notLeader" | "failed";
   readonly tookMs: number;
 }
 
-/** Where the next attempt goes. */
+/** Target of the next attempt. */
 interface Hop {
   readonly peer: string;
-  /** Whether the peer is to forward it to a leader that isn't reached from here. */
+  /** Whether the peer has to forward the request, since this daemon can't reach the leader. */
   readonly isRelay: boolean;
 }
 
-/** What follows upon an attempt: another one, or the end with or without a response. */
+/** Result of an attempt: the next hop, or the end with or without a response. */
 type NextStep = { readonly hop: Hop } | { readonly ended: string | undefined };
 
 const GIVE_UP: NextStep = { ended: undefined };
 
-/** Brings commands and watch requests to the leader, through any daemon. */
+/** Sends commands and watch requests to the leader, directly or through another daemon. */
 export class CommandForwarder {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
   private readonly contacts: () => readonly string[];
   private knownMembers: readonly string[] = [];
   private isMember = false;
-  /** Peers that didn't respond, and until when others are tried before them. */
+  /** Peers that didn't respond, with the time until which others are tried before them. */
   private readonly unresponsiveUntilMs = new Map<string, number>();
-  /** The peer that forwards to a leader that isn't reached from here; empty for none. */
+  /** The peer that forwards requests to a leader which this daemon can't reach; empty for none. */
   private relay = "";
-  /** The leader as last known; empty for none. */
+  /** Address of the last known leader; empty if unknown. */
   leader = "";
 
-  /** Finds the leader through members of the replicated log that are known, or through any daemons that `contacts` names. */
+  /** Looks for the leader among the known members of the replicated log, then among the daemons that `contacts` returns. */
   constructor(runtime: Runtime, rpc: RpcEndpoint, contacts: () => readonly string[]) {
     this.runtime = runtime;
     this.rpc = rpc;
@@ -91,12 +92,12 @@
     this.knownMembers = members;
   }
 
-  /** The members of the replicated log as last known. */
+  /** The last known members of the replicated log. */
   get members(): readonly string[] {
     return this.knownMembers;
   }
 
-  /** Serves both methods at a daemon that is no member: it responds with the leader as far as it is known here. */
+  /** Serves both methods at a daemon that is not a member: responds with the last known leader. */
   serveLeaderHints(): void {
     const response = (): LeaderResponse => ({ leader: this.leader, text: NOT_LEADER });
     for (const method of [rpcMethods.command, rpcMethods.watch])
@@ -105,7 +106,7 @@
       });
   }
 
-  /** Serves a method at a member: handled here if it leads, else forwarded once. */
+  /** Serves a method at a member: handles the request if this member leads, otherwise forwards it once to the leader. */
   serve(
     method: ForwardedMethod,
     leadership: LeadershipSource,
@@ -126,7 +127,7 @@
     });
   }
 
-  /** Sends a request to the leader on another daemon's behalf; `undefined` once another one turns out to lead. */
+  /** Forwards another daemon's request to the leader; returns `undefined` as soon as the leader has changed. */
   private *forwardToLeader(
     method: ForwardedMethod,
     leader: string,
@@ -155,8 +156,8 @@
   }
 
   /**
-   * Sends a request to the leader: by the way that last worked, then by others, until one responds or `waitMs` are over. With
-   * `late`, a response of the leader after that is passed on too. `attempts` is called after each attempt.
+   * Sends a request to the leader: first over the path that last succeeded, then over others, until one responds or `waitMs` have
+   * passed. `late` receives a response of the leader that arrives after that. `onAttempt` is called after each attempt.
    */
   *forward(
     method: ForwardedMethod,
@@ -202,7 +203,7 @@
     };
   }
 
-  /** A leader that is merely slow isn't tried again; otherwise the way is forgotten and another peer is tried. */
+  /** Gives up if the leader is only slow, i.e. has sent something since the request; otherwise discards the path and tries another peer. */
   private afterTimeout(
     { peer, isRelay }: Hop,
     isLeader: boolean,
@@ -238,7 +239,7 @@
     return { hop: { peer: namedLeader, isRelay: false } };
   }
 
-  /** Takes a response after its timeout: that of the leader, or only who leads. */
+  /** Handles a response that arrives after its timeout: adopts the leader that it names, and passes on the response if it is not a failure. */
   private createLateHandler(
     peer: string,
     late: LateResponse<string>,
@@ -261,7 +262,7 @@
     return (this.unresponsiveUntilMs.get(peer) ?? -Infinity) > this.runtime.clock.nowMs();
   }
 
-  /** A random peer to try where the leader isn't known: members before others, unresponsive ones last; empty for none. */
+  /** A random peer to try if the leader is unknown: members first, unresponsive peers last; empty if none is left. */
   private nextPeer(tried: ReadonlySet<string>): string {
     const isUntried = (peer: string): boolean =>
       !tried.has(peer) && (this.isMember || peer !== this.rpc.self);
@@ -278,7 +279,7 @@
     return pool[Math.floor(this.runtime.random() * pool.length)] ?? "";
   }
 
-  /** Has a command carried out. It is safe to repeat, so it is sent until `waitMs` are over; `undefined` where its outcome is unknown. */
+  /** Executes a command at the leader. Commands are safe to repeat, so it is retried until `waitMs` have passed; `undefined` if its outcome is unknown. */
   *command(
     command: Command,
     waitMs: number,
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -1,4 +1,4 @@
-/** A daemon's replica of the configuration, and the digest by which it is compared with the leader's. */
+/** A daemon's replica of the active configuration, verified by the leader's digest. */
 import { TextCompression } from "../runtime/text-compression.js";
 import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
 import { ConfigReader } from "../configuration/config-validation.js";
@@ -17,7 +17,7 @@
     ? section
     : Object.fromEntries(Object.entries(section).filter(([name]) => !names.has(name)));
 
-/** The names of a section's items among some keys. */
+/** Names of the items of one section among item keys. */
 const namesIn = (section: ConfigSection, keys: readonly string[]): ReadonlySet<string> =>
   new Set(
     keys
@@ -26,11 +26,11 @@
       .map((item) => item?.name ?? ""),
   );
 
-/** The full configuration that a view carries, if it carries one. */
+/** JSON text of the full configuration in a view; `undefined` if the view has none. */
 const fullConfigText = ({ config, packedConfig }: LeasedView): string | undefined =>
   config ?? (packedConfig === undefined ? undefined : TextCompression.decompress(packedConfig));
 
-/** A configuration after the items of an update were put and removed. */
+/** The configuration that results from applying an update's put and removed items. */
 const updatedConfig = (config: Config, { put, removed }: ConfigUpdate): Config => {
   const remainingLimits = removed.includes(ConfigItems.limitsKey) ? undefined : config.limits;
   const limits = put.limits ?? remainingLimits;
@@ -42,33 +42,33 @@
   };
 };
 
-/** A daemon's replica of the configuration in force: replaced in full or updated by items, and compared with the leader's digest. */
+/** A daemon's replica of the active configuration: replaced in full or updated by items, then verified by the leader's digest. */
 export class ConfigReplica {
   private readonly reader = new ConfigReader();
   private current: NumberedConfig = { config: EMPTY_CONFIG, numbers: new Map() };
   private hashes = new Map<string, bigint>();
   private setDigest = new SetDigest();
-  /** Whether the replica is what the leader had at its sequence, as far as is known. */
+  /** Whether the replica matches the leader's state at the same sequence, as far as known. */
   isConsistent = true;
-  /** The sequence of the configuration; 0 for none yet. */
+  /** Sequence of the configuration; 0 before the first is received. */
   sequence = 0;
 
-  /** The sequence to request changes from; 0 requests a full copy, also where the replica was found to differ. */
+  /** Sequence from which to request changes; 0 requests a full copy, also for an inconsistent replica. */
   get knownSequence(): number {
     return this.isConsistent ? this.sequence : 0;
   }
 
-  /** The configuration; empty until the first was received. */
+  /** The configuration; empty before the first is received. */
   get config(): Config {
     return this.current.config;
   }
 
-  /** The numbers of services and routes. */
+  /** Numbers of services and routes, by key. */
   get numbers(): ReadonlyMap<string, number> {
     return this.current.numbers;
   }
 
-  /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
+  /** Applies a view. Unless the outcome is `same` or `changed`, the daemon must not serve requests by this view. */
   apply(view: LeasedView): ReplicaUpdate {
     const text = fullConfigText(view);
     if (text !== undefined) {
--- a/src/cluster-view/endpoint-index.ts
+++ b/src/cluster-view/endpoint-index.ts
@@ -1,16 +1,16 @@
-/** Look-ups over the registrations that a daemon knows, and the addresses at which it was refused a connection. */
+/** Lookup of a daemon's known registrations, and the registrations whose address refused a connection. */
 import type { Registration } from "../state/registration.js";
 
-/** The registrations of all services by service, address and instance. */
+/** Index of all registrations by service, address and instance. */
 export class EndpointIndex {
   private byService = new Map<string, Registration[]>();
   private byAddress = new Map<string, Registration>();
   private byInstance = new Map<string, Registration>();
-  /** The numbers of registrations that are neither leaving nor refused. */
+  /** Numbers of the active registrations: neither leaving nor refused. */
   private activeNumbers = new Set<number>();
   private refusedRegistrations: Registration[] = [];
 
-  /** Names of the services that have an active registration. */
+  /** Names of the services with an active registration. */
   get services(): string[] {
     return [...this.byService.keys()];
   }
@@ -30,17 +30,17 @@
     return this.byAddress.get(address);
   }
 
-  /** The registration of an instance, which may be leaving. */
+  /** The registration of an instance, even if it is leaving. */
   findByInstance(instance: string): Registration | undefined {
     return this.byInstance.get(instance);
   }
 
-  /** Whether a registration is in force: known, not leaving and not refused. */
+  /** Whether a registration is active: known, not leaving and not refused. */
   isActive(registrationNumber: number): boolean {
     return this.activeNumbers.has(registrationNumber);
   }
 
-  /** Notes that an address refused a connection; false if that was known. The index has to be rebuilt afterwards. */
+  /** Marks a registration whose address refused a connection; false if it was marked before. Call `rebuild` afterwards. */
   markRefused(registration: Registration): boolean {
     if (this.refusedRegistrations.some(({ number }) => number === registration.number))
       return false;
@@ -48,7 +48,7 @@
     return true;
   }
 
-  /** Forgets refusals of registrations that are no longer among these. */
+  /** Drops refusals of registrations that are not in this list. */
   retainRefused(registrations: readonly Registration[]): void {
     const numbers = new Set(registrations.map(({ number }) => number));
     this.refusedRegistrations = this.refusedRegistrations.filter(({ number }) =>
@@ -56,7 +56,7 @@
     );
   }
 
-  /** Builds all look-ups anew. */
+  /** Rebuilds the index. */
   rebuild(registrations: readonly Registration[]): void {
     const refused = new Set(this.refusedRegistrations.map(({ number }) => number));
     this.byService = new Map();
--- a/src/cluster-view/endpoint-replica.ts
+++ b/src/cluster-view/endpoint-replica.ts
@@ -1,10 +1,10 @@
-/** A daemon's replica of all registrations, and the digest by which it is compared with the leader's. */
+/** A daemon's replica of all registrations, verified by the leader's digest. */
 import type { Registration } from "../state/registration.js";
 import { classifyUpdate, type ReplicaUpdate } from "./replica-update.js";
 import type { LeasedView } from "../control-protocol/leased-view.js";
 import { itemHash, SetDigest } from "../configuration/set-digest.js";
 
-/** The hash of a registration: over its number and all of its state. */
+/** Hash of a registration, over its number and its full state. */
 export const registrationHash = (registration: Registration): bigint =>
   itemHash(
     JSON.stringify([
@@ -28,26 +28,26 @@
   "directory" | "directoryChanges" | "directoryDigest" | "directorySequence"
 >;
 
-/** A daemon's replica of the registrations: replaced in full or updated by changes, and compared with the leader's digest. */
+/** A daemon's replica of the registrations: replaced in full or updated by changes, then verified by the leader's digest. */
 export class EndpointReplica {
   private byAddress = new Map<string, Registration>();
   private setDigest = new SetDigest();
-  /** The sequence of the newest change that was applied here; -1 for none. */
+  /** Sequence of the newest applied change; -1 for none. */
   sequence = -1;
-  /** Whether the replica is what the leader had at its sequence, as far as is known. */
+  /** Whether the replica matches the leader's state at the same sequence, as far as known. */
   isConsistent = true;
 
-  /** The sequence to request changes from; -1 requests a full copy, also where the replica was found to differ. */
+  /** Sequence from which to request changes; -1 requests a full copy, also for an inconsistent replica. */
   get knownSequence(): number {
     return this.isConsistent ? this.sequence : -1;
   }
 
-  /** All registrations, also those that are leaving. */
+  /** All registrations, including leaving ones. */
   get registrations(): readonly Registration[] {
     return [...this.byAddress.values()];
   }
 
-  /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
+  /** Applies a view. Unless the outcome is `same` or `changed`, the daemon must not serve requests by this view. */
   apply(view: EndpointsOfView): ReplicaUpdate {
     if (view.directory) {
       this.replaceAll(view.directory);
--- a/src/cluster-view/heartbeat-tracker.ts
+++ b/src/cluster-view/heartbeat-tracker.ts
@@ -1,40 +1,40 @@
-/** Heartbeats of backends that a daemon accepts without the leader, and reports to it with the next watch request. */
+/** Backend heartbeats that a daemon accepts without the leader and reports with its next watch request. */
 import type { Command } from "../control-protocol/command.js";
 import type { Registration } from "../state/registration.js";
 
-/** How old an accepted heartbeat may be and still be reported. */
+/** Maximum age of an accepted heartbeat that is reported to the leader. */
 const REPORTABLE_AGE_MS = 2000;
-/** How many instances' newest orders are retained beyond the number of registrations. */
+/** Number of instances beyond the number of registrations whose newest heartbeat order is retained. */
 const MAX_UNREGISTERED_INSTANCES = 1000;
-/** How often backends send heartbeats until the leader has said otherwise. */
+/** Heartbeat interval of backends until the leader sends another one. */
 const DEFAULT_HEARTBEAT_INTERVAL_MS = 1000;
 
-/** What a backend sends in a heartbeat. */
+/** Content of a backend's heartbeat. */
 export type BackendHeartbeat = Omit<Extract<Command, { kind: "announce" }>, "kind" | "seen">;
 
-/** A daemon's response to a heartbeat that needs no leader, as it is sent to the backend. */
+/** Response that a daemon sends to a backend without asking the leader; its field names are part of the admin API. */
 export interface KnownRegistration {
   contract: number;
   state: "known" | "overtaken";
   announceMs: number;
 }
 
-/** A heartbeat that was accepted here: its order among those of its instance, and when it came. */
+/** An accepted heartbeat: its order among its instance's heartbeats, and the time of its receipt. */
 export interface AcceptedHeartbeat {
   readonly order: number;
   readonly atMs: number;
 }
 
-/** What a heartbeat is compared with. */
+/** State against which a heartbeat is checked. */
 export interface HeartbeatContext {
-  /** The registration at the heartbeat's address. */
+  /** Registration at the heartbeat's address. */
   readonly registration: Registration | undefined;
-  /** Whether the daemon holds its lease and the registration is in force. */
+  /** Whether the daemon holds its lease and the registration is active. */
   readonly mayAccept: boolean;
   readonly nowMs: number;
 }
 
-/** The registration, if it is that of the backend that sent the heartbeat. */
+/** The registration if it belongs to the backend that sent the heartbeat, otherwise `undefined`. */
 const registrationOf = (
   { instance = "", service }: BackendHeartbeat,
   registration: Registration | undefined,
@@ -46,16 +46,16 @@
 const isUnchanged = (registration: Registration, heartbeat: BackendHeartbeat): boolean =>
   registration.zone === heartbeat.zone && registration.capacity === (heartbeat.capacity ?? 0);
 
-/** Accepts heartbeats that change nothing, and retains them until the leader knows of them. */
+/** Accepts heartbeats that change nothing, and retains them until they are reported to the leader. */
 export class HeartbeatTracker {
-  /** Accepted heartbeats that the leader doesn't know of yet, by registration number. */
+  /** Accepted heartbeats that are not yet reported to the leader, by registration number. */
   private readonly unreported = new Map<number, AcceptedHeartbeat>();
-  /** The newest order that was seen of each instance. */
+  /** Newest heartbeat order received from each instance. */
   private readonly newestOrders = new Map<string, number>();
-  /** How often backends are asked to send heartbeats. */
+  /** Heartbeat interval that responses request from backends. */
   intervalMs = DEFAULT_HEARTBEAT_INTERVAL_MS;
 
-  /** The response to a heartbeat that changes nothing or is out of date; `undefined` where the leader has to decide. */
+  /** The response to a heartbeat that changes nothing or is outdated; `undefined` if the leader has to decide. */
   accept(heartbeat: BackendHeartbeat, context: HeartbeatContext): KnownRegistration | undefined {
     if (heartbeat.draining === true) return undefined;
     const { mayAccept, nowMs } = context;
@@ -71,31 +71,31 @@
     return this.response("known", number);
   }
 
-  /** Forgets heartbeats that are too old to be reported. */
+  /** Drops heartbeats that are too old to be reported. */
   expire(nowMs: number): void {
     for (const [number, { atMs }] of this.unreported)
       if (nowMs - atMs > REPORTABLE_AGE_MS) this.unreported.delete(number);
   }
 
-  /** The heartbeats to report, by registration number. */
+  /** Heartbeats to report, by registration number. */
   snapshot(): ReadonlyMap<number, AcceptedHeartbeat> {
     return new Map(this.unreported);
   }
 
-  /** Forgets heartbeats that were reported, except where a newer one has come since. */
+  /** Drops reported heartbeats, unless a newer one replaced them meanwhile. */
   acknowledge(reported: ReadonlyMap<number, AcceptedHeartbeat>): void {
     for (const [number, heartbeat] of reported)
       if (this.unreported.get(number) === heartbeat) this.unreported.delete(number);
   }
 
-  /** Bounds the retained orders: those of instances without a registration go once there are too many. */
+  /** Bounds the number of retained orders: drops those of unregistered instances once there are too many. */
   limitOrders(registrationCount: number, isRegistered: (instance: string) => boolean): void {
     if (this.newestOrders.size <= registrationCount + MAX_UNREGISTERED_INSTANCES) return;
     for (const instance of this.newestOrders.keys())
       if (!isRegistered(instance)) this.newestOrders.delete(instance);
   }
 
-  /** Whether a newer heartbeat of the same instance came before; otherwise this one is now its newest. */
+  /** Whether a newer heartbeat of the same instance was received earlier; if not, records this one as the newest. */
   private isOutOfOrder({ instance = "", order }: BackendHeartbeat): boolean {
     if (instance === "" || order === undefined) return false;
     const newest = this.newestOrders.get(instance) ?? 0;
--- a/src/cluster-view/path-index.ts
+++ b/src/cluster-view/path-index.ts
@@ -1,4 +1,4 @@
-/** Look-up of routes by path in time that doesn't grow with their number. */
+/** Lookup of routes by path, in time that is independent of the number of routes. */
 import type { ActiveRoute } from "./active-route.js";
 
 const addRoute = (table: Map<string, ActiveRoute[]>, route: ActiveRoute): void => {
@@ -7,16 +7,19 @@
   else table.set(route.path, [route]);
 };
 
-/** The routes of one host by path. */
+/** Index of one host's routes by path. */
 export class PathIndex {
   private readonly exact = new Map<string, ActiveRoute[]>();
-  /** Prefixes that end in a slash, and the length of the longest. */
+  /** Prefixes that end in a slash, i.e. between two segments. */
   private readonly segmentPrefixes = new Map<string, ActiveRoute[]>();
+  /** Length of the longest prefix that ends in a slash. */
   private maxSegmentPrefixLength = 0;
-  /** Prefixes that end within a segment, and their lengths in descending order. */
+  /** Prefixes that end within a segment. */
   private readonly partialPrefixes = new Map<string, ActiveRoute[]>();
+  /** Lengths of the prefixes that end within a segment, in descending order. */
   private partialPrefixLengths: number[] = [];
 
+  /** Adds a route; of several routes with one path and method, the first added matches. */
   add(route: ActiveRoute): void {
     if (!route.isPrefix) return addRoute(this.exact, route);
     const { length } = route.path;
@@ -30,7 +33,7 @@
       this.partialPrefixLengths = [...this.partialPrefixLengths, length].sort((a, b) => b - a);
   }
 
-  /** The most specific route that matches a path and a method. */
+  /** The most specific route for a path and method: an exact path, then the longest prefix. */
   find(method: string, path: string): ActiveRoute | undefined {
     const allows = (route: ActiveRoute): boolean =>
       route.methods === undefined || route.methods.has(method);
--- a/src/cluster-view/replica-update.ts
+++ b/src/cluster-view/replica-update.ts
@@ -1,19 +1,19 @@
-/** What a view does to a daemon's replica of a table: the decision that all replicas have in common. */
+/** Classification of a view as an update of a daemon's replica, common to all replicas. */
 
 /**
- * The outcome of applying a view. A view that came late may carry changes since a state that the replica has left behind: it is
- * `outdated`, and the replica remains as it is. Where the replica `differs` from the leader's, a full copy is requested.
+ * Outcome of applying a view. A delayed view may carry changes since an older state than the replica's: it is `outdated`, and the
+ * replica stays unchanged. If the replica `differs` from the leader's, the daemon requests a full copy.
  */
 export type ReplicaUpdate = "same" | "changed" | "outdated" | "differs";
 
-/** What is known of a replica before a view is applied. */
+/** State of a replica before a view is applied. */
 export interface ReplicaState {
   readonly sequence: number;
-  /** Whether the replica is what the leader had at its sequence, as far as is known. */
+  /** Whether the replica matches the leader's state at the same sequence, as far as known. */
   readonly isConsistent: boolean;
 }
 
-/** What a view of some sequence does to a replica, where its changes follow upon the sequence `base` or it carries none. */
+/** Classifies a view of the sequence `viewSequence`; `base` is the sequence that its changes apply to, `undefined` if it has none. */
 export const classifyUpdate = (
   { sequence, isConsistent }: ReplicaState,
   viewSequence: number,
--- a/src/cluster-view/retry-capacities.ts
+++ b/src/cluster-view/retry-capacities.ts
@@ -1,13 +1,13 @@
-/** What the cluster view needs of the retry budget, so that it doesn't depend on that. */
+/** Interface between the cluster view and the retry budget, so that the cluster view doesn't depend on the budget. */
 
-/** An edge's capacities for retries, by service. */
+/** An edge's retry capacities by service. */
 export interface RetryCapacities {
   readonly rules: { readonly windowMs: number };
   readonly capacities: ReadonlyMap<string, number>;
-  /** Called when a capacity is nearly used up. */
+  /** Called when a capacity is nearly exhausted. */
   onNearlyExhausted: () => void;
-  /** How many retries of a service were requested in the last window. */
+  /** Number of retries of a service requested in the last window. */
   requested(service: string, nowMs: number): number;
-  /** Replaces the capacities by those that the leader allotted; a service that isn't named has none. */
+  /** Replaces the capacities with the leader's allotment; a service that is not in it has none. */
   setCapacities(capacities: ReadonlyMap<string, number>, nowMs: number): void;
 }
--- a/src/cluster-view/retry-capacity-replica.ts
+++ b/src/cluster-view/retry-capacity-replica.ts
@@ -1,9 +1,9 @@
-/** The capacities for retries that the leader allotted to this daemon, as last received. */
+/** The retry capacities that the leader last allotted to this daemon. */
 import type { LeasedView } from "../control-protocol/leased-view.js";
 import type { WatchRequest } from "../control-protocol/watch-request.js";
 import type { RetryCapacities } from "./retry-capacities.js";
 
-/** Passes the leader's allotments on to the retry budget, and reports the budget's state to the leader. */
+/** Passes the leader's allotments to the retry budget, and provides the budget's state for watch requests. */
 export class RetryCapacityReplica {
   private readonly budget: RetryCapacities;
   private allotted: ReadonlyMap<string, number> = new Map();
@@ -13,31 +13,31 @@
     this.budget = budget;
   }
 
-  /** The number of the allotment that is in force here; empty for none. */
+  /** Number of the allotment in use; empty for none. */
   get allotmentNumber(): string {
     return this.number;
   }
 
-  /** How long after the end of the lease the allotment is given up. */
+  /** Delay between the expiry of the lease and the release of the allotment. */
   get graceMs(): number {
     return this.budget.rules.windowMs / 2;
   }
 
-  /** Capacities that are in force, as a watch request reports them. */
+  /** Capacities in use, in the form of a watch request. */
   get capacities(): WatchRequest["capacities"] {
     return [...this.budget.capacities]
       .filter(([, capacity]) => capacity > 0)
       .map(([service, capacity]) => ({ service, capacity }));
   }
 
-  /** How many retries of each service were requested lately, as a watch request reports them. */
+  /** Number of retries of each service requested in the last window, in the form of a watch request. */
   requested(services: readonly string[], nowMs: number): WatchRequest["wished"] {
     return services
       .map((service) => ({ service, count: this.budget.requested(service, nowMs) }))
       .filter(({ count }) => count > 0);
   }
 
-  /** Takes the allotment of a view; one without capacities repeats those that its number names. */
+  /** Adopts the allotment of a view. A view without capacities repeats the last received ones. */
   apply({ capacities, grantNumber }: LeasedView, nowMs: number): void {
     if (capacities)
       this.allotted = new Map(capacities.map(({ service, capacity }) => [service, capacity]));
@@ -45,7 +45,7 @@
     this.number = grantNumber;
   }
 
-  /** Gives the allotment up. */
+  /** Releases the allotment. */
   clear(nowMs: number): void {
     this.allotted = new Map();
     this.budget.setCapacities(this.allotted, nowMs);
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -1,4 +1,4 @@
-/** The routes of one configuration, and the look-up of the one that serves a request. */
+/** The routes of one configuration, and the lookup of the route that matches a request. */
 import type { Config } from "../configuration/config.js";
 import { safeMethods, trafficSplitOf } from "../configuration/config-shape.js";
 import type { ActiveRoute, RouteTargets } from "./active-route.js";
@@ -10,7 +10,7 @@
 /** The settings of a service. */
 export type ActiveService = Config["services"][string];
 
-/** What a route or its service is served by where the configuration doesn't say. */
+/** Defaults of a route, its goal and its service. */
 const DEFAULTS = {
   giveUpMs: 5000,
   goalMs: 1000,
@@ -20,7 +20,7 @@
   priority: 5,
 };
 
-/** A host's name as hosts are compared: in lower case, without a port. */
+/** A host name in the form for comparison: in lower case, without a port. */
 export const normalizeHost = (host: string): string => host.toLowerCase().replace(/:\d*$/, "");
 
 const chooseWeighted = (splits: ActiveRoute["splits"], draw: number): string => {
@@ -33,11 +33,11 @@
   );
 };
 
-/** An item of a section by its own name, whatever objects inherit. */
+/** An item of a section; ignores properties that objects inherit, such as `toString`. */
 const ownItem = <T>(section: Record<string, T>, name: string): T | undefined =>
   Object.hasOwn(section, name) ? section[name] : undefined;
 
-/** Which requests a route matches. */
+/** The conditions under which a route matches a request. */
 const buildMatch = ({
   match: { host, methods, path },
 }: Route): Pick<ActiveRoute, "host" | "methods" | "path" | "isPrefix"> => {
@@ -50,13 +50,13 @@
   };
 };
 
-/** Whether a route without a kind may be sent twice: by its own word, or by its methods. */
+/** Whether requests of a route without a kind may be sent twice: by its `repeat` setting, otherwise by its methods. */
 const isRepeatable = ({ match, repeat }: Route): boolean =>
   repeat === undefined
     ? (match.methods ?? ["POST"]).every((method) => safeMethods.has(method))
     : repeat === "safe";
 
-/** Which of a route's requests may be sent again. */
+/** Whether and how a route's requests may be sent again. */
 const deriveSemantics = (
   route: Route,
 ): Pick<ActiveRoute, "kind" | "isDownload" | "repeatable" | "keyed"> => {
@@ -74,7 +74,7 @@
   return { kind: keyed ? "idempotent" : unkeyedKind, isDownload: false, repeatable, keyed };
 };
 
-/** How long requests of a route may take, and how often they may be sent. */
+/** Targets of a route, from its own settings, its goal and the defaults. */
 const deriveTargets = (route: Route, goal: Goal | undefined): RouteTargets => {
   const maxRetries =
     route.attempts === undefined
@@ -118,7 +118,7 @@
   readonly limits: NonNullable<Config["limits"]>;
   private readonly config: Config;
 
-  /** Prepares a configuration; routes whose items are identical to those of a former table are taken over from that. */
+  /** Builds the table of a configuration; reuses routes of the previous table whose configuration items are identical. */
   constructor(config: Config, previous?: RouteTable) {
     this.limits = config.limits ?? {};
     this.config = config;
@@ -134,24 +134,24 @@
       this.getOrCreateIndex(route.host).add(route);
   }
 
-  /** The route of a request: one for its host before one for any, then the most specific path. */
+  /** The route of a request: a route for its host precedes one for any host, then the most specific path wins. */
   find(method: string, path: string, host = ""): ActiveRoute | undefined {
     const index =
       this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(normalizeHost(host));
     return index?.find(method, path) ?? this.anyHost.find(method, path);
   }
 
-  /** The route of a name. */
+  /** The route with a name. */
   findByName(name: string): ActiveRoute | undefined {
     return this.byName.get(name);
   }
 
-  /** A service of this configuration by its name. */
+  /** The settings of a service. */
   service(name: string): ActiveService | undefined {
     return ownItem(this.config.services, name);
   }
 
-  /** The route of a name, if all items that it is made from are identical in another configuration. */
+  /** The route with a name, if all configuration items from which it is built are identical in another configuration. */
   private unchangedIn(config: Config, name: string): ActiveRoute | undefined {
     const route = this.byName.get(name);
     const isUnchanged =
--- a/src/cluster-view/watch-loop.ts
+++ b/src/cluster-view/watch-loop.ts
@@ -1,4 +1,4 @@
-/** The loop that requests fresh views from the leader for as long as the daemon runs. */
+/** The loop that requests new views from the leader while the daemon runs. */
 import { rpcMethods } from "../rpc/rpc-method.js";
 import { sleep } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
@@ -6,29 +6,29 @@
 import type { Task } from "../runtime/task.js";
 import type { CommandForwarder } from "./command-forwarder.js";
 
-/** How long a request waits for its response until it is sent again, where no bound is set. */
+/** Default timeout of a watch request. */
 export const DEFAULT_WATCH_TIMEOUT_MS = 450;
-/** How long the loop pauses after a response, at the least. */
+/** Minimum pause after a response. */
 const MIN_PAUSE_MS = 40;
-/** How long the loop pauses after a request without a response. */
+/** Pause after a request without a response. */
 const RETRY_PAUSE_MS = 50;
 
-/** One watch request, and what takes its response. */
+/** A watch request and the handler of its response. */
 export interface PreparedWatch {
   readonly text: string;
-  /** Takes the response, which may come after the timeout. */
+  /** Handles the response, which may arrive after the timeout. */
   receive(response: string): void;
 }
 
-/** The owner of the state that the loop brings up to date. */
+/** The owner of the state that the loop updates. */
 export interface WatchTarget {
-  /** Makes the request that is sent now. */
+  /** Creates the request to send now. */
   prepareWatch(sentMs: number): PreparedWatch;
   /** Called after each response or timeout. */
   onWatchEnded(): void;
 }
 
-/** Sends watch requests at an interval, or sooner where an update is wanted. */
+/** Sends watch requests at an interval, or earlier on demand. */
 export class WatchLoop {
   private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
@@ -41,12 +41,12 @@
     this.target = target;
   }
 
-  /** Has the next request sent as soon as the pause allows. */
+  /** Sends the next request as soon as the minimum pause allows. */
   expedite(): void {
     this.expedited.putIfEmpty(true);
   }
 
-  /** Runs for as long as the daemon does; a request without a response within `timeoutMs` is sent again. */
+  /** Runs while the daemon does; after `timeoutMs` without a response, sends another request. */
   *run(intervalMs: number, timeoutMs: number): Task {
     const { clock } = this.runtime;
     for (;;) {
--- a/test/cluster-view/command-forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -3,7 +3,7 @@
 
 const withoutBootstrap = { bootstrap: false };
 
-/** Whether the newest leader has seen all edges. */
+/** Whether the newest leader has logged the appearance of every edge since its election. */
 const hasSeenAllEdges = (stage: FleetStage): boolean => {
   const electedIndex = stage.lines.findLastIndex((line) => line.includes("leader elected"));
   const linesSinceElection = stage.lines
@@ -16,7 +16,7 @@
     );
 };
 
-test("a daemon whose seeds are all edges finds the leader, also after a new one was elected", () => {
+test("a daemon whose seeds are all edges finds the leader, and finds the next one after an election", () => {
   const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "e:d"], [0, 1, 2]);
   const lateEdge = stage.at(6);
   for (const machine of stage.machines) if (machine !== lateEdge) stage.boot(machine);
@@ -33,7 +33,7 @@
   expect(stage.until(() => hasSeenAllEdges(stage), 2000)).toBeLessThan(200);
 });
 
-test("when the leader is partitioned from all machines, the next leader has seen all edges within a second", () => {
+test("after the leader is partitioned from all machines, the next leader receives requests of all edges within a second", () => {
   const takeoverMs: number[] = [];
   for (let offsetMs = 0; offsetMs < 200; offsetMs += 20) {
     const stage = new FleetStage(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c"], [0, 1, 2]);
@@ -53,7 +53,7 @@
   expect(takeoverMs.filter((ms) => ms >= 1000)).toEqual([]);
 });
 
-test("an edge that is partitioned from the leader alone keeps its lease through another member", () => {
+test("an edge that is partitioned from only the leader renews its lease through another member", () => {
   const stage = new FleetStage(["e:a", "e:b", "d:a", "d:b", "d:c"], [0, 1]);
   stage.bootAll();
   stage.wait(4000);
--- a/test/cluster-view/route-table.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -4,7 +4,7 @@
 import { RouteTable } from "../../src/cluster-view/route-table.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
-/** The route that a linear search finds. */
+/** The expected route, found by a linear search. */
 const findLinearly = (
   all: readonly ActiveRoute[],
   method: string,
@@ -24,7 +24,7 @@
     .sort((a, b) => rank(b) - rank(a))[0];
 };
 
-test("among 3,000 routes over several hosts, a request finds the same one as a linear search does", () => {
+test("the lookup among 3,000 routes of several hosts agrees with a linear search", () => {
   const random = RandomDraw.of(7);
   const pick = <T>(from: readonly T[]): T | undefined => from[Math.floor(random() * from.length)];
   const segments = ["a", "ab", "b", "c1", "lepu270", "d.e"];
@@ -72,7 +72,7 @@
   );
 });
 
-test("a route for the host precedes one for any host, and a longer prefix a shorter one", () => {
+test("a route for the request's host precedes a route for any host, and a longer prefix precedes a shorter one", () => {
   const routeTable = new RouteTable({
     services: { s: {} },
     routes: {
@@ -93,7 +93,7 @@
   ]).toEqual(["own", "deep", "any", "any", undefined, undefined]);
 });
 
-test("a service is chosen by weight, and one of weight 0 never", () => {
+test("services are chosen in proportion to their weights, and never with weight 0", () => {
   const split = [
     { service: "none", weight: 0 },
     { service: "much", weight: 90 },
@@ -123,7 +123,7 @@
   expect([route?.service, route?.splits]).toEqual(["none", split]);
 });
 
-test("the kind of a route decides whether it is repeatable and keyed, whatever its methods and older fields say", () => {
+test("a route's kind determines whether it is repeatable and keyed, and overrides its methods and the older fields", () => {
   const route = (fields: Partial<Config["routes"][string]>): Config["routes"][string] => ({
     match: { path: "/*", methods: ["POST"] },
     service: "s",
@@ -150,7 +150,7 @@
   ]);
 });
 
-test("attempts include the first one, and limits and services can be looked up", () => {
+test("`attempts` includes the first attempt, and limits, services and routes are looked up by own names only", () => {
   const routeTable = new RouteTable({
     services: { s: { keepsKeys: true } },
     routes: {
@@ -183,7 +183,7 @@
   ]).toEqual([{ idleMs: 9 }, { keepsKeys: true }, undefined, undefined]);
 });
 
-test("the most specific route that allows the method is found", () => {
+test("a request matches the most specific route that allows its method", () => {
   const routeTable = new RouteTable({
     services: { a: {}, b: {} },
     routes: {
@@ -192,12 +192,12 @@
       one: { match: { path: "/x/y/z", methods: ["PUT"] }, service: "b" },
     },
   });
-  const found = (method: string, path: string) => routeTable.find(method, path)?.name;
+  const findName = (method: string, path: string) => routeTable.find(method, path)?.name;
   expect([
-    found("GET", "/x/y/z"),
-    found("PUT", "/x/y/z"),
-    found("POST", "/x/y/q"),
-    found("GET", "/"),
+    findName("GET", "/x/y/z"),
+    findName("PUT", "/x/y/z"),
+    findName("POST", "/x/y/q"),
+    findName("GET", "/"),
   ]).toEqual(["deep", "one", "all", undefined]);
   expect(routeTable.all.map((route) => route.repeatable)).toEqual([false, true, false]);
 });
