--- a/src/retry-budget/child-assignments.ts
+++ b/src/retry-budget/child-assignments.ts
@@ -1,28 +1,29 @@
-/** The root's decision which collector counts which edge, so that none is counted twice. */
+/** Assignment of edges to collectors by the root, so that no edge is counted twice. */
 import { childKey, isSameChild, type ChildReport, type CountPush } from "./count-messages.js";
 
-/** Stands for the parent sequence of an edge that has moved away from the collector that still includes it. */
+/** Parent sequence of an assigned edge that has moved to another collector while its former one still includes it. */
 const MOVED_AWAY = -1;
 
+/** The collector that counts an edge, and the time of the last renewal. */
 interface Assignment {
   child: ChildReport;
   readonly collector: string;
   readonly atMs: number;
 }
 
-/** What the root decides on a collector's push. */
+/** The root's decision on a collector's push. */
 export interface AssignmentDecision {
-  /** Children that the collector may include from now on. */
+  /** Children that the collector may include in its next pushes. */
   readonly granted: ChildReport[];
-  /** Whether the push includes none that it may not. */
+  /** Whether the push includes only children that are assigned to the collector. */
   readonly isAcceptable: boolean;
 }
 
-/** Which collector counts which edge. */
+/** Table of the collector that counts each edge. */
 export class ChildAssignments {
   private readonly byChild = new Map<string, Assignment>();
 
-  /** Decides on the children of a push; `includes` tells what a collector's last accepted push included. */
+  /** Decides on the children of a push. `includes` returns whether a collector's last accepted push included a child. */
   decide(
     push: CountPush,
     includes: (collector: string, child: ChildReport) => boolean,
@@ -40,12 +41,12 @@
     };
   }
 
-  /** Forgets assignments that weren't renewed since a moment. */
+  /** Drops assignments that were not renewed since `sinceMs`. */
   expire(sinceMs: number): void {
     for (const [key, { atMs }] of this.byChild) if (atMs < sinceMs) this.byChild.delete(key);
   }
 
-  /** Assigns a child to a collector, unless another one may still count it; returns whether it is assigned. */
+  /** Assigns a child to a collector unless another collector may still count it; returns whether it is assigned. */
   private assign(
     child: ChildReport,
     collector: string,
--- a/src/retry-budget/count-aggregator.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -1,4 +1,4 @@
-/** A collector of the tree that merges the request counts of all edges. */
+/** A collector in the aggregation tree that merges the request counts of all edges. */
 import { rpcMethods } from "../rpc/rpc-method.js";
 import type { DecodedMessage, RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import { sleep } from "../runtime/clock.js";
@@ -29,23 +29,23 @@
 
 const NO_COVERAGE: CountCoverage = { edges: 0, oldestMs: 0 };
 
-/** The newest push of a child. */
+/** The newest push received from a child. */
 interface ReceivedPush {
   readonly push: CountPush;
   readonly counts: RequestCounts;
   readonly atMs: number;
 }
 
-/** The cluster's counts as last received from the root. */
+/** The cluster's counts last received from the root. */
 interface ClusterCounts {
   readonly counts: RequestCounts;
   readonly atMs: number;
   readonly coverage: CountCoverage;
-  /** The last push of each child that the counts include. */
+  /** Number of the last push of each child that the counts include, by child key. */
   readonly includedPushes: ReadonlyMap<string, number>;
 }
 
-/** The cluster's counts as they are returned to edges, encoded once for all of them. */
+/** The cluster's counts encoded for responses to edges; one encoding is shared by all of them. */
 interface EncodedCounts {
   readonly source: RequestCounts | undefined;
   readonly withRoutes: boolean;
@@ -53,7 +53,7 @@
   readonly atMs: number;
 }
 
-/** A push to the root that is yet to be encoded. */
+/** A push to the root, before it is encoded. */
 interface PreparedPush {
   readonly push: CountPush;
   readonly counts: RequestCounts;
@@ -61,7 +61,7 @@
   readonly sentMs: number;
 }
 
-/** Merges the sketches of its children; at the leader it is the root, elsewhere it pushes to the root. */
+/** Merges the sketches of its children. At the leader it is the root of the tree; elsewhere it pushes to the root. */
 export class CountAggregator {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
@@ -70,9 +70,9 @@
   private readonly incarnation: string;
   private readonly leader: () => string;
   private readonly log: Logger;
-  /** The newest push of each edge that pushes here, by process. */
+  /** The newest push of each child edge, by child key. */
   private readonly edges = new Map<string, ReceivedPush>();
-  /** Edges that the root lets this collector include. */
+  /** Edges that the root allows this collector to include. */
   private granted: readonly ChildReport[] = [];
   /** At the root: the newest acceptable push of each collector. */
   private readonly collectors = new Map<string, ReceivedPush>();
@@ -83,10 +83,10 @@
   private routesSentMs = -Infinity;
   private halfTripMs = 0;
   private readonly expedited = new Queue<true>();
-  /** How many pushes were refused for what they carried. */
+  /** Number of pushes refused because their sketches have another format. */
   refusedPushes = 0;
 
-  /** `self` is this daemon's peer address, `leader` gives that of the leader or an empty text. */
+  /** `self` is this daemon's peer address; `leader` returns the leader's, or an empty string if it is unknown. */
   constructor(
     runtime: Runtime,
     rpc: RpcEndpoint,
@@ -108,14 +108,14 @@
     });
   }
 
-  /** The cluster's counts as last received, and what they cover. */
+  /** The cluster's counts last received, with their age and coverage. */
   get latest(): { counts: RequestCounts; ageMs: number; coverage: CountCoverage } | undefined {
     if (!this.cluster) return undefined;
     const { counts, atMs, coverage } = this.cluster;
     return { counts, ageMs: this.runtime.clock.nowMs() - atMs, coverage };
   }
 
-  /** Pushes the merged counts to the root every `pushMs`, or sooner where a child expedites it. */
+  /** Pushes the merged counts to the root every `pushMs`, or earlier if a child requests it. */
   *run(pushMs: number): Task {
     const { clock } = this.runtime;
     for (;;) {
@@ -267,7 +267,7 @@
     return { text: JSON.stringify(response), sketches: merged.encode(nowMs) };
   }
 
-  /** Whether the newest acceptable push of a collector includes a child. */
+  /** Whether a collector's newest acceptable push includes a child. */
   private includes(collector: string, child: ChildReport): boolean {
     const included = this.collectors.get(collector)?.push.includes ?? [];
     return included.some((includedChild) => isSameProcess(includedChild, child));
@@ -281,7 +281,7 @@
     };
   }
 
-  /** Forgets what is older than the window of the sketches. */
+  /** Drops pushes and assignments that are older than the sketches' window. */
   private expire(): void {
     const sinceMs = this.runtime.clock.nowMs() - this.format.attempts.windowMs;
     for (const received of [this.edges, this.collectors])
--- a/src/retry-budget/count-messages.ts
+++ b/src/retry-budget/count-messages.ts
@@ -1,4 +1,4 @@
-/** The messages that carry counts up the tree of collectors and the merged counts down. Their field names travel as JSON. */
+/** Messages that carry counts up the aggregation tree and the merged counts down. They are sent as JSON with these field names. */
 import {
   array,
   boolean,
@@ -12,15 +12,15 @@
 } from "superstruct";
 import { fastValidator } from "../runtime/fast-validator.js";
 
-/** How often counts by route travel along with those of attempts. */
+/** Interval at which pushes include the counts by route besides those of attempts. */
 export const ROUTE_COUNTS_INTERVAL_MS = 10_000;
 
-/** How long an expedited push waits after the last one. */
+/** Minimum delay between an expedited push and the previous one. */
 export const EXPEDITED_PUSH_DELAY_MS = 250;
 
 const childShape = object({ machine: string(), incarnation: string(), parentSequence: number() });
 
-/** An edge as the tree counts it: a process, and how often it has changed its parent. */
+/** A child in the tree: a process, and the number of its parent changes. */
 export type ChildReport = Infer<typeof childShape>;
 
 const pushShape = object({
@@ -30,45 +30,46 @@
   push: number(),
   parentSequence: number(),
   halfTripMs: number(),
-  /** A collector's children that its sketch includes, and those that it would like to include. */
+  /** Children that a collector's sketch includes. */
   includes: array(childShape),
+  /** Children that a collector requests to include. */
   wants: array(childShape),
-  /** Set where retries are requested, so that counts had better be exchanged soon. */
+  /** True if retries are requested, so that the counts are to be exchanged early. */
   isHurried: boolean(),
 });
 
-/** What goes up with a sketch. */
+/** The message that accompanies a sketch on its way up the tree. */
 export type CountPush = Infer<typeof pushShape>;
 
 const aggregatedShape = object({
-  /** Why the push was refused; empty where it was taken. */
+  /** Why the push was refused; empty if it was accepted. */
   taken: string(),
-  /** Children that the root lets this collector include. */
+  /** Children that the root allows this collector to include. */
   granted: array(childShape),
-  /** The child's last push that the returned sketch includes. */
+  /** Number of the child's last push that the returned sketch includes. */
   includedPush: optional(number()),
   coverage: object({ edges: number(), oldestMs: number() }),
-  /** Age of the returned sketch. */
+  /** Age of the returned sketch, in ms. */
   sinceMs: optional(number()),
 });
 
-/** What comes down with the cluster's sketch. */
+/** The message that accompanies the cluster's sketch on its way down the tree. */
 export type AggregatedCounts = Infer<typeof aggregatedShape>;
 
-/** How many edges counts cover, and how old the oldest of these edges' counts are. */
+/** Number of edges that counts cover, and the age of the oldest of their counts. */
 export type CountCoverage = AggregatedCounts["coverage"];
 
 const readAggregated = fastValidator(aggregatedShape);
 const readPush = fastValidator(pushShape);
 
-/** Reads a push; throws where it isn't of the shape. */
+/** Parses a push; throws if it doesn't match the shape. */
 export const readCountPush = (text: string): CountPush => readPush(JSON.parse(text));
 
-/** Reads the aggregated counts that a parent returned; throws where they aren't of the shape. */
+/** Parses the aggregated counts of a parent's response; throws if they don't match the shape. */
 export const readAggregatedCounts = (text: string): AggregatedCounts =>
   readAggregated(JSON.parse(text));
 
-/** The process of a child, whichever parent it has. */
+/** Key of a child's process, independent of its parent. */
 export const childKey = ({ machine, incarnation }: ChildReport): string =>
   `${machine} ${incarnation}`;
 
@@ -79,10 +80,10 @@
   parentSequence,
 });
 
-/** Whether two reports name the same process, whichever parent it has. */
+/** Whether two reports are of the same process, independent of its parent. */
 export const isSameProcess = (a: ChildReport, b: ChildReport): boolean =>
   a.machine === b.machine && a.incarnation === b.incarnation;
 
-/** Whether two reports name the same process under the same parent. */
+/** Whether two reports are of the same process with the same parent. */
 export const isSameChild = (a: ChildReport, b: ChildReport): boolean =>
   isSameProcess(a, b) && a.parentSequence === b.parentSequence;
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -1,4 +1,4 @@
-/** The request counts of an edge, and its exchange with the tree of collectors. */
+/** An edge's request counts, and their exchange with the aggregation tree. */
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { RpcEndpoint } from "../rpc/rpc-endpoint.js";
 import { rpcMethods } from "../rpc/rpc-method.js";
@@ -19,35 +19,35 @@
 } from "./count-messages.js";
 import { RequestCounts, type AttemptCounts, type RequestCountsFormat } from "./request-counts.js";
 
-/** Which part of its quota a daemon may use before the next counts arrive: the others use theirs meanwhile, and not all of that is counted yet. */
+/** Fraction of its quota that a daemon may use before the next counts arrive: other daemons use theirs meanwhile, and the counts lag behind. */
 const ROUND_FRACTION = 0.5;
-/** The parts of the window in which the sketch compares retries with first attempts. */
+/** Fractions of the window over which the sketch compares retries with first attempts. */
 const WINDOW_FRACTIONS = [0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.65, 0.8, 1];
-/** How many retries each daemon is assumed to take when quotas are allotted. */
+/** Number of retries that each daemon is assumed to send when the remaining retries are divided. */
 const ASSUMED_RETRIES = 1;
-/** How far the time between pushes varies, as a part of it, around its mean. */
+/** Random factor on the push interval: from `min` to `min + range`. */
 const PUSH_JITTER = { min: 0.9, range: 0.2 };
 
-/** The process that counts, and its zone. */
+/** Identity of the counting process, and its zone. */
 export interface EdgeIdentity {
   readonly machine: string;
   readonly incarnation: string;
   readonly zone: string;
 }
 
-/** The cluster's attempts on a service in the retry window, how old the counts are, and how many edges they cover. */
+/** The cluster's attempts on a service in the retry window, with the age of the counts and the number of edges covered. */
 export interface ClusterAttemptCounts extends AttemptCounts {
   readonly ageMs: number;
   readonly edges: number;
 }
 
-/** A push that was sent, whose counts may be included in those that come down. */
+/** A sent push, whose counts may be included in the cluster's counts. */
 interface SentPush {
   readonly push: number;
   readonly atMs: number;
 }
 
-/** An edge's own counts, and the cluster's as they last came down the tree. */
+/** An edge's own counts, and the cluster's counts last received from its collector. */
 export class EdgeCounts {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
@@ -65,7 +65,7 @@
   private sentPushes: SentPush[] = [];
   private lastPushNumber = 0;
   private readonly expedited = new Queue<true>();
-  /** When the last push was sent that the cluster's counts include. */
+  /** Send time of the last push that the cluster's counts include. */
   private includedMs = -Infinity;
   private halfTripMs = 0;
   private routesSentMs = -Infinity;
@@ -88,7 +88,7 @@
     this.own = new RequestCounts(format);
   }
 
-  /** The cluster's counts as last received. */
+  /** The cluster's counts last received, with their age and coverage. */
   get latest(): { counts: RequestCounts; ageMs: number; coverage: CountCoverage } | undefined {
     if (!this.cluster) return undefined;
     const { counts, atMs, coverage } = this.cluster;
@@ -108,9 +108,9 @@
   }
 
   /**
-   * What the cluster's sketch leaves this daemon of a service's retries, and how many it took since. In each examined part of the
-   * window, the cluster may take the pool and what its first attempts earned. Of what is left, each daemon has the part that it
-   * took of the cluster's retries lately, and what its own first attempts earned since.
+   * This daemon's quota of a service's retries by the cluster's sketch, and how many it has used since the sketch. In each examined
+   * fraction of the window, the cluster may send as many retries as the pool and its first attempts allow. A daemon's quota is its
+   * recent share of the cluster's retries, applied to the remaining ones, plus what its own first attempts have earned since.
    */
   remainingQuota(service: string): SketchQuota | undefined {
     const serviceNumber = this.clusterView.idOf("service", service);
@@ -141,7 +141,7 @@
     };
   }
 
-  /** First attempts and retries of a service across the cluster in the retry window, with this daemon's own since. */
+  /** The cluster's first attempts and retries of a service in the retry window, including this daemon's own that the sketch lacks. */
   ofService(service: string): ClusterAttemptCounts | undefined {
     const serviceNumber = this.clusterView.idOf("service", service);
     if (serviceNumber === undefined || !this.cluster) return undefined;
@@ -156,12 +156,12 @@
     };
   }
 
-  /** Has the next push sent sooner, since retries are requested. */
+  /** Sends the next push earlier, since retries are requested. */
   expedite(): void {
     this.expedited.putIfEmpty(true);
   }
 
-  /** Pushes to a collector about every `pushMs` for as long as the daemon runs, or sooner where expedited. */
+  /** Pushes to a collector about every `pushMs` while the daemon runs, or earlier if expedited. */
   *run(pushMs: number): Task {
     const { clock } = this.runtime;
     for (;;) {
@@ -236,13 +236,13 @@
     };
   }
 
-  /** This daemon's own attempts on a service that the cluster's counts don't include yet. */
+  /** This daemon's attempts on a service that the cluster's counts don't include yet. */
   private ownSinceIncluded(serviceNumber: number, nowMs: number): AttemptCounts {
     const rangeMs = Math.min(this.rules.windowMs, nowMs - this.includedMs);
     return this.own.ofService(serviceNumber, nowMs, rangeMs);
   }
 
-  /** The collector to push to: the former one while it is there, else a random one of the own zone, or of all zones. */
+  /** The collector to push to: the previous one while it is listed, otherwise a random one of this zone, or of all zones if it has none. */
   private chooseParent(): string {
     const { collectors } = this.clusterView;
     const inZone = collectors.filter(({ zone }) => zone === this.self.zone);
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -1,4 +1,4 @@
-/** Sketches of how often services were sent attempts and routes were requested, and their layout as they travel. */
+/** Sketches that count attempts by service and requests by route, and their layout in messages. */
 import * as r from "restructure";
 import { decodeExactly } from "../rpc/frame.js";
 import { ID_LIMIT } from "../state/id-allocator.js";
@@ -6,30 +6,30 @@
 import { EcmSketch, SketchMismatchError, type SketchFormat } from "../sketch/ecm-sketch.js";
 import { stampOf } from "../sketch/exponential-histogram.js";
 
-/** The default window in which a service's retries are compared with its requests. */
+/** Default window over which a service's retries are compared with its requests. */
 export const RETRY_WINDOW_MS = 10_000;
 
-/** The longest window of a sketch: its stamps wrap around. */
+/** Longest window of a sketch, limited by the wrap-around of its stamps. */
 const MAX_WINDOW_MS = 32_000;
 
-/** What all sketches of a cluster have in common. */
+/** Sketch formats that all daemons of a cluster share. */
 export interface RequestCountsFormat {
-  /** The sketch of attempts by service. */
+  /** Format of the sketch of attempts by service. */
   readonly attempts: SketchFormat;
-  /** The sketch of requests by route. */
+  /** Format of the sketch of requests by route. */
   readonly routes: SketchFormat;
-  /** How many bits the number of a route has. */
+  /** Number of bits of a route number. */
   readonly routeBits: number;
 }
 
-/** The default: a window twice the retry budget's, so that late counts still fall inside, and as many routes as there are numbers. */
+/** Default formats: the window is twice the retry budget's, so that delayed counts still fall inside; `routeBits` covers all ids. */
 export const defaultRequestCountsFormat = {
   attempts: { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 1 },
   routes: { epsilon: 0.2, delta: 0.1, windowMs: 20_000, seed: 101 },
   routeBits: Math.log2(ID_LIMIT),
 };
 
-/** The default format for another window of the retry budget; as long as the stamps allow. */
+/** The default formats for another window of the retry budget, limited to `MAX_WINDOW_MS`. */
 export function createRequestCountsFormat(retryWindowMs: number): RequestCountsFormat {
   const { attempts, routes, routeBits } = defaultRequestCountsFormat;
   const windowMs = Math.min(2 * retryWindowMs, MAX_WINDOW_MS);
@@ -61,7 +61,7 @@
   routes: new r.Array(sketchStruct, r.uint8),
 });
 
-/** The item that stands for a service's first attempts or its retries in the sketch of attempts. */
+/** Item of the attempt sketch for a service's first attempts or its retries. */
 const attemptItem = (serviceNumber: number, isRetry: boolean): number =>
   serviceNumber * 2 + (isRetry ? 1 : 0);
 
@@ -70,7 +70,7 @@
   readonly format: RequestCountsFormat;
   private readonly attempts: EcmSketch;
   private readonly routes: DyadicSketch;
-  /** Whether requests by route are included: they travel less often than attempts do. */
+  /** Whether requests by route are included; they are sent less often than attempts. */
   readonly hasRoutes: boolean;
 
   constructor(
@@ -85,7 +85,7 @@
     this.hasRoutes = hasRoutes;
   }
 
-  /** These counts with the routes of former ones, where these have none. */
+  /** These counts, with the previous route counts if they have none. */
   withRoutesOf(previous: RequestCounts | undefined): RequestCounts {
     return this.hasRoutes || !previous
       ? this
@@ -111,18 +111,18 @@
     };
   }
 
-  /** Routes that make up at least the part `phi` of all requests in the last `rangeMs`, by number. */
+  /** Numbers of the routes with at least the fraction `phi` of all requests in the last `rangeMs`. */
   findHeavyRoutes(phi: number, nowMs: number, rangeMs: number): HeavyItem[] {
     return this.routes.findHeavyItems(phi, stampOf(nowMs), rangeMs);
   }
 
-  /** Drops what is older than the window. */
+  /** Drops counts that are older than the window. */
   expire(nowMs: number): void {
     this.attempts.expire(stampOf(nowMs));
     this.routes.expire(stampOf(nowMs));
   }
 
-  /** The bytes that travel, with or without routes. */
+  /** Encodes the counts for a message, with or without routes. */
   encode(nowMs: number, withRoutes = true): Uint8Array {
     const now = stampOf(nowMs);
     return countsStruct.toBuffer({
@@ -131,7 +131,7 @@
     });
   }
 
-  /** Decodes counts that were in transit for `olderMs`. Throws a `SketchMismatchError` for those of another format. */
+  /** Decodes counts that were in transit for `olderMs`. Throws a `SketchMismatchError` if their format differs. */
   static decode(
     bytes: Uint8Array,
     format: RequestCountsFormat,
@@ -143,7 +143,9 @@
     const attempts = EcmSketch.fromAged(decoded.attempts, format.attempts, now, olderMs);
     if (decoded.routes.length === 0) return new RequestCounts(format, attempts, undefined, false);
     if (decoded.routes.length !== format.routeBits)
-      throw new SketchMismatchError("The sketch has another number of levels.");
+      throw new SketchMismatchError(
+        `route sketch has ${decoded.routes.length} levels, expected ${format.routeBits}`,
+      );
     return new RequestCounts(
       format,
       attempts,
@@ -151,7 +153,7 @@
     );
   }
 
-  /** Merges counts; without routes, where those of the inputs aren't wanted. */
+  /** Merges counts, with or without routes. */
   static merge(
     inputs: RequestCounts[],
     format: RequestCountsFormat,
--- a/src/retry-budget/retry-budget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -1,8 +1,8 @@
-/** The decision whether a retry may be sent, by the sketch of the cluster and an exact local guard. */
+/** The retry budget: decides whether a retry may be sent, by the cluster's sketch and an exact local guard. */
 import { type RetryRules, createRetryRules } from "./retry-rules.js";
 import { RETRY_WINDOW_MS } from "./request-counts.js";
 
-/** The rules unless settings say otherwise: a fifth of a service's requests and seventy more in any ten seconds. */
+/** Default rules: at most 20% of a service's requests and 70 more retries in any 10 s. */
 export const defaultRetryRules: RetryRules = createRetryRules(0.2, 70, RETRY_WINDOW_MS);
 
 export const {
@@ -11,19 +11,20 @@
   guard: defaultGuardRule,
 } = defaultRetryRules;
 
+/** Length of a slot. */
 const SLOT_MS = 100;
-/** How much longer than the window slots are retained: clocks run at their own pace, and a lossy network may bring retries closer together than they were sent. */
+/** Retention of slots beyond the window, since clock rates differ and a lossy network may deliver retries closer together than they were sent. */
 const RETENTION_MARGIN_MS = 1000;
-/** A capacity with less than this left is nearly used up. */
+/** A capacity with less than this remaining is nearly exhausted. */
 const LOW_CAPACITY = 2;
 
-/** What happened in one slot of time. */
+/** Counts of one time slot. */
 interface Slot {
-  /** Number of the slot since the clock's zero. */
+  /** Index of the slot since the clock's zero. */
   readonly index: number;
   requests: number;
   retries: number;
-  /** Retries that were requested, whether they were allowed or not. */
+  /** Requested retries, both granted and refused. */
   requested: number;
 }
 
@@ -33,7 +34,7 @@
   readonly slots: Slot[];
 }
 
-/** What the sketch leaves this daemon of a service's retries, and what it took since. */
+/** This daemon's quota of a service's retries by the sketch, and the number used since. */
 export interface SketchQuota {
   readonly limit: number;
   readonly used: number;
@@ -42,14 +43,14 @@
 const slotIndex = (nowMs: number): number => Math.floor(nowMs / SLOT_MS);
 
 /**
- * Decides on retries: by the cluster's sketch, with an exact guard behind it. The guard is a capacity that the leader allotted,
- * and what this daemon's own requests earned: in no part of the window may more be taken than both together.
+ * Decides on retries by the cluster's approximate sketch, backed by an exact guard. The guard allows a capacity that the leader
+ * allotted, plus what this daemon's own requests earned: in no part of the window may more retries be taken than this sum.
  */
 export class RetryBudget {
   readonly rules: RetryRules;
   private readonly accounts = new Map<string, Account>();
   private readonly retainedSlots: number;
-  /** Called when a capacity is nearly used up. */
+  /** Called when a capacity is nearly exhausted. */
   onNearlyExhausted: () => void = () => undefined;
 
   constructor(rules: RetryRules = defaultRetryRules) {
@@ -57,12 +58,12 @@
     this.retainedSlots = Math.ceil((rules.windowMs + RETENTION_MARGIN_MS) / SLOT_MS);
   }
 
-  /** Counts a request, which earns a part of a retry. */
+  /** Counts a request, which earns a fraction of a retry. */
   countRequest(service: string, nowMs: number): void {
     this.slot(this.account(service), nowMs).requests += 1;
   }
 
-  /** Takes one retry out of the budget, or returns what refused it. */
+  /** Takes one retry from the budget, or returns whether the sketch or the guard refused it. */
   take(
     service: string,
     sketch: SketchQuota | undefined,
@@ -79,21 +80,21 @@
     return "granted";
   }
 
-  /** Gives back a retry that was taken at `takenMs` and not sent. */
+  /** Returns a retry to the budget that was taken at `takenMs` and not sent. */
   refund(service: string, takenMs: number): void {
     const index = slotIndex(takenMs);
     const slot = this.account(service).slots.find((candidate) => candidate.index === index);
     if (slot && slot.retries > 0) slot.retries -= 1;
   }
 
-  /** How many retries were requested in the last window. */
+  /** Number of retries of a service requested in the last window. */
   requested(service: string, nowMs: number): number {
     const account = this.account(service);
     this.slot(account, nowMs);
     return account.slots.reduce((sum, { requested }) => sum + requested, 0);
   }
 
-  /** Takes the capacities that the leader allotted; a service that isn't named has none. What is used in the window can't be taken away before it is over. */
+  /** Replaces the capacities with the leader's allotment; a service that is not in it has none. Capacity used in the window remains until the window has passed. */
   setCapacities(capacities: ReadonlyMap<string, number>, nowMs: number): void {
     for (const service of new Set([...this.accounts.keys(), ...capacities.keys()])) {
       const account = this.account(service);
@@ -106,14 +107,14 @@
     }
   }
 
-  /** The capacities in force, by service. */
+  /** Current capacities by service. */
   get capacities(): Map<string, number> {
     return new Map([...this.accounts].map(([service, { capacity }]) => [service, capacity]));
   }
 
   /**
-   * The largest number of retries that any span up to now has beyond what it earned. Within a slot, retries count as later than
-   * the requests of the slots before and earlier than its own.
+   * The capacity in use: the maximum, over all spans that end now, of the span's retries minus what its requests earned. A slot's
+   * retries count as later than the requests of earlier slots and as earlier than its own requests.
    */
   private used(account: Account): number {
     let sum = 0;
@@ -135,7 +136,7 @@
     return account;
   }
 
-  /** The slot of a moment, made where it is missing; slots that are too old are dropped. */
+  /** The slot at `nowMs`, created if missing; drops expired slots. */
   private slot({ slots }: Account, nowMs: number): Slot {
     const index = slotIndex(nowMs);
     while ((slots[0]?.index ?? index) < index - this.retainedSlots) slots.shift();
--- a/src/retry-budget/retry-quotas.ts
+++ b/src/retry-budget/retry-quotas.ts
@@ -1,49 +1,50 @@
-/** The leader's distribution of the retry pools among the edges. */
+/** Distribution of the retry pools among the edges by the leader. */
 import { defaultRetryRules, type RetryBudget } from "./retry-budget.js";
 import type { RetryRules } from "./retry-rules.js";
 
-/** How much longer than its lease and the window an edge's capacities are assumed to be in use. */
+/** Margin, beyond the lease and the window, for which an edge's capacities are assumed to be in use. */
 const RETENTION_MARGIN_MS = 400;
-/** Which part of the pool is distributed evenly: most of it while few retries are requested, so that a first burst finds some; otherwise little, so that it goes where it is requested. */
+/** Fraction of the pool that is distributed evenly. While few retries are requested it is large, so that a first burst finds capacity on every edge; otherwise it is small, so that capacity goes to the edges that request retries. */
 const EVEN_FRACTION = { quiet: 0.7, busy: 0.2 };
-/** Up to how many requested retries a service is quiet. */
+/** A service with at most this number of requested retries counts as quiet. */
 const QUIET_REQUESTS = 3;
-/** An allotment is raised where it is below the target by more than this. */
+/** An allotment is raised if it is below its target by more than this. */
 const RAISE_MARGIN = 0.1;
-/** An allotment is lowered where it is above the target by more than this factor and amount. */
+/** An allotment is lowered if it exceeds its target times `factor` plus `amount`. */
 const LOWER_MARGIN = { factor: 1.25, amount: 0.5 };
 
-/** The capacities that an edge reports, and the allotment that they are from. */
+/** Capacities that an edge reports, and the number of the allotment they stem from. */
 export interface QuotaReport {
   readonly number: string;
   readonly capacities: RetryBudget["capacities"];
 }
 
-/** The capacities that are allotted to an edge. */
+/** Capacities allotted to an edge, and the number of the allotment. */
 export interface QuotaAllotment {
   readonly number: string;
   readonly capacities: Map<string, number>;
 }
 
+/** An edge with an allotment. */
 interface Holder {
-  /** The number of the newest allotment; empty for none. */
+  /** Number of the newest allotment; empty for none. */
   number: string;
   allotted: Map<string, number>;
-  /** The largest capacities that the edge may use, as far as is known here. */
+  /** Upper bounds of the capacities that the edge may use, as far as known. */
   readonly inUse: Map<string, number>;
   requested: ReadonlyMap<string, number>;
   untilMs: number;
 }
 
-/** The leader's table of which edge may use how much of each service's retry pool. */
+/** The leader's table of the capacity of each service's retry pool that each edge may use. */
 export class RetryQuotas {
   private readonly pool: number;
-  /** How long after an edge's last request its capacities may still count in some window. */
+  /** How long after an edge's last watch request its capacities may still be in use in some window. */
   private readonly retentionMs: number;
   private holders = new Map<string, Holder>();
   private leaderName = "";
   private lastNumber = 0;
-  /** Edges that may use capacities which a former leader allotted, and haven't reported yet. */
+  /** Edges that may use capacities of a previous leader's allotment and haven't reported them yet. */
   private unreportedEdges = new Set<string>();
   private settledMs = 0;
 
@@ -52,7 +53,7 @@
     this.retentionMs = leaseMs + rules.windowMs + RETENTION_MARGIN_MS;
   }
 
-  /** Begins a term as the leader: nothing is raised until each edge that may use capacities has reported them or can't use them any more. */
+  /** Begins a term as the leader. No allotment is raised until each edge that may use capacities has reported them or can no longer use them. */
   beginTerm(nowMs: number, leaderName: string, unreportedEdges: ReadonlySet<string>): void {
     this.holders = new Map();
     this.leaderName = leaderName;
@@ -61,19 +62,19 @@
     this.settledMs = nowMs + this.retentionMs;
   }
 
-  /** Whether all that a former leader allotted is known here or out of use. */
+  /** Whether all capacities of previous leaders' allotments are reported or expired. */
   isSettled(nowMs: number): boolean {
     return this.unreportedEdges.size === 0 || nowMs >= this.settledMs;
   }
 
-  /** Those of some edges that can't use any capacities any more. */
+  /** The edges among these that can no longer use any capacities. */
   expiredEdges(nowMs: number, edges: Iterable<string>): string[] {
     return [...edges].filter(
       (edge) => nowMs >= this.settledMs && (this.holders.get(edge)?.untilMs ?? 0) < nowMs,
     );
   }
 
-  /** Allots capacities to an edge, by those it reports and by how many retries were requested there lately. */
+  /** Allots capacities to an edge, according to the capacities that it reports and the retries that it requested in the last window. */
   allocate(
     edge: string,
     report: QuotaReport,
@@ -99,7 +100,7 @@
     for (const [edge, { untilMs }] of this.holders) if (untilMs < nowMs) this.holders.delete(edge);
   }
 
-  /** Moves an edge's capacity toward its target: raised at once, lowered once the edge has reported that it uses less. */
+  /** Moves an edge's capacity toward its target. It is raised at once; lowered capacity is available to others only after the edge has reported lower use. */
   private adjust(holder: Holder, service: string, nowMs: number): number {
     const inUse = holder.inUse.get(service) ?? 0;
     const target = this.target(holder, service);
@@ -111,7 +112,7 @@
     return inUse > target * LOWER_MARGIN.factor + LOWER_MARGIN.amount ? target : inUse;
   }
 
-  /** Gives a changed allotment a new number. */
+  /** Stores an allotment under a new number if it has changed. */
   private update(holder: Holder, allotted: Map<string, number>): void {
     const isChanged = [...allotted].some(
       ([service, capacity]) => holder.allotted.get(service) !== capacity,
@@ -122,7 +123,7 @@
     holder.allotted = allotted;
   }
 
-  /** Adds an edge; one that a former leader knew keeps the capacities that it reports. */
+  /** Adds an edge; an edge known to the previous leader keeps the capacities that it reports. */
   private addHolder(edge: string, report: QuotaReport, nowMs: number): Holder {
     const inUse =
       nowMs < this.settledMs && this.unreportedEdges.has(edge)
@@ -139,7 +140,7 @@
     return holder;
   }
 
-  /** What an edge should have of a pool: an even part, and a part by what it requests. */
+  /** An edge's target share of a pool: an even part, plus a part in proportion to the retries that it requests. */
   private target(holder: Holder, service: string): number {
     const total = [...this.holders.values()].reduce(
       (sum, { requested }) => sum + (requested.get(service) ?? 0),
@@ -153,7 +154,7 @@
     return this.pool * (evenFraction / this.holders.size + byRequests);
   }
 
-  /** What no edge may use of a pool. */
+  /** Capacity of a pool that no edge may use. */
   private unallocated(service: string): number {
     const inUse = [...this.holders.values()].reduce(
       (sum, holder) => sum + (holder.inUse.get(service) ?? 0),
--- a/src/retry-budget/retry-rules.ts
+++ b/src/retry-budget/retry-rules.ts
@@ -1,25 +1,25 @@
-/** The rules for how many retries a service may take in a window. */
+/** Rules that limit the retries of a service in a window. */
 
-/** How many retries a service may take: a part for each request, and a pool besides. */
+/** A limit on retries: a fraction of the requests, plus a fixed pool. */
 export interface RetryRule {
-  /** Retries that each request earns. */
+  /** Retries that each request earns; usually a fraction of one. */
   readonly earned: number;
-  /** Retries in each window beyond those earned. */
+  /** Retries per window beyond the earned ones. */
   readonly pool: number;
 }
 
-/** The rule for retries, and the stricter ones by which it is enforced. */
+/** The configured rule, and the stricter ones that enforce it. */
 export interface RetryRules {
   readonly rule: RetryRule;
-  /** What the sketch, which is approximate, decides by. */
+  /** The rule of the sketch, which is approximate. */
   readonly sketch: RetryRule;
-  /** What the exact guard allows: more than the sketch's rule, less than the rule itself. */
+  /** The rule of the exact guard: less strict than the sketch's, stricter than the configured one. */
   readonly guard: RetryRule;
-  /** The window in which a service's retries are compared with its requests. */
+  /** Window over which a service's retries are compared with its requests. */
   readonly windowMs: number;
 }
 
-/** The rules by which each window has at most `ratio` retries for each request, and `extra` more. */
+/** Rules that limit retries to `ratio` per request plus `extra` in each window. */
 export function createRetryRules(ratio: number, extra: number, windowMs: number): RetryRules {
   return {
     rule: { earned: ratio, pool: extra },
--- a/src/sketch/dyadic-sketch.ts
+++ b/src/sketch/dyadic-sketch.ts
@@ -1,13 +1,13 @@
-/** A hierarchy of ECM-sketches over dyadic ranges of items, which finds heavy items. */
+/** A hierarchy of ECM-sketches over dyadic ranges of items, for finding heavy hitters. */
 import { EcmSketch, type AgedSketch, type SketchFormat } from "./ecm-sketch.js";
 
-/** An item that is heavy, and an estimate of how often it arrived. */
+/** A heavy item and its estimated number of arrivals. */
 export interface HeavyItem {
   item: number;
   estimate: number;
 }
 
-/** One sketch for each power of two: finds the items that make up a given part of the arrivals in a window. */
+/** One sketch for each power of two; finds the items with at least a given fraction of the arrivals in a window. */
 export class DyadicSketch {
   readonly format: SketchFormat;
   readonly bits: number;
@@ -24,12 +24,12 @@
     this.levels.forEach((sketch, level) => sketch.add(Math.floor(item / 2 ** level), stamp));
   }
 
-  /** How often an item arrived in the last `rangeMs`. */
+  /** Estimated number of arrivals of an item in the last `rangeMs`. */
   estimate(item: number, now: number, rangeMs: number): number {
     return this.levels[0]?.estimate(item, now, rangeMs) ?? 0;
   }
 
-  /** All items that make up at least the part `phi` of all arrivals, found from the widest ranges down. */
+  /** All items with at least the fraction `phi` of all arrivals in the last `rangeMs`; the search descends from the widest ranges. */
   findHeavyItems(phi: number, now: number, rangeMs: number): HeavyItem[] {
     const threshold = phi * (this.levels[0]?.total(now, rangeMs) ?? 0);
     let found: HeavyItem[] = [
@@ -53,17 +53,17 @@
     return found.sort((a, b) => b.estimate - a.estimate);
   }
 
-  /** Drops what is older than the window. */
+  /** Drops arrivals that are older than the window. */
   expire(now: number): void {
     for (const sketch of this.levels) sketch.expire(now);
   }
 
-  /** The form that travels. */
+  /** Converts the sketch to the transmitted form, with ages in place of stamps. */
   agedForm(now: number): AgedSketch[] {
     return this.levels.map((sketch) => sketch.agedForm(now));
   }
 
-  /** A sketch from its aged form; `olderMs` is how long it was in transit. */
+  /** Creates a sketch from its aged form, after `olderMs` in transit. */
   static fromAged(
     agedForm: AgedSketch[],
     format: SketchFormat,
@@ -78,7 +78,7 @@
     );
   }
 
-  /** Merges level by level. */
+  /** Merges sketches level by level. */
   static merge(
     inputs: DyadicSketch[],
     format: SketchFormat,
--- a/src/sketch/ecm-sketch.ts
+++ b/src/sketch/ecm-sketch.ts
@@ -4,12 +4,12 @@
 
 const { h32 } = await xxhash();
 
-/** How many items' cells are cached for one format. */
+/** Maximum number of items whose cells are cached for one format. */
 const MAX_CACHED_ITEMS = 4096;
-/** Cells of items by format. */
+/** Cached cells of items, by format. */
 const cellCaches = new Map<string, Map<number, readonly number[]>>();
 
-/** What two sketches must share to be merged. */
+/** Parameters that two sketches must share to be merged. */
 export interface SketchFormat {
   readonly epsilon: number;
   readonly delta: number;
@@ -17,27 +17,33 @@
   readonly seed: number;
 }
 
-/** A sketch in the form that travels. */
+/** A sketch in its transmitted form, with ages in place of stamps. */
 export interface AgedSketch {
   format: SketchFormat;
   cells: Array<{ cell: number; histogram: AgedHistogram }>;
 }
 
-/** Thrown where sketches of different dimensions or hash functions are combined. */
+/** Thrown when sketches of different dimensions or hash functions are combined. */
 export class SketchMismatchError extends Error {}
 
 /** Whether sketches of two formats can be merged. */
 export const isSameSketchFormat = (a: SketchFormat, b: SketchFormat): boolean =>
   a.epsilon === b.epsilon && a.delta === b.delta && a.windowMs === b.windowMs && a.seed === b.seed;
 
-/** A Count-Min array whose cells are exponential histograms: frequencies of items in a sliding window. */
+const describeFormat = ({ epsilon, delta, windowMs, seed }: SketchFormat): string =>
+  `epsilon ${epsilon}, delta ${delta}, window ${windowMs} ms, seed ${seed}`;
+
+const mismatchMessage = (actual: SketchFormat, expected: SketchFormat): string =>
+  `sketch format (${describeFormat(actual)}) differs from the expected one (${describeFormat(expected)})`;
+
+/** A Count-Min array whose cells are exponential histograms; estimates the frequencies of items in a sliding window. */
 export class EcmSketch {
   readonly format: SketchFormat;
   readonly width: number;
   readonly depth: number;
   readonly cellEpsilon: number;
   private readonly cells = new Map<number, ExponentialHistogram>();
-  /** The cells of items, for all sketches of a format. */
+  /** Cached cells of items, shared by all sketches of the format. */
   private readonly cellCache: Map<number, readonly number[]>;
 
   constructor(format: SketchFormat) {
@@ -63,14 +69,14 @@
     }
   }
 
-  /** How often an item arrived in the last `rangeMs`: the minimum over the rows. */
+  /** Estimated number of arrivals of an item in the last `rangeMs`: the minimum over the rows. */
   estimate(item: number, now: number, rangeMs: number): number {
     return Math.min(
       ...this.cellsOf(item).map((cell) => this.cells.get(cell)?.estimate(now, rangeMs) ?? 0),
     );
   }
 
-  /** How many arrivals there were in the last `rangeMs`: the minimum of the sums of the rows. */
+  /** Estimated number of all arrivals in the last `rangeMs`: the minimum of the row sums. */
   total(now: number, rangeMs: number): number {
     const sums = new Array<number>(this.depth).fill(0);
     for (const [cell, histogram] of this.cells) {
@@ -80,7 +86,7 @@
     return Math.min(...sums);
   }
 
-  /** Drops what is older than the window; to be called more often than the stamps wrap around. */
+  /** Drops arrivals that are older than the window; has to be called more often than the stamps wrap around. */
   expire(now: number): void {
     for (const [cell, histogram] of this.cells) {
       histogram.expire(now);
@@ -88,7 +94,7 @@
     }
   }
 
-  /** The form that travels, with ages in place of stamps. */
+  /** Converts the sketch to its transmitted form, with ages in place of stamps. */
   agedForm(now: number): AgedSketch {
     this.expire(now);
     return {
@@ -100,7 +106,7 @@
     };
   }
 
-  /** A sketch from its aged form; `olderMs` is how long it was in transit. */
+  /** Creates a sketch from its aged form, after `olderMs` in transit. Throws a `SketchMismatchError` if the format differs. */
   static fromAged(
     agedForm: AgedSketch,
     format: SketchFormat,
@@ -108,11 +114,13 @@
     olderMs: number,
   ): EcmSketch {
     if (!isSameSketchFormat(agedForm.format, format))
-      throw new SketchMismatchError("The sketch has other dimensions.");
+      throw new SketchMismatchError(mismatchMessage(agedForm.format, format));
     const sketch = new EcmSketch(format);
     for (const { cell, histogram } of agedForm.cells) {
       if (cell >= sketch.width * sketch.depth)
-        throw new SketchMismatchError("The sketch has a cell too many.");
+        throw new SketchMismatchError(
+          `sketch cell ${cell} is out of range, the sketch has ${sketch.width * sketch.depth} cells`,
+        );
       sketch.cells.set(
         cell,
         ExponentialHistogram.fromAged(histogram, sketch.cellEpsilon, format.windowMs, now, olderMs),
@@ -121,13 +129,13 @@
     return sketch;
   }
 
-  /** Merges cell by cell. */
+  /** Merges sketches cell by cell. Throws a `SketchMismatchError` if a format differs. */
   static merge(inputs: EcmSketch[], format: SketchFormat, now: number): EcmSketch {
     const merged = new EcmSketch(format);
     const byCell = new Map<number, ExponentialHistogram[]>();
     for (const input of inputs) {
       if (!isSameSketchFormat(input.format, format))
-        throw new SketchMismatchError("The sketch has other dimensions.");
+        throw new SketchMismatchError(mismatchMessage(input.format, format));
       for (const [cell, histogram] of input.cells) {
         const histograms = byCell.get(cell);
         if (histograms) histograms.push(histogram);
--- a/src/sketch/exponential-histogram.ts
+++ b/src/sketch/exponential-histogram.ts
@@ -1,35 +1,35 @@
-/** The exponential histogram of Datar et al.: arrivals in a sliding window, counted in buckets of powers of two. */
+/** The exponential histogram of Datar et al.: counts arrivals in a sliding window in buckets whose sizes are powers of two. */
 
-/** Stamps wrap around at this many milliseconds; windows are less than half of it. */
+/** Stamps wrap around at this number of milliseconds; windows are shorter than half of it. */
 export const STAMP_WRAP_MS = 65_536;
 
-/** The age of a stamp, both it and `now` being counted modulo the wrap. */
+/** The age of a stamp in ms; both the stamp and `now` are modulo `STAMP_WRAP_MS`. */
 export const ageOf = (now: number, stamp: number): number =>
   (((now - stamp) % STAMP_WRAP_MS) + STAMP_WRAP_MS) % STAMP_WRAP_MS;
 
-/** The stamp of a reading of the clock. */
+/** The stamp of a clock reading. */
 export const stampOf = (nowMs: number): number =>
   ((Math.floor(nowMs) % STAMP_WRAP_MS) + STAMP_WRAP_MS) % STAMP_WRAP_MS;
 
-/** A histogram in the form that travels: ages in place of stamps, so that clocks need not agree. */
+/** A histogram in its transmitted form: ages in place of stamps, so that the daemons' clocks need not agree. */
 export interface AgedHistogram {
-  /** Age of the first arrival; `BEFORE_WINDOW` where that is older than the window. */
+  /** Age of the first arrival; `BEFORE_WINDOW` if it is older than the window. */
   floorAge: number;
   /** End ages of the buckets of size 2^level, oldest first. */
   levels: number[][];
 }
 
-/** The age that stands for "older than any window". */
+/** Age that means "older than any window". */
 export const BEFORE_WINDOW = STAMP_WRAP_MS - 1;
 
-/** One bucket: arrivals after `startAge` and up to `endAge`. */
+/** A bucket of arrivals, after `startAge` and up to `endAge`. */
 interface Bucket {
   size: number;
   startAge: number;
   endAge: number;
 }
 
-/** A time-based exponential histogram: arrivals in a sliding window, counted within a relative error. */
+/** A time-based exponential histogram: counts arrivals in a sliding window with a bounded relative error `epsilon`. */
 export class ExponentialHistogram {
   readonly epsilon: number;
   readonly windowMs: number;
@@ -42,7 +42,9 @@
 
   constructor(epsilon: number, windowMs: number) {
     if (windowMs * 2 >= STAMP_WRAP_MS)
-      throw new RangeError("The window is too long for the stamps.");
+      throw new RangeError(
+        `window of ${windowMs} ms is too long, it must be shorter than ${STAMP_WRAP_MS / 2} ms`,
+      );
     const k = Math.ceil(1 / epsilon);
     this.epsilon = epsilon;
     this.windowMs = windowMs;
@@ -50,11 +52,12 @@
     this.limit = Math.ceil(k / 2) + 1;
   }
 
+  /** Whether the window has no arrivals. */
   get isEmpty(): boolean {
     return this.levels.every((level) => level.length === 0);
   }
 
-  /** Counts arrivals. Those out of order are counted at the newest stamp. */
+  /** Counts arrivals. Arrivals out of order count at the newest stamp. */
   add(stamp: number, count = 1): void {
     if (this.floor === undefined) {
       this.floor = stamp;
@@ -82,7 +85,7 @@
     this.floor = undefined;
   }
 
-  /** The arrivals of the last `rangeMs`: whole buckets, and half of the oldest that overlaps. */
+  /** Estimated arrivals of the last `rangeMs`: all buckets inside the range, plus half of the oldest one that overlaps it. */
   estimate(now: number, rangeMs: number): number {
     let sum = 0;
     let size = 0;
@@ -104,7 +107,7 @@
     return this.oldestStartAge(now, size, newerEndAge) > rangeMs ? sum + size / 2 : sum + size;
   }
 
-  /** Whether invariant 1 is satisfied by every bucket. */
+  /** Whether every bucket satisfies invariant 1 of the paper by Datar et al. */
   satisfiesInvariant(now: number): boolean {
     let newerCount = 0;
     for (const { size } of this.buckets(now)) {
@@ -114,7 +117,7 @@
     return true;
   }
 
-  /** The histogram with ages in place of stamps. */
+  /** Converts the histogram to its transmitted form, with ages in place of stamps. */
   agedForm(now: number): AgedHistogram {
     this.expire(now);
     const floorAge =
@@ -124,7 +127,7 @@
     return { floorAge, levels: this.levels.map((level) => level.map((end) => ageOf(now, end))) };
   }
 
-  /** A histogram from its aged form. */
+  /** Creates a histogram from its aged form, after `olderMs` in transit. */
   static fromAged(
     agedForm: AgedHistogram,
     epsilon: number,
@@ -143,7 +146,7 @@
     return histogram;
   }
 
-  /** Replays the buckets of several histograms into a new one: half of each at its start, half at its end. */
+  /** Merges histograms: replays their buckets into a new one, half of each at its start and half at its end. */
   static merge(
     inputs: ExponentialHistogram[],
     epsilon: number,
@@ -166,7 +169,7 @@
     return merged;
   }
 
-  /** Adds arrivals at one stamp: where a level grows over its limit, its oldest buckets are merged in pairs into the next. */
+  /** Adds arrivals at one stamp. If a level exceeds its limit, its oldest buckets are merged in pairs into the next level. */
   private carry(stamp: number, count: number): void {
     let ends: readonly number[] = [];
     let copies = count;
@@ -205,7 +208,7 @@
     if (newer) yield { ...newer, startAge: this.oldestStartAge(now, newer.size, newer.endAge) };
   }
 
-  /** Where the oldest bucket starts. */
+  /** Start age of the oldest bucket. */
   private oldestStartAge(now: number, size: number, endAge: number): number {
     const floorAge = typeof this.floor === "number" ? ageOf(now, this.floor) : BEFORE_WINDOW;
     return size === 1 ? endAge : Math.max(floorAge, endAge);
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -14,7 +14,11 @@
   defaultRequestCountsFormat,
 } from "../../src/retry-budget/request-counts.js";
 
-test("an edge that changes its collector, also because that crashed, is never counted twice", () => {
+/**
+ * A collector includes an edge's last push for a whole window. If the edge moves to another collector, or its collector crashes,
+ * two collectors could include it, and the cluster's count would be up to twice the true one.
+ */
+test("an edge that changes its collector, also after a collector crash, is never counted twice", () => {
   const time = new VirtualClock();
   const network = new VirtualNetwork(time.clock(), RandomDraw.of(3));
   const fail = (error: unknown): void => {
@@ -48,9 +52,9 @@
   });
   const { runtime, rpc } = createEndpoint("10.0.0.9:1");
   const counts = new RequestCounts(defaultRequestCountsFormat);
-  const [left, right] = others;
-  if (!root || !left || !right) throw new Error("A collector is missing.");
-  let parent = left.address;
+  const [first, second] = others;
+  if (!root || !first || !second) throw new Error("A collector is missing.");
+  let parent = first.address;
   let parentSequence = 1;
   let push = 0;
   let counted = 0;
@@ -61,10 +65,10 @@
     counted += 1;
     if (atMs === 20_000 || atMs === 34_000) {
       if (atMs === 34_000) {
-        gates.get(right.address)?.kill();
-        network.drop(right.address);
+        gates.get(second.address)?.kill();
+        network.drop(second.address);
       }
-      parent = parent === left.address ? right.address : left.address;
+      parent = parent === first.address ? second.address : first.address;
       parentSequence += 1;
     }
     if (atMs % 2000 === 0) {
--- a/test/retry-budget/request-counts.test.ts
+++ b/test/retry-budget/request-counts.test.ts
@@ -6,7 +6,7 @@
   defaultRequestCountsFormat,
 } from "../../src/retry-budget/request-counts.js";
 
-test("counts are decoded by another clock, and truncated bytes are refused", () => {
+test("encoded counts are decoded correctly under another clock, and truncated bytes are rejected", () => {
   const own = new RequestCounts(defaultRequestCountsFormat);
   for (let atMs = 0; atMs < 5000; atMs += 5) own.countAttempt(3, atMs % 50 === 0, 70_000 + atMs);
   const bytes = own.encode(75_000);
@@ -19,18 +19,19 @@
       RequestCounts.decode(bytes.subarray(0, size), defaultRequestCountsFormat, 0, 0),
     ).toThrow(FrameError);
 });
-test("among ten thousand routes the heavy ones are found, and none that is lighter than the paper's bound allows", async () => {
+
+test("all heavy routes among 10,000 are found, and no route that is lighter than the paper's error bound allows", async () => {
   const random = RandomDraw.of(4);
   const edges = Array.from({ length: 3 }, () => new RequestCounts(defaultRequestCountsFormat));
   const heavy = [9, 4105, 8201, 12_297];
-  const truth = new Map<number, number>();
+  const trueCounts = new Map<number, number>();
   let total = 0;
   for (let atMs = 0; atMs < 12_000; atMs += 2) {
     const route =
       random() < 0.64 ? (heavy[Math.floor(random() * 4)] ?? 0) : 1 + Math.floor(random() * 10_000);
     edges[atMs % 3]?.countRoute(route, atMs);
     if (atMs < 2000) continue;
-    truth.set(route, (truth.get(route) ?? 0) + 1);
+    trueCounts.set(route, (trueCounts.get(route) ?? 0) + 1);
     total += 1;
   }
   const merged = RequestCounts.merge(
@@ -44,6 +45,7 @@
   for (const route of heavy) expect(found.map(({ item }) => item)).toContain(route);
   const cell = Math.sqrt(1 + defaultRequestCountsFormat.routes.epsilon) - 1;
   const bound = 2 * cell + cell * cell + cell + (2 * cell + cell * cell) * cell;
-  for (const { item } of found) expect((truth.get(item) ?? 0) / total).toBeGreaterThan(0.1 - bound);
+  for (const { item } of found)
+    expect((trueCounts.get(item) ?? 0) / total).toBeGreaterThan(0.1 - bound);
   expect(found.length).toBeLessThan(12);
 });
--- a/test/retry-budget/retry-budget.test.ts
+++ b/test/retry-budget/retry-budget.test.ts
@@ -4,7 +4,7 @@
 import { RetryBudget, defaultRetryRule } from "../../src/retry-budget/retry-budget.js";
 import { RETRY_WINDOW_MS } from "../../src/retry-budget/request-counts.js";
 
-test("the guard alone enforces the rule in every window, though edges start and crash, leaders change, clients stop and reports are late", () => {
+test("the guard alone enforces the rule in every window while edges start and crash, leaders change, clients stop and reports are delayed", () => {
   let totalRetries = 0;
   for (let seed = 1; seed <= 40; seed += 1) {
     const random = RandomDraw.of(seed);
@@ -79,7 +79,7 @@
   expect(totalRetries).toBeGreaterThan(40 * 150);
 });
 
-test("the sketch decides before the guard, and used capacity returns once the window is over", () => {
+test("the sketch decides before the guard, and used capacity is available again after the window", () => {
   const budget = new RetryBudget();
   let exhaustedCalls = 0;
   budget.onNearlyExhausted = () => (exhaustedCalls += 1);
--- a/test/retry-budget/retry-quotas.test.ts
+++ b/test/retry-budget/retry-quotas.test.ts
@@ -5,7 +5,7 @@
 const services = ["s"];
 const noCapacities = new Map<string, number>();
 
-test("the only edge with requested retries gets most of the pool at once; what an edge gives up is moved once it has reported that", () => {
+test("the only edge that requests retries gets most of the pool at once; capacity that it releases is moved only after its report", () => {
   const quotas = new RetryQuotas();
   quotas.beginTerm(0, "a", new Set());
   const request = (edge: string, number: string, inUse: number, requested: number, nowMs: number) =>
@@ -27,7 +27,7 @@
   expect(request("two", two.number, 0, 90, 50).capacities.get("s")).toBeGreaterThan(40);
 });
 
-test("a new leader raises quotas once all edges have reported, and waits for one that hasn't", () => {
+test("a new leader raises quotas only once all known edges have reported or their capacities have expired", () => {
   const quotas = new RetryQuotas();
   quotas.beginTerm(1000, "b", new Set(["one", "two"]));
   const report = { number: "a/7", capacities: new Map([["s", 20]]) };
@@ -68,7 +68,7 @@
   expect(quotas.expiredEdges(14_100, ["crashed", "new"])).toEqual(["crashed"]);
 });
 
-test("a late report of an older allotment frees nothing", () => {
+test("a delayed report of an older allotment releases no capacity", () => {
   const quotas = new RetryQuotas();
   quotas.beginTerm(0, "a", new Set());
   const first = quotas.allocate(
--- a/test/retry-budget/retry-rules.test.ts
+++ b/test/retry-budget/retry-rules.test.ts
@@ -4,7 +4,7 @@
 import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
 import { createRetryRules } from "../../src/retry-budget/retry-rules.js";
 
-test("with other settings than the defaults the guard enforces the rule in every window", () => {
+test("the guard enforces the rule in every window with settings other than the defaults", () => {
   for (const [ratio, extra, windowMs] of [
     [0.1, 20, 4000],
     [0, 30, 10_000],
--- a/test/sketch/dyadic-sketch.test.ts
+++ b/test/sketch/dyadic-sketch.test.ts
@@ -4,7 +4,7 @@
 import type { SketchFormat } from "../../src/sketch/ecm-sketch.js";
 import { stampOf } from "../../src/sketch/exponential-histogram.js";
 
-test("every heavy item is found, and none that is far from heavy", () => {
+test("every heavy item is found, and no item far below the threshold", () => {
   const format: SketchFormat = { epsilon: 0.05, delta: 0.05, windowMs: 20_000, seed: 3 };
   const random = RandomDraw.of(5);
   const sketch = new DyadicSketch(format, 10);
--- a/test/sketch/ecm-sketch.test.ts
+++ b/test/sketch/ecm-sketch.test.ts
@@ -5,7 +5,7 @@
 
 const format: SketchFormat = { epsilon: 0.1, delta: 0.05, windowMs: 20_000, seed: 11 };
 
-test("point queries, of one sketch and merged over two levels, exceed their bounds no more often than delta", () => {
+test("point queries on one sketch and on a two-level merge exceed their error bounds in at most the fraction delta of cases", () => {
   const misses = { single: 0, merged: 0, queries: 0 };
   for (let seed = 1; seed <= 6; seed += 1) {
     const random = RandomDraw.of(seed);
@@ -30,8 +30,8 @@
       const inRange = arrivals.filter(({ atMs }) => atMs > 30_000 - rangeMs);
       const own = inRange.filter(({ leaf }) => leaf === 0);
       for (let item = 0; item < 300; item += 7) {
-        const truth = inRange.filter((one) => one.item === item).length;
-        const ownTruth = own.filter((one) => one.item === item).length;
+        const truth = inRange.filter((arrival) => arrival.item === item).length;
+        const ownTruth = own.filter((arrival) => arrival.item === item).length;
         misses.queries += 1;
         if (
           Math.abs((leaves[0]?.estimate(item, now, rangeMs) ?? 0) - ownTruth) >
@@ -50,7 +50,7 @@
   expect(misses.merged).toBeLessThanOrEqual(format.delta * misses.queries);
 });
 
-test("a sketch with another seed is refused", () => {
+test("a sketch with another seed is rejected", () => {
   const other = new EcmSketch({ ...format, seed: 12 });
   expect(() => EcmSketch.merge([other], format, 0)).toThrow(SketchMismatchError);
   expect(() => EcmSketch.fromAged(other.agedForm(0), format, 0, 0)).toThrow(SketchMismatchError);
--- a/test/sketch/exponential-histogram.test.ts
+++ b/test/sketch/exponential-histogram.test.ts
@@ -4,6 +4,7 @@
 
 const windowMs = 20_000;
 
+/** Draws arrival times in bursts, in ms and in ascending order. */
 const arrivalTimes = (seed: number, count: number): number[] => {
   const random = RandomDraw.of(seed);
   const times: number[] = [];
@@ -11,10 +12,11 @@
     times.push(Math.floor(atMs));
   return times;
 };
+/** The true number of arrivals in the last `rangeMs`. */
 const countExactly = (times: number[], now: number, rangeMs: number): number =>
   times.filter((time) => time <= now && time > now - rangeMs).length;
 
-test("invariant 1 is satisfied and every estimate is within epsilon, across the wrap of stamps", () => {
+test("invariant 1 is satisfied and every estimate is within epsilon, also across the wrap-around of stamps", () => {
   for (const epsilon of [0.05, 0.1, 0.3]) {
     const times = arrivalTimes(7, 9000);
     const histogram = new ExponentialHistogram(epsilon, windowMs);
@@ -67,7 +69,7 @@
   }
 });
 
-test("a copy from the aged form estimates as the original does, and an idle histogram becomes empty", () => {
+test("a copy from the aged form returns the same estimates as the original, and an idle histogram becomes empty", () => {
   const histogram = new ExponentialHistogram(0.1, windowMs);
   for (let atMs = 0; atMs < 30_000; atMs += 7) histogram.add(stampOf(atMs));
   const copy = ExponentialHistogram.fromAged(
