--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -21,7 +21,7 @@
 const namesIn = (section: ConfigSection, keys: readonly string[]): ReadonlySet<string> =>
   new Set(
     keys
-      .map((key) => ConfigItems.named(key))
+      .map((key) => ConfigItems.parseItemKey(key))
       .filter((item) => item?.section === section)
       .map((item) => item?.name ?? ""),
   );
@@ -45,7 +45,7 @@
 /** A daemon's replica of the active configuration: replaced in full or updated by items, then verified by the leader's digest. */
 export class ConfigReplica {
   private readonly reader = new ConfigReader();
-  private current: NumberedConfig = { config: EMPTY_CONFIG, numbers: new Map() };
+  private current: NumberedConfig = { config: EMPTY_CONFIG, ids: new Map() };
   private hashes = new Map<string, bigint>();
   private setDigest = new SetDigest();
   /** Whether the replica matches the leader's state at the same sequence, as far as known. */
@@ -65,7 +65,7 @@
 
   /** Numbers of services and routes, by key. */
   get numbers(): ReadonlyMap<string, number> {
-    return this.current.numbers;
+    return this.current.ids;
   }
 
   /** Applies a view. Unless the outcome is `same` or `changed`, the daemon must not serve requests by this view. */
@@ -95,7 +95,7 @@
   }
 
   private replaceAll(config: Config, numbers: Record<string, number>): void {
-    this.current = { config, numbers: new Map(Object.entries(numbers)) };
+    this.current = { config, ids: new Map(Object.entries(numbers)) };
     this.hashes = new Map();
     this.setDigest = new SetDigest();
     for (const item of ConfigItems.all(this.current)) this.put(item.key, ConfigItems.hash(item));
@@ -104,11 +104,11 @@
   private applyUpdate(update: ConfigUpdate): void {
     const { put, removed, numbers } = update;
     for (const key of new Set(removed)) this.remove(key);
-    for (const item of ConfigItems.all({ config: put, numbers: new Map(Object.entries(numbers)) }))
+    for (const item of ConfigItems.all({ config: put, ids: new Map(Object.entries(numbers)) }))
       this.put(item.key, ConfigItems.hash(item));
     this.current = {
       config: updatedConfig(this.config, update),
-      numbers: this.updatedNumbers(removed, numbers),
+      ids: this.updatedNumbers(removed, numbers),
     };
   }
 
@@ -116,8 +116,8 @@
     removedKeys: readonly string[],
     numbers: Record<string, number>,
   ): ReadonlyMap<string, number> {
-    const updated = new Map(this.current.numbers);
-    for (const key of removedKeys) updated.delete(ConfigItems.nameOfIdKey(key) ?? "");
+    const updated = new Map(this.current.ids);
+    for (const key of removedKeys) updated.delete(ConfigItems.parseIdKey(key) ?? "");
     for (const [name, number] of Object.entries(numbers)) updated.set(name, number);
     return updated;
   }
--- a/src/cluster-view/endpoint-replica.ts
+++ b/src/cluster-view/endpoint-replica.ts
@@ -61,7 +61,7 @@
     if (effect === "differs") return this.markInconsistent();
     if (effect === "changed" && changes) this.applyChanges(changes.put, changes.removed);
     this.sequence = view.directorySequence;
-    if (view.directoryDigest !== undefined && view.directoryDigest !== this.setDigest.text)
+    if (view.directoryDigest !== undefined && view.directoryDigest !== this.setDigest.hex)
       return this.markInconsistent();
     return effect;
   }
--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -170,11 +170,11 @@
       heartbeatMs,
       // A heartbeat reaches the leader with the next poll of the daemon that received it.
       expiryMs: 3.5 * heartbeatMs + 2 * watchIntervalMs,
-      holdMs,
-      leaveHoldMs: drainMs + 500,
+      maxWatchWaitMs: holdMs,
+      holdDownMs: drainMs + 500,
       keyMs: keyWindowMs + 10_000,
-      silentMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
-      idRestMs: Math.max(60_000, 6 * retryWindowMs),
+      unresponsiveAfterMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
+      idQuarantineMs: Math.max(60_000, 6 * retryWindowMs),
     },
     replicationTimeouts: {
       ...defaultReplicationTimeouts,
