--- a/src/rpc/frame.ts
+++ b/src/rpc/frame.ts
@@ -1,15 +1,16 @@
-/** The frames in which requests and responses travel between daemons, and how they are read from a stream of bytes. */
+/** Frames of requests and responses between daemons, and their assembly from a byte stream. */
 import * as r from "restructure";
 
-/** The newest version of frames that this build uses; it also reads the one before. */
+/** The newest frame version that this build uses; it also reads the previous one. */
 export const FRAME_VERSION = 3;
 
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
-/** How many bytes of a frame precede its body; the last of them are the body's length. */
+/** Length of the frame header, which ends with the length of the body. */
 const HEADER_BYTES = 11;
+/** Length of the field for the body's length. */
 const LENGTH_BYTES = 4;
 
-/** A request of some method, or the response to one. */
+/** A request of a method, or the response to it. */
 export interface Frame {
   version: number;
   methodId: number;
@@ -18,7 +19,7 @@
   body: Uint8Array;
 }
 
-/** Thrown where bytes from a peer are no frame or no message that this daemon takes. */
+/** Thrown when bytes from a peer aren't a valid frame, or not a valid message of a served method. */
 export class FrameError extends Error {}
 
 const frameStruct = new r.Struct({
@@ -29,35 +30,40 @@
   body: new r.Buffer(r.uint32),
 });
 
-/** Decodes a value from exactly these bytes. Throws a `FrameError` where they are too few, too many or out of range. */
+/** Decodes a value from exactly these bytes. Throws a `FrameError` if they are too few, too many or out of range. */
 export const decodeExactly = <T>(coder: r.Coder<T>, bytes: Uint8Array): T => {
   let value: T;
+  let size: number;
   try {
     value = coder.fromBuffer(bytes);
-    if (coder.size(value) === bytes.length) return value;
+    size = coder.size(value);
   } catch (error) {
-    throw new FrameError("The bytes don't fit the layout.", { cause: error });
+    throw new FrameError(`${bytes.length} bytes don't match the layout of the message`, {
+      cause: error,
+    });
   }
-  throw new FrameError("The bytes are cut short or too many.");
+  if (size !== bytes.length)
+    throw new FrameError(`received ${bytes.length} bytes, the message has ${size}`);
+  return value;
 };
 
-/** The bytes of a frame, ready to send. */
+/** Encodes a frame. */
 export const encodeFrame = (frame: Frame): Uint8Array => frameStruct.toBuffer(frame);
 
-/** Assembles frames from the pieces in which their bytes arrive. */
+/** Assembles frames from the received pieces of a byte stream. */
 export class FrameReader {
   private pieces: Uint8Array[] = [];
   private bufferedBytes = 0;
-  /** How many bytes have to be buffered until there may be a frame. */
+  /** Number of buffered bytes from which on the next frame may be complete. */
   private neededBytes = HEADER_BYTES;
   private readonly newestVersion: number;
 
-  /** Accepts frames of this version and of the one before. */
+  /** Accepts frames of `newestVersion` and of the previous version. */
   constructor(newestVersion = FRAME_VERSION) {
     this.newestVersion = newestVersion;
   }
 
-  /** Takes a piece and returns the frames that it completes. Throws a `FrameError` for what is no frame. */
+  /** Adds a piece and returns the frames that it completes. Throws a `FrameError` for an invalid frame. */
   read(piece: Uint8Array): Frame[] {
     this.pieces.push(piece);
     this.bufferedBytes += piece.length;
@@ -66,7 +72,9 @@
       const bytes = Buffer.concat(this.pieces, this.bufferedBytes);
       const bodyBytes = bytes.readUInt32BE(HEADER_BYTES - LENGTH_BYTES);
       if (bodyBytes > MAX_BODY_BYTES)
-        throw new FrameError(`A frame of ${bodyBytes} bytes is too large.`);
+        throw new FrameError(
+          `frame body of ${bodyBytes} bytes exceeds the limit of ${MAX_BODY_BYTES} bytes`,
+        );
       const frameBytes = HEADER_BYTES + bodyBytes;
       const isComplete = bytes.length >= frameBytes;
       if (isComplete) frames.push(this.decode(bytes.subarray(0, frameBytes)));
@@ -79,7 +87,9 @@
   private decode(bytes: Uint8Array): Frame {
     const frame = decodeExactly(frameStruct, bytes);
     if (frame.version !== this.newestVersion && frame.version !== this.newestVersion - 1)
-      throw new FrameError(`Frames of sequence ${frame.version} aren't spoken here.`);
+      throw new FrameError(
+        `frame version ${frame.version} is not supported, only ${this.newestVersion - 1} and ${this.newestVersion} are`,
+      );
     return frame;
   }
 
--- a/src/rpc/paced-connection.ts
+++ b/src/rpc/paced-connection.ts
@@ -1,29 +1,30 @@
-/** A connection that shares the link of the machine with other bulk transfers. */
+/** A connection that shares the machine's link with other bulk transfers. */
 import type { Clock } from "../runtime/clock.js";
 import type { Queue } from "../runtime/queue.js";
 import type { LinkPacer, Transfer, TransferRank } from "../runtime/link-pacer.js";
 import type { Connection } from "../runtime/network.js";
 
+/** Rank of a large frame; its deadline changes once sending starts. */
 interface FrameRank extends TransferRank {
   dueMs: number;
 }
 
-/** A large frame that is being sent or waits for it. */
+/** A large frame that is queued or partly sent. */
 interface LargeFrame {
   readonly frame: Uint8Array;
   readonly transfer: Transfer;
-  /** Its rank; a frame that has been begun precedes those that haven't. */
+  /** Rank of the frame; a partly sent frame precedes those that are not started. */
   readonly rank: FrameRank;
   sentBytes: number;
   readonly cancelExpiry: () => void;
 }
 
-/** Ranks frames that expire after those that don't, and among them the newest first. */
+/** Base of the deadlines of expiring frames: ranks them behind frames that don't expire, and the newest of them first. */
 const NEWEST_FIRST_MS = 1e15;
 
 /**
- * A connection on which large frames are written in turns with all other bulk on the machine's link. Small frames are written at
- * once: before large ones that wait, and after one that has been begun.
+ * A connection that writes large frames in turns with all other bulk transfers on the machine's link. Small frames are written
+ * immediately: before queued large frames, and after a partly sent one.
  */
 export class PacedConnection implements Connection {
   readonly incoming: Queue<Uint8Array | "closed">;
@@ -31,14 +32,14 @@
   private readonly egress: LinkPacer;
   private readonly clock: Clock;
   private readonly maxDeferralMs: number;
-  /** Small frames that wait for the end of the large one that has been begun. */
+  /** Small frames that wait for the end of the partly sent large frame. */
   private readonly smallFrames: Uint8Array[] = [];
-  /** Large frames in the order of sending; the first may have been begun. */
+  /** Queued large frames in sending order; the first may be partly sent. */
   private readonly largeFrames: LargeFrame[] = [];
   private cancelTurn: (() => void) | undefined;
   private isClosed = false;
 
-  /** `patienceMs`: for how long frames may give way to those of other connections. */
+  /** `maxDeferralMs`: how long large frames may be deferred in favor of those of other connections. */
   constructor(connection: Connection, egress: LinkPacer, clock: Clock, maxDeferralMs = 0) {
     this.connection = connection;
     this.incoming = connection.incoming;
@@ -48,8 +49,8 @@
   }
 
   /**
-   * Sends a frame, at once if it is small. A large one that expires before it has been begun is dropped; of frames that expire the
-   * newest goes first, so that on an overloaded link some are in time.
+   * Sends a frame, immediately if it is small. A large frame is dropped if it expires before sending starts. Of expiring frames the
+   * newest is sent first, so that on an overloaded link some arrive in time.
    */
   send(frame: Uint8Array, expiresMs = Infinity): void {
     if (this.isClosed) return;
@@ -62,7 +63,7 @@
     else this.write(frame);
   }
 
-  /** Closes the connection; frames that wait are dropped. */
+  /** Closes the connection and drops queued frames. */
   close(): void {
     this.isClosed = true;
     this.cancelTurn?.();
@@ -88,7 +89,7 @@
     if (this.largeFrames.length === 1) this.awaitTurn();
   }
 
-  /** Sends the first of the large frames, a part at each turn, then the next one. */
+  /** Sends the first large frame, one part per turn, then the next one. */
   private awaitTurn(): void {
     const [first] = this.largeFrames;
     if (!first) return;
@@ -112,7 +113,7 @@
     if (!hadTurn) this.cancelTurn = cancel;
   }
 
-  /** Drops a frame that hasn't been begun. */
+  /** Drops a frame whose sending has not started. */
   private drop(frame: Uint8Array): void {
     const index = this.largeFrames.findIndex((queued) => queued.frame === frame);
     const [dropped] = index < 0 ? [] : this.largeFrames.splice(index, 1);
--- a/src/rpc/peer-connection.ts
+++ b/src/rpc/peer-connection.ts
@@ -1,4 +1,4 @@
-/** The outgoing connection to one peer: opened when there is a request to send, and again after it broke. */
+/** The outgoing connection to one peer, opened on demand and reopened after a failure. */
 import { type Clock, withTimeout, sleep } from "../runtime/clock.js";
 import type { Connection } from "../runtime/network.js";
 import { Queue } from "../runtime/queue.js";
@@ -8,19 +8,19 @@
 import { PendingCalls } from "./pending-calls.js";
 import type { RpcContext } from "./rpc-context.js";
 
-/** A connection on which a request has waited for longer than this, while nothing arrived, is closed. */
+/** A connection is closed if a request has waited longer than this while nothing was received. */
 const UNRESPONSIVE_MS = 1000;
-/** How long after a connection has ended the next one is opened. */
+/** Delay between the end of a connection and the next one. */
 const RECONNECT_DELAY_MS = 60;
 
-/** A request as it is sent: its body is encoded when it is handed to the connection. */
+/** A request to send; its body is encoded when it is handed to the connection. */
 export interface OutgoingRequest {
   readonly requestId: number;
   readonly methodId: number;
   encodeBody(): Uint8Array;
 }
 
-/** A peer, the connection to it, and the calls that wait for its responses. */
+/** A peer, the connection to it, and the calls pending there. */
 export class PeerConnection {
   private readonly context: RpcContext;
   private readonly clock: Clock;
@@ -29,10 +29,10 @@
   private readonly pending = new PendingCalls();
   private connection: Connection | undefined;
   private lastReceivedMs = -Infinity;
-  /** Since when a request has waited though nothing was received; undefined once something is. */
+  /** Time since which a request has waited without anything received; `undefined` while none does. */
   private unansweredSinceMs: number | undefined;
   private lastFailedMs = -Infinity;
-  /** The frame version that is used: the newest, and the one before it if the peer refuses that. */
+  /** The frame version in use: the newest, or the previous one if the peer refuses the newest. */
   private version: number;
 
   constructor(context: RpcContext, address: string) {
@@ -42,17 +42,17 @@
     this.version = context.newestVersion;
   }
 
-  /** Whether anything was received from the peer since a moment. */
+  /** Whether anything was received from the peer since `sinceMs`. */
   hasReceivedSince(sinceMs: number): boolean {
     return this.lastReceivedMs >= sinceMs;
   }
 
-  /** Whether a connection failed or was unresponsive since a moment, and nothing was received after that. */
+  /** Whether a connection failed or was unresponsive since `sinceMs`, with nothing received after that. */
   hasFailedSince(sinceMs: number): boolean {
     return this.lastFailedMs >= sinceMs && this.lastFailedMs > this.lastReceivedMs;
   }
 
-  /** Sends a request and waits for the body of its response; `undefined` where none came in time or the connection broke. */
+  /** Sends a request and waits for the body of its response; `undefined` after `timeoutMs` or if the connection failed. */
   *request(
     { requestId, methodId, encodeBody }: OutgoingRequest,
     timeoutMs: number,
@@ -75,7 +75,7 @@
     return body;
   }
 
-  /** Goes on waiting for a response that didn't come in time, beside any later requests. */
+  /** Waits for a response beyond its timeout, independent of later requests; calls `onResponse` if it arrives within `waitMs`. */
   awaitLate(requestId: number, waitMs: number, onResponse: (body: Uint8Array) => void): void {
     const forget = (): void => this.pending.remove(requestId);
     this.pending.add(requestId, (body) => {
@@ -85,12 +85,12 @@
     this.clock.after(waitMs, forget);
   }
 
-  /** Closes the connection if an error was raised by what came over it. */
+  /** Closes the connection if the error is a protocol violation by the peer; rethrows any other error. */
   closeOnViolation(error: unknown): void {
     this.context.guard.closeOnViolation(this.connection, error);
   }
 
-  /** Connects whenever there is something to send, for as long as the daemon runs. */
+  /** Connects on demand while the daemon runs. */
   *run(): Task {
     for (;;) {
       const first = yield* this.outgoing.take();
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Sends over a new connection until that ends. A peer that sent no frame may speak another version only. */
+  /** Sends over a new connection until it ends. A peer that sent no frame may support only another version, so the next connection uses the other one. */
   private *runConnection(connected: Connection, first: Uint8Array): Task {
     const { pacers, newestVersion } = this.context;
     const connection = new PacedConnection(connected, pacers.egress, this.clock);
@@ -120,7 +120,7 @@
     connection.close();
   }
 
-  /** Hands responses to their calls until the connection ends; returns whether any frame was received. */
+  /** Passes responses to their calls until the connection ends; returns whether any frame was received. */
   private *receive(connection: Connection): Task<boolean> {
     const { pacers, guard, newestVersion } = this.context;
     const reader = new FrameReader(newestVersion);
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Closes a connection on which a request has waited for so long that no peer can be there; a slow response is no sign of that. */
+  /** Closes the connection if a request has waited too long while nothing at all was received; a slow response alone is not a reason. */
   private closeIfUnresponsive(): void {
     const nowMs = this.clock.nowMs();
     const { connection, unansweredSinceMs } = this;
--- a/src/rpc/pending-calls.ts
+++ b/src/rpc/pending-calls.ts
@@ -1,23 +1,23 @@
-/** Calls to one peer whose responses haven't arrived yet. */
+/** Calls to one peer that wait for their responses. */
 
-/** Takes the body of a response, or `undefined` where the connection broke. */
+/** Handles the body of a response, or `undefined` if the connection failed. */
 export type CallHandler = (body: Uint8Array | undefined) => void;
 
-/** Handlers of responses by the id of their request. */
+/** Response handlers by request id. */
 export class PendingCalls {
   private readonly handlers = new Map<number, CallHandler>();
 
-  /** Sets the handler of a response. */
+  /** Adds the handler of a response. */
   add(requestId: number, handler: CallHandler): void {
     this.handlers.set(requestId, handler);
   }
 
-  /** Forgets a call; its response is dropped. */
+  /** Removes a call; its response is ignored. */
   remove(requestId: number): void {
     this.handlers.delete(requestId);
   }
 
-  /** Hands a response to its call, where that is still pending. */
+  /** Passes a response to its call if it is still pending. */
   settle(requestId: number, body: Uint8Array): void {
     this.handlers.get(requestId)?.(body);
   }
--- a/src/rpc/protocol-guard.ts
+++ b/src/rpc/protocol-guard.ts
@@ -1,4 +1,4 @@
-/** What happens to connections over which something arrives that doesn't follow the protocol. */
+/** Handling of protocol violations by peers. */
 import { StructError } from "superstruct";
 import type { Logger } from "../runtime/logger.js";
 import type { Connection } from "../runtime/network.js";
@@ -7,7 +7,7 @@
 const isProtocolError = (error: unknown): error is Error =>
   error instanceof FrameError || error instanceof StructError || error instanceof SyntaxError;
 
-/** Closes connections whose peers violate the protocol, and counts them. */
+/** Closes connections whose peers violate the protocol, and counts the violations. */
 export class ProtocolGuard {
   private readonly log: Logger;
   private violationCount = 0;
@@ -16,12 +16,12 @@
     this.log = log;
   }
 
-  /** How many violations there were. */
+  /** Number of violations. */
   get violations(): number {
     return this.violationCount;
   }
 
-  /** Closes the connection on which an error was raised by what a peer sent; any other error is thrown on. */
+  /** Closes the connection if the error is a protocol violation by the peer; rethrows any other error. */
   closeOnViolation(connection: Connection | undefined, error: unknown): void {
     if (!isProtocolError(error)) throw error;
     this.violationCount += 1;
--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -1,4 +1,4 @@
-/** A daemon's end of the links to its peers: calls of their methods, and the service of its own. */
+/** A daemon's RPC endpoint: calls methods of peers and serves its own. */
 import type * as r from "restructure";
 import { createLinkPacers } from "../runtime/link-pacer.js";
 import { type Runtime, startTask } from "../runtime/runtime.js";
@@ -10,19 +10,21 @@
 import type { RpcMethod } from "./rpc-method.js";
 import { RpcServer } from "./rpc-server.js";
 
-/** Request ids begin anew here, being 32 bits wide. */
+/** Request ids are 32 bits wide and wrap around at this limit. */
 const REQUEST_ID_LIMIT = 2 ** 32;
 
-/** The message that an encoding of requests or responses carries. */
+/** The message type of an encoding. */
 export type DecodedMessage<C> = r.Held<C>;
 
-/** How a response after its timeout is taken, and for how long it is waited for. */
+/** Handling of a response that arrives after its timeout. */
 export interface LateResponse<R> {
+  /** How long to wait for the response after the timeout. */
   readonly waitMs: number;
+  /** Called with the response. */
   onResponse(response: R): void;
 }
 
-/** The links of one daemon to its peers: requests, and the responses to them. */
+/** The RPC endpoint of one daemon: a client of its peers and a server for them. */
 export class RpcEndpoint {
   private readonly context: RpcContext;
   private readonly guard: ProtocolGuard;
@@ -44,7 +46,7 @@
     this.server = new RpcServer(this.context);
   }
 
-  /** How many connections were closed for what came over them. */
+  /** Number of protocol violations by peers; each closed a connection. */
   get protocolViolations(): number {
     return this.guard.violations;
   }
@@ -60,8 +62,8 @@
   }
 
   /**
-   * Calls a method of a peer and waits for the response; `undefined` where none came within `timeoutMs` or the connection broke.
-   * With `late`, a response that comes afterwards is passed on.
+   * Calls a method of a peer and waits for the response; `undefined` after `timeoutMs` or if the connection failed. `late` receives
+   * a response that arrives after that.
    */
   *call<A, R>(
     address: string,
@@ -90,12 +92,12 @@
     }
   }
 
-  /** Whether anything was received from a peer since a moment. */
+  /** Whether anything was received from a peer since `sinceMs`. */
   hasReceivedFrom(address: string, sinceMs: number): boolean {
     return this.peers.get(address)?.hasReceivedSince(sinceMs) ?? false;
   }
 
-  /** Whether a connection to a peer failed or was unresponsive since a moment, and nothing was received from it after that. */
+  /** Whether a connection to a peer failed or was unresponsive since `sinceMs`, with nothing received from the peer after that. */
   isUnreachable(address: string, sinceMs: number): boolean {
     return this.peers.get(address)?.hasFailedSince(sinceMs) ?? false;
   }
--- a/src/rpc/rpc-method.ts
+++ b/src/rpc/rpc-method.ts
@@ -1,20 +1,20 @@
-/** The methods that daemons call of one another: ids and layouts of their messages, in which the order of fields is fixed. */
+/** The RPC methods between daemons: ids and message layouts. The order of fields is part of the layout. */
 import * as r from "restructure";
 import { Utf8TextCodec } from "./utf8-text-codec.js";
 
-/** One method: its id on the wire, and the encodings of its requests and responses. */
+/** An RPC method: its id on the wire, and the encodings of its requests and responses. */
 export interface RpcMethod<A, R> {
   readonly id: number;
   readonly request: r.Coder<A>;
   readonly response: r.Coder<R>;
-  /** How long after a request its response is still of use; without it there is no limit. */
+  /** How long after a request its response is still useful; unlimited by default. */
   readonly waitMs?: number;
 }
 
 const text = new Utf8TextCodec();
 const flag = new r.Boolean(r.uint8);
 const texts = new r.Array(text, r.uint32);
-/** A keyed request is identified by the scope of its key and by its own id. */
+/** Identifies a keyed request by the scope of its key and its own id. */
 const keyedRequest = { scope: text, job: text };
 /** The outcome of a keyed request, as `src/proxy/idempotency/keyed-outcome.ts` numbers it, and the response if there is one: status, headers as JSON, body. */
 const keyedOutcome = {
@@ -25,11 +25,12 @@
 };
 const entryStruct = new r.Struct({ index: r.uint32, term: r.uint32, text });
 
-/** One entry of the replicated log as it travels and as it is stored. */
+/** An entry of the replicated log, as it is sent and stored. */
 export type Entry = r.Held<typeof entryStruct>;
 
+/** All RPC methods by name. */
 export const rpcMethods = {
-  /** Requests a vote; in a pre-vote, whether it would be given. */
+  /** Requests a vote; a pre-vote asks only whether the vote would be granted. */
   vote: {
     id: 1,
     request: new r.Struct({
@@ -68,8 +69,8 @@
     response: new r.Struct({ term: r.uint32, counts: flag, matched: r.uint32 }),
   },
   /**
-   * Discovery among daemons. A member sends its peer address, others an empty text. With `fleet`, the cluster is to be
-   * bootstrapped with these members, at the process that `incarnation` names; with `open`, all its voters have done so.
+   * Discovers daemons. A member sends its peer address, other daemons an empty string. If `fleet` is set, it requests the process
+   * that `incarnation` identifies to bootstrap the cluster with these members; with `open`, all voters have done so.
    */
   discover: {
     id: 4,
@@ -94,16 +95,16 @@
       recorders: texts,
     }),
   },
-  /** The leader has a follower start an election at once. */
+  /** The leader requests a follower to start an election immediately. */
   handOver: {
     id: 5,
     request: new r.Struct({ term: r.uint32 }),
     response: new r.Struct({ taken: flag }),
   },
-  /** An edge or collector requests a fresh view; the response renews its lease. */
+  /** An edge or collector requests a new view; the response renews its lease. */
   watch: {
     id: 6,
-    /** A large view over a slow link is taken though the request was repeated meanwhile; the leader sends it once. */
+    /** The leader sends a large view once. Over a slow link it may arrive after the request was repeated, and is still accepted. */
     waitMs: 30_000,
     request: new r.Struct({ forwarded: flag, text }),
     response: new r.Struct({ leader: text, text }),
@@ -114,13 +115,13 @@
     request: new r.Struct({ forwarded: flag, text }),
     response: new r.Struct({ leader: text, text }),
   },
-  /** An edge or collector pushes its sketch; the response carries the cluster's merged one. */
+  /** An edge or collector pushes its sketch; the response contains the cluster's merged sketch. */
   pushCounts: {
     id: 8,
     request: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
     response: new r.Struct({ text, sketches: new r.Buffer(r.uint32) }),
   },
-  /** A member requests accepted configurations from another, from a sequence on. */
+  /** A member requests the accepted configurations from another member, starting at a sequence. */
   history: {
     id: 9,
     request: new r.Struct({ from: r.uint32 }),
@@ -139,8 +140,8 @@
     response: new r.Struct(keyedOutcome),
   },
   /**
-   * The leader sends one piece of its deflated snapshot to a member whose log is behind; without bytes it requests how much the
-   * member has received. A build without this method closes the connection; it is sent the full snapshot as `checkpoint`.
+   * The leader sends one piece of its deflated snapshot to a member whose log is too far behind; a request without bytes asks how
+   * much the member has received. A build without this method closes the connection; it receives the full snapshot by `snapshot`.
    */
   snapshotPiece: {
     id: 10,
--- a/src/rpc/rpc-server.ts
+++ b/src/rpc/rpc-server.ts
@@ -1,4 +1,4 @@
-/** The server side of the links between daemons: requests that arrive, and the responses to them. */
+/** The server side of RPC between daemons: handles requests and sends responses. */
 import { startTask } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
 import { decodeExactly, type Frame, encodeFrame, FrameError, FrameReader } from "./frame.js";
@@ -6,13 +6,13 @@
 import type { RpcContext } from "./rpc-context.js";
 import type { RpcMethod } from "./rpc-method.js";
 
-/** For how long a large response may give way to large requests. */
+/** How long a large response may be deferred in favor of large requests. */
 const RESPONSE_DEFERRAL_MS = 1000;
 
 /** Handles the requests of one method. */
 interface MethodHandler {
   readonly handle: (body: Uint8Array) => Task<Uint8Array>;
-  /** How long after a request its response is of use. */
+  /** How long after a request its response is useful. */
   readonly waitMs: number;
 }
 
@@ -25,7 +25,7 @@
     this.context = context;
   }
 
-  /** Sets the handler of a method; a former one is replaced. */
+  /** Sets the handler of a method; replaces any previous one. */
   setHandler<A, R>(method: RpcMethod<A, R>, handle: (request: A) => Task<R>): void {
     this.handlers.set(method.id, {
       *handle(body) {
@@ -49,7 +49,7 @@
     });
   }
 
-  /** Starts a task for each request of a connection, until that ends. */
+  /** Starts a task for each request on a connection, until the connection ends. */
   private *serve(connection: PacedConnection): Task {
     const { runtime, pacers, guard, newestVersion } = this.context;
     const reader = new FrameReader(newestVersion);
@@ -69,7 +69,8 @@
 
   private handlerOf({ methodId, isResponse }: Frame): MethodHandler {
     const handler = this.handlers.get(methodId);
-    if (!handler || isResponse) throw new FrameError(`Nothing here serves kind ${methodId}.`);
+    if (isResponse) throw new FrameError(`unexpected response to RPC method id ${methodId}`);
+    if (!handler) throw new FrameError(`unknown RPC method id ${methodId}`);
     return handler;
   }
 
--- a/src/rpc/utf8-text-codec.ts
+++ b/src/rpc/utf8-text-codec.ts
@@ -1,11 +1,11 @@
-/** The encoding of texts in messages. */
+/** Encoding of strings in messages. */
 import * as r from "restructure";
 
 const LENGTH_BYTES = 4;
 
 /**
- * A text in UTF-8, preceded by its length in bytes, in the same layout as the library's own strings. The library counts a text's
- * bytes one character after another, which is most of the work of encoding a frame; Node's `Buffer` does it natively.
+ * A string in UTF-8, preceded by its length in bytes; the layout is identical to the library's own strings. The library counts the
+ * bytes character by character, which takes most of the time of encoding a frame; Node's `Buffer` counts them natively.
  */
 export class Utf8TextCodec extends r.String {
   constructor() {
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -11,18 +11,18 @@
 import type { Scheduler } from "@most/types";
 import { type Task, waitFor } from "./task.js";
 
-/** A machine's monotonic clock, in milliseconds. Its readings are never compared with another machine's. */
+/** A machine's monotonic clock, in milliseconds. Its readings are never compared with those of other machines. */
 export interface Clock {
   readonly scheduler: Scheduler;
   nowMs(): number;
-  /** Runs a function once after a time. Returns a function that cancels that. */
+  /** Calls a function once after `waitMs`. Returns a function that cancels the call. */
   after(waitMs: number, run: () => void): () => void;
 }
 
-/** Added to the due time: the scheduler runs what is due within a millisecond at its start, which would be early. */
+/** Added to the due time, since the scheduler runs a task at the start of the millisecond in which it is due, which would be too early. */
 const ROUNDING_MS = 0.001;
 
-/** The clock of a scheduler of streams. */
+/** Creates a clock on a stream scheduler. */
 export function createClock(scheduler: Scheduler): Clock {
   return {
     scheduler,
@@ -46,17 +46,17 @@
   };
 }
 
-/** The clock of the machine this process runs on. */
+/** Creates a clock on the system time of this machine. */
 export function systemClock(): Clock {
   return createClock(newScheduler(newClockTimer(newPlatformClock()), newTimeline()));
 }
 
-/** Suspends a task for a time. */
+/** Suspends a task for `waitMs`. */
 export function* sleep(clock: Clock, waitMs: number): Task {
   yield* waitFor<boolean>((done) => clock.after(waitMs, () => done(true)));
 }
 
-/** Waits for an outcome, at most `waitMs`; `undefined` where none came in time. */
+/** Waits for an outcome; `undefined` after `waitMs` without one. */
 export function* withTimeout<T>(
   clock: Clock,
   waitMs: number,
--- a/src/runtime/disk.ts
+++ b/src/runtime/disk.ts
@@ -1,22 +1,24 @@
-/** Durable files in the data folder of a daemon. */
+/** Durable files in a daemon's data folder. */
 import { open, mkdir, readFile, readdir, unlink, type FileHandle } from "node:fs/promises";
 import { join } from "node:path";
 import { type Task, fromPromise } from "./task.js";
 
-/** Thrown where the disk is full, stalled or failing. */
+/** Thrown when the disk is full, stalled or failing. */
 export class DiskError extends Error {}
 
-/** Files in one data folder. What was written is durable once its task has ended: it was synced. */
+/** The files of one data folder. Each change is synced, and therefore durable, when its task ends. */
 export interface Disk {
-  /** The bytes of a file; `undefined` where there is none. */
+  /** Content of a file; `undefined` if it does not exist. */
   read(name: string): Task<Uint8Array | undefined>;
-  /** Names of all files. */
+  /** Names of all files in the folder. */
   list(): Task<string[]>;
   /** Replaces a file and syncs it and the folder. */
   write(name: string, bytes: Uint8Array): Task;
   /** Appends to a file and syncs it; the first append to a file syncs the folder too. */
   append(name: string, bytes: Uint8Array): Task;
+  /** Truncates a file to `size` bytes and syncs it. */
   truncate(name: string, size: number): Task;
+  /** Removes a file and syncs the folder. */
   remove(name: string): Task;
 }
 
@@ -34,14 +36,14 @@
     offset += (await handle.write(bytes, offset, bytes.length - offset)).bytesWritten;
 };
 
-/** Waits for an operation of the file system; what it throws is the cause of a `DiskError`. */
+/** Waits for a file system operation; throws a `DiskError` with its error as the cause. */
 const awaitDisk = function* <T>(promise: Promise<T>): Task<T> {
   const outcome = yield* fromPromise(promise);
   if ("value" in outcome) return outcome.value;
-  throw new DiskError("The disk failed.", { cause: outcome.error });
+  throw new DiskError("disk operation failed", { cause: outcome.error });
 };
 
-/** A folder of the file system. Files that are appended to stay open until they are truncated or removed. */
+/** A folder of the file system. Appended files stay open until they are truncated or removed. */
 class DataFolder implements Disk {
   private readonly folder: string;
   private readonly appendHandles = new Map<string, FileHandle>();
@@ -130,7 +132,7 @@
   }
 }
 
-/** The data folder of a real machine, made where it is missing. */
+/** Opens a data folder of this machine; creates it if it is missing. */
 export function* openDisk(folder: string): Task<Disk> {
   yield* awaitDisk(mkdir(folder, { recursive: true }));
   return new DataFolder(folder);
--- a/src/runtime/event-stream.ts
+++ b/src/runtime/event-stream.ts
@@ -1,8 +1,8 @@
-/** Streams of events from outside. */
+/** Streams of external events. */
 import { runEffects, tap } from "@most/core";
 import type { Scheduler, Sink, Stream } from "@most/types";
 
-/** A stream of what arrives from outside: requests, signals, settings that changed. */
+/** A stream of external events, such as requests, signals and changed settings. */
 export class EventStream<T> {
   private readonly sinks = new Map<Sink<T>, Scheduler>();
 
@@ -14,7 +14,7 @@
     },
   };
 
-  /** Hands an event to all subscribers. */
+  /** Sends an event to all subscribers. */
   emit(event: T): void {
     for (const [sink, scheduler] of this.sinks) sink.event(scheduler.currentTime(), event);
   }
--- a/src/runtime/fast-validator.ts
+++ b/src/runtime/fast-validator.ts
@@ -1,4 +1,4 @@
-/** Validators of superstruct shapes that run faster than the library's own, for messages that are read often. */
+/** Validators of superstruct shapes that are faster than the library's own, for frequent messages. */
 import { create, type Struct } from "superstruct";
 
 type Guard = (value: unknown) => boolean;
@@ -66,11 +66,11 @@
     value === undefined ? allowsUndefined : value === null ? allowsNull : inner(value);
 };
 
-/** Whether a value is of a shape. */
+/** Whether a value matches a shape. */
 export const matchesStruct = (struct: object, value: unknown): boolean =>
   isStruct(struct) && getGuard(struct)(value);
 
-/** A function that returns a value of a shape as it is, and throws the library's own error for any other. For shapes without refinements. */
+/** Creates a validator that returns a valid value unchanged, and throws the library's own error for any other. Supports only shapes without refinements. */
 export const fastValidator = <T, S>(struct: Struct<T, S>): ((value: unknown) => T) => {
   const isValid = (value: unknown): value is T => matchesStruct(struct, value);
   return (value) => (isValid(value) ? value : create(value, struct));
--- a/src/runtime/link-pacer.ts
+++ b/src/runtime/link-pacer.ts
@@ -1,47 +1,48 @@
-/** Pacing of large transfers on the link of the machine, so that small messages aren't delayed by them. */
+/** Pacing of large transfers on the machine's link, so that they don't delay small messages. */
 import type { Clock } from "./clock.js";
 import { type Task, waitFor } from "./task.js";
 
-/** The class of a bulk transfer: control traffic precedes requests, and those precede responses to clients. */
+/** Class of a bulk transfer: control traffic precedes requests, and requests precede responses to clients. */
 export type TransferClass = "control" | "request" | "response";
 
-/** The rank of a bulk transfer among those that wait. */
+/** Rank of a bulk transfer among the waiting ones. */
 export interface TransferRank {
   readonly transferClass: TransferClass;
-  /** Its deadline; responses that have missed theirs give way to those that haven't. */
+  /** Deadline; responses that have missed theirs are ranked behind those that haven't. */
   readonly dueMs: number;
 }
 
-/** One large body that is sent over the link. */
+/** A large body that is sent over the link. */
 export interface Transfer {
-  /** Waits until that many bytes may be written, which then count as written; at most `turnBytes`. */
+  /** Waits until `bytes` may be written, and counts them as written; at most `turnBytes`. */
   awaitTurn(bytes: number): Task;
-  /** Calls back once that many bytes may be written, which then count as written. Returns a cancel function. */
+  /** Calls `run` once `bytes` may be written, and counts them as written. Returns a cancel function. */
   onTurn(bytes: number, run: () => void): () => void;
-  /** Ends the transfer, whose remaining bytes no longer count as bulk. */
+  /** Ends the transfer; its remaining bytes no longer count as bulk. */
   end(): void;
 }
 
-/** A turn that a transfer waits for. */
+/** A queued turn of a transfer. */
 interface WaitingTurn {
   readonly rank: TransferRank;
   readonly bytes: number;
   readonly run: () => void;
 }
 
-/** The precedence of the classes, the first lowest in number. */
+/** Precedence of the classes; the lowest number is first. */
 const CLASS_ORDER: { readonly [name in TransferClass]: number } = {
   control: 0,
   request: 1,
   response: 2,
 };
 
-/** How much time of the link one turn may take, and how long the queue may be when it begins. */
+/** Maximum link time of one turn, and maximum length of the queue when a turn is granted. */
 const TURN_MS = 15;
-/** Which part of the link's rate is used; the rest is for headers and acknowledgments. */
+/** Fraction of the link's rate that is used; headers and acknowledgments take the rest. */
 const USABLE_FRACTION = 0.9;
+/** 1 Mbit/s in bytes per ms. */
 const BYTES_PER_MS_OF_MBPS = 125;
-/** Bodies that are larger than this aren't small on any link. */
+/** Bodies larger than this count as bulk on every link. */
 const MAX_SMALL_BYTES = 8 * 1024;
 
 const isBefore = (first: TransferRank, second: TransferRank, nowMs: number): boolean => {
@@ -54,25 +55,25 @@
 };
 
 /**
- * Paces one direction of a machine's link. It keeps a model of the queue in front of the link: bytes that are small or urgent
- * join it at once, bulk only in turns of at most `TURN_MS` and only while the queue is no longer than that. So nothing urgent
- * ever waits behind more than two turns of bulk. Among bulk transfers the one that is due first has the next turn.
+ * Paces one direction of a machine's link by a model of the queue in front of it. Small or urgent bytes join the queue immediately;
+ * bulk joins it in turns of at most `TURN_MS`, and only while the queue is no longer than that. So urgent bytes never wait behind
+ * more than two turns of bulk. The bulk transfer of the highest rank gets the next turn.
  */
 export class LinkPacer {
   private readonly clock: Clock;
   private readonly bytesPerMs: number;
-  /** When the link will have taken all that was written. */
+  /** Time at which the link will have sent everything written so far. */
   private emptyAtMs = -Infinity;
   private readonly waiting: WaitingTurn[] = [];
   private hasTimer = false;
   private remainingBulkBytes = 0;
 
-  /** The largest number of bytes that are written in one turn. */
+  /** Maximum number of bytes written in one turn. */
   readonly turnBytes: number;
-  /** Bodies up to this size are not bulk: they are written at once. */
+  /** Bodies up to this size are not bulk: they are written immediately. */
   readonly smallBytes: number;
 
-  /** A link of that rate in each direction; without one, nothing is delayed. */
+  /** Paces a link of the rate `linkMbps`; without a rate, nothing is delayed. */
   constructor(clock: Clock, linkMbps: number | undefined) {
     this.clock = clock;
     this.bytesPerMs =
@@ -88,33 +89,33 @@
     return Number.isFinite(this.bytesPerMs);
   }
 
-  /** How long bytes that are written now wait until they leave. */
+  /** How long bytes written now wait in the queue. */
   get queueMs(): number {
     return Math.max(0, this.emptyAtMs - this.clock.nowMs());
   }
 
-  /** How long it takes to send the queue, all bulk that is known of, and that many bytes more. */
+  /** Estimated time to send the queue, all announced bulk and `moreBytes`. */
   estimateWaitMs(moreBytes: number): number {
     return this.queueMs + this.transferMs(this.remainingBulkBytes + moreBytes);
   }
 
-  /** How long the link takes for that many bytes. */
+  /** Time that the link takes to send `bytes`. */
   transferMs(bytes: number): number {
     return bytes / this.bytesPerMs;
   }
 
-  /** Bytes of bulk transfers that haven't been written yet. */
+  /** Announced bytes of bulk transfers that are not written yet. */
   get bulkBytes(): number {
     return this.remainingBulkBytes;
   }
 
-  /** Counts bytes that are written at once. */
+  /** Counts bytes that are written immediately. */
   recordBytes(bytes: number): void {
     if (!this.isPaced) return;
     this.emptyAtMs = Math.max(this.emptyAtMs, this.clock.nowMs()) + bytes / this.bytesPerMs;
   }
 
-  /** Begins a bulk transfer of that many bytes, where the number is known. */
+  /** Begins a bulk transfer; `bytes` is its size, 0 if unknown. */
   begin(rank: TransferRank, bytes = 0): Transfer {
     let remainingBytes = this.isPaced ? bytes : 0;
     this.remainingBulkBytes += remainingBytes;
@@ -156,7 +157,7 @@
     };
   }
 
-  /** Gives turns while the queue is short, then waits until it is again. */
+  /** Grants turns while the queue is short, then waits until it is short again. */
   private grantTurns(): void {
     while (!this.hasTimer && this.waiting.length > 0) {
       const excessMs = this.queueMs - TURN_MS;
@@ -175,7 +176,7 @@
     }
   }
 
-  /** Removes the turn that goes first; of equals, the one that has waited longest. */
+  /** Removes and returns the first turn by rank; of equal ranks, the longest waiting one. */
   private dequeueTurn(): WaitingTurn | undefined {
     const nowMs = this.clock.nowMs();
     let first = 0;
@@ -193,7 +194,7 @@
   readonly ingress: LinkPacer;
 }
 
-/** The two directions of a link of that rate each. */
+/** Creates the pacers of a link with the rate `linkMbps` in each direction. */
 export function createLinkPacers(clock: Clock, linkMbps: number | undefined): LinkPacers {
   return { egress: new LinkPacer(clock, linkMbps), ingress: new LinkPacer(clock, linkMbps) };
 }
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,22 +1,22 @@
-/** The structured log of a daemon. */
+/** A daemon's structured log. */
 import bunyan from "bunyan";
 
-/** The log of one component: constant events, whose details are fields. */
+/** The log of one component: constant event texts, with the details in fields. */
 export interface Logger {
   info(event: string, fields?: Record<string, unknown>): void;
   warn(event: string, fields?: Record<string, unknown>): void;
   error(event: string, error: unknown): void;
 }
 
-/** A daemon's log, by component. */
+/** Creates the logs of components. */
 export interface LoggerFactory {
   component(name: string): Logger;
 }
 
-/** The lowest level that is written. */
+/** Minimum level of written records. */
 export type LogLevel = "debug" | "info" | "warn" | "error";
 
-/** Writes to the standard error stream through bunyan. */
+/** Creates loggers that write to the standard error stream through bunyan. */
 export function createLoggers(
   machine: string,
   level: LogLevel,
@@ -32,7 +32,7 @@
   };
 }
 
-/** Passes lines to a function and throws errors, for tests and the simulator. */
+/** Creates loggers that pass lines to a function and throw logged errors, for tests and the simulator. */
 export function createLineLoggers(writeLine: (line: string) => void): LoggerFactory {
   return {
     component: (name) => ({
--- a/src/runtime/network.ts
+++ b/src/runtime/network.ts
@@ -5,24 +5,24 @@
 
 /** A bidirectional stream of bytes between two processes. */
 export interface Connection {
-  /** What arrives, in order; `closed` once the connection has ended. */
+  /** Received bytes in order; `closed` after the connection has ended. */
   readonly incoming: Queue<Uint8Array | "closed">;
   send(bytes: Uint8Array): void;
   close(): void;
 }
 
-/** Connects processes by IP address and port. */
+/** Connections between processes by IP address and port. */
 export interface Network {
-  /** Opens a connection; `undefined` where that fails. */
+  /** Opens a connection; `undefined` if it fails. */
   connect(address: string): Task<Connection | undefined>;
-  /** Accepts connections at an address. Throws a `ListenError` where that fails. */
+  /** Accepts connections at an address. Throws a `ListenError` if the address is unavailable. */
   listen(address: string, accept: (connection: Connection) => void): Task;
 }
 
-/** Thrown where an address can't be listened on. */
+/** Thrown when an address can't be listened on. */
 export class ListenError extends Error {}
 
-/** How long a connection may take to open. */
+/** Timeout for opening a connection. */
 const CONNECT_TIMEOUT_MS = 1000;
 
 const wrapSocket = (socket: Socket): Connection => {
@@ -42,7 +42,7 @@
 
 /** Addresses of the form IP:port. */
 export const Address = {
-  /** The host without brackets, and the port. */
+  /** Parses an address; the host is without brackets. */
   parse(address: string): { host: string; port: number } {
     const colon = address.lastIndexOf(":");
     return {
@@ -52,7 +52,7 @@
   },
 };
 
-/** TCP connections; `close` ends all of them. */
+/** Creates a network over TCP; `close` stops listening and closes all connections. */
 export function tcpNetwork(): Network & { close(): void } {
   const servers: Server[] = [];
   const sockets = new Set<Socket>();
--- a/src/runtime/queue.ts
+++ b/src/runtime/queue.ts
@@ -4,12 +4,12 @@
 import type { Clock } from "./clock.js";
 import { type Task, waitFor } from "./task.js";
 
-/** An unbounded queue: items go to the takers that wait, in order, or are retained for the next ones. */
+/** An unbounded queue: an item goes to the first waiting taker, or is retained for the next one. */
 export class Queue<T> {
   private readonly items: T[] = [];
   private takers: Array<(item: T) => boolean> = [];
 
-  /** How many items are in the queue. */
+  /** Number of items in the queue. */
   get size(): number {
     return this.items.length;
   }
@@ -22,12 +22,12 @@
     this.items.push(item);
   }
 
-  /** Adds an item unless the queue has one already, where one says as much as many. */
+  /** Adds an item only if the queue is empty, for signals of which one is as good as several. */
   putIfEmpty(item: T): void {
     if (this.items.length === 0) this.put(item);
   }
 
-  /** Takes all items, without waiting. */
+  /** Takes all items without waiting. */
   drain(): T[] {
     return this.items.splice(0);
   }
@@ -37,7 +37,7 @@
     return yield* waitFor<T>((done) => this.addTaker(done));
   }
 
-  /** Waits for the next item until a moment of the clock; `undefined` where none came. */
+  /** Waits for the next item until the clock reads `untilMs`; `undefined` without one. */
   *takeUntil(clock: Clock, untilMs: number): Task<T | undefined> {
     return yield* waitFor<T | undefined>((done) => {
       let isWaiting = true;
@@ -55,7 +55,7 @@
     });
   }
 
-  /** Adds the items of a stream until that ends. */
+  /** Adds the items of a stream until it ends. */
   feed(stream: Stream<T>, clock: Clock): void {
     void runEffects(
       tap((item) => this.put(item), stream),
@@ -63,7 +63,7 @@
     );
   }
 
-  /** Hands the next item to `done`, if the taker is still waiting by then. */
+  /** Passes the next item to `done` if the taker is still waiting then. */
   private addTaker(done: (item: T) => void, isWaiting: () => boolean = () => true): void {
     const [first] = this.items.splice(0, 1);
     if (first !== undefined) {
--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -1,25 +1,25 @@
-/** What a daemon needs of the machine that it runs on. */
+/** Interface between a daemon and the machine on which it runs. */
 import type { Network } from "./network.js";
 import type { Clock } from "./clock.js";
 import type { Disk } from "./disk.js";
 import type { LoggerFactory } from "./logger.js";
 import { type Task, runTask } from "./task.js";
 
-/** The machine that a daemon runs on: real in a process, virtual and deterministic in the simulator. */
+/** The machine on which a daemon runs: real in a process, virtual and deterministic in the simulator. */
 export interface Runtime {
   readonly clock: Clock;
   readonly network: Network;
   readonly disk: Disk | undefined;
   readonly loggers: LoggerFactory;
-  /** Called where a task failed with an unexpected error: the daemon has to stop rather than run without it. */
+  /** Called when a task of a component fails with an unexpected error; the daemon has to stop rather than run without the task. */
   onTaskFailure(component: string, error: unknown): void;
-  /** A number from 0 up to 1. */
+  /** A random number in [0, 1). */
   random(): number;
-  /** The wall clock, for display; nothing is decided by it. */
+  /** The wall clock time, for display only; no decision depends on it. */
   wallTime(): Date;
 }
 
-/** Starts a task of a component; if it fails, `onTaskFailure` is called. */
+/** Starts a task of a component; calls `onTaskFailure` if it fails. */
 export function startTask<T>(
   runtime: Runtime,
   component: string,
@@ -29,7 +29,7 @@
   runTask(task, (error) => runtime.onTaskFailure(component, error), onDone);
 }
 
-/** A random text that is unique for all practical purposes. */
+/** A random string that is unique for all practical purposes. */
 export function randomNonce(runtime: Runtime): string {
   return Array.from({ length: 3 }, () => Math.floor(runtime.random() * 2 ** 32).toString(36)).join(
     "-",
--- a/src/runtime/step-timer.ts
+++ b/src/runtime/step-timer.ts
@@ -2,10 +2,10 @@
 import type { Clock } from "./clock.js";
 import type { Logger } from "./logger.js";
 
-/** From how long on a step is reported: a few of these in a row exceed an election timeout. */
+/** Minimum duration of a reported step; a few of these in a row exceed an election timeout. */
 const LONG_STEP_MS = 80;
 
-/** Logs steps of work that block the event loop for long, by name. */
+/** Logs steps of work that block the event loop for a long time, by name. */
 export class StepTimer {
   private readonly clock: Clock;
   private readonly log: Logger;
--- a/src/runtime/task.ts
+++ b/src/runtime/task.ts
@@ -1,15 +1,15 @@
-/** Cooperative tasks as generators, which run in a repeatable order. */
+/** Cooperative tasks as generators, which run in a deterministic order. */
 
-/** What a task yields: it is given a function that resumes the task, and calls that once its outcome is there. */
+/** What a task yields: a function that receives `resume`, and calls it once the awaited outcome is available. */
 export type Suspension = (resume: () => void) => void;
 
-/** A task: it suspends itself where it yields, and returns its value. */
+/** A task: a generator that suspends itself at each yield and returns its value. */
 export type Task<T = void> = Generator<Suspension, T, void>;
 
-/** Thrown where a task was resumed without an outcome. */
+/** Thrown when a task is resumed without an outcome. */
 export class MissingOutcomeError extends Error {}
 
-/** Waits for the first outcome of something that is started now. */
+/** Calls `start` and waits for the first outcome that it passes to `done`. */
 export function* waitFor<T>(start: (done: (outcome: T) => void) => void): Task<T> {
   const outcomes: T[] = [];
   yield (resume) =>
@@ -19,10 +19,10 @@
       resume();
     });
   for (const outcome of outcomes) return outcome;
-  throw new MissingOutcomeError("A task was resumed without an outcome.");
+  throw new MissingOutcomeError("task resumed without an outcome");
 }
 
-/** Runs a task to its end; then calls `ended` with its value, or `failed` with what it threw. */
+/** Runs a task to its end; calls `onDone` with its value, or `onError` with the error that it threw. */
 export function runTask<T>(
   task: Task<T>,
   onError: (error: unknown) => void,
@@ -63,7 +63,7 @@
   });
 }
 
-/** Starts tasks by `start`, and waits until all have ended. */
+/** Passes each task to `start`, and waits until all have ended. */
 export function* runAll(start: (task: Task) => void, tasks: Task[]): Task {
   let remaining = tasks.length;
   if (remaining === 0) return;
--- a/test/retry-budget/retry-quotas.test.ts
+++ b/test/retry-budget/retry-quotas.test.ts
@@ -27,6 +27,10 @@
   expect(request("two", two.number, 0, 90, 50).capacities.get("s")).toBeGreaterThan(40);
 });
 
+/**
+ * A new leader doesn't know the allotments of the previous one. If it distributed the full pool at once, edges could use both
+ * allotments within one window.
+ */
 test("a new leader raises quotas only once all known edges have reported or their capacities have expired", () => {
   const quotas = new RetryQuotas();
   quotas.beginTerm(1000, "b", new Set(["one", "two"]));
@@ -68,6 +72,10 @@
   expect(quotas.expiredEdges(14_100, ["crashed", "new"])).toEqual(["crashed"]);
 });
 
+/**
+ * The network may delay a report until after the edge has adopted a newer, larger allotment. Releasing capacity by the old report
+ * would allot it twice.
+ */
 test("a delayed report of an older allotment releases no capacity", () => {
   const quotas = new RetryQuotas();
   quotas.beginTerm(0, "a", new Set());
--- a/test/rpc/frame.test.ts
+++ b/test/rpc/frame.test.ts
@@ -10,6 +10,7 @@
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
+/** Creates a decoder of messages without the check of their size. */
 const createDecoder =
   (coder: { fromBuffer(bytes: Uint8Array): unknown; size(value: never): number }) =>
   (bytes: Uint8Array) =>
@@ -28,6 +29,7 @@
   requestId: 70000,
   body: new Uint8Array([1, 2, 3]),
 };
+
 test("frames are assembled from pieces of any size", () => {
   const bytes = Buffer.concat([encodeFrame(sample), encodeFrame({ ...sample, requestId: 2 })]);
   for (let size = 1; size <= bytes.length; size += 1) {
@@ -35,11 +37,12 @@
     const frames: Frame[] = [];
     for (let offset = 0; offset < bytes.length; offset += size)
       frames.push(...reader.read(bytes.subarray(offset, offset + size)));
-    expect(frames.map((one) => one.requestId)).toEqual([70000, 2]);
+    expect(frames.map((frame) => frame.requestId)).toEqual([70000, 2]);
     expect([...(frames[0]?.body ?? [])]).toEqual([1, 2, 3]);
   }
 });
-test("random and truncated bytes are refused with a frame error, as frames and as messages of every method", async () => {
+
+test("random bytes are rejected with a frame error, as frames and as messages of every method", async () => {
   const random = RandomDraw.of(9);
   const decoders = Object.values(rpcMethods).flatMap((method) => [
     createDecoder(method.request),
@@ -67,7 +70,8 @@
   }
   expect(refused).toBeGreaterThan(3000);
 });
-test("oversized frames and those of another version are refused", () => {
+
+test("oversized frames and frames of an unsupported version are rejected", () => {
   const large = Buffer.from(encodeFrame(sample));
   large.writeUInt32BE(2 ** 31, 7);
   expect(() => new FrameReader().read(large)).toThrow(FrameError);
--- a/test/rpc/paced-connection.test.ts
+++ b/test/rpc/paced-connection.test.ts
@@ -6,7 +6,7 @@
 import { LinkPacer } from "../../src/runtime/link-pacer.js";
 import type { Connection } from "../../src/runtime/network.js";
 
-/** 3.2 Mbit/s: 360 bytes a millisecond are usable. */
+/** At 3.2 Mbit/s, 360 bytes per ms are usable. */
 const linkMbps = 3.2;
 
 const createFrame = (requestId: number, bytes: number): Uint8Array =>
@@ -40,7 +40,7 @@
   return { time, egress, openConnection };
 };
 
-test("large frames to many peers are written at the rate of the link, and a small frame on another connection at once", () => {
+test("large frames to several peers are written at the rate of the link, and a small frame on another connection immediately", () => {
   const { time, egress, openConnection } = createFixture();
   const connections = Array.from({ length: 5 }, () => openConnection());
   for (const { paced } of connections) paced.send(createFrame(1, 78_000));
@@ -54,7 +54,7 @@
     expect(received.map(({ requestId }) => requestId)).toEqual([1]);
   const bytes = connections
     .flatMap(({ written }) => written)
-    .reduce((sum, one) => sum + one.bytes, 0);
+    .reduce((sum, write) => sum + write.bytes, 0);
   expect(bytes).toBeGreaterThan(5 * 78_000);
   const endMs = Math.max(
     ...connections.flatMap(({ received }) => received.map(({ atMs }) => atMs)),
@@ -63,7 +63,7 @@
   expect(endMs).toBeLessThan(bytes / 330);
 });
 
-test("frames of one connection are never interleaved: a small one precedes a large one that waits, and follows one that has begun", () => {
+test("frames of one connection are not interleaved: a small frame precedes a queued large one and follows a partly sent one", () => {
   const { time, openConnection } = createFixture();
   const { paced, received } = openConnection();
   paced.send(createFrame(1, 30_000));
@@ -73,7 +73,7 @@
   expect(received.map(({ requestId }) => requestId)).toEqual([1, 3, 2]);
 });
 
-test("large frames with patience give way to those without", () => {
+test("large frames with a deferral are sent after those without", () => {
   const { time, openConnection } = createFixture();
   const responses = openConnection(1000);
   const requests = openConnection();
@@ -83,7 +83,7 @@
   expect(requests.received[0]?.atMs).toBeLessThan(responses.received[0]?.atMs ?? 0);
 });
 
-test("a closed connection releases its turns", () => {
+test("closing a connection releases its turns", () => {
   const { time, egress, openConnection } = createFixture();
   const closed = openConnection();
   closed.paced.send(createFrame(1, 1_000_000));
@@ -96,7 +96,11 @@
   expect(closed.received).toEqual([]);
 });
 
-test("on an overloaded link the newest responses are in time, the others are dropped, and no backlog remains", () => {
+/**
+ * On an overloaded link, responses sent in order of arrival would all be late: each waits behind older ones that their requesters no
+ * longer await.
+ */
+test("on an overloaded link the newest responses arrive in time, the others are dropped, and no backlog remains", () => {
   const { time, egress, openConnection } = createFixture();
   const waitMs = 450;
   const responseBytes = 20_000;
@@ -109,16 +113,18 @@
       paced.send(createFrame(requestId, responseBytes), time.nowMs() + waitMs);
     }
     time.runUntil(time.nowMs() + waitMs);
-    const received = connections.flatMap((one) => one.received.splice(0));
-    inTime.push(received.filter((one) => one.requestId > requestId - connections.length).length);
+    const received = connections.flatMap((connection) => connection.received.splice(0));
+    inTime.push(
+      received.filter((response) => response.requestId > requestId - connections.length).length,
+    );
   }
   const fullMs = waitMs * 10;
-  const bytes = inTime.reduce((sum, one) => sum + one, 0) * responseBytes;
+  const bytes = inTime.reduce((sum, count) => sum + count, 0) * responseBytes;
   expect(bytes).toBeGreaterThan(0.85 * 360 * fullMs);
   expect(egress.bulkBytes).toBeLessThan(2 * responseBytes * connections.length);
 });
 
-test("a connection that is closed in the middle of a frame writes no more of it", () => {
+test("a connection that is closed in the middle of a frame writes nothing more", () => {
   const { time, egress, openConnection } = createFixture();
   const { paced, written } = openConnection();
   paced.send(createFrame(1, egress.turnBytes * 5));
--- a/test/rpc/rpc-endpoint.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -47,9 +47,9 @@
   return { time, network, createEndpoint, call };
 };
 
-test("endpoints of adjacent frame versions understand each other, after one refused attempt at most", () => {
+test("endpoints of adjacent frame versions communicate after at most one refused attempt", () => {
   const { createEndpoint, call } = createFixture();
-  const [older, newer, far] = [
+  const [older, newer, newest] = [
     createEndpoint("10.0.0.1:1", 3),
     createEndpoint("10.0.0.2:1", 4),
     createEndpoint("10.0.0.3:1", 6),
@@ -57,18 +57,18 @@
   expect(call(older, newer)).toBe(true);
   call(newer, older);
   expect(call(newer, older)).toBe(true);
-  call(far, older);
-  expect(call(far, older)).toBeUndefined();
+  call(newest, older);
+  expect(call(newest, older)).toBeUndefined();
   expect(older.protocolViolations).toBeGreaterThan(0);
 });
 
-test("the connection of a peer that sends no valid frame is closed, and others are still served", () => {
+test("the connection of a peer that sends an invalid frame is closed, and other peers are still served", () => {
   const { time, network, createEndpoint, call } = createFixture();
-  const [one, two] = [createEndpoint("10.0.0.1:1", 1), createEndpoint("10.0.0.2:1", 1)];
+  const [server, client] = [createEndpoint("10.0.0.1:1", 1), createEndpoint("10.0.0.2:1", 1)];
   const received: string[] = [];
   runTask(
     (function* () {
-      const connection = yield* network.wire("stranger", new EventGate()).connect(one.self);
+      const connection = yield* network.wire("stranger", new EventGate()).connect(server.self);
       connection?.send(Buffer.from("GET / HTTP/1.1\r\n\r\n"));
       const piece = yield* (connection?.incoming ?? new Queue<Uint8Array | "closed">()).take();
       received.push(piece === "closed" ? "closed" : "bytes");
@@ -79,11 +79,11 @@
   );
   time.runUntil(time.nowMs() + 300);
   expect(received).toEqual(["closed"]);
-  expect(one.protocolViolations).toBe(1);
-  expect(call(two, one)).toBe(true);
+  expect(server.protocolViolations).toBe(1);
+  expect(call(client, server)).toBe(true);
 });
 
-test("a peer that refuses connections is unreachable, one that responds late is not", () => {
+test("a peer that refuses connections is unreachable, and a peer that responds late is not", () => {
   const { time, createEndpoint, call } = createFixture();
   const endpoint = createEndpoint("10.0.0.1:1", 3);
   const slow = createEndpoint("10.0.0.2:1", 3);
@@ -101,7 +101,11 @@
   expect(endpoint.isUnreachable(absent.self, time.nowMs())).toBe(false);
 });
 
-test("a peer that was idle for long and then responds late is not unreachable", () => {
+/**
+ * The time without a sign of the peer counts from the first unanswered request. If it counted from the last receipt, the first late
+ * response after an idle time would close the connection and report the peer as unreachable.
+ */
+test("a peer that responds late after a long idle time is not unreachable", () => {
   const { time, createEndpoint, call } = createFixture();
   const endpoint = createEndpoint("10.0.0.1:1", 3);
   const slow = createEndpoint("10.0.0.2:1", 3);
@@ -117,7 +121,7 @@
   }
 });
 
-test("a peer that sends nothing for a second while requests are pending is unreachable until it sends something", () => {
+test("a peer that sends nothing for a second while requests are pending is unreachable until it sends again", () => {
   const { time, network, createEndpoint, call } = createFixture();
   const [endpoint, peer] = [createEndpoint("10.0.0.1:1", 3), createEndpoint("10.0.0.2:1", 3)];
   expect(call(endpoint, peer)).toBe(true);
--- a/test/rpc/utf8-text-codec.test.ts
+++ b/test/rpc/utf8-text-codec.test.ts
@@ -3,7 +3,7 @@
 import { expect, test } from "vitest";
 import { Utf8TextCodec } from "../../src/rpc/utf8-text-codec.js";
 
-test("any text is encoded as the library encodes it, and decoded to the same text", () => {
+test("the encoding of any string is identical to the library's, and decodes to the same string", () => {
   const codec = new r.Struct({ before: r.uint8, text: new Utf8TextCodec(), after: r.uint8 });
   const library = new r.Struct({
     before: r.uint8,
--- a/test/runtime/disk.test.ts
+++ b/test/runtime/disk.test.ts
@@ -38,7 +38,7 @@
   expect(await run(disk.list())).toEqual([]);
 });
 
-test("an operation that the file system refuses throws a disk error with its cause", async () => {
+test("a failed file system operation throws a disk error with its cause", async () => {
   const disk = await run(openDisk(folder));
   const failure: unknown = await run(disk.remove("absent")).catch((error: unknown) => error);
   expect(failure).toBeInstanceOf(DiskError);
--- a/test/runtime/fast-validator.test.ts
+++ b/test/runtime/fast-validator.test.ts
@@ -34,7 +34,7 @@
   named: { a: 1 },
 };
 
-test("a valid value is returned as it is; an invalid one is refused with the message of the library", () => {
+test("a valid value is returned unchanged, and an invalid one is rejected with the library's message", () => {
   const read = fastValidator(shape);
   expect(read(validValue)).toBe(validValue);
   expect(read({ ...validValue, flag: true, either: { no: "x" } })).toMatchObject({ flag: true });
--- a/test/runtime/link-pacer.test.ts
+++ b/test/runtime/link-pacer.test.ts
@@ -7,7 +7,7 @@
   throw error;
 };
 
-/** 3.2 Mbit/s: 400 bytes a millisecond, of which 360 are usable. */
+/** 3.2 Mbit/s are 400 bytes per ms, of which 360 are usable. */
 const linkMbps = 3.2;
 const usableBytesPerMs = 360;
 
@@ -18,36 +18,36 @@
   const transfer = (name: string, bytes: number, rank: TransferRank): void =>
     runTask(
       (function* () {
-        const one = pacer.begin(rank, bytes);
+        const begun = pacer.begin(rank, bytes);
         for (let remainingBytes = bytes; remainingBytes > 0;) {
           const part = Math.min(remainingBytes, pacer.turnBytes);
-          yield* one.awaitTurn(part);
+          yield* begun.awaitTurn(part);
           written.push({ name, atMs: time.nowMs(), bytes: part });
           remainingBytes -= part;
         }
-        one.end();
+        begun.end();
       })(),
       fail,
     );
   const endOf = (name: string): number =>
-    Math.max(...written.filter((one) => one.name === name).map(({ atMs }) => atMs));
+    Math.max(...written.filter((write) => write.name === name).map(({ atMs }) => atMs));
   return { time, pacer, written, transfer, endOf };
 };
 
-test("small messages never wait behind more than some tens of milliseconds of bulk, which uses the full rate of the link", () => {
+test("small messages wait at most 30 ms behind bulk, which uses the full rate of the link", () => {
   const { time, pacer, written, transfer } = createFixture();
-  for (let one = 0; one < 10; one += 1)
-    transfer(`download ${one}`, 300_000, { transferClass: "response", dueMs: 60_000 });
+  for (let index = 0; index < 10; index += 1)
+    transfer(`download ${index}`, 300_000, { transferClass: "response", dueMs: 60_000 });
   for (let atMs = 1; atMs <= 2000; atMs += 1) {
     time.runUntil(atMs);
     expect(pacer.queueMs).toBeLessThanOrEqual(30);
   }
-  const bytes = written.reduce((sum, one) => sum + one.bytes, 0);
+  const bytes = written.reduce((sum, write) => sum + write.bytes, 0);
   expect(bytes).toBeGreaterThan(0.97 * usableBytesPerMs * 2000);
   expect(bytes).toBeLessThan(1.03 * usableBytesPerMs * 2000);
 });
 
-test("small messages count: bulk waits until they have left", () => {
+test("bulk waits until earlier small messages have left the queue", () => {
   const { time, pacer, written, transfer } = createFixture();
   pacer.recordBytes(usableBytesPerMs * 100);
   expect(pacer.queueMs).toBeCloseTo(100, 0);
@@ -58,7 +58,7 @@
   expect(written).toHaveLength(1);
 });
 
-test("transfers of one deadline alternate, an earlier one goes first, control precedes responses, and late responses go last", () => {
+test("transfers of equal deadline alternate, earlier deadlines and control precede, and late responses are last", () => {
   const { time, transfer, endOf } = createFixture();
   transfer("late", 50_000, { transferClass: "response", dueMs: -1 });
   transfer("one", 100_000, { transferClass: "response", dueMs: 3000 });
@@ -72,27 +72,27 @@
   expect(endOf("other")).toBeLessThan(endOf("late"));
 });
 
-test("the estimated wait covers what is queued and what is yet to be written, without ended transfers", () => {
+test("the estimated wait includes queued and announced bytes, but not those of ended transfers", () => {
   const { time, pacer } = createFixture();
-  const one = pacer.begin({ transferClass: "response", dueMs: 1000 }, usableBytesPerMs * 500);
+  const announced = pacer.begin({ transferClass: "response", dueMs: 1000 }, usableBytesPerMs * 500);
   expect(pacer.estimateWaitMs(usableBytesPerMs * 100)).toBeCloseTo(600, 0);
-  one.onTurn(usableBytesPerMs * 10, () => undefined);
+  announced.onTurn(usableBytesPerMs * 10, () => undefined);
   expect(pacer.estimateWaitMs(0)).toBeCloseTo(500, 0);
   time.runUntil(10);
   expect(pacer.estimateWaitMs(0)).toBeCloseTo(490, 0);
-  one.end();
+  announced.end();
   expect(pacer.estimateWaitMs(0)).toBe(0);
 });
 
 test("a cancelled turn is not granted", () => {
   const { time, pacer, written, transfer } = createFixture();
   pacer.recordBytes(usableBytesPerMs * 100);
-  const one = pacer.begin({ transferClass: "control", dueMs: 0 });
-  const given: string[] = [];
-  one.onTurn(100, () => given.push("cancelled"))();
+  const control = pacer.begin({ transferClass: "control", dueMs: 0 });
+  const granted: string[] = [];
+  control.onTurn(100, () => granted.push("cancelled"))();
   transfer("other", 100, { transferClass: "response", dueMs: 0 });
   time.runUntil(200);
-  expect(given).toEqual([]);
+  expect(granted).toEqual([]);
   expect(written).toHaveLength(1);
 });
 
--- a/test/runtime/queue.test.ts
+++ b/test/runtime/queue.test.ts
@@ -7,15 +7,15 @@
   const virtual = new VirtualClock();
   const clock = virtual.clock();
   const queue = new Queue<string>();
-  const seen: Array<string | undefined> = [];
+  const taken: Array<string | undefined> = [];
   const fail = (error: unknown): void => {
     throw error;
   };
-  runTask(queue.takeUntil(clock, 10), fail, (item) => seen.push(item));
+  runTask(queue.takeUntil(clock, 10), fail, (item) => taken.push(item));
   virtual.runUntil(20);
-  runTask(queue.takeUntil(clock, 50), fail, (item) => seen.push(item));
+  runTask(queue.takeUntil(clock, 50), fail, (item) => taken.push(item));
   queue.put("a");
   queue.put("b");
-  runTask(queue.take(), fail, (item) => seen.push(item));
-  expect(seen).toEqual([undefined, "a", "b"]);
+  runTask(queue.take(), fail, (item) => taken.push(item));
+  expect(taken).toEqual([undefined, "a", "b"]);
 });
--- a/test/runtime/task.test.ts
+++ b/test/runtime/task.test.ts
@@ -1,21 +1,21 @@
 import { expect, test } from "vitest";
 import { runTask, waitFor } from "../../src/runtime/task.js";
 
-test("a task resumes with its first outcome, also if that is there at once", () => {
-  const seen: number[] = [];
-  const later: Array<(outcome: number) => void> = [];
+test("a task resumes with its first outcome, also if it is available immediately", () => {
+  const received: number[] = [];
+  const callbacks: Array<(outcome: number) => void> = [];
   runTask(
     (function* () {
-      seen.push(yield* waitFor<number>((done) => done(1)));
-      seen.push(yield* waitFor<number>((done) => later.push(done)));
+      received.push(yield* waitFor<number>((done) => done(1)));
+      received.push(yield* waitFor<number>((done) => callbacks.push(done)));
     })(),
     (error) => {
       throw error;
     },
-    () => seen.push(3),
+    () => received.push(3),
   );
-  expect(seen).toEqual([1]);
-  later[0]?.(2);
-  later[0]?.(9);
-  expect(seen).toEqual([1, 2, 3]);
+  expect(received).toEqual([1]);
+  callbacks[0]?.(2);
+  callbacks[0]?.(9);
+  expect(received).toEqual([1, 2, 3]);
 });
