--- a/test/load-balancing/load-balancer-responsiveness.test.ts
+++ b/test/load-balancing/load-balancer-responsiveness.test.ts
@@ -4,7 +4,7 @@
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { LoadBalancer } from "../../src/load-balancing/load-balancer.js";
 
-const backend = (address: string, number: number, zone = "a"): Registration => ({
+const createBackend = (address: string, number: number, zone = "a"): Registration => ({
   address,
   service: "s",
   zone,
@@ -21,7 +21,7 @@
 
 test("a backend without progress on requests in flight gets no more of them until one ends", () => {
   const loadBalancer = new LoadBalancer("a", RandomDraw.of(3));
-  const [unresponsive, healthy] = [backend("unresponsive", 1), backend("healthy", 2)];
+  const [unresponsive, healthy] = [createBackend("unresponsive", 1), createBackend("healthy", 2)];
   const ended: AttemptSample = {
     latencyMs: 50,
     isComplete: true,
@@ -53,7 +53,7 @@
 
 test("a remote backend is chosen rarely where responses are large, and readily where they are small", () => {
   const loadBalancer = new LoadBalancer("a", RandomDraw.of(5));
-  const [local, remote] = [backend("local", 1), backend("remote", 2, "b")];
+  const [local, remote] = [createBackend("local", 1), createBackend("remote", 2, "b")];
   for (let round = 0; round < 40; round += 1)
     for (const one of [local, remote])
       for (const [route, bytes] of [
--- a/test/proxy/outcome-rules.test.ts
+++ b/test/proxy/outcome-rules.test.ts
@@ -4,7 +4,7 @@
 import { type HeaderNames, defaultHeaderNames } from "../../src/proxy/header-names.js";
 import { createFailureOutcome, mayRetry, outcomeRules } from "../../src/proxy/outcome-rules.js";
 
-const strict: HeaderNames = {
+const strictHeaderNames: HeaderNames = {
   ...defaultHeaderNames,
   requestId: "name",
   requestIdEcho: "name",
@@ -80,7 +80,7 @@
     ["a 408 without that word", 408, { name: "me" }, "bareRefusal"],
     ["an encoded body", 200, { name: "me", stamp: "s", "content-encoding": "br" }, "encoded"],
   ] as const)("%s", (_what, code, headers, fault) => {
-    const expected = { headerNames: strict, id: "me", echoHeader: "name" };
+    const expected = { headerNames: strictHeaderNames, id: "me", echoHeader: "name" };
     expect(findResponseHeadFault({ code, headers }, expected)).toBe(fault);
   });
 });
