--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -45,8 +45,8 @@
   private readonly heartbeats = new HeartbeatTracker();
   private readonly config = new ConfigReplica();
   private readonly retryCapacities: RetryCapacityReplica;
-  /** Names of services and routes by number, including those that are no longer configured. */
-  private readonly names = new Map<number, string>();
+  /** Names of services and routes by id, including those that are no longer configured. */
+  private readonly namesById = new Map<number, string>();
   private lastSentMs = -Infinity;
   private membersDigest = "";
   private placement: EdgePlacement | undefined;
@@ -150,14 +150,14 @@
     });
   }
 
-  /** The number that the replicated log assigned to a service or route. */
+  /** The id that the replicated log assigned to a service or route. */
   idOf(kind: "service" | "route", name: string): number | undefined {
-    return this.config.numbers.get(`${kind} ${name}`);
+    return this.config.ids.get(`${kind} ${name}`);
   }
 
-  /** The name of a service or route by its number; it remains known after its removal from the configuration. */
-  nameOf(number: number): string | undefined {
-    return this.names.get(number);
+  /** The name of a service or route by its id; it remains known after its removal from the configuration. */
+  nameOf(id: number): string | undefined {
+    return this.namesById.get(id);
   }
 
   /** Marks a registration whose address refused a connection as inactive; the next watch request reports it. */
@@ -270,7 +270,7 @@
 
   private activateConfig(): void {
     this.routeTable = new RouteTable(this.config.config, this.routeTable);
-    for (const [name, number] of this.config.numbers) this.names.set(number, name);
+    for (const [name, id] of this.config.ids) this.namesById.set(id, name);
     this.onConfig(this.routeTable);
   }
 
--- a/src/retry-budget/child-assignments.ts
+++ b/src/retry-budget/child-assignments.ts
@@ -1,7 +1,7 @@
 /** Assignment of edges to collectors by the root, so that no edge is counted twice. */
 import { childKey, isSameChild, type ChildReport, type CountPush } from "./count-messages.js";
 
-/** Parent sequence of an assigned edge that has moved to another collector while its former one still includes it. */
+/** Parent sequence of an assigned edge that has moved to another collector while its previous one still includes it. */
 const MOVED_AWAY = -1;
 
 /** The collector that counts an edge, and the time of the last renewal. */
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -41,7 +41,7 @@
   readonly edges: number;
 }
 
-/** A sent push, whose counts may be included in the cluster's counts. */
+/** A sent push, by its number, whose counts may be included in the cluster's counts. */
 interface SentPush {
   readonly push: number;
   readonly atMs: number;
@@ -96,15 +96,15 @@
   }
 
   /** Counts a request on a route. */
-  countRoute(route: number): void {
-    this.own.countRoute(route, this.runtime.clock.nowMs());
+  countRoute(routeId: number): void {
+    this.own.countRoute(routeId, this.runtime.clock.nowMs());
   }
 
   /** Counts an attempt that is sent to a backend of a service. */
   countAttempt(service: string, isRetry: boolean): void {
-    const serviceNumber = this.clusterView.idOf("service", service);
-    if (serviceNumber !== undefined)
-      this.own.countAttempt(serviceNumber, isRetry, this.runtime.clock.nowMs());
+    const serviceId = this.clusterView.idOf("service", service);
+    if (serviceId !== undefined)
+      this.own.countAttempt(serviceId, isRetry, this.runtime.clock.nowMs());
   }
 
   /**
@@ -113,23 +113,23 @@
    * recent share of the cluster's retries, applied to the remaining ones, plus what its own first attempts have earned since.
    */
   remainingQuota(service: string): SketchQuota | undefined {
-    const serviceNumber = this.clusterView.idOf("service", service);
-    if (serviceNumber === undefined || !this.cluster) return undefined;
+    const serviceId = this.clusterView.idOf("service", service);
+    if (serviceId === undefined || !this.cluster) return undefined;
     const { counts, coverage } = this.cluster;
     const { sketch, windowMs } = this.rules;
     const nowMs = this.runtime.clock.nowMs();
     let remaining = sketch.pool;
     for (const windowFraction of WINDOW_FRACTIONS) {
       const { firstAttempts, retries } = counts.ofService(
-        serviceNumber,
+        serviceId,
         nowMs,
         windowFraction * windowMs,
       );
       remaining = Math.min(remaining, sketch.pool + sketch.earned * firstAttempts - retries);
     }
-    const since = this.ownSinceIncluded(serviceNumber, nowMs);
-    const ownRetries = this.own.ofService(serviceNumber, nowMs, windowMs).retries - since.retries;
-    const clusterRetries = counts.ofService(serviceNumber, nowMs, windowMs).retries;
+    const since = this.ownSinceIncluded(serviceId, nowMs);
+    const ownRetries = this.own.ofService(serviceId, nowMs, windowMs).retries - since.retries;
+    const clusterRetries = counts.ofService(serviceId, nowMs, windowMs).retries;
     const ownFraction = Math.min(
       1,
       (ownRetries + ASSUMED_RETRIES) /
@@ -143,11 +143,11 @@
 
   /** The cluster's first attempts and retries of a service in the retry window, including this daemon's own that the sketch lacks. */
   ofService(service: string): ClusterAttemptCounts | undefined {
-    const serviceNumber = this.clusterView.idOf("service", service);
-    if (serviceNumber === undefined || !this.cluster) return undefined;
+    const serviceId = this.clusterView.idOf("service", service);
+    if (serviceId === undefined || !this.cluster) return undefined;
     const nowMs = this.runtime.clock.nowMs();
-    const cluster = this.cluster.counts.ofService(serviceNumber, nowMs, this.rules.windowMs);
-    const since = this.ownSinceIncluded(serviceNumber, nowMs);
+    const cluster = this.cluster.counts.ofService(serviceId, nowMs, this.rules.windowMs);
+    const since = this.ownSinceIncluded(serviceId, nowMs);
     return {
       firstAttempts: cluster.firstAttempts + since.firstAttempts,
       retries: cluster.retries + since.retries,
@@ -237,9 +237,9 @@
   }
 
   /** This daemon's attempts on a service that the cluster's counts don't include yet. */
-  private ownSinceIncluded(serviceNumber: number, nowMs: number): AttemptCounts {
+  private ownSinceIncluded(serviceId: number, nowMs: number): AttemptCounts {
     const rangeMs = Math.min(this.rules.windowMs, nowMs - this.includedMs);
-    return this.own.ofService(serviceNumber, nowMs, rangeMs);
+    return this.own.ofService(serviceId, nowMs, rangeMs);
   }
 
   /** The collector to push to: the previous one while it is listed, otherwise a random one of this zone, or of all zones if it has none. */
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -18,7 +18,7 @@
   readonly attempts: SketchFormat;
   /** Format of the sketch of requests by route. */
   readonly routes: SketchFormat;
-  /** Number of bits of a route number. */
+  /** Number of bits of a route id. */
   readonly routeBits: number;
 }
 
@@ -62,8 +62,8 @@
 });
 
 /** Item of the attempt sketch for a service's first attempts or its retries. */
-const attemptItem = (serviceNumber: number, isRetry: boolean): number =>
-  serviceNumber * 2 + (isRetry ? 1 : 0);
+const attemptItem = (serviceId: number, isRetry: boolean): number =>
+  serviceId * 2 + (isRetry ? 1 : 0);
 
 /** First attempts and retries by service and requests by route, in a sliding window. */
 export class RequestCounts {
@@ -93,25 +93,25 @@
   }
 
   /** Counts an attempt sent to a backend of a service. */
-  countAttempt(service: number, isRetry: boolean, nowMs: number): void {
-    this.attempts.add(attemptItem(service, isRetry), stampOf(nowMs));
+  countAttempt(serviceId: number, isRetry: boolean, nowMs: number): void {
+    this.attempts.add(attemptItem(serviceId, isRetry), stampOf(nowMs));
   }
 
   /** Counts a request on a route. */
-  countRoute(route: number, nowMs: number): void {
-    this.routes.add(route, stampOf(nowMs));
+  countRoute(routeId: number, nowMs: number): void {
+    this.routes.add(routeId, stampOf(nowMs));
   }
 
   /** First attempts and retries of a service in the last `rangeMs`. */
-  ofService(service: number, nowMs: number, rangeMs: number): AttemptCounts {
+  ofService(serviceId: number, nowMs: number, rangeMs: number): AttemptCounts {
     const now = stampOf(nowMs);
     return {
-      firstAttempts: this.attempts.estimate(attemptItem(service, false), now, rangeMs),
-      retries: this.attempts.estimate(attemptItem(service, true), now, rangeMs),
+      firstAttempts: this.attempts.estimate(attemptItem(serviceId, false), now, rangeMs),
+      retries: this.attempts.estimate(attemptItem(serviceId, true), now, rangeMs),
     };
   }
 
-  /** Numbers of the routes with at least the fraction `phi` of all requests in the last `rangeMs`. */
+  /** Ids of the routes with at least the fraction `phi` of all requests in the last `rangeMs`. */
   findHeavyRoutes(phi: number, nowMs: number, rangeMs: number): HeavyItem[] {
     return this.routes.findHeavyItems(phi, stampOf(nowMs), rangeMs);
   }
