--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -30,7 +30,7 @@
     gates.set(address, gate);
     const runtime = virtualRuntime({
       clock: gate.clock(time.clock()),
-      network: network.wire(address, gate),
+      network: network.createInterface(address, gate),
       random: RandomDraw.of(4),
     });
     const rpc = new RpcEndpoint(runtime, address);
@@ -66,7 +66,7 @@
     if (atMs === 20_000 || atMs === 34_000) {
       if (atMs === 34_000) {
         gates.get(second.address)?.kill();
-        network.drop(second.address);
+        network.disconnect(second.address);
       }
       parent = parent === first.address ? second.address : first.address;
       parentSequence += 1;
