--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -1,4 +1,4 @@
-/** A daemon's replica of the configuration, and the digest by which it is compared with the leader's. */
+/** A daemon's replica of the active configuration, verified by the leader's digest. */
 import { TextCompression } from "../runtime/text-compression.js";
 import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
 import { ConfigReader } from "../configuration/config-validation.js";
@@ -12,12 +12,12 @@
 import type { ConfigUpdate, LeasedView } from "../control-protocol/leased-view.js";
 import { SetDigest } from "../configuration/set-digest.js";
 
-const without = <T>(section: Record<string, T>, names: ReadonlySet<string>): Record<string, T> =>
+const omitNames = <T>(section: Record<string, T>, names: ReadonlySet<string>): Record<string, T> =>
   names.size === 0
     ? section
     : Object.fromEntries(Object.entries(section).filter(([name]) => !names.has(name)));
 
-/** The names of a section's items among some keys. */
+/** Names of the items of one section among item keys. */
 const namesIn = (section: ConfigSection, keys: readonly string[]): ReadonlySet<string> =>
   new Set(
     keys
@@ -26,51 +26,51 @@
       .map((item) => item?.name ?? ""),
   );
 
-/** The full configuration that a view carries, if it carries one. */
-const fullText = ({ config, packedConfig }: LeasedView): string | undefined =>
+/** JSON text of the full configuration in a view; `undefined` if the view has none. */
+const fullConfigText = ({ config, packedConfig }: LeasedView): string | undefined =>
   config ?? (packedConfig === undefined ? undefined : TextCompression.decompress(packedConfig));
 
-/** A configuration after the items of an update were put and removed. */
+/** The configuration that results from applying an update's put and removed items. */
 const updatedConfig = (config: Config, { put, removed }: ConfigUpdate): Config => {
-  const keptLimits = removed.includes(ConfigItems.limitsKey) ? undefined : config.limits;
-  const limits = put.limits ?? keptLimits;
+  const remainingLimits = removed.includes(ConfigItems.limitsKey) ? undefined : config.limits;
+  const limits = put.limits ?? remainingLimits;
   return {
-    services: { ...without(config.services, namesIn("services", removed)), ...put.services },
-    routes: { ...without(config.routes, namesIn("routes", removed)), ...put.routes },
-    goals: { ...without(config.goals ?? {}, namesIn("goals", removed)), ...put.goals },
+    services: { ...omitNames(config.services, namesIn("services", removed)), ...put.services },
+    routes: { ...omitNames(config.routes, namesIn("routes", removed)), ...put.routes },
+    goals: { ...omitNames(config.goals ?? {}, namesIn("goals", removed)), ...put.goals },
     ...(limits ? { limits } : {}),
   };
 };
 
-/** A daemon's replica of the configuration in force: replaced in full or updated by items, and compared with the leader's digest. */
+/** A daemon's replica of the active configuration: replaced in full or updated by items, then verified by the leader's digest. */
 export class ConfigReplica {
   private readonly reader = new ConfigReader();
   private current: NumberedConfig = { config: EMPTY_CONFIG, ids: new Map() };
   private hashes = new Map<string, bigint>();
   private setDigest = new SetDigest();
-  /** Whether the replica is what the leader had at its sequence, as far as is known. */
+  /** Whether the replica matches the leader's state at the same sequence, as far as known. */
   isConsistent = true;
-  /** The sequence of the configuration; 0 for none yet. */
+  /** Sequence of the configuration; 0 before the first is received. */
   sequence = 0;
 
-  /** The sequence to request changes from; 0 requests a full copy, also where the replica was found to differ. */
+  /** Sequence from which to request changes; 0 requests a full copy, also for an inconsistent replica. */
   get knownSequence(): number {
     return this.isConsistent ? this.sequence : 0;
   }
 
-  /** The configuration; empty until the first was received. */
+  /** The configuration; empty before the first is received. */
   get config(): Config {
     return this.current.config;
   }
 
-  /** The numbers of services and routes. */
+  /** Ids of services and routes, by key. */
   get ids(): ReadonlyMap<string, number> {
     return this.current.ids;
   }
 
-  /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
+  /** Applies a view. Unless the outcome is `same` or `changed`, the daemon must not serve requests by this view. */
   apply(view: LeasedView): ReplicaUpdate {
-    const text = fullText(view);
+    const text = fullConfigText(view);
     if (text !== undefined) {
       this.replaceAll(this.reader.read(text), view.numbers ?? {});
       this.sequence = view.configSequence;
@@ -103,35 +103,35 @@
 
   private applyUpdate(update: ConfigUpdate): void {
     const { put, removed, numbers: ids } = update;
-    for (const key of new Set(removed)) this.drop(key);
+    for (const key of new Set(removed)) this.remove(key);
     for (const item of ConfigItems.all({ config: put, ids: new Map(Object.entries(ids)) }))
       this.put(item.key, ConfigItems.hash(item));
     this.current = {
       config: updatedConfig(this.config, update),
-      ids: this.updatedNumbers(removed, ids),
+      ids: this.updatedIds(removed, ids),
     };
   }
 
-  private updatedNumbers(
+  private updatedIds(
     removedKeys: readonly string[],
     ids: Record<string, number>,
   ): ReadonlyMap<string, number> {
     const updated = new Map(this.current.ids);
     for (const key of removedKeys) updated.delete(ConfigItems.parseIdKey(key) ?? "");
-    for (const [name, number] of Object.entries(ids)) updated.set(name, number);
+    for (const [name, id] of Object.entries(ids)) updated.set(name, id);
     return updated;
   }
 
   private put(key: string, hash: bigint): void {
-    this.drop(key);
+    this.remove(key);
     this.hashes.set(key, hash);
     this.setDigest.add(hash);
   }
 
-  private drop(key: string): void {
-    const former = this.hashes.get(key);
-    if (former === undefined) return;
-    this.setDigest.remove(former);
+  private remove(key: string): void {
+    const previousHash = this.hashes.get(key);
+    if (previousHash === undefined) return;
+    this.setDigest.remove(previousHash);
     this.hashes.delete(key);
   }
 }
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -1,4 +1,4 @@
-/** The routes of one configuration, and the look-up of the one that serves a request. */
+/** The routes of one configuration, and the lookup of the route that matches a request. */
 import type { Config } from "../configuration/config.js";
 import { safeMethods, trafficSplitOf } from "../configuration/config-shape.js";
 import type { ActiveRoute, RouteTargets } from "./active-route.js";
@@ -10,7 +10,7 @@
 /** The settings of a service. */
 export type ActiveService = Config["services"][string];
 
-/** What a route or its service is served by where the configuration doesn't say. */
+/** Defaults of a route, its goal and its service. */
 const DEFAULTS = {
   giveUpMs: 5000,
   goalMs: 1000,
@@ -20,21 +20,25 @@
   priority: 5,
 };
 
-/** A host's name as hosts are compared: in lower case, without a port. */
+/** A host name in the form for comparison: in lower case, without a port. */
 export const normalizeHost = (host: string): string => host.toLowerCase().replace(/:\d*$/, "");
 
-const chooseFrom = (splits: ActiveRoute["splits"], draw: number): string => {
-  const served = splits.filter(({ weight }) => weight > 0);
-  let left = draw * served.reduce((sum, { weight }) => sum + weight, 0);
-  return served.find(({ weight }) => (left -= weight) < 0)?.service ?? served.at(-1)?.service ?? "";
+const chooseWeighted = (splits: ActiveRoute["splits"], draw: number): string => {
+  const candidates = splits.filter(({ weight }) => weight > 0);
+  let remaining = draw * candidates.reduce((sum, { weight }) => sum + weight, 0);
+  return (
+    candidates.find(({ weight }) => (remaining -= weight) < 0)?.service ??
+    candidates.at(-1)?.service ??
+    ""
+  );
 };
 
-/** An item of a section by its own name, whatever objects inherit. */
+/** An item of a section; ignores properties that objects inherit, such as `toString`. */
 const ownItem = <T>(section: Record<string, T>, name: string): T | undefined =>
   Object.hasOwn(section, name) ? section[name] : undefined;
 
-/** Which requests a route matches. */
-const matchOf = ({
+/** The conditions under which a route matches a request. */
+const buildMatch = ({
   match: { host, methods, path },
 }: Route): Pick<ActiveRoute, "host" | "methods" | "path" | "isPrefix"> => {
   const isPrefix = path.endsWith("*");
@@ -46,14 +50,14 @@
   };
 };
 
-/** Whether a route without a kind may be sent twice: by its own word, or by its methods. */
+/** Whether requests of a route without a kind may be sent twice: by its `repeat` setting, otherwise by its methods. */
 const isRepeatable = ({ match, repeat }: Route): boolean =>
   repeat === undefined
     ? (match.methods ?? ["POST"]).every((method) => safeMethods.has(method))
     : repeat === "safe";
 
-/** Which of a route's requests may be sent again. */
-const semanticsOf = (
+/** Whether and how a route's requests may be sent again. */
+const deriveSemantics = (
   route: Route,
 ): Pick<ActiveRoute, "kind" | "isDownload" | "repeatable" | "keyed"> => {
   const { kind } = route;
@@ -70,36 +74,37 @@
   return { kind: keyed ? "idempotent" : unkeyedKind, isDownload: false, repeatable, keyed };
 };
 
-/** How long requests of a route may take, and how often they may be sent. */
-const targetsOf = (route: Route, goal: Goal | undefined): RouteTargets => {
-  const furtherTries =
+/** Targets of a route, from its own settings, its goal and the defaults. */
+const deriveTargets = (route: Route, goal: Goal | undefined): RouteTargets => {
+  const maxRetries =
     route.attempts === undefined
       ? (goal?.furtherTries ?? DEFAULTS.furtherTries)
       : route.attempts - 1;
   return {
-    attempts: furtherTries + 1,
-    maxRetries: furtherTries,
+    attempts: maxRetries + 1,
+    maxRetries,
     timeoutMs: route.giveUpMs ?? DEFAULTS.giveUpMs,
     latencyTargetMs: goal?.latencyMs ?? DEFAULTS.goalMs,
     priority: route.priority ?? DEFAULTS.priority,
   };
 };
 
-const activeRoute = (config: Config, name: string, route: Route): ActiveRoute => {
+const createActiveRoute = (config: Config, name: string, route: Route): ActiveRoute => {
   const splits = trafficSplitOf(route);
   const service = splits[0]?.service ?? "";
   const settings = ownItem(config.services, service);
   return {
     name,
-    ...matchOf(route),
-    ...semanticsOf(route),
-    ...targetsOf(route, ownItem(config.goals ?? {}, name)),
+    ...buildMatch(route),
+    ...deriveSemantics(route),
+    ...deriveTargets(route, ownItem(config.goals ?? {}, name)),
     splits,
     service,
     stampHeader: settings?.stampHeader ?? DEFAULTS.stampHeader,
     maxInFlight: settings?.inHand ?? DEFAULTS.inHandLimit,
-    chooseService: (draw) => (splits.length > 1 ? chooseFrom(splits, draw) : service),
-    routesTo: (wanted) => splits.some((split) => split.service === wanted && split.weight > 0),
+    chooseService: (draw) => (splits.length > 1 ? chooseWeighted(splits, draw) : service),
+    routesTo: (serviceName) =>
+      splits.some((split) => split.service === serviceName && split.weight > 0),
   };
 };
 
@@ -113,39 +118,40 @@
   readonly limits: NonNullable<Config["limits"]>;
   private readonly config: Config;
 
-  /** Prepares a configuration; routes whose items are identical to those of a former table are taken over from that. */
-  constructor(config: Config, former?: RouteTable) {
+  /** Builds the table of a configuration; reuses routes of the previous table whose configuration items are identical. */
+  constructor(config: Config, previous?: RouteTable) {
     this.limits = config.limits ?? {};
     this.config = config;
     this.all = Object.entries(config.routes).map(
-      ([name, route]) => former?.unchangedIn(config, name) ?? activeRoute(config, name, route),
+      ([name, route]) =>
+        previous?.unchangedIn(config, name) ?? createActiveRoute(config, name, route),
     );
     for (const route of this.all) this.byName.set(route.name, route);
-    for (const route of this.all) if (!route.isPrefix) this.indexOf(route.host).add(route);
+    for (const route of this.all) if (!route.isPrefix) this.getOrCreateIndex(route.host).add(route);
     for (const route of this.all
       .filter(({ isPrefix }) => isPrefix)
       .sort((a, b) => (a.name < b.name ? -1 : 1)))
-      this.indexOf(route.host).add(route);
+      this.getOrCreateIndex(route.host).add(route);
   }
 
-  /** The route of a request: one for its host before one for any, then the most specific path. */
+  /** The route of a request: a route for its host precedes one for any host, then the most specific path wins. */
   find(method: string, path: string, host = ""): ActiveRoute | undefined {
     const index =
       this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(normalizeHost(host));
     return index?.find(method, path) ?? this.anyHost.find(method, path);
   }
 
-  /** The route of a name. */
+  /** The route with a name. */
   findByName(name: string): ActiveRoute | undefined {
     return this.byName.get(name);
   }
 
-  /** A service of this configuration by its name. */
+  /** The settings of a service. */
   service(name: string): ActiveService | undefined {
     return ownItem(this.config.services, name);
   }
 
-  /** The route of a name, if all items that it is made from are identical in another configuration. */
+  /** The route with a name, if all configuration items from which it is built are identical in another configuration. */
   private unchangedIn(config: Config, name: string): ActiveRoute | undefined {
     const route = this.byName.get(name);
     const isUnchanged =
@@ -156,7 +162,7 @@
     return isUnchanged ? route : undefined;
   }
 
-  private indexOf(host: string | undefined): PathIndex {
+  private getOrCreateIndex(host: string | undefined): PathIndex {
     if (host === undefined) return this.anyHost;
     const known = this.hosts.get(host);
     if (known) return known;
--- a/test/cluster-view/command-forwarder.test.ts
+++ b/test/cluster-view/command-forwarder.test.ts
@@ -1,62 +1,67 @@
 import { expect, test } from "vitest";
 import { ClusterFixture } from "../replication/fleet-stage.js";
 
-const later = { bootstrap: false };
+const withoutBootstrap = { bootstrap: false };
 
-/** Whether the newest leader has seen all edges. */
-const edgesSeen = (stage: ClusterFixture): boolean => {
-  const electedIndex = stage.logLines.findLastIndex((line) => line.includes("leader elected"));
-  const since = stage.logLines
+/** Whether the newest leader has logged the appearance of every edge since its election. */
+const hasSeenAllEdges = (cluster: ClusterFixture): boolean => {
+  const electedIndex = cluster.logLines.findLastIndex((line) => line.includes("leader elected"));
+  const linesSinceElection = cluster.logLines
     .slice(electedIndex)
     .filter((line) => line.includes("daemon appeared"));
-  return stage.machines
+  return cluster.machines
     .filter(({ disk }) => !disk)
-    .every(({ settings }) => since.some((line) => line.includes(`"${settings.machine}"`)));
+    .every(({ settings }) =>
+      linesSinceElection.some((line) => line.includes(`"${settings.machine}"`)),
+    );
 };
 
-test("a daemon whose seeds are all edges finds the leader, also after a new one was elected", () => {
-  const stage = new ClusterFixture(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "e:d"], [0, 1, 2]);
-  const late = stage.machineAt(6);
-  for (const machine of stage.machines) if (machine !== late) stage.boot(machine);
-  stage.wait(4000);
-  stage.boot(late, later);
-  expect(stage.waitUntil(() => late.daemon?.servingState.isGranted === true, 2000)).toBeLessThan(
-    300,
-  );
-  const former = stage.leader;
-  stage.kill(former);
-  const isLed = (): boolean =>
-    stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
-  stage.waitUntil(isLed, 3000);
-  expect(stage.waitUntil(() => edgesSeen(stage), 2000)).toBeLessThan(200);
+test("a daemon whose seeds are all edges finds the leader, and finds the next one after an election", () => {
+  const cluster = new ClusterFixture(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "e:d"], [0, 1, 2]);
+  const lateEdge = cluster.machineAt(6);
+  for (const machine of cluster.machines) if (machine !== lateEdge) cluster.boot(machine);
+  cluster.wait(4000);
+  cluster.boot(lateEdge, withoutBootstrap);
+  expect(
+    cluster.waitUntil(() => lateEdge.daemon?.servingState.isGranted === true, 2000),
+  ).toBeLessThan(300);
+  const previousLeader = cluster.leader;
+  cluster.kill(previousLeader);
+  const hasLeader = (): boolean =>
+    cluster.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+  cluster.waitUntil(hasLeader, 3000);
+  expect(cluster.waitUntil(() => hasSeenAllEdges(cluster), 2000)).toBeLessThan(200);
 });
 
-test("when the leader is partitioned from all machines, the next leader has seen all edges within a second", () => {
+test("after the leader is partitioned from all machines, the next leader receives requests of all edges within a second", () => {
   const takeoverMs: number[] = [];
   for (let offsetMs = 0; offsetMs < 200; offsetMs += 20) {
-    const stage = new ClusterFixture(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c"], [0, 1, 2]);
-    stage.bootAll();
-    stage.wait(4000 + offsetMs);
-    const former = stage.leader;
-    for (const machine of stage.machines) if (machine !== former) stage.partition(former, machine);
-    const next = (): boolean =>
-      stage.diskMachines.some(
-        (machine) => machine !== former && machine.daemon?.replicationNode?.holdsLease === true,
+    const cluster = new ClusterFixture(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c"], [0, 1, 2]);
+    cluster.bootAll();
+    cluster.wait(4000 + offsetMs);
+    const previousLeader = cluster.leader;
+    for (const machine of cluster.machines)
+      if (machine !== previousLeader) cluster.partition(previousLeader, machine);
+    const hasNewLeader = (): boolean =>
+      cluster.diskMachines.some(
+        (machine) =>
+          machine !== previousLeader && machine.daemon?.replicationNode?.holdsLease === true,
       );
-    const ledMs = stage.waitUntil(next, 3000);
-    takeoverMs.push(ledMs + stage.waitUntil(() => edgesSeen(stage), 2000));
+    const electedMs = cluster.waitUntil(hasNewLeader, 3000);
+    takeoverMs.push(electedMs + cluster.waitUntil(() => hasSeenAllEdges(cluster), 2000));
   }
   expect(takeoverMs.filter((ms) => ms >= 1000)).toEqual([]);
 });
 
-test("an edge that is partitioned from the leader alone keeps its lease through another member", () => {
-  const stage = new ClusterFixture(["e:a", "e:b", "d:a", "d:b", "d:c"], [0, 1]);
-  stage.bootAll();
-  stage.wait(4000);
-  const edge = stage.machineAt(0);
-  stage.partition(edge, stage.leader);
+/** Only a relay through another member reaches the leader here; without it the edge would lose its lease and stop serving. */
+test("an edge that is partitioned from only the leader renews its lease through another member", () => {
+  const cluster = new ClusterFixture(["e:a", "e:b", "d:a", "d:b", "d:c"], [0, 1]);
+  cluster.bootAll();
+  cluster.wait(4000);
+  const edge = cluster.machineAt(0);
+  cluster.partition(edge, cluster.leader);
   for (let round = 0; round < 100; round += 1) {
-    stage.wait(100);
+    cluster.wait(100);
     expect(edge.daemon?.servingState.isGranted).toBe(true);
   }
 });
--- a/test/cluster-view/route-table.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -4,45 +4,46 @@
 import { RouteTable } from "../../src/cluster-view/route-table.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 
-/** The route that a linear search finds. */
-const searchAll = (
+/** The expected route, found by a linear search. */
+const findLinearly = (
   all: readonly ActiveRoute[],
   method: string,
   path: string,
   host: string,
 ): ActiveRoute | undefined => {
-  const own = host.toLowerCase().split(":")[0];
+  const normalizedHost = host.toLowerCase().split(":")[0];
   const rank = (route: ActiveRoute): number =>
     (route.host === undefined ? 0 : 1e6) + (route.isPrefix ? route.path.length : 1e5);
   return all
     .filter(
       (route) =>
-        (route.host === undefined || route.host === own) && (route.methods?.has(method) ?? true),
+        (route.host === undefined || route.host === normalizedHost) &&
+        (route.methods?.has(method) ?? true),
     )
     .filter((route) => (route.isPrefix ? path.startsWith(route.path) : path === route.path))
     .sort((a, b) => rank(b) - rank(a))[0];
 };
 
-test("among 3,000 routes over several hosts, a request finds the same one as a linear search does", () => {
+test("the lookup among 3,000 routes of several hosts agrees with a linear search", () => {
   const random = RandomDraw.of(7);
   const pick = <T>(from: readonly T[]): T | undefined => from[Math.floor(random() * from.length)];
-  const words = ["a", "ab", "b", "c1", "lepu270", "d.e"];
+  const segments = ["a", "ab", "b", "c1", "lepu270", "d.e"];
   const path = (): string =>
-    `/${Array.from({ length: Math.floor(random() * 6) }, () => pick(words)).join("/")}`;
+    `/${Array.from({ length: Math.floor(random() * 6) }, () => pick(segments)).join("/")}`;
   const hosts = [undefined, "One.example", "two.example", "three.example", "four.example"];
   const routes: Config["routes"] = {};
   const taken = new Set<string>();
   for (let index = 0; taken.size < 3000; index += 1) {
     const host = pick(hosts);
     const own = path();
-    const ends =
+    const pattern =
       random() < 0.7 ? `${own.endsWith("/") ? own : `${own}/`}*` : random() < 0.5 ? `${own}*` : own;
     const methods = random() < 0.2 ? { methods: ["GET" as const] } : {};
-    const key = `${host} ${ends}`;
+    const key = `${host} ${pattern}`;
     if (taken.has(key)) continue;
     taken.add(key);
     routes[`r-${index}`] = {
-      match: { path: ends, ...(host === undefined ? {} : { host }), ...methods },
+      match: { path: pattern, ...(host === undefined ? {} : { host }), ...methods },
       service: "s",
     };
   }
@@ -61,17 +62,17 @@
         "",
       ]) ?? "",
     ] as const;
-    const expected = searchAll(routeTable.all, ...request);
+    const expected = findLinearly(routeTable.all, ...request);
     expect(routeTable.find(...request)?.name, request.join(" ")).toBe(expected?.name);
     found += expected ? 1 : 0;
   }
   expect(found).toBeGreaterThan(1000);
   expect(routeTable.find("GET", "/".repeat(100_000), "two.example")?.name).toBe(
-    searchAll(routeTable.all, "GET", "/".repeat(100_000), "two.example")?.name,
+    findLinearly(routeTable.all, "GET", "/".repeat(100_000), "two.example")?.name,
   );
 });
 
-test("a route for the host precedes one for any host, and a longer prefix a shorter one", () => {
+test("a route for the request's host precedes a route for any host, and a longer prefix precedes a shorter one", () => {
   const routeTable = new RouteTable({
     services: { s: {} },
     routes: {
@@ -92,7 +93,7 @@
   ]).toEqual(["own", "deep", "any", "any", undefined, undefined]);
 });
 
-test("a service is chosen by weight, and one of weight 0 never", () => {
+test("services are chosen in proportion to their weights, and never with weight 0", () => {
   const split = [
     { service: "none", weight: 0 },
     { service: "much", weight: 90 },
@@ -122,11 +123,11 @@
   expect([route?.service, route?.splits]).toEqual(["none", split]);
 });
 
-test("the kind of a route decides whether it is repeatable and keyed, whatever its methods and older fields say", () => {
-  const route = (more: Partial<Config["routes"][string]>): Config["routes"][string] => ({
+test("a route's kind determines whether it is repeatable and keyed, and overrides its methods and the older fields", () => {
+  const route = (fields: Partial<Config["routes"][string]>): Config["routes"][string] => ({
     match: { path: "/*", methods: ["POST"] },
     service: "s",
-    ...more,
+    ...fields,
   });
   const { all } = new RouteTable({
     services: { s: {} },
@@ -149,7 +150,7 @@
   ]);
 });
 
-test("attempts include the first one, and limits and services can be looked up", () => {
+test("`attempts` includes the first attempt, and limits, services and routes are looked up by own names only", () => {
   const routeTable = new RouteTable({
     services: { s: { keepsKeys: true } },
     routes: {
@@ -182,7 +183,7 @@
   ]).toEqual([{ idleMs: 9 }, { keepsKeys: true }, undefined, undefined]);
 });
 
-test("the most specific route that allows the method is found", () => {
+test("a request matches the most specific route that allows its method", () => {
   const routeTable = new RouteTable({
     services: { a: {}, b: {} },
     routes: {
@@ -191,12 +192,12 @@
       one: { match: { path: "/x/y/z", methods: ["PUT"] }, service: "b" },
     },
   });
-  const found = (method: string, path: string) => routeTable.find(method, path)?.name;
+  const findName = (method: string, path: string) => routeTable.find(method, path)?.name;
   expect([
-    found("GET", "/x/y/z"),
-    found("PUT", "/x/y/z"),
-    found("POST", "/x/y/q"),
-    found("GET", "/"),
+    findName("GET", "/x/y/z"),
+    findName("PUT", "/x/y/z"),
+    findName("POST", "/x/y/q"),
+    findName("GET", "/"),
   ]).toEqual(["deep", "one", "all", undefined]);
   expect(routeTable.all.map((route) => route.repeatable)).toEqual([false, true, false]);
 });
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -14,14 +14,18 @@
   defaultRequestCountsFormat,
 } from "../../src/retry-budget/request-counts.js";
 
-test("an edge that changes its collector, also because that crashed, is never counted twice", () => {
+/**
+ * A collector includes an edge's last push for a whole window. If the edge moves to another collector, or its collector crashes,
+ * two collectors could include it, and the cluster's count would be up to twice the true one.
+ */
+test("an edge that changes its collector, also after a collector crash, is never counted twice", () => {
   const time = new VirtualClock();
   const network = new VirtualNetwork(time.clock(), RandomDraw.of(3));
   const fail = (error: unknown): void => {
     throw error;
   };
   const gates = new Map<string, InstanceType<typeof EventGate>>();
-  const endpointAt = (address: string): { runtime: Runtime; rpc: RpcEndpoint } => {
+  const createEndpoint = (address: string): { runtime: Runtime; rpc: RpcEndpoint } => {
     const gate = new EventGate();
     gates.set(address, gate);
     const runtime = virtualRuntime({
@@ -34,7 +38,7 @@
     return { runtime, rpc };
   };
   const [root, ...others] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"].map((address) => {
-    const { runtime, rpc } = endpointAt(address);
+    const { runtime, rpc } = createEndpoint(address);
     const collector = new CountAggregator(
       runtime,
       rpc,
@@ -46,11 +50,11 @@
     runTask(collector.run(2000), fail);
     return { address, collector };
   });
-  const { runtime, rpc } = endpointAt("10.0.0.9:1");
+  const { runtime, rpc } = createEndpoint("10.0.0.9:1");
   const counts = new RequestCounts(defaultRequestCountsFormat);
-  const [left, right] = others;
-  if (!root || !left || !right) throw new Error("A collector is missing.");
-  let parent = left.address;
+  const [first, second] = others;
+  if (!root || !first || !second) throw new Error("A collector is missing.");
+  let parent = first.address;
   let parentSequence = 1;
   let push = 0;
   let counted = 0;
@@ -61,10 +65,10 @@
     counted += 1;
     if (atMs === 20_000 || atMs === 34_000) {
       if (atMs === 34_000) {
-        gates.get(right.address)?.kill();
-        network.disconnect(right.address);
+        gates.get(second.address)?.kill();
+        network.disconnect(second.address);
       }
-      parent = parent === left.address ? right.address : left.address;
+      parent = parent === first.address ? second.address : first.address;
       parentSequence += 1;
     }
     if (atMs % 2000 === 0) {
