--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -193,7 +193,7 @@
       headers: headersOf(request),
       body,
     };
-    this.handle(rest ? { ...clientRequest, rest } : clientRequest, client);
+    this.handle(rest ? { ...clientRequest, bodyRemainder: rest } : clientRequest, client);
   }
 
   /** Buffers a body up to its end, or up to the size from which on the rest is streamed. */
--- a/src/load-balancing/backend-ring.ts
+++ b/src/load-balancing/backend-ring.ts
@@ -45,7 +45,7 @@
  * of each cover every backend about equally often. A daemon or a backend that is added or removed moves starts by no more than
  * the number of backends per daemon. Among the first, those of the own zone are three to one.
  */
-export const ringOrder = (
+export const computeRingOrder = (
   backends: readonly Backend[],
   ownZone: string,
   { zoneIndex, zoneCount }: EdgePlacement,
@@ -81,7 +81,7 @@
 }
 
 /** How many backends of a service a daemon uses: fewer where all daemons together would open too many connections. */
-export const subsetSizeFor = ({
+export const computeSubsetSize = ({
   maxConnections,
   backendCount,
   daemonCount,
@@ -96,10 +96,10 @@
  * How many connections one daemon may open to one backend, so that all daemons together stay below what the backend accepts:
  * the daemons that use it share most of its connections.
  */
-export const connectionLimit = (sharing: ConnectionSharing): number => {
+export const computeConnectionLimit = (sharing: ConnectionSharing): number => {
   const { maxConnections, backendCount, daemonCount } = sharing;
   if (maxConnections === undefined) return Infinity;
-  const size = Math.min(subsetSizeFor(sharing), backendCount);
+  const size = Math.min(computeSubsetSize(sharing), backendCount);
   const users = Math.max(1, (daemonCount * size) / Math.max(1, backendCount));
   return Math.max(1, Math.floor((maxConnections * USABLE_CONNECTIONS) / users));
 };
--- a/src/load-balancing/backend-stats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -26,13 +26,13 @@
   /** Part of its fair share of requests that it gets, 0.1 to 1. */
   weight = 1;
   /** Why its weight was last changed; empty where it never was. */
-  reason = "";
+  weightReason = "";
   inFlight = 0;
   attempts = 0;
   failuresInARow = 0;
   avoidUntilMs = 0;
   /** When this daemon learned of it. */
-  readonly sinceMs: number;
+  readonly knownSinceMs: number;
   /** Since when no attempt has ended though some are in flight. */
   private noProgressSinceMs = 0;
   /** How long it may go without progress and still count as responsive. */
@@ -40,7 +40,7 @@
   private weightChangedMs: number;
 
   constructor(nowMs: number) {
-    this.sinceMs = nowMs;
+    this.knownSinceMs = nowMs;
     this.weightChangedMs = nowMs;
   }
 
@@ -70,8 +70,8 @@
   }
 
   /** Learns from an attempt; `expectedMs` is what its route usually takes, `random` gives 0 up to 1. */
-  learn(
-    { tookMs, isComplete: isWhole }: AttemptSample,
+  recordSample(
+    { latencyMs: tookMs, isComplete: isWhole }: AttemptSample,
     expectedMs: number,
     nowMs: number,
     random: () => number,
@@ -97,9 +97,9 @@
     const weight = Math.min(1, Math.max(MIN_WEIGHT, this.weight * step));
     if (weight === this.weight) return;
     this.weight = weight;
-    if (!misses) this.reason = "meets its goal again";
+    if (!misses) this.weightReason = "meets its goal again";
     else if (isSlow)
-      this.reason = `slower (${Math.round(this.latencyMs)} ms) than the goal of ${latencyTargetMs} ms`;
-    else this.reason = `${Math.round(this.failureRate * 100)}% of its tries fail`;
+      this.weightReason = `slower (${Math.round(this.latencyMs)} ms) than the goal of ${latencyTargetMs} ms`;
+    else this.weightReason = `${Math.round(this.failureRate * 100)}% of its tries fail`;
   }
 }
--- a/src/load-balancing/load-balancer.ts
+++ b/src/load-balancing/load-balancer.ts
@@ -1,9 +1,9 @@
 /** The choice of a backend for each attempt. */
 import type { EdgePlacement } from "../control-protocol/edge-placement.js";
 import type { Backend } from "./backend.js";
-import { connectionLimit, ringOrder, subsetSizeFor } from "./backend-ring.js";
+import { computeConnectionLimit, computeRingOrder, computeSubsetSize } from "./backend-ring.js";
 import { BackendStats } from "./backend-stats.js";
-import { RouteStatsTable, UNSEEN_RESPONSE_BYTES, type RouteStats } from "./route-stats.js";
+import { RouteStatsTable, DEFAULT_RESPONSE_BYTES, type RouteStats } from "./route-stats.js";
 import type { AttemptSample } from "./attempt-sample.js";
 
 /** How long a backend without instances takes to warm up. */
@@ -32,7 +32,7 @@
 /** What limits the choice of a backend for one attempt. */
 export interface PickOptions {
   /** Addresses of the request's former attempts. */
-  readonly tried: ReadonlySet<string>;
+  readonly triedAddresses: ReadonlySet<string>;
   /** How many requests this daemon may have in flight at one backend. */
   readonly maxInFlight: number;
   /** How many connections one backend accepts from all daemons together. */
@@ -72,7 +72,7 @@
    */
   pick<B extends Backend>(
     backends: readonly B[],
-    { tried, maxInFlight: inHandLimit, maxConnections, route = "" }: PickOptions,
+    { triedAddresses: tried, maxInFlight: inHandLimit, maxConnections, route = "" }: PickOptions,
     nowMs: number,
   ): B | undefined {
     const sharing = {
@@ -80,14 +80,14 @@
       backendCount: backends.length,
       daemonCount: this.daemonCount,
     };
-    const limit = Math.min(inHandLimit, connectionLimit(sharing));
+    const limit = Math.min(inHandLimit, computeConnectionLimit(sharing));
     const available = this.ordered(backends).filter(
       (backend) => !tried.has(backend.address) && this.stats(backend, nowMs).inFlight < limit,
     );
     const healthy = available.filter((backend) => this.stats(backend, nowMs).isHealthy(nowMs));
     const candidates = this.subset(
       healthy.length > 0 ? healthy : available,
-      subsetSizeFor(sharing),
+      computeSubsetSize(sharing),
       nowMs,
     );
     const weights = candidates.map((backend) => this.weight(backend, nowMs));
@@ -102,7 +102,7 @@
 
   /** Counts an attempt that starts. */
   attemptStarted(backend: Backend, nowMs: number, route = ""): void {
-    const expectedMs = this.routes.find(route)?.tookMs ?? TOLERANCE.defaultLatencyMs;
+    const expectedMs = this.routes.find(route)?.meanLatencyMs ?? TOLERANCE.defaultLatencyMs;
     const toleranceMs = TOLERANCE.factor * expectedMs + TOLERANCE.extraMs;
     this.stats(backend, nowMs).start(toleranceMs, nowMs);
   }
@@ -116,8 +116,8 @@
   attemptEnded(backend: Backend, sample: AttemptSample, nowMs: number): void {
     const stats = this.stats(backend, nowMs);
     stats.end(nowMs);
-    const { tookMs: expectedMs } = this.routes.learn(sample);
-    stats.learn(sample, expectedMs, nowMs, this.random);
+    const { meanLatencyMs: expectedMs } = this.routes.recordSample(sample);
+    stats.recordSample(sample, expectedMs, nowMs, this.random);
     stats.adjustWeight(sample.latencyTargetMs, nowMs);
   }
 
@@ -130,7 +130,7 @@
   explain(backends: readonly Backend[], nowMs: number): WeightExplanation[] {
     return backends.map((backend) => {
       const stats = this.stats(backend, nowMs);
-      const reasons = [stats.reason];
+      const reasons = [stats.weightReason];
       if (backend.zone !== this.zone) reasons.push("in another zone");
       if (this.warmth(backend, stats, nowMs) < 1) reasons.push("still warming up");
       if (stats.avoidUntilMs > nowMs)
@@ -163,7 +163,8 @@
   /** Backends in this daemon's ring order, which is computed once for each list. */
   private ordered<B extends Backend>(backends: readonly B[]): readonly B[] {
     if (!this.placement) return backends;
-    const order = this.ringOrders.get(backends) ?? ringOrder(backends, this.zone, this.placement);
+    const order =
+      this.ringOrders.get(backends) ?? computeRingOrder(backends, this.zone, this.placement);
     this.ringOrders.set(backends, order);
     return order.flatMap((index) => backends[index] ?? []);
   }
@@ -193,7 +194,7 @@
 
   /** How warm a backend is, 0.05 to 1. */
   private warmth(backend: Backend, stats: BackendStats, nowMs: number): number {
-    const knownForMs = nowMs - stats.sinceMs;
+    const knownForMs = nowMs - stats.knownSinceMs;
     if (backend.instance === "")
       return Math.min(1, Math.max(MIN_WARMTH, backend.warmth, knownForMs / WARM_UP_MS));
     return backend.warmMs <= 0 ? 1 : Math.min(1, Math.max(MIN_WARMTH, knownForMs / backend.warmMs));
@@ -209,9 +210,9 @@
     const stats = this.stats(backend, nowMs);
     const queued = 1 + stats.inFlight / Math.max(1, backend.capacity);
     const isRemote = backend.zone !== this.zone;
-    const responseBytes = route?.bytes ?? UNSEEN_RESPONSE_BYTES;
+    const responseBytes = route?.meanResponseBytes ?? DEFAULT_RESPONSE_BYTES;
     const transferMs = isRemote ? (responseBytes / 1024) * REMOTE_KIB_MS : 0;
-    const expectedMs = route?.tookMs ?? stats.latencyMs;
+    const expectedMs = route?.meanLatencyMs ?? stats.latencyMs;
     return (expectedMs * stats.relativeLatency * queued) / this.weight(backend, nowMs) + transferMs;
   }
 
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -21,7 +21,7 @@
 
 /** A claim that this daemon acquired: its request may be sent until a moment of the daemon's own clock. */
 export interface HeldClaim extends KeyedRequest {
-  readonly sendUntilMs: number;
+  readonly sendDeadlineMs: number;
   /** The daemons that store the request's outcome, this one first. */
   readonly holders: readonly string[];
 }
@@ -166,7 +166,7 @@
     const request: KeyedRequest = { scope, requestId: `${this.incarnation}/${this.claims}` };
     const holders = this.outcomes.holdersFor(scope);
     const pending: PendingClaim = { request, bodyHash, holders, startedMs, deadlineMs };
-    this.outcomes.note(request, { kind: "inHand" });
+    this.outcomes.storeLocally(request, { kind: "inHand" });
     let replacedId: string | undefined;
     for (;;) {
       const sentMs = clock.nowMs();
@@ -177,7 +177,7 @@
       );
       if (response === undefined) return answered(this.giveUp(request));
       if ("claimed" in response) {
-        const claim = { ...request, holders, sendUntilMs: sentMs + SEND_WINDOW_MS };
+        const claim = { ...request, holders, sendDeadlineMs: sentMs + SEND_WINDOW_MS };
         return { kind: "claimed", claim };
       }
       if ("full" in response)
@@ -189,9 +189,9 @@
   }
 
   /** Records how a claimed request ended, and has its response stored for repeats. */
-  conclude(claim: HeldClaim, { execution, response }: RequestOutcome): void {
+  recordOutcome(claim: HeldClaim, { execution, response }: RequestOutcome): void {
     if (execution === "neverRan") {
-      this.outcomes.note(claim, { kind: "neverRan" });
+      this.outcomes.storeLocally(claim, { kind: "neverRan" });
       this.start(this.release(claim));
       return;
     }
@@ -201,11 +201,11 @@
       response.body.length <= MAX_STORED_BODY_BYTES
     ) {
       const outcome: KeyedOutcome = { kind: "ran", response };
-      this.outcomes.note(claim, outcome);
-      this.start(this.outcomes.share(claim, outcome, claim.holders));
+      this.outcomes.storeLocally(claim, outcome);
+      this.start(this.outcomes.replicate(claim, outcome, claim.holders));
       return;
     }
-    this.outcomes.note(claim, { kind: execution === "ran" ? "ranNotKept" : "mayHaveRun" });
+    this.outcomes.storeLocally(claim, { kind: execution === "ran" ? "ranNotKept" : "mayHaveRun" });
   }
 
   /** Sends the claim to the leader; undefined where its fate is unknown or the leader is overloaded. */
@@ -233,20 +233,20 @@
     existing: ExistingClaim,
   ): Task<RequestOutcome | undefined> {
     if (existing.bodyHash !== bodyHash) {
-      this.outcomes.note(request, { kind: "neverRan" });
+      this.outcomes.storeLocally(request, { kind: "neverRan" });
       return rejectedOutcome(422, "This key came before with another body.");
     }
     const waitMs = Math.min(OUTCOME_WAIT_MS, (deadlineMs - startedMs) / 2);
     const outcome = yield* this.awaitOutcome(request.scope, existing, startedMs + waitMs);
     if (outcome !== "unreachable" && outcome.kind === "neverRan") return undefined;
-    this.outcomes.note(request, { kind: "neverRan" });
+    this.outcomes.storeLocally(request, { kind: "neverRan" });
     if (outcome === "unreachable") return this.unreachableOutcome();
     return repeatedOutcome(outcome) ?? this.inProgressOutcome();
   }
 
   /** Ends a claim whose fate is unknown: its request is never sent, so that a repeat may replace the claim. */
   private giveUp(request: KeyedRequest): RequestOutcome {
-    this.outcomes.note(request, { kind: "neverRan" });
+    this.outcomes.storeLocally(request, { kind: "neverRan" });
     return unavailableOutcome("The key could not be claimed in the record.", this.retryAfterMs);
   }
 
--- a/src/proxy/idempotency/idempotency-filter.ts
+++ b/src/proxy/idempotency/idempotency-filter.ts
@@ -53,7 +53,7 @@
   }
 
   *handle(context: RequestContext, next: NextHandler): Task<RequestOutcome> {
-    const check = checkKey(context, this.headerNames.key);
+    const check = checkKey(context, this.headerNames.idempotencyKey);
     if (check.kind === "unkeyed") return yield* next();
     if (check.kind === "invalid") return check.outcome;
     if (!this.clusterView.holdsLease)
@@ -71,7 +71,7 @@
     if (result.kind === "answered") return result.outcome;
     context.claim = result.claim;
     const outcome = yield* next();
-    this.claims.conclude(result.claim, outcome);
+    this.claims.recordOutcome(result.claim, outcome);
     return outcome;
   }
 
--- a/src/proxy/idempotency/outcome-cache.ts
+++ b/src/proxy/idempotency/outcome-cache.ts
@@ -39,12 +39,12 @@
   }
 
   /** How many bytes are stored now. */
-  get bytes(): number {
+  get storedBytes(): number {
     return this.sizeBytes;
   }
 
   /** Stores an outcome in place of an earlier one of the same request, and evicts what is too old or too much. */
-  note(request: KeyedRequest, outcome: KeyedOutcome): void {
+  store(request: KeyedRequest, outcome: KeyedOutcome): void {
     const key = entryKey(request);
     this.remove(key);
     const sizeBytes = sizeOf(outcome);
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -54,7 +54,7 @@
     const { cache } = this;
     this.rpc.serve(rpcMethods.replicateOutcome, function* ({ scope, job, ...message }) {
       const outcome = decodeKeyedOutcome(message);
-      if (outcome) cache.note({ scope, requestId: job }, outcome);
+      if (outcome) cache.store({ scope, requestId: job }, outcome);
       return { isKept: outcome !== undefined };
     });
     this.rpc.serve(rpcMethods.keyedOutcome, function* ({ scope, job }) {
@@ -69,12 +69,12 @@
   }
 
   /** Stores an outcome at this daemon. */
-  note(request: KeyedRequest, outcome: KeyedOutcome): void {
-    this.cache.note(request, outcome);
+  storeLocally(request: KeyedRequest, outcome: KeyedOutcome): void {
+    this.cache.store(request, outcome);
   }
 
   /** Has the other holders store an outcome. */
-  *share(
+  *replicate(
     { scope, requestId }: KeyedRequest,
     outcome: KeyedOutcome,
     holders: readonly string[],
--- a/src/proxy/outcome-rules.ts
+++ b/src/proxy/outcome-rules.ts
@@ -20,7 +20,7 @@
  * - The body failed: `bodyCut`, `bodyTooLong`; `streamCut` where its head had been forwarded to the client already.
  * - `answered`: the client had its final response already. `whole` and `streamed`: forwarded, unchanged.
  */
-export type AttemptResult = FailureCause | CompletedAttempt;
+export type AttemptResult = FailureCause | ForwardedResult;
 
 /** Ways that leave the client without a backend's response. */
 export type FailureCause =
@@ -42,7 +42,7 @@
   | "answered";
 
 /** Ways in which the client gets a backend's response, or the beginning of one. */
-export type CompletedAttempt = "whole" | "streamed" | "streamCut";
+export type ForwardedResult = "whole" | "streamed" | "streamCut";
 
 /** What follows from the way an attempt ended. */
 export interface OutcomeRule {
@@ -55,7 +55,7 @@
   /** The status that the client gets if no other backend answers; the backend's own; or its connection is cut. */
   readonly clientStatus: 502 | 503 | 504 | "backend" | "cut";
   /** Why, in words for the client. */
-  readonly why: string;
+  readonly reason: string;
 }
 
 /** The rule of a way that leaves the client without a backend's response. */
@@ -68,7 +68,7 @@
   isSent: false,
   connection,
   clientStatus: 503,
-  why,
+  reason: why,
 });
 
 const declined = (why: string): FailureRule => ({
@@ -76,7 +76,7 @@
   isSent: true,
   connection: "keep",
   clientStatus: 503,
-  why,
+  reason: why,
 });
 
 const uncertain = (why: string, clientStatus: 502 | 504 = 502): FailureRule => ({
@@ -84,7 +84,7 @@
   isSent: true,
   connection: "close",
   clientStatus,
-  why,
+  reason: why,
 });
 
 const FAILURE_RULES: Readonly<Record<FailureCause, FailureRule>> = {
@@ -111,7 +111,7 @@
   isSent: true,
   connection: "keep",
   clientStatus: "backend",
-  why: "",
+  reason: "",
 };
 
 const OUTCOME_RULES: Readonly<Record<AttemptResult, OutcomeRule>> = {
@@ -123,12 +123,12 @@
     isSent: true,
     connection: "close",
     clientStatus: "cut",
-    why: "",
+    reason: "",
   },
 };
 
 /** The rule for the way an attempt ended. */
-export const outcomeRuleOf = (cause: AttemptResult): OutcomeRule => OUTCOME_RULES[cause];
+export const getOutcomeRule = (cause: AttemptResult): OutcomeRule => OUTCOME_RULES[cause];
 
 /** The rules of all ways in which an attempt can end. */
 export const outcomeRules: ReadonlyMap<string, OutcomeRule> = new Map(
@@ -136,8 +136,8 @@
 );
 
 /** The outcome of a request whose attempt failed, if no other backend answers; the client had better retry after `afterMs`. */
-export const outcomeOfFailure = (cause: FailureCause, afterMs: number): RequestOutcome => {
-  const { execution, clientStatus, why } = FAILURE_RULES[cause];
+export const createFailureOutcome = (cause: FailureCause, afterMs: number): RequestOutcome => {
+  const { execution, clientStatus, reason: why } = FAILURE_RULES[cause];
   return clientStatus === 503
     ? unavailableOutcome(why, afterMs)
     : failedOutcome(clientStatus, why, execution, afterMs);
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -15,9 +15,9 @@
   readonly execution: ExecutionStatus;
   readonly response: ClientResponse | "streamed" | "cut";
   /** Why the proxy answered itself, in words for the client; empty where a backend's response is forwarded. */
-  readonly why: string;
+  readonly reason: string;
   /** When the client had better retry, where this is stated. */
-  readonly afterMs?: number;
+  readonly retryAfterMs?: number;
 }
 
 /** A response with a JSON body that ends in a line feed. */
@@ -44,8 +44,8 @@
   afterMs: number,
 ): RequestOutcome => ({
   execution,
-  why,
-  afterMs,
+  reason: why,
+  retryAfterMs: afterMs,
   response: jsonResponse(
     code,
     { error: why, verdict: execution, retryAfterS: afterMs / 1000 },
@@ -61,7 +61,7 @@
 export function rejectedOutcome(code: number, why: string): RequestOutcome {
   return {
     execution: "neverRan",
-    why,
+    reason: why,
     response: jsonResponse(code, { error: why, verdict: "neverRan" }),
   };
 }
@@ -76,5 +76,5 @@
 
 /** A backend's response, unchanged. */
 export function forwardedOutcome(response: ClientResponse): RequestOutcome {
-  return { execution: "ran", response, why: "" };
+  return { execution: "ran", response, reason: "" };
 }
--- a/src/proxy/retry-after.ts
+++ b/src/proxy/retry-after.ts
@@ -18,8 +18,8 @@
 const SPREAD_RANGE = 0.5;
 
 /** A response with its delay spread at random and stated in fractions of a second; unchanged where the outcome has no delay. */
-export const withSpreadRetryAfter = (
-  { afterMs }: RequestOutcome,
+export const withJitteredRetryAfter = (
+  { retryAfterMs: afterMs }: RequestOutcome,
   response: ClientResponse,
   random: () => number,
 ): ClientResponse => {
--- a/src/proxy/retry-handler.ts
+++ b/src/proxy/retry-handler.ts
@@ -126,7 +126,7 @@
     nowMs: number,
   ): string | undefined {
     const { servingView } = this.options;
-    if (claim && nowMs + servingView.egressDelayMs(clientRequest) >= claim.sendUntilMs)
+    if (claim && nowMs + servingView.egressDelayMs(clientRequest) >= claim.sendDeadlineMs)
       return "The key's claim is too old to send under.";
     if (nowMs + (attempts > 0 ? MIN_RETRY_TIME_MS : 0) >= deadlineMs)
       return `No back end of ${service} took this in time.`;
@@ -143,7 +143,7 @@
     return loadBalancer.pick(
       clusterView.backendsOf(service),
       {
-        tried: triedAddresses,
+        triedAddresses,
         maxInFlight: route.maxInFlight,
         maxConnections: clusterView.routeTable.service(service)?.maxConnections,
         route: route.name,
@@ -176,7 +176,10 @@
   }
 
   /** Whether the client gets this outcome: a backend's response, unless a retry of an error of a failing backend is safe. */
-  private isFinal({ route, registration }: Attempt, { response, why }: RequestOutcome): boolean {
+  private isFinal(
+    { route, registration }: Attempt,
+    { response, reason: why }: RequestOutcome,
+  ): boolean {
     if (why !== "") return false;
     const isServerError = typeof response !== "string" && response.code >= 500;
     return !(
--- a/src/proxy/upstream/backend-connection.ts
+++ b/src/proxy/upstream/backend-connection.ts
@@ -62,7 +62,7 @@
   readonly client: Client;
   readonly socket: Socket;
   /** A response came on it that named no request. */
-  hasUnnamedResponse = false;
+  hasUnidentifiedResponse = false;
 
   constructor(socket: Socket, address: string, pool: string) {
     this.socket = socket;
--- a/src/proxy/upstream/http-exchange.ts
+++ b/src/proxy/upstream/http-exchange.ts
@@ -80,7 +80,7 @@
       this.done(openFailure("unreached"));
       return;
     }
-    this.cancelUnwanted = this.attempt.onUnwanted?.(() => this.cancel()) ?? noCancel;
+    this.cancelUnwanted = this.attempt.onClientClosed?.(() => this.cancel()) ?? noCancel;
     pacers.egress.note(requestHeadBytes(request));
     this.connection.client.dispatch(
       {
@@ -104,10 +104,10 @@
     return {
       code,
       headers,
-      next: () => this.reader.next(),
+      nextChunk: () => this.reader.nextChunk(),
       cancel: () => this.cancel(),
-      noteUnnamed: () => {
-        this.connection.hasUnnamedResponse = true;
+      markUnidentified: () => {
+        this.connection.hasUnidentifiedResponse = true;
       },
     };
   }
--- a/src/proxy/upstream/response-reader.ts
+++ b/src/proxy/upstream/response-reader.ts
@@ -127,7 +127,7 @@
   }
 
   /** The next chunk; `end` after the last, `cut` where the body was cut short. */
-  *next(): Task<Uint8Array | "end" | "cut"> {
+  *nextChunk(): Task<Uint8Array | "end" | "cut"> {
     for (;;) {
       const chunk = this.chunks.shift();
       if (chunk) {
--- a/test/load-balancing/backend-ring.test.ts
+++ b/test/load-balancing/backend-ring.test.ts
@@ -2,9 +2,9 @@
 import { edgePlacementsOf, type EdgePlacement } from "../../src/control-protocol/edge-placement.js";
 import type { Backend } from "../../src/load-balancing/backend.js";
 import {
-  connectionLimit,
-  ringOrder,
-  subsetSizeFor,
+  computeConnectionLimit,
+  computeRingOrder,
+  computeSubsetSize,
 } from "../../src/load-balancing/backend-ring.js";
 import { LoadBalancer, type PickOptions } from "../../src/load-balancing/load-balancer.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
@@ -39,7 +39,7 @@
 };
 
 const subset = (backends: Backend[], zone: string, placement: EdgePlacement): string[] =>
-  ringOrder(backends, zone, placement)
+  computeRingOrder(backends, zone, placement)
     .slice(0, subsetSize)
     .map((index) => backends[index]?.address ?? "");
 
@@ -62,8 +62,8 @@
       expect(Math.abs(many - mean)).toBeLessThanOrEqual(2 + mean / 4);
     const maxConnections = 4 * Math.ceil(mean);
     const sharing = { maxConnections, backendCount: count, daemonCount: daemons };
-    const limit = connectionLimit(sharing);
-    expect(subsetSizeFor(sharing)).toBe(subsetSize);
+    const limit = computeConnectionLimit(sharing);
+    expect(computeSubsetSize(sharing)).toBe(subsetSize);
     expect(limit * Math.max(...users.values())).toBeLessThanOrEqual(maxConnections * 1.25);
     expect(limit).toBeGreaterThanOrEqual(1);
   },
@@ -87,7 +87,11 @@
   }
 });
 
-const pickOptions: PickOptions = { tried: new Set<string>(), maxInFlight: 200, maxConnections: 66 };
+const pickOptions: PickOptions = {
+  triedAddresses: new Set<string>(),
+  maxInFlight: 200,
+  maxConnections: 66,
+};
 
 test("a daemon uses its subset while that is healthy, and the next backends of the ring in place of failing ones", () => {
   const backends = backendsOf(66);
@@ -108,7 +112,11 @@
     if (failing.includes(one.address))
       for (let time = 0; time < 6; time += 1) {
         balancer.attemptStarted(one, 5000);
-        balancer.attemptEnded(one, { tookMs: 20, isComplete: false, latencyTargetMs: 100 }, 5000);
+        balancer.attemptEnded(
+          one,
+          { latencyMs: 20, isComplete: false, latencyTargetMs: 100 },
+          5000,
+        );
       }
   const later = new Set<string>();
   for (let time = 0; time < 500; time += 1)
@@ -131,8 +139,8 @@
     for (const { zone, placement } of daemonsOf(daemonCount)) {
       const balancer = new LoadBalancer(zone, RandomDraw.of(6));
       balancer.setPlacement(placement);
-      const size = subsetSizeFor(sharing);
-      for (let count = 0; count < size * connectionLimit(sharing); count += 1) {
+      const size = computeSubsetSize(sharing);
+      for (let count = 0; count < size * computeConnectionLimit(sharing); count += 1) {
         const chosen = balancer.pick(backends, { ...pickOptions, maxConnections }, 0);
         if (!chosen) throw new Error("Nothing was picked.");
         balancer.attemptStarted(chosen, 0);
--- a/test/platform/proxy-fixture.ts
+++ b/test/platform/proxy-fixture.ts
@@ -357,7 +357,7 @@
     return openedResponse({
       code,
       headers,
-      *next() {
+      *nextChunk() {
         if (pieceMs > 0) yield* sleep(clock, pieceMs);
         return isCancelled ? "cut" : (remaining.shift() ?? "end");
       },
--- a/test/proxy/idempotency/keyed-outcomes.test.ts
+++ b/test/proxy/idempotency/keyed-outcomes.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, test } from "vitest";
-import { simulatedFleet, firstTwo, type Machine } from "../simulated-fleet.js";
+import { createSimulatedFleet, firstTwoEdges, type Machine } from "../simulated-fleet.js";
 
 const responded = 201;
 
 /** A keyed request that ran through the first edge, and who keeps its response. */
 const ranThroughFirst = () => {
-  const fleet = simulatedFleet();
-  const [first, second] = firstTwo(fleet.edges);
+  const fleet = createSimulatedFleet();
+  const [first, second] = firstTwoEdges(fleet.edges);
   const one = fleet.send(first, "k");
   fleet.wait(2000);
   expect(one.code).toBe(responded);
@@ -59,8 +59,8 @@
 
 describe("claim that was given up", () => {
   test("its key is taken over by the next request, which runs once", () => {
-    const { simulation, edges, core, send, wait, runs } = simulatedFleet();
-    const [first, second] = firstTwo(edges);
+    const { simulation, edges, core, send, wait, runs } = createSimulatedFleet();
+    const [first, second] = firstTwoEdges(edges);
     // The first edge is heard by the members, and hears nothing: its claim is taken, and it never learns that.
     for (const other of core)
       simulation.network.cut(other.settings.machine, first.settings.machine);
--- a/test/proxy/upstream/closing-responses.test.ts
+++ b/test/proxy/upstream/closing-responses.test.ts
@@ -35,7 +35,7 @@
 const readSlowly = function* (response: BackendResponse, maxChunks: number): Task<Received> {
   let bytes = 0;
   for (let chunks = 0; chunks < maxChunks; chunks += 1) {
-    const chunk = yield* response.next();
+    const chunk = yield* response.nextChunk();
     if (typeof chunk === "string") return { bytes, ending: chunk };
     bytes += chunk.length;
     yield* sleep(clock, 5);
--- a/test/proxy/upstream/http-fixtures.ts
+++ b/test/proxy/upstream/http-fixtures.ts
@@ -60,10 +60,10 @@
 export const read = function* (result: OpenResult): Task<ReadResponse> {
   if (result.kind === "failed") return { body: Buffer.alloc(0), ending: result.cause };
   const chunks: Uint8Array[] = [];
-  let chunk = yield* result.response.next();
+  let chunk = yield* result.response.nextChunk();
   while (typeof chunk !== "string") {
     chunks.push(chunk);
-    chunk = yield* result.response.next();
+    chunk = yield* result.response.nextChunk();
   }
   return { body: Buffer.concat(chunks), ending: chunk };
 };
