--- a/src/configuration/validated.ts
+++ b/src/configuration/validated.ts
@@ -43,22 +43,22 @@
 /** Builders of shapes with a guard each: a value that passes the guard is valid; the shape itself says why another isn't. */
 export const Validated = {
   /** A value that a guard decides. */
-  leaf: <T>(type: string, guard: Guard, expected: string): Struct<T, null> =>
+  custom: <T>(type: string, guard: Guard, expected: string): Struct<T, null> =>
     guarded(
       define<T>(type, (value) => guard(value) || `Expected ${expected}`),
       guard,
     ),
 
   /** A text that matches a pattern. */
-  text: (type: string, pattern: RegExp, expected: string): Struct<string, null> =>
-    Validated.leaf<string>(
+  pattern: (type: string, pattern: RegExp, expected: string): Struct<string, null> =>
+    Validated.custom<string>(
       type,
       (value) => typeof value === "string" && pattern.test(value),
       expected,
     ),
 
   /** An integer within limits, inclusive. */
-  within: (low: number, high: number) =>
+  integerBetween: (low: number, high: number) =>
     guarded(
       max(min(integer(), low), high),
       (value) =>
@@ -66,21 +66,21 @@
     ),
 
   /** A boolean. */
-  flag: () =>
-    Validated.leaf<boolean>("boolean", (value) => typeof value === "boolean", "true or false"),
+  boolean: () =>
+    Validated.custom<boolean>("boolean", (value) => typeof value === "boolean", "true or false"),
 
   /** One of some words. */
-  one: <const T extends readonly [string, ...string[]]>(words: T) =>
+  oneOf: <const T extends readonly [string, ...string[]]>(words: T) =>
     guarded(enums(words), (value) => words.some((word) => word === value)),
 
   /** An optional value. */
-  maybe: <T, S>(struct: Struct<T, S>): Struct<T | undefined, S> => {
+  optional: <T, S>(struct: Struct<T, S>): Struct<T | undefined, S> => {
     const guard = guardOf(struct);
     return guarded(optional(struct), (value) => value === undefined || guard(value));
   },
 
   /** A list that isn't empty. */
-  many: <T, S>(struct: Struct<T, S>) => {
+  nonEmptyArray: <T, S>(struct: Struct<T, S>) => {
     const guard = guardOf(struct);
     return guarded(
       nonempty(array(struct)),
@@ -89,7 +89,7 @@
   },
 
   /** An object, guarded by the guards of its fields. */
-  whole: <T, S extends Record<string, object>>(struct: Struct<T, S>): Struct<T, S> => {
+  objectOf: <T, S extends Record<string, object>>(struct: Struct<T, S>): Struct<T, S> => {
     const fields = fieldsOf(struct);
     const required = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
     return guarded(
@@ -102,7 +102,7 @@
   },
 
   /** A record of named items. */
-  section: <T>(
+  recordOf: <T>(
     name: Struct<string, null>,
     item: Struct<T, unknown>,
   ): Struct<Record<string, T>, null> => {
@@ -116,5 +116,5 @@
   },
 
   /** Whether a value passes the guard of a shape. */
-  passes: <T>(struct: Struct<T, unknown>, value: unknown): value is T => guardOf(struct)(value),
+  accepts: <T>(struct: Struct<T, unknown>, value: unknown): value is T => guardOf(struct)(value),
 };
--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -4,10 +4,10 @@
 import type { LogRecord } from "./log-record.js";
 import { commitUpTo } from "./commit.js";
 import { becomeFollower } from "./follow.js";
-import { memberRightsOf } from "./rights.js";
+import { currentMemberRights } from "./rights.js";
 import {
-  withMembersIn,
-  withMembersOfLog,
+  withMembersFromEntries,
+  withMembersFromLog,
   type ConsensusState,
   type DecisionContext,
 } from "./state.js";
@@ -54,8 +54,8 @@
     if (known === entry.term) continue;
     if (known !== undefined) {
       if (!rules.truncateConflicts) continue;
-      const log = state.log.before(entry.index);
-      state = withMembersOfLog({
+      const log = state.log.truncatedFrom(entry.index);
+      state = withMembersFromLog({
         ...state,
         log,
         syncedIndex: Math.min(state.syncedIndex, log.lastIndex),
@@ -63,7 +63,7 @@
       });
       records.push({ kind: "truncate", index: entry.index });
     }
-    state = withMembersIn({ ...state, log: state.log.plus([entry]) }, [entry]);
+    state = withMembersFromEntries({ ...state, log: state.log.withEntries([entry]) }, [entry]);
     records.push({ kind: "entry", ...entry });
   }
   return { state, records };
@@ -106,14 +106,14 @@
     pending: {
       term,
       truncations: state.truncations,
-      counts: memberRightsOf(following, context).countForCommit,
+      counts: currentMemberRights(following, context).countForCommit,
       matched,
     },
   };
 };
 
 /** Whether what was written under a term and a log is still valid under the present ones. */
-export const isStillAcknowledgeable = (
+export const canStillAcknowledge = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
   { rules }: Pick<DecisionContext, "rules">,
@@ -128,8 +128,7 @@
   context: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: AppendReply } => {
   const { term, counts, matched } = pending;
-  if (!isStillAcknowledgeable(state, pending, context))
-    return { state, reply: refusal(state.term) };
+  if (!canStillAcknowledge(state, pending, context)) return { state, reply: refusal(state.term) };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, matched) },
     reply: { term, fits: true, counts, matched },
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,6 +1,6 @@
 /** How a member campaigns: pre-votes, elections and transfers of the leadership. */
 import type { LogRecord } from "./log-record.js";
-import { memberRightsOf } from "./rights.js";
+import { currentMemberRights } from "./rights.js";
 import type { ConsensusState, DecisionContext } from "./state.js";
 import type { VoteRequest } from "./vote.js";
 
@@ -11,7 +11,7 @@
 ): ConsensusState => ({
   ...state,
   knownLeader: "",
-  role: memberRightsOf(state, context).campaign ? "preCandidate" : state.role,
+  role: currentMemberRights(state, context).campaign ? "preCandidate" : state.role,
 });
 
 const voteRequestOf = (
@@ -81,6 +81,6 @@
   term: number,
   context: DecisionContext,
 ): ConsensusState | undefined =>
-  term === state.term && state.role === "follower" && memberRightsOf(state, context).campaign
+  term === state.term && state.role === "follower" && currentMemberRights(state, context).campaign
     ? { ...state, role: "candidate", isLeadershipTransfer: true }
     : undefined;
--- a/src/control-plane/large-view-limiter.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -35,7 +35,7 @@
   }
 
   /** Notes that a large view is sent now. */
-  note(request: WatchRequest, nowMs: number): void {
+  recordSent(request: WatchRequest, nowMs: number): void {
     const daemonState = daemonStateOf(request);
     const former = this.sent.get(request.machine.name);
     const transitMs =
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -28,7 +28,7 @@
 import { type Bounds, boundsOf } from "./bounds.js";
 import type { DaemonOptions, IncomingAdminRequest, IncomingRequest } from "./daemon-options.js";
 import { sleep } from "../runtime/clock.js";
-import { linkPacersOf, type LinkPacer } from "../runtime/link-pacer.js";
+import { createLinkPacers, type LinkPacer } from "../runtime/link-pacer.js";
 import type { Logger } from "../runtime/logger.js";
 import { type Settings, rolesOf, type Role } from "./settings.js";
 import { EventStream } from "../runtime/event-stream.js";
@@ -79,7 +79,7 @@
     this.bounds = bounds;
     this.budget = new RetryBudget(bounds.retryRules);
     this.incarnation = randomNonce(runtime);
-    const pacers = options.pacers ?? linkPacersOf(runtime.clock, settings.limits?.linkMbps);
+    const pacers = options.pacers ?? createLinkPacers(runtime.clock, settings.limits?.linkMbps);
     this.rpc = new RpcEndpoint(runtime, settings.peers, undefined, pacers);
     this.seeds = settings.seeds;
     this.forwarder = this.createForwarder();
@@ -377,7 +377,7 @@
         : null,
       collector: this.countAggregator
         ? {
-            refused: this.countAggregator.refused,
+            refused: this.countAggregator.refusedPushes,
             coverage: this.countAggregator.latest?.coverage ?? null,
           }
         : null,
--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -12,9 +12,15 @@
   nowMs: number,
   settings: GroupSettings,
 ): Members | undefined => {
-  const { members, acknowledgedSentMs, responsiveSinceMs, matched, committedIndex, syncedIndex } =
-    state;
-  const change = MembershipPolicy.next({
+  const {
+    members,
+    acknowledgedSentMs,
+    responsiveSinceMs,
+    matchIndexes: matched,
+    committedIndex,
+    syncedIndex,
+  } = state;
+  const change = MembershipPolicy.nextChange({
     self,
     voters: members.voters,
     learners: members.learners,
@@ -38,5 +44,5 @@
       forgetAfterMs: settings.forgetAfterMs,
     },
   });
-  return change === undefined ? undefined : MembershipPolicy.after(members, change);
+  return change === undefined ? undefined : MembershipPolicy.applyChange(members, change);
 };
--- a/src/proxy/attempt-runner.ts
+++ b/src/proxy/attempt-runner.ts
@@ -74,7 +74,7 @@
     loadBalancer.attemptStarted(registration, startedMs, route.name);
     const opened = yield* backendClient.send(this.backendAttempt(attempt, requestId, startedMs));
     if (opened.kind === "failed" && (opened.cause === "refused" || opened.cause === "foreign"))
-      clusterView.noteRefused(registration);
+      clusterView.markRefused(registration);
     if (opened.kind === "failed" && opened.cause === "withdrawn") {
       loadBalancer.attemptCancelled(registration, clock.nowMs());
       return { outcome: createFailureOutcome("withdrawn", RETRY_AFTER_MS.soon), isSent: false };
@@ -169,7 +169,7 @@
     return (
       !client.isClosed &&
       route !== undefined &&
-      route.servesWith(service) &&
+      route.routesTo(service) &&
       servingView.maySend(clientRequest, route) &&
       clusterView.isRegistered(registration) &&
       clock.nowMs() + servingView.egressDelayMs(clientRequest) < (claim?.sendDeadlineMs ?? Infinity)
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -1,7 +1,7 @@
 /** Claims of idempotency keys in the replicated log, and the answers to requests whose key another request claimed. */
 import { createHash } from "node:crypto";
 import type { CommandForwarder } from "../../cluster-view/command-forwarder.js";
-import { normalizedHost } from "../../cluster-view/route-table.js";
+import { normalizeHost } from "../../cluster-view/route-table.js";
 import { type ClaimResponse, readClaimResponse } from "../../control-protocol/claim-response.js";
 import { overloadedResponse } from "../../control-protocol/command-response.js";
 import type { Command } from "../../control-protocol/command.js";
@@ -89,7 +89,7 @@
 /** The scope within which a key is unique: a host, method and path. */
 const scopeOf = (clientRequest: ProxyRequest, key: string): string =>
   hashOf(
-    normalizedHost(clientRequest.headers["host"] ?? ""),
+    normalizeHost(clientRequest.headers["host"] ?? ""),
     clientRequest.method,
     requestPath(clientRequest),
     key,
--- a/src/proxy/response-forwarder.ts
+++ b/src/proxy/response-forwarder.ts
@@ -160,7 +160,7 @@
     registration: Registration,
     cause: FailureCause,
   ): Task<RequestOutcome> {
-    if (cause === "otherInstance") this.options.clusterView.noteRefused(registration);
+    if (cause === "otherInstance") this.options.clusterView.markRefused(registration);
     if (getOutcomeRule(cause).connection !== "keep") return this.discard(response, cause);
     let chunk = yield* response.nextChunk();
     while (typeof chunk !== "string") chunk = yield* response.nextChunk();
--- a/src/proxy/retry-handler.ts
+++ b/src/proxy/retry-handler.ts
@@ -105,7 +105,7 @@
       return endWith(
         giveUp(progress, "This daemon's view is not proven fresh.", RETRY_AFTER_MS.viewSettled),
       );
-    if (!route.servesWith(context.service)) context.service = route.choose(context.splitDraw);
+    if (!route.routesTo(context.service)) context.service = route.chooseService(context.splitDraw);
     const expiry = this.expiryOf(context, progress, nowMs);
     if (expiry !== undefined) return endWith(giveUp(progress, expiry));
     const { service } = context;
--- a/src/proxy/upstream/backend-connection.ts
+++ b/src/proxy/upstream/backend-connection.ts
@@ -23,7 +23,7 @@
   timeoutMs: number,
 ): Task<OpenedSocket | OpenFailure> {
   return yield* waitFor<OpenedSocket | OpenFailure>((done) => {
-    const socket = connect({ ...Address.parts(address), noDelay: true });
+    const socket = connect({ ...Address.parse(address), noDelay: true });
     const cancelTimeout = clock.after(timeoutMs, () => {
       socket.destroy();
       done(openFailure("unreached"));
--- a/src/proxy/upstream/http-exchange.ts
+++ b/src/proxy/upstream/http-exchange.ts
@@ -81,7 +81,7 @@
       return;
     }
     this.cancelUnwanted = this.attempt.onClientClosed?.(() => this.cancel()) ?? noCancel;
-    pacers.egress.note(requestHeadBytes(request));
+    pacers.egress.recordBytes(requestHeadBytes(request));
     this.connection.client.dispatch(
       {
         method: request.method,
--- a/src/proxy/upstream/request-encoding.ts
+++ b/src/proxy/upstream/request-encoding.ts
@@ -27,7 +27,7 @@
   dueMs: number,
 ): Uint8Array | Readable | null => {
   if (!rest && body.length <= egress.smallBytes) {
-    egress.note(body.length);
+    egress.recordBytes(body.length);
     return body.length > 0 ? body : null;
   }
   return Readable.from(
--- a/src/state/config-payload.ts
+++ b/src/state/config-payload.ts
@@ -1,7 +1,7 @@
 /** The form in which a log entry carries the text of a configuration: whole or as a delta, compressed where it is long. */
 import { optional, string } from "superstruct";
 import { TextCompression } from "../runtime/text-compression.js";
-import { type TextDelta, textDeltaBetween, applyTextDelta, textDeltaShape } from "./text-delta.js";
+import { type TextDelta, computeTextDelta, applyTextDelta, textDeltaShape } from "./text-delta.js";
 
 /** The length beyond which a text or a delta is stored compressed, in characters. */
 const COMPRESSION_THRESHOLD_CHARS = 4096;
@@ -52,7 +52,7 @@
 /** The shorter of a text and its delta from the former text, compressed where it is long. */
 export function encodeConfigPayload(former: string | undefined, text: string): ConfigPayload {
   if (former === undefined) return textPayload(text);
-  const delta = textDeltaBetween(former, text);
+  const delta = computeTextDelta(former, text);
   const json = JSON.stringify(delta);
   if (json.length <= COMPRESSION_THRESHOLD_CHARS) return { delta };
   const compressed = { packedDelta: TextCompression.compress(json) };
--- a/src/state/idempotency-claim-table.ts
+++ b/src/state/idempotency-claim-table.ts
@@ -70,13 +70,13 @@
   }
 
   /** The stored form of the table. */
-  stored(): StoredClaim[] {
+  toStored(): StoredClaim[] {
     return [...this.claims].map(([scope, claim]) => ({ scope, claim }));
   }
 
   /** Takes over stored claims. */
-  restore(stored: readonly StoredClaim[]): void {
-    this.claims = new Map(stored.map(({ scope, claim }) => [scope, withoutFormerFields(claim)]));
+  restore(toStored: readonly StoredClaim[]): void {
+    this.claims = new Map(toStored.map(({ scope, claim }) => [scope, withoutFormerFields(claim)]));
   }
 
   /** Applies a log command. */
--- a/src/state/text-delta.ts
+++ b/src/state/text-delta.ts
@@ -117,7 +117,7 @@
 };
 
 /** The delta that makes a text from a base: short where most of the text occurs in the base. */
-export function textDeltaBetween(base: string, text: string): TextDelta {
+export function computeTextDelta(base: string, text: string): TextDelta {
   const prefix = commonLengthFrom(base, 0, text, 0);
   const maxSuffix = Math.min(base.length, text.length) - prefix;
   const suffix = commonLengthBefore(base, base.length, text, text.length, maxSuffix);
--- a/test/configuration/config.test.ts
+++ b/test/configuration/config.test.ts
@@ -199,7 +199,7 @@
     for (let round = 0; round < 4000; round += 1) {
       const value = bend(whole, 1 + Math.floor(random() * 5));
       const slow = configShape.is(value);
-      expect(Validated.passes(configShape, value), JSON.stringify(value)).toBe(slow);
+      expect(Validated.accepts(configShape, value), JSON.stringify(value)).toBe(slow);
       refused += slow ? 0 : 1;
     }
     expect(refused).toBeGreaterThan(1000);
--- a/test/consensus/member-rights.test.ts
+++ b/test/consensus/member-rights.test.ts
@@ -9,7 +9,7 @@
 const wholeVoter: MemberState = {
   stage: "formed",
   isRejoining: false,
-  isNamedVoter: true,
+  isVoter: true,
   isLeader: false,
   isRetired: false,
   isDiskHealthy: true,
@@ -52,7 +52,7 @@
   ],
   [
     "learner",
-    { isNamedVoter: false },
+    { isVoter: false },
     ["takePart", "preVote", "vote", "voteOnHandOver", "countForCommit", "forward"],
   ],
   [
@@ -83,7 +83,7 @@
   ],
   [
     "leader that is no voter any more",
-    { ...leader, isNamedVoter: false },
+    { ...leader, isVoter: false },
     ["takePart", "voteOnHandOver", "countForCommit", "lead", "serve", "forward"],
   ],
 ];
@@ -126,7 +126,7 @@
     const inMajority =
       rights.preVote ||
       rights.vote ||
-      rights.voteOnHandOver ||
+      rights.voteOnLeadershipTransfer ||
       rights.campaign ||
       rights.countForCommit;
     if (forgot) expect([inMajority, rights.lead, rights.serve]).toEqual([false, false, false]);
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -12,7 +12,7 @@
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { StateMachine } from "../../src/state/state-machine.js";
 import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
-import { stage } from "./control-plane-stage.js";
+import { createTestCluster } from "./control-plane-stage.js";
 
 /** A state machine with configurations in force, and the views that a leader makes of them. */
 class Leader {
@@ -42,7 +42,7 @@
       text,
       services: Object.keys(checked.config.services),
       routes: Object.keys(checked.config.routes),
-      rested: [...this.stateMachine.idAllocator.resting],
+      rested: [...this.stateMachine.idAllocator.quarantinedIds],
     };
     this.stateMachine.apply(this.index, encodeLogCommand(one));
   }
@@ -72,7 +72,7 @@
 }
 
 const plain = (config: Config): unknown => {
-  const kept = ConfigItems.wholeForEdges(config);
+  const kept = ConfigItems.configWithoutOrigins(config);
   const value: unknown = JSON.parse(JSON.stringify({ ...kept, goals: kept.goals ?? {} }));
   return value;
 };
@@ -125,8 +125,8 @@
           change(leader);
           for (const [bit, replica] of replicas.entries()) {
             if ((polling >> bit) % 2 === 0) continue;
-            if (replica.take(leader.view(replica.knownSequence)) === "differs")
-              expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+            if (replica.apply(leader.view(replica.knownSequence)) === "differs")
+              expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
             expectSame(replica, leader);
             expect(replica.sequence).toBe(leader.stateMachine.activeConfig?.sequence);
           }
@@ -156,7 +156,7 @@
     const leader = new Leader();
     leader.enter(large(1400));
     const replica = new ConfigReplica();
-    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
     const former = new RouteTable(replica.config);
     const untouched = replica.config.routes["route-8"];
     leader.patch({ routes: { "route-7": { service: "two" } } });
@@ -165,12 +165,12 @@
     });
     const view = leader.view(replica.knownSequence);
     expect(JSON.stringify(view).length).toBeLessThan(700);
-    expect(replica.take(view)).toBe("changed");
+    expect(replica.apply(view)).toBe("changed");
     expectSame(replica, leader);
     expect(replica.config.routes["route-8"]).toBe(untouched);
     const routeTable = new RouteTable(replica.config, former);
-    expect(routeTable.named("route-8")).toBe(former.named("route-8"));
-    expect(routeTable.named("route-7")?.service).toBe("two");
+    expect(routeTable.findByName("route-8")).toBe(former.findByName("route-8"));
+    expect(routeTable.findByName("route-7")?.service).toBe("two");
     expect(routeTable.find("GET", "/late")?.name).toBe("late");
     expect(routeTable.find("GET", "/things/9/x", "api.example")).toBeUndefined();
   });
@@ -179,33 +179,33 @@
     const leader = new Leader();
     leader.enter(large(20));
     const replica = new ConfigReplica();
-    replica.take(leader.view(replica.knownSequence));
+    replica.apply(leader.view(replica.knownSequence));
     leader.patch({ routes: { "route-7": { service: "two" } } });
     const view = leader.view(replica.knownSequence);
     expect(view.configChanges).toBeDefined();
-    expect(replica.take({ ...view, configDigest: "0-0" })).toBe("differs");
+    expect(replica.apply({ ...view, configDigest: "0-0" })).toBe("differs");
     expect([replica.sequence, replica.knownSequence]).toEqual([1, 0]);
-    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
     expectSame(replica, leader);
     leader.patch({ routes: { "route-8": { service: "two" } } });
     const missed = leader.view(replica.knownSequence);
     leader.patch({ routes: { "route-9": { service: "two" } } });
-    expect(replica.take(leader.view(3))).toBe("differs");
-    expect(replica.take(missed)).toBe("changed");
+    expect(replica.apply(leader.view(3))).toBe("differs");
+    expect(replica.apply(missed)).toBe("changed");
   });
 
   test("an update of a configuration older than the replica's is outdated and requests nothing", () => {
     const leader = new Leader();
     leader.enter(large(20));
     const replica = new ConfigReplica();
-    replica.take(leader.view(replica.knownSequence));
+    replica.apply(leader.view(replica.knownSequence));
     const former = replica.knownSequence;
     leader.patch({ routes: { "route-7": { service: "two" } } });
-    expect(replica.take(leader.view(former))).toBe("changed");
+    expect(replica.apply(leader.view(former))).toBe("changed");
     leader.patch({ routes: { "route-8": { service: "two" } } });
-    expect(replica.take(leader.view(former))).toBe("outdated");
+    expect(replica.apply(leader.view(former))).toBe("outdated");
     expect([replica.sequence, replica.knownSequence]).toEqual([2, 2]);
-    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
     expectSame(replica, leader);
   });
 
@@ -214,17 +214,18 @@
     const alike = { match: { path: "/x" }, service: "one" };
     leader.enter({ services: { one: {} }, routes: { a: alike, b: alike, c: alike, d: alike } });
     const replica = new ConfigReplica();
-    replica.take(leader.view(replica.knownSequence));
+    replica.apply(leader.view(replica.knownSequence));
     leader.enter({ services: { one: {} }, routes: { b: alike, a: alike, c: alike, d: alike } });
     expect(leader.view(replica.knownSequence).config).toBeDefined();
-    expect(replica.take(leader.view(replica.knownSequence))).toBe("changed");
+    expect(replica.apply(leader.view(replica.knownSequence))).toBe("changed");
     expect(new RouteTable(replica.config).find("GET", "/x")?.name).toBe("b");
   });
 
   test("edges apply a series of patches by items, also across a change of leader", () => {
-    const { simulation, exchange, watch, watchRequestText, leader, wait, daemons } = stage({
-      holdMs: 50,
-    });
+    const { simulation, exchange, watch, watchRequestText, leader, wait, daemons } =
+      createTestCluster({
+        maxWatchWaitMs: 50,
+      });
     const [one] = daemons(1);
     const send = (method: string, target: string, body: unknown): void => {
       one?.daemon?.adminRequests.emit({
--- a/test/control-plane/endpoint-change-log.test.ts
+++ b/test/control-plane/endpoint-change-log.test.ts
@@ -8,7 +8,7 @@
 import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 import type { Registration } from "../../src/state/registration.js";
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
-import { service, stage } from "./control-plane-stage.js";
+import { service, createTestCluster } from "./control-plane-stage.js";
 
 const viewOf = (changes: EndpointChangeLog, known: number): LeasedView => {
   const view = readLeasedView(
@@ -61,7 +61,7 @@
           stateMachine.apply(at + 1, encodeLogCommand(one));
           for (const [bit, replica] of replicas.entries()) {
             if ((polling >> bit) % 2 === 0) continue;
-            expect(replica.take(viewOf(changes, replica.knownSequence))).not.toBe("differs");
+            expect(replica.apply(viewOf(changes, replica.knownSequence))).not.toBe("differs");
             expect(sorted(replica.registrations)).toEqual(
               sorted(stateMachine.registrations.values()),
             );
@@ -89,7 +89,7 @@
     };
     for (let index = 1; index <= 8; index += 1) heartbeat(index, `10.0.0.${index}:80`, 1);
     const replica = new EndpointReplica();
-    replica.take(viewOf(changes, -1));
+    replica.apply(viewOf(changes, -1));
     heartbeat(9, "10.0.0.2:80", 4);
     const view = viewOf(changes, replica.knownSequence);
     const put = view.directoryChanges?.put ?? [];
@@ -98,22 +98,22 @@
       ...view,
       directoryChanges: { base: 8, put: put.map((one) => ({ ...one, capacity: 3 })), removed: [] },
     };
-    expect(replica.take(bent)).toBe("differs");
+    expect(replica.apply(bent)).toBe("differs");
     expect(replica.knownSequence).toBe(-1);
-    expect(replica.take(viewOf(changes, replica.knownSequence))).toBe("changed");
+    expect(replica.apply(viewOf(changes, replica.knownSequence))).toBe("changed");
     expect(sorted(replica.registrations)).toEqual(sorted(stateMachine.registrations.values()));
     expect(replica.knownSequence).toBe(9);
     heartbeat(10, "10.0.0.2:80", 5);
     const skipped = viewOf(changes, replica.knownSequence);
     heartbeat(11, "10.0.0.3:80", 5);
-    expect(replica.take(viewOf(changes, 10))).toBe("differs");
-    expect(replica.take(skipped)).toBe("changed");
+    expect(replica.apply(viewOf(changes, 10))).toBe("differs");
+    expect(replica.apply(skipped)).toBe("changed");
   });
 
   test("a watch request with the sequence before gets only the changes, a few hundred bytes, from a new leader too", () => {
     const { simulation, heartbeat, exchange, watch, watchRequestText, leader, wait, registration } =
-      stage({
-        holdMs: 50,
+      createTestCluster({
+        maxWatchWaitMs: 50,
       });
     for (let at = 0; at < 8; at += 1) heartbeat(`life-${at}`, { address: `10.9.1.${at}:80` });
     const known = watch();
--- a/test/control-plane/polling-daemon.ts
+++ b/test/control-plane/polling-daemon.ts
@@ -80,7 +80,7 @@
   }
 
   /** How many edges the newest counts cover. */
-  get coverage(): number {
+  get coveredEdges(): number {
     return this.edgeCounts.latest?.coverage.edges ?? 0;
   }
 
--- a/test/load-balancing/backend-ring.test.ts
+++ b/test/load-balancing/backend-ring.test.ts
@@ -1,5 +1,8 @@
 import { expect, test } from "vitest";
-import { edgePlacementsOf, type EdgePlacement } from "../../src/control-protocol/edge-placement.js";
+import {
+  computeEdgePlacements,
+  type EdgePlacement,
+} from "../../src/control-protocol/edge-placement.js";
 import type { Backend } from "../../src/load-balancing/backend.js";
 import {
   computeConnectionLimit,
@@ -31,7 +34,7 @@
     roles: ["edge"],
     draining: false,
   }));
-  const placements = edgePlacementsOf(machines);
+  const placements = computeEdgePlacements(machines);
   return machines.flatMap(({ name, zone }) => {
     const placement = placements.get(name);
     return placement ? [{ zone, placement }] : [];
--- a/test/model-checker/scenarios.test.ts
+++ b/test/model-checker/scenarios.test.ts
@@ -39,26 +39,26 @@
       const message = [...this.group.messages.values()].find(
         ({ from, to }) => names.includes(from) && names.includes(to),
       );
-      if (writer !== undefined) this.group.take({ kind: "sync", member: writer.name });
+      if (writer !== undefined) this.group.execute({ kind: "sync", member: writer.name });
       else if (message !== undefined)
-        this.group.take({ kind: "deliver", message: message.id, twice: false });
-      else this.group.take({ kind: "advance", ms: 10, paused: [] });
+        this.group.execute({ kind: "deliver", message: message.id, twice: false });
+      else this.group.execute({ kind: "advance", ms: 10, paused: [] });
     }
     return false;
   }
 
   /** All meet until one leads and may answer. */
   begin(members = this.members): { leader: ModelMember; others: ModelMember[] } {
-    this.together(members, () => members.some(({ answers }) => answers));
+    this.together(members, () => members.some(({ canServeReads: answers }) => answers));
     const leader = this.leader();
     this.together(members, () => members.every(({ appliedIndex }) => appliedIndex > 0));
     return { leader, others: members.filter((member) => member !== leader) };
   }
 
   restart({ name }: ModelMember, kind: "crash" | "wipe"): void {
-    if (kind === "wipe") this.group.take({ kind, member: name });
-    else this.group.take({ kind, member: name, keptWrites: 0 });
-    this.group.take({ kind: "start", member: name });
+    if (kind === "wipe") this.group.execute({ kind, member: name });
+    else this.group.execute({ kind, member: name, keptWrites: 0 });
+    this.group.execute({ kind: "start", member: name });
   }
 }
 
@@ -73,7 +73,7 @@
 /** The older term's entry reaches a majority and its leader stops; one with a newer, lonely entry leads next. */
 const olderTermCounted = (director: Director): void => {
   const { leader, others } = director.begin();
-  director.group.take({ kind: "write", member: leader.name });
+  director.group.execute({ kind: "write", member: leader.name });
   const index = leader.state.log.lastIndex;
   director.together([leader], () => leader.disk.pending.length === 0);
   if (!director.together(others, () => others.some(isLeader))) return;
@@ -88,9 +88,9 @@
     () =>
       isLeader(leader) &&
       leader.state.term > rival.state.term &&
-      leader.state.matched.get(third.name) === index,
+      leader.state.matchIndexes.get(third.name) === index,
   );
-  director.group.take({ kind: "crash", member: leader.name, keptWrites: 9 });
+  director.group.execute({ kind: "crash", member: leader.name, keptWrites: 9 });
   director.together(others, () => isLeader(rival) && rival.state.term > leader.state.term);
 };
 
@@ -100,7 +100,7 @@
   const [voter, rival] = [pick(others, 0), pick(others, 1)];
   director.together([leader, voter], () => rival.state.role === "preCandidate");
   director.restart(voter, "crash");
-  director.together([voter, rival], () => isLeader(rival) && rival.answers);
+  director.together([voter, rival], () => isLeader(rival) && rival.canServeReads);
 };
 
 /** A vote elects a leader, is lost with its voter's memory, and is given again in the same term. */
@@ -116,7 +116,7 @@
 const changesOfTwoTerms = (director: Director): void => {
   const spare = pick(director.members, 4);
   const { leader, others } = director.begin(director.members.slice(0, 4));
-  director.group.take({ kind: "promote", member: leader.name, learner: spare.name });
+  director.group.execute({ kind: "promote", member: leader.name, learner: spare.name });
   const { lastIndex } = leader.state.log;
   director.together(
     [leader, spare],
@@ -124,7 +124,7 @@
   );
   if (!director.together(others, () => others.some(isLeader))) return;
   const next = director.leader(others);
-  director.group.take({ kind: "demote", member: next.name, voter: leader.name });
+  director.group.execute({ kind: "demote", member: next.name, voter: leader.name });
   const [friend, third] = others.filter((member) => member !== next);
   if (friend === undefined || third === undefined) return;
   director.together([next, friend], () => next.state.committedIndex === next.state.log.lastIndex);
@@ -137,13 +137,13 @@
 /** A leader that the others have left meets an emptied voter of theirs. */
 const emptiedVoterJoinsOldLeader = (director: Director): void => {
   const { leader, others } = director.begin();
-  director.together(others, () => others.some((member) => member.answers));
+  director.together(others, () => others.some((member) => member.canServeReads));
   const follower = pick(
     others.filter((member) => !isLeader(member)),
     0,
   );
   director.restart(follower, "wipe");
-  director.together([leader, follower], () => leader.answers);
+  director.together([leader, follower], () => leader.canServeReads);
 };
 
 /** The same, where the old leader's log has the mark of a rejoining before. */
@@ -153,11 +153,14 @@
   director.restart(follower, "wipe");
   director.together(
     director.members,
-    () => follower.isWhole && follower.appliedIndex === leader.appliedIndex && leader.answers,
+    () =>
+      follower.hasCompleteDisk &&
+      follower.appliedIndex === leader.appliedIndex &&
+      leader.canServeReads,
   );
-  director.together(others, () => others.some((member) => member.answers));
+  director.together(others, () => others.some((member) => member.canServeReads));
   director.restart(follower, "wipe");
-  director.together([leader, follower], () => leader.answers);
+  director.together([leader, follower], () => leader.canServeReads);
 };
 
 const scenarios: ReadonlyArray<
--- a/test/proxy/upstream/backend-deadline.test.ts
+++ b/test/proxy/upstream/backend-deadline.test.ts
@@ -3,7 +3,7 @@
 import type { OpenResult } from "../../../src/proxy/upstream/backend-client.js";
 import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
 import { systemClock, sleep } from "../../../src/runtime/clock.js";
-import { linkPacersOf } from "../../../src/runtime/link-pacer.js";
+import { createLinkPacers } from "../../../src/runtime/link-pacer.js";
 import type { Task } from "../../../src/runtime/task.js";
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { attemptAt, ignoreErrors, listen, readText, run } from "./http-fixtures.js";
@@ -73,7 +73,7 @@
     const address = await backend((socket) => {
       socket.write(response.repeat(2));
     });
-    const pacers = linkPacersOf(clock, 100);
+    const pacers = createLinkPacers(clock, 100);
     const client = new HttpBackendClient(clock, { proof: "request", pacers });
     cleanups.push(() => client.close());
     const untilMs = clock.nowMs() + 20_000;
--- a/test/proxy/upstream/closing-responses.test.ts
+++ b/test/proxy/upstream/closing-responses.test.ts
@@ -3,7 +3,7 @@
 import type { BackendResponse } from "../../../src/proxy/upstream/backend-client.js";
 import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
 import { systemClock, sleep } from "../../../src/runtime/clock.js";
-import { linkPacersOf } from "../../../src/runtime/link-pacer.js";
+import { createLinkPacers } from "../../../src/runtime/link-pacer.js";
 import type { Task } from "../../../src/runtime/task.js";
 import { attemptAt, ignoreErrors, listen, run } from "./http-fixtures.js";
 
@@ -47,7 +47,7 @@
 /** What is received of a backend's response. */
 const receive = async (server: Server, maxChunks = Infinity): Promise<Received> => {
   const address = await listen(server);
-  const pacers = linkPacersOf(clock, LINK_MBPS);
+  const pacers = createLinkPacers(clock, LINK_MBPS);
   const client = new HttpBackendClient(clock, { proof: "request", pacers });
   const exchange = function* (): Task<Received> {
     const result = yield* client.send(attemptAt(address, clock.nowMs() + 20_000));
--- a/test/proxy/upstream/paced-backends.test.ts
+++ b/test/proxy/upstream/paced-backends.test.ts
@@ -3,7 +3,7 @@
 import type { BackendClient } from "../../../src/proxy/upstream/backend-client.js";
 import { HttpBackendClient } from "../../../src/proxy/upstream/http-backend-client.js";
 import { systemClock, sleep } from "../../../src/runtime/clock.js";
-import { type LinkPacers, linkPacersOf } from "../../../src/runtime/link-pacer.js";
+import { type LinkPacers, createLinkPacers } from "../../../src/runtime/link-pacer.js";
 import { attemptAt, bodyServer, listen, read, run } from "./http-fixtures.js";
 
 /** 8 Mbit/s: 1,000 bytes a millisecond, of which 900 are planned with. */
@@ -49,7 +49,7 @@
   use: (client: BackendClient, address: string, pacers: LinkPacers) => Promise<void>,
 ): Promise<void> => {
   const address = await listen(server);
-  const pacers = linkPacersOf(clock, linkMbps);
+  const pacers = createLinkPacers(clock, linkMbps);
   const client = new HttpBackendClient(clock, { proof: "request", pacers });
   try {
     await use(client, address, pacers);
--- a/test/state/id-allocator.test.ts
+++ b/test/state/id-allocator.test.ts
@@ -11,12 +11,13 @@
       const names = Array.from({ length: at % 500 === 0 ? 10_000 : 40 }, (_, one) =>
         one < 30 ? `kept-${one}` : `r-${at}-${one}`,
       );
-      const rested = [...ids.resting].filter(
+      const rested = [...ids.quarantinedIds].filter(
         (number) => (restingSince.get(number) ?? at) < at - restConfigs,
       );
-      ids.adopt(names, rested);
+      ids.setActiveNames(names, rested);
       for (const number of rested) restingSince.delete(number);
-      for (const number of ids.resting) if (!restingSince.has(number)) restingSince.set(number, at);
+      for (const number of ids.quarantinedIds)
+        if (!restingSince.has(number)) restingSince.set(number, at);
       expect(ids.activeIds.size).toBe(names.length);
       if (at % 100 === 0) {
         const copy = new IdAllocator();
