--- a/src/configuration/config-items.ts
+++ b/src/configuration/config-items.ts
@@ -17,10 +17,10 @@
   readonly value: object | number;
 }
 
-const sectionOf = (config: Config, section: ConfigSection): Record<string, object> =>
+const getSection = (config: Config, section: ConfigSection): Record<string, object> =>
   config[section] ?? {};
 
-const itemsForEdges = <T extends object>(section: Record<string, T>): Record<string, T> =>
+const itemsWithoutOrigin = <T extends object>(section: Record<string, T>): Record<string, T> =>
   Object.fromEntries(
     Object.entries(section).map(([name, item]) => [name, ConfigItems.withoutOrigin(item)]),
   );
@@ -57,7 +57,7 @@
   /** All items of a configuration, with its ids. */
   *all({ config, ids: numbers }: NumberedConfig): Iterable<ConfigItem> {
     for (const section of SECTIONS)
-      for (const [name, value] of Object.entries(sectionOf(config, section)))
+      for (const [name, value] of Object.entries(getSection(config, section)))
         yield { key: ConfigItems.key(section, name), value };
     if (config.limits) yield { key: LIMITS_KEY, value: config.limits };
     for (const [name, value] of numbers) yield { key: ConfigItems.idKey(name), value };
@@ -68,8 +68,8 @@
 
   /** A configuration without the data that adapters store with it. */
   configWithoutOrigins: ({ services, routes, goals, limits }: Config): Config => ({
-    services: itemsForEdges(services),
-    routes: itemsForEdges(routes),
+    services: itemsWithoutOrigin(services),
+    routes: itemsWithoutOrigin(routes),
     ...(goals ? { goals } : {}),
     ...(limits ? { limits: ConfigItems.withoutOrigin(limits) } : {}),
   }),
--- a/src/configuration/validated.ts
+++ b/src/configuration/validated.ts
@@ -31,20 +31,20 @@
 };
 
 const guards = new WeakMap<object, Guard>();
-const guardOf = (struct: object): Guard => guards.get(struct) ?? (() => false);
-const guarded = <T extends object>(struct: T, guard: Guard): T => {
+const findGuard = (struct: object): Guard => guards.get(struct) ?? (() => false);
+const withGuard = <T extends object>(struct: T, guard: Guard): T => {
   guards.set(struct, guard);
   return struct;
 };
 
-const fieldsOf = <T>({ schema }: Struct<T, Record<string, object>>): Map<string, Guard> =>
-  new Map(Object.entries(schema).map(([name, struct]) => [name, guardOf(struct)]));
+const findFieldGuards = <T>({ schema }: Struct<T, Record<string, object>>): Map<string, Guard> =>
+  new Map(Object.entries(schema).map(([name, struct]) => [name, findGuard(struct)]));
 
 /** Builders of shapes with a guard each: a value that passes the guard is valid; the shape itself says why another isn't. */
 export const Validated = {
   /** A value that a guard decides. */
   custom: <T>(type: string, guard: Guard, expected: string): Struct<T, null> =>
-    guarded(
+    withGuard(
       define<T>(type, (value) => guard(value) || `Expected ${expected}`),
       guard,
     ),
@@ -59,7 +59,7 @@
 
   /** An integer within limits, inclusive. */
   integerBetween: (low: number, high: number) =>
-    guarded(
+    withGuard(
       max(min(integer(), low), high),
       (value) =>
         typeof value === "number" && Number.isInteger(value) && value >= low && value <= high,
@@ -71,18 +71,18 @@
 
   /** One of some words. */
   oneOf: <const T extends readonly [string, ...string[]]>(words: T) =>
-    guarded(enums(words), (value) => words.some((word) => word === value)),
+    withGuard(enums(words), (value) => words.some((word) => word === value)),
 
   /** An optional value. */
   optional: <T, S>(struct: Struct<T, S>): Struct<T | undefined, S> => {
-    const guard = guardOf(struct);
-    return guarded(optional(struct), (value) => value === undefined || guard(value));
+    const guard = findGuard(struct);
+    return withGuard(optional(struct), (value) => value === undefined || guard(value));
   },
 
   /** A list that isn't empty. */
   nonEmptyArray: <T, S>(struct: Struct<T, S>) => {
-    const guard = guardOf(struct);
-    return guarded(
+    const guard = findGuard(struct);
+    return withGuard(
       nonempty(array(struct)),
       (value) => Array.isArray(value) && value.length > 0 && value.every(guard),
     );
@@ -90,9 +90,9 @@
 
   /** An object, guarded by the guards of its fields. */
   objectOf: <T, S extends Record<string, object>>(struct: Struct<T, S>): Struct<T, S> => {
-    const fields = fieldsOf(struct);
+    const fields = findFieldGuards(struct);
     const required = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
-    return guarded(
+    return withGuard(
       struct,
       (value) =>
         isObject(value) &&
@@ -106,9 +106,9 @@
     name: Struct<string, null>,
     item: Struct<T, unknown>,
   ): Struct<Record<string, T>, null> => {
-    const isName = guardOf(name);
-    const isItem = memoized(guardOf(item));
-    return guarded(
+    const isName = findGuard(name);
+    const isItem = memoized(findGuard(item));
+    return withGuard(
       record(name, item),
       (value) =>
         isObject(value) && Object.keys(value).every((key) => isName(key) && isItem(value[key])),
@@ -116,5 +116,5 @@
   },
 
   /** Whether a value passes the guard of a shape. */
-  accepts: <T>(struct: Struct<T, unknown>, value: unknown): value is T => guardOf(struct)(value),
+  accepts: <T>(struct: Struct<T, unknown>, value: unknown): value is T => findGuard(struct)(value),
 };
--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -38,7 +38,12 @@
       readonly pending: PendingAcknowledgment;
     };
 
-const refusal = (term: number): AppendReply => ({ term, fits: false, counts: false, matched: 0 });
+const createRefusal = (term: number): AppendReply => ({
+  term,
+  fits: false,
+  counts: false,
+  matched: 0,
+});
 
 /** Adds a leader's entries to the log; conflicting entries are truncated first. */
 const mergeEntries = (
@@ -77,7 +82,7 @@
 ): AppendDecision => {
   const { rules } = context;
   if (request.term < former.term && rules.refuseOldTerms)
-    return { kind: "refuse", state: former, reply: refusal(former.term) };
+    return { kind: "refuse", state: former, reply: createRefusal(former.term) };
   const newTerm: LogRecord[] =
     request.term > former.term ? [{ kind: "vote", term: request.term, text: "" }] : [];
   const following = becomeFollower(former, request.term, request.leader, context.nowMs);
@@ -89,7 +94,7 @@
       : request.previousIndex <= log.lastIndex);
   if (!isKnown) {
     const matched = Math.min(log.lastIndex, request.previousIndex - 1);
-    return { kind: "refuse", state: following, reply: { ...refusal(term), matched } };
+    return { kind: "refuse", state: following, reply: { ...createRefusal(term), matched } };
   }
   const { state, records } = mergeEntries(following, request.entries, context);
   const matched = Math.max(
@@ -128,7 +133,8 @@
   context: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: AppendReply } => {
   const { term, counts, matched } = pending;
-  if (!canStillAcknowledge(state, pending, context)) return { state, reply: refusal(state.term) };
+  if (!canStillAcknowledge(state, pending, context))
+    return { state, reply: createRefusal(state.term) };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, matched) },
     reply: { term, fits: true, counts, matched },
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -14,7 +14,7 @@
   role: currentMemberRights(state, context).campaign ? "preCandidate" : state.role,
 });
 
-const voteRequestOf = (
+const createVoteRequest = (
   state: ConsensusState,
   term: number,
   isPreVote: boolean,
@@ -33,7 +33,7 @@
   state: ConsensusState,
 ): { readonly state: ConsensusState; readonly request: VoteRequest } => ({
   state: { ...state, votes: new Set(), isLeadershipTransfer: false },
-  request: voteRequestOf(state, state.term + 1, true, false),
+  request: createVoteRequest(state, state.term + 1, true, false),
 });
 
 /** A candidate's new term and vote for itself; the request is sent once the records are on disk. */
@@ -57,7 +57,7 @@
   return {
     state,
     records: [{ kind: "vote", term, text: state.self }],
-    request: voteRequestOf(state, term, false, former.isLeadershipTransfer),
+    request: createVoteRequest(state, term, false, former.isLeadershipTransfer),
   };
 };
 
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -16,7 +16,7 @@
 const REMOVED_PREFIX = "-";
 
 /** The key of the part with the whole configuration. */
-const WHOLE = -1;
+const COMPLETE = -1;
 
 /** An item that was observed, with its hash. */
 interface ObservedItem {
@@ -135,7 +135,7 @@
   }
 
   private wholePart(): string {
-    const cached = this.viewParts.get(WHOLE);
+    const cached = this.viewParts.get(COMPLETE);
     if (cached !== undefined) return cached;
     const text = JSON.stringify(ConfigItems.configWithoutOrigins(this.current.config));
     const config =
@@ -143,7 +143,7 @@
         ? `"packedConfig":"${TextCompression.compress(text)}"`
         : `"config":${JSON.stringify(text)}`;
     const part = `${config},"numbers":${JSON.stringify(Object.fromEntries(this.current.ids))}`;
-    this.viewParts.set(WHOLE, part);
+    this.viewParts.set(COMPLETE, part);
     return part;
   }
 
--- a/src/control-plane/config-service.ts
+++ b/src/control-plane/config-service.ts
@@ -28,7 +28,7 @@
 
 interface PendingChange {
   readonly command: ConfigCommand;
-  readonly done: (result: CommandResult) => void;
+  readonly onResult: (result: CommandResult) => void;
 }
 
 /** What the configuration service needs. */
@@ -88,14 +88,14 @@
   /** Processes queued changes, one after another, for ever. */
   *run(): Task {
     for (;;) {
-      const { command, done } = yield* this.pending.take();
+      const { command, onResult: done } = yield* this.pending.take();
       done(yield* this.apply(command));
     }
   }
 
   /** Queues a change and waits for its result. */
   *change(command: ConfigCommand): Task<CommandResult> {
-    return yield* waitFor<CommandResult>((done) => this.pending.put({ command, done }));
+    return yield* waitFor<CommandResult>((done) => this.pending.put({ command, onResult: done }));
   }
 
   /** Reads an accepted configuration back: the one of a version, or the active one. */
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -8,7 +8,7 @@
 import { SetDigest } from "../configuration/set-digest.js";
 
 /** The key of the part with all registrations: the sequence of a daemon that has none yet. */
-const WHOLE = -1;
+const COMPLETE = -1;
 
 /**
  * What views contain of the registrations: those that changed since the sequence that a daemon has, or all of them. It follows
@@ -77,14 +77,14 @@
   }
 
   private wholePart(): string {
-    const cached = this.viewParts.get(WHOLE);
+    const cached = this.viewParts.get(COMPLETE);
     if (cached !== undefined) return cached;
     const text = JSON.stringify([...this.registrations.values()]);
     const part =
       text.length > COMPRESSION_THRESHOLD_CHARS
         ? `"packedDirectory":"${TextCompression.compress(text)}"`
         : `"directory":${text}`;
-    this.viewParts.set(WHOLE, part);
+    this.viewParts.set(COMPLETE, part);
     return part;
   }
 
--- a/src/control-plane/endpoint-registry.ts
+++ b/src/control-plane/endpoint-registry.ts
@@ -38,7 +38,7 @@
   readonly warmMs: number;
 };
 
-const heartbeatOf = (command: AnnounceCommand): Heartbeat => ({
+const withDefaults = (command: AnnounceCommand): Heartbeat => ({
   ...command,
   instance: command.instance ?? "",
   capacity: command.capacity ?? 0,
@@ -113,7 +113,7 @@
   /** Processes a backend's heartbeat: registers it, or renews its registration. */
   *heartbeat(command: AnnounceCommand): Task<CommandResult> {
     if (!this.log.holdsLease) return NO_LEASE;
-    const heartbeat = heartbeatOf(command);
+    const heartbeat = withDefaults(command);
     const current = this.stateMachine.registrations.get(heartbeat.address);
     if (heartbeat.draining) return yield* this.drainingHeartbeat(heartbeat, current);
     const nowMs = this.clock.nowMs();
--- a/src/control-plane/lease-manager.ts
+++ b/src/control-plane/lease-manager.ts
@@ -149,8 +149,8 @@
   private placementFor(name: string): Pick<LeasedView, "place"> {
     const { runtime, timeouts, daemons } = this.options;
     if (runtime.clock.nowMs() - this.leadsSinceMs < timeouts.leaseMs) return {};
-    const place = daemons.findPlacement(name);
-    return place === undefined ? {} : { place };
+    const placement = daemons.findPlacement(name);
+    return placement === undefined ? {} : { place: placement };
   }
 
   /** The view's text, or a refusal where it is large and the same was sent a short while ago. */
--- a/src/model-checker/member-group.ts
+++ b/src/model-checker/member-group.ts
@@ -15,7 +15,7 @@
 /** By how many voters a group may exceed the wanted number. */
 const MAX_EXTRA_VOTERS = 2;
 
-const linkOf = (from: string, to: string): string => `${from}>${to}`;
+const linkName = (from: string, to: string): string => `${from}>${to}`;
 
 /** Members, the messages between them, and the checks on all of it; moved on by steps. */
 export class MemberGroup implements GroupEnvironment {
@@ -118,10 +118,10 @@
       case "start":
         return this.member(step.member).start();
       case "cut":
-        this.blockedLinks.add(linkOf(step.from, step.to));
+        this.blockedLinks.add(linkName(step.from, step.to));
         return;
       case "mend":
-        this.blockedLinks.delete(linkOf(step.from, step.to));
+        this.blockedLinks.delete(linkName(step.from, step.to));
         return;
       case "write":
         return this.write(this.member(step.member));
@@ -183,7 +183,7 @@
 
   private deliver(id: string, twice: boolean): void {
     const message = this.messages.get(id);
-    if (message === undefined || this.blockedLinks.has(linkOf(message.from, message.to))) return;
+    if (message === undefined || this.blockedLinks.has(linkName(message.from, message.to))) return;
     if (!twice) this.messages.delete(id);
     const receiver = this.member(message.to);
     const { body, from, requestId } = message;
@@ -276,7 +276,7 @@
   }
 
   private nameFor(from: string, to: string, kind: string): string {
-    const name = `${linkOf(from, to)}:${kind}`;
+    const name = `${linkName(from, to)}:${kind}`;
     return `${name}#${this.next(name)}`;
   }
 
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -83,7 +83,7 @@
 const REJOIN_INTERVAL_MS = 500;
 const MAX_BATCH_BYTES = 1024 * 1024;
 
-const valueIn = (text: string): number | undefined =>
+const parseWriteEntry = (text: string): number | undefined =>
   text.startsWith("write ") ? Number(text.slice("write ".length)) : undefined;
 
 /** The entry by which a client sets the register. */
@@ -399,8 +399,12 @@
   private append(texts: readonly string[]): void {
     const { state, records } = appendAsLeader(this.state, texts);
     this.state = state;
-    const then: WriteEffect = { kind: "ownEntries", term: state.term, index: state.log.lastIndex };
-    this.disk.pending.push({ content: { records }, then });
+    const effect: WriteEffect = {
+      kind: "ownEntries",
+      term: state.term,
+      index: state.log.lastIndex,
+    };
+    this.disk.pending.push({ content: { records }, then: effect });
     this.replications.expedite(this.nowMs);
   }
 
@@ -448,9 +452,9 @@
     this.state = decision.state;
     const { reply, records } = decision;
     if (decision.replyAfterSync) {
-      const then: WriteEffect = { kind: "replyVote", to: from, requestId, reply };
+      const effect: WriteEffect = { kind: "replyVote", to: from, requestId, reply };
       if (records.length > 0) this.disk.pending.push({ content: { records }, then });
-      else this.completeWrite(then);
+      else this.completeWrite(effect);
       return;
     }
     if (records.length > 0)
@@ -639,7 +643,7 @@
       if (entry === undefined || entry.index !== index)
         throw new Error(`${this.name}: entry ${index} is not where it should be.`);
       this.appliedIndex = index;
-      this.registerValue = valueIn(entry.text) ?? this.registerValue;
+      this.registerValue = parseWriteEntry(entry.text) ?? this.registerValue;
       const mark = parseRejoinMarker(entry.text);
       if (mark !== undefined && completesRejoin(this.state, mark, this.context))
         this.writeSnapshot("", { kind: "rejoined" });
--- a/src/replication/history/config-history.ts
+++ b/src/replication/history/config-history.ts
@@ -16,11 +16,11 @@
  */
 export const CONFIGS_PER_FILE = 64;
 /** A file takes at most this part of the quota, unless a single config is larger. */
-const MAX_QUOTA_PART_PER_FILE = 1 / 16;
+const MAX_FILE_QUOTA_FRACTION = 1 / 16;
 /** No file is full because of its size before it has this many bytes. */
 const MIN_FULL_FILE_BYTES = 64 * 1024;
 /** How much text one piece that travels carries, unless a single config is larger. */
-const MAX_PIECE_TEXT_BYTES = 1024 * 1024;
+const MAX_PIECE_TEXT_LENGTH = 1024 * 1024;
 
 /** Sequences from the first to the last, both included. */
 export interface SequenceRange {
@@ -42,15 +42,15 @@
 }
 
 const lastSequenceOf = ({ first, count }: HistoryFile): number => first + count - 1;
-const FORMER_NAME = /^history-(\d+)$/;
-const CURRENT_NAME = /^configs-(\d+)$/;
+const LEGACY_FILE_NAME = /^history-(\d+)$/;
+const FILE_NAME = /^configs-(\d+)$/;
 
 const fileFromName = (name: string): HistoryFile | undefined => {
-  const unmeasured = { name, count: 0, bytes: undefined, isDamaged: false };
-  const former = FORMER_NAME.exec(name)?.[1];
+  const unmeasured = { name, count: 0, measuredBytes: undefined, isDamaged: false };
+  const former = LEGACY_FILE_NAME.exec(name)?.[1];
   if (former !== undefined)
     return { ...unmeasured, layout: "complete", first: Number(former) * CONFIGS_PER_FILE + 1 };
-  const first = CURRENT_NAME.exec(name)?.[1];
+  const first = FILE_NAME.exec(name)?.[1];
   return first === undefined
     ? undefined
     : { ...unmeasured, layout: "deltas", first: Number(first) };
@@ -78,7 +78,7 @@
 
   /** Whether a file of this name belongs to a history. */
   static isHistoryFileName(name: string): boolean {
-    return FORMER_NAME.test(name) || CURRENT_NAME.test(name);
+    return LEGACY_FILE_NAME.test(name) || FILE_NAME.test(name);
   }
 
   /** The sequence of the newest config that this member removed for lack of room, or 0. */
@@ -94,7 +94,7 @@
 
   /** The size of all files that were measured. */
   get measuredBytes(): number {
-    return this.files.reduce((sum, { measuredBytes: bytes = 0 }) => sum + measuredBytes, 0);
+    return this.files.reduce((sum, { measuredBytes = 0 }) => sum + measuredBytes, 0);
   }
 
   /** Whether older configs may still be added without the removal of others. */
@@ -174,7 +174,7 @@
     let textBytes = 0;
     const configs = yield* this.readFrom(from, ({ text }) => {
       textBytes += text.length;
-      return textBytes >= MAX_PIECE_TEXT_BYTES;
+      return textBytes >= MAX_PIECE_TEXT_LENGTH;
     });
     return ConfigHistory.packPiece(configs);
   }
@@ -194,7 +194,7 @@
     const pieces: Buffer[] = [];
     let textBytes = 0;
     for (const config of configs) {
-      if (pieces.length > 0 && textBytes + config.text.length > MAX_PIECE_TEXT_BYTES) break;
+      if (pieces.length > 0 && textBytes + config.text.length > MAX_PIECE_TEXT_LENGTH) break;
       pieces.push(encodeCompleteConfig(config));
       textBytes += config.text.length;
     }
@@ -211,7 +211,7 @@
   }
 
   private get fileBytes(): number {
-    return Math.max(MIN_FULL_FILE_BYTES, this.quotaBytes * MAX_QUOTA_PART_PER_FILE);
+    return Math.max(MIN_FULL_FILE_BYTES, this.quotaBytes * MAX_FILE_QUOTA_FRACTION);
   }
 
   /** Adds what fits into one file; returns how many configs that were. */
--- a/src/replication/history/history-service.ts
+++ b/src/replication/history/history-service.ts
@@ -17,9 +17,9 @@
 /** For how long a peer whose connection failed, and that sent nothing since, is passed over. */
 const UNREACHABLE_MS = 3000;
 /** A member rests this many times as long as a fetch took, so that the other members have time for other work. */
-const RESTS_PER_FETCH = 3;
+const REST_TIME_PER_FETCH_TIME = 3;
 /** The part of the pending text's limit at which configs are written to disk. */
-const PERSIST_PART = 1 / 4;
+const PERSIST_FRACTION = 1 / 4;
 /** Within which time members begin to write the configs that they have by then. */
 const PERSIST_SPREAD_MS = 1000;
 
@@ -55,7 +55,7 @@
   readonly isMissingEverywhere: boolean;
 }
 
-const textBytesOf = (configs: readonly AcceptedConfig[]): number =>
+const totalTextLength = (configs: readonly AcceptedConfig[]): number =>
   configs.reduce((sum, { text }) => sum + text.length, 0);
 
 const ignoreResult = (): void => undefined;
@@ -97,7 +97,7 @@
         const startedMs = clock.nowMs();
         yield* this.fetchMissing();
         const tookMs = clock.nowMs() - startedMs;
-        yield* sleep(clock, RESTS_PER_FETCH * tookMs);
+        yield* sleep(clock, REST_TIME_PER_FETCH_TIME * tookMs);
       }
       yield* sleep(clock, FETCH_INTERVAL_MS);
     }
@@ -154,7 +154,7 @@
   private get isLarge(): boolean {
     const { stateMachine, maxPendingBytes } = this.options;
     const { configs } = stateMachine;
-    return configs.length > 1 && textBytesOf(configs) > maxPendingBytes * PERSIST_PART;
+    return configs.length > 1 && totalTextLength(configs) > maxPendingBytes * PERSIST_FRACTION;
   }
 
   private *pieceFrom(from: number): Task<DecodedMessage<typeof rpcMethods.history.response>> {
@@ -272,7 +272,7 @@
     const { stateMachine, maxPendingBytes, onReleased } = this.options;
     const { configs } = stateMachine;
     const upTo = configs.at(-2)?.sequence;
-    if (textBytesOf(configs) <= maxPendingBytes || upTo === undefined) return;
+    if (totalTextLength(configs) <= maxPendingBytes || upTo === undefined) return;
     this.log.warn("history write failed, pending configs dropped", { upTo });
     onReleased(upTo);
   }
--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -48,7 +48,7 @@
       if (!consensus.isMember(machine)) {
         if (!mayChangeMembers(consensus.current, consensus.context)) return;
         const { voters, learners } = consensus.current.members;
-        this.change({ voters, learners: [...learners, machine] });
+        this.appendMembers({ voters, learners: [...learners, machine] });
       }
       this.requestedLearners.shift();
       respond(true);
@@ -89,14 +89,14 @@
   review(leadingSinceMs: number): void {
     const { log, consensus } = this.options;
     if (!mayChangeMembers(consensus.current, consensus.context)) return;
-    const change = MembershipPolicy.nextChange(this.viewSince(leadingSinceMs));
-    if (!change) return;
-    const { kind, member, reason } = change;
-    log.warn("membership change", { change: kind, member, why: reason });
-    this.change(MembershipPolicy.applyChange(consensus.current.members, change));
+    const appendMembers = MembershipPolicy.nextChange(this.viewSince(leadingSinceMs));
+    if (!appendMembers) return;
+    const { kind, member, reason } = appendMembers;
+    log.warn("membership change", { appendMembers: kind, member, why: reason });
+    this.appendMembers(MembershipPolicy.applyChange(consensus.current.members, appendMembers));
   }
 
-  private change(members: Members): void {
+  private appendMembers(members: Members): void {
     this.options.leaderLog.append([membersEntryText(members)]);
   }
 
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -201,7 +201,7 @@
       clock,
       network: this.network.wire(machine.settings.machine, gate),
       disk: machine.disk,
-      logLines: (line) =>
+      lines: (line) =>
         this.lines.push(
           `${(this.virtualClock.nowMs() / 1000).toFixed(3)} ${machine.settings.machine} ${line}`,
         ),
--- a/src/simulation/virtual-runtime.ts
+++ b/src/simulation/virtual-runtime.ts
@@ -10,7 +10,7 @@
   readonly network: Network;
   readonly random: () => number;
   readonly disk?: Disk | undefined;
-  readonly logLines?: (line: string) => void;
+  readonly lines?: (line: string) => void;
   readonly wallTime?: () => Date;
 }
 
@@ -20,7 +20,7 @@
   network,
   random,
   disk,
-  logLines: lines = () => undefined,
+  lines = () => undefined,
   wallTime = () => new Date(0),
 }: VirtualRuntimeOptions): Runtime => ({
   clock,
--- a/src/state/idempotency-claim-table.ts
+++ b/src/state/idempotency-claim-table.ts
@@ -46,7 +46,7 @@
 );
 
 /** A claim without the fields that a former build stored beside it. */
-const withoutFormerFields = ({
+const withoutLegacyFields = ({
   bodyHash,
   job,
   verdict,
@@ -76,7 +76,7 @@
 
   /** Takes over stored claims. */
   restore(toStored: readonly StoredClaim[]): void {
-    this.claims = new Map(toStored.map(({ scope, claim }) => [scope, withoutFormerFields(claim)]));
+    this.claims = new Map(toStored.map(({ scope, claim }) => [scope, withoutLegacyFields(claim)]));
   }
 
   /** Applies a log command. */
--- a/test/platform/proxy-fixture.ts
+++ b/test/platform/proxy-fixture.ts
@@ -184,7 +184,7 @@
       network: network.wire("disk-1", new EventGate()),
       disk: this.disk,
       random,
-      logLines: (line) => this.logLines.push(`${this.time.nowMs().toFixed(0)} ${line}`),
+      lines: (line) => this.logLines.push(`${this.time.nowMs().toFixed(0)} ${line}`),
     });
     this.daemon = new Daemon(runtime, settings, {
       headerNames,
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -114,7 +114,7 @@
       network,
       disk: machine.disk,
       random: this.random,
-      logLines: (line) =>
+      lines: (line) =>
         this.logLines.push(`${this.virtualClock.nowMs().toFixed(0)} ${name} ${line}`),
     });
     machine.daemon = new Daemon(runtime, machine.settings, this.daemonOptions());
