--- a/src/proxy/admission-filter.ts
+++ b/src/proxy/admission-filter.ts
@@ -1,4 +1,4 @@
-/** The first filter: whether this daemon takes requests at all now. */
+/** The first filter: rejects requests that this daemon can't serve at the moment. */
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import { type Clock, withTimeout } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
@@ -10,9 +10,9 @@
 import { RETRY_AFTER_MS } from "./retry-after.js";
 import type { ServingView } from "./serving-view.js";
 
-/** How many requests may be active, and how many may wait for the first lease. */
+/** Maximum number of active requests, and of requests that wait for the first lease. */
 const MAX_ACTIVE_REQUESTS = 2000;
-/** How long a request waits for the first lease: a part of the time its client gave, and at most this long. */
+/** A request waits for the first lease for this fraction of its client's timeout, and never longer than the maximum. */
 const LEASE_WAIT_FRACTION = 1 / 3;
 const MAX_LEASE_WAIT_MS = 1000;
 
@@ -25,18 +25,21 @@
   readonly activeRequests: ReadonlySet<RequestContext>;
 }
 
-/** Refuses requests while the daemon stops, is overloaded or has no view to serve by; lets them wait for the first lease. */
+/**
+ * Rejects requests while the daemon stops, is overloaded or has no usable view of the cluster. Requests that arrive before
+ * the first lease wait for it.
+ */
 export class AdmissionFilter implements RequestFilter {
   private readonly options: AdmissionFilterOptions;
   private isClosed = false;
-  /** Resume the requests that wait for the first lease. */
+  /** One callback for each request that waits for the first lease. */
   private leaseWaiters: Array<() => void> = [];
 
   constructor(options: AdmissionFilterOptions) {
     this.options = options;
   }
 
-  /** Refuses all new requests from now on. */
+  /** Rejects all new requests from now on. */
   close(): void {
     this.isClosed = true;
   }
@@ -51,29 +54,35 @@
     if (this.isClosed)
       return unavailableOutcome("This daemon is stopping.", RETRY_AFTER_MS.otherDaemon);
     if (activeRequests.size > MAX_ACTIVE_REQUESTS)
-      return unavailableOutcome("This daemon has too much in hand.", RETRY_AFTER_MS.soon);
+      return unavailableOutcome(
+        `This daemon is overloaded: ${activeRequests.size} active requests, limit ${MAX_ACTIVE_REQUESTS}.`,
+        RETRY_AFTER_MS.soon,
+      );
     if (!servingView.isUsable) yield* this.awaitLease(context.clientRequest);
     if (clusterView.configSequence === 0)
-      return unavailableOutcome("No config is in force yet.", RETRY_AFTER_MS.viewSettled);
+      return unavailableOutcome(
+        "This daemon has no configuration yet.",
+        RETRY_AFTER_MS.viewSettled,
+      );
     if (!servingView.isUsable)
       return unavailableOutcome(
-        "This daemon's view is not proven fresh.",
+        "This daemon holds no valid lease on the cluster state.",
         RETRY_AFTER_MS.viewSettled,
       );
     if (headerNames.clientRequestId !== undefined && context.requestId === undefined)
-      return rejectedOutcome(400, "The request names no try.");
+      return rejectedOutcome(400, `The request lacks the header ${headerNames.clientRequestId}.`);
     return yield* next();
   }
 
-  /** Waits for the first lease, for a bounded part of the time that the client gave; not at all where it gave none. */
+  /** Waits for the first lease, for a bounded part of the client's timeout. Doesn't wait if the client stated none. */
   private *awaitLease({ headers }: ProxyRequest): Task {
     const { clock, headerNames } = this.options;
     const { deadline } = headerNames;
-    const givenMs = deadline === undefined ? Number.NaN : Number(headers[deadline]);
-    if (!(givenMs > 0) || this.leaseWaiters.length >= MAX_ACTIVE_REQUESTS) return;
+    const clientTimeoutMs = deadline === undefined ? Number.NaN : Number(headers[deadline]);
+    if (!(clientTimeoutMs > 0) || this.leaseWaiters.length >= MAX_ACTIVE_REQUESTS) return;
     yield* withTimeout<true>(
       clock,
-      Math.min(givenMs * LEASE_WAIT_FRACTION, MAX_LEASE_WAIT_MS),
+      Math.min(clientTimeoutMs * LEASE_WAIT_FRACTION, MAX_LEASE_WAIT_MS),
       (done) => this.leaseWaiters.push(() => done(true)),
     );
   }
--- a/src/proxy/attempt-runner.ts
+++ b/src/proxy/attempt-runner.ts
@@ -1,4 +1,4 @@
-/** One attempt at a backend: what is sent, what is counted, and what the load balancer learns from its end. */
+/** Runs a single attempt: builds the backend request, counts it and reports its result to the load balancer. */
 import type { ActiveRoute } from "../cluster-view/active-route.js";
 import { connectionPoolKey, type ClusterView } from "../cluster-view/cluster-view.js";
 import type { LoadBalancer } from "../load-balancing/load-balancer.js";
@@ -22,7 +22,7 @@
   type BackendClient,
 } from "./upstream/backend-client.js";
 
-/** One attempt, as the retry handler decided on it. */
+/** An attempt that the retry handler requests. */
 export interface Attempt {
   readonly context: RequestContext;
   readonly route: ActiveRoute;
@@ -31,7 +31,7 @@
   readonly isRetry: boolean;
 }
 
-/** How an attempt ended, and whether bytes of it were sent. */
+/** The outcome of an attempt, and whether any of its bytes were sent. */
 export interface AttemptOutcome {
   readonly outcome: RequestOutcome;
   readonly isSent: boolean;
@@ -49,7 +49,7 @@
   readonly bulkAdmission: BulkAdmission;
   readonly responseForwarder: ResponseForwarder;
   readonly headerNames: HeaderNames;
-  /** Distinguishes the request names of this start of the daemon. */
+  /** Makes request ids unique across restarts of the daemon. */
   readonly incarnation: string;
 }
 
@@ -58,21 +58,23 @@
 /** Sends attempts to backends. */
 export class AttemptRunner {
   private readonly options: AttemptRunnerOptions;
-  /** Numbers the attempts of clients that don't name theirs. */
-  private attempts = 0;
+  /** Makes the ids of requests without a client's id unique. */
+  private attemptCount = 0;
 
   constructor(options: AttemptRunnerOptions) {
     this.options = options;
   }
 
-  /** Carries out one attempt to its end. */
+  /** Runs one attempt to its end. */
   *run(attempt: Attempt): Task<AttemptOutcome> {
     const { clock, clusterView, backendClient, loadBalancer, responseForwarder } = this.options;
     const { context, route, registration } = attempt;
     const startedMs = clock.nowMs();
-    const requestId = this.requestIdOf(attempt);
+    const requestId = this.nextRequestId(attempt);
     loadBalancer.attemptStarted(registration, startedMs, route.name);
-    const opened = yield* backendClient.send(this.backendAttempt(attempt, requestId, startedMs));
+    const opened = yield* backendClient.send(
+      this.createBackendAttempt(attempt, requestId, startedMs),
+    );
     if (opened.kind === "failed" && (opened.cause === "refused" || opened.cause === "foreign"))
       clusterView.markRefused(registration);
     if (opened.kind === "failed" && opened.cause === "withdrawn") {
@@ -93,16 +95,20 @@
     return { outcome, isSent };
   }
 
-  private requestIdOf({ context, service }: Attempt): string {
-    this.attempts += 1;
-    return context.requestId ?? `${service}/${this.options.incarnation}-${this.attempts}`;
+  private nextRequestId({ context, service }: Attempt): string {
+    this.attemptCount += 1;
+    return context.requestId ?? `${service}/${this.options.incarnation}-${this.attemptCount}`;
   }
 
-  private backendAttempt(attempt: Attempt, requestId: string, startedMs: number): BackendAttempt {
+  private createBackendAttempt(
+    attempt: Attempt,
+    requestId: string,
+    startedMs: number,
+  ): BackendAttempt {
     const { context, route, service, registration } = attempt;
     const { client, clientRequest } = context;
-    const { method, target, body, bodyRemainder: rest } = clientRequest;
-    const untilMs =
+    const { method, target, body, bodyRemainder } = clientRequest;
+    const deadlineMs =
       this.options.headerNames.deadline === undefined
         ? startedMs + route.timeoutMs
         : context.deadlineMs;
@@ -113,28 +119,28 @@
       request: {
         method,
         path: target,
-        headers: this.requestHeaders(attempt, requestId, untilMs),
+        headers: this.createRequestHeaders(attempt, requestId, deadlineMs),
         body,
-        bodyRemainder: rest,
+        bodyRemainder,
       },
-      deadlineMs: untilMs,
+      deadlineMs,
       dueMs: client.dueMs,
       isAtMostOnce: !route.repeatable,
       ...(route.repeatable && client.onClosed
-        ? { onClientClosed: (run) => client.onClosed?.(run) ?? noCancel }
+        ? { onClientClosed: (callback) => client.onClosed?.(callback) ?? noCancel }
         : {}),
       maySend: () => this.confirmSend(attempt),
     };
   }
 
-  /** The client's headers, and what the proxy adds for the backend. */
-  private requestHeaders(
+  /** The client's end-to-end headers and those that the proxy adds for the backend. */
+  private createRequestHeaders(
     { context: { clientRequest }, service, registration }: Attempt,
-    id: string,
-    untilMs: number,
+    requestId: string,
+    deadlineMs: number,
   ): Record<string, string> {
     const { clock, headerNames } = this.options;
-    const { requestId, deadline, expectedInstance: expected, proof } = headerNames;
+    const { deadline, expectedInstance, proof } = headerNames;
     const headers = endToEndHeaders(clientRequest.headers);
     const contentLength = clientRequest.headers["content-length"];
     if (clientRequest.bodyRemainder && contentLength !== undefined)
@@ -143,15 +149,15 @@
       delete headers["host"];
       headers[SERVICE_HEADER] = service;
     }
-    headers[requestId] = id;
+    headers[headerNames.requestId] = requestId;
     if (deadline !== undefined)
-      headers[deadline] = String(Math.max(1, Math.floor(untilMs - clock.nowMs())));
-    if (expected !== undefined && registration.instance !== "")
-      headers[expected] = registration.instance;
+      headers[deadline] = String(Math.max(1, Math.floor(deadlineMs - clock.nowMs())));
+    if (expectedInstance !== undefined && registration.instance !== "")
+      headers[expectedInstance] = registration.instance;
     return headers;
   }
 
-  /** Called once the connection is open: whether all that allowed the attempt still does. Counts the attempt if so. */
+  /** Checks, once the connection is open, that the attempt is still allowed, and counts it if so. */
   private confirmSend(attempt: Attempt): boolean {
     if (!this.isStillAllowed(attempt)) return false;
     const { counts, counters } = this.options;
@@ -176,7 +182,7 @@
     );
   }
 
-  /** Reports an attempt's end to the load balancer, and the size of its response to the bulk admission. */
+  /** Reports an attempt's result to the load balancer, and the size of its response to the bulk admission. */
   private reportEnd(
     { context, route, registration }: Attempt,
     outcome: RequestOutcome,
@@ -184,23 +190,23 @@
   ): void {
     const { clock, loadBalancer, bulkAdmission } = this.options;
     const nowMs = clock.nowMs();
-    // A client that left and so ended the attempt says nothing about the backend.
+    // A client that disconnects cancels its attempt: that is no evidence about the backend.
     if (outcome.reason !== "" && context.client.isClosed && route.repeatable) {
       loadBalancer.attemptCancelled(registration, nowMs);
       return;
     }
     const { response } = outcome;
-    const isWhole =
+    const isComplete =
       typeof response === "string"
         ? response === "streamed"
         : outcome.reason === "" && response.code < 500;
-    const bytes = typeof response === "string" || !isWhole ? undefined : response.body.length;
+    const bytes = typeof response === "string" || !isComplete ? undefined : response.body.length;
     if (bytes !== undefined) bulkAdmission.recordSize(route.name, bytes);
     loadBalancer.attemptEnded(
       registration,
       {
         latencyMs: nowMs - startedMs,
-        isComplete: isWhole,
+        isComplete,
         latencyTargetMs: route.latencyTargetMs,
         route: route.name,
         responseBytes: bytes,
--- a/src/proxy/bulk-admission.ts
+++ b/src/proxy/bulk-admission.ts
@@ -1,38 +1,43 @@
-/** Admission control for large responses, by the capacity of the link to the clients. */
+/** Admission control for large responses by the capacity of the link to the clients. */
 import type { LinkPacer } from "../runtime/link-pacer.js";
 
 /** The weight of each response in the moving average of its route's response sizes. */
 const SIZE_SMOOTHING = 0.1;
-/** How many routes have an average; beyond that all are forgotten. */
+/** Maximum number of routes with an average; the table is cleared when it is full. */
 const MAX_ROUTES = 4096;
 
 /**
- * Decides whether a request with a large response on average is admitted: only where the response can be sent in time, after
- * all that is queued on the link and all that is expected for active requests. Others are refused before they run.
+ * Admits a request whose route has large responses on average only if the response can be sent in time, behind the bytes
+ * that are queued on the link and those reserved for active requests. Other requests are rejected before they run.
  */
 export class BulkAdmission {
   private readonly egress: LinkPacer;
   private readonly maxBufferedBytes: number;
   private readonly averageSizes = new Map<string, number>();
-  /** Bytes that the responses to active requests are expected to have. */
+  /** Expected total size of the responses to active requests. */
   private reservedBytes = 0;
 
-  /** `maxBufferedBytes`: responses up to this size arrive whole before any of them is sent. */
+  /** `maxBufferedBytes`: a response up to this size is received completely before its first byte is sent. */
   constructor(egress: LinkPacer, maxBufferedBytes: number) {
     this.egress = egress;
     this.maxBufferedBytes = maxBufferedBytes;
   }
 
-  /** Whether a response of the route's average size can be sent within the time; always where no other large one is in transfer. */
-  admits(route: string, leftMs: number): boolean {
-    const { egress, reservedBytes: expectedBytes } = this;
+  /**
+   * Whether a response of the route's average size can be sent within the time. Always true if no other large response
+   * is in transfer.
+   */
+  admits(route: string, remainingMs: number): boolean {
+    const { egress, reservedBytes } = this;
     const bytes = this.averageBytes(route);
-    if (bytes <= egress.smallBytes || expectedBytes + egress.bulkBytes < 1) return true;
+    if (bytes <= egress.smallBytes || reservedBytes + egress.bulkBytes < 1) return true;
     const arrivalMs = bytes <= this.maxBufferedBytes ? egress.transferMs(bytes) : 0;
-    return arrivalMs + egress.estimateWaitMs(expectedBytes + bytes) <= leftMs;
+    return arrivalMs + egress.estimateWaitMs(reservedBytes + bytes) <= remainingMs;
   }
 
-  /** Reserves capacity for a response of the route's average size; the returned function releases it, and may be called again. */
+  /**
+   * Reserves capacity for a response of the route's average size. The returned function releases it, and is idempotent.
+   */
   reserve(route: string): () => void {
     let bytes = this.averageBytes(route);
     if (bytes <= this.egress.smallBytes) return () => undefined;
--- a/src/proxy/expired-lease-policy.ts
+++ b/src/proxy/expired-lease-policy.ts
@@ -1,46 +1,52 @@
-/** Whether requests are served by a view whose lease expired. */
+/** Decides whether requests are served from a view whose lease has expired. */
 import type { Clock } from "../runtime/clock.js";
 
-/** What a daemon knows of its connections to the replicas of the log. */
+/** The state of a daemon's connections to the replicas of the log. */
 export interface ReplicaReachability {
-  /** The addresses of the replicas, as last received. */
+  /** Addresses of the replicas, as last received. */
   readonly replicas: readonly string[];
-  /** Whether since a moment a connection to a replica failed or became unresponsive, and nothing was received from it after that. */
-  isUnreachable(member: string, sinceMs: number): boolean;
+  /**
+   * Whether a connection to a replica failed or became unresponsive since `sinceMs`, and nothing was received from the
+   * replica after that.
+   */
+  isUnreachable(replica: string, sinceMs: number): boolean;
 }
 
-/** How long a daemon may serve without a lease, and how long a failed connection counts as evidence of an unavailable quorum. */
+/** Time limits of the policy. */
 export interface ExpiredLeaseBounds {
+  /** Time after the expiry of its lease within which a daemon may still serve requests. */
   readonly staleMs: number;
+  /** Time for which a failed connection is evidence of an unavailable quorum. */
   readonly contactMs: number;
 }
 
 /**
- * Decides whether requests are still served by a view whose lease expired. The expiry alone proves nothing: an overloaded
- * leader or a full link causes it too, while the bound on the age of configurations holds. So it takes evidence that the
- * quorum is unavailable, or that this machine is partitioned from it: connections to half of the replicas or more failed
- * within `contactMs`, and nothing was received from them since. A replica that responds late is not unreachable.
+ * Decides whether requests are still served from a view whose lease has expired. The expiry alone is no evidence: an
+ * overloaded leader or a saturated link causes it too, while the bound on the age of configurations still applies.
+ * Therefore the policy requires evidence that the quorum is unavailable, or that this machine is partitioned from it:
+ * connections to at least half of the replicas failed within `contactMs`, and nothing was received from these replicas
+ * since. A replica that responds late is not unreachable.
  */
 export class ExpiredLeasePolicy {
   private readonly clock: Clock;
-  private readonly core: ReplicaReachability;
+  private readonly reachability: ReplicaReachability;
   private readonly bounds: ExpiredLeaseBounds;
 
-  constructor(clock: Clock, core: ReplicaReachability, bounds: ExpiredLeaseBounds) {
+  constructor(clock: Clock, reachability: ReplicaReachability, bounds: ExpiredLeaseBounds) {
     this.clock = clock;
-    this.core = core;
+    this.reachability = reachability;
     this.bounds = bounds;
   }
 
-  /** Whether a view may be served by whose lease expired this long ago. */
+  /** Whether requests may be served from a view whose lease expired `expiredForMs` ago. */
   allows(expiredForMs: number): boolean {
     return expiredForMs < this.bounds.staleMs && this.isQuorumUnavailable();
   }
 
   private isQuorumUnavailable(): boolean {
-    const { replicas: replicas } = this.core;
+    const { replicas } = this.reachability;
     const sinceMs = this.clock.nowMs() - this.bounds.contactMs;
-    const failed = replicas.filter((replica) => this.core.isUnreachable(replica, sinceMs));
+    const failed = replicas.filter((replica) => this.reachability.isUnreachable(replica, sinceMs));
     return replicas.length > 0 && failed.length * 2 >= replicas.length;
   }
 }
--- a/src/proxy/first-attempt.ts
+++ b/src/proxy/first-attempt.ts
@@ -1,9 +1,12 @@
-/** Tells a client's first attempt at a request from its retries. */
+/** Distinguishes a client's first attempt at a request from its retries. */
 import type { ActiveRoute } from "../cluster-view/active-route.js";
 
-/** A client that has less than this part of its route's time left has tried before. */
+/** A client that states less than this fraction of its route's timeout is assumed to retry. */
 const FIRST_ATTEMPT_FRACTION = 0.8;
 
-/** Whether a client that gives this much time can't have tried before; it still has time to retry elsewhere. */
-export const isFirstAttempt = (givenMs: number, { timeoutMs: giveUpMs }: ActiveRoute): boolean =>
-  givenMs >= giveUpMs * FIRST_ATTEMPT_FRACTION;
+/**
+ * Whether a request with this timeout is its client's first attempt, so that the client still has time to retry
+ * elsewhere.
+ */
+export const isFirstAttempt = (clientTimeoutMs: number, { timeoutMs }: ActiveRoute): boolean =>
+  clientTimeoutMs >= timeoutMs * FIRST_ATTEMPT_FRACTION;
--- a/src/proxy/header-names.ts
+++ b/src/proxy/header-names.ts
@@ -1,30 +1,31 @@
-/** The names of the headers between clients, the proxy and backends, which an adapter may choose. */
+/** The names of the headers between clients, the proxy and backends. An adapter can replace them. */
 
-/** Header names in lower case, and how the protocol uses them. */
+/** Header names in lower case, and the options of the protocol that uses them. */
 export interface HeaderNames {
-  /** In which a client names its attempt; the proxy names it where this is undefined. */
+  /** Request header with the client's id of its attempt. If undefined, the proxy generates the id. */
   readonly clientRequestId: string | undefined;
-  /** In which a backend gets the attempt's name. */
+  /** Request header with the attempt's id, sent to the backend. */
   readonly requestId: string;
-  /** In which a backend's response repeats that name. */
+  /** Response header in which a backend repeats that id. */
   readonly requestIdEcho: string;
-  /** Which each complete success must carry, if any. */
+  /** Response header that each successful response must have; undefined for none. */
   readonly seal: string | undefined;
-  /** The idempotency key: in which a client names the operation that its attempts belong to. */
+  /** Request header with the idempotency key, which identifies the operation that several attempts belong to. */
   readonly idempotencyKey: string;
-  /** In which clients state, and backends get, how many milliseconds are left. */
+  /** Request header with the remaining time in milliseconds, from clients and to backends. */
   readonly deadline: string | undefined;
-  /** In which a backend gets the instance that is meant; a response 421 states that it is another. */
+  /** Request header with the instance that must serve the request; another instance responds with 421. */
   readonly expectedInstance: string | undefined;
-  /** By which a backend's response states that the request was not run. */
+  /** Response header by which a backend states that it did not run the request. */
   readonly notRun: string | undefined;
-  /** Whether clients read fractions of a second in `Retry-After`. */
+  /** Whether clients accept fractions of a second in `Retry-After`. */
   readonly hasFractionalRetryAfter: boolean;
-  /** Whether a connection proves its service when it opens, or each request its instance. */
+  /** Whether each connection proves its service when it opens, or each request its instance. */
   readonly proof: "connection" | "request";
 }
 
-const OWN_HEADER_NAMES: HeaderNames = {
+/** The header names of daledoor's own protocol. */
+export const defaultHeaderNames: HeaderNames = {
   clientRequestId: undefined,
   requestId: "x-daledoor-job",
   requestIdEcho: "x-daledoor-stamp",
@@ -36,5 +37,3 @@
   hasFractionalRetryAfter: false,
   proof: "connection",
 };
-
-export const defaultHeaderNames = OWN_HEADER_NAMES;
--- a/src/proxy/hop-by-hop-headers.ts
+++ b/src/proxy/hop-by-hop-headers.ts
@@ -3,7 +3,7 @@
 /** Prefix of the headers that only the proxy may set. */
 const RESERVED_HEADER_PREFIX = "x-daledoor-";
 
-/** Headers that belong to one connection and are never forwarded; the proxy states lengths itself. */
+/** Headers that apply to one connection and are never forwarded. The proxy sets `content-length` itself. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -18,7 +18,7 @@
   "proxy-connection",
 ]);
 
-/** The headers that the `Connection` header declares as hop-by-hop too. */
+/** The names that the `Connection` header declares as hop-by-hop. */
 const connectionOptions = (headers: Record<string, string>): ReadonlySet<string> | undefined => {
   const options = headers["connection"];
   if (options === undefined) return undefined;
@@ -30,7 +30,7 @@
   );
 };
 
-/** A copy of the headers without those that must not be forwarded; names are in lower case. */
+/** Copies the headers that may be forwarded. Names are in lower case. */
 export const endToEndHeaders = (headers: Record<string, string>): Record<string, string> => {
   const forwarded: Record<string, string> = {};
   const options = connectionOptions(headers);
--- a/src/proxy/http-proxy.ts
+++ b/src/proxy/http-proxy.ts
@@ -1,4 +1,4 @@
-/** The data plane's entry: takes clients' requests through the chain of filters to the backends. */
+/** The entry point of the data plane: passes clients' requests through the filter chain to the backends. */
 import type { CommandForwarder } from "../cluster-view/command-forwarder.js";
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { LinkPacer } from "../runtime/link-pacer.js";
@@ -29,7 +29,7 @@
 import { ServingView } from "./serving-view.js";
 import type { BackendClient } from "./upstream/backend-client.js";
 
-/** What the proxy depends on beside its runtime. */
+/** What the proxy depends on besides its runtime. */
 export interface HttpProxyOptions {
   readonly clusterView: ClusterView;
   readonly backendClient: BackendClient;
@@ -39,17 +39,17 @@
   readonly loadBalancer: LoadBalancer;
   readonly incarnation: string;
   readonly headerNames: HeaderNames;
-  /** Whether requests that may run more than once are still served by a view whose lease expired. */
+  /** Decides whether repeatable requests are still served from a view whose lease has expired. */
   readonly expiredLeasePolicy: ExpiredLeasePolicy;
   /** Stores the outcomes of requests with an idempotency key. */
   readonly outcomes: OutcomeReplicator;
-  /** The link by which requests leave. */
+  /** Paces the bytes that this machine sends. */
   readonly egress: LinkPacer;
 }
 
-/** Handles clients' requests. Owns the set of active requests; each stage of the chain owns its own state. */
+/** Handles clients' requests. Owns the set of active requests; each filter owns its own state. */
 export class HttpProxy {
-  /** What was done since the start, as the status reports it. */
+  /** Counters since the start, as the status reports them. */
   readonly counters = new ProxyCounters();
   private readonly runtime: Runtime;
   private readonly headerNames: HeaderNames;
@@ -57,7 +57,7 @@
   private readonly activeRequests = new Set<RequestContext>();
   private readonly claims: IdempotencyClaims;
   private readonly admission: AdmissionFilter;
-  /** The stages that a request passes, in this order, before it is forwarded. */
+  /** The filters that a request passes, in this order, before it is forwarded. */
   private readonly filters: readonly RequestFilter[];
   private readonly retryHandler: RetryHandler;
 
@@ -97,17 +97,17 @@
     this.retryHandler = new RetryHandler({ ...shared, attemptRunner });
   }
 
-  /** How many requests are active. */
+  /** The number of active requests. */
   get activeRequestCount(): number {
     return this.activeRequests.size;
   }
 
-  /** How many requests and tasks must end before the daemon may stop. */
+  /** The number of requests and background tasks that must end before the daemon may stop. */
   get pendingWorkCount(): number {
     return this.activeRequestCount + this.claims.pendingTasks;
   }
 
-  /** Refuses all new requests from now on. */
+  /** Rejects all new requests from now on. */
   close(): void {
     this.admission.close();
   }
@@ -119,29 +119,29 @@
 
   /** Handles one request to its end. */
   *handle(clientRequest: ProxyRequest, client: ClientConnection): Task {
-    const { clientRequestId: idHeader } = this.headerNames;
+    const { clientRequestId: requestIdHeader } = this.headerNames;
     const context = newRequestContext({
       clientRequest,
       client,
       arrivedMs: this.runtime.clock.nowMs(),
-      requestId: idHeader === undefined ? undefined : clientRequest.headers[idHeader],
+      requestId: requestIdHeader === undefined ? undefined : clientRequest.headers[requestIdHeader],
       splitDraw: this.runtime.random(),
     });
     this.counters.countRequest();
     this.activeRequests.add(context);
     try {
-      const outcome = yield* runFilters(context, this.filters, (one) =>
-        this.retryHandler.forward(one),
+      const outcome = yield* runFilters(context, this.filters, (filtered) =>
+        this.retryHandler.forward(filtered),
       );
       if (context.isAbandoned) return;
       this.counters.countOutcome(outcome);
       if (typeof outcome.response !== "string")
-        client.respond(this.clientResponse(outcome, outcome.response));
+        client.respond(this.toClientResponse(outcome, outcome.response));
     } catch (error) {
       this.log.error("request handler failed", error);
       client.respond(
         jsonResponse(500, {
-          error: "The daemon broke down over this request.",
+          error: "The daemon failed to handle this request because of an internal error.",
           verdict: "mayHaveRun",
         }),
       );
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Gives all active requests their final response: the process ends before their attempts do. */
+  /** Sends a final response to all active requests, since the process ends before their attempts do. */
   abandon(): void {
     for (const context of this.activeRequests) {
       context.isAbandoned = true;
@@ -161,7 +161,7 @@
           jsonResponse(
             504,
             {
-              error: "This daemon stops before the back end returned.",
+              error: "The daemon stopped before the backend responded.",
               verdict: "mayHaveRun",
               retryAfterS: 1,
             },
@@ -171,8 +171,8 @@
     }
   }
 
-  /** A response as clients of this protocol read it. */
-  private clientResponse(outcome: RequestOutcome, response: ClientResponse): ClientResponse {
+  /** Adapts a response to the `Retry-After` format that clients of this protocol accept. */
+  private toClientResponse(outcome: RequestOutcome, response: ClientResponse): ClientResponse {
     return this.headerNames.hasFractionalRetryAfter
       ? withJitteredRetryAfter(outcome, response, () => this.runtime.random())
       : response;
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -1,4 +1,6 @@
-/** Claims of idempotency keys in the replicated log, and the answers to requests whose key another request claimed. */
+/**
+ * Claims of idempotency keys in the replicated log, and responses to requests whose key another request has claimed.
+ */
 import { createHash } from "node:crypto";
 import type { CommandForwarder } from "../../cluster-view/command-forwarder.js";
 import { normalizeHost } from "../../cluster-view/route-table.js";
@@ -19,39 +21,40 @@
 import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
 import type { OutcomeReplicator } from "./outcome-replicator.js";
 
-/** A claim that this daemon acquired: its request may be sent until a moment of the daemon's own clock. */
+/** A claim that this daemon has acquired. */
 export interface HeldClaim extends KeyedRequest {
+  /** Until when the request may be sent, by this daemon's clock. */
   readonly sendDeadlineMs: number;
   /** The daemons that store the request's outcome, this one first. */
   readonly holders: readonly string[];
 }
 
-/** The claim was acquired, or the request gets an answer without being sent. */
+/** The result of a claim: it was acquired, or the request gets a response without being sent. */
 export type ClaimResult =
   | { readonly kind: "claimed"; readonly claim: HeldClaim }
   | { readonly kind: "answered"; readonly outcome: RequestOutcome };
 
-/** A request whose key is to be claimed. */
+/** A request and its idempotency key. */
 export interface ClaimRequest {
   readonly clientRequest: ProxyRequest;
   readonly key: string;
   readonly deadlineMs: number;
-  /** How long one command to the leader may take; by default `CLAIM_TIMEOUT_MS`. */
+  /** Timeout of one command to the leader; by default `CLAIM_TIMEOUT_MS`. */
   readonly timeoutMs?: number | undefined;
 }
 
-/** What claims depend on. */
+/** What the claims depend on. */
 export interface IdempotencyClaimsOptions {
   readonly runtime: Runtime;
   readonly forwarder: CommandForwarder;
   readonly outcomes: OutcomeReplicator;
-  /** Distinguishes the claims of this start of the daemon. */
+  /** Makes claim ids unique across restarts of the daemon. */
   readonly incarnation: string;
-  /** When clients had better retry after a claim that failed; by default `DEFAULT_RETRY_AFTER_MS`. */
+  /** Retry delay after a failed claim; by default `DEFAULT_RETRY_AFTER_MS`. */
   readonly retryAfterMs?: number | undefined;
 }
 
-/** A claim that another request holds. */
+/** A claim of the same key by another request. */
 type ExistingClaim = Extract<ClaimResponse, { held: unknown }>["held"];
 
 /** A claim in progress. */
@@ -64,31 +67,31 @@
 }
 
 const CLAIM_TIMEOUT_MS = 2500;
-/** Which part of the time that is left a claim may take. */
+/** Fraction of the remaining time that a claim may take. */
 const CLAIM_TIME_FRACTION = 0.5;
-/** How long after its claim a request may be sent. */
+/** A request may be sent for this long after its claim was submitted. */
 const SEND_WINDOW_MS = 3000;
-/** How long a repeat waits for the outcome of a request that is in progress, and how often it asks. */
+/** How long a repeat waits for the outcome of a request in progress, and the interval at which it polls the outcome. */
 const OUTCOME_WAIT_MS = 1500;
 const OUTCOME_POLL_INTERVAL_MS = 100;
 const RELEASE_TIMEOUT_MS = 8000;
-/** The largest response body that is stored for repeats. */
+/** Maximum size of a response body that is stored for repeats. */
 const MAX_STORED_BODY_BYTES = 64 * 1024;
 const DEFAULT_RETRY_AFTER_MS = 2000;
-/** When clients had better retry where the key table is full. */
+/** Retry delay if the key table is full. */
 const TABLE_FULL_RETRY_AFTER_MS = 30_000;
-/** When clients had better retry a key whose response is lost: once the key is free again. */
+/** Retry delay for a key whose response is lost, until the key is free again. */
 const LOST_RESPONSE_RETRY_AFTER_MS = 120_000;
 
-const hashOf = (...parts: Array<string | Uint8Array>): string => {
+const computeHash = (...parts: Array<string | Uint8Array>): string => {
   const hash = createHash("sha256");
   for (const part of parts) hash.update(part).update("\0");
   return hash.digest("hex");
 };
 
-/** The scope within which a key is unique: a host, method and path. */
-const scopeOf = (clientRequest: ProxyRequest, key: string): string =>
-  hashOf(
+/** Hashes a key together with what it is unique within: host, method and path. */
+const computeScope = (clientRequest: ProxyRequest, key: string): string =>
+  computeHash(
     normalizeHost(clientRequest.headers["host"] ?? ""),
     clientRequest.method,
     requestPath(clientRequest),
@@ -97,7 +100,10 @@
 
 const answered = (outcome: RequestOutcome): ClaimResult => ({ kind: "answered", outcome });
 
-/** The answer to a repeat by what became of the first request; undefined where nothing final did. */
+/**
+ * The response to a repeat, by the outcome of the first request; undefined if that outcome is not final or the request
+ * never ran.
+ */
 const repeatedOutcome = (outcome: KeyedOutcome): RequestOutcome | undefined => {
   switch (outcome.kind) {
     case "ran": {
@@ -111,7 +117,7 @@
     case "ranNotKept":
       return failedOutcome(
         502,
-        "The first request with this key ran; its response is not kept.",
+        "The first request with this key ran; its response was not stored.",
         "ran",
         LOST_RESPONSE_RETRY_AFTER_MS,
       );
@@ -128,14 +134,14 @@
   }
 };
 
-/** Claims keys in the replicated log before their requests are sent, and records the requests' outcomes. */
+/** Claims keys in the replicated log before their requests are sent, and stores the outcomes of the requests. */
 export class IdempotencyClaims {
   private readonly runtime: Runtime;
   private readonly forwarder: CommandForwarder;
   private readonly outcomes: OutcomeReplicator;
   private readonly incarnation: string;
   private readonly retryAfterMs: number;
-  private claims = 0;
+  private claimCount = 0;
   private activeTasks = 0;
 
   constructor(options: IdempotencyClaimsOptions) {
@@ -146,12 +152,15 @@
     this.retryAfterMs = options.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS;
   }
 
-  /** How many outcomes are being replicated, and claims released. */
+  /** The number of outcomes being replicated and claims being released. */
   get pendingTasks(): number {
     return this.activeTasks;
   }
 
-  /** Claims a request's key; answers the request where another holds the key, or the claim's fate is unknown. */
+  /**
+   * Claims a request's key. The request gets a response instead if another holds the key or the result of the claim is
+   * unknown.
+   */
   *claim({
     clientRequest,
     key,
@@ -160,10 +169,10 @@
   }: ClaimRequest): Task<ClaimResult> {
     const { clock } = this.runtime;
     const startedMs = clock.nowMs();
-    this.claims += 1;
-    const scope = scopeOf(clientRequest, key);
-    const bodyHash = hashOf(clientRequest.target, clientRequest.body);
-    const request: KeyedRequest = { scope, requestId: `${this.incarnation}/${this.claims}` };
+    this.claimCount += 1;
+    const scope = computeScope(clientRequest, key);
+    const bodyHash = computeHash(clientRequest.target, clientRequest.body);
+    const request: KeyedRequest = { scope, requestId: `${this.incarnation}/${this.claimCount}` };
     const holders = this.outcomes.holdersFor(scope);
     const pending: PendingClaim = { request, bodyHash, holders, startedMs, deadlineMs };
     this.outcomes.storeLocally(request, { kind: "inHand" });
@@ -175,24 +184,26 @@
         Math.min(timeoutMs, (deadlineMs - sentMs) * CLAIM_TIME_FRACTION),
         replacedId,
       );
-      if (response === undefined) return answered(this.giveUp(request));
+      if (response === undefined) return answered(this.abandonClaim(request));
       if ("claimed" in response) {
         const claim = { ...request, holders, sendDeadlineMs: sentMs + SEND_WINDOW_MS };
         return { kind: "claimed", claim };
       }
       if ("full" in response)
-        return answered(unavailableOutcome("Too many keys are held.", TABLE_FULL_RETRY_AFTER_MS));
+        return answered(
+          unavailableOutcome("The table of idempotency keys is full.", TABLE_FULL_RETRY_AFTER_MS),
+        );
       const outcome = yield* this.answerRepeat(pending, response.held);
       if (outcome) return answered(outcome);
       replacedId = response.held.job;
     }
   }
 
-  /** Records how a claimed request ended, and has its response stored for repeats. */
+  /** Stores the outcome of a claimed request, and replicates its response for repeats. */
   recordOutcome(claim: HeldClaim, { execution, response }: RequestOutcome): void {
     if (execution === "neverRan") {
       this.outcomes.storeLocally(claim, { kind: "neverRan" });
-      this.start(this.release(claim));
+      this.startBackgroundTask(this.release(claim));
       return;
     }
     if (
@@ -202,13 +213,13 @@
     ) {
       const outcome: KeyedOutcome = { kind: "ran", response };
       this.outcomes.storeLocally(claim, outcome);
-      this.start(this.outcomes.replicate(claim, outcome, claim.holders));
+      this.startBackgroundTask(this.outcomes.replicate(claim, outcome, claim.holders));
       return;
     }
     this.outcomes.storeLocally(claim, { kind: execution === "ran" ? "ranNotKept" : "mayHaveRun" });
   }
 
-  /** Sends the claim to the leader; undefined where its fate is unknown or the leader is overloaded. */
+  /** Submits the claim to the leader; undefined if its result is unknown or the leader is overloaded. */
   private *submitClaim(
     { request, bodyHash, holders }: PendingClaim,
     timeoutMs: number,
@@ -227,14 +238,14 @@
     return readClaimResponse(text);
   }
 
-  /** The answer to a request whose key is claimed already; undefined where the existing claim may be replaced. */
+  /** The response to a request whose key is already claimed; undefined if the existing claim may be replaced. */
   private *answerRepeat(
     { request, bodyHash, startedMs, deadlineMs }: PendingClaim,
     existing: ExistingClaim,
   ): Task<RequestOutcome | undefined> {
     if (existing.bodyHash !== bodyHash) {
       this.outcomes.storeLocally(request, { kind: "neverRan" });
-      return rejectedOutcome(422, "This key came before with another body.");
+      return rejectedOutcome(422, "This key was already used with another query or body.");
     }
     const waitMs = Math.min(OUTCOME_WAIT_MS, (deadlineMs - startedMs) / 2);
     const outcome = yield* this.awaitOutcome(request.scope, existing, startedMs + waitMs);
@@ -244,36 +255,42 @@
     return repeatedOutcome(outcome) ?? this.inProgressOutcome();
   }
 
-  /** Ends a claim whose fate is unknown: its request is never sent, so that a repeat may replace the claim. */
-  private giveUp(request: KeyedRequest): RequestOutcome {
+  /** Abandons a claim whose result is unknown: its request is never sent, so that a repeat may replace the claim. */
+  private abandonClaim(request: KeyedRequest): RequestOutcome {
     this.outcomes.storeLocally(request, { kind: "neverRan" });
-    return unavailableOutcome("The key could not be claimed in the record.", this.retryAfterMs);
+    return unavailableOutcome(
+      "The idempotency key could not be claimed: the leader is overloaded or did not respond.",
+      this.retryAfterMs,
+    );
   }
 
   private inProgressOutcome(): RequestOutcome {
     return failedOutcome(
       409,
-      "The first request with this key is still in hand.",
+      "The first request with this key is still in progress.",
       "mayHaveRun",
       this.retryAfterMs,
     );
   }
 
-  /** The daemon that the first request went through can't be reached now. */
+  /** The outcome while the daemon that handled the first request is unreachable. */
   private unreachableOutcome(): RequestOutcome {
     return failedOutcome(
       502,
-      "Nobody who was reached can tell whether the first request with this key ran.",
+      "No reachable daemon knows whether the first request with this key ran.",
       "mayHaveRun",
       this.retryAfterMs,
     );
   }
 
-  /** The outcome of the request that holds a key; waits while it is in progress or its holders are unreachable. */
+  /**
+   * The outcome of the request that claimed a key. Waits while that request is in progress or the holders of its outcome
+   * are unreachable.
+   */
   private *awaitOutcome(
     scope: string,
     existing: ExistingClaim,
-    untilMs: number,
+    waitDeadlineMs: number,
   ): Task<KeyedOutcome | "unreachable"> {
     if (existing.verdict === "mayHaveRun") return { kind: "mayHaveRun" };
     if (existing.verdict === "ran") return { kind: "ranNotKept" };
@@ -283,7 +300,7 @@
       const outcome = yield* this.outcomes.find(request, existing.holders ?? []);
       if (outcome === "unknown") return { kind: "mayHaveRun" };
       if (outcome !== "unreachable" && outcome.kind !== "inHand") return outcome;
-      if (clock.nowMs() + OUTCOME_POLL_INTERVAL_MS > untilMs) return outcome;
+      if (clock.nowMs() + OUTCOME_POLL_INTERVAL_MS > waitDeadlineMs) return outcome;
       yield* sleep(clock, OUTCOME_POLL_INTERVAL_MS);
     }
   }
@@ -292,7 +309,7 @@
     yield* this.forwarder.command({ kind: "release", scope, job: requestId }, RELEASE_TIMEOUT_MS);
   }
 
-  private start(task: Task): void {
+  private startBackgroundTask(task: Task): void {
     this.activeTasks += 1;
     startTask(this.runtime, "proxy", task, () => {
       this.activeTasks -= 1;
--- a/src/proxy/idempotency/idempotency-filter.ts
+++ b/src/proxy/idempotency/idempotency-filter.ts
@@ -1,4 +1,4 @@
-/** The last filter: claims the idempotency key of a request, so that it runs at most once in the cluster. */
+/** The last filter: claims the idempotency key of a request, so that the request runs at most once in the cluster. */
 import type { ActiveRoute } from "../../cluster-view/active-route.js";
 import type { ClusterView } from "../../cluster-view/cluster-view.js";
 import { safeMethods } from "../../configuration/config-shape.js";
@@ -12,11 +12,14 @@
 import type { IdempotencyClaims } from "./idempotency-claims.js";
 
 const MAX_KEY_LENGTH = 200;
-/** Which part of a route's latency goal the claim of a first attempt may take; a later refusal leaves no time for a retry. */
-const CLAIM_GOAL_FRACTION = 0.2;
+/**
+ * Fraction of a route's latency target that the claim of a first attempt may take; a later rejection leaves no time for
+ * a retry.
+ */
+const CLAIM_LATENCY_FRACTION = 0.2;
 const MIN_CLAIM_TIMEOUT_MS = 40;
 
-/** How a request is treated by its route, method and key. */
+/** The result of checking a request's route, method and key: it needs no claim, is invalid or needs a claim. */
 type KeyCheck =
   | { readonly kind: "unkeyed" }
   | { readonly kind: "invalid"; readonly outcome: RequestOutcome }
@@ -30,17 +33,20 @@
   if (key === undefined)
     return {
       kind: "invalid",
-      outcome: rejectedOutcome(400, `This route wants the header ${keyHeader}.`),
+      outcome: rejectedOutcome(400, `This route requires the header ${keyHeader}.`),
     };
   if (key.length === 0 || key.length > MAX_KEY_LENGTH)
     return {
       kind: "invalid",
-      outcome: rejectedOutcome(400, "A key has 1 to 200 characters."),
+      outcome: rejectedOutcome(
+        400,
+        `The header ${keyHeader} has ${key.length} characters; 1 to ${MAX_KEY_LENGTH} are allowed.`,
+      ),
     };
   return { kind: "keyed", key };
 };
 
-/** Claims keys before their requests are forwarded, and records how the requests ended. */
+/** Claims keys before their requests are forwarded, and stores the outcomes of the requests. */
 export class IdempotencyFilter implements RequestFilter {
   private readonly clusterView: ClusterView;
   private readonly claims: IdempotencyClaims;
@@ -58,7 +64,7 @@
     if (check.kind === "invalid") return check.outcome;
     if (!this.clusterView.holdsLease)
       return unavailableOutcome(
-        "This daemon's view is not proven fresh.",
+        "This daemon holds no valid lease on the cluster state.",
         RETRY_AFTER_MS.viewSettled,
       );
     const { clientRequest, deadlineMs, route } = context;
@@ -75,15 +81,18 @@
     return outcome;
   }
 
-  /** How long a claim may take; undefined for the default. A first attempt fails early, so that its client can retry. */
+  /**
+   * Timeout of a claim; undefined for the default. The claim of a first attempt fails early, so that its client can
+   * retry.
+   */
   private claimTimeoutMs(
     { arrivedMs, deadlineMs }: RequestContext,
     route: ActiveRoute,
   ): number | undefined {
     if (this.headerNames.deadline === undefined) return undefined;
-    const givenMs = deadlineMs - arrivedMs;
-    return isFirstAttempt(givenMs, route)
-      ? Math.max(MIN_CLAIM_TIMEOUT_MS, route.latencyTargetMs * CLAIM_GOAL_FRACTION)
-      : givenMs;
+    const clientTimeoutMs = deadlineMs - arrivedMs;
+    return isFirstAttempt(clientTimeoutMs, route)
+      ? Math.max(MIN_CLAIM_TIMEOUT_MS, route.latencyTargetMs * CLAIM_LATENCY_FRACTION)
+      : clientTimeoutMs;
   }
 }
--- a/src/proxy/idempotency/outcome-cache.ts
+++ b/src/proxy/idempotency/outcome-cache.ts
@@ -1,4 +1,4 @@
-/** The outcomes of keyed requests that a daemon stores in memory. */
+/** An in-memory cache of the outcomes of keyed requests. */
 import type { Clock } from "../../runtime/clock.js";
 import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
 
@@ -8,12 +8,12 @@
   readonly storedMs: number;
 }
 
-/** How many bytes of outcomes one daemon stores at most; beyond that the oldest are evicted. */
+/** Maximum size of a daemon's cache; beyond it the oldest outcomes are evicted. */
 export const OUTCOME_CACHE_BYTES = 8 * 1024 * 1024;
-/** About what an entry takes beside its body and headers. */
+/** Approximate size of an entry besides its body and headers. */
 const ENTRY_OVERHEAD_BYTES = 200;
 
-const sizeOf = (outcome: KeyedOutcome): number => {
+const computeSizeBytes = (outcome: KeyedOutcome): number => {
   if (outcome.kind !== "ran") return ENTRY_OVERHEAD_BYTES;
   const { headers, body } = outcome.response;
   let sizeBytes = ENTRY_OVERHEAD_BYTES + body.length;
@@ -23,14 +23,14 @@
 
 const entryKey = ({ scope, requestId }: KeyedRequest): string => `${scope} ${requestId}`;
 
-/** Stores outcomes for as long as their keys are claimed, and within a bound of bytes. */
+/** Stores outcomes as long as their keys are claimed, up to a maximum total size. */
 export class OutcomeCache {
   private readonly clock: Clock;
   private readonly retentionMs: number;
   private readonly maxBytes: number;
-  /** By scope and request, the oldest first. */
+  /** Entries by scope and request id, the oldest first. */
   private readonly entries = new Map<string, CacheEntry>();
-  private sizeBytes = 0;
+  private totalBytes = 0;
 
   constructor(clock: Clock, retentionMs: number, maxBytes = OUTCOME_CACHE_BYTES) {
     this.clock = clock;
@@ -38,32 +38,35 @@
     this.maxBytes = maxBytes;
   }
 
-  /** How many bytes are stored now. */
+  /** The current total size. */
   get storedBytes(): number {
-    return this.sizeBytes;
+    return this.totalBytes;
   }
 
-  /** Stores an outcome in place of an earlier one of the same request, and evicts what is too old or too much. */
+  /**
+   * Stores an outcome, replacing an earlier one of the same request. Evicts expired entries, and the oldest ones above
+   * the maximum size.
+   */
   store(request: KeyedRequest, outcome: KeyedOutcome): void {
     const key = entryKey(request);
     this.remove(key);
-    const sizeBytes = sizeOf(outcome);
+    const sizeBytes = computeSizeBytes(outcome);
     this.entries.set(key, { outcome, sizeBytes, storedMs: this.clock.nowMs() });
-    this.sizeBytes += sizeBytes;
+    this.totalBytes += sizeBytes;
     const oldestMs = this.clock.nowMs() - this.retentionMs;
     for (const [oldestKey, { storedMs }] of this.entries) {
-      if (this.sizeBytes <= this.maxBytes && storedMs >= oldestMs) return;
+      if (this.totalBytes <= this.maxBytes && storedMs >= oldestMs) return;
       this.remove(oldestKey);
     }
   }
 
-  /** The stored outcome of a request. */
+  /** Returns the stored outcome of a request, if any. */
   find(request: KeyedRequest): KeyedOutcome | undefined {
     return this.entries.get(entryKey(request))?.outcome;
   }
 
   private remove(key: string): void {
-    this.sizeBytes -= this.entries.get(key)?.sizeBytes ?? 0;
+    this.totalBytes -= this.entries.get(key)?.sizeBytes ?? 0;
     this.entries.delete(key);
   }
 }
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -1,4 +1,4 @@
-/** Replication of the outcomes of keyed requests beside the replicated log. */
+/** Replication of the outcomes of keyed requests, separate from the replicated log. */
 import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import type { Task } from "../../runtime/task.js";
@@ -16,27 +16,28 @@
   readonly zone: string;
 }
 
-/** Which replicas a daemon may choose from. */
+/** The replicas that a daemon may choose from. */
 export interface OutcomeReplicas {
   readonly members: readonly OutcomeReplica[];
-  /** The leader, which has enough to do: it stores outcomes only where no other replica does. */
+  /** The leader. To limit its load, it stores outcomes only if there is no other replica. */
   readonly leader: string;
   readonly zone: string;
 }
 
-/** How long a replica may take to store an outcome, and a daemon to look one up. */
+/** Timeouts for storing an outcome at a replica and for looking one up at a daemon. */
 const STORE_TIMEOUT_MS = 400;
 const LOOKUP_TIMEOUT_MS = 400;
-/** How many hexadecimal digits of a scope choose its replica. */
-const DRAW_DIGITS = 6;
+/** Number of hexadecimal digits of a scope that choose its replica. */
+const REPLICA_DRAW_DIGITS = 6;
 
-/** A number that differs from scope to scope: the last digits of what is a hash already. */
-const drawOf = (scope: string): number => Number.parseInt(scope.slice(-DRAW_DIGITS), 16) || 0;
+/** A number derived from the last digits of a scope, which is a hash and therefore evenly distributed. */
+const replicaDraw = (scope: string): number =>
+  Number.parseInt(scope.slice(-REPLICA_DRAW_DIGITS), 16) || 0;
 
 /**
- * Stores and finds the outcomes of keyed requests. The log stores the claim of a key only, and the holders of its outcome:
- * the daemon that the request went through, and for its response a replica of the log other than the leader, in that
- * daemon's zone where there is one.
+ * Stores and finds the outcomes of keyed requests. The log stores only the claim of a key and the holders of its outcome.
+ * The holders are the daemon that handled the request and, for the response, a replica of the log: preferably one in the
+ * daemon's zone, and the leader only if there is no other.
  */
 export class OutcomeReplicator {
   private readonly rpc: RpcEndpoint;
@@ -62,18 +63,18 @@
     });
   }
 
-  /** The holders of a request's outcome: this daemon first, then the replica that is to store its response. */
+  /** The holders of a request's outcome: this daemon first, then the replica that stores its response. */
   holdersFor(scope: string): string[] {
-    const replica = this.replicaFor(scope);
+    const replica = this.chooseReplica(scope);
     return replica === undefined ? [this.rpc.self] : [this.rpc.self, replica];
   }
 
-  /** Stores an outcome at this daemon. */
+  /** Stores an outcome in this daemon's cache. */
   storeLocally(request: KeyedRequest, outcome: KeyedOutcome): void {
     this.cache.store(request, outcome);
   }
 
-  /** Has the other holders store an outcome. */
+  /** Sends an outcome to the other holders. */
   *replicate(
     { scope, requestId }: KeyedRequest,
     outcome: KeyedOutcome,
@@ -91,8 +92,8 @@
   }
 
   /**
-   * Looks up an outcome at its holders in their order. `unknown`: the daemon that the request went through has no record of
-   * it, nor has another holder. `unreachable`: that daemon didn't respond, and no other holder has the outcome.
+   * Looks up an outcome at its holders in order. `unknown`: the daemon that handled the request has no record of it, and
+   * neither has another holder. `unreachable`: that daemon didn't respond, and no other holder has the outcome.
    */
   *find(
     request: KeyedRequest,
@@ -121,13 +122,13 @@
     return isOwnerReached ? "unknown" : "unreachable";
   }
 
-  /** Which replica stores the response of a scope's request; scopes are spread evenly. */
-  private replicaFor(scope: string): string | undefined {
+  /** Chooses the replica that stores the response for a scope; scopes are distributed evenly. */
+  private chooseReplica(scope: string): string | undefined {
     const { members, leader, zone } = this.replicas();
-    const others = members.filter(({ peer }) => peer !== this.rpc.self);
-    const followers = others.filter(({ peer }) => peer !== leader);
+    const otherReplicas = members.filter(({ peer }) => peer !== this.rpc.self);
+    const followers = otherReplicas.filter(({ peer }) => peer !== leader);
     const sameZone = followers.filter((member) => member.zone === zone);
-    const candidates = [sameZone, followers, others].find((group) => group.length > 0) ?? [];
-    return candidates[drawOf(scope) % candidates.length]?.peer;
+    const candidates = [sameZone, followers, otherReplicas].find((group) => group.length > 0) ?? [];
+    return candidates[replicaDraw(scope) % candidates.length]?.peer;
   }
 }
--- a/src/proxy/outcome-rules.ts
+++ b/src/proxy/outcome-rules.ts
@@ -1,4 +1,4 @@
-/** What follows from the way an attempt at a backend ended: one table for the proxy, its tests and docs/control.md. */
+/** The consequences of each result of an attempt: one table for the proxy, its tests and docs/control.md. */
 import type { ActiveRoute } from "../cluster-view/active-route.js";
 import {
   type RequestOutcome,
@@ -8,21 +8,25 @@
 } from "./request-outcome.js";
 
 /**
- * How an attempt at a backend can end.
+ * The result of an attempt.
  *
- * - No byte of the request left: `refused` (nobody listens), `foreign` (another service listens), `unreached` (no
- *   connection in time, or the one there was ended first), `withdrawn` (the view changed before the first byte).
- * - Bytes left, and no response head came: `lost` (reset or closed, or bytes that are no HTTP response), `late` (the
- *   deadline passed).
- * - The backend states that it did not run the request: `otherInstance` (421), `notRun` (its header for that).
- * - A head came that is not accepted as the response to this request: `otherRequest` (it names another request, or none),
- *   `bareRefusal` (a status that promises "not run", without that header), `noSeal`, `encoded`, `noLength`.
- * - The body failed: `bodyCut`, `bodyTooLong`; `streamCut` where its head had been forwarded to the client already.
- * - `answered`: the client had its final response already. `whole` and `streamed`: forwarded, unchanged.
+ * - No byte of the request was sent: `refused` (no process listens at the address), `foreign` (another service listens
+ *   there), `unreached` (no connection opened in time, or it closed first), `withdrawn` (the view of the cluster changed
+ *   before the first byte was sent).
+ * - Bytes were sent, and no response head arrived: `lost` (the connection was reset or closed, or the bytes received are no
+ *   HTTP response), `late` (the deadline passed).
+ * - The backend states that it did not run the request: `otherInstance` (status 421), `notRun` (the header for that).
+ * - The response head is not accepted: `otherRequest` (it repeats the id of another request, or none), `bareRefusal` (a
+ *   status that means "not run", without the header for that), `noSeal` (the required header is missing), `encoded` (the
+ *   body has a content encoding), `noLength` (the end of the body is unknown).
+ * - The response body failed: `bodyCut` (truncated), `bodyTooLong` (longer than its stated length), or `streamCut` if its
+ *   head was already forwarded to the client.
+ * - `answered`: the client already had its final response.
+ * - `whole` (buffered) and `streamed`: the response was forwarded unchanged.
  */
 export type AttemptResult = FailureCause | ForwardedResult;
 
-/** Ways that leave the client without a backend's response. */
+/** Results after which the client gets no backend response. */
 export type FailureCause =
   | "refused"
   | "foreign"
@@ -41,72 +45,85 @@
   | "bodyTooLong"
   | "answered";
 
-/** Ways in which the client gets a backend's response, or the beginning of one. */
+/** Results after which the client has received a backend response, or the beginning of one. */
 export type ForwardedResult = "whole" | "streamed" | "streamCut";
 
-/** What follows from the way an attempt ended. */
+/** The consequences of an attempt's result. */
 export interface OutcomeRule {
   /** Whether the request may have run at the backend. */
   readonly execution: ExecutionStatus;
-  /** Whether bytes of it were sent, so that it counts as an attempt. */
+  /** Whether bytes of the request were sent. Only then the next attempt counts as a retry. */
   readonly isSent: boolean;
-  /** The connection: there is none, it is reused once the response has ended, or it is closed now. */
+  /**
+   * What happens to the connection: `none` (there is none), `keep` (reused after the response has ended) or `close`.
+   */
   readonly connection: "none" | "keep" | "close";
-  /** The status that the client gets if no other backend answers; the backend's own; or its connection is cut. */
+  /**
+   * The status that the client gets if no other backend responds; `backend` forwards its status, `cut` resets the
+   * connection.
+   */
   readonly clientStatus: 502 | 503 | 504 | "backend" | "cut";
-  /** Why, in words for the client. */
+  /** The error message for the client; empty if the response is forwarded. */
   readonly reason: string;
 }
 
-/** The rule of a way that leaves the client without a backend's response. */
+/** The rule for a result after which the client gets no backend response. */
 interface FailureRule extends OutcomeRule {
   readonly clientStatus: 502 | 503 | 504;
 }
 
-const notSent = (why: string, connection: OutcomeRule["connection"] = "none"): FailureRule => ({
+const notSentRule = (
+  reason: string,
+  connection: OutcomeRule["connection"] = "none",
+): FailureRule => ({
   execution: "neverRan",
   isSent: false,
   connection,
   clientStatus: 503,
-  reason: why,
+  reason,
 });
 
-const declined = (why: string): FailureRule => ({
+const declinedRule = (reason: string): FailureRule => ({
   execution: "neverRan",
   isSent: true,
   connection: "keep",
   clientStatus: 503,
-  reason: why,
+  reason,
 });
 
-const uncertain = (why: string, clientStatus: 502 | 504 = 502): FailureRule => ({
+const uncertainRule = (reason: string, clientStatus: 502 | 504 = 502): FailureRule => ({
   execution: "mayHaveRun",
   isSent: true,
   connection: "close",
   clientStatus,
-  reason: why,
+  reason,
 });
 
 const FAILURE_RULES: Readonly<Record<FailureCause, FailureRule>> = {
-  refused: notSent("The back end took no connection."),
-  foreign: notSent("The back end took no connection."),
-  unreached: notSent("The back end took no connection."),
-  withdrawn: notSent("This daemon's view changed before the request could be sent.", "keep"),
-  lost: uncertain("The connection to the back end broke."),
-  late: uncertain("The back end did not return in time.", 504),
-  otherInstance: declined("Another instance has the address."),
-  notRun: declined("The back end did not take the request."),
-  otherRequest: uncertain("The return carries no stamp of this request."),
-  bareRefusal: uncertain("The back end itself says try later."),
-  noSeal: uncertain("The return carries no seal."),
-  encoded: uncertain("The return's body is encoded."),
-  noLength: uncertain("The return states no length."),
-  bodyCut: uncertain("The back end's body was cut short."),
-  bodyTooLong: uncertain("The back end's body is longer than stated."),
-  answered: uncertain("The caller has its answer already."),
+  refused: notSentRule("The backend refused the connection."),
+  foreign: notSentRule("Another service listens at the backend's address."),
+  unreached: notSentRule("The backend could not be reached."),
+  withdrawn: notSentRule(
+    "This daemon's view of the cluster changed before the request was sent.",
+    "keep",
+  ),
+  lost: uncertainRule("The connection to the backend failed before it responded."),
+  late: uncertainRule("The backend did not respond before the deadline.", 504),
+  otherInstance: declinedRule("Another instance runs at the backend's address."),
+  notRun: declinedRule("The backend declined the request without running it."),
+  otherRequest: uncertainRule("The response does not repeat this request's id."),
+  bareRefusal: uncertainRule(
+    "The backend rejected the request without stating that it did not run it.",
+  ),
+  noSeal: uncertainRule("The response lacks the header that marks it as complete."),
+  encoded: uncertainRule("The response body has a content encoding."),
+  noLength: uncertainRule("The response states neither a length nor chunked encoding."),
+  bodyCut: uncertainRule("The response body was truncated."),
+  bodyTooLong: uncertainRule("The response body is longer than its stated length."),
+  answered: uncertainRule("The client already received its final response."),
 };
 
-const FORWARDED: OutcomeRule = {
+const FORWARDED_RULE: OutcomeRule = {
   execution: "ran",
   isSent: true,
   connection: "keep",
@@ -116,8 +133,8 @@
 
 const OUTCOME_RULES: Readonly<Record<AttemptResult, OutcomeRule>> = {
   ...FAILURE_RULES,
-  whole: FORWARDED,
-  streamed: FORWARDED,
+  whole: FORWARDED_RULE,
+  streamed: FORWARDED_RULE,
   streamCut: {
     execution: "mayHaveRun",
     isSent: true,
@@ -127,27 +144,30 @@
   },
 };
 
-/** The rule for the way an attempt ended. */
+/** The rule for an attempt's result. */
 export const getOutcomeRule = (cause: AttemptResult): OutcomeRule => OUTCOME_RULES[cause];
 
-/** The rules of all ways in which an attempt can end. */
+/** The rules by result. */
 export const outcomeRules: ReadonlyMap<string, OutcomeRule> = new Map(
   Object.entries(OUTCOME_RULES),
 );
 
-/** The outcome of a request whose attempt failed, if no other backend answers; the client had better retry after `afterMs`. */
-export const createFailureOutcome = (cause: FailureCause, afterMs: number): RequestOutcome => {
-  const { execution, clientStatus, reason: why } = FAILURE_RULES[cause];
+/**
+ * The outcome of a request whose attempt failed, if no other backend responds. The client is asked to retry after
+ * `retryAfterMs`.
+ */
+export const createFailureOutcome = (cause: FailureCause, retryAfterMs: number): RequestOutcome => {
+  const { execution, clientStatus, reason } = FAILURE_RULES[cause];
   return clientStatus === 503
-    ? unavailableOutcome(why, afterMs)
-    : failedOutcome(clientStatus, why, execution, afterMs);
+    ? unavailableOutcome(reason, retryAfterMs)
+    : failedOutcome(clientStatus, reason, execution, retryAfterMs);
 };
 
 /**
- * Whether a request may be sent to another backend after its attempts so far: where none of them can have run it, or
- * where its route lets it run more than once. `worst` is the worst of their execution statuses.
+ * Whether a request may be sent to another backend after its previous attempts: either none of them can have run it, or
+ * its route allows it to run more than once. `worstExecution` is the worst execution status of these attempts.
  */
 export const mayRetry = (
-  worst: ExecutionStatus,
+  worstExecution: ExecutionStatus,
   { repeatable }: Pick<ActiveRoute, "repeatable">,
-): boolean => worst === "neverRan" || repeatable;
+): boolean => worstExecution === "neverRan" || repeatable;
--- a/src/proxy/pipelining-filter.ts
+++ b/src/proxy/pipelining-filter.ts
@@ -1,4 +1,4 @@
-/** The third filter: keeps requests on one client connection in order where they must not run twice. */
+/** The third filter: runs the requests of one client connection in order if they must run at most once. */
 import type { Task } from "../runtime/task.js";
 import type { RequestContext } from "./request-context.js";
 import type { NextHandler, RequestFilter } from "./request-filter.js";
@@ -6,15 +6,15 @@
 import { RETRY_AFTER_MS } from "./retry-after.js";
 
 /**
- * Delays a request that must run at most once until all pipelined before it are answered: a response that closes the
- * connection would let its client take the request for unread and send it again.
+ * Delays a request that must run at most once until all requests pipelined before it are answered. If an earlier response
+ * closed the connection, the client would assume that the request was not read and send it again.
  */
 export class PipeliningFilter implements RequestFilter {
   *handle({ route, client }: RequestContext, next: NextHandler): Task<RequestOutcome> {
     const isRepeatable = route?.repeatable === true;
     if (!isRepeatable && client.awaitEarlierResponses && !(yield* client.awaitEarlierResponses()))
       return unavailableOutcome(
-        "The answer before this one closed the connection.",
+        "An earlier response on this connection closed it.",
         RETRY_AFTER_MS.otherDaemon,
       );
     return yield* next();
--- a/src/proxy/proxy-counters.ts
+++ b/src/proxy/proxy-counters.ts
@@ -1,21 +1,24 @@
 /** Counters of the proxy, as the status page reports them. */
 import type { ExecutionStatus, RequestOutcome } from "./request-outcome.js";
 
-/** Counts requests, their outcomes and their attempts since the daemon started. The fields appear in the status by these names. */
+/**
+ * Counts requests, their outcomes and their attempts since the daemon started. The status shows the fields under these
+ * names.
+ */
 export class ProxyCounters {
   /** Requests received. */
   taken = 0;
   /** Responses by status code. */
   readonly byCode: Record<string, number> = {};
-  /** Requests by whether they ran at a backend. */
+  /** Requests by execution status. */
   readonly byVerdict: Record<ExecutionStatus, number> = { neverRan: 0, mayHaveRun: 0, ran: 0 };
   /** First attempts sent. */
   firstTries = 0;
   /** Retries sent. */
   furtherTries = 0;
-  /** Retries that the budget refused, by which part of it did. */
+  /** Retries that the retry budget denied, by the part of the budget that denied them. */
   readonly furtherRefused = { sketch: 0, guard: 0 };
-  /** Responses cut short while they were streamed. */
+  /** Responses that were truncated while they were streamed. */
   cut = 0;
 
   /** Counts a request that arrived. */
@@ -23,7 +26,7 @@
     this.taken += 1;
   }
 
-  /** Counts how a request ended. */
+  /** Counts the outcome of a request. */
   countOutcome({ execution, response }: RequestOutcome): void {
     this.byVerdict[execution] += 1;
     if (response === "cut") this.cut += 1;
@@ -37,7 +40,7 @@
     else this.firstTries += 1;
   }
 
-  /** Counts a retry that the budget refused. */
+  /** Counts a retry that the retry budget denied. */
   countRefusedRetry(by: "sketch" | "guard"): void {
     this.furtherRefused[by] += 1;
   }
--- a/src/proxy/proxy-request.ts
+++ b/src/proxy/proxy-request.ts
@@ -1,36 +1,47 @@
-/** A client's request and the connection that it came on, as the proxy sees them. */
+/** The proxy's interfaces for a client's request and its connection. */
 import type { Task } from "../runtime/task.js";
 import type { ClientResponse } from "./request-outcome.js";
 
-/** A client's request; a small body is buffered whole, the rest of a large one is still to come. */
+/** A client's request. A small body is buffered completely, a large one only in part. */
 export interface ProxyRequest {
   readonly method: string;
-  /** The path with its query, as the client sent it. */
+  /** The path and query, as the client sent them. */
   readonly target: string;
   readonly headers: Record<string, string>;
   readonly body: Uint8Array;
-  /** What follows `body`, as it arrives; it can be read once, and throws where the client aborts it. */
+  /**
+   * The part of a large body after `body`, streamed as it arrives. It can be read once, and throws if the client aborts.
+   */
   readonly bodyRemainder?: AsyncIterable<Uint8Array>;
 }
 
-/** The connection to a client, for the response to one request. */
+/** The client's side of one request: its connection, and the functions that send its response. */
 export interface ClientConnection {
   readonly isClosed: boolean;
-  /** Calls back once the client has closed the connection; returns a cancel function. Absent where that isn't noticed. */
-  onClosed?(run: () => void): () => void;
-  /** Waits until all earlier requests on the connection are answered; false where that closed it. Absent where requests come one at a time. */
+  /**
+   * Registers a callback for when the client closes the connection; returns a cancel function. Absent if the close is
+   * not detected.
+   */
+  onClosed?(callback: () => void): () => void;
+  /**
+   * Waits until all earlier requests on the connection are answered; false if one of the responses closed it. Absent
+   * without pipelining.
+   */
   awaitEarlierResponses?(): Task<boolean>;
-  /** When the response should have ended: of two large ones, the one due first is sent first. */
+  /**
+   * The time at which the response should have ended. Of two large responses, the one with the earlier time is sent
+   * first.
+   */
   dueMs?: number;
-  /** Sends a whole response. */
+  /** Sends a complete response. */
   respond(response: ClientResponse): void;
   /** Sends the head of a response that is streamed. */
   writeHead(code: number, headers: Record<string, string>): void;
-  /** Sends a chunk of the body, and waits while the client is slow; false once the client has closed the connection. */
+  /** Sends a chunk of the body with backpressure from the client; false once the client has closed the connection. */
   writeChunk(bytes: Uint8Array): Task<boolean>;
   /** Ends a streamed response. */
   end(): void;
-  /** Resets the connection, so that what was sent can't look complete. */
+  /** Resets the connection, so that the client can't mistake a truncated response for a complete one. */
   abort(): void;
 }
 
--- a/src/proxy/request-filter.ts
+++ b/src/proxy/request-filter.ts
@@ -3,15 +3,15 @@
 import type { RequestContext } from "./request-context.js";
 import type { RequestOutcome } from "./request-outcome.js";
 
-/** The rest of the chain; a filter that returns without it answers the request itself. */
+/** Runs the rest of the chain. A filter that doesn't call it ends the request with its own outcome. */
 export type NextHandler = () => Task<RequestOutcome>;
 
-/** One stage of a request. */
+/** One filter of the chain. */
 export interface RequestFilter {
   handle(context: RequestContext, next: NextHandler): Task<RequestOutcome>;
 }
 
-/** Passes a request through the filters in their order, then to `last`. */
+/** Passes a request through the filters in order, then to `last`. */
 export const runFilters = (
   context: RequestContext,
   filters: readonly RequestFilter[],
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -1,26 +1,26 @@
-/** How a request ended, and the response that its client gets. */
+/** The outcome of a request and the response that its client gets. */
 
-/** Whether a request ran at a backend. */
+/** Whether a request ran at a backend: it did not and will not, it may have, or it did. */
 export type ExecutionStatus = "neverRan" | "mayHaveRun" | "ran";
 
-/** A response that is buffered whole. */
+/** A completely buffered response. */
 export interface ClientResponse {
   readonly code: number;
   readonly headers: Record<string, string>;
   readonly body: Uint8Array;
 }
 
-/** How a request ended: with a response to send, or with one that was streamed to its end or cut short. */
+/** The outcome of a request: a response to send, or one that was streamed completely or truncated. */
 export interface RequestOutcome {
   readonly execution: ExecutionStatus;
   readonly response: ClientResponse | "streamed" | "cut";
-  /** Why the proxy answered itself, in words for the client; empty where a backend's response is forwarded. */
+  /** The error message for the client; empty if a backend's response is forwarded. */
   readonly reason: string;
-  /** When the client had better retry, where this is stated. */
+  /** The delay after which the client is asked to retry, if any. */
   readonly retryAfterMs?: number;
 }
 
-/** A response with a JSON body that ends in a line feed. */
+/** Creates a response with a JSON body that ends in a line feed. */
 export const jsonResponse = (
   code: number,
   body: Record<string, unknown>,
@@ -31,50 +31,50 @@
   body: Buffer.from(`${JSON.stringify(body)}\n`),
 });
 
-/** A response with a JSON body and a line feed after it. */
-
-/** When clients had better retry where nothing more is known. */
+/** Retry delay where the cause suggests no other. */
 const DEFAULT_RETRY_AFTER_MS = 1000;
 
-/** An outcome whose JSON body and headers state when to retry. */
-const withRetryAfter = (
+/** Creates an outcome whose JSON body and `Retry-After` header state the retry delay. */
+const retryableOutcome = (
   code: number,
-  why: string,
+  reason: string,
   execution: ExecutionStatus,
-  afterMs: number,
+  retryAfterMs: number,
 ): RequestOutcome => ({
   execution,
-  reason: why,
-  retryAfterMs: afterMs,
+  reason,
+  retryAfterMs,
   response: jsonResponse(
     code,
-    { error: why, verdict: execution, retryAfterS: afterMs / 1000 },
-    { "retry-after": String(Math.ceil(afterMs / 1000)) },
+    { error: reason, verdict: execution, retryAfterS: retryAfterMs / 1000 },
+    { "retry-after": String(Math.ceil(retryAfterMs / 1000)) },
   ),
 });
 
-/** 503: the request has not run and won't; the client may retry. */
-export const unavailableOutcome = (why: string, afterMs = DEFAULT_RETRY_AFTER_MS): RequestOutcome =>
-  withRetryAfter(503, why, "neverRan", afterMs);
+/** Creates a 503 outcome: the request did not run and will not, so the client may retry. */
+export const unavailableOutcome = (
+  reason: string,
+  retryAfterMs = DEFAULT_RETRY_AFTER_MS,
+): RequestOutcome => retryableOutcome(503, reason, "neverRan", retryAfterMs);
 
-/** The request is invalid: a retry won't help. */
-export function rejectedOutcome(code: number, why: string): RequestOutcome {
+/** Creates an outcome for an invalid request, which a retry would not help. */
+export function rejectedOutcome(code: number, reason: string): RequestOutcome {
   return {
     execution: "neverRan",
-    reason: why,
-    response: jsonResponse(code, { error: why, verdict: "neverRan" }),
+    reason,
+    response: jsonResponse(code, { error: reason, verdict: "neverRan" }),
   };
 }
 
-/** The request ended without a backend's response, and may have run. */
+/** Creates an outcome for a request that has no backend response and may have run. */
 export const failedOutcome = (
   code: 409 | 502 | 504,
-  why: string,
+  reason: string,
   execution: ExecutionStatus,
-  afterMs = DEFAULT_RETRY_AFTER_MS,
-): RequestOutcome => withRetryAfter(code, why, execution, afterMs);
+  retryAfterMs = DEFAULT_RETRY_AFTER_MS,
+): RequestOutcome => retryableOutcome(code, reason, execution, retryAfterMs);
 
-/** A backend's response, unchanged. */
+/** Creates the outcome that forwards a backend's response unchanged. */
 export function forwardedOutcome(response: ClientResponse): RequestOutcome {
   return { execution: "ran", response, reason: "" };
 }
--- a/src/proxy/response-forwarder.ts
+++ b/src/proxy/response-forwarder.ts
@@ -1,4 +1,4 @@
-/** Forwards a backend's response to the client: small ones buffered and whole, large ones streamed. */
+/** Forwards backend responses to clients: small ones after buffering, large ones as a stream. */
 import type { ActiveRoute } from "../cluster-view/active-route.js";
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { Logger } from "../runtime/logger.js";
@@ -14,7 +14,7 @@
 import type { BackendResponse } from "./upstream/backend-client.js";
 import { responseBodyFraming, findResponseHeadFault } from "./upstream/response-validation.js";
 
-/** Responses up to this size are buffered whole before they are forwarded. */
+/** Responses up to this size are buffered completely before they are forwarded. */
 export const MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024;
 
 /** The attempt that a response belongs to. */
@@ -22,7 +22,7 @@
   readonly context: RequestContext;
   readonly route: ActiveRoute;
   readonly registration: Registration;
-  /** The request's name toward the backend, which the response must repeat. */
+  /** The id that the backend got with the request and its response must repeat. */
   readonly requestId: string;
 }
 
@@ -31,9 +31,9 @@
   readonly response: BackendResponse;
   /** The headers that the client gets. */
   readonly headers: Record<string, string>;
-  /** The body's length where it is stated; undefined where its chunks end it. */
+  /** The stated length of the body; undefined for chunked encoding. */
   readonly lengthBytes: number | undefined;
-  /** It has no body, whatever its headers say. */
+  /** Whether it has no body, regardless of its headers. */
   readonly isBodiless: boolean;
 }
 
@@ -53,7 +53,7 @@
     this.options = options;
   }
 
-  /** Forwards a response, or refuses it where it is no valid answer to the request. */
+  /** Forwards a response, or rejects it if it is no valid response to the request. */
   *forward(response: BackendResponse, target: ResponseTarget): Task<RequestOutcome> {
     const { headerNames } = this.options;
     const { context, route, registration, requestId } = target;
@@ -62,20 +62,23 @@
     const fault = findResponseHeadFault(response, { headerNames, requestId, echoHeader });
     if (response.headers[echoHeader] === undefined) response.markUnidentified?.();
     if (fault !== undefined) return yield* this.refuse(response, registration, fault);
-    const end = responseBodyFraming(context.clientRequest.method, response);
-    if (end === "unknown") return yield* this.refuse(response, registration, "noLength");
-    const isBodiless = end === "bodiless";
+    const framing = responseBodyFraming(context.clientRequest.method, response);
+    if (framing === "unknown") return yield* this.refuse(response, registration, "noLength");
+    const isBodiless = framing === "bodiless";
     const headers = endToEndHeaders(response.headers);
     if (headerNames.proof === "connection") delete headers[route.stampHeader];
-    const lengthBytes = isBodiless ? 0 : end === "chunked" ? undefined : end.lengthBytes;
+    const lengthBytes = isBodiless ? 0 : framing === "chunked" ? undefined : framing.lengthBytes;
     const accepted = { response, headers, lengthBytes, isBodiless };
     if (lengthBytes !== undefined && lengthBytes > MAX_BUFFERED_RESPONSE_BYTES)
       return yield* this.stream(context, accepted, []);
-    return yield* this.buffer(context, accepted);
+    return yield* this.bufferAndForward(context, accepted);
   }
 
-  /** Reads a body whole before it is forwarded; streams it once it proves too large. */
-  private *buffer(context: RequestContext, accepted: AcceptedResponse): Task<RequestOutcome> {
+  /** Buffers a body before it is forwarded, and switches to streaming if the body exceeds the buffer. */
+  private *bufferAndForward(
+    context: RequestContext,
+    accepted: AcceptedResponse,
+  ): Task<RequestOutcome> {
     const { response, lengthBytes, isBodiless } = accepted;
     const chunks: Uint8Array[] = [];
     let bufferedBytes = 0;
@@ -110,7 +113,7 @@
     return forwardedOutcome({ code: response.code, headers, body });
   }
 
-  /** Forwards a body as it arrives, first what was buffered of it; cuts the client's connection where it fails. */
+  /** Streams a body, the buffered chunks first. Resets the client's connection if the body fails. */
   private *stream(
     context: RequestContext,
     { response, headers, lengthBytes }: AcceptedResponse,
@@ -154,7 +157,7 @@
     return { execution: getOutcomeRule("streamCut").execution, response: "cut", reason: "" };
   }
 
-  /** Refuses a response. Its connection is reused once the rest of it arrived, where the cause allows that. */
+  /** Rejects a response. Drains it so that its connection can be reused, if the rule for the cause allows that. */
   private *refuse(
     response: BackendResponse,
     registration: Registration,
--- a/src/proxy/retry-after.ts
+++ b/src/proxy/retry-after.ts
@@ -1,32 +1,37 @@
-/** When clients had better retry after a request that wasn't served. */
+/** The delays after which clients are asked to retry requests that were not served. */
 import type { ClientResponse, RequestOutcome } from "./request-outcome.js";
 
-/** Delays in milliseconds, by what the client had better wait for. */
+/** Delays in milliseconds, by the event that the client waits for. */
 export const RETRY_AFTER_MS = {
-  /** Another daemon can serve the request at once. */
+  /** None: another daemon can serve the request at once. */
   otherDaemon: 20,
-  /** A short overload. */
+  /** The end of a short overload. */
   soon: 100,
-  /** The configuration or the lease of this daemon. */
+  /** The arrival of this daemon's configuration or lease. */
   viewSettled: 250,
   /** The election of a leader. */
   leaderElected: 400,
 } as const;
 
-/** The spread of delays, so that clients that failed together don't come back together: 75% to 125%. */
-const SPREAD_START = 0.75;
-const SPREAD_RANGE = 0.5;
+/**
+ * Delays are multiplied by a random factor from 0.75 to 1.25, so that clients that failed together don't retry together.
+ */
+const JITTER_MIN = 0.75;
+const JITTER_RANGE = 0.5;
 
-/** A response with its delay spread at random and stated in fractions of a second; unchanged where the outcome has no delay. */
+/**
+ * Copies a response with a jittered `Retry-After` in fractions of a second. Returns it unchanged if the outcome has no
+ * delay.
+ */
 export const withJitteredRetryAfter = (
-  { retryAfterMs: afterMs }: RequestOutcome,
+  { retryAfterMs }: RequestOutcome,
   response: ClientResponse,
   random: () => number,
 ): ClientResponse => {
-  if (afterMs === undefined) return response;
-  const spreadMs = afterMs * (SPREAD_START + SPREAD_RANGE * random());
+  if (retryAfterMs === undefined) return response;
+  const jitteredMs = retryAfterMs * (JITTER_MIN + JITTER_RANGE * random());
   return {
     ...response,
-    headers: { ...response.headers, "retry-after": (spreadMs / 1000).toFixed(3) },
+    headers: { ...response.headers, "retry-after": (jitteredMs / 1000).toFixed(3) },
   };
 };
--- a/src/proxy/retry-handler.ts
+++ b/src/proxy/retry-handler.ts
@@ -1,4 +1,4 @@
-/** Sends a request to one backend after another until one answers, within the route's limits and the retry budget. */
+/** Sends a request to one backend after another until one responds, within the route's limits and the retry budget. */
 import type { ActiveRoute } from "../cluster-view/active-route.js";
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { LoadBalancer } from "../load-balancing/load-balancer.js";
@@ -14,24 +14,24 @@
 import { RETRY_AFTER_MS } from "./retry-after.js";
 import type { ServingView } from "./serving-view.js";
 
-/** How many backends are tried for one request, most of which took no connection. */
+/** Maximum number of attempts for one request, including those that ended before a byte was sent. */
 const MAX_ATTEMPTS = 8;
-/** How much time must be left for another backend to be tried. */
+/** Minimum time before the deadline for another attempt. */
 const MIN_RETRY_TIME_MS = 15;
 
-/** What came of a request's attempts so far. */
+/** The results of a request's previous attempts. */
 interface RetryProgress {
-  /** Addresses that were tried. */
+  /** Addresses of the previous attempts. */
   readonly triedAddresses: Set<string>;
-  /** The last outcome after which the request may have run; the client gets it where no other backend answers. */
+  /** The last outcome after which the request may have run; the client gets it if no other backend responds. */
   uncertainOutcome: RequestOutcome | undefined;
   attempts: number;
   retries: number;
-  /** Attempts of which bytes were sent. */
-  sends: number;
+  /** Number of attempts of which bytes were sent. */
+  sentAttempts: number;
 }
 
-/** What to do next with a request. */
+/** The next step for a request: another attempt or its end. */
 type NextStep =
   | { readonly kind: "attempt"; readonly attempt: Attempt; readonly decidedMs: number }
   | { readonly kind: "end"; readonly outcome: RequestOutcome };
@@ -50,13 +50,13 @@
 
 const endWith = (outcome: RequestOutcome): NextStep => ({ kind: "end", outcome });
 
-const giveUp = (
+const createFinalOutcome = (
   { uncertainOutcome }: RetryProgress,
-  why: string,
+  reason: string,
   afterMs: number = RETRY_AFTER_MS.soon,
-): RequestOutcome => uncertainOutcome ?? unavailableOutcome(why, afterMs);
+): RequestOutcome => uncertainOutcome ?? unavailableOutcome(reason, afterMs);
 
-/** The end of the chain: forwards requests, with retries. Keeps no state beyond a request. */
+/** The end of the filter chain: forwards requests, with retries. Keeps no state between requests. */
 export class RetryHandler {
   private readonly options: RetryHandlerOptions;
 
@@ -72,7 +72,7 @@
       uncertainOutcome: undefined,
       attempts: 0,
       retries: 0,
-      sends: 0,
+      sentAttempts: 0,
     };
     while (progress.attempts < MAX_ATTEMPTS) {
       const step = this.nextStep(context, progress);
@@ -82,54 +82,63 @@
       const { outcome, isSent } = yield* attemptRunner.run(attempt);
       if (this.isFinal(attempt, outcome)) return outcome;
       progress.attempts += 1;
-      if (isSent) progress.sends += 1;
+      if (isSent) progress.sentAttempts += 1;
       if (outcome.execution !== "neverRan") progress.uncertainOutcome = outcome;
       if (!isSent && attempt.isRetry) {
         progress.retries -= 1;
         budget.refund(attempt.service, decidedMs);
       }
     }
-    return giveUp(progress, "Too many back ends took no connection.");
+    return createFinalOutcome(
+      progress,
+      `None of ${MAX_ATTEMPTS} attempts reached a backend that ran the request.`,
+    );
   }
 
-  /** Decides on the next attempt, if there is to be one. */
+  /** Chooses the next attempt, or ends the request. */
   private nextStep(context: RequestContext, progress: RetryProgress): NextStep {
     const nowMs = this.options.clock.nowMs();
     const { servingView } = this.options;
     const route = servingView.routeFor(context.clientRequest);
     if (!route)
       return endWith(
-        progress.uncertainOutcome ?? rejectedOutcome(404, "No route takes this request."),
+        progress.uncertainOutcome ?? rejectedOutcome(404, "No route matches this request."),
       );
     if (!servingView.maySend(context.clientRequest, route))
       return endWith(
-        giveUp(progress, "This daemon's view is not proven fresh.", RETRY_AFTER_MS.viewSettled),
+        createFinalOutcome(
+          progress,
+          "This daemon's lease on the cluster state ends before the request can be sent.",
+          RETRY_AFTER_MS.viewSettled,
+        ),
       );
     if (!route.routesTo(context.service)) context.service = route.chooseService(context.splitDraw);
-    const expiry = this.expiryOf(context, progress, nowMs);
-    if (expiry !== undefined) return endWith(giveUp(progress, expiry));
+    const expiryReason = this.findExpiryReason(context, progress, nowMs);
+    if (expiryReason !== undefined) return endWith(createFinalOutcome(progress, expiryReason));
     const { service } = context;
     const registration = this.pickBackend(route, service, progress, nowMs);
     if (!registration)
-      return endWith(giveUp(progress, `No back end of ${service} can take this now.`));
-    const isRetry = progress.sends > 0;
-    const refusal = isRetry ? this.refuseRetry(context, route, progress, nowMs) : undefined;
-    if (refusal !== undefined) return endWith(giveUp(progress, refusal));
+      return endWith(
+        createFinalOutcome(progress, `No backend of service ${service} is available.`),
+      );
+    const isRetry = progress.sentAttempts > 0;
+    const refusalReason = isRetry ? this.takeRetry(context, route, progress, nowMs) : undefined;
+    if (refusalReason !== undefined) return endWith(createFinalOutcome(progress, refusalReason));
     const attempt = { context, route, service, registration, isRetry };
     return { kind: "attempt", attempt, decidedMs: nowMs };
   }
 
-  /** Why it is too late for an attempt, in words for the client; undefined while it isn't. */
-  private expiryOf(
+  /** Returns the error message if it is too late for another attempt, else undefined. */
+  private findExpiryReason(
     { clientRequest, claim, deadlineMs, service }: RequestContext,
     { attempts }: RetryProgress,
     nowMs: number,
   ): string | undefined {
     const { servingView } = this.options;
     if (claim && nowMs + servingView.egressDelayMs(clientRequest) >= claim.sendDeadlineMs)
-      return "The key's claim is too old to send under.";
+      return "The claim of the idempotency key expired before the request could be sent.";
     if (nowMs + (attempts > 0 ? MIN_RETRY_TIME_MS : 0) >= deadlineMs)
-      return `No back end of ${service} took this in time.`;
+      return `No backend of service ${service} accepted this request before its deadline.`;
     return undefined;
   }
 
@@ -152,8 +161,10 @@
     );
   }
 
-  /** Counts a retry and takes it from the budget; tells why it is refused, in words for the client. */
-  private refuseRetry(
+  /**
+   * Counts a retry and takes it from the retry budget. Returns the error message if the retry is denied, else undefined.
+   */
+  private takeRetry(
     { client, isBodyConsumed, service }: RequestContext,
     route: ActiveRoute,
     progress: RetryProgress,
@@ -166,21 +177,21 @@
       !isBodyConsumed &&
       progress.retries <= route.maxRetries &&
       !client.isClosed;
-    if (!isAllowed) return "No further try is allowed.";
+    if (!isAllowed) return "No further retry of this request is allowed.";
     const quota = counts.remainingQuota(service);
     if (quota === undefined || quota.used + 2 > quota.limit) counts.expedite();
     const decision = budget.take(service, quota, nowMs);
     if (decision === "granted") return undefined;
     counters.countRefusedRetry(decision);
-    return "The budget of further tries is spent.";
+    return "The retry budget is exhausted.";
   }
 
-  /** Whether the client gets this outcome: a backend's response, unless a retry of an error of a failing backend is safe. */
-  private isFinal(
-    { route, registration }: Attempt,
-    { response, reason: why }: RequestOutcome,
-  ): boolean {
-    if (why !== "") return false;
+  /**
+   * Whether the client gets this outcome: any backend response, except for a 5xx of a failing backend that may be
+   * retried.
+   */
+  private isFinal({ route, registration }: Attempt, { response, reason }: RequestOutcome): boolean {
+    if (reason !== "") return false;
     const isServerError = typeof response !== "string" && response.code >= 500;
     return !(
       isServerError &&
--- a/src/proxy/routing-filter.ts
+++ b/src/proxy/routing-filter.ts
@@ -1,4 +1,6 @@
-/** The second filter: finds a request's route, its service and its deadline, and reserves its part of the link. */
+/**
+ * The second filter: determines a request's route, service and deadline, and reserves link capacity for its response.
+ */
 import type { ActiveRoute } from "../cluster-view/active-route.js";
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { EdgeCounts } from "../retry-budget/edge-counts.js";
@@ -26,7 +28,7 @@
   readonly headerNames: HeaderNames;
 }
 
-/** Routes requests, and refuses those whose response can't leave the link in time. */
+/** Routes requests, and rejects those whose response can't be sent in time. */
 export class RoutingFilter implements RequestFilter {
   private readonly options: RoutingFilterOptions;
 
@@ -39,15 +41,18 @@
     const route = servingView.routeFor(context.clientRequest);
     if (!route)
       return clusterView.holdsLease
-        ? rejectedOutcome(404, "No route takes this request.")
-        : unavailableOutcome("This daemon's view is not proven fresh.", RETRY_AFTER_MS.viewSettled);
+        ? rejectedOutcome(404, "No route matches this request.")
+        : unavailableOutcome(
+            "This daemon holds no valid lease on the cluster state.",
+            RETRY_AFTER_MS.viewSettled,
+          );
     context.route = route;
     context.service = route.chooseService(context.splitDraw);
-    context.deadlineMs = context.arrivedMs + this.timeoutMs(context.clientRequest, route);
+    context.deadlineMs = context.arrivedMs + this.computeTimeoutMs(context.clientRequest, route);
     context.client.dueMs = context.arrivedMs + route.latencyTargetMs;
     if (!this.admitsResponse(context, route))
       return unavailableOutcome(
-        "This daemon's link is full for as long as there is time.",
+        "This daemon's link is too busy to send the response in time.",
         RETRY_AFTER_MS.otherDaemon,
       );
     budget.countRequest(context.service, context.arrivedMs);
@@ -57,8 +62,11 @@
     return yield* next();
   }
 
-  /** How long a request may take: what its client says is left, and what its route allows. */
-  private timeoutMs({ headers }: ProxyRequest, route: ActiveRoute): number {
+  /**
+   * The time that a request may take: the smaller of its client's and its route's timeout. Without a deadline header it is
+   * twice the route's timeout.
+   */
+  private computeTimeoutMs({ headers }: ProxyRequest, route: ActiveRoute): number {
     const { deadline } = this.options.headerNames;
     if (deadline === undefined) return route.timeoutMs * 2;
     const statedMs = Number(headers[deadline]);
@@ -67,7 +75,10 @@
       : route.timeoutMs;
   }
 
-  /** Whether a response of the route's average size can still leave in time. A first attempt is refused while its client can retry. */
+  /**
+   * Whether a response of the route's average size can be sent in time. A first attempt must meet the latency target, so
+   * that its client can still retry elsewhere.
+   */
   private admitsResponse({ arrivedMs, deadlineMs }: RequestContext, route: ActiveRoute): boolean {
     const { clock, bulkAdmission } = this.options;
     const dueMs = isFirstAttempt(deadlineMs - arrivedMs, route)
--- a/src/proxy/upstream/backend-client.ts
+++ b/src/proxy/upstream/backend-client.ts
@@ -1,31 +1,38 @@
-/** How the proxy reaches backends: the interface of a client, its requests and their results. */
+/** The interface through which the proxy sends requests to backends. */
 import type { Task } from "../../runtime/task.js";
 
-/** One request as it goes to a backend: the buffered part of its body, and the part that is still to come. */
+/** A request to a backend. */
 export interface BackendRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: Record<string, string>;
+  /** The buffered part of the body. */
   readonly body: Uint8Array;
+  /** The part of the body after `body`, streamed as it arrives. */
   readonly bodyRemainder?: AsyncIterable<Uint8Array> | undefined;
 }
 
-/** The head of a backend's response, and its body chunk by chunk. */
+/** The head of a backend's response and a reader of its body. */
 export interface BackendResponse {
   readonly code: number;
   readonly headers: Record<string, string>;
-  /** The next chunk; `end` after the last, `cut` where the body was cut short or came too late. */
+  /** The next chunk; `end` after the last, `cut` if the body was truncated or missed the deadline. */
   nextChunk(): Task<Uint8Array | "end" | "cut">;
-  /** Ends the response, whose body is not read any further. */
+  /** Cancels the response; its body must not be read any further. */
   cancel(): void;
-  /** Notes that it names no request: a duplicate of it could pass for the response to the next request on its connection. */
+  /**
+   * Records that it carries no request id: a duplicate could be mistaken for the response to the next request on its
+   * connection.
+   */
   markUnidentified?(): void;
 }
 
 /**
- * Why an attempt got no response head. Nothing was sent: `refused` (nobody listens there), `foreign` (another service
- * listens there), `unreached` (no connection in time), `withdrawn` (it was no longer allowed once the connection was open).
- * Bytes were sent: `lost` (the connection broke), `late` (the deadline passed).
+ * Why an attempt got no response head.
+ *
+ * - No byte was sent: `refused` (no process listens at the address), `foreign` (another service listens there),
+ *   `unreached` (no connection opened in time), `withdrawn` (the attempt was no longer allowed when the connection opened).
+ * - Bytes were sent: `lost` (the connection failed), `late` (the deadline passed).
  */
 export type OpenFailureCause = "refused" | "foreign" | "unreached" | "withdrawn" | "lost" | "late";
 
@@ -41,40 +48,46 @@
   readonly cause: OpenFailureCause;
 }
 
-/** How an attempt began. */
+/** The result of sending an attempt. */
 export type OpenResult = OpenedResponse | OpenFailure;
 
-/** The result of an attempt that got this response. */
+/** Creates the result of an attempt that got a response head. */
 export const openedResponse = (response: BackendResponse): OpenedResponse => ({
   kind: "opened",
   response,
 });
 
-/** The result of an attempt that failed before a response head. */
+/** Creates the result of an attempt that failed before a response head. */
 export const openFailure = (cause: OpenFailureCause): OpenFailure => ({ kind: "failed", cause });
 
 /** One attempt at a backend. */
 export interface BackendAttempt {
   readonly address: string;
   readonly service: string;
-  /** Connections are shared within a pool: one for each registration of a backend. */
+  /** Key of the connection pool; each registration of a backend has one pool. */
   readonly pool: string;
   readonly request: BackendRequest;
-  /** The deadline, by the daemon's clock. */
+  /** The deadline by the daemon's clock. */
   readonly deadlineMs: number;
-  /** When its response should have ended; of two large ones, the one due first is read first. */
+  /**
+   * The time at which its response should have ended. Of two large responses, the one with the earlier time is read
+   * first.
+   */
   readonly dueMs?: number | undefined;
-  /** Whether it must run at most once: it then uses no connection on which a response named no request. */
+  /** Whether it must run at most once. It then uses no connection that carried a response without a request id. */
   readonly isAtMostOnce?: boolean;
-  /** Registers a callback for when nobody waits for the response any more, where it may then be cancelled; returns a cancel function. */
-  onClientClosed?(run: () => void): () => void;
-  /** Whether it may still be sent; called when the connection is open, right before the first byte. */
+  /**
+   * Registers a callback for when the client disconnects; returns a cancel function. Absent if the attempt is not
+   * cancelled then.
+   */
+  onClientClosed?(callback: () => void): () => void;
+  /** Whether it may still be sent. Called when the connection is open, right before the first byte. */
   maySend(): boolean;
 }
 
 /** Sends requests to backends. */
 export interface BackendClient {
-  /** Sends one attempt; returns once the response head came, or the attempt failed. */
+  /** Sends one attempt; returns when the response head has arrived or the attempt has failed. */
   send(attempt: BackendAttempt): Task<OpenResult>;
   /** Closes the idle connections of all other pools, now and in the future. */
   retainPools(pools: ReadonlySet<string>): void;
@@ -82,9 +95,9 @@
   close(): void;
 }
 
-/** Where a backend serves the proof of its service: any response whose `SERVICE_HEADER` names it. */
+/** Path of the service proof, a response whose `SERVICE_HEADER` names the backend's service. */
 export const SERVICE_PROOF_PATH = "/.well-known/daledoor";
-/** In which a backend names its service, and a request the service it is for. */
+/** Header in which a backend names its service, and a request the service that it is for. */
 export const SERVICE_HEADER = "x-daledoor-service";
-/** How long opening a connection may take, and how long its service proof. */
+/** Timeout for opening a connection, and also for its service proof. */
 export const CONNECT_TIMEOUT_MS = 1000;
--- a/src/proxy/upstream/backend-connection.ts
+++ b/src/proxy/upstream/backend-connection.ts
@@ -1,4 +1,4 @@
-/** One connection to a backend, and how it is opened. */
+/** Opens and represents single connections to backends. */
 import { connect, type Socket } from "node:net";
 import { Client } from "undici";
 import type { Clock } from "../../runtime/clock.js";
@@ -7,10 +7,10 @@
 import { openFailure, type OpenFailure } from "./backend-client.js";
 import { ConnectionClosedError } from "./connection-errors.js";
 
-/** How long an idle connection stays open where the backend states nothing else. */
+/** How long an idle connection stays open unless the backend states another time. */
 const KEEP_ALIVE_TIMEOUT_MS = 4000;
 
-/** A socket that was opened. */
+/** A TCP connection that was opened. */
 export interface OpenedSocket {
   readonly kind: "connected";
   readonly socket: Socket;
@@ -40,8 +40,8 @@
   });
 };
 
-/** A client that speaks HTTP/1.1 over this socket alone, one request at a time; it never opens another. */
-const clientOn = (socket: Socket, address: string): Client => {
+/** Creates an HTTP/1.1 client that uses only this socket, for one request at a time, and never opens another. */
+const createClient = (socket: Socket, address: string): Client => {
   let isSocketTaken = false;
   return new Client(`http://${address}`, {
     pipelining: 1,
@@ -56,17 +56,17 @@
   });
 };
 
-/** One connection; it never opens a second time, so that its service proof is valid for as long as it lasts. */
+/** One connection. It is never reopened, so that its service proof stays valid until it closes. */
 export class BackendConnection {
   readonly pool: string;
   readonly client: Client;
   readonly socket: Socket;
-  /** A response came on it that named no request. */
+  /** Whether it carried a response without a request id. */
   hasUnidentifiedResponse = false;
 
   constructor(socket: Socket, address: string, pool: string) {
     this.socket = socket;
     this.pool = pool;
-    this.client = clientOn(socket, address);
+    this.client = createClient(socket, address);
   }
 }
--- a/src/proxy/upstream/connection-errors.ts
+++ b/src/proxy/upstream/connection-errors.ts
@@ -1,21 +1,21 @@
 /** Errors of connections to backends. */
 
-/** A connection that has ended was asked to open again: a connection opens once, so that its service proof stays valid. */
+/** A request was sent on a closed connection. Connections are not reopened, so that their service proofs stay valid. */
 export class ConnectionClosedError extends Error {
   readonly code = "CONNECTION_CLOSED";
 
   constructor() {
-    super("The connection to the backend has ended.");
+    super("The connection to the backend is closed.");
     this.name = "ConnectionClosedError";
   }
 }
 
-/** More arrived of a response than may be buffered of one that can't be paused. */
+/** A response that can't be paused exceeds the maximum buffer size. */
 export class ResponseBufferOverflowError extends Error {
   readonly code = "RESPONSE_BUFFER_OVERFLOW";
 
   constructor(limitBytes: number) {
-    super(`More than ${limitBytes} bytes of a closing response are unread.`);
+    super(`A response that closes its connection exceeds the buffer of ${limitBytes} bytes.`);
     this.name = "ResponseBufferOverflowError";
   }
 }
--- a/src/proxy/upstream/connection-pool.ts
+++ b/src/proxy/upstream/connection-pool.ts
@@ -1,15 +1,15 @@
-/** The connections to all backends: which are open, and which of them are idle. */
+/** The pool of connections to all backends. */
 import type { BackendConnection } from "./backend-connection.js";
 
-/** Owns the connections from when they are open until they are closed. */
+/** Owns the connections from opening to closing. */
 export class ConnectionPool {
   private readonly open = new Set<BackendConnection>();
-  /** Idle connections by pool, the last used last. */
+  /** Idle connections by pool key, the most recently used last. */
   private readonly idle = new Map<string, BackendConnection[]>();
-  /** The pools whose idle connections stay open; undefined for all. */
+  /** Keys of the pools whose idle connections stay open; undefined for all. */
   private retained: ReadonlySet<string> | undefined;
 
-  /** Takes over an open connection, which is in use. */
+  /** Adds an open connection that is in use. */
   add(connection: BackendConnection): void {
     this.open.add(connection);
     connection.client.on("disconnect", () => this.close(connection));
@@ -21,16 +21,19 @@
     return this.open.has(connection);
   }
 
-  /** Takes an idle connection into use. A request that must run at most once gets none on which a response named no request. */
-  takeIdle(pool: string, isOnce: boolean): BackendConnection | undefined {
+  /**
+   * Takes an idle connection. For a request that must run at most once, skips connections that carried a response
+   * without a request id.
+   */
+  takeIdle(pool: string, isAtMostOnce: boolean): BackendConnection | undefined {
     const idle = this.idle.get(pool) ?? [];
     const index = idle.findLastIndex(
-      ({ hasUnidentifiedResponse: hasUnnamedResponse }) => !isOnce || !hasUnnamedResponse,
+      ({ hasUnidentifiedResponse }) => !isAtMostOnce || !hasUnidentifiedResponse,
     );
     return index < 0 ? undefined : idle.splice(index, 1)[0];
   }
 
-  /** Returns a connection that is no longer in use. */
+  /** Makes a connection idle. */
   release(connection: BackendConnection): void {
     if (!this.open.has(connection)) return;
     if (this.retained && !this.retained.has(connection.pool)) {
@@ -51,7 +54,7 @@
     void connection.client.destroy().catch(() => undefined);
   }
 
-  /** Closes a connection by a TCP reset, so that the backend notices at once. */
+  /** Closes a connection by a TCP reset, which the backend detects at once. */
   reset(connection: BackendConnection): void {
     connection.socket.resetAndDestroy();
     this.close(connection);
--- a/src/proxy/upstream/http-backend-client.ts
+++ b/src/proxy/upstream/http-backend-client.ts
@@ -1,4 +1,4 @@
-/** A backend client over HTTP/1.1 by undici, whose own pools, retries and pipelining stay unused. */
+/** A backend client over HTTP/1.1. It uses undici without its pools, retries and pipelining. */
 import type { Clock } from "../../runtime/clock.js";
 import { type LinkPacers, createLinkPacers } from "../../runtime/link-pacer.js";
 import { type Task, fromPromise } from "../../runtime/task.js";
@@ -17,24 +17,24 @@
 import { ConnectionPool } from "./connection-pool.js";
 import { exchange, type HttpExchangeOptions } from "./http-exchange.js";
 
-/** How backends are reached over HTTP. */
+/** Options of an HTTP backend client. */
 export interface HttpBackendClientOptions {
-  /** Whether each connection or each request proves which service or instance is reached; by default each connection. */
+  /** Whether each connection proves its service or each request its instance; by default each connection. */
   readonly proof?: HeaderNames["proof"] | undefined;
   readonly connectTimeoutMs?: number;
-  /** Both directions of the machine's link, where its rate is limited. */
+  /** Pacers of both directions of the machine's link, if its rate is limited. */
   readonly pacers?: LinkPacers;
 }
 
-/** A connection that is in use for an attempt. */
+/** A connection acquired for an attempt. */
 interface AcquiredConnection {
   readonly kind: "acquired";
   readonly connection: BackendConnection;
-  /** It carried requests before: the backend may have ended it since. */
+  /** Whether it carried requests before, so that the backend may have closed it since. */
   readonly isReused: boolean;
 }
 
-/** Sends requests over connections of its own, each of which is proven once. */
+/** Sends requests over its own connections, each of which is proven once. */
 export class HttpBackendClient implements BackendClient {
   private readonly clock: Clock;
   private readonly provesConnections: boolean;
@@ -86,20 +86,20 @@
     this.pool.closeAll();
   }
 
-  /** Takes an idle connection, or opens one. */
+  /** Takes an idle connection or opens a new one. */
   private *acquire(attempt: BackendAttempt): Task<AcquiredConnection | OpenFailure> {
-    const { pool, isAtMostOnce: isOnce = false } = attempt;
+    const { pool, isAtMostOnce = false } = attempt;
     for (;;) {
-      const connection = this.pool.takeIdle(pool, isOnce);
+      const connection = this.pool.takeIdle(pool, isAtMostOnce);
       if (!connection) return yield* this.open(attempt);
       if (this.pool.has(connection)) return { kind: "acquired", connection, isReused: true };
     }
   }
 
-  /** Opens a connection and proves its service, where connections are proven. */
+  /** Opens a connection, and requests its service proof if connections are proven. */
   private *open(attempt: BackendAttempt): Task<AcquiredConnection | OpenFailure> {
-    const { address, pool, deadlineMs: untilMs } = attempt;
-    const timeoutMs = Math.min(this.connectTimeoutMs, untilMs - this.clock.nowMs());
+    const { address, pool, deadlineMs } = attempt;
+    const timeoutMs = Math.min(this.connectTimeoutMs, deadlineMs - this.clock.nowMs());
     const opened = yield* openSocket(this.clock, address, timeoutMs);
     if (opened.kind === "failed") return opened;
     const connection = new BackendConnection(opened.socket, address, pool);
@@ -110,7 +110,7 @@
     return failure ?? { kind: "acquired", connection, isReused: false };
   }
 
-  /** Has the backend name its service; resets the connection where it is another, or doesn't answer in time. */
+  /** Requests the service proof. Resets the connection if the service is another or the proof times out. */
   private *proveService(
     connection: BackendConnection,
     service: string,
@@ -118,14 +118,14 @@
     const cancelTimeout = this.clock.after(this.connectTimeoutMs, () =>
       this.pool.reset(connection),
     );
-    const named = yield* fromPromise(
+    const proof = yield* fromPromise(
       connection.client
         .request({ method: "GET", path: SERVICE_PROOF_PATH })
         .then(async ({ headers, body }) => body.dump().then(() => headers[SERVICE_HEADER])),
     );
     cancelTimeout();
-    if ("value" in named && named.value === service && this.pool.has(connection)) return undefined;
+    if ("value" in proof && proof.value === service && this.pool.has(connection)) return undefined;
     this.pool.reset(connection);
-    return openFailure("value" in named && named.value !== service ? "foreign" : "unreached");
+    return openFailure("value" in proof && proof.value !== service ? "foreign" : "unreached");
   }
 }
--- a/src/proxy/upstream/http-exchange.ts
+++ b/src/proxy/upstream/http-exchange.ts
@@ -15,15 +15,15 @@
 import { isHttpMethod, requestBody, requestHeadBytes, requestHeaders } from "./request-encoding.js";
 import { ResponseReader, type ReceivedHead, type ReceiveFailure } from "./response-reader.js";
 
-/** How long a response may still arrive after its deadline, so that its connection can be used again. */
+/** How long a late response is drained after its deadline, so that its connection can be reused. */
 const DRAIN_TIMEOUT_MS = 250;
 
-/** The connection ended before the request was begun: it can be sent on another. */
+/** The connection closed before any byte of the request was sent, so the request can be sent on another one. */
 export interface ConnectionEnded {
   readonly kind: "connectionEnded";
 }
 
-/** How an exchange began. */
+/** The result of starting an exchange. */
 export type ExchangeResult = OpenResult | ConnectionEnded;
 
 /** What an exchange depends on. */
@@ -31,20 +31,21 @@
   readonly clock: Clock;
   readonly pool: ConnectionPool;
   readonly pacers: LinkPacers;
-  /** Whether a response that misses its deadline is drained for a while, instead of reset at once. */
+  /** Whether a response that misses its deadline is drained for `DRAIN_TIMEOUT_MS` before its connection is reset. */
   readonly drainsLateResponses: boolean;
 }
 
 const noCancel = (): void => undefined;
 
-/** One exchange, and whom it notifies of its beginning. */
+/** What one exchange consists of. */
 interface HttpExchangeParts extends HttpExchangeOptions {
   readonly connection: BackendConnection;
   readonly attempt: BackendAttempt;
+  /** Called with the response head or the failure. Calls after the first have no effect. */
   readonly done: (result: ExchangeResult) => void;
 }
 
-/** Sends one attempt on a connection that is in use for it, and returns the connection to its pool at the end. */
+/** Sends one attempt on a connection, and releases or closes the connection at the end. */
 class HttpExchange {
   private readonly options: HttpExchangeOptions;
   private readonly connection: BackendConnection;
@@ -55,7 +56,7 @@
   private isEnded = false;
   private cancelDeadline = noCancel;
   private cancelDrain = noCancel;
-  private cancelUnwanted = noCancel;
+  private cancelClientClosed = noCancel;
 
   constructor({ connection, attempt, done, ...options }: HttpExchangeParts) {
     this.options = options;
@@ -65,22 +66,22 @@
     this.reader = new ResponseReader({
       ingress: options.pacers.ingress,
       dueMs: attempt.dueMs ?? attempt.deadlineMs,
-      onHead: (head) => done(this.resultOf(head)),
+      onHead: (head) => done(this.createResult(head)),
       onEnd: (isComplete) => this.end(isComplete),
     });
   }
 
   start(): void {
     const { clock, pool, pacers } = this.options;
-    const { request, deadlineMs: untilMs, dueMs = untilMs } = this.attempt;
-    this.cancelDeadline = clock.after(untilMs - clock.nowMs(), () => this.expire());
+    const { request, deadlineMs, dueMs = deadlineMs } = this.attempt;
+    this.cancelDeadline = clock.after(deadlineMs - clock.nowMs(), () => this.expire());
     if (!isHttpMethod(request.method)) {
       this.cancelDeadline();
       pool.release(this.connection);
       this.done(openFailure("unreached"));
       return;
     }
-    this.cancelUnwanted = this.attempt.onClientClosed?.(() => this.cancel()) ?? noCancel;
+    this.cancelClientClosed = this.attempt.onClientClosed?.(() => this.cancel()) ?? noCancel;
     pacers.egress.recordBytes(requestHeadBytes(request));
     this.connection.client.dispatch(
       {
@@ -93,14 +94,14 @@
     );
   }
 
-  private resultOf(head: ReceivedHead | ReceiveFailure): ExchangeResult {
-    if (head.kind === "head") return openedResponse(this.responseOf(head));
+  private createResult(head: ReceivedHead | ReceiveFailure): ExchangeResult {
+    if (head.kind === "head") return openedResponse(this.createResponse(head));
     if (this.reader.hasStarted) return openFailure(this.isLate ? "late" : "lost");
     const isInvalidRequest = head.error instanceof errors.InvalidArgumentError;
     return isInvalidRequest ? openFailure("unreached") : { kind: "connectionEnded" };
   }
 
-  private responseOf({ code, headers }: ReceivedHead): BackendResponse {
+  private createResponse({ code, headers }: ReceivedHead): BackendResponse {
     return {
       code,
       headers,
@@ -112,25 +113,25 @@
     };
   }
 
-  /** The response ended, complete or not. */
+  /** Handles the end of the response. */
   private end(isComplete: boolean): void {
     const { pool } = this.options;
     this.isEnded = true;
     this.cancelDeadline();
-    this.cancelUnwanted();
+    this.cancelClientClosed();
     this.cancelDrain();
     if (isComplete) pool.release(this.connection);
     else pool.close(this.connection);
   }
 
-  /** Discards the response, and resets its connection where it hasn't ended. */
+  /** Discards the response, and resets its connection if the response hasn't ended. */
   private cancel(): void {
     this.cancelDeadline();
     this.reader.drain();
     if (!this.isEnded) this.options.pool.reset(this.connection);
   }
 
-  /** The deadline passed. */
+  /** Handles the deadline. */
   private expire(): void {
     const { clock, drainsLateResponses } = this.options;
     this.isLate = true;
@@ -144,7 +145,7 @@
   }
 }
 
-/** Sends an attempt on a connection; returns once the response head came, or the attempt failed. */
+/** Sends an attempt on a connection; returns when the response head has arrived or the attempt has failed. */
 export const exchange = function* (
   options: HttpExchangeOptions,
   connection: BackendConnection,
--- a/src/proxy/upstream/request-encoding.ts
+++ b/src/proxy/upstream/request-encoding.ts
@@ -1,13 +1,13 @@
-/** A backend request in the form in which undici sends it, paced by the link. */
+/** Encodes backend requests for undici and paces their bodies on the link. */
 import { Readable } from "node:stream";
 import type { Dispatcher } from "undici";
 import type { LinkPacer, Transfer } from "../../runtime/link-pacer.js";
 import type { BackendRequest } from "./backend-client.js";
 
-/** About how many bytes a request's head takes beside its path and headers. */
+/** Approximate size of a request's head besides its path and headers. */
 const REQUEST_LINE_BYTES = 100;
 
-/** Bytes in chunks, each once its turn on the link came. */
+/** Splits bytes into chunks, and yields each at its turn on the link. */
 const pacedChunks = async function* (
   bytes: Uint8Array,
   transfer: Transfer,
@@ -20,13 +20,13 @@
   }
 };
 
-/** A request's body as undici sends it: a large one in turns with the other transfers on the link. */
+/** Creates a request's body for undici. A large body shares the link with the other transfers in turns. */
 export const requestBody = (
-  { body, bodyRemainder: rest }: BackendRequest,
+  { body, bodyRemainder }: BackendRequest,
   egress: LinkPacer,
   dueMs: number,
 ): Uint8Array | Readable | null => {
-  if (!rest && body.length <= egress.smallBytes) {
+  if (!bodyRemainder && body.length <= egress.smallBytes) {
     egress.recordBytes(body.length);
     return body.length > 0 ? body : null;
   }
@@ -35,8 +35,9 @@
       const transfer = egress.begin({ transferClass: "request", dueMs }, body.length);
       try {
         yield* pacedChunks(body, transfer, egress.turnBytes);
-        if (rest)
-          for await (const chunk of rest) yield* pacedChunks(chunk, transfer, egress.turnBytes);
+        if (bodyRemainder)
+          for await (const chunk of bodyRemainder)
+            yield* pacedChunks(chunk, transfer, egress.turnBytes);
       } finally {
         transfer.end();
       }
@@ -45,16 +46,16 @@
   );
 };
 
-/** A request's headers as undici sends them; the length of a paced body is stated. */
+/** Creates a request's headers for undici, with the length of a paced body. */
 export const requestHeaders = (
-  { headers, body, bodyRemainder: rest }: BackendRequest,
+  { headers, body, bodyRemainder }: BackendRequest,
   { smallBytes }: LinkPacer,
 ): BackendRequest["headers"] =>
-  !rest && body.length > smallBytes
+  !bodyRemainder && body.length > smallBytes
     ? { ...headers, "content-length": String(body.length) }
     : headers;
 
-/** About how many bytes the head of a request takes on the link. */
+/** Estimates the size of a request's head on the link. */
 export const requestHeadBytes = ({ path, headers }: BackendRequest): number => {
   let bytes = REQUEST_LINE_BYTES + path.length;
   for (const name in headers) bytes += name.length + (headers[name]?.length ?? 0) + 4;
@@ -73,6 +74,6 @@
   "PATCH",
 ]);
 
-/** Whether undici can send a request of this method. */
+/** Whether undici accepts this method. */
 export const isHttpMethod = (method: string): method is Dispatcher.HttpMethod =>
   HTTP_METHODS.has(method);
--- a/src/proxy/upstream/response-reader.ts
+++ b/src/proxy/upstream/response-reader.ts
@@ -1,38 +1,43 @@
-/** Reads one response as it arrives, and pauses the backend while too much of it is unread. */
+/** Reads one response as it arrives, with backpressure on the backend. */
 import type { Dispatcher } from "undici";
 import type { LinkPacer, Transfer } from "../../runtime/link-pacer.js";
 import { type Task, waitFor } from "../../runtime/task.js";
 import { ResponseBufferOverflowError } from "./connection-errors.js";
 
-/** How much of a response is buffered before the backend is paused. */
+/** Maximum buffered size of a response before the backend is paused. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
-/** How much is buffered of a response that ends its connection and so can't be paused; a larger one is cancelled. */
+/**
+ * Maximum buffered size of a response that closes its connection and so can't be paused; beyond it the response is
+ * aborted.
+ */
 const MAX_BUFFERED_CLOSING_BYTES = 8 * 1024 * 1024;
 
-/** A response's status and headers, each header once and in lower case. */
+/** A response's status and headers. Names are in lower case, and repeated headers are joined. */
 export interface ReceivedHead {
   readonly kind: "head";
   readonly code: number;
   readonly headers: Record<string, string>;
 }
 
-/** A response that failed; after its head came, that is reported again by the body. */
+/** A failed response. If the head has arrived, the body reports the failure too. */
 export interface ReceiveFailure {
   readonly kind: "error";
   readonly error: Error;
 }
 
-/** What a response reader needs, and whom it notifies. */
+/** What a response reader depends on, and its callbacks. */
 export interface ResponseReaderOptions {
   readonly ingress: LinkPacer;
-  /** When the response should have ended, which ranks it among the transfers on the link. */
+  /** The time at which the response should have ended; ranks it among the transfers on the link. */
   readonly dueMs: number;
   onHead(head: ReceivedHead | ReceiveFailure): void;
-  /** The response ended: the connection may be used again where it is complete. */
+  /** Called when the response has ended. The connection may be reused if the response is complete. */
   onEnd(isComplete: boolean): void;
 }
 
-/** Whether the connection stays open after a response with these headers: its end is then no part of the response. */
+/**
+ * Whether the connection stays open after a response with these headers, so that its close doesn't delimit the body.
+ */
 const keepsConnectionOpen = (headers: Record<string, string>): boolean => {
   const options = (headers["connection"] ?? "").toLowerCase().split(",");
   if (options.some((option) => option.trim() === "close")) return false;
@@ -40,7 +45,7 @@
   return isChunked || headers["content-length"] !== undefined;
 };
 
-/** The headers with the values of those that came more than once joined. */
+/** Joins the values of repeated headers. */
 const joinedHeaders = (
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string> => {
@@ -52,27 +57,27 @@
   return joined;
 };
 
-/** Reads one response; undici calls it as the response arrives. */
+/** Reads one response; undici calls its handlers as the response arrives. */
 export class ResponseReader implements Dispatcher.DispatchHandler {
-  /** Whether undici has begun to write the request; before that, nothing of it was sent. */
+  /** Whether undici has started to write the request; before that, no byte of it was sent. */
   hasStarted = false;
   private readonly chunks: Uint8Array[] = [];
   private bufferedBytes = 0;
   private receivedBytes = 0;
   private ending: "end" | "cut" | undefined;
-  /** Nobody reads any more: what still arrives is discarded. */
+  /** Whether further chunks are discarded because the response is no longer read. */
   private isDiscarding = false;
   private resumeReader: (() => void) | undefined;
   private readonly ingress: LinkPacer;
   private readonly transfer: Transfer;
-  /** What may arrive before the next turn; the link has accounted for it. */
+  /** Bytes that may arrive before the next turn and that the link pacer has already counted. */
   private creditBytes = 0;
   /**
-   * Whether the backend may be paused. undici fails an assertion, which ends the process, where the connection of a paused
-   * response ends after the response announced that it would: such a response is read as it arrives.
+   * Whether the backend may be paused. If a response announces that its connection closes and the connection closes while
+   * the response is paused, undici fails an assertion, which ends the process. Such a response is therefore never paused.
    */
   private mayPause = false;
-  /** Cancels the pending turn on the link; set while the backend is paused for it. */
+  /** Cancels the pending turn on the link; set while the backend is paused until that turn. */
   private cancelPendingTurn: (() => void) | undefined;
   private controller: Dispatcher.DispatchController | undefined;
   private readonly options: ResponseReaderOptions;
@@ -126,7 +131,7 @@
     this.wakeReader();
   }
 
-  /** The next chunk; `end` after the last, `cut` where the body was cut short. */
+  /** The next chunk; `end` after the last, `cut` if the body was truncated. */
   *nextChunk(): Task<Uint8Array | "end" | "cut"> {
     for (;;) {
       const chunk = this.chunks.shift();
@@ -142,7 +147,7 @@
     }
   }
 
-  /** Discards the rest as it arrives; whoever still reads gets `cut`. */
+  /** Discards the remaining body as it arrives. Further reads return `cut`, unless the response has ended. */
   drain(): void {
     this.isDiscarding = true;
     this.ending ??= "cut";
@@ -154,13 +159,13 @@
     this.wakeReader();
   }
 
-  /** Pauses the backend while too much is buffered, or until its turn on the link. */
+  /** Pauses the backend while the buffer is full or until its turn on the link. */
   private applyBackpressure(controller: Dispatcher.DispatchController): void {
     if (this.receivedBytes > this.ingress.smallBytes && this.creditBytes === 0) this.requestTurn();
     if (this.bufferedBytes > MAX_BUFFERED_BYTES || this.cancelPendingTurn) controller.pause();
   }
 
-  /** Aborts a response that can't be paused and exceeds the buffer. */
+  /** Aborts a response that can't be paused and exceeds the maximum buffer size. */
   private abort(controller: Dispatcher.DispatchController): void {
     queueMicrotask(() => {
       if (this.ending === undefined)
@@ -168,7 +173,7 @@
     });
   }
 
-  /** Requests a turn among all transfers that are received over the link. */
+  /** Requests a turn among all transfers that are being received over the link. */
   private requestTurn(): void {
     if (this.cancelPendingTurn) return;
     let isTurn = false;
@@ -183,8 +188,8 @@
   }
 
   /**
-   * Resumes the backend once the calls that led here have returned: they may come from within the parser of another
-   * connection, and undici fails where one parser runs inside another.
+   * Resumes the backend after the current call stack has returned. The call may come from within the parser of another
+   * connection, and undici fails if one parser runs inside another.
    */
   private resumeBackend(): void {
     queueMicrotask(() => {
--- a/src/proxy/upstream/response-validation.ts
+++ b/src/proxy/upstream/response-validation.ts
@@ -1,4 +1,4 @@
-/** Whether a backend's response is accepted as the answer to its request, and how its body ends. */
+/** Validates the head of a backend's response and determines the framing of its body. */
 import type { HeaderNames } from "../header-names.js";
 import type { FailureCause } from "../outcome-rules.js";
 
@@ -8,51 +8,50 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** What a response has to prove to be the answer to a request. */
+/** What the response to a request must contain. */
 export interface ExpectedResponse {
   readonly headerNames: HeaderNames;
-  /** The request's name toward the backend. */
+  /** The id that the backend got with the request. */
   readonly requestId: string;
-  /** In which header the response repeats that name. */
+  /** Name of the header in which the response repeats the id. */
   readonly echoHeader: string;
 }
 
-/** Statuses that promise that a request has not run; a backend's are accepted only with its header for that. */
+/** Statuses that mean that a request has not run. They are accepted only with the backend's header for that. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** How a backend states that it did not run the request; a response that names no request may state it too. */
-const declinedBy = (
+/**
+ * Why the backend declined the request without running it, if it did. A response without a request id may state this
+ * too.
+ */
+const findDeclineCause = (
   { code, headers }: ResponseHead,
-  {
-    headerNames: { expectedInstance: expected, notRun },
-    requestId: id,
-    echoHeader,
-  }: ExpectedResponse,
+  { headerNames: { expectedInstance, notRun }, requestId, echoHeader }: ExpectedResponse,
 ): FailureCause | undefined => {
   const echoedId = headers[echoHeader];
-  if (echoedId !== undefined && echoedId !== id) return undefined;
-  if (expected !== undefined && code === 421) return "otherInstance";
+  if (echoedId !== undefined && echoedId !== requestId) return undefined;
+  if (expectedInstance !== undefined && code === 421) return "otherInstance";
   return notRun !== undefined && headers[notRun] !== undefined ? "notRun" : undefined;
 };
 
-/** Why a response is not forwarded as the answer to its request; undefined where it is. */
+/** Why a response is not accepted; undefined if it is. */
 export const findResponseHeadFault = (
   head: ResponseHead,
   expectedResponse: ExpectedResponse,
 ): FailureCause | undefined => {
   const { code, headers } = head;
-  const { headerNames, requestId: id, echoHeader } = expectedResponse;
+  const { headerNames, requestId, echoHeader } = expectedResponse;
   const { seal, proof } = headerNames;
-  const declined = declinedBy(head, expectedResponse);
+  const declined = findDeclineCause(head, expectedResponse);
   if (declined !== undefined) return declined;
-  if (headers[echoHeader] !== id) return "otherRequest";
+  if (headers[echoHeader] !== requestId) return "otherRequest";
   if (NOT_RUN_STATUSES.has(code)) return "bareRefusal";
   if (seal !== undefined && code < 300 && headers[seal] === undefined) return "noSeal";
   const encoding = headers["content-encoding"] ?? "identity";
   return proof === "request" && encoding !== "identity" ? "encoded" : undefined;
 };
 
-/** How a response's body ends: it has none, after a stated length, by its chunks, or in no way that is known. */
+/** The framing of a response's body: no body, a stated length, chunked encoding or unknown (RFC 9112, section 6.3). */
 export const responseBodyFraming = (
   method: string,
   { code, headers }: ResponseHead,
