--- a/src/load-balancing/attempt-sample.ts
+++ b/src/load-balancing/attempt-sample.ts
@@ -1,13 +1,13 @@
-/** What the load balancer learns from one attempt. */
+/** The measurements of one attempt for the load balancer. */
 
-/** An attempt that has ended. */
+/** The measurements of an attempt that has ended. */
 export interface AttemptSample {
   readonly latencyMs: number;
-  /** Whether a complete response came. */
+  /** Whether a complete response was received. */
   readonly isComplete: boolean;
   /** The latency target of its route. */
   readonly latencyTargetMs: number;
   readonly route?: string;
-  /** Size of the response, where it was complete. */
+  /** Size of the response; undefined if it was incomplete or streamed. */
   readonly responseBytes?: number | undefined;
 }
--- a/src/load-balancing/backend-ring.ts
+++ b/src/load-balancing/backend-ring.ts
@@ -1,20 +1,22 @@
-/** Which backends of a service a daemon prefers, and how many connections it may open to each: deterministic subsetting. */
+/**
+ * Deterministic subsetting: which backends of a service a daemon prefers, and how many connections it may open to each.
+ */
 import type { EdgePlacement } from "../control-protocol/edge-placement.js";
 import type { Backend } from "./backend.js";
 
-/** How many backends of its own zone a daemon uses for each one of another zone. */
+/** Number of backends of its own zone that a daemon uses for each backend of another zone. */
 const LOCAL_PER_REMOTE = 3;
-/** How many backends of a service a daemon uses while they are healthy and have capacity. */
+/** Number of backends of a service that a daemon uses while they are healthy and have capacity. */
 const DEFAULT_SUBSET_SIZE = 8;
-/** How many backends a daemon uses even where all daemons together open too many connections. */
+/** Minimum number of backends that a daemon uses, even if all daemons together open too many connections. */
 const MIN_SUBSET_SIZE = 2;
-/** Which part of a backend's connections is divided among the daemons. */
-const USABLE_CONNECTIONS = 0.8;
+/** Fraction of a backend's connections that is divided among the daemons. */
+const USABLE_CONNECTION_FRACTION = 0.8;
 
 const FNV_OFFSET = 2166136261;
 const FNV_PRIME = 16777619;
 
-/** FNV-1a over the characters of a text: the position of a backend on the ring. */
+/** The FNV-1a hash of a text, used as the position of a backend on the ring. */
 const ringHash = (text: string): number => {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1)
@@ -22,7 +24,7 @@
   return hash;
 };
 
-/** One backend on the ring: its index in the list, and its position. */
+/** One backend on the ring: its index in the list and its position. */
 interface RingPoint {
   readonly index: number;
   readonly address: string;
@@ -30,20 +32,24 @@
   readonly isLocal: boolean;
 }
 
-/** The indexes of the ring's backends from the start of one of `count` daemons; starts are spaced evenly. */
-const ringFrom = (points: readonly RingPoint[], daemonIndex: number, count: number): number[] => {
+/** Lists the backends' indexes in ring order from one daemon's start; the starts of all daemons are evenly spaced. */
+const computeRing = (
+  points: readonly RingPoint[],
+  daemonIndex: number,
+  daemonCount: number,
+): number[] => {
   const ring = [...points]
     .sort((a, b) => a.hash - b.hash || (a.address < b.address ? -1 : 1))
     .map(({ index }) => index);
-  const start = Math.floor((daemonIndex * ring.length) / Math.max(1, count));
-  return [...ring.slice(start), ...ring.slice(0, start)];
+  const startIndex = Math.floor((daemonIndex * ring.length) / Math.max(1, daemonCount));
+  return [...ring.slice(startIndex), ...ring.slice(0, startIndex)];
 };
 
 /**
- * The order in which a daemon prefers the backends of a service, as indexes of the list: the deterministic aperture of
- * client-side load balancing. The daemons of a zone have the same ring and start at evenly spaced positions, so that the first few
- * of each cover every backend about equally often. A daemon or a backend that is added or removed moves starts by no more than
- * the number of backends per daemon. Among the first, those of the own zone are three to one.
+ * Computes the order in which a daemon prefers the backends of a service, as indexes of the list (deterministic aperture).
+ * The daemons of a zone use the same ring and start at evenly spaced positions, so that their first few backends cover all
+ * backends about equally often. Adding or removing a daemon or a backend moves the starts by no more than the number of
+ * backends per daemon. The order interleaves three backends of the daemon's own zone with one of another zone.
  */
 export const computeRingOrder = (
   backends: readonly Backend[],
@@ -57,7 +63,7 @@
     isLocal: zone === ownZone,
   }));
   const ring = (isLocal: boolean): number[] =>
-    ringFrom(
+    computeRing(
       points.filter((point) => point.isLocal === isLocal),
       zoneIndex,
       zoneCount,
@@ -70,36 +76,38 @@
   return order;
 };
 
-/** How many daemons share a service's backends and their connections. */
+/** The numbers of backends, connections and daemons among which connections are divided. */
 export interface ConnectionSharing {
-  /** How many connections one backend accepts from all daemons together, where that is known. */
+  /** Maximum number of connections that one backend accepts from all daemons together, if known. */
   readonly maxConnections: number | undefined;
-  /** How many backends the service has. */
+  /** Number of backends of the service. */
   readonly backendCount: number;
-  /** How many daemons there are. */
+  /** Number of daemons. */
   readonly daemonCount: number;
 }
 
-/** How many backends of a service a daemon uses: fewer where all daemons together would open too many connections. */
+/**
+ * Computes how many backends of a service a daemon uses: fewer if all daemons together would open too many connections.
+ */
 export const computeSubsetSize = ({
   maxConnections,
   backendCount,
   daemonCount,
 }: ConnectionSharing): number => {
   if (maxConnections === undefined) return DEFAULT_SUBSET_SIZE;
-  const affordable =
-    (maxConnections * USABLE_CONNECTIONS * backendCount) / Math.max(1, daemonCount);
-  return Math.max(MIN_SUBSET_SIZE, Math.min(DEFAULT_SUBSET_SIZE, Math.floor(affordable)));
+  const affordableSize =
+    (maxConnections * USABLE_CONNECTION_FRACTION * backendCount) / Math.max(1, daemonCount);
+  return Math.max(MIN_SUBSET_SIZE, Math.min(DEFAULT_SUBSET_SIZE, Math.floor(affordableSize)));
 };
 
 /**
- * How many connections one daemon may open to one backend, so that all daemons together stay below what the backend accepts:
- * the daemons that use it share most of its connections.
+ * Computes how many connections one daemon may open to one backend. The daemons that use a backend share a fixed fraction
+ * of its connections, so that all daemons together stay below its limit.
  */
 export const computeConnectionLimit = (sharing: ConnectionSharing): number => {
   const { maxConnections, backendCount, daemonCount } = sharing;
   if (maxConnections === undefined) return Infinity;
-  const size = Math.min(computeSubsetSize(sharing), backendCount);
-  const users = Math.max(1, (daemonCount * size) / Math.max(1, backendCount));
-  return Math.max(1, Math.floor((maxConnections * USABLE_CONNECTIONS) / users));
+  const subsetSize = Math.min(computeSubsetSize(sharing), backendCount);
+  const daemonsPerBackend = Math.max(1, (daemonCount * subsetSize) / Math.max(1, backendCount));
+  return Math.max(1, Math.floor((maxConnections * USABLE_CONNECTION_FRACTION) / daemonsPerBackend));
 };
--- a/src/load-balancing/backend-stats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -1,41 +1,46 @@
-/** What one daemon has measured of one backend, and the weight that follows from it. */
+/** One daemon's statistics of one backend, and the weight derived from them. */
 import type { AttemptSample } from "./attempt-sample.js";
 
-/** How much the newest sample counts in the moving means. */
-const LATENCY_RATE = 0.2;
-const FAILURE_RATE = 0.1;
+/** The weight of the newest sample in the moving averages. */
+const LATENCY_SMOOTHING = 0.2;
+const FAILURE_SMOOTHING = 0.1;
 const INITIAL_LATENCY_MS = 20;
 const MIN_WEIGHT = 0.1;
 const WEIGHT_STEP = { down: 0.85, up: 1.05 };
 const WEIGHT_INTERVAL_MS = 500;
-/** A backend misses its latency target also where more than this part of its attempts fail. */
+/** A backend whose failure rate is above this misses its target, like one with a high latency. */
 const MAX_FAILURE_RATE = 0.2;
-/** From how many failures in a row on a backend is avoided. */
-const MIN_FAILURES_IN_A_ROW = 2;
-/** How long a backend is avoided after failures in a row: doubled with each, up to a limit, and spread at random. */
-const AVOIDANCE = { initialMs: 250, maxDoublings: 6, maxMs: 5000, spread: 0.5 };
+/** Number of consecutive failures from which a backend is avoided. */
+const MIN_CONSECUTIVE_FAILURES = 2;
+/**
+ * How long a backend is avoided after consecutive failures: the time doubles with each, up to a limit, and is jittered.
+ */
+const AVOIDANCE = { initialMs: 250, maxDoublings: 6, maxMs: 5000, jitter: 0.5 };
 
-/** Moving statistics of one backend. */
+/** Moving averages and counters of one backend. */
 export class BackendStats {
-  /** Moving mean of how long attempts took. */
+  /** Moving average of the latency of attempts. */
   latencyMs = INITIAL_LATENCY_MS;
-  /** Moving mean of how long attempts took compared with others on their routes; 1 where it is as fast as these. */
+  /**
+   * Moving average of the ratio of an attempt's latency to the mean latency of its route; 1 if the backend is as fast as
+   * others.
+   */
   relativeLatency = 1;
-  /** 0 to 1, a moving mean over attempts. */
+  /** Moving average of the fraction of failed attempts, 0 to 1. */
   failureRate = 0;
-  /** Part of its fair share of requests that it gets, 0.1 to 1. */
+  /** Fraction of its fair share of requests that it gets, 0.1 to 1. */
   weight = 1;
-  /** Why its weight was last changed; empty where it never was. */
+  /** Why its weight was last changed; empty if it never was. */
   weightReason = "";
   inFlight = 0;
   attempts = 0;
-  failuresInARow = 0;
+  consecutiveFailures = 0;
   avoidUntilMs = 0;
-  /** When this daemon learned of it. */
+  /** When this daemon first knew of it. */
   readonly knownSinceMs: number;
-  /** Since when no attempt has ended though some are in flight. */
+  /** Since when attempts are in flight and none has ended. */
   private noProgressSinceMs = 0;
-  /** How long it may go without progress and still count as responsive. */
+  /** How long it may make no progress and still count as responsive. */
   private toleranceMs = 0;
   private weightChangedMs: number;
 
@@ -44,13 +49,13 @@
     this.weightChangedMs = nowMs;
   }
 
-  /** Whether it is neither avoided after failures nor without progress for too long. */
+  /** Whether it is responsive and not avoided after failures. */
   isHealthy(nowMs: number): boolean {
     const isResponsive = this.inFlight === 0 || nowMs - this.noProgressSinceMs <= this.toleranceMs;
     return this.avoidUntilMs <= nowMs && isResponsive;
   }
 
-  /** Counts an attempt that starts, after which it may go without progress for `toleranceMs`. */
+  /** Counts an attempt that starts, after which the backend may make no progress for `toleranceMs`. */
   start(toleranceMs: number, nowMs: number): void {
     this.toleranceMs = this.inFlight === 0 ? toleranceMs : Math.max(this.toleranceMs, toleranceMs);
     if (this.inFlight === 0) this.noProgressSinceMs = nowMs;
@@ -58,7 +63,7 @@
     this.attempts += 1;
   }
 
-  /** Counts an attempt that wasn't sent after all. */
+  /** Counts an attempt that was cancelled. */
   cancel(): void {
     this.inFlight = Math.max(0, this.inFlight - 1);
   }
@@ -69,37 +74,39 @@
     this.noProgressSinceMs = nowMs;
   }
 
-  /** Learns from an attempt; `expectedMs` is what its route usually takes, `random` gives 0 up to 1. */
+  /**
+   * Adds an attempt to the statistics; `expectedLatencyMs` is the mean latency of its route, `random` returns 0 up to 1.
+   */
   recordSample(
-    { latencyMs: tookMs, isComplete: isWhole }: AttemptSample,
-    expectedMs: number,
+    { latencyMs, isComplete }: AttemptSample,
+    expectedLatencyMs: number,
     nowMs: number,
     random: () => number,
   ): void {
     this.relativeLatency +=
-      (tookMs / Math.max(1, expectedMs) - this.relativeLatency) * LATENCY_RATE;
-    this.latencyMs += (tookMs - this.latencyMs) * LATENCY_RATE;
-    this.failureRate += ((isWhole ? 0 : 1) - this.failureRate) * FAILURE_RATE;
-    this.failuresInARow = isWhole ? 0 : this.failuresInARow + 1;
-    if (this.failuresInARow < MIN_FAILURES_IN_A_ROW) return;
-    const doublings = Math.min(this.failuresInARow, AVOIDANCE.maxDoublings);
+      (latencyMs / Math.max(1, expectedLatencyMs) - this.relativeLatency) * LATENCY_SMOOTHING;
+    this.latencyMs += (latencyMs - this.latencyMs) * LATENCY_SMOOTHING;
+    this.failureRate += ((isComplete ? 0 : 1) - this.failureRate) * FAILURE_SMOOTHING;
+    this.consecutiveFailures = isComplete ? 0 : this.consecutiveFailures + 1;
+    if (this.consecutiveFailures < MIN_CONSECUTIVE_FAILURES) return;
+    const doublings = Math.min(this.consecutiveFailures, AVOIDANCE.maxDoublings);
     const avoidMs = Math.min(AVOIDANCE.maxMs, AVOIDANCE.initialMs * 2 ** doublings);
-    this.avoidUntilMs = nowMs + avoidMs * (1 - AVOIDANCE.spread / 2 + random() * AVOIDANCE.spread);
+    this.avoidUntilMs = nowMs + avoidMs * (1 - AVOIDANCE.jitter / 2 + random() * AVOIDANCE.jitter);
   }
 
-  /** Adjusts the weight by the latency target, at most twice a second. */
+  /** Adjusts the weight by the latency target and the failure rate, at most once in `WEIGHT_INTERVAL_MS`. */
   adjustWeight(latencyTargetMs: number, nowMs: number): void {
     if (nowMs - this.weightChangedMs < WEIGHT_INTERVAL_MS) return;
     this.weightChangedMs = nowMs;
     const isSlow = this.latencyMs > latencyTargetMs;
-    const misses = isSlow || this.failureRate > MAX_FAILURE_RATE;
-    const step = misses ? WEIGHT_STEP.down : WEIGHT_STEP.up;
+    const missesTarget = isSlow || this.failureRate > MAX_FAILURE_RATE;
+    const step = missesTarget ? WEIGHT_STEP.down : WEIGHT_STEP.up;
     const weight = Math.min(1, Math.max(MIN_WEIGHT, this.weight * step));
     if (weight === this.weight) return;
     this.weight = weight;
-    if (!misses) this.weightReason = "meets its goal again";
+    if (!missesTarget) this.weightReason = "meets its goal again";
     else if (isSlow)
       this.weightReason = `slower (${Math.round(this.latencyMs)} ms) than the goal of ${latencyTargetMs} ms`;
-    else this.weightReason = `${Math.round(this.failureRate * 100)}% of its tries fail`;
+    else this.weightReason = `${Math.round(this.failureRate * 100)}% of its attempts fail`;
   }
 }
--- a/src/load-balancing/backend.ts
+++ b/src/load-balancing/backend.ts
@@ -1,18 +1,18 @@
-/** A backend as the load balancer needs it. */
+/** The load balancer's interface of a backend. */
 
-/** What the load balancer has to know of a backend; other fields are passed through. */
+/** The fields of a backend that the load balancer uses; other fields are passed through. */
 export interface Backend {
   /** IP:port. */
   readonly address: string;
   /** Distinguishes successive registrations at one address. */
   readonly number: number;
   readonly zone: string;
-  /** Identifies one run of the backend's process; empty where it names none. */
+  /** Identifies one run of the backend's process; empty if the backend states none. */
   readonly instance: string;
-  /** How many requests it serves concurrently; 0 where unknown. */
+  /** Number of requests that it serves concurrently; 0 if unknown. */
   readonly capacity: number;
-  /** 0 to 1, as reported by a backend without instances. */
+  /** Warm-up progress from 0 to 1, as reported by a backend without an instance. */
   readonly warmth: number;
-  /** How long a backend with instances takes to warm up. */
+  /** Warm-up time of a backend with an instance, in ms. */
   readonly warmMs: number;
 }
--- a/src/load-balancing/route-stats.ts
+++ b/src/load-balancing/route-stats.ts
@@ -1,52 +1,47 @@
-/** What one daemon has measured of the requests of each route, whichever backend served them. */
+/** One daemon's statistics of the requests of each route, over all backends. */
 import type { AttemptSample } from "./attempt-sample.js";
 
-/** The assumed size of a route's responses until one was seen. */
+/** Assumed size of a route's responses until the first one. */
 export const DEFAULT_RESPONSE_BYTES = 32 * 1024;
-/** The table is cleared when it has as many routes as this. */
+/** Maximum number of routes in the table, which is cleared when it is full. */
 const MAX_ROUTES = 4096;
-/** How much the newest sample counts in the moving means. */
-const LEARNING_RATE = 0.05;
+/** The weight of the newest sample in the moving averages. */
+const SMOOTHING_FACTOR = 0.05;
 
-/** Moving means of a route's complete responses. */
+/** Moving averages over a route's complete responses. */
 export interface RouteStats {
-  /** Mean time that attempts take. */
+  /** Mean latency of attempts. */
   meanLatencyMs: number;
-  /** Mean size of the responses. */
+  /** Mean size of responses. */
   meanResponseBytes: number;
 }
 
-/** The statistics of the routes that this daemon has served, up to a bound. */
+/** The statistics of the routes that this daemon has served, up to `MAX_ROUTES`. */
 export class RouteStatsTable {
   private readonly byRoute = new Map<string, RouteStats>();
 
-  /** The statistics of a route, where it has any. */
+  /** Returns the statistics of a route, if any. */
   find(route: string): RouteStats | undefined {
     return this.byRoute.get(route);
   }
 
-  /** Learns from an attempt, and returns the statistics of its route. */
-  recordSample({
-    route = "",
-    latencyMs: tookMs,
-    isComplete: isWhole,
-    responseBytes: bytes,
-  }: AttemptSample): RouteStats {
-    const stats = this.statsOf(route, tookMs);
-    if (!isWhole) return stats;
-    stats.meanLatencyMs += (tookMs - stats.meanLatencyMs) * LEARNING_RATE;
-    if (bytes !== undefined)
+  /** Adds an attempt to the statistics of its route, and returns them. */
+  recordSample({ route = "", latencyMs, isComplete, responseBytes }: AttemptSample): RouteStats {
+    const stats = this.findOrCreate(route, latencyMs);
+    if (!isComplete) return stats;
+    stats.meanLatencyMs += (latencyMs - stats.meanLatencyMs) * SMOOTHING_FACTOR;
+    if (responseBytes !== undefined)
       stats.meanResponseBytes +=
-        (bytes - stats.meanResponseBytes) *
-        (stats.meanResponseBytes === DEFAULT_RESPONSE_BYTES ? 1 : LEARNING_RATE);
+        (responseBytes - stats.meanResponseBytes) *
+        (stats.meanResponseBytes === DEFAULT_RESPONSE_BYTES ? 1 : SMOOTHING_FACTOR);
     return stats;
   }
 
-  private statsOf(route: string, tookMs: number): RouteStats {
-    const known = this.byRoute.get(route);
-    if (known) return known;
+  private findOrCreate(route: string, latencyMs: number): RouteStats {
+    const existing = this.byRoute.get(route);
+    if (existing) return existing;
     if (this.byRoute.size >= MAX_ROUTES) this.byRoute.clear();
-    const stats = { meanLatencyMs: tookMs, meanResponseBytes: DEFAULT_RESPONSE_BYTES };
+    const stats = { meanLatencyMs: latencyMs, meanResponseBytes: DEFAULT_RESPONSE_BYTES };
     this.byRoute.set(route, stats);
     return stats;
   }
