--- a/test/proxy/idempotency/claims-of-lost-daemons.test.ts
+++ b/test/proxy/idempotency/claims-of-lost-daemons.test.ts
@@ -42,7 +42,7 @@
     expect(runTimesMs("k")).toEqual([]);
   });
 
-  test("a client that disconnects during its keyed request and retries at another edge gets 409, then the first response", () => {
+  test("a client that disconnects during its keyed request and retries at another edge gets 409 while the request runs, then the first response", () => {
     const { simulation, edges, advance, send, runTimesMs, advanceUntil } = createSimulatedFleet();
     const [first, second] = firstTwoEdges(edges);
     for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
