--- a/test/replication/bootstrap/cluster-bootstrap.test.ts
+++ b/test/replication/bootstrap/cluster-bootstrap.test.ts
@@ -1,19 +1,19 @@
 import { expect, test } from "vitest";
 import { configText, ClusterFixture } from "../fleet-stage.js";
 
-const isLed = (stage: ClusterFixture) => (): boolean =>
+const hasLeader = (stage: ClusterFixture) => (): boolean =>
   stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
-const fleets = (stage: ClusterFixture): string[] => [
+const fleetIds = (stage: ClusterFixture): string[] => [
   ...new Set(stage.diskMachines.map((machine) => stage.fleetIdOf(machine))),
 ];
-const zonesOf = (stage: ClusterFixture, peers: readonly string[] = []): string =>
+const joinZones = (stage: ClusterFixture, peers: readonly string[] = []): string =>
   peers
     .map((peer) => stage.machines.find((one) => one.peer === peer)?.settings.zone ?? "?")
     .sort()
     .join("");
 
 /** When the first recorder of a fleet has formed; the same stage does the same at the same moment. */
-const firstFormedMs = (stage: ClusterFixture): number => {
+const measureFirstFormation = (stage: ClusterFixture): number => {
   stage.bootAll();
   return stage.waitUntil(
     () => stage.diskMachines.some((machine) => stage.fleetIdOf(machine) !== ""),
@@ -22,22 +22,22 @@
 };
 
 /** What the settings say at a machine's restart once the fleet has started: nothing is to be formed any more. */
-const later = { bootstrap: false };
+const restartSettings = { bootstrap: false };
 
 test("a first seed without a disk has the log formed: three voters of four, the fourth a learner", () => {
   const stage = new ClusterFixture(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "d:d"], [0, 1, 2], {
     tolerate: { machines: 1, zones: 0 },
   });
   stage.bootAll();
-  expect(stage.waitUntil(isLed(stage), 5000)).toBeLessThan(3000);
+  expect(stage.waitUntil(hasLeader(stage), 5000)).toBeLessThan(3000);
   stage.wait(1000);
   const record = stage.leader.status;
   expect([
     record?.voters.length,
-    zonesOf(stage, record?.voters),
-    zonesOf(stage, record?.learners),
+    joinZones(stage, record?.voters),
+    joinZones(stage, record?.learners),
   ]).toEqual([3, "abc", "d"]);
-  expect(fleets(stage)).toHaveLength(1);
+  expect(fleetIds(stage)).toHaveLength(1);
   expect(stage.diskMachines.map((machine) => machine.status?.state)).toEqual([
     "formed",
     "formed",
@@ -56,14 +56,14 @@
     { tolerate: { machines: 2, zones: 0 } },
   );
   stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
+  stage.waitUntil(hasLeader(stage), 5000);
   stage.wait(1000);
   const record = stage.leader.status;
-  expect([zonesOf(stage, record?.voters), zonesOf(stage, record?.learners)]).toEqual([
+  expect([joinZones(stage, record?.voters), joinZones(stage, record?.learners)]).toEqual([
     "aabbc",
     "c",
   ]);
-  expect(fleets(stage)).toHaveLength(1);
+  expect(fleetIds(stage)).toHaveLength(1);
 });
 
 test("no log is formed while there are too few nodes, or in too few zones; then it is", () => {
@@ -74,21 +74,21 @@
     const stage = new ClusterFixture(["e:a", ...early, last], [0, 1], { tolerate });
     for (const machine of stage.machines.slice(0, -1)) stage.boot(machine);
     stage.wait(8000);
-    expect(fleets(stage)).toEqual([""]);
+    expect(fleetIds(stage)).toEqual([""]);
     expect(
       stage.logLines.some((line) => line.includes("waiting for candidates to form the log")),
     ).toBe(true);
     stage.bootAll();
-    stage.waitUntil(isLed(stage), 5000);
+    stage.waitUntil(hasLeader(stage), 5000);
     expect(stage.leader.status?.voters).toHaveLength(3);
   }
 });
 
 test("empty nodes never form a log where the fleet doesn't start for the first time", () => {
-  const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2], later);
+  const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2], restartSettings);
   stage.bootAll();
   stage.wait(20_000);
-  expect(fleets(stage)).toEqual([""]);
+  expect(fleetIds(stage)).toEqual([""]);
   expect(stage.diskMachines.map((machine) => machine.status?.state)).toEqual([
     "empty",
     "empty",
@@ -99,15 +99,15 @@
 test("a node that may not bootstrap takes no part where others do", () => {
   const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2]);
   for (const machine of stage.machines)
-    stage.boot(machine, machine === stage.machineAt(3) ? later : {});
+    stage.boot(machine, machine === stage.machineAt(3) ? restartSettings : {});
   stage.wait(10_000);
-  expect(fleets(stage)).toEqual([""]);
+  expect(fleetIds(stage)).toEqual([""]);
 });
 
 test("an initiator killed during the formation: none campaigns before all have formed, and another completes it", () => {
   const build = (): ClusterFixture =>
     new ClusterFixture(["e:a", "e:b", "d:a", "d:b", "d:c", "d:d"], [0, 1]);
-  const formsMs = firstFormedMs(build());
+  const formsMs = measureFirstFormation(build());
   let midway = 0;
   for (let cutMs = formsMs - 8; cutMs < formsMs + 4; cutMs += 0.25) {
     const stage = build();
@@ -133,9 +133,9 @@
     for (const machine of others) stage.partition(missed, machine, true);
     for (const machine of stage.machines)
       machine.daemon?.setSeeds([stage.machineAt(1).peer, stage.machineAt(0).peer]);
-    stage.waitUntil(isLed(stage), 8000);
+    stage.waitUntil(hasLeader(stage), 8000);
     stage.wait(3000);
-    expect(fleets(stage)).toEqual([...new Set(formed)]);
+    expect(fleetIds(stage)).toEqual([...new Set(formed)]);
     expect(stage.leader.status?.voters).toEqual(chosen);
   }
   expect(midway).toBeGreaterThan(2);
@@ -144,18 +144,18 @@
 test("all killed during the formation, at any moment: it is completed", () => {
   const build = (): ClusterFixture =>
     new ClusterFixture(["e:a", "d:a", "d:b", "d:c", "d:d"], [0, 1, 2]);
-  const formsMs = firstFormedMs(build());
+  const formsMs = measureFirstFormation(build());
   for (let killMs = formsMs - 6; killMs < formsMs + 10; killMs += 1) {
     const stage = build();
     stage.bootAll();
     stage.wait(killMs);
-    const before = fleets(stage).filter((fleet) => fleet !== "");
+    const before = fleetIds(stage).filter((fleet) => fleet !== "");
     for (const machine of stage.machines) stage.kill(machine);
     stage.bootAll();
-    stage.waitUntil(isLed(stage), 8000);
+    stage.waitUntil(hasLeader(stage), 8000);
     stage.wait(3000);
-    expect(fleets(stage)).toHaveLength(1);
-    if (before[0] !== undefined) expect(fleets(stage)).toEqual(before);
+    expect(fleetIds(stage)).toHaveLength(1);
+    if (before[0] !== undefined) expect(fleetIds(stage)).toEqual(before);
   }
 });
 
@@ -171,10 +171,10 @@
   for (const machine of stage.machines) stage.kill(machine);
   for (const machine of stage.diskMachines) if (machine !== first) machine.disk?.wipe();
   for (const machine of stage.machines) if (machine !== first) stage.boot(machine);
-  stage.waitUntil(isLed(stage), 10_000);
+  stage.waitUntil(hasLeader(stage), 10_000);
   stage.boot(first);
   stage.wait(6000);
-  expect(fleets(stage)).toHaveLength(1);
+  expect(fleetIds(stage)).toHaveLength(1);
   expect(stage.diskMachines.map((machine) => machine.status?.state)).toEqual([
     "formed",
     "formed",
@@ -186,11 +186,11 @@
 test("a formed fleet restarts from its nodes' disks, also while no seed is up", () => {
   const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c", "e:b"], [0]);
   stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
+  stage.waitUntil(hasLeader(stage), 5000);
   expect(stage.commitConfig(1)).toBe(true);
   for (const machine of stage.machines) stage.kill(machine);
-  for (const machine of stage.diskMachines) stage.boot(machine, later);
-  expect(stage.waitUntil(isLed(stage), 5000)).toBeLessThan(3000);
+  for (const machine of stage.diskMachines) stage.boot(machine, restartSettings);
+  expect(stage.waitUntil(hasLeader(stage), 5000)).toBeLessThan(3000);
 });
 
 test("a voter that lost its disk isn't formed again beside one that doesn't know yet that all had formed", () => {
@@ -202,10 +202,10 @@
   const files = ["slot-a", "slot-b", "log-1"]
     .map((name) => [name, late.disk?.peek(name) ?? Buffer.alloc(0)] as const)
     .filter(([name, bytes]) => bytes.length > 0 || name === "log-1");
-  stage.waitUntil(isLed(stage), 5000);
+  stage.waitUntil(hasLeader(stage), 5000);
   stage.kill(late, true);
   for (const [name, bytes] of files) late.disk?.poke(name, bytes);
-  stage.waitUntil(isLed(stage), 5000);
+  stage.waitUntil(hasLeader(stage), 5000);
   expect(stage.commitConfig(1)).toBe(true);
   const fleet = stage.fleetIdOf(kept);
   for (const machine of [founder, emptied, late]) stage.partition(kept, machine);
@@ -219,17 +219,17 @@
     ["unborn", 0],
   ]);
   for (const machine of [founder, emptied, late]) stage.partition(kept, machine, true);
-  stage.waitUntil(isLed(stage), 8000);
+  stage.waitUntil(hasLeader(stage), 8000);
   stage.waitUntil(() => emptied.status?.state === "formed", 5000);
-  expect(fleets(stage)).toEqual([fleet]);
+  expect(fleetIds(stage)).toEqual([fleet]);
   stage.kill(kept);
-  stage.waitUntil(isLed(stage), 5000);
+  stage.waitUntil(hasLeader(stage), 5000);
   expect(stage.readConfig(stage.leader, 1)).toBe(configText(1));
 });
 
 test("a voter partitioned during the formation: none campaigns without it, and it forms only where the fleet starts for the first time", () => {
   const build = (): ClusterFixture => new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0]);
-  const formsMs = firstFormedMs(build());
+  const formsMs = measureFirstFormation(build());
   let midway = 0;
   for (let cutMs = formsMs - 8; cutMs < formsMs + 4; cutMs += 0.1) {
     const stage = build();
@@ -246,13 +246,13 @@
     expect(terms()).toEqual([0, 0, 0]);
     stage.kill(missed);
     for (const machine of others) stage.partition(missed, machine, true);
-    stage.boot(missed, later);
+    stage.boot(missed, restartSettings);
     stage.wait(5000);
     expect([missed.status?.state, ...terms()]).toEqual(["empty", 0, 0, 0]);
     stage.kill(missed);
     stage.boot(missed, { bootstrap: true });
-    stage.waitUntil(isLed(stage), 5000);
-    expect(fleets(stage)).toEqual(formed.slice(0, 1).map((machine) => stage.fleetIdOf(machine)));
+    stage.waitUntil(hasLeader(stage), 5000);
+    expect(fleetIds(stage)).toEqual(formed.slice(0, 1).map((machine) => stage.fleetIdOf(machine)));
   }
   expect(midway).toBeGreaterThan(2);
 });
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -13,7 +13,7 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-const fail = (error: unknown): void => {
+const throwError = (error: unknown): void => {
   throw error;
 };
 
@@ -214,6 +214,6 @@
   }
 
   startTask(task: Task<unknown>): void {
-    runTask(task, fail);
+    runTask(task, throwError);
   }
 }
--- a/test/replication/snapshot/snapshot-pieces.test.ts
+++ b/test/replication/snapshot/snapshot-pieces.test.ts
@@ -9,24 +9,24 @@
 } from "../../../src/replication/snapshot/snapshot-sender.js";
 
 const random = RandomDraw.of(3);
-const textOf = (bytes: number): string => {
+const createText = (bytes: number): string => {
   let text = "";
   while (text.length < bytes) text += random().toString(36).slice(2);
   return `${text.slice(0, bytes - 2)}é`;
 };
-const pieceIn = (message: SnapshotMessage) => {
+const expectPiece = (message: SnapshotMessage) => {
   if (message.kind === "complete") throw new Error("A complete snapshot was to be sent.");
   return message.piece;
 };
 
 test("a snapshot is received completely although pieces and replies are lost or duplicated, each piece about once", () => {
-  const snapshot = new SharedSnapshot(50, 3, textOf(2_000_000));
+  const snapshot = new SharedSnapshot(50, 3, createText(2_000_000));
   const sender = new SnapshotSender();
   const receiver = new SnapshotReceiver();
   let sent = 0;
   let text = "";
   for (let round = 0; text === "" && round < 200; round += 1) {
-    const piece = pieceIn(sender.nextMessage("a", 40, round, () => snapshot));
+    const piece = expectPiece(sender.nextMessage("a", 40, round, () => snapshot));
     sent += piece.bytes.length > 0 ? 1 : 0;
     if (random() < 0.2) {
       sender.onNoReply("a");
@@ -47,10 +47,10 @@
   let made = 0;
   const make = (): SharedSnapshot => {
     made += 1;
-    return new SharedSnapshot(100 * made, 1, textOf(600_000));
+    return new SharedSnapshot(100 * made, 1, createText(600_000));
   };
   const of = (peer: string, baseIndex: number): number =>
-    pieceIn(sender.nextMessage(peer, baseIndex, 0, make)).lastIndex;
+    expectPiece(sender.nextMessage(peer, baseIndex, 0, make)).lastIndex;
   expect([of("a", 50), of("b", 90), of("a", 100), made]).toEqual([100, 100, 100, 1]);
   expect(sender.retainedIndex(0)).toBe(100);
   expect([of("a", 101), made, sender.retainedIndex(0)]).toEqual([200, 2, 200]);
@@ -62,8 +62,8 @@
 
 test("a piece of another snapshot begins anew; pieces that can't be inflated or don't follow change nothing", () => {
   const receiver = new SnapshotReceiver();
-  const one = new SharedSnapshot(10, 1, textOf(700_000));
-  const other = new SharedSnapshot(11, 2, textOf(700_000));
+  const one = new SharedSnapshot(10, 1, createText(700_000));
+  const other = new SharedSnapshot(11, 2, createText(700_000));
   expect(receiver.receive(one.piece(0))).toMatchObject({
     kind: "partial",
     receivedBytes: SNAPSHOT_PIECE_BYTES,
