--- a/test/proxy/idempotency/claims-of-lost-daemons.test.ts
+++ b/test/proxy/idempotency/claims-of-lost-daemons.test.ts
@@ -45,13 +45,13 @@
   test("a client that disconnects during its keyed request and retries at another edge gets 409 while the request runs, then the first response", () => {
     const { simulation, edges, advance, send, runTimesMs, advanceUntil } = createSimulatedFleet();
     const [first, second] = firstTwoEdges(edges);
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 60 });
     send(first, "k", { timeoutMs: 250 });
     advanceUntil(() => runTimesMs("k").length === 1);
     advance(300);
     const earlyResponse = send(second, "k", { timeoutMs: 2000 });
     advance(2000);
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 1 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 1 });
     advanceUntil(() => {
       const lateResponse = send(second, "k");
       advance(1000);
@@ -65,19 +65,19 @@
     const { simulation, edges, core, advance, send, runTimesMs, advanceUntil } =
       createSimulatedFleet();
     const [first, second] = firstTwoEdges(edges);
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 60 });
     const firstResponse = send(first, "k");
     advanceUntil(() => runTimesMs("k").length === 1);
     for (const machine of [...core, ...edges.slice(1)]) {
-      simulation.network.cut(first.settings.machine, machine.settings.machine);
-      simulation.network.cut(machine.settings.machine, first.settings.machine);
+      simulation.network.partition(first.settings.machine, machine.settings.machine);
+      simulation.network.partition(machine.settings.machine, first.settings.machine);
     }
     advanceUntil(() => firstResponse.code !== undefined);
     expect(firstResponse.code).toBe(201);
     const responseDuringPartition = send(second, "k");
     advance(2500);
     expect(responseDuringPartition.code).toBe(502);
-    simulation.network.heal();
+    simulation.network.healAll();
     advance(5000);
     const responseAfterHeal = send(second, "k");
     advance(3000);
@@ -100,7 +100,7 @@
         const first = pick(edges);
         if (!first) throw new Error("There are no edges.");
         for (const testBackend of simulation.testBackends)
-          testBackend.behave({ slowFactor: draw() < 0.5 ? 30 : 1 });
+          testBackend.setBehavior({ slowFactor: draw() < 0.5 ? 30 : 1 });
         responses.push(send(first, key, { timeoutMs: draw() < 0.3 ? 100 : 9000 }));
         advance(Math.floor(draw() * (draw() < 0.5 ? 12 : 250)));
         const killedMachines = [
--- a/test/proxy/idempotency/idempotency-claims.test.ts
+++ b/test/proxy/idempotency/idempotency-claims.test.ts
@@ -31,7 +31,7 @@
 
   test("between the send and the response: a repeat at another edge gets 502 and doesn't run", () => {
     const { simulation, advance, first, second, send, runTimesMs } = fleet;
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 60 });
     send(first, "k");
     while (runTimesMs("k").length === 0) advance(1);
     simulation.kill(first);
--- a/test/proxy/idempotency/keyed-outcomes.test.ts
+++ b/test/proxy/idempotency/keyed-outcomes.test.ts
@@ -83,7 +83,7 @@
     const [first, second] = firstTwoEdges(edges);
     // Messages from the first edge reach the replicas, but none reach it: its claim is committed without a response.
     for (const other of core)
-      simulation.network.cut(other.settings.machine, first.settings.machine);
+      simulation.network.partition(other.settings.machine, first.settings.machine);
     const abandonedResponse = send(first, "k");
     advance(3000);
     expect(abandonedResponse.code).toBe(503);
--- a/test/replication/config-entries.test.ts
+++ b/test/replication/config-entries.test.ts
@@ -21,7 +21,7 @@
 });
 
 const storedBytesByMachine = (stage: ControlFixture): number[] =>
-  stage.diskMachines.map(({ disk }) => disk?.heldBytes ?? 0);
+  stage.diskMachines.map(({ disk }) => disk?.usedBytes ?? 0);
 
 const createClusterWithConfig = (): ControlFixture => {
   const stage = new ControlFixture(machines, [0, 1, 2]);
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -98,7 +98,7 @@
   const { stage: cluster, others, behind: lagging, totalBytes } = staged;
   expect(totalBytes).toBeGreaterThan(18_000_000);
   cluster.network.bytesPerMs = 1250;
-  cluster.network.weather = { slowMs: 30, slowConnectMs: 0, lossPart: 0.02 };
+  cluster.network.conditions = { maxExtraLatencyMs: 30, maxExtraConnectMs: 0, lossFraction: 0.02 };
   cluster.bootAll();
   cluster.waitUntil(hasLeader(cluster), 8000);
   let largest = 0;
@@ -111,7 +111,7 @@
     for (const other of others) cluster.partition(other, lagging, true);
   }
   cluster.waitUntil(() => hasCaughtUp(staged), 60_000);
-  cluster.network.heal();
+  cluster.network.healAll();
   expectLeadsWithEachOther(staged, 1);
 }, 120_000);
 
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -114,7 +114,7 @@
       network,
       disk: machine.disk,
       random: this.random,
-      lines: (line) =>
+      writeLine: (line) =>
         this.logLines.push(`${this.virtualClock.nowMs().toFixed(0)} ${name} ${line}`),
     });
     machine.daemon = new Daemon(runtime, machine.settings, this.daemonOptions());
@@ -130,7 +130,7 @@
   protected createEnvironment({ settings }: FixtureMachine): ProcessEnvironment {
     const gate = new EventGate();
     const clock = gate.clock(this.virtualClock.clock());
-    return { gate, clock, network: this.network.wire(settings.machine, gate) };
+    return { gate, clock, network: this.network.createInterface(settings.machine, gate) };
   }
 
   bootAll(): void {
@@ -143,7 +143,7 @@
     machine.daemon = undefined;
     machine.disk?.finishWrites();
     if (wipes) machine.disk?.wipe();
-    this.network.drop(machine.settings.machine);
+    this.network.disconnect(machine.settings.machine);
   }
 
   /** Cuts two machines from each other, or joins them again. */
@@ -152,8 +152,8 @@
       [one, other],
       [other, one],
     ] as const) {
-      if (mends) this.network.mend(from.settings.machine, to.settings.machine);
-      else this.network.cut(from.settings.machine, to.settings.machine);
+      if (mends) this.network.heal(from.settings.machine, to.settings.machine);
+      else this.network.partition(from.settings.machine, to.settings.machine);
     }
   }
 
