--- a/src/proxy/idempotency/outcome-cache.ts
+++ b/src/proxy/idempotency/outcome-cache.ts
@@ -1,4 +1,4 @@
-/** The outcomes of keyed requests that a daemon stores in memory. */
+/** An in-memory cache of the outcomes of keyed requests. */
 import type { Clock } from "../../runtime/clock.js";
 import type { KeyedOutcome, KeyedRequest } from "./keyed-outcome.js";
 
@@ -8,9 +8,9 @@
   readonly storedMs: number;
 }
 
-/** How many bytes of outcomes one daemon stores at most; beyond that the oldest are evicted. */
+/** Maximum size of a daemon's cache; beyond it the oldest outcomes are evicted. */
 export const OUTCOME_CACHE_BYTES = 8 * 1024 * 1024;
-/** About what an entry takes beside its body and headers. */
+/** Approximate size of an entry besides its body and headers. */
 const ENTRY_OVERHEAD_BYTES = 200;
 
 const computeSizeBytes = (outcome: KeyedOutcome): number => {
@@ -23,12 +23,12 @@
 
 const entryKey = ({ scope, requestId }: KeyedRequest): string => `${scope} ${requestId}`;
 
-/** Stores outcomes for as long as their keys are claimed, and within a bound of bytes. */
+/** Stores outcomes as long as their keys are claimed, up to a maximum total size. */
 export class OutcomeCache {
   private readonly clock: Clock;
   private readonly retentionMs: number;
   private readonly maxBytes: number;
-  /** By scope and request, the oldest first. */
+  /** Entries by scope and request id, the oldest first. */
   private readonly entries = new Map<string, CacheEntry>();
   private totalBytes = 0;
 
@@ -38,18 +38,21 @@
     this.maxBytes = maxBytes;
   }
 
-  /** How many bytes are stored now. */
+  /** The current total size. */
   get storedBytes(): number {
     return this.totalBytes;
   }
 
-  /** Stores an outcome in place of an earlier one of the same request, and evicts what is too old or too much. */
+  /**
+   * Stores an outcome, replacing an earlier one of the same request. Evicts expired entries, and the oldest ones above
+   * the maximum size.
+   */
   store(request: KeyedRequest, outcome: KeyedOutcome): void {
     const key = entryKey(request);
     this.remove(key);
-    const totalBytes = computeSizeBytes(outcome);
-    this.entries.set(key, { outcome, sizeBytes: totalBytes, storedMs: this.clock.nowMs() });
-    this.totalBytes += totalBytes;
+    const sizeBytes = computeSizeBytes(outcome);
+    this.entries.set(key, { outcome, sizeBytes, storedMs: this.clock.nowMs() });
+    this.totalBytes += sizeBytes;
     const oldestMs = this.clock.nowMs() - this.retentionMs;
     for (const [oldestKey, { storedMs }] of this.entries) {
       if (this.totalBytes <= this.maxBytes && storedMs >= oldestMs) return;
@@ -57,7 +60,7 @@
     }
   }
 
-  /** The stored outcome of a request. */
+  /** Returns the stored outcome of a request, if any. */
   find(request: KeyedRequest): KeyedOutcome | undefined {
     return this.entries.get(entryKey(request))?.outcome;
   }
