--- a/src/model-checker/member-group.ts
+++ b/src/model-checker/member-group.ts
@@ -77,7 +77,7 @@
       if (!this.counters.has(name)) copy.counters.delete(name);
     });
     for (const [entry, operation] of this.pendingWrites) copy.pendingWrites.set(entry, operation);
-    copy.history.takeOver(this.history);
+    copy.history.copyFrom(this.history);
     return copy;
   }
 
@@ -100,7 +100,7 @@
   execute(step: Step): void {
     this.executeStep(step);
     this.updateTolerance();
-    this.checks.look(this.members.values());
+    this.checks.checkMembers(this.members.values());
   }
 
   private executeStep(step: Step): void {
@@ -197,7 +197,7 @@
     if (!twice) this.messages.delete(id);
     const receiver = this.member(message.to);
     const { body, from, requestId } = message;
-    if (body.way === "request") receiver.receive(from, requestId, body.request);
+    if (body.direction === "request") receiver.receive(from, requestId, body.request);
     else receiver.receiveReply(requestId, body.reply);
   }
 
@@ -243,13 +243,13 @@
 
   send(from: string, to: string, request: ModelRequest): string {
     const id = this.createMessageId(from, to, request.kind);
-    this.enqueue({ id, from, to, requestId: id, body: { way: "request", request } });
+    this.enqueue({ id, from, to, requestId: id, body: { direction: "request", request } });
     return id;
   }
 
   reply(from: string, to: string, requestId: string, reply: ModelReply): void {
     const id = this.createMessageId(from, to, `${reply.kind}-reply`);
-    this.enqueue({ id, from, to, requestId, body: { way: "reply", reply } });
+    this.enqueue({ id, from, to, requestId, body: { direction: "reply", reply } });
   }
 
   randomFraction(member: string): number {
@@ -263,7 +263,7 @@
   }
 
   onApplied(member: ModelMember, index: number, term: number, text: string): void {
-    this.checks.applied(member, index, term, text);
+    this.checks.onApplied(member, index, term, text);
     const key = `${member.name} ${term} ${index}`;
     const operation = this.pendingWrites.get(key);
     if (operation === undefined || member.state.role !== "leader" || member.state.term !== term)
@@ -273,7 +273,7 @@
   }
 
   onElected(member: ModelMember): void {
-    this.checks.elected(member);
+    this.checks.onElected(member);
   }
 
   knownMembers(): Members | undefined {
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -53,7 +53,7 @@
 import type { ModelDisk } from "./model-disk.js";
 import { emptyContent, snapshotContent } from "./disk-contents.js";
 import type { GroupSettings } from "./group-settings.js";
-import { fingerprintOf } from "./member-fingerprint.js";
+import { computeFingerprint } from "./member-fingerprint.js";
 import { reviewMembership } from "./membership-review.js";
 import { PeerReplications } from "./peer-replications.js";
 import { PendingRequests } from "./pending-requests.js";
@@ -151,14 +151,14 @@
   /** A text that is equal for equal states, with times relative to now. */
   get fingerprint(): string {
     const { isUp, state, electionDeadlineMs, replications, disk } = this;
-    return fingerprintOf({ isUp, state, electionDeadlineMs, replications, disk }, this.nowMs);
+    return computeFingerprint({ isUp, state, electionDeadlineMs, replications, disk }, this.nowMs);
   }
 
   get context(): DecisionContext {
     const { settings } = this.group;
     return {
       nowMs: this.nowMs,
-      timeouts: settings.waits,
+      timeouts: settings.timeouts,
       rules: settings.rules,
       stage: this.hasStorage ? "formed" : "empty",
       isRetired: false,
@@ -307,7 +307,7 @@
   }
 
   private get timeouts() {
-    return this.group.settings.waits;
+    return this.group.settings.timeouts;
   }
 
   private send(peer: string, request: ModelRequest, timeoutMs: number): string {
@@ -385,7 +385,7 @@
           this.electionDeadlineMs = this.nowMs + this.randomElectionTimeoutMs();
           this.disk.pending.push({
             content: { records },
-            then: { kind: "requestVotes", request },
+            effect: { kind: "requestVotes", request },
           });
           break;
         }
@@ -420,7 +420,7 @@
       term: state.term,
       index: state.log.lastIndex,
     };
-    this.disk.pending.push({ content: { records }, then: effect });
+    this.disk.pending.push({ content: { records }, effect });
     this.replications.expedite(this.nowMs);
   }
 
@@ -431,7 +431,11 @@
     for (const peer of peers) {
       if (peer === this.name) continue;
       const initial = (): Progress => initialProgress(this.state);
-      const { progress, requestId, dueMs } = this.replications.open(peer, initial, this.nowMs);
+      const { progress, requestId, dueMs } = this.replications.getOrCreate(
+        peer,
+        initial,
+        this.nowMs,
+      );
       if (requestId === undefined && this.nowMs >= dueMs) this.replicate(peer, progress);
     }
   }
@@ -450,7 +454,7 @@
       const snapshot: ModelRequest = { kind: "snapshot", request };
       this.replications.begin(peer, this.send(peer, snapshot, SNAPSHOT_TIMEOUT_MS));
     } else {
-      const limit = { entries: this.group.settings.batchEntries, bytes: MAX_BATCH_BYTES };
+      const limit = { entries: this.group.settings.maxBatchEntries, bytes: MAX_BATCH_BYTES };
       const request = appendRequestFor(state, progress, limit);
       const append: ModelRequest = { kind: "append", request };
       this.replications.begin(peer, this.send(peer, append, this.timeouts.electionMinMs));
@@ -469,12 +473,12 @@
     const { reply, records } = decision;
     if (decision.replyAfterSync) {
       const effect: WriteEffect = { kind: "replyVote", to: from, requestId, reply };
-      if (records.length > 0) this.disk.pending.push({ content: { records }, then: effect });
+      if (records.length > 0) this.disk.pending.push({ content: { records }, effect });
       else this.completeWrite(effect);
       return;
     }
     if (records.length > 0)
-      this.disk.pending.push({ content: { records }, then: { kind: "none" } });
+      this.disk.pending.push({ content: { records }, effect: { kind: "none" } });
     this.group.reply(this.name, from, requestId, { kind: "vote", reply });
   }
 
@@ -491,7 +495,7 @@
     if (mustSync)
       this.disk.pending.push({
         content: { records },
-        then: syncEntriesBeforeReply ? effect : { kind: "none" },
+        effect: syncEntriesBeforeReply ? effect : { kind: "none" },
       });
     if (!mustSync || !syncEntriesBeforeReply) this.completeWrite(effect);
     this.apply();
@@ -512,7 +516,7 @@
     const { term, votedFor, rejoinNonce, truncations } = this.state;
     this.disk.pending.push({
       content: {
-        whole: {
+        fullContent: {
           term,
           votedFor,
           rejoinNonce,
@@ -523,7 +527,7 @@
           value,
         },
       },
-      then: {
+      effect: {
         kind: "acknowledgeSnapshot",
         to: from,
         requestId,
@@ -638,8 +642,8 @@
     if (members === undefined) return;
     const content = emptyContent(members, this.group.createNonce());
     this.disk.pending.push({
-      content: { whole: content },
-      then: { kind: "beginRejoin", content },
+      content: { fullContent: content },
+      effect: { kind: "beginRejoin", content },
     });
   }
 
@@ -680,6 +684,6 @@
     const lastIndex = this.appliedIndex;
     const content = snapshotContent(this.state, lastIndex, this.registerValue, rejoinNonce);
     this.state = compactLog(this.state, lastIndex);
-    this.disk.pending.push({ content: { whole: content }, then: effect });
+    this.disk.pending.push({ content: { fullContent: content }, effect });
   }
 }
--- a/src/simulation/config-workload.ts
+++ b/src/simulation/config-workload.ts
@@ -28,23 +28,23 @@
   readonly timeoutMs?: number;
 }
 
-const sequenced = type({ sequence: number() });
-const foundConfig = type({ config: optional(unknown()) });
-const attemptsOfOrder = 60;
-const pauseMs = 150;
-const attemptsOfRead = 10;
-const readPauseMs = 200;
+const sequenceBody = type({ sequence: number() });
+const configBody = type({ config: optional(unknown()) });
+const MAX_COMMAND_ATTEMPTS = 60;
+const COMMAND_RETRY_DELAY_MS = 150;
+const MAX_READ_ATTEMPTS = 10;
+const READ_RETRY_DELAY_MS = 200;
 
-const jsonIn = (body: Uint8Array): unknown => JSON.parse(Buffer.from(body).toString());
+const parseJson = (body: Uint8Array): unknown => JSON.parse(Buffer.from(body).toString());
 
-const readJob = (target: string): ProxyRequest => ({
+const createReadRequest = (target: string): ProxyRequest => ({
   method: "GET",
   target,
   headers: { "content-type": "application/json" },
   body: Buffer.alloc(0),
 });
 
-const orderJob = ({ base, version, text, changeId }: ConfigChange): ProxyRequest => ({
+const createCommandRequest = ({ base, version, text, changeId }: ConfigChange): ProxyRequest => ({
   method: "PUT",
   target: "/config",
   headers: {
@@ -117,18 +117,18 @@
     const { clock } = this.outside;
     const record = this.recorder.addCommand({ base, probe, startMs: clock.nowMs() });
     this.recorder.environmentRecords.push({ kind: "sent", atMs: clock.nowMs(), probe, text });
-    for (let attempt = 0; attempt < attemptsOfOrder && !this.isOver(); attempt += 1) {
+    for (let attempt = 0; attempt < MAX_COMMAND_ATTEMPTS && !this.isOver(); attempt += 1) {
       const [daemon, sentMs] = [via?.(), clock.nowMs()];
       const response = yield* this.outside.sendAdminRequest(
         daemon,
-        orderJob(change),
+        createCommandRequest(change),
         undefined,
         patienceMs,
       );
       const atMs = clock.nowMs();
       record.attempts.push({ daemon, startMs: sentMs, endMs: atMs, code: response?.code ?? 0 });
       if (response?.code === 200) {
-        const { sequence } = create(jsonIn(response.body), sequenced);
+        const { sequence } = create(parseJson(response.body), sequenceBody);
         this.sequence = Math.max(this.sequence, sequence);
         Object.assign(record, { outcome: "accepted", version: sequence, endMs: atMs });
         this.recorder.environmentRecords.push({ kind: "accepted", atMs, sequence, probe, text });
@@ -136,14 +136,14 @@
       }
       if (response && response.code >= 400 && response.code < 500) {
         const current =
-          response.code === 412 ? create(jsonIn(response.body), sequenced).sequence : 0;
+          response.code === 412 ? create(parseJson(response.body), sequenceBody).sequence : 0;
         this.sequence = Math.max(this.sequence, current);
         const outcome = response.code === 412 ? "lost" : "refused";
         Object.assign(record, { outcome, version: current, endMs: atMs });
         this.recorder.environmentRecords.push({ kind: "rejected", atMs, probe });
         return false;
       }
-      yield* sleep(clock, pauseMs);
+      yield* sleep(clock, COMMAND_RETRY_DELAY_MS);
     }
     return false;
   }
@@ -152,9 +152,9 @@
   *read(via: string | undefined): Task {
     const { clock } = this.outside;
     const startMs = clock.nowMs();
-    const response = yield* this.outside.sendAdminRequest(via, readJob("/config"));
+    const response = yield* this.outside.sendAdminRequest(via, createReadRequest("/config"));
     if (response?.code !== 200) return;
-    const { sequence } = create(jsonIn(response.body), sequenced);
+    const { sequence } = create(parseJson(response.body), sequenceBody);
     this.recorder.configReads.push({ startMs, endMs: clock.nowMs(), version: sequence });
   }
 
@@ -201,15 +201,15 @@
   }
 
   private *textOf(sequence: number): Task<string | undefined> {
-    for (let attempt = 0; attempt < attemptsOfRead; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt += 1) {
       const response = yield* this.outside.sendAdminRequest(
         undefined,
-        readJob(`/config/${sequence}`),
+        createReadRequest(`/config/${sequence}`),
       );
       if (response?.code === 200)
-        return JSON.stringify(create(jsonIn(response.body), foundConfig).config);
+        return JSON.stringify(create(parseJson(response.body), configBody).config);
       if (response && response.code !== 503) return undefined;
-      yield* sleep(this.outside.clock, readPauseMs);
+      yield* sleep(this.outside.clock, READ_RETRY_DELAY_MS);
     }
     return undefined;
   }
--- a/src/simulation/faults/member-partition-faults.ts
+++ b/src/simulation/faults/member-partition-faults.ts
@@ -16,17 +16,17 @@
 import { OPERATOR_TIMEOUT_MS } from "./timed-command.js";
 
 /** How long a member stays cut off from the others. */
-const cutMs = 20_000;
+const PARTITION_MS = 20_000;
 /** How often two operators race meanwhile. */
-const raceEveryMs = 1800;
+const RACE_INTERVAL_MS = 1800;
 /** How far above the current version operators choose the next one. */
-const mostStep = 5;
-const leaderPart = 0.7;
+const MAX_VERSION_STEP = 5;
+const LEADER_FRACTION = 0.7;
 
 /** Which ways of a cut member are cut. */
 type Direction = "both" | "outward" | "inward";
 
-const cutWays = (
+const linksToPartition = (
   member: SimulatedMachine,
   others: readonly SimulatedMachine[],
   direction: Direction,
@@ -38,13 +38,13 @@
 };
 
 /** Two operators change the same version under one number, one of them by way of the cut member. */
-const raceAcross = (
+const raceOnBothSides = (
   simulation: Simulation,
   member: SimulatedMachine,
   others: readonly SimulatedMachine[],
 ): void => {
   const { operators } = simulation.workload;
-  const version = operators.sequence + 1 + Math.floor(simulation.random() * mostStep);
+  const version = operators.sequence + 1 + Math.floor(simulation.random() * MAX_VERSION_STEP);
   const outside = (): string | undefined => pick(simulation, others)?.settings.machine;
   let attempts = 0;
   const inside = (): string | undefined => {
@@ -62,7 +62,7 @@
 };
 
 /** A back end leaves in order while the cut lasts, whichever side hears it. */
-const leaveMeanwhile = function* (simulation: Simulation): Task {
+const replaceBackend = function* (simulation: Simulation): Task {
   const one = pick(simulation, workingBackends(simulation));
   if (!one) return;
   if (yield* simulation.workload.deregister(one)) yield* sleepBetween(simulation, 2600, 3200);
@@ -71,25 +71,25 @@
   one.replace(one.service);
 };
 
-const cutMember = function* (simulation: Simulation, direction: Direction): Task {
-  const led = simulation.random() < leaderPart ? leaders(simulation)[0] : undefined;
+const partitionMember = function* (simulation: Simulation, direction: Direction): Task {
+  const led = simulation.random() < LEADER_FRACTION ? leaders(simulation)[0] : undefined;
   const member = led ?? pick(simulation, diskMachines(simulation));
   if (!member) return;
   const others = diskMachines(simulation).filter((other) => other !== member);
-  const ways = cutWays(member, others, direction);
+  const ways = linksToPartition(member, others, direction);
   for (const [from, to] of ways) simulation.network.partition(from, to);
   const atMs = simulation.virtualClock.nowMs();
-  const untilMs = atMs + cutMs;
+  const untilMs = atMs + PARTITION_MS;
   simulation.recorder.environmentRecords.push({
     kind: "memberCut",
     atMs,
     endMs: untilMs,
     daemon: member.settings.machine,
   });
-  simulation.start(leaveMeanwhile(simulation));
+  simulation.start(replaceBackend(simulation));
   while (simulation.virtualClock.nowMs() < untilMs) {
-    raceAcross(simulation, member, others);
-    yield* sleep(simulation.clock, raceEveryMs);
+    raceOnBothSides(simulation, member, others);
+    yield* sleep(simulation.clock, RACE_INTERVAL_MS);
   }
   simulation.kill(member, simulation.random() < 0.5);
   for (const [from, to] of ways) simulation.network.heal(from, to);
@@ -104,12 +104,12 @@
 /** A member of the replicated log is cut off from the others for twenty seconds, and restarted before them. */
 export const memberPartitionFaults: Record<string, FaultScenario> = {
   *cutMemberForLong(simulation) {
-    yield* cutMember(simulation, "both");
+    yield* partitionMember(simulation, "both");
   },
   *cutMemberOutwardForLong(simulation) {
-    yield* cutMember(simulation, "outward");
+    yield* partitionMember(simulation, "outward");
   },
   *cutMemberInwardForLong(simulation) {
-    yield* cutMember(simulation, "inward");
+    yield* partitionMember(simulation, "inward");
   },
 };
--- a/src/simulation/faults/network-faults.ts
+++ b/src/simulation/faults/network-faults.ts
@@ -1,5 +1,5 @@
 import { CLIENTS_LOCATION } from "../client-call.js";
-import { degrade, partition, isolate, pickDirections, linksBetween } from "./partitions.js";
+import { degradeNetwork, partition, isolate, pickDirections, linksBetween } from "./partitions.js";
 import {
   runningMachines,
   diskMachines,
@@ -89,12 +89,12 @@
     );
   },
   *slowNetwork(simulation) {
-    yield* degrade(simulation, { maxExtraLatencyMs: 10 + simulation.random() * 120 });
+    yield* degradeNetwork(simulation, { maxExtraLatencyMs: 10 + simulation.random() * 120 });
   },
   *slowConnects(simulation) {
-    yield* degrade(simulation, { maxExtraConnectMs: 300 + simulation.random() * 1500 });
+    yield* degradeNetwork(simulation, { maxExtraConnectMs: 300 + simulation.random() * 1500 });
   },
   *lossySeconds(simulation) {
-    yield* degrade(simulation, { lossFraction: 0.02 + simulation.random() * 0.25 });
+    yield* degradeNetwork(simulation, { lossFraction: 0.02 + simulation.random() * 0.25 });
   },
 };
--- a/src/simulation/faults/partitions.ts
+++ b/src/simulation/faults/partitions.ts
@@ -59,7 +59,7 @@
 };
 
 /** Bad weather for the whole network, for some seconds. */
-export const degrade = function* (
+export const degradeNetwork = function* (
   simulation: Simulation,
   weather: Partial<Simulation["network"]["conditions"]>,
 ): Task {
--- a/src/simulation/faults/targets.ts
+++ b/src/simulation/faults/targets.ts
@@ -38,7 +38,7 @@
 export const machineNameOf = ({ settings }: SimulatedMachine): string => settings.machine;
 
 /** Whether any way between two members of the replicated log is cut. */
-const areMembersCut = (simulation: Simulation): boolean => {
+const areMembersPartitioned = (simulation: Simulation): boolean => {
   const places = diskMachines(simulation).map(machineNameOf);
   return places.some((from) => places.some((to) => simulation.network.isPartitioned(from, to)));
 };
@@ -51,6 +51,6 @@
     whole.length === simulation.profile.diskMachines &&
     whole.every(({ daemon }) => daemon?.replicationNode?.status.state === "formed") &&
     leaders(simulation).length > 0 &&
-    !areMembersCut(simulation)
+    !areMembersPartitioned(simulation)
   );
 };
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -12,14 +12,14 @@
 
 type Rule = (recorder: EventRecorder) => Iterable<string>;
 
-const keyMs = 60_000;
-const leftMs = 2000;
-const staleMs = 2000;
-const slipMs = 250;
-const windowMs = 10_000;
-const drainMs = 6000;
-const recoverMs = 15_000;
-const probe = /^\/probe\/(\d+)$/;
+const KEY_WINDOW_MS = 60_000;
+const DEREGISTRATION_MS = 2000;
+const MAX_CONFIG_AGE_MS = 2000;
+const CONFIG_SWITCH_MS = 250;
+const RETRY_WINDOW_MS = 10_000;
+const DRAIN_MS = 6000;
+const RECOVERY_MS = 15_000;
+const PROBE_PATH = /^\/probe\/(\d+)$/;
 
 const groupBy = <T>(
   items: Iterable<T>,
@@ -36,7 +36,7 @@
   return groups;
 };
 
-const succeeded = (record: ClientRecord): boolean => record.code >= 200 && record.code < 300;
+const isSuccess = (record: ClientRecord): boolean => record.code >= 200 && record.code < 300;
 
 const keyRanOnce: Rule = function* (recorder) {
   const byKey = groupBy(recorder.runs, (run) =>
@@ -46,14 +46,14 @@
     const times = runs.map(({ atMs }) => atMs).sort((a, b) => a - b);
     for (let at = 1; at < times.length; at += 1) {
       const gapMs = (times[at] ?? 0) - (times[at - 1] ?? 0);
-      if (gapMs < keyMs) yield `${key} ran twice within ${Math.round(gapMs)} ms`;
+      if (gapMs < KEY_WINDOW_MS) yield `${key} ran twice within ${Math.round(gapMs)} ms`;
     }
   }
 };
 
-const returnsAreTrue: Rule = function* (recorder) {
+const responsesAreCorrect: Rule = function* (recorder) {
   const keys = new Map(recorder.clientRecords.map(({ id, key }) => [id, key]));
-  for (const record of recorder.clientRecords.filter(succeeded)) {
+  for (const record of recorder.clientRecords.filter(isSuccess)) {
     if (record.isGarbage) yield `${record.id} got garbage as a success`;
     else if (!record.isComplete) yield `${record.id} got a body that is cut short as a success`;
     else {
@@ -64,14 +64,14 @@
   }
 };
 
-const droppedNeverRan: Rule = function* (recorder) {
+const rejectedNeverRan: Rule = function* (recorder) {
   const ran = new Set(recorder.runs.map(({ requestId: caller }) => caller));
   for (const record of recorder.clientRecords)
     if (record.code === 503 && ran.has(record.id))
       yield `${record.id} was told to try later, but ran`;
 };
 
-const unrepeatableRanOnce: Rule = function* (recorder) {
+const unsafeRanOnce: Rule = function* (recorder) {
   for (const [caller, runs] of groupBy(recorder.runs, (run) =>
     safeMethods.has(run.method) ? undefined : run.requestId,
   ))
@@ -93,7 +93,7 @@
   for (const [service, runs] of groupBy(retries, ({ intendedService: meant }) => meant)) {
     const sent = (requests.get(service) ?? []).map(({ sentMs }) => sentMs).sort((a, b) => a - b);
     for (const { atMs } of runs) {
-      const inWindow = (time: number): boolean => time >= atMs && time < atMs + windowMs;
+      const inWindow = (time: number): boolean => time >= atMs && time < atMs + RETRY_WINDOW_MS;
       const count = runs.filter((run) => inWindow(run.atMs)).length;
       const base = sent.filter(inWindow).length;
       const allowed = base / 5 + 70;
@@ -105,25 +105,25 @@
   return worst;
 };
 
-const repeatsAreBounded: Rule = function* (recorder) {
+const retriesAreBounded: Rule = function* (recorder) {
   for (const [service, { retries: further, requests, allowed }] of findPeakRetries(recorder))
     if (further > allowed)
       yield `${service} got ${further} repeats in ten seconds with ${requests} requests; ${Math.floor(allowed)} were allowed`;
 };
 
-const leaversGetNothing: Rule = function* (recorder) {
+const deregisteredGetNoRequests: Rule = function* (recorder) {
   for (const left of recorder.ofKind("left"))
     for (const run of recorder.runs)
       if (
         run.address === left.address &&
         run.incarnation === left.incarnation &&
-        run.atMs - run.delayedMs > left.atMs + leftMs
+        run.atMs - run.delayedMs > left.atMs + DEREGISTRATION_MS
       )
         yield `${left.address} got work ${Math.round(run.atMs - left.atMs)} ms after its leave was heard`;
 };
 
-const probed = (record: ClientRecord): number | undefined => {
-  const number = probe.exec(record.path)?.[1];
+const probeNumber = (record: ClientRecord): number | undefined => {
+  const number = PROBE_PATH.exec(record.path)?.[1];
   return number === undefined ? undefined : Number(number);
 };
 
@@ -132,10 +132,10 @@
   const rejected = new Set(recorder.ofKind("rejected").map((record) => record.probe));
   const sent = recorder.ofKind("sent").filter((record) => !rejected.has(record.probe));
   for (const record of recorder.clientRecords) {
-    const number = probed(record);
+    const number = probeNumber(record);
     if (number === undefined) continue;
     const newest = accepted
-      .filter(({ atMs }) => atMs <= record.sentMs - staleMs)
+      .filter(({ atMs }) => atMs <= record.sentMs - MAX_CONFIG_AGE_MS)
       .reduce((most, one) => Math.max(most, one.probe), 0);
     if (record.code === 200 && newest > number)
       yield `${record.daemon} handled a request by config ${number} though ${newest} was accepted 2 s before it was sent`;
@@ -145,9 +145,9 @@
   }
 };
 
-const configsNeverSlipBack: Rule = function* (recorder) {
+const configsNeverGoBack: Rule = function* (recorder) {
   for (const [daemon, records] of groupBy(recorder.clientRecords, (record) =>
-    probed(record) !== undefined && record.code === 200 ? record.daemon : undefined,
+    probeNumber(record) !== undefined && record.code === 200 ? record.daemon : undefined,
   )) {
     const ended = [...records].sort((a, b) => a.endedMs - b.endedMs);
     const sent = [...records].sort((a, b) => a.sentMs - b.sentMs);
@@ -156,13 +156,13 @@
     for (const record of sent) {
       for (
         let earlier = ended[at];
-        earlier && earlier.endedMs <= record.sentMs - slipMs;
+        earlier && earlier.endedMs <= record.sentMs - CONFIG_SWITCH_MS;
         earlier = ended[at]
       ) {
-        newest = Math.max(newest, probed(earlier) ?? 0);
+        newest = Math.max(newest, probeNumber(earlier) ?? 0);
         at += 1;
       }
-      const number = probed(record) ?? 0;
+      const number = probeNumber(record) ?? 0;
       if (number < newest) yield `${daemon} slipped back from config ${newest} to ${number}`;
     }
   }
@@ -190,7 +190,7 @@
   }
 };
 
-const configsAreKept: Rule = function* (recorder) {
+const acceptedConfigsAreKept: Rule = function* (recorder) {
   const accepted = recorder.ofKind("accepted");
   const rejected = new Set(recorder.ofKind("rejected").map((record) => record.probe));
   for (const [sequence, records] of groupBy(accepted, ({ sequence }) => String(sequence)))
@@ -217,13 +217,13 @@
       yield `config ${read.sequence} is in force though none accepted it`;
   }
   for (const record of recorder.clientRecords) {
-    const number = probed(record);
+    const number = probeNumber(record);
     if (number !== undefined && record.code === 200 && rejected.has(number))
       yield `${record.daemon} serves by the rejected config ${number}`;
   }
 };
 
-const stopsFinishWork: Rule = function* (recorder) {
+const stopsFinishRequests: Rule = function* (recorder) {
   for (const { daemon, atMs, endedMs } of recorder.ofKind("stopped")) {
     for (const record of recorder.clientRecords)
       if (
@@ -233,7 +233,7 @@
         record.failure === "broken"
       )
         yield `${daemon} dropped ${record.id} in hand when it was stopped`;
-    if (endedMs > atMs + drainMs + 1500)
+    if (endedMs > atMs + DRAIN_MS + 1500)
       yield `${daemon} took ${Math.round(endedMs - atMs)} ms to stop`;
   }
 };
@@ -245,40 +245,40 @@
   untilMs: number,
 ): number => {
   const sent = recorder.clientRecords.filter(
-    ({ sentMs, path }) => sentMs >= fromMs && sentMs < untilMs && !probe.test(path),
+    ({ sentMs, path }) => sentMs >= fromMs && sentMs < untilMs && !PROBE_PATH.test(path),
   );
-  return sent.length === 0 ? 0 : sent.filter(succeeded).length / sent.length;
+  return sent.length === 0 ? 0 : sent.filter(isSuccess).length / sent.length;
 };
 
 const recoversInTime: Rule = function* (recorder) {
   for (const { atMs } of recorder.ofKind("recovered")) {
-    if (recorder.endMs < atMs + recoverMs + 2000) {
+    if (recorder.endMs < atMs + RECOVERY_MS + 2000) {
       yield "the run ended too soon after the fault to tell";
       continue;
     }
-    const part = servedFraction(recorder, atMs + recoverMs, recorder.endMs - 1000);
+    const part = servedFraction(recorder, atMs + RECOVERY_MS, recorder.endMs - 1000);
     if (part < 0.9)
       yield `${Math.round(part * 100)}% of requests were served 15 s after the fault's end`;
   }
 };
 
-const operatorsSeeOneRegister: Rule = (recorder) =>
+const configAccessIsLinearizable: Rule = (recorder) =>
   configHistoryViolations(recorder.configCommands, recorder.configReads);
 
 /** The brief's rules, each judged by what callers, back ends and operators recorded. */
 export const rules: Record<string, Rule> = {
   "a key runs once in a minute": keyRanOnce,
-  "a return is the caller's own, whole and stamped": returnsAreTrue,
-  "what is told to try later never runs": droppedNeverRan,
-  "what may not be repeated runs once": unrepeatableRanOnce,
-  "repeats stay under a fifth plus seventy in ten seconds": repeatsAreBounded,
-  "a leaving back end gets no work two seconds on": leaversGetNothing,
+  "a return is the caller's own, whole and stamped": responsesAreCorrect,
+  "what is told to try later never runs": rejectedNeverRan,
+  "what may not be repeated runs once": unsafeRanOnce,
+  "repeats stay under a fifth plus seventy in ten seconds": retriesAreBounded,
+  "a leaving back end gets no work two seconds on": deregisteredGetNoRequests,
   "no request meets a config older than two seconds": configsAreFresh,
-  "a daemon never slips back to an older config": configsNeverSlipBack,
+  "a daemon never slips back to an older config": configsNeverGoBack,
   "no request reaches a service that was never allowed": servicesWereAllowed,
-  "only accepted configs are in force, and none is lost": configsAreKept,
-  "operators see one register of configs": operatorsSeeOneRegister,
-  "a stop finishes the work in hand": stopsFinishWork,
+  "only accepted configs are in force, and none is lost": acceptedConfigsAreKept,
+  "operators see one register of configs": configAccessIsLinearizable,
+  "a stop finishes the work in hand": stopsFinishRequests,
   "most requests are served 15 s after a fault": recoversInTime,
 };
 
--- a/src/simulation/simulated-day.ts
+++ b/src/simulation/simulated-day.ts
@@ -41,9 +41,9 @@
   readonly replicationTimeouts?: Partial<ReplicationTimeouts>;
 }
 
-const settleMs = 8000;
-const tailMs = 19_000;
-const nothingDrawnMs = 1000;
+const WARM_UP_MS = 8000;
+const RECOVERY_PERIOD_MS = 19_000;
+const NO_FAULT_ALLOWED_DELAY_MS = 1000;
 
 /** Rehearses one day: a fleet comes up, failures strike by seed, one last fault, then recovery; and judges it. */
 export const runSimulation = ({
@@ -62,7 +62,7 @@
 
   const strike = function* (): Task {
     const name = draw.begin();
-    if (name === undefined) return yield* sleep(simulation.clock, nothingDrawnMs);
+    if (name === undefined) return yield* sleep(simulation.clock, NO_FAULT_ALLOWED_DELAY_MS);
     struck.push(name);
     simulation.recorder.environmentRecords.push({
       kind: "fault",
@@ -73,9 +73,9 @@
     draw.end(name);
   };
   const striking = function* (): Task {
-    while (simulation.virtualClock.nowMs() < settleMs + dayMs) {
+    while (simulation.virtualClock.nowMs() < WARM_UP_MS + dayMs) {
       yield* sleep(simulation.clock, random() * 3000);
-      if (simulation.virtualClock.nowMs() < settleMs + dayMs) yield* strike();
+      if (simulation.virtualClock.nowMs() < WARM_UP_MS + dayMs) yield* strike();
     }
     yield* strike();
     simulation.network.healAll();
@@ -102,11 +102,11 @@
 
   simulation.startAll();
   simulation.start(configuring());
-  simulation.virtualClock.runUntil(settleMs);
+  simulation.virtualClock.runUntil(WARM_UP_MS);
   for (let strikers = 0; strikers < atOnce; strikers += 1) simulation.start(striking());
   while (
     simulation.recorder.ofKind("recovered").length < atOnce &&
-    simulation.virtualClock.nowMs() < settleMs + dayMs + 120_000
+    simulation.virtualClock.nowMs() < WARM_UP_MS + dayMs + 120_000
   )
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 500);
   const recoveredMs = Math.max(
@@ -117,7 +117,7 @@
     (record) => record.kind !== "recovered" || record.atMs === recoveredMs,
   );
   simulation.recorder.environmentRecords.splice(0, Infinity, ...marks);
-  simulation.virtualClock.runUntil(recoveredMs + tailMs);
+  simulation.virtualClock.runUntil(recoveredMs + RECOVERY_PERIOD_MS);
   simulation.recorder.endMs = simulation.virtualClock.nowMs();
   let readBack = false;
   simulation.start(
@@ -134,7 +134,7 @@
     simulation,
     injectedFaults: struck,
     violations: checkRules(recorder),
-    servedFraction: servedFraction(recorder, settleMs, recorder.endMs),
+    servedFraction: servedFraction(recorder, WARM_UP_MS, recorder.endMs),
     requests: recorder.clientRecords.length,
     configs: recorder.ofKind("accepted").length,
     elections: simulation.logLines.filter((line) => line.includes("leader elected")).length,
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -27,7 +27,7 @@
   readonly index: number;
   readonly zone: string;
   readonly hasDisk: boolean;
-  readonly isSpare?: boolean;
+  readonly isReplacement?: boolean;
 }
 
 /** The location of operators on the virtual network. */
@@ -109,7 +109,7 @@
     index,
     zone,
     hasDisk,
-    isSpare = false,
+    isReplacement: isSpare = false,
   }: MachineLayout): SimulatedMachine {
     const address = (port: number): string => `10.0.0.${index + 1}:${port}`;
     const { tolerate, bounds } = this.profile;
@@ -159,7 +159,7 @@
       index: this.machines.length,
       zone,
       hasDisk: true,
-      isSpare: true,
+      isReplacement: true,
     });
     this.machines.push(machine);
     this.boot(machine);
--- a/src/simulation/test-backend.ts
+++ b/src/simulation/test-backend.ts
@@ -27,7 +27,7 @@
   onlyFromDaemon: string;
 }
 
-const honest: InjectedBehavior = {
+const defaultBehavior: InjectedBehavior = {
   slowFactor: 1,
   lossFraction: 0,
   garbageFraction: 0,
@@ -36,7 +36,7 @@
   onlyFromDaemon: "",
 };
 /** A second answer comes so long after the first at most. */
-const mostAgainMs = 60;
+const MAX_REPEAT_DELAY_MS = 60;
 
 /** A back end of our own: it runs requests, records each, and misbehaves when told to. */
 export class TestBackend {
@@ -44,7 +44,7 @@
   readonly zone: string;
   service: string;
   incarnation = 1;
-  behavior: InjectedBehavior = { ...honest };
+  behavior: InjectedBehavior = { ...defaultBehavior };
   isAnnouncing = true;
   private up = true;
   private readonly ends = new Set<() => void>();
@@ -89,13 +89,13 @@
     this.stop();
     this.service = service;
     this.incarnation += 1;
-    this.behavior = { ...honest };
+    this.behavior = { ...defaultBehavior };
     this.up = true;
     this.isAnnouncing = true;
   }
 
   setBehavior(behavior: Partial<InjectedBehavior>): void {
-    this.behavior = { ...honest, ...behavior };
+    this.behavior = { ...defaultBehavior, ...behavior };
   }
 
   /** Runs one request, which the network may have kept back for a while. */
@@ -123,7 +123,7 @@
       duplicatedFraction: doubledPart,
     } = (job.headers["x-daledoor-job"] ?? "").includes(this.behavior.onlyFromDaemon)
       ? this.behavior
-      : honest;
+      : defaultBehavior;
     const waitMs = (3 + this.random() * 12 + (this.random() < 0.02 ? 60 : 0)) * slowFactor;
     const stamp = job.headers["x-daledoor-job"] ?? "";
     const pad = "x".repeat(this.bodyBytes.get(`${job.method} /${path.split("/")[1] ?? ""}`) ?? 100);
@@ -146,7 +146,7 @@
       headers,
       body,
       truncateAt: this.random() < cutPart ? Math.floor(body.length * this.random()) : undefined,
-      repeatAfterMs: this.random() < doubledPart ? this.random() * mostAgainMs : undefined,
+      repeatAfterMs: this.random() < doubledPart ? this.random() * MAX_REPEAT_DELAY_MS : undefined,
     };
   }
 }
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -22,11 +22,11 @@
 const OBEDIENT_FRACTION = 0.3;
 const MAX_IMPATIENT_DELAY_MS = 30;
 
-const ownBody = type({ of: string() });
-const verdictBody = type({ verdict: string() });
+const echoBody = type({ of: string() });
+const statusBody = type({ verdict: string() });
 
 /** The field of a JSON body under a shape; empty where the body has another form. */
-const fieldIn = (
+const readField = (
   body: Buffer,
   shape: Struct<{ of: string }> | Struct<{ verdict: string }>,
 ): string => {
@@ -46,8 +46,9 @@
   record.isComplete = end.contentLength === end.body.length;
   record.isGarbage = end.body.subarray(0, 7).toString() === "garbage";
   if (record.isComplete && !record.isGarbage && end.code < 300)
-    record.echoedId = fieldIn(end.body, ownBody);
-  if (record.isComplete && end.code >= 400) record.executionStatus = fieldIn(end.body, verdictBody);
+    record.echoedId = readField(end.body, echoBody);
+  if (record.isComplete && end.code >= 400)
+    record.executionStatus = readField(end.body, statusBody);
 };
 
 /** The traffic around a fleet: requests of clients, heartbeats of backends, changes by operators. */
