--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -14,7 +14,7 @@
 const REQUEST_ID_LIMIT = 2 ** 32;
 
 /** The message type of an encoding. */
-export type DecodedMessage<C> = r.Held<C>;
+export type DecodedMessage<C> = r.Decoded<C>;
 
 /** Handling of a response that arrives after its timeout. */
 export interface LateResponse<R> {
--- a/src/rpc/rpc-method.ts
+++ b/src/rpc/rpc-method.ts
@@ -26,7 +26,7 @@
 const entryStruct = new r.Struct({ index: r.uint32, term: r.uint32, text });
 
 /** An entry of the replicated log, as it is sent and stored. */
-export type Entry = r.Held<typeof entryStruct>;
+export type Entry = r.Decoded<typeof entryStruct>;
 
 /** All RPC methods by name. */
 export const rpcMethods = {
--- a/test/model-checker/mutants.test.ts
+++ b/test/model-checker/mutants.test.ts
@@ -30,7 +30,7 @@
 
 test.each(detections)("found: %s (seed %i)", (name, seed, promise) => {
   const mutant = mutants.find((one) => one.name === name);
-  const extent = { firstSeed: seed, mostSteps: stepsPerRun, stepsPerRun };
+  const extent = { firstSeed: seed, maxSteps: stepsPerRun, stepsPerRun };
   const found = exploreRandomly(extent, mutant?.ruleOverride);
   expect(found.counterexample?.invariant).toBe(promise);
   expect(exploreRandomly(extent).counterexample?.message).toBeUndefined();
