--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -14,7 +14,7 @@
 ): Members | undefined => {
   const { members, acknowledgedSentMs, responsiveSinceMs, matched, committedIndex, syncedIndex } =
     state;
-  const change = MembershipPolicy.next({
+  const change = MembershipPolicy.nextChange({
     self,
     voters: members.voters,
     learners: members.learners,
@@ -38,5 +38,5 @@
       forgetAfterMs: settings.forgetAfterMs,
     },
   });
-  return change === undefined ? undefined : MembershipPolicy.after(members, change);
+  return change === undefined ? undefined : MembershipPolicy.applyChange(members, change);
 };
--- a/src/replication/history/config-history.ts
+++ b/src/replication/history/config-history.ts
@@ -36,7 +36,7 @@
   /** How many configs it has; until the file was measured, as many as fit before the next file. */
   count: number;
   /** How long it is, once it was measured. */
-  bytes: number | undefined;
+  measuredBytes: number | undefined;
   /** Whether fewer configs were read from it than it should have. */
   isDamaged: boolean;
 }
@@ -46,7 +46,7 @@
 const CURRENT_NAME = /^configs-(\d+)$/;
 
 const fileFromName = (name: string): HistoryFile | undefined => {
-  const unmeasured = { name, count: 0, bytes: undefined, isDamaged: false };
+  const unmeasured = { name, count: 0, measuredBytes: undefined, isDamaged: false };
   const former = FORMER_NAME.exec(name)?.[1];
   if (former !== undefined)
     return { ...unmeasured, layout: "complete", first: Number(former) * CONFIGS_PER_FILE + 1 };
@@ -77,7 +77,7 @@
   }
 
   /** Whether a file of this name belongs to a history. */
-  static isName(name: string): boolean {
+  static isHistoryFileName(name: string): boolean {
     return FORMER_NAME.test(name) || CURRENT_NAME.test(name);
   }
 
@@ -87,19 +87,19 @@
   }
 
   /** The sequence of the newest stored config, or 0. */
-  get newest(): number {
+  get newestSequence(): number {
     const last = this.files.at(-1);
     return last ? lastSequenceOf(last) : 0;
   }
 
   /** The size of all files that were measured. */
-  get bytes(): number {
-    return this.files.reduce((sum, { bytes = 0 }) => sum + bytes, 0);
+  get measuredBytes(): number {
+    return this.files.reduce((sum, { measuredBytes = 0 }) => sum + measuredBytes, 0);
   }
 
   /** Whether older configs may still be added without the removal of others. */
-  get hasRoom(): boolean {
-    return this.bytes < (this.quotaBytes * 3) / 4;
+  get hasSpareQuota(): boolean {
+    return this.measuredBytes < (this.quotaBytes * 3) / 4;
   }
 
   /** Whether a file was found to have fewer configs than it should. */
@@ -118,7 +118,11 @@
       const next = this.files[position + 1];
       file.count = next ? Math.min(CONFIGS_PER_FILE, next.first - file.first) : 0;
     }
-    for (let last = this.files.at(-1); last && last.bytes === undefined; last = this.files.at(-1))
+    for (
+      let last = this.files.at(-1);
+      last && last.measuredBytes === undefined;
+      last = this.files.at(-1)
+    )
       yield* this.measure(last);
   }
 
@@ -126,7 +130,7 @@
   *check(): Task<SequenceRange[]> {
     const damaged: SequenceRange[] = [];
     for (const file of [...this.files]) {
-      if (file.bytes !== undefined && !file.isDamaged) continue;
+      if (file.measuredBytes !== undefined && !file.isDamaged) continue;
       const last = lastSequenceOf(file);
       const wasCut = yield* this.measure(file);
       if (wasCut && lastSequenceOf(file) < last)
@@ -145,7 +149,7 @@
   /** Removes the oldest files until the rest is within the quota; returns the sequences that were removed. */
   *shrink(): Task<SequenceRange | undefined> {
     let from: number | undefined;
-    while (this.bytes > this.quotaBytes && this.files.length > 1) {
+    while (this.measuredBytes > this.quotaBytes && this.files.length > 1) {
       const range = yield* this.removeOldest();
       from ??= range?.from;
     }
@@ -155,7 +159,7 @@
   /** Removes the oldest file of a full disk, never the newest; the quota is what the rest takes from then on. */
   *reclaim(): Task<SequenceRange | undefined> {
     const range = yield* this.removeOldest();
-    if (range) this.quotaBytes = Math.min(this.quotaBytes, this.bytes);
+    if (range) this.quotaBytes = Math.min(this.quotaBytes, this.measuredBytes);
     return range;
   }
 
@@ -166,17 +170,17 @@
   }
 
   /** Reads configs from a sequence on that follow one another, as they travel. */
-  *piece(from: number): Task<Uint8Array> {
+  *readPiece(from: number): Task<Uint8Array> {
     let textBytes = 0;
     const configs = yield* this.readFrom(from, ({ text }) => {
       textBytes += text.length;
       return textBytes >= MAX_PIECE_TEXT_BYTES;
     });
-    return ConfigHistory.pack(configs);
+    return ConfigHistory.packPiece(configs);
   }
 
   /** The newest sequences below one that are not stored here, as a range without a gap; `undefined` where none is missing. */
-  missingBelow(sequence: number): SequenceRange | undefined {
+  findMissingBelow(sequence: number): SequenceRange | undefined {
     let to = sequence - 1;
     for (const file of [...this.files].reverse()) {
       if (lastSequenceOf(file) < to) return { from: lastSequenceOf(file) + 1, to };
@@ -186,7 +190,7 @@
   }
 
   /** Configs as they travel, as many as one piece may carry. */
-  static pack(configs: readonly AcceptedConfig[]): Uint8Array {
+  static packPiece(configs: readonly AcceptedConfig[]): Uint8Array {
     const pieces: Buffer[] = [];
     let textBytes = 0;
     for (const config of configs) {
@@ -198,7 +202,7 @@
   }
 
   /** Reads what another sent; nothing where it doesn't begin with the wanted config. */
-  static unpack(bytes: Uint8Array, from: number): AcceptedConfig[] {
+  static unpackPiece(bytes: Uint8Array, from: number): AcceptedConfig[] {
     return [...readConfigs(Buffer.from(bytes), from, "complete")];
   }
 
@@ -217,7 +221,7 @@
     const { file, previous } = yield* this.fileFor(first.sequence);
     const records: Buffer[] = [];
     let last = previous;
-    let bytes = file.bytes ?? 0;
+    let bytes = file.measuredBytes ?? 0;
     for (const config of configs) {
       const isFull = file.count + records.length >= CONFIGS_PER_FILE || bytes > this.fileBytes;
       if (last && (isFull || config.sequence !== last.sequence + 1)) break;
@@ -228,7 +232,7 @@
     }
     yield* this.write(file, Buffer.concat(records));
     file.count += records.length;
-    file.bytes = bytes;
+    file.measuredBytes = bytes;
     if (last) this.tail = { file, config: last };
     return records.length;
   }
@@ -258,7 +262,7 @@
       layout: "deltas",
       first: sequence,
       count: 0,
-      bytes: 0,
+      measuredBytes: 0,
       isDamaged: false,
     };
     return { file, previous: undefined };
@@ -270,7 +274,7 @@
       file.layout === "deltas" &&
       lastSequenceOf(file) + 1 === sequence &&
       file.count < CONFIGS_PER_FILE &&
-      (file.bytes ?? 0) <= this.fileBytes
+      (file.measuredBytes ?? 0) <= this.fileBytes
     );
   }
 
@@ -302,7 +306,7 @@
     const { count, intactBytes } = measureRecords(bytes);
     if (intactBytes < bytes.length) yield* this.disk.truncate(file.name, intactBytes);
     file.count = count;
-    file.bytes = intactBytes;
+    file.measuredBytes = intactBytes;
     file.isDamaged = false;
     if (count === 0) {
       this.files = this.files.filter((one) => one !== file);
--- a/src/replication/history/history-service.ts
+++ b/src/replication/history/history-service.ts
@@ -123,7 +123,7 @@
     const { configs } = stateMachine;
     const newest = configs.at(-1)?.sequence ?? 0;
     this.needsRetry = false;
-    if (newest <= history.newest) return onReleased(history.newest);
+    if (newest <= history.newestSequence) return onReleased(history.newestSequence);
     this.isPersisting = true;
     writer.attempt(
       () => history.add(configs),
@@ -160,11 +160,13 @@
   private *pieceFrom(from: number): Task<DecodedMessage<typeof rpcMethods.history.response>> {
     const { stateMachine, history, isFormed } = this.options;
     if (!isFormed()) return { configs: new Uint8Array() };
-    const stored = yield* history.piece(from);
+    const stored = yield* history.readPiece(from);
     if (stored.length > 0) return { configs: stored };
     const { configs } = stateMachine;
     const first = configs.findIndex(({ sequence }) => sequence === from);
-    return { configs: first < 0 ? new Uint8Array() : ConfigHistory.pack(configs.slice(first)) };
+    return {
+      configs: first < 0 ? new Uint8Array() : ConfigHistory.packPiece(configs.slice(first)),
+    };
   }
 
   /** Fetches configs from one on, as another member has them; followers are asked before the leader. */
@@ -180,7 +182,7 @@
       const response = yield* rpc.call(peer, rpcMethods.history, { from }, FETCH_TIMEOUT_MS);
       if (!response) continue;
       replied.add(peer);
-      const configs = ConfigHistory.unpack(response.configs, from);
+      const configs = ConfigHistory.unpackPiece(response.configs, from);
       if (configs.length > 0) return { configs, isMissingEverywhere: false };
     }
     return { configs: [], isMissingEverywhere: voterPeers.every((voter) => replied.has(voter)) };
@@ -196,7 +198,7 @@
     const { history } = this.options;
     const missing = this.missingRange();
     if (!missing) {
-      if (this.wasIncomplete) this.log.info("history complete", { newest: history.newest });
+      if (this.wasIncomplete) this.log.info("history complete", { newest: history.newestSequence });
       this.wasIncomplete = false;
       return;
     }
@@ -223,13 +225,13 @@
     const { history } = this.options;
     const range = this.missingOnDisk();
     const removedUpTo = Math.max(this.unavailableUpTo, history.removedUpTo);
-    if (!range || range.to <= removedUpTo || !history.hasRoom) return undefined;
+    if (!range || range.to <= removedUpTo || !history.hasSpareQuota) return undefined;
     return { from: Math.max(range.from, removedUpTo + 1), to: range.to };
   }
 
   private missingOnDisk(): SequenceRange | undefined {
     const { stateMachine, history } = this.options;
-    return history.missingBelow(stateMachine.configs[0]?.sequence ?? 1);
+    return history.findMissingBelow(stateMachine.configs[0]?.sequence ?? 1);
   }
 
   private *insert(configs: AcceptedConfig[]): Task {
--- a/src/replication/log/log-store.ts
+++ b/src/replication/log/log-store.ts
@@ -51,7 +51,7 @@
   readonly snapshotPart: SnapshotPartFile;
   /** The number of the newer slot, and of its log. */
   private sequence = 0;
-  private logBytes = 0;
+  private currentLogBytes = 0;
   /** Whether an append to the log was begun and not completed. */
   private isAppendIncomplete = false;
   private isClearing = false;
@@ -63,8 +63,8 @@
   }
 
   /** The size of the log after the newest snapshot. */
-  get addedBytes(): number {
-    return this.logBytes;
+  get logBytes(): number {
+    return this.currentLogBytes;
   }
 
   /** Reads the disk; an incomplete record at the log's end is cut off, damage before it is reported. */
@@ -74,7 +74,9 @@
     if (names.includes(CLEARING_MARKER)) return damaged("The disk was being cleared.");
     const { newest, damagedCount } = yield* this.readSlots();
     if (!newest) {
-      const hasOthers = names.some((name) => isLogName(name) || ConfigHistory.isName(name));
+      const hasOthers = names.some(
+        (name) => isLogName(name) || ConfigHistory.isHistoryFileName(name),
+      );
       return hasOthers || damagedCount > 1 ? damaged("No slot can be read.") : { kind: "empty" };
     }
     this.sequence = newest.sequence;
@@ -92,22 +94,23 @@
   *clear(): Task {
     yield* this.disk.write(CLEARING_MARKER, Buffer.alloc(0));
     for (const name of yield* this.disk.list())
-      if (SLOT_NAMES.includes(name) || isLogName(name) || ConfigHistory.isName(name))
+      if (SLOT_NAMES.includes(name) || isLogName(name) || ConfigHistory.isHistoryFileName(name))
         yield* this.disk.remove(name);
     yield* this.history.load([]);
     this.sequence = 0;
-    this.logBytes = 0;
+    this.currentLogBytes = 0;
     this.isClearing = true;
   }
 
   /** Appends records to the log; they are durable once this has ended. */
   *append(records: LogRecord[]): Task {
     const bytes = Buffer.concat(records.map(encodeLogRecord));
-    if (this.isAppendIncomplete) yield* this.disk.truncate(logName(this.sequence), this.logBytes);
+    if (this.isAppendIncomplete)
+      yield* this.disk.truncate(logName(this.sequence), this.currentLogBytes);
     this.isAppendIncomplete = true;
     yield* this.disk.append(logName(this.sequence), bytes);
     this.isAppendIncomplete = false;
-    this.logBytes += bytes.length;
+    this.currentLogBytes += bytes.length;
   }
 
   /** Writes a durable state to the older slot and begins a new log. */
@@ -118,7 +121,7 @@
     yield* this.disk.write(logName(sequence), Buffer.alloc(0));
     const former = this.sequence;
     this.sequence = sequence;
-    this.logBytes = 0;
+    this.currentLogBytes = 0;
     this.isAppendIncomplete = false;
     if (former > 0) yield* this.disk.remove(logName(former));
     if (this.isClearing) yield* this.disk.remove(CLEARING_MARKER);
@@ -152,7 +155,7 @@
         return damaged(`The log is damaged at byte ${end}, before its tail.`);
       yield* this.disk.truncate(name, end);
     }
-    this.logBytes = end;
+    this.currentLogBytes = end;
     return undefined;
   }
 }
--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -61,7 +61,7 @@
   }
 
   /** Notes that a member is about to stop; returns its status, or nothing where this node doesn't lead. */
-  noteStopping(machine: string, lastIndex: number): LeaveStatus | undefined {
+  markStopping(machine: string, lastIndex: number): LeaveStatus | undefined {
     const { clock, consensus, timeouts } = this.options;
     const { role, members, membersIndex, committedIndex, log } = consensus.current;
     if (role !== "leader") return undefined;
@@ -70,7 +70,11 @@
     const view = this.viewSince(nowMs);
     return {
       isVoter: members.voters.includes(machine) || membersIndex > committedIndex,
-      isHeld: MembershipPolicy.isHeldWithout(view, machine, Math.min(lastIndex, log.lastIndex)),
+      isHeld: MembershipPolicy.isReplicatedWithout(
+        view,
+        machine,
+        Math.min(lastIndex, log.lastIndex),
+      ),
     };
   }
 
@@ -85,11 +89,11 @@
   review(leadingSinceMs: number): void {
     const { log, consensus } = this.options;
     if (!mayChangeMembers(consensus.current, consensus.context)) return;
-    const change = MembershipPolicy.next(this.viewSince(leadingSinceMs));
+    const change = MembershipPolicy.nextChange(this.viewSince(leadingSinceMs));
     if (!change) return;
     const { kind, member, reason } = change;
     log.warn("membership change", { change: kind, member, why: reason });
-    this.change(MembershipPolicy.after(consensus.current.members, change));
+    this.change(MembershipPolicy.applyChange(consensus.current.members, change));
   }
 
   private change(members: Members): void {
--- a/src/replication/membership/membership-policy.ts
+++ b/src/replication/membership/membership-policy.ts
@@ -128,7 +128,7 @@
 /** The policy by which a leader changes the members. */
 export const MembershipPolicy = {
   /** The next change of the membership, or none. */
-  next(view: MembershipView): MembershipChange | undefined {
+  nextChange(view: MembershipView): MembershipChange | undefined {
     const { voters, learners, wantedVoters } = view;
     const ready = learners.find((learner) => isReady(view, learner));
     if (voters.length > wantedVoters) return removeSurplusVoter(view) ?? removeLostLearner(view);
@@ -138,7 +138,7 @@
   },
 
   /** The group after a change. */
-  after(
+  applyChange(
     { voters, learners }: Pick<MembershipView, "voters" | "learners">,
     change: MembershipChange,
   ): { voters: string[]; learners: string[] } {
@@ -156,7 +156,7 @@
   },
 
   /** Whether a majority of the voters has what is committed, and all up to an index, without counting one of them. */
-  isHeldWithout(view: MembershipView, stopping: string, index: number): boolean {
+  isReplicatedWithout(view: MembershipView, stopping: string, index: number): boolean {
     const neededIndex = Math.max(view.committedIndex, index);
     const holders = view.voters.filter(
       (voter) =>
--- a/src/replication/snapshot/snapshot-sender.ts
+++ b/src/replication/snapshot/snapshot-sender.ts
@@ -132,7 +132,7 @@
   }
 
   /** A member needs no snapshot any more. */
-  end(peer: string): void {
+  endTransfer(peer: string): void {
     this.transfers.delete(peer);
     this.messagesWithoutReply.delete(peer);
     if (this.transfers.size === 0) this.shared = undefined;
@@ -141,7 +141,7 @@
   /** The index after which the log must be retained for transfers under way, or nothing. */
   retainedIndex(nowMs: number): number | undefined {
     for (const [peer, { advancedMs: answeredMs }] of this.transfers)
-      if (nowMs - answeredMs > TRANSFER_IDLE_MS) this.end(peer);
+      if (nowMs - answeredMs > TRANSFER_IDLE_MS) this.endTransfer(peer);
     return this.shared?.identity.lastIndex;
   }
 }
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -32,7 +32,11 @@
   RequestCounts,
   defaultRequestCountsFormat,
 } from "../../src/retry-budget/request-counts.js";
-import { FleetStage, type MachineLife, type StageMachine } from "../replication/fleet-stage.js";
+import {
+  ClusterFixture,
+  type ProcessEnvironment,
+  type FixtureMachine,
+} from "../replication/fleet-stage.js";
 import { historyPiece, recordTexts, runOn } from "./stored-data.js";
 
 /** One sample of a message: how it is encoded now, and how a recorded frame is decoded and encoded again. */
@@ -382,7 +386,7 @@
 
   constructor(private readonly stage: TappedFleet) {
     const runtime = virtualRuntime({
-      clock: stage.time.clock(),
+      clock: stage.virtualClock.clock(),
       network: stage.network.wire("raw-peer", new EventGate()),
       random: stage.random,
     });
@@ -390,37 +394,37 @@
   }
 
   private run<T>(task: Task<T | undefined>): T {
-    const value = runOn(this.stage.time, task);
+    const value = runOn(this.stage.virtualClock, task);
     if (value === undefined) throw new Error("The daemon gave no answer.");
     return value;
   }
 
   /** Sends a command to a daemon and gives the text of its answer. */
-  command(to: StageMachine, text: string): string {
+  command(to: FixtureMachine, text: string): string {
     return this.run(this.rpc.call(to.peer, rpcMethods.command, { forwarded: true, text }, 5000))
       .text;
   }
 
   /** Sends a poll to a daemon and gives the text of its answer. */
-  poll(to: StageMachine, text: string): string {
+  poll(to: FixtureMachine, text: string): string {
     return this.run(this.rpc.call(to.peer, rpcMethods.watch, { forwarded: true, text }, 5000)).text;
   }
 
   /** Sends a sketch to a daemon and gives the text of its answer. */
-  push(to: StageMachine, text: string, base64: string): string {
+  push(to: FixtureMachine, text: string, base64: string): string {
     const ask = { text, sketches: Buffer.from(base64, "base64") };
     return this.run(this.rpc.call(to.peer, rpcMethods.pushCounts, ask, 5000)).text;
   }
 
   /** How a daemon says that it stands, when it is met. */
-  meetingState(to: StageMachine): string {
+  meetingState(to: FixtureMachine): string {
     const ask = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
     return this.run(this.rpc.call(to.peer, rpcMethods.discover, ask, 5000)).state;
   }
 }
 
 /** A virtual fleet whose requests and log entries are noted by the keys of their JSON. */
-export class TappedFleet extends FleetStage {
+export class TappedFleet extends ClusterFixture {
   /** What daemons sent one another of themselves: requests, and log entries by their kinds. */
   readonly sent = new KeyPathTable();
   /** How members said they stood, when they met. */
@@ -433,8 +437,8 @@
     this.peer = new RawPeer(this);
   }
 
-  protected override lifeOf(machine: StageMachine): MachineLife {
-    const life = super.lifeOf(machine);
+  protected override createEnvironment(machine: FixtureMachine): ProcessEnvironment {
+    const life = super.createEnvironment(machine);
     return { ...life, network: this.tapped(life.network) };
   }
 
@@ -488,13 +492,15 @@
 
   /** Ends a run: a voter comes back with an empty disk, a learner that was forgotten comes back, and the leader stops. */
   playEnd(): void {
-    const follower = this.disks.find((one) => one !== this.leader);
+    const follower = this.diskMachines.find((one) => one !== this.leader);
     if (!follower) throw new Error("Nobody follows.");
     this.kill(follower, true);
     this.wait(3000);
     this.boot(follower, { bootstrap: false });
     this.wait(8000);
-    const learner = this.disks.find(({ peer }) => this.leader.record?.learners.includes(peer));
+    const learner = this.diskMachines.find(({ peer }) =>
+      this.leader.status?.learners.includes(peer),
+    );
     if (!learner) throw new Error("Nobody learns.");
     this.kill(learner);
     this.wait(130_000);
@@ -505,10 +511,10 @@
   }
 
   /** Tells a daemon to stop, and waits until it has. */
-  drain(machine: StageMachine): void {
+  drain(machine: FixtureMachine): void {
     const { daemon } = machine;
     if (!daemon) throw new Error("The daemon doesn't run.");
-    runOn(this.time, daemon.drain());
+    runOn(this.virtualClock, daemon.drain());
     this.kill(machine);
   }
 }
@@ -552,10 +558,10 @@
     this.remember(answer);
   }
 
-  private target(to: Step["to"]): StageMachine {
-    const { leader, disks } = this.fleet;
+  private target(to: Step["to"]): FixtureMachine {
+    const { leader, diskMachines: disks } = this.fleet;
     const follower = disks.find((one) => one !== leader);
-    const found = to === "leader" ? leader : to === "edge" ? this.fleet.at(4) : follower;
+    const found = to === "leader" ? leader : to === "edge" ? this.fleet.machineAt(4) : follower;
     if (!found) throw new Error("There is no such machine.");
     return found;
   }
@@ -563,7 +569,7 @@
   private filled(text: string): string {
     const { fleet } = this;
     const values = new Map(this.known)
-      .set("FLEET", fleet.fleetOf(fleet.leader))
+      .set("FLEET", fleet.fleetIdOf(fleet.leader))
       .set("FOLLOWER", this.target("follower").peer);
     return text.replace(/\{([A-Z]+)\}/g, (_, name: string) => values.get(name) ?? "0");
   }
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -19,7 +19,7 @@
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
 import { type Task, runTask } from "../../src/runtime/task.js";
-import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
+import { ClusterFixture, type FixtureMachine } from "../replication/fleet-stage.js";
 
 /** The files of a data folder, by name. */
 export type Files = ReadonlyMap<string, Buffer>;
@@ -126,7 +126,7 @@
 /** All configurations that the history files hold, up to the newest. */
 const historyOf = (stage: DiskStage, store: LogStore) => {
   const kept = [];
-  for (let sequence = 1; sequence <= store.history.newest; sequence += 1) {
+  for (let sequence = 1; sequence <= store.history.newestSequence; sequence += 1) {
     const config = stage.run(store.history.read(sequence));
     if (config) kept.push(configurationOf(config));
   }
@@ -291,14 +291,14 @@
 export const sealed = (text: string): Uint8Array => withChecksum(Buffer.from(text, "utf8"));
 
 /** A configuration of the history, as a piece of it travels. */
-export const historyPiece = (): Uint8Array => ConfigHistory.pack([2, 3].map(configuration));
+export const historyPiece = (): Uint8Array => ConfigHistory.packPiece([2, 3].map(configuration));
 
 /** The configurations of a piece of the history that begins with the second. */
 export const readHistoryPiece = (bytes: Uint8Array) =>
-  ConfigHistory.unpack(bytes, 2).map(configurationOf);
+  ConfigHistory.unpackPiece(bytes, 2).map(configurationOf);
 
 /** A fleet of one member, which leads alone. */
-export class LoneMember extends FleetStage {
+export class LoneMember extends ClusterFixture {
   /** Begins on a data folder, or on an empty disk; `snapshotBytes` is after how many bytes it writes a snapshot. */
   constructor(
     files: Files,
@@ -309,8 +309,8 @@
     this.restart();
   }
 
-  private get member(): StageMachine {
-    return this.at(0);
+  private get member(): FixtureMachine {
+    return this.machineAt(0);
   }
 
   protected override daemonOptions(): DaemonOptions {
@@ -323,14 +323,14 @@
   restart(): void {
     if (this.member.daemon) this.kill(this.member);
     this.boot(this.member);
-    this.until(() => this.member.daemon?.replicationNode?.holdsLease === true, 20_000);
+    this.waitUntil(() => this.member.daemon?.replicationNode?.holdsLease === true, 20_000);
   }
 
   /** Has an entry committed and gives its outcome. */
   enter(text: string): string {
     const { replicationNode } = this.member.daemon ?? {};
     if (!replicationNode) throw new Error("The member doesn't run.");
-    const proposed = runOn(this.time, replicationNode.propose(text));
+    const proposed = runOn(this.virtualClock, replicationNode.propose(text));
     if (proposed.kind !== "committed")
       throw new Error(`The entry was not taken: ${proposed.kind}.`);
     return proposed.outcome;
@@ -343,14 +343,14 @@
 
   /** The text of an accepted configuration, as the member finds it. */
   configurationText(sequence: number): string | undefined {
-    return this.config(this.member, sequence);
+    return this.readConfig(this.member, sequence);
   }
 
   /** What its disk holds now. */
   get files(): Files {
     const { disk } = this.member;
     if (!disk) throw new Error("The member has no disk.");
-    const names = runOn(this.time, disk.list());
+    const names = runOn(this.virtualClock, disk.list());
     return new Map(names.map((name) => [name, disk.peek(name)]));
   }
 }
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -6,7 +6,7 @@
 import { DelayedNetwork } from "./delayed-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { type Task, runTask, waitFor } from "../../src/runtime/task.js";
-import { FleetStage } from "../replication/fleet-stage.js";
+import { ClusterFixture } from "../replication/fleet-stage.js";
 
 const spread = { zones: 8, regions: 2 };
 const many = 24;
@@ -19,11 +19,11 @@
   readonly name: string;
 }
 
-const pollingDaemons = (stage: FleetStage, count: number): TestDaemon[] =>
+const pollingDaemons = (stage: ClusterFixture, count: number): TestDaemon[] =>
   Array.from({ length: count }, (_, at) => {
     const zone = zoneOf(at, spread);
     const gate = new EventGate();
-    const clock = gate.clock(stage.time.clock());
+    const clock = gate.clock(stage.virtualClock.clock());
     const name = `daemon-${at}`;
     const wire = new DelayedNetwork(stage.network.wire(name, gate), clock, () =>
       oneWayMs(zone, "zone-1", spread),
@@ -32,7 +32,7 @@
     const daemon = new PollingDaemon(
       runtime,
       { machine: name, zone, peer: `10.9.0.${at + 1}:7000` },
-      [stage.at(0).peer],
+      [stage.machineAt(0).peer],
       boundsOf({}),
     );
     daemon.start();
@@ -49,11 +49,11 @@
 
 describe("control traffic", () => {
   test("daemons send watch requests, push counts and receive views at the configured rates", () => {
-    const stage = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    const stage = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
     stage.bootAll();
     stage.wait(4000);
     const all = pollingDaemons(stage, many);
-    stage.until(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
+    stage.waitUntil(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
     expect(all.filter(({ daemon }) => daemon.clusterView.holdsLease)).toHaveLength(many);
     stage.wait(6000);
 
@@ -87,11 +87,11 @@
   });
 
   test("configurations reach daemons in order; unresponsive daemons are logged by name, backends without heartbeats removed", () => {
-    const stage = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    const stage = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
     stage.bootAll();
     stage.wait(4000);
     const all = pollingDaemons(stage, many);
-    stage.until(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
+    stage.waitUntil(() => all.every(({ daemon }) => daemon.clusterView.holdsLease), 5000);
 
     const backEnds = Array.from({ length: 30 }, (_, at) => ({
       address: `10.8.0.${at + 1}:80`,
@@ -107,7 +107,7 @@
         const daemon = all[(at + round) % (many - 6)]?.daemon;
         if (daemon && (yield* daemon.heartbeat(backend))) heard.known += 1;
         else heard.unknown += 1;
-        yield* waitFor<boolean>((done) => stage.time.clock().after(1000, () => done(true)));
+        yield* waitFor<boolean>((done) => stage.virtualClock.clock().after(1000, () => done(true)));
       }
     };
     for (const at of backEnds.keys()) run(heartbeat(at));
@@ -116,7 +116,7 @@
         (sum, service) => sum + daemon.clusterView.backendsOf(service).length,
         0,
       );
-    stage.until(() => all.every((one) => known(one) === backEnds.length), 8000);
+    stage.waitUntil(() => all.every((one) => known(one) === backEnds.length), 8000);
     expect(all.map(known)).toEqual(all.map(() => backEnds.length));
 
     const seen = new Map(all.map(({ name }) => [name, [0]]));
@@ -130,7 +130,7 @@
             value: configOf({ services, routes: 9 }, sequence),
           }),
         );
-      stage.until(() => {
+      stage.waitUntil(() => {
         for (const { name, daemon } of all) {
           const one = seen.get(name);
           if (one && one.at(-1) !== daemon.clusterView.configSequence)
@@ -145,7 +145,7 @@
     for (const { gate } of killed) gate.kill();
     for (const gone of backEnds.slice(0, 4)) announcing.delete(gone);
     stage.wait(9000);
-    const unresponsive = stage.lines.filter((line) => line.includes("daemon unresponsive"));
+    const unresponsive = stage.logLines.filter((line) => line.includes("daemon unresponsive"));
     expect(
       killed.filter(({ name }) => unresponsive.some((line) => line.includes(`"${name}"`))),
     ).toHaveLength(killed.length);
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -8,7 +8,7 @@
 import type { WatchRequest } from "../../src/control-protocol/watch-request.js";
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
-import { FleetStage } from "../replication/fleet-stage.js";
+import { ClusterFixture } from "../replication/fleet-stage.js";
 import { stage } from "./control-plane-stage.js";
 
 const watchRequestOf = (incarnation: string, configSequence: number): WatchRequest => ({
@@ -70,18 +70,18 @@
   });
 
   test("a daemon whose views take longer than the request timeout has its lease from the sending of the request", () => {
-    const fleet = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    const fleet = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
     fleet.bootAll();
     fleet.wait(4000);
     const gate = new EventGate();
-    const clock = gate.clock(fleet.time.clock());
+    const clock = gate.clock(fleet.virtualClock.clock());
     const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
     const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
     const bounds = boundsOf({});
     const daemon = new PollingDaemon(
       runtime,
       { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
-      [fleet.at(0).peer],
+      [fleet.machineAt(0).peer],
       bounds,
     );
     daemon.start();
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -6,24 +6,24 @@
 import { DelayedNetwork } from "./delayed-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { type Task, runTask } from "../../src/runtime/task.js";
-import { FleetStage } from "../replication/fleet-stage.js";
+import { ClusterFixture } from "../replication/fleet-stage.js";
 import { stage } from "./control-plane-stage.js";
 
 const servicesCount = 40;
 
 describe("watch traffic", () => {
   test("an idle daemon's requests and views don't grow with the number of services: only demand names them", () => {
-    const fleet = new FleetStage(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
+    const fleet = new ClusterFixture(["d:zone-1", "d:zone-2", "d:zone-3"], [0, 1, 2]);
     fleet.bootAll();
     fleet.wait(4000);
     const gate = new EventGate();
-    const clock = gate.clock(fleet.time.clock());
+    const clock = gate.clock(fleet.virtualClock.clock());
     const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
     const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
     const daemon = new PollingDaemon(
       runtime,
       { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
-      [fleet.at(0).peer],
+      [fleet.machineAt(0).peer],
       boundsOf({}),
     );
     daemon.start();
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -6,7 +6,7 @@
 import { sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import { patchConfig, routeTo, type ConfigChangeBytes } from "../platform/command-stage.js";
-import type { StageMachine } from "../replication/fleet-stage.js";
+import type { FixtureMachine } from "../replication/fleet-stage.js";
 import { LimitedStage } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
@@ -42,29 +42,29 @@
 /** A daemon's way to the leader, on a machine of its own that is never short of anything. */
 const forwarderOf = (stage: LimitedStage): CommandForwarder => {
   const runtime = virtualRuntime({
-    clock: stage.time.clock(),
+    clock: stage.virtualClock.clock(),
     network: stage.network.wire("caller", new EventGate()),
     random: stage.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.9:7000");
-  return new CommandForwarder(runtime, rpc, () => stage.disks.map(({ peer }) => peer));
+  return new CommandForwarder(runtime, rpc, () => stage.diskMachines.map(({ peer }) => peer));
 };
 
 /** Claims one key after another, for as long as the stage runs; how long each claim took. */
 const claiming = (stage: LimitedStage): number[] => {
   const tookMs: number[] = [];
-  const clock = stage.time.clock();
+  const clock = stage.virtualClock.clock();
   const forwarder = forwarderOf(stage);
   const claim = function* (at: number): Task {
-    const sentMs = stage.time.nowMs();
+    const sentMs = stage.virtualClock.nowMs();
     const command = { kind: "claim", scope: `key-${at}`, bodyHash: "h", job: `job-${at}` } as const;
     const text = yield* forwarder.command(command, 5000);
-    tookMs.push(text === '{"claimed":true}' ? stage.time.nowMs() - sentMs : Infinity);
+    tookMs.push(text === '{"claimed":true}' ? stage.virtualClock.nowMs() - sentMs : Infinity);
   };
-  stage.start(
+  stage.startTask(
     (function* (): Task {
       for (let at = 0; ; at += 1) {
-        stage.start(claim(at));
+        stage.startTask(claim(at));
         yield* sleep(clock, claimEveryMs);
       }
     })(),
@@ -80,14 +80,14 @@
   const edges = stage.machines.filter(({ disk }) => !disk);
   const claimsTookMs = claiming(stage);
   for (let version = 1; version <= 10; version += 1) {
-    const through = edges[version % edges.length] ?? stage.at(0);
+    const through = edges[version % edges.length] ?? stage.machineAt(0);
     const change = patchConfig(version, version + 1, { name: `s${version}`, svc: "one" });
     const call = stage.submit(through, change);
-    stage.until(() => call.code !== undefined, ackMs);
+    stage.waitUntil(() => call.code !== undefined, ackMs);
     expect(call.code).toBe(200);
-    const isBehind = ({ daemon }: StageMachine): boolean =>
+    const isBehind = ({ daemon }: FixtureMachine): boolean =>
       daemon?.servingState.isGranted !== true || daemon.servingState.configSequence < version + 1;
-    stage.until(() => !edges.some(isBehind), applyMs);
+    stage.waitUntil(() => !edges.some(isBehind), applyMs);
   }
   expect(stage.changesOfLeader).toBe(leaders);
   expect(claimsTookMs.length).toBeGreaterThan(20);
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -9,7 +9,7 @@
 import { type Clock, sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import type { ConfigChangeBytes } from "../platform/command-stage.js";
-import type { StageMachine } from "../replication/fleet-stage.js";
+import type { FixtureMachine } from "../replication/fleet-stage.js";
 import { LimitedStage } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
@@ -93,16 +93,19 @@
   }
 
   protected override daemonOptions(): DaemonOptions {
-    return { backendClient: answering(this.time.clock()), headerNames: LimitedStage.headerNames };
+    return {
+      backendClient: answering(this.virtualClock.clock()),
+      headerNames: LimitedStage.headerNames,
+    };
   }
 
-  get edges(): StageMachine[] {
+  get edges(): FixtureMachine[] {
     return this.machines.filter(({ disk }) => !disk);
   }
 
   /** Sends keyed writes at a rate, each with a key of its own, to all edges in turn. */
   write(perSecond: number, forMs: number): void {
-    const { time, edges } = this;
+    const { virtualClock: time, edges } = this;
     const startMs = time.nowMs();
     const count = (perSecond * forMs) / 1000;
     const writing = function* (stage: KeyedStage): Task {
@@ -113,18 +116,18 @@
         yield* sleep(time.clock(), 1);
       }
     };
-    this.start(writing(this));
+    this.startTask(writing(this));
   }
 
-  private send(edge: StageMachine | undefined, key: string): void {
-    const sentMs = this.time.nowMs();
+  private send(edge: FixtureMachine | undefined, key: string): void {
+    const sentMs = this.virtualClock.nowMs();
     const written: Written = { code: undefined, tookMs: Infinity };
     this.written.push(written);
     const client: ClientConnection = {
       isClosed: false,
       respond: ({ code }) => {
         written.code = code;
-        written.tookMs = this.time.nowMs() - sentMs;
+        written.tookMs = this.virtualClock.nowMs() - sentMs;
       },
       writeHead: () => undefined,
       *writeChunk() {
@@ -145,7 +148,7 @@
 
   /** Has backends announce themselves through one edge after another, until they leave. */
   announce(ids: readonly number[]): void {
-    const clock = this.time.clock();
+    const clock = this.virtualClock.clock();
     const announcing = function* (stage: KeyedStage, id: number): Task {
       for (let calls = 1; !stage.leaving.has(id); calls += 1) {
         const edge = stage.edges[(id + calls) % stage.edges.length];
@@ -153,13 +156,13 @@
         yield* sleep(clock, beatMs);
       }
     };
-    for (const id of ids) this.start(announcing(this, id));
+    for (const id of ids) this.startTask(announcing(this, id));
   }
 
   /** Has backends leave, each calling one daemon after another until it is acknowledged; how long each took. */
   leave(ids: readonly number[]): number[] {
     const tookMs = ids.map(() => Infinity);
-    const clock = this.time.clock();
+    const clock = this.virtualClock.clock();
     const leaving = function* (stage: KeyedStage, id: number, place: number): Task {
       const startedMs = clock.nowMs();
       stage.leaving.add(id);
@@ -181,7 +184,7 @@
         yield* sleep(clock, 50);
       }
     };
-    for (const [place, id] of ids.entries()) this.start(leaving(this, id, place));
+    for (const [place, id] of ids.entries()) this.startTask(leaving(this, id, place));
     this.wait(ackMs);
     return tookMs;
   }
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -1,6 +1,6 @@
 import type { Settings } from "../../src/daemon/settings.js";
 import { ControlFixture } from "../platform/command-stage.js";
-import type { MachineLife, StageMachine } from "../replication/fleet-stage.js";
+import type { ProcessEnvironment, FixtureMachine } from "../replication/fleet-stage.js";
 import {
   LimitedGate,
   limitedWire,
@@ -16,7 +16,7 @@
 
 /** A staged fleet in which every machine has a share of a core and a link of its own rate. */
 export class LimitedStage extends ControlFixture {
-  private readonly processors = new Map<StageMachine, Processor>();
+  private readonly processors = new Map<FixtureMachine, Processor>();
 
   constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
     super(machines, seeds, more);
@@ -27,7 +27,7 @@
   }
 
   /** The processor of a machine's present life. */
-  processor(machine: StageMachine): Processor {
+  processor(machine: FixtureMachine): Processor {
     const known = this.processors.get(machine);
     if (!known) throw new Error("The machine was never started.");
     return known;
@@ -35,11 +35,11 @@
 
   /** How often another machine has come to lead. */
   get changesOfLeader(): number {
-    return this.lines.filter((line) => line.includes("leader elected")).length;
+    return this.logLines.filter((line) => line.includes("leader elected")).length;
   }
 
-  protected override lifeOf(machine: StageMachine): MachineLife {
-    const time = this.time.clock();
+  protected override createEnvironment(machine: FixtureMachine): ProcessEnvironment {
+    const time = this.virtualClock.clock();
     const { cpuShare, linkMbps } = this.limitsOf(machine);
     const processor = new Processor(time, cpuShare);
     this.processors.set(machine, processor);
@@ -55,7 +55,7 @@
     return { gate, clock, network };
   }
 
-  private limitsOf(machine: StageMachine): MachineLimits {
+  private limitsOf(machine: FixtureMachine): MachineLimits {
     return machine.disk ? memberLimits : edgeLimits;
   }
 }
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -7,7 +7,7 @@
 import { sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import { patchConfig, putConfig } from "../platform/command-stage.js";
-import type { StageMachine } from "../replication/fleet-stage.js";
+import type { FixtureMachine } from "../replication/fleet-stage.js";
 import { LimitedStage } from "./limited-stage.js";
 
 const machines = [
@@ -28,12 +28,12 @@
 };
 
 /** Keeps the processors of some machines busy, so that what comes waits for a fifth of a second and more. */
-const burden = (stage: LimitedStage, busy: readonly StageMachine[], forMs: number): void => {
-  const untilMs = stage.time.nowMs() + forMs;
-  const clock = stage.time.clock();
-  stage.start(
+const burden = (stage: LimitedStage, busy: readonly FixtureMachine[], forMs: number): void => {
+  const untilMs = stage.virtualClock.nowMs() + forMs;
+  const clock = stage.virtualClock.clock();
+  stage.startTask(
     (function* (): Task {
-      while (stage.time.nowMs() < untilMs) {
+      while (stage.virtualClock.nowMs() < untilMs) {
         for (const machine of busy) stage.processor(machine).charge(180);
         yield* sleep(clock, 300);
       }
@@ -44,19 +44,19 @@
 /** An edge's link to the members: it asks one after another, as one does whose leader answers late. */
 const askingAll = (stage: LimitedStage): RpcEndpoint => {
   const runtime = virtualRuntime({
-    clock: stage.time.clock(),
+    clock: stage.virtualClock.clock(),
     network: stage.network.wire("asking", new EventGate()),
     random: stage.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.8:7000");
   const asking = function* (): Task {
     for (;;)
-      for (const { peer } of stage.disks) {
+      for (const { peer } of stage.diskMachines) {
         yield* rpc.call(peer, rpcMethods.handOver, { term: 0 }, 200);
         yield* sleep(runtime.clock, 350);
       }
   };
-  stage.start(asking());
+  stage.startTask(asking());
   return rpc;
 };
 
@@ -64,17 +64,17 @@
   const stage = begun();
   const rpc = askingAll(stage);
   const lease = new ExpiredLeasePolicy(
-    stage.time.clock(),
+    stage.virtualClock.clock(),
     {
-      replicas: stage.disks.map(({ peer }) => peer),
+      replicas: stage.diskMachines.map(({ peer }) => peer),
       isUnreachable: (member, sinceMs) => rpc.isUnreachable(member, sinceMs),
     },
     bounds,
   );
-  burden(stage, stage.disks, 12_000);
-  const untilMs = stage.time.nowMs() + 12_000;
+  burden(stage, stage.diskMachines, 12_000);
+  const untilMs = stage.virtualClock.nowMs() + 12_000;
   let allowed = 0;
-  while (stage.time.nowMs() < untilMs) {
+  while (stage.virtualClock.nowMs() < untilMs) {
     stage.wait(20);
     if (lease.allows(1)) allowed += 1;
   }
--- a/test/replication/config-entries.test.ts
+++ b/test/replication/config-entries.test.ts
@@ -21,7 +21,7 @@
 });
 
 const logBytes = (stage: ControlFixture): number[] =>
-  stage.disks.map(({ disk }) => disk?.heldBytes ?? 0);
+  stage.diskMachines.map(({ disk }) => disk?.heldBytes ?? 0);
 
 const begun = (): ControlFixture => {
   const stage = new ControlFixture(machines, [0, 1, 2]);
@@ -57,13 +57,13 @@
   expect(stage.submitUntilFinal(largeOrder(2, 3, 2500))).toBe(200);
   expect(stage.submitUntilFinal(patchConfig(3, 4, { name: "r9", svc: "one" }))).toBe(200);
   stage.wait(1000);
-  const texts = stage.disks.map((machine) => stage.config(machine, 4));
-  for (const machine of stage.disks) stage.kill(machine);
-  for (const machine of stage.disks) stage.boot(machine, { bootstrap: false });
+  const texts = stage.diskMachines.map((machine) => stage.readConfig(machine, 4));
+  for (const machine of stage.diskMachines) stage.kill(machine);
+  for (const machine of stage.diskMachines) stage.boot(machine, { bootstrap: false });
   stage.wait(4000);
-  for (const [at, machine] of stage.disks.entries()) {
-    expect(stage.config(machine, 4)).toBe(texts[0]);
+  for (const [at, machine] of stage.diskMachines.entries()) {
+    expect(stage.readConfig(machine, 4)).toBe(texts[0]);
     expect(texts[at]).toBe(texts[0]);
   }
-  expect(stage.newestVersion(stage.at(3))).toBe("r4");
+  expect(stage.newestVersion(stage.machineAt(3))).toBe("r4");
 });
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -4,10 +4,10 @@
 import type { DurableState } from "../../src/replication/log/durable-state.js";
 import { LogStore } from "../../src/replication/log/log-store.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
-import { configText, FleetStage, type StageMachine } from "./fleet-stage.js";
+import { configText, ClusterFixture, type FixtureMachine } from "./fleet-stage.js";
 
-const isLed = (stage: FleetStage) => (): boolean =>
-  stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+const isLed = (stage: ClusterFixture) => (): boolean =>
+  stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 
 /** The state machine with as many keys as are kept at most and names that deflate badly: 20 MB of text. */
 const fullestBook = (): { stateMachine: StateMachine; lastIndex: number } => {
@@ -38,8 +38,8 @@
 
 /** Three voters, of whom the third knows the first entry only; the others begin with the record at its fullest. */
 const stageWithOneBehind = () => {
-  const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2], { bootstrap: false });
-  const voters = stage.disks.map(({ peer }) => peer);
+  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { bootstrap: false });
+  const voters = stage.diskMachines.map(({ peer }) => peer);
   const members = { voters, learners: [] };
   const durableState = {
     fleet: "f",
@@ -57,11 +57,11 @@
     snapshot: fullest.stateMachine.snapshot(members),
   };
   const old: DurableState = { ...durableState, lastIndex: 1, snapshot: first.snapshot(members) };
-  const [one, two, behind] = stage.disks;
+  const [one, two, behind] = stage.diskMachines;
   if (!one || !two || !behind) throw new Error("A machine is missing.");
-  for (const machine of stage.disks)
+  for (const machine of stage.diskMachines)
     if (machine.disk)
-      stage.start(new LogStore(machine.disk).writeSnapshot(machine === behind ? old : whole));
+      stage.startTask(new LogStore(machine.disk).writeSnapshot(machine === behind ? old : whole));
   stage.wait(500);
   const others = [one, two];
   return { stage, others, behind, totalBytes: Buffer.byteLength(whole.snapshot) };
@@ -69,8 +69,8 @@
 type Staged = ReturnType<typeof stageWithOneBehind>;
 
 const holdsAll = ({ behind }: Staged): boolean =>
-  (behind.record?.committed ?? 0) >= fullest.lastIndex;
-const receivedOf = (machine: StageMachine): number =>
+  (behind.status?.committed ?? 0) >= fullest.lastIndex;
+const receivedOf = (machine: FixtureMachine): number =>
   machine.daemon?.replicationNode?.receivedSnapshotBytes ?? 0;
 
 /** Whether the one that was behind leads and takes changes with each of the others alone. */
@@ -78,14 +78,14 @@
   let sequence = newest;
   for (const lost of others) {
     stage.kill(lost);
-    stage.until(isLed(stage), 8000);
-    expect(stage.config(stage.leader, sequence)).toBe(configText(sequence));
+    stage.waitUntil(isLed(stage), 8000);
+    expect(stage.readConfig(stage.leader, sequence)).toBe(configText(sequence));
     sequence += 1;
-    expect(stage.commit(sequence)).toBe(true);
+    expect(stage.commitConfig(sequence)).toBe(true);
     stage.boot(lost);
-    stage.until(() => lost.record?.committed === stage.leader.record?.committed, 30_000);
+    stage.waitUntil(() => lost.status?.committed === stage.leader.status?.committed, 30_000);
   }
-  expect(behind.record?.state).toBe("formed");
+  expect(behind.status?.state).toBe("formed");
 };
 
 test("the largest state machine reaches a member over a slow, lossy link that is cut again and again", () => {
@@ -95,17 +95,17 @@
   stage.network.bytesPerMs = 1250;
   stage.network.weather = { slowMs: 30, slowConnectMs: 0, lossPart: 0.02 };
   stage.bootAll();
-  stage.until(isLed(stage), 8000);
+  stage.waitUntil(isLed(stage), 8000);
   let largest = 0;
   for (let round = 0; round < 4; round += 1) {
     stage.wait(1500);
     expect(receivedOf(behind)).toBeGreaterThan(largest);
     largest = receivedOf(behind);
-    for (const other of others) stage.cut(other, behind);
+    for (const other of others) stage.partition(other, behind);
     stage.wait(5000);
-    for (const other of others) stage.cut(other, behind, true);
+    for (const other of others) stage.partition(other, behind, true);
   }
-  stage.until(() => holdsAll(staged), 60_000);
+  stage.waitUntil(() => holdsAll(staged), 60_000);
   stage.network.heal();
   leadsInTurn(staged, 1);
 }, 120_000);
@@ -115,19 +115,19 @@
   const { stage, behind } = staged;
   stage.network.bytesPerMs = 2500;
   stage.bootAll();
-  stage.until(isLed(stage), 8000);
-  stage.until(() => receivedOf(behind) > 4_000_000, 20_000);
+  stage.waitUntil(isLed(stage), 8000);
+  stage.waitUntil(() => receivedOf(behind) > 4_000_000, 20_000);
   const before = receivedOf(behind);
   stage.kill(behind);
   stage.boot(behind);
-  stage.until(() => receivedOf(behind) > 0, 3000);
+  stage.waitUntil(() => receivedOf(behind) > 0, 3000);
   expect(receivedOf(behind)).toBeGreaterThan(before - 1_000_000);
-  stage.until(() => receivedOf(behind) > 8_000_000, 20_000);
+  stage.waitUntil(() => receivedOf(behind) > 8_000_000, 20_000);
   const former = stage.leader;
   stage.kill(former);
   stage.boot(former);
-  stage.until(isLed(stage), 8000);
-  stage.until(() => holdsAll(staged), 60_000);
+  stage.waitUntil(isLed(stage), 8000);
+  stage.waitUntil(() => holdsAll(staged), 60_000);
   leadsInTurn(staged, 1);
 }, 120_000);
 
@@ -136,38 +136,39 @@
   const { stage, behind } = staged;
   stage.network.bytesPerMs = 2500;
   stage.bootAll();
-  stage.until(isLed(stage), 8000);
+  stage.waitUntil(isLed(stage), 8000);
   let newest = 1;
   while (newest < 400 || !holdsAll(staged)) {
     newest += 1;
-    expect(stage.commit(newest)).toBe(true);
+    expect(stage.commitConfig(newest)).toBe(true);
     if (newest > 4000) throw new Error("It never catches up.");
   }
-  stage.until(() => behind.record?.committed === stage.leader.record?.committed, 5000);
+  stage.waitUntil(() => behind.status?.committed === stage.leader.status?.committed, 5000);
   leadsInTurn(staged, newest);
 }, 120_000);
 
 test("300 changes while a member is away, then the others are lost in turn: it leads with the newest state only", () => {
-  const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2]);
+  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2]);
   stage.bootAll();
-  stage.until(isLed(stage), 5000);
-  expect(stage.commit(1)).toBe(true);
+  stage.waitUntil(isLed(stage), 5000);
+  expect(stage.commitConfig(1)).toBe(true);
   const { leader } = stage;
-  const away = stage.disks.find((machine) => machine !== leader);
+  const away = stage.diskMachines.find((machine) => machine !== leader);
   if (!away) throw new Error("A machine is missing.");
   stage.kill(away);
-  for (let sequence = 2; sequence <= 330; sequence += 1) expect(stage.commit(sequence)).toBe(true);
+  for (let sequence = 2; sequence <= 330; sequence += 1)
+    expect(stage.commitConfig(sequence)).toBe(true);
   stage.boot(away, { bootstrap: false });
-  const others = stage.disks.filter((machine) => machine !== away);
-  stage.until(() => away.record?.committed === stage.leader.record?.committed, 5000);
+  const others = stage.diskMachines.filter((machine) => machine !== away);
+  stage.waitUntil(() => away.status?.committed === stage.leader.status?.committed, 5000);
   let newest = 330;
   for (const lost of others) {
     stage.kill(lost);
-    stage.until(isLed(stage), 6000);
-    expect(stage.config(stage.leader, newest)).toBe(configText(newest));
+    stage.waitUntil(isLed(stage), 6000);
+    expect(stage.readConfig(stage.leader, newest)).toBe(configText(newest));
     newest += 1;
-    expect(stage.commit(newest)).toBe(true);
+    expect(stage.commitConfig(newest)).toBe(true);
     stage.boot(lost, { bootstrap: false });
-    stage.until(() => lost.record?.committed === stage.leader.record?.committed, 5000);
+    stage.waitUntil(() => lost.status?.committed === stage.leader.status?.committed, 5000);
   }
 }, 120_000);
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -46,7 +46,7 @@
   run(history.add([config(3, 12), config(4, 13)]));
   const again = new ConfigHistory(disk);
   run(again.load(["configs-1"]));
-  expect(again.newest).toBe(4);
+  expect(again.newestSequence).toBe(4);
   expect([1, 2, 3, 4].map((sequence) => run(again.read(sequence)))).toEqual([
     config(1),
     config(2, 9),
@@ -121,20 +121,20 @@
   const history = reopened();
   run(history.add(Array.from({ length: 150 }, (_, at) => config(at + 1))));
   run(history.add([config(149), config(150), config(151)]));
-  expect(history.newest).toBe(151);
+  expect(history.newestSequence).toBe(151);
   const tail = disk.peek("configs-129");
   disk.poke("configs-129", tail.subarray(0, tail.length - 3));
   const again = reopened();
-  expect(again.newest).toBe(150);
+  expect(again.newestSequence).toBe(150);
   run(again.add([config(151), config(152)]));
   for (const sequence of [1, 64, 65, 128, 129, 152])
     expect(run(reopened().read(sequence))).toEqual(config(sequence));
   expect(run(again.read(153))).toBeUndefined();
-  expect(ConfigHistory.unpack(run(again.piece(100)), 100).map(({ sequence }) => sequence)).toEqual(
-    Array.from({ length: 29 }, (_, at) => at + 100),
-  );
+  expect(
+    ConfigHistory.unpackPiece(run(again.readPiece(100)), 100).map(({ sequence }) => sequence),
+  ).toEqual(Array.from({ length: 29 }, (_, at) => at + 100));
   expect(run(disk.list()).sort()).toEqual(["configs-1", "configs-129", "configs-65"]);
-  expect([again.missingBelow(153), again.missingBelow(160)]).toEqual([
+  expect([again.findMissingBelow(153), again.findMissingBelow(160)]).toEqual([
     undefined,
     { from: 153, to: 159 },
   ]);
@@ -154,7 +154,7 @@
   const { disk, run, reopened } = setUp();
   for (const [name, bytes] of formerFiles(70)) disk.poke(name, bytes);
   const history = reopened();
-  expect(history.newest).toBe(70);
+  expect(history.newestSequence).toBe(70);
   run(history.add(Array.from({ length: 140 }, (_, at) => config(at + 65))));
   expect(run(disk.list()).sort()).toEqual([
     "configs-135",
@@ -165,10 +165,10 @@
   ]);
   const again = reopened();
   expect(run(again.check())).toEqual([]);
-  expect(again.newest).toBe(204);
+  expect(again.newestSequence).toBe(204);
   for (const sequence of [1, 64, 65, 70, 71, 150, 198, 199, 204])
     expect(run(again.read(sequence))).toEqual(config(sequence));
-  expect(again.missingBelow(205)).toBeUndefined();
+  expect(again.findMissingBelow(205)).toBeUndefined();
 });
 
 test("older configs fill gaps between files, and later ones are appended to them", () => {
@@ -176,13 +176,13 @@
   const history = reopened();
   run(history.add([config(1), config(2)]));
   run(history.add([config(300), config(301)]));
-  expect(history.missingBelow(300)).toEqual({ from: 3, to: 299 });
+  expect(history.findMissingBelow(300)).toEqual({ from: 3, to: 299 });
   run(history.add(Array.from({ length: 20 }, (_, at) => config(at + 190))));
   run(history.add(Array.from({ length: 100 }, (_, at) => config(at + 205))));
-  expect(history.missingBelow(300)).toEqual({ from: 3, to: 189 });
+  expect(history.findMissingBelow(300)).toEqual({ from: 3, to: 189 });
   const again = reopened();
   run(again.check());
-  expect(again.missingBelow(302)).toEqual({ from: 3, to: 189 });
+  expect(again.findMissingBelow(302)).toEqual({ from: 3, to: 189 });
   for (const sequence of [1, 2, 190, 209, 210, 299, 300, 301])
     expect(run(again.read(sequence))).toEqual(config(sequence));
   expect(run(again.read(189))).toBeUndefined();
@@ -198,18 +198,18 @@
   const history = new ConfigHistory(disk, 1_000_000);
   run(history.load([]));
   for (let sequence = 1; sequence <= 60; sequence += 1) run(history.add([large(sequence)]));
-  const filled = history.bytes;
+  const filled = history.measuredBytes;
   const removed = run(history.shrink());
   expect(removed?.from).toBe(1);
   expect(history.removedUpTo).toBe(removed?.to);
   expect(filled).toBeGreaterThan(1_000_000);
-  expect(history.bytes).toBeLessThanOrEqual(1_000_000);
-  expect(disk.heldBytes).toBe(history.bytes);
+  expect(history.measuredBytes).toBeLessThanOrEqual(1_000_000);
+  expect(disk.heldBytes).toBe(history.measuredBytes);
   expect(run(history.read(removed?.to ?? 0))).toBeUndefined();
   expect(run(history.read((removed?.to ?? 0) + 1))?.sequence).toBe((removed?.to ?? 0) + 1);
   for (let round = 0; round < 40; round += 1) run(history.reclaim());
   expect(run(history.read(60))?.sequence).toBe(60);
-  expect([history.bytes > 0, history.hasRoom]).toEqual([true, false]);
+  expect([history.measuredBytes > 0, history.hasSpareQuota]).toEqual([true, false]);
 });
 
 test("a delta restores any text, also one that shares nothing or only moves parts", () => {
@@ -260,13 +260,13 @@
       if (read) expect(read).toEqual(config(sequence));
       else missing += 1;
     }
-    const { newest } = history;
+    const { newestSequence: newest } = history;
     run(history.add([config(newest + 1)]));
     expect(run(reopened().read(newest + 1))).toEqual(config(newest + 1));
   }
   expect(missing).toBeGreaterThan(20);
   expect(
-    ConfigHistory.unpack(
+    ConfigHistory.unpackPiece(
       Buffer.from(Array.from({ length: 300 }, () => Math.floor(random() * 256))),
       1,
     ),
--- a/test/replication/membership/membership-policy.test.ts
+++ b/test/replication/membership/membership-policy.test.ts
@@ -42,7 +42,7 @@
   ...more,
 });
 const next = (view: MembershipView): string => {
-  const change = MembershipPolicy.next(view);
+  const change = MembershipPolicy.nextChange(view);
   return change ? `${change.kind} ${change.member}` : "none";
 };
 
@@ -106,15 +106,15 @@
 });
 
 test("what a stopping voter acknowledged is safe without it once a majority of the voters has it", () => {
-  expect(MembershipPolicy.isHeldWithout(viewOf("abc", ""), "c", 100)).toBe(true);
+  expect(MembershipPolicy.isReplicatedWithout(viewOf("abc", ""), "c", 100)).toBe(true);
   expect(
-    MembershipPolicy.isHeldWithout(viewOf("abc", "", { b: { matchedIndex: 99 } }), "c", 0),
+    MembershipPolicy.isReplicatedWithout(viewOf("abc", "", { b: { matchedIndex: 99 } }), "c", 0),
   ).toBe(false);
-  expect(MembershipPolicy.isHeldWithout(viewOf("abd", "c", { b: lost }), "c", 0)).toBe(true);
-  expect(MembershipPolicy.isHeldWithout(viewOf("abc", ""), "c", 101)).toBe(false);
+  expect(MembershipPolicy.isReplicatedWithout(viewOf("abd", "c", { b: lost }), "c", 0)).toBe(true);
+  expect(MembershipPolicy.isReplicatedWithout(viewOf("abc", ""), "c", 101)).toBe(false);
   // What is silent may have lost what it acknowledged before.
   expect(
-    MembershipPolicy.isHeldWithout(viewOf("abc", "", { b: { unresponsiveMs: 600 } }), "c", 0),
+    MembershipPolicy.isReplicatedWithout(viewOf("abc", "", { b: { unresponsiveMs: 600 } }), "c", 0),
   ).toBe(false);
 });
 
@@ -130,8 +130,12 @@
       let view = viewOf(voters, learners, Object.fromEntries(gone.map((voter) => [voter, lost])), {
         wantedVoters,
       });
-      for (let change = MembershipPolicy.next(view); change; change = MembershipPolicy.next(view)) {
-        const after = MembershipPolicy.after(view, change);
+      for (
+        let change = MembershipPolicy.nextChange(view);
+        change;
+        change = MembershipPolicy.nextChange(view)
+      ) {
+        const after = MembershipPolicy.applyChange(view, change);
         const alive = after.voters.filter((voter) => !gone.includes(voter));
         expect(2 * alive.length).toBeGreaterThan(after.voters.length);
         expect(Math.abs(after.voters.length - view.voters.length)).toBe(1);
