--- a/src/replication/bootstrap/bootstrap-status.ts
+++ b/src/replication/bootstrap/bootstrap-status.ts
@@ -1,41 +1,44 @@
-/** The status by which the daemons of a fleet find each other and form the replicated log. */
+/** The status that daemons exchange during bootstrap, to find each other and to form the replicated log. */
 import type { Members } from "../../consensus/members.js";
 import type { MemberStage } from "../../consensus/member-rights.js";
 import type { DecodedMessage } from "../../rpc/rpc-endpoint.js";
 import type { rpcMethods } from "../../rpc/rpc-method.js";
 import type { Task } from "../../runtime/task.js";
 
-/** A node's own status: how far it is part of a fleet's log, and which members that log began with. */
+/** A node's own status: its stage, the fleet whose log it has, and the members with which that log was formed. */
 export interface BootstrapStatus extends Members {
   readonly state: MemberStage;
-  /** The id of the fleet, or an empty text. */
+  /** The id of the fleet, or an empty string. */
   readonly fleet: string;
 }
 
-/** A node that takes part in the bootstrap. */
+/** A node that participates in the bootstrap. */
 export interface BootstrapMember {
   readonly bootstrapStatus: BootstrapStatus;
-  /** Writes to an empty disk which fleet's log this is and who its members are. */
+  /** Forms the log on an empty disk: stores the fleet's id and its members. */
   form(fleet: string, members: Members): Task;
-  /** All voters of this fleet have formed the log: from now on the node may campaign and vote. */
+  /** Opens the log once all voters of the fleet have formed it: the node may campaign and vote from then on. */
   open(fleet: string): void;
-  /** Begins to learn the log of a fleet that was formed by others. */
+  /** Rejoins the formed log of a fleet with an empty disk. */
   rejoin(fleet: string, members: Members): Task;
 }
 
-/** What a daemon sends when it probes another. */
+/** The request of a probe. */
 export type ProbeRequest = DecodedMessage<typeof rpcMethods.discover.request>;
 
-/** What a daemon replies when it is probed, as it travels. */
+/** The response to a probe, as it is transmitted. */
 export type ProbeResponse = DecodedMessage<typeof rpcMethods.discover.response>;
 
-/** The state of a probed daemon: its node's stage, `none` where it has no node, or a value that this build doesn't know. */
+/**
+ * The state of a probed daemon: its node's stage, `none` if it has no node, `unknown` if this build doesn't know the
+ * value.
+ */
 export type PeerState = MemberStage | "none" | "unknown";
 
 /** The status of a probed daemon. */
 export type PeerStatus = Omit<ProbeResponse, "state"> & { readonly state: PeerState };
 
-/** The states by their spelling in responses and in a daemon's status. */
+/** The states by their names in responses and in a daemon's status. */
 const stateBySpelling = new Map<string, PeerState>([
   ["none", "none"],
   ["loading", "loading"],
@@ -45,16 +48,16 @@
   ["formed", "formed"],
 ]);
 
-/** The spelling of a state in responses and in a daemon's status. */
+/** Returns the name of a state in responses and in a daemon's status. */
 export const encodePeerState = (state: MemberStage | "none"): string =>
   state === "forming" ? "unborn" : state;
 
-/** The status that a response carries. */
+/** Decodes the status in a response. */
 export const decodePeerStatus = (response: ProbeResponse): PeerStatus => ({
   ...response,
   state: stateBySpelling.get(response.state) ?? "unknown",
 });
 
-/** Whether a daemon has formed the log of a fleet, be it that others haven't yet. */
+/** Whether a daemon has formed the log of a fleet, even if other members haven't yet. */
 export const hasFormed = (status: PeerStatus | undefined, fleet: string): boolean =>
   status?.fleet === fleet && (status.state === "forming" || status.state === "formed");
--- a/src/replication/bootstrap/cluster-bootstrap.ts
+++ b/src/replication/bootstrap/cluster-bootstrap.ts
@@ -1,6 +1,6 @@
 /**
- * Brings the daemons of a fleet together. Where the whole fleet starts for the first time, the first seed chooses the members
- * of the replicated log and has them form it; an empty node that finds a formed log rejoins it.
+ * Bootstraps the replicated log of a fleet. When the whole fleet starts for the first time, the first seed (the initiator)
+ * chooses the members and requests them to form the log. An empty node that finds a formed log rejoins it.
  */
 import type { Members } from "../../consensus/members.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
@@ -22,34 +22,34 @@
 import { type NodeLocation, chooseMembers, wantedVoterCount } from "./node-location.js";
 import { PeerProber, PROBE_TIMEOUT_MS } from "./peer-prober.js";
 
-/** What a daemon knows besides: who leads, and which nodes of the replicated log there are. */
+/** What other parts of the daemon know: the leader's address, or an empty string, and the addresses of nodes. */
 export interface ClusterHints {
   leader(): string;
   knownNodes(): readonly string[];
 }
 
-/** How long the reply of a node that is to form the log is awaited; it writes to its disk first. */
+/** Timeout of a request to form the log, in ms; the node writes to its disk before it replies. */
 const FORM_TIMEOUT_MS = 2000;
-/** The shortest time between two rounds of probes before the log is formed; the longest is twice that. */
+/** Minimum interval between two rounds of probes before the log is formed, in ms; the maximum is twice that. */
 const ROUND_INTERVAL_MS = 100;
-/** How often a loading node looks whether it has loaded. */
+/** Interval at which a loading node checks whether it has loaded, in ms. */
 const LOADING_INTERVAL_MS = ROUND_INTERVAL_MS / 5;
-/** The time until the next round once daemons were discovered that haven't been probed. */
+/** Delay until the next round after daemons were discovered that haven't been probed, in ms. */
 const DISCOVERY_INTERVAL_MS = 10;
-/** The time between two probes of the seeds once the log is formed. */
+/** Interval between two probes of the seeds once the log is formed, in ms. */
 const FORMED_INTERVAL_MS = 1000;
-/** How long a daemon that probed this one counts as present. */
+/** How long a daemon counts as present after it probed this one, in ms. */
 const PRESENCE_MS = 3000;
-/** How many discovered addresses are retained. */
+/** Maximum number of discovered addresses that are retained. */
 const MAX_DISCOVERED = 64;
-/** How long the initiator waits for more candidates to choose from, where all seeds reply and where some don't. */
-const CANDIDATE_WAIT_MS = { all: 500, some: 3000 };
-/** How long the initiator stays with the members that it chose. */
+/** How long the initiator waits for more candidates, in ms, if all seeds reply and if some don't. */
+const CANDIDATE_WAIT_MS = { allSeedsReplied: 500, seedsMissing: 3000 };
+/** How long the initiator retains the members that it chose, in ms, before it chooses again. */
 const FORMATION_TIMEOUT_MS = 10_000;
-/** The shortest time between two warnings that the bootstrap waits. */
+/** Minimum interval between two warnings that the bootstrap is waiting, in ms. */
 const WARNING_INTERVAL_MS = 5000;
 
-/** The members that an initiator chose, and when. */
+/** The members that an initiator chose for a new fleet, and when it chose them. */
 interface Formation {
   readonly fleet: string;
   readonly members: Members;
@@ -64,14 +64,14 @@
   private readonly hints: ClusterHints;
   private readonly log: Logger;
   private readonly prober: PeerProber;
-  /** Names this process, so that what was meant for an earlier one isn't carried out. */
+  /** Identifies this process: a request to form the log that was sent to an earlier process is ignored. */
   private readonly incarnation: string;
-  /** Nodes that probed this daemon, and when. */
-  private readonly presentSinceMs = new Map<string, number>();
-  /** Addresses that were named in the statuses of the last round. */
+  /** When each node last probed this daemon. */
+  private readonly lastProbeMsByPeer = new Map<string, number>();
+  /** Addresses that the statuses of the last round reported. */
   private discovered: string[] = [];
   private member: BootstrapMember | undefined;
-  /** Set once a formed log is known to exist: from then on none is initiated. */
+  /** Set once a formed log is known to exist: this daemon initiates none from then on. */
   private isLogKnown = false;
   private candidatesSinceMs: number | undefined;
   private formation: Formation | undefined;
@@ -92,18 +92,18 @@
     this.incarnation = randomNonce(runtime);
   }
 
-  /** Has a node take part; called before the bootstrap runs. */
+  /** Registers this daemon's node; called before the bootstrap runs. */
   register(member: BootstrapMember): void {
     this.member = member;
   }
 
-  /** The addresses of the nodes known here: members of the log, and those that probed this daemon lately. */
+  /** The addresses of the known nodes: members of the log, and nodes that probed this daemon within `PRESENCE_MS`. */
   get knownNodes(): string[] {
     const nowMs = this.runtime.clock.nowMs();
-    for (const [peer, probedMs] of this.presentSinceMs)
-      if (nowMs - probedMs > PRESENCE_MS) this.presentSinceMs.delete(peer);
+    for (const [peer, probedMs] of this.lastProbeMsByPeer)
+      if (nowMs - probedMs > PRESENCE_MS) this.lastProbeMsByPeer.delete(peer);
     const { voters, learners } = this.member?.bootstrapStatus ?? { voters: [], learners: [] };
-    return [...new Set([...voters, ...learners, ...this.presentSinceMs.keys()])];
+    return [...new Set([...voters, ...learners, ...this.lastProbeMsByPeer.keys()])];
   }
 
   /** Serves the probes of other daemons. */
@@ -112,7 +112,7 @@
     this.rpc.serve(rpcMethods.discover, (request) => respond(request));
   }
 
-  /** Probes others for as long as the daemon runs. */
+  /** Probes other daemons as long as this one runs. */
   *run(): Task {
     const { clock } = this.runtime;
     for (;;) {
@@ -123,10 +123,10 @@
         yield* this.prober.probeAll(this.location.seeds(), this.probeRequest);
         yield* sleep(clock, FORMED_INTERVAL_MS);
       } else {
-        const known = this.discovered;
+        const previouslyDiscovered = this.discovered;
         if (state !== "none" || this.mayInitiate) yield* this.runRound();
-        const isNew = this.discovered.some((peer) => !known.includes(peer));
-        const intervalMs = isNew
+        const hasNewPeers = this.discovered.some((peer) => !previouslyDiscovered.includes(peer));
+        const intervalMs = hasNewPeers
           ? DISCOVERY_INTERVAL_MS
           : ROUND_INTERVAL_MS * (1 + this.runtime.random());
         yield* sleep(clock, intervalMs);
@@ -140,9 +140,9 @@
 
   /** Whether this daemon may choose the members of a new log. */
   private get mayInitiate(): boolean {
-    const { mayBootstrap: founds, self } = this.location;
+    const { mayBootstrap, self } = this.location;
     return (
-      founds &&
+      mayBootstrap &&
       this.location.seeds()[0] === self &&
       !this.isLogKnown &&
       this.hints.leader() === "" &&
@@ -151,7 +151,7 @@
   }
 
   private *onProbe(request: ProbeRequest): Task<ProbeResponse> {
-    if (request.peer) this.presentSinceMs.set(request.peer, this.runtime.clock.nowMs());
+    if (request.peer) this.lastProbeMsByPeer.set(request.peer, this.runtime.clock.nowMs());
     if (request.fleet && request.open) this.member?.open(request.fleet);
     else if (this.member && this.isFormRequest(request))
       yield* this.member.form(request.fleet, request);
@@ -205,7 +205,7 @@
     };
   }
 
-  /** Probes all that are known; then rejoins, forms or opens the log, or waits. */
+  /** Probes all known daemons; then rejoins, forms or opens the log, or waits. */
   private *runRound(): Task {
     const seeds = this.location.seeds();
     const peers = new Set([
@@ -214,46 +214,48 @@
       ...this.hints.knownNodes(),
       ...this.discovered,
     ]);
-    // An empty node has only to find a formed log; daemons that don't reply must not cost it time.
+    // An empty node needs only one formed log: it doesn't wait for daemons that don't reply.
     const suffices = (status: PeerStatus): boolean =>
       this.state === "empty" && status.state === "formed";
     const statuses = yield* this.prober.probeAll([...peers], this.probeRequest, suffices);
     this.discover(statuses);
-    const own = this.member?.bootstrapStatus;
-    if (own?.state === "formed") return;
-    const all = [...statuses.values()];
-    const formed = all.find(({ state }) => state === "formed");
-    if (formed || all.some(({ leader }) => leader !== "")) this.isLogKnown = true;
+    const ownStatus = this.member?.bootstrapStatus;
+    if (ownStatus?.state === "formed") return;
+    const peerStatuses = [...statuses.values()];
+    const formed = peerStatuses.find(({ state }) => state === "formed");
+    if (formed || peerStatuses.some(({ leader }) => leader !== "")) this.isLogKnown = true;
     if (this.member) statuses.set(this.location.self, this.ownStatus);
-    if (own?.state === "forming") return yield* this.continueForming(own, statuses);
+    if (ownStatus?.state === "forming") return yield* this.continueForming(ownStatus, statuses);
     if (this.member && formed) return yield* this.member.rejoin(formed.fleet, formed);
     if (this.mayInitiate) return yield* this.initiate(seeds, statuses);
     this.warnWaiting("waiting for a formed log", { probed: statuses.size });
   }
 
   private discover(statuses: ReadonlyMap<string, PeerStatus>): void {
-    const named = [...statuses.values()].flatMap(({ leader, recorders, voters }) => [
+    const reportedPeers = [...statuses.values()].flatMap(({ leader, recorders, voters }) => [
       leader,
       ...recorders,
       ...voters,
     ]);
-    this.discovered = [...new Set(named)].filter((peer) => peer !== "").slice(0, MAX_DISCOVERED);
+    this.discovered = [...new Set(reportedPeers)]
+      .filter((peer) => peer !== "")
+      .slice(0, MAX_DISCOVERED);
   }
 
-  /** Completes what was formed here, unless one of its voters has formed another log meanwhile. */
-  private *continueForming(own: BootstrapStatus, statuses: Map<string, PeerStatus>): Task {
+  /** Completes the formation of this node's log; rejoins another log if a voter of this one has formed that meanwhile. */
+  private *continueForming(ownStatus: BootstrapStatus, statuses: Map<string, PeerStatus>): Task {
     const other = [...statuses.values()].find(
       ({ state, fleet, voters }) =>
         state === "formed" &&
-        fleet !== own.fleet &&
-        voters.some((voter) => own.voters.includes(voter)),
+        fleet !== ownStatus.fleet &&
+        voters.some((voter) => ownStatus.voters.includes(voter)),
     );
-    if (!other || !this.member) return yield* this.complete(own.fleet, own, statuses);
-    this.log.warn("formation abandoned", { fleet: own.fleet, other: other.fleet });
+    if (!other || !this.member) return yield* this.complete(ownStatus.fleet, ownStatus, statuses);
+    this.log.warn("formation abandoned", { fleet: ownStatus.fleet, other: other.fleet });
     yield* this.member.rejoin(other.fleet, other);
   }
 
-  /** Completes a formation under way, else chooses the members of a new log once there are enough candidates. */
+  /** Completes a formation in progress; otherwise chooses the members of a new log once there are enough candidates. */
   private *initiate(seeds: readonly string[], statuses: Map<string, PeerStatus>): Task {
     const nowMs = this.runtime.clock.nowMs();
     const [forming] = [...statuses.values()]
@@ -269,8 +271,12 @@
       return;
     }
     this.candidatesSinceMs ??= nowMs;
-    const haveAll = seeds.every((seed) => seed === this.location.self || statuses.has(seed));
-    const waitMs = haveAll ? CANDIDATE_WAIT_MS.all : CANDIDATE_WAIT_MS.some;
+    const allSeedsReplied = seeds.every(
+      (seed) => seed === this.location.self || statuses.has(seed),
+    );
+    const waitMs = allSeedsReplied
+      ? CANDIDATE_WAIT_MS.allSeedsReplied
+      : CANDIDATE_WAIT_MS.seedsMissing;
     if (nowMs - this.candidatesSinceMs < waitMs) return;
     const fleet = randomNonce(this.runtime);
     this.formation = { fleet, members, startedMs: nowMs };
@@ -294,8 +300,9 @@
   }
 
   /**
-   * Has the members of a fleet form its log, and opens it once all voters have. None is requested to form unless every voter
-   * replied, and none of them had opened: an emptied voter must not come back as if it had never acknowledged anything.
+   * Requests the members of a fleet to form its log, and opens it once all voters have formed it. No member is requested
+   * unless every voter has replied and none of them has opened the log: a voter that lost its disk must not form the log
+   * again, since it would count as a voter without the entries that it acknowledged.
    */
   private *complete(fleet: string, members: Members, statuses: Map<string, PeerStatus>): Task {
     const { member } = this;
@@ -316,7 +323,7 @@
     this.requestOpening(fleet, members, statuses);
   }
 
-  /** Has all empty members of a fleet form its log, this node among them. */
+  /** Requests all empty members of a fleet, including this node, to form its log. */
   private *requestForming(
     fleet: string,
     { voters, learners }: Members,
@@ -337,15 +344,15 @@
     if (member) statuses.set(self, this.ownStatus);
   }
 
-  /** Tells all other members that all voters have formed the log. */
+  /** Notifies all other members that all voters have formed the log. */
   private requestOpening(
     fleet: string,
     { voters, learners }: Members,
     statuses: Map<string, PeerStatus>,
   ): void {
     const request = { ...this.probeRequest, fleet, open: true };
-    const others = [...voters, ...learners].filter((peer) => peer !== this.location.self);
-    for (const peer of others) {
+    const otherMembers = [...voters, ...learners].filter((peer) => peer !== this.location.self);
+    for (const peer of otherMembers) {
       const opening = this.prober.probe(peer, request, PROBE_TIMEOUT_MS, statuses);
       startTask(this.runtime, "replication", opening);
     }
--- a/src/replication/bootstrap/node-formation.ts
+++ b/src/replication/bootstrap/node-formation.ts
@@ -1,4 +1,4 @@
-/** How a node's storage becomes part of a fleet's replicated log: it is loaded, formed anew, or rejoined. */
+/** How a node's disk gets the replicated log of a fleet: the node loads it, forms a new one, or rejoins an existing one. */
 import type { Members } from "../../consensus/members.js";
 import type { MemberStage } from "../../consensus/member-rights.js";
 import { restoredState } from "../../consensus/state.js";
@@ -13,7 +13,7 @@
 import type { LogWriter } from "../log/log-writer.js";
 import type { BootstrapMember, BootstrapStatus } from "./bootstrap-status.js";
 
-/** What a node's formation works with. */
+/** The dependencies of a node's formation. */
 export interface NodeFormationOptions {
   readonly runtime: Runtime;
   readonly log: Logger;
@@ -21,18 +21,18 @@
   readonly stateMachine: StateMachine;
   readonly store: LogStore;
   readonly writer: LogWriter;
-  /** Called once the state machine was restored from a snapshot that ends at an index. */
+  /** Called after the state machine was restored from a snapshot that ends at an index. */
   readonly onRestored: (lastIndex: number) => void;
 }
 
-/** The owner of a node's stage: which fleet's log it has, and how far it is formed. */
+/** Owns a node's stage: the fleet whose log it has, and the progress of the log's formation. */
 export class NodeFormation implements BootstrapMember {
   private readonly options: NodeFormationOptions;
   private storedStage: Exclude<MemberStage, "forming"> = "loading";
   private fleetId = "";
   /** Whether all voters are known to have formed the log. */
   private isOpen = false;
-  /** Set while the disk writes what is formed or rejoined. */
+  /** Set while the formed or rejoined log is written to disk. */
   private isWriting = false;
   private readonly opened = new Queue<true>();
 
@@ -40,7 +40,7 @@
     this.options = options;
   }
 
-  /** The id of the fleet whose log this node has, or an empty text. */
+  /** The id of the fleet whose log this node has, or an empty string. */
   get fleet(): string {
     return this.fleetId;
   }
@@ -60,7 +60,7 @@
     return { state: this.stage, fleet: this.fleetId, ...baseMembers };
   }
 
-  /** Restores what was loaded from the disk; clears the disk where it is damaged. */
+  /** Restores the state that was loaded from disk; clears the disk if it is damaged. */
   *restore(loaded: LoadResult): Task {
     const { log, store, writer } = this.options;
     if (loaded.kind === "loaded") return this.adopt(loaded.state);
@@ -71,7 +71,7 @@
     this.storedStage = loaded.kind;
   }
 
-  /** Waits until this node's log is formed and, as far as it was formed anew, all voters have formed it. */
+  /** Waits until this node has a formed log; if it formed a new one, also until all voters have formed it. */
   *waitUntilOpen(): Task {
     if (!this.isFormed || this.isForming) yield* this.opened.take();
   }
@@ -101,7 +101,7 @@
     this.opened.putOnce(true);
   }
 
-  /** Whether the log was formed here, but not yet by all of its voters as far as is known. */
+  /** Whether this node has formed the log and doesn't know yet that all voters have. */
   private get isForming(): boolean {
     const { term, log, rejoinNonce } = this.options.consensus.current;
     return this.isFormed && !this.isOpen && term === 0 && log.lastIndex === 0 && rejoinNonce === "";
--- a/src/replication/bootstrap/node-location.ts
+++ b/src/replication/bootstrap/node-location.ts
@@ -1,17 +1,17 @@
-/** Where a node is located, and which of the candidates become the members of a new log. */
+/** A node's location, and the choice of a new log's members from the candidates. */
 import type { Members } from "../../consensus/members.js";
 
-/** A daemon's address, machine and zone, its seeds, and whether it may form a log. */
+/** A daemon's address, machine, zone and seeds, and whether it may form a log. */
 export interface NodeLocation {
   /** The address at which peers reach this daemon. */
   readonly self: string;
   readonly machine: string;
   readonly zone: string;
-  /** Whether the whole fleet starts for the first time, so that a log may be formed. */
+  /** Whether the node may form a log, because the whole fleet starts for the first time. */
   readonly mayBootstrap: boolean;
-  /** How many machines or zones may be lost at once. */
+  /** The number of machines or zones whose simultaneous loss the log must survive. */
   readonly tolerate: { readonly machines: number; readonly zones: number };
-  /** Peer addresses of any daemons, which may change while this one runs. */
+  /** Peer addresses of daemons to probe; they may change while this daemon runs. */
   seeds(): readonly string[];
 }
 
@@ -24,16 +24,19 @@
 
 const compareText = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
 
-/** How many voters the log has, so that a majority remains after the losses that are tolerated. */
+/** The number of voters with which a majority remains after the tolerated losses. */
 export const wantedVoterCount = ({ tolerate }: NodeLocation): number =>
   2 * Math.max(tolerate.machines, tolerate.zones) + 1;
 
-/** Chooses voters in turn from the zones, by name, the others as learners; nothing where there are too few nodes or zones. */
+/**
+ * Chooses the voters from the zones in turn, by zone, machine and address; all other candidates become learners. Returns
+ * `undefined` if there are too few candidates, or if the tolerated loss of zones would leave no majority.
+ */
 export function chooseMembers(
   location: NodeLocation,
   candidates: readonly BootstrapCandidate[],
 ): Members | undefined {
-  const wanted = wantedVoterCount(location);
+  const voterCount = wantedVoterCount(location);
   const byZone = new Map<string, BootstrapCandidate[]>();
   for (const candidate of [...candidates].sort(
     (a, b) =>
@@ -42,20 +45,22 @@
       compareText(a.peer, b.peer),
   ))
     byZone.set(candidate.zone, [...(byZone.get(candidate.zone) ?? []), candidate]);
-  const inTurn = [...byZone.values()]
-    .flatMap((zone, zoneIndex) => zone.map((candidate, turn) => ({ candidate, zoneIndex, turn })))
-    .sort((a, b) => a.turn - b.turn || a.zoneIndex - b.zoneIndex);
-  const chosen = inTurn.slice(0, wanted).map(({ candidate }) => candidate);
-  if (chosen.length < wanted) return undefined;
+  const orderedCandidates = [...byZone.values()]
+    .flatMap((zone, zoneIndex) =>
+      zone.map((candidate, rankInZone) => ({ candidate, zoneIndex, rankInZone })),
+    )
+    .sort((a, b) => a.rankInZone - b.rankInZone || a.zoneIndex - b.zoneIndex);
+  const chosenVoters = orderedCandidates.slice(0, voterCount).map(({ candidate }) => candidate);
+  if (chosenVoters.length < voterCount) return undefined;
   const votersByZone = [...byZone.keys()]
-    .map((zone) => chosen.filter((candidate) => candidate.zone === zone).length)
+    .map((zone) => chosenVoters.filter((candidate) => candidate.zone === zone).length)
     .sort((a, b) => b - a);
-  const lost = votersByZone
+  const maxLostVoters = votersByZone
     .slice(0, location.tolerate.zones)
     .reduce((sum, count) => sum + count, 0);
-  if (2 * (wanted - lost) <= wanted) return undefined;
+  if (2 * (voterCount - maxLostVoters) <= voterCount) return undefined;
   return {
-    voters: chosen.map(({ peer }) => peer),
-    learners: inTurn.slice(wanted).map(({ candidate }) => candidate.peer),
+    voters: chosenVoters.map(({ peer }) => peer),
+    learners: orderedCandidates.slice(voterCount).map(({ candidate }) => candidate.peer),
   };
 }
--- a/src/replication/bootstrap/peer-prober.ts
+++ b/src/replication/bootstrap/peer-prober.ts
@@ -5,10 +5,10 @@
 import { type Task, waitFor } from "../../runtime/task.js";
 import { decodePeerStatus, type PeerStatus, type ProbeRequest } from "./bootstrap-status.js";
 
-/** How long the reply to a probe is awaited. */
+/** Timeout of a probe, in ms. */
 export const PROBE_TIMEOUT_MS = 300;
 
-/** Sends probes; each reply is added to a map of statuses by address. */
+/** Sends probes and collects the statuses in the responses by address. */
 export class PeerProber {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
@@ -20,7 +20,7 @@
     this.self = self;
   }
 
-  /** Probes one daemon; adds its status where it replies in time. */
+  /** Probes one daemon; adds its status if it replies within the timeout. */
   *probe(
     peer: string,
     request: ProbeRequest,
@@ -31,18 +31,18 @@
     if (response) statuses.set(peer, decodePeerStatus(response));
   }
 
-  /** Probes many daemons at once, save this one; ends once all are done, or one status suffices. */
+  /** Probes all given daemons except this one concurrently; ends once all probes have ended or one status suffices. */
   *probeAll(
     peers: readonly string[],
     request: ProbeRequest,
     suffices: (status: PeerStatus) => boolean = () => false,
   ): Task<Map<string, PeerStatus>> {
     const statuses = new Map<string, PeerStatus>();
-    const others = peers.filter((peer) => peer !== this.self);
-    let pendingCount = others.length;
+    const otherPeers = peers.filter((peer) => peer !== this.self);
+    let pendingCount = otherPeers.length;
     if (pendingCount === 0) return statuses;
     yield* waitFor<boolean>((done) => {
-      for (const peer of others) {
+      for (const peer of otherPeers) {
         const probing = this.probe(peer, request, PROBE_TIMEOUT_MS, statuses);
         startTask(this.runtime, "replication", probing, () => {
           pendingCount -= 1;
--- a/src/replication/bootstrap/restore-as-only-voter.ts
+++ b/src/replication/bootstrap/restore-as-only-voter.ts
@@ -1,32 +1,36 @@
-/** Restores a log whose majority is lost for good from one member's disk. */
+/** Restores a log from one member's disk after its majority was lost permanently. */
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
 import { encodeLogCommand } from "../../state/log-command.js";
 import { LogStore } from "../log/log-store.js";
 
-/** The result of a restore, or why it was refused. */
+/** The result of a restore: how many entries were restored, or why the restore was refused. */
 export type RestoreResult =
   { kind: "restored"; entries: number; lastIndex: number } | { kind: "refused"; why: string };
 
 /**
- * Makes a node the only voter of its log, for a cluster that has lost its majority for good. Entries that only the lost
- * voters had are lost.
+ * Makes a node the only voter of its log, for a cluster that has lost its majority permanently. Entries that only the
+ * lost voters stored are lost.
  */
 export const restoreAsOnlyVoter = function* (disk: Disk, self: string): Task<RestoreResult> {
   const store = new LogStore(disk);
   const loaded = yield* store.load();
-  if (loaded.kind === "empty") return { kind: "refused", why: "The data folder holds no record." };
+  if (loaded.kind === "empty")
+    return { kind: "refused", why: "The data folder contains no replicated log." };
   if (loaded.kind === "damaged")
-    return { kind: "refused", why: `The record here is damaged: ${loaded.why}` };
+    return {
+      kind: "refused",
+      why: `The replicated log in the data folder is damaged: ${loaded.why}`,
+    };
   const { state: durableState } = loaded;
   if (durableState.rejoinNonce !== "")
     return {
       kind: "refused",
-      why: "This recorder was learning the record anew and may lack a part of it.",
+      why: "This member was rejoining the log and may lack committed entries.",
     };
   const term = durableState.term + 1;
   const lastIndex = durableState.lastIndex + durableState.entries.length;
-  const added = [
+  const addedTexts = [
     encodeLogCommand({ kind: "members", voters: [self], learners: [] }),
     encodeLogCommand({
       kind: "note",
@@ -35,10 +39,10 @@
   ];
   const entries = [
     ...durableState.entries,
-    ...added.map((text, position) => ({ index: lastIndex + 1 + position, term, text })),
+    ...addedTexts.map((text, position) => ({ index: lastIndex + 1 + position, term, text })),
   ];
-  // Former members may have entries that are missing here; under another fleet id they can't join with them.
+  // Previous members may have entries that this log lacks; a new fleet id prevents them from joining with those.
   const fleet = `${durableState.fleet}-${term}`;
   yield* store.writeSnapshot({ ...durableState, fleet, term, votedFor: self, entries });
-  return { kind: "restored", entries: entries.length, lastIndex: lastIndex + added.length };
+  return { kind: "restored", entries: entries.length, lastIndex: lastIndex + addedTexts.length };
 };
--- a/src/replication/consensus-owner.ts
+++ b/src/replication/consensus-owner.ts
@@ -5,12 +5,12 @@
 import { memberRightsOf } from "../consensus/rights.js";
 import type { ConsensusState, DecisionContext } from "../consensus/state.js";
 
-/** Holds the consensus state; every new value comes from a pure function of `consensus/`. */
+/** Owns the consensus state; every new state is the result of a pure function in `consensus/`. */
 export class ConsensusOwner {
   private state: ConsensusState;
   private readonly readContext: () => DecisionContext;
 
-  /** Begins with a state; `readContext` gives what decisions know beside it at the moment of a call. */
+  /** Starts with a state; `readContext` returns the current inputs of decisions other than the state. */
   constructor(state: ConsensusState, readContext: () => DecisionContext) {
     this.state = state;
     this.readContext = readContext;
@@ -20,12 +20,12 @@
     return this.state;
   }
 
-  /** What decisions know beside the state now. */
+  /** The current inputs of decisions other than the state. */
   get context(): DecisionContext {
     return this.readContext();
   }
 
-  /** What this member may do now. */
+  /** What this member may currently do. */
   get rights(): MemberRights {
     return memberRightsOf(this.state, this.context);
   }
@@ -34,12 +34,12 @@
     this.state = state;
   }
 
-  /** Becomes a follower in a term, under a leader or, where the text is empty, under none that is known. */
+  /** Becomes a follower in a term; `leader` is an empty string if the leader isn't known. */
   follow(term: number, leader: string): void {
     this.state = becomeFollower(this.state, term, leader, this.context.nowMs);
   }
 
-  /** Whether this member leads in a term. */
+  /** Whether this member is the leader of a term. */
   isLeadingIn(term: number): boolean {
     return isLeading(this.state, term);
   }
--- a/src/replication/history/config-history.ts
+++ b/src/replication/history/config-history.ts
@@ -1,4 +1,4 @@
-/** The accepted configs on a member's disk. */
+/** Stores accepted configs on a member's disk. */
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
 import type { AcceptedConfig } from "../../state/accepted-config.js";
@@ -11,63 +11,67 @@
 } from "./history-format.js";
 
 /**
- * How many configs one file has at most: more take less room, since only the first is complete, but longer to read back.
- * Files of former builds have so many, save the last.
+ * Maximum number of configs in a file. More would need fewer bytes, since only the first is complete, but take longer to
+ * read back. All files of earlier builds, except their last, contain exactly this number.
  */
 export const CONFIGS_PER_FILE = 64;
-/** A file takes at most this part of the quota, unless a single config is larger. */
-const MAX_QUOTA_PART_PER_FILE = 1 / 16;
-/** No file is full because of its size before it has this many bytes. */
+/** Maximum size of a file as a fraction of the quota; a single larger config exceeds it. */
+const MAX_FILE_QUOTA_FRACTION = 1 / 16;
+/** Minimum size at which a file may count as full, in bytes. */
 const MIN_FULL_FILE_BYTES = 64 * 1024;
-/** How much text one piece that travels carries, unless a single config is larger. */
-const MAX_PIECE_TEXT_BYTES = 1024 * 1024;
+/** Maximum length of the configs' text in one transmitted piece, in UTF-16 code units; a single larger config exceeds it. */
+const MAX_PIECE_TEXT_LENGTH = 1024 * 1024;
 
-/** Sequences from the first to the last, both included. */
+/** A range of sequences, inclusive. */
 export interface SequenceRange {
   readonly from: number;
   readonly to: number;
 }
 
-/** One file of the history: configs that follow one another. */
+/** One file of the history; its configs have consecutive sequences. */
 interface HistoryFile {
   readonly name: string;
   readonly layout: HistoryLayout;
   readonly first: number;
-  /** How many configs it has; until the file was measured, as many as fit before the next file. */
+  /** The number of configs; until the file is measured, the number that fits before the next file's first sequence. */
   count: number;
-  /** How long it is, once it was measured. */
+  /** The file's size, once it is measured. */
   measuredBytes: number | undefined;
-  /** Whether fewer configs were read from it than it should have. */
+  /** Whether fewer configs than `count` could be read. */
   isDamaged: boolean;
 }
 
 const lastSequenceOf = ({ first, count }: HistoryFile): number => first + count - 1;
-const FORMER_NAME = /^history-(\d+)$/;
-const CURRENT_NAME = /^configs-(\d+)$/;
+const LEGACY_FILE_NAME = /^history-(\d+)$/;
+const FILE_NAME = /^configs-(\d+)$/;
 
 const fileFromName = (name: string): HistoryFile | undefined => {
   const unmeasured = { name, count: 0, measuredBytes: undefined, isDamaged: false };
-  const former = FORMER_NAME.exec(name)?.[1];
-  if (former !== undefined)
-    return { ...unmeasured, layout: "complete", first: Number(former) * CONFIGS_PER_FILE + 1 };
-  const first = CURRENT_NAME.exec(name)?.[1];
+  const legacyNumber = LEGACY_FILE_NAME.exec(name)?.[1];
+  if (legacyNumber !== undefined)
+    return {
+      ...unmeasured,
+      layout: "complete",
+      first: Number(legacyNumber) * CONFIGS_PER_FILE + 1,
+    };
+  const first = FILE_NAME.exec(name)?.[1];
   return first === undefined
     ? undefined
     : { ...unmeasured, layout: "deltas", first: Number(first) };
 };
 
 /**
- * Accepted configs on this member's disk, in files that are only added to. The files together take a bounded number of
- * bytes: the oldest file is removed first. Sequences may be missing between files, after a snapshot or damage.
- * All methods that write are called by the owner of the disk, one at a time.
+ * Accepted configs on this member's disk, in append-only files. Their total size is bounded: the oldest file is removed
+ * first. Sequences may be missing between files, after a snapshot or damage. The owner of the disk calls the methods that
+ * write, one at a time.
  */
 export class ConfigHistory {
   private readonly disk: Disk;
-  /** How many bytes all files together may take; it shrinks when the disk was full. */
+  /** Maximum total size of the files, in bytes; it shrinks when the disk is full. */
   private quotaBytes: number;
-  /** By their first sequences, upward. */
+  /** The files in ascending order of their first sequences. */
   private files: HistoryFile[] = [];
-  /** The config that was added last and its file, to which the next one is added as a delta. */
+  /** The last added config and its file, to which the next config is appended as a delta. */
   private tail: { file: HistoryFile; config: AcceptedConfig } | undefined;
   private lastRemoved = 0;
 
@@ -76,12 +80,12 @@
     this.quotaBytes = quotaBytes;
   }
 
-  /** Whether a file of this name belongs to a history. */
+  /** Whether a file name is that of a history file. */
   static isHistoryFileName(name: string): boolean {
-    return FORMER_NAME.test(name) || CURRENT_NAME.test(name);
+    return LEGACY_FILE_NAME.test(name) || FILE_NAME.test(name);
   }
 
-  /** The sequence of the newest config that this member removed for lack of room, or 0. */
+  /** The sequence of the newest config that this member removed to free disk space, or 0. */
   get removedUpTo(): number {
     return this.lastRemoved;
   }
@@ -92,22 +96,22 @@
     return last ? lastSequenceOf(last) : 0;
   }
 
-  /** The size of all files that were measured. */
+  /** The total size of the measured files. */
   get measuredBytes(): number {
     return this.files.reduce((sum, { measuredBytes = 0 }) => sum + measuredBytes, 0);
   }
 
-  /** Whether older configs may still be added without the removal of others. */
+  /** Whether older configs may be added without exceeding the quota soon: less than three quarters of it are used. */
   get hasSpareQuota(): boolean {
     return this.measuredBytes < (this.quotaBytes * 3) / 4;
   }
 
-  /** Whether a file was found to have fewer configs than it should. */
+  /** Whether fewer configs than expected could be read from some file. */
   get isDamaged(): boolean {
     return this.files.some((file) => file.isDamaged);
   }
 
-  /** Finds the files among a disk's names, and measures the newest; what is incomplete or damaged at its end is cut off. */
+  /** Finds the history files among a disk's file names and measures the newest, truncating incomplete or damaged records. */
   *load(names: string[]): Task {
     this.tail = undefined;
     this.files = names
@@ -126,27 +130,27 @@
       yield* this.measure(last);
   }
 
-  /** Measures every file that was not yet; cuts off what follows damage, and returns the sequences that were lost. */
+  /** Measures all unmeasured or damaged files; truncates each at the first damage, and returns the lost sequences. */
   *check(): Task<SequenceRange[]> {
     const damaged: SequenceRange[] = [];
     for (const file of [...this.files]) {
       if (file.measuredBytes !== undefined && !file.isDamaged) continue;
       const last = lastSequenceOf(file);
-      const wasCut = yield* this.measure(file);
-      if (wasCut && lastSequenceOf(file) < last)
+      const wasTruncated = yield* this.measure(file);
+      if (wasTruncated && lastSequenceOf(file) < last)
         damaged.push({ from: lastSequenceOf(file) + 1, to: last });
     }
     return damaged;
   }
 
-  /** Adds configs in the order of their sequences, save those that are stored already. They are durable once this has ended. */
+  /** Adds configs in the order of their sequences, except those already stored. They are durable once this has ended. */
   *add(configs: readonly AcceptedConfig[]): Task {
-    const missing = configs.filter(({ sequence }) => !this.fileWith(sequence));
+    const missing = configs.filter(({ sequence }) => !this.findFile(sequence));
     for (let added = 0; added < missing.length;)
       added += yield* this.addToFile(missing.slice(added));
   }
 
-  /** Removes the oldest files until the rest is within the quota; returns the sequences that were removed. */
+  /** Removes the oldest files until the rest is within the quota; returns the removed sequences. */
   *shrink(): Task<SequenceRange | undefined> {
     let from: number | undefined;
     while (this.measuredBytes > this.quotaBytes && this.files.length > 1) {
@@ -156,30 +160,33 @@
     return from === undefined ? undefined : { from, to: this.lastRemoved };
   }
 
-  /** Removes the oldest file of a full disk, never the newest; the quota is what the rest takes from then on. */
+  /** Removes the oldest file because the disk is full, never the newest; the quota shrinks to the size of the rest. */
   *reclaim(): Task<SequenceRange | undefined> {
     const range = yield* this.removeOldest();
     if (range) this.quotaBytes = Math.min(this.quotaBytes, this.measuredBytes);
     return range;
   }
 
-  /** Reads one config; `undefined` where it isn't stored here or is damaged. */
+  /** Reads one config; `undefined` if it isn't stored here or is damaged. */
   *read(sequence: number): Task<AcceptedConfig | undefined> {
     for (const config of yield* this.readFrom(sequence, () => true)) return config;
     return undefined;
   }
 
-  /** Reads configs from a sequence on that follow one another, as they travel. */
+  /** Reads consecutive configs from a sequence on, encoded as one transmitted piece. */
   *readPiece(from: number): Task<Uint8Array> {
-    let textBytes = 0;
+    let textLength = 0;
     const configs = yield* this.readFrom(from, ({ text }) => {
-      textBytes += text.length;
-      return textBytes >= MAX_PIECE_TEXT_BYTES;
+      textLength += text.length;
+      return textLength >= MAX_PIECE_TEXT_LENGTH;
     });
     return ConfigHistory.packPiece(configs);
   }
 
-  /** The newest sequences below one that are not stored here, as a range without a gap; `undefined` where none is missing. */
+  /**
+   * Returns the newest contiguous range of sequences below a given one that isn't stored here; `undefined` if none is
+   * missing.
+   */
   findMissingBelow(sequence: number): SequenceRange | undefined {
     let to = sequence - 1;
     for (const file of [...this.files].reverse()) {
@@ -189,41 +196,41 @@
     return to < 1 ? undefined : { from: 1, to };
   }
 
-  /** Configs as they travel, as many as one piece may carry. */
+  /** Encodes as many of the configs as one transmitted piece may contain. */
   static packPiece(configs: readonly AcceptedConfig[]): Uint8Array {
     const pieces: Buffer[] = [];
-    let textBytes = 0;
+    let textLength = 0;
     for (const config of configs) {
-      if (pieces.length > 0 && textBytes + config.text.length > MAX_PIECE_TEXT_BYTES) break;
+      if (pieces.length > 0 && textLength + config.text.length > MAX_PIECE_TEXT_LENGTH) break;
       pieces.push(encodeCompleteConfig(config));
-      textBytes += config.text.length;
+      textLength += config.text.length;
     }
     return Buffer.concat(pieces);
   }
 
-  /** Reads what another sent; nothing where it doesn't begin with the wanted config. */
+  /** Decodes a piece that another member sent; empty if it doesn't begin with the requested config. */
   static unpackPiece(bytes: Uint8Array, from: number): AcceptedConfig[] {
     return [...readConfigs(Buffer.from(bytes), from, "complete")];
   }
 
-  private fileWith(sequence: number): HistoryFile | undefined {
+  private findFile(sequence: number): HistoryFile | undefined {
     return this.files.find((file) => file.first <= sequence && sequence <= lastSequenceOf(file));
   }
 
-  private get fileBytes(): number {
-    return Math.max(MIN_FULL_FILE_BYTES, this.quotaBytes * MAX_QUOTA_PART_PER_FILE);
+  private get maxFileBytes(): number {
+    return Math.max(MIN_FULL_FILE_BYTES, this.quotaBytes * MAX_FILE_QUOTA_FRACTION);
   }
 
-  /** Adds what fits into one file; returns how many configs that were. */
+  /** Adds as many configs as fit into one file; returns their number. */
   private *addToFile(configs: readonly AcceptedConfig[]): Task<number> {
     const [first] = configs;
     if (!first) return 0;
-    const { file, previous } = yield* this.fileFor(first.sequence);
+    const { file, previous } = yield* this.selectFile(first.sequence);
     const records: Buffer[] = [];
     let last = previous;
     let bytes = file.measuredBytes ?? 0;
     for (const config of configs) {
-      const isFull = file.count + records.length >= CONFIGS_PER_FILE || bytes > this.fileBytes;
+      const isFull = file.count + records.length >= CONFIGS_PER_FILE || bytes > this.maxFileBytes;
       if (last && (isFull || config.sequence !== last.sequence + 1)) break;
       const record = encodeNextConfig(last, config);
       records.push(record);
@@ -244,18 +251,19 @@
     this.files = [...this.files, file].sort((a, b) => a.first - b.first);
   }
 
-  /** The file to which a sequence is added, and the config before it in that file; what a failed addition left is cut off. */
-  private *fileFor(
+  /** Selects the file for a sequence, and the config before it in that file; truncates the remains of a failed append. */
+  private *selectFile(
     sequence: number,
   ): Task<{ file: HistoryFile; previous: AcceptedConfig | undefined }> {
-    const before = this.fileWith(sequence - 1);
-    if (before && this.canAppend(before, sequence)) {
-      if (this.tail?.file === before) return { file: before, previous: this.tail.config };
-      yield* this.measure(before);
-      const previous = this.canAppend(before, sequence)
+    const previousFile = this.findFile(sequence - 1);
+    if (previousFile && this.canAppend(previousFile, sequence)) {
+      if (this.tail?.file === previousFile)
+        return { file: previousFile, previous: this.tail.config };
+      yield* this.measure(previousFile);
+      const previous = this.canAppend(previousFile, sequence)
         ? yield* this.read(sequence - 1)
         : undefined;
-      if (previous) return { file: before, previous };
+      if (previous) return { file: previousFile, previous };
     }
     const file: HistoryFile = {
       name: `configs-${sequence}`,
@@ -268,22 +276,22 @@
     return { file, previous: undefined };
   }
 
-  /** Whether the config of a sequence can be the next one of a file. */
+  /** Whether the config with a sequence can be appended to a file. */
   private canAppend(file: HistoryFile, sequence: number): boolean {
     return (
       file.layout === "deltas" &&
       lastSequenceOf(file) + 1 === sequence &&
       file.count < CONFIGS_PER_FILE &&
-      (file.measuredBytes ?? 0) <= this.fileBytes
+      (file.measuredBytes ?? 0) <= this.maxFileBytes
     );
   }
 
-  /** Reads configs of one file from a sequence on, until one of them is enough. */
+  /** Reads the configs of one file from a sequence on, up to the first for which `isEnough` holds. */
   private *readFrom(
     sequence: number,
     isEnough: (config: AcceptedConfig) => boolean,
   ): Task<AcceptedConfig[]> {
-    const file = this.fileWith(sequence);
+    const file = this.findFile(sequence);
     if (!file) return [];
     const last = lastSequenceOf(file);
     const bytes = Buffer.from((yield* this.disk.read(file.name)) ?? Buffer.alloc(0));
@@ -300,7 +308,7 @@
     return found;
   }
 
-  /** Counts the configs of a file and cuts off what is incomplete or damaged after them; returns whether anything was. */
+  /** Counts the intact configs of a file and truncates the rest; returns whether the file was truncated. */
   private *measure(file: HistoryFile): Task<boolean> {
     const bytes = Buffer.from((yield* this.disk.read(file.name)) ?? Buffer.alloc(0));
     const { count, intactBytes } = measureRecords(bytes);
@@ -309,15 +317,15 @@
     file.measuredBytes = intactBytes;
     file.isDamaged = false;
     if (count === 0) {
-      this.files = this.files.filter((one) => one !== file);
+      this.files = this.files.filter((other) => other !== file);
       yield* this.disk.remove(file.name);
     }
     return intactBytes < bytes.length;
   }
 
   private *removeOldest(): Task<SequenceRange | undefined> {
-    const [oldest, ...others] = this.files;
-    if (!oldest || others.length === 0) return undefined;
+    const [oldest, ...newerFiles] = this.files;
+    if (!oldest || newerFiles.length === 0) return undefined;
     yield* this.disk.remove(oldest.name);
     this.files = this.files.filter((file) => file !== oldest);
     this.lastRemoved = Math.max(this.lastRemoved, lastSequenceOf(oldest));
--- a/src/replication/history/history-format.ts
+++ b/src/replication/history/history-format.ts
@@ -1,4 +1,4 @@
-/** The layout of the files in which accepted configs are stored, and of the pieces in which they travel. */
+/** The layout of the files that store accepted configs, and of the pieces that transmit them. */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 import { assign, create, object, omit } from "superstruct";
 import {
@@ -10,14 +10,14 @@
 import { readRecords, withChecksum } from "../log/checksum.js";
 
 /**
- * The layout of a history file. `complete`: each record is a complete config (files of former builds, and pieces that
- * travel). `deltas`: the first record is complete, each later one is the change of the text since the record before it.
+ * The layout of a history file. `complete`: each record is a complete config (files of earlier builds, and transmitted
+ * pieces). `deltas`: the first record is a complete config, each later one is the delta from the text of the previous one.
  */
 export type HistoryLayout = "complete" | "deltas";
 
 const deltaShape = assign(omit(acceptedConfigShape, ["text"]), object({ delta: textDeltaShape }));
 
-/** The level that takes a third of the default one's time, for a few hundredths more bytes. */
+/** Takes a third of the default level's time for a few percent more bytes. */
 const DEFLATE_LEVEL = 3;
 
 const encodeRecord = (value: unknown): Buffer => {
@@ -40,18 +40,18 @@
   return { ...rest, text: applyTextDelta(previous.text, delta) };
 };
 
-/** The record of a complete config. */
+/** Encodes the record of a complete config. */
 export const encodeCompleteConfig = (config: AcceptedConfig): Buffer =>
   encodeRecord(storedConfig(config));
 
-/** The record of a config in a file of deltas, behind the previous one of that file, if any. */
+/** Encodes the record of a config in a file of deltas; complete if the file has no previous config. */
 export const encodeNextConfig = (
   previous: AcceptedConfig | undefined,
   config: AcceptedConfig,
 ): Buffer =>
   previous === undefined ? encodeCompleteConfig(config) : encodeDelta(previous, config);
 
-/** How many intact records begin a file, and how many bytes they take; they are counted without being inflated. */
+/** Counts the intact records at the start of a file, and their bytes, without inflating them. */
 export const measureRecords = (bytes: Buffer): { count: number; intactBytes: number } => {
   let count = 0;
   let intactBytes = 0;
@@ -62,7 +62,7 @@
   return { count, intactBytes };
 };
 
-/** The configs of a file one after another, from its first sequence on, until the end or the first damage. */
+/** Yields the configs of a file in order, up to its end or the first damaged record. */
 export const readConfigs = function* (
   bytes: Buffer,
   firstSequence: number,
--- a/src/replication/history/history-service.ts
+++ b/src/replication/history/history-service.ts
@@ -1,4 +1,4 @@
-/** Stores accepted configs on this member's disk, fetches missing ones from other members, and reads them back. */
+/** Stores accepted configs on this member's disk, fetches missing ones from other members, and reads them. */
 import type { DecodedMessage, RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { rpcMethods } from "../../rpc/rpc-method.js";
 import { sleep } from "../../runtime/clock.js";
@@ -10,28 +10,28 @@
 import type { LogWriter } from "../log/log-writer.js";
 import { CONFIGS_PER_FILE, ConfigHistory, type SequenceRange } from "./config-history.js";
 
-/** How long a member's reply with configs is awaited. */
+/** Timeout of a request for configs to another member, in ms. */
 const FETCH_TIMEOUT_MS = 600;
-/** The time between two fetches, beside the rest after each. */
+/** Interval between two fetches, in ms, in addition to the pause after each. */
 const FETCH_INTERVAL_MS = 200;
-/** For how long a peer whose connection failed, and that sent nothing since, is passed over. */
+/** How long a peer whose connection failed, and that has sent nothing since, is skipped, in ms. */
 const UNREACHABLE_MS = 3000;
-/** A member rests this many times as long as a fetch took, so that the other members have time for other work. */
-const RESTS_PER_FETCH = 3;
-/** The part of the pending text's limit at which configs are written to disk. */
-const PERSIST_PART = 1 / 4;
-/** Within which time members begin to write the configs that they have by then. */
+/** Ratio of the pause after a fetch to the fetch's duration; it leaves the other members time for other work. */
+const REST_TIME_PER_FETCH_TIME = 3;
+/** Fraction of `maxPendingBytes` at which pending configs are written to disk. */
+const PERSIST_FRACTION = 1 / 4;
+/** Maximum random delay before a member writes its pending configs, in ms. */
 const PERSIST_SPREAD_MS = 1000;
 
 /** The result of reading an accepted config. */
 export type ConfigRead =
   | { readonly kind: "found"; readonly config: AcceptedConfig }
-  /** It was accepted, and removed since for lack of room. */
+  /** It was accepted, and later removed to free disk space. */
   | { readonly kind: "removed" }
-  /** No member that replied has it, and not all voters replied. */
+  /** No member that replied has the config, and not all voters replied. */
   | { readonly kind: "unknown" };
 
-/** What the history works with. */
+/** The dependencies of the history service. */
 export interface HistoryServiceOptions {
   readonly runtime: Runtime;
   readonly rpc: RpcEndpoint;
@@ -40,39 +40,39 @@
   readonly writer: LogWriter;
   readonly isFormed: () => boolean;
   readonly voters: () => readonly string[];
-  /** Further peers that may have configs. */
+  /** Peers other than the voters that may have configs. */
   readonly otherPeers: () => readonly string[];
-  /** How much text of configs may wait in memory and snapshots for a disk that refuses them. */
+  /** Maximum text of configs that may be pending in memory and snapshots while the disk refuses writes. */
   readonly maxPendingBytes: number;
-  /** Called where the state machine need no longer retain configs up to a sequence. */
+  /** Called when the state machine may release the configs up to a sequence. */
   readonly onReleased: (upToSequence: number) => void;
 }
 
-/** What other members returned when they were asked for configs. */
+/** The result of requesting configs from other members. */
 interface FetchResult {
   readonly configs: readonly AcceptedConfig[];
   /** Whether each voter replied that it has none. */
   readonly isMissingEverywhere: boolean;
 }
 
-const textBytesOf = (configs: readonly AcceptedConfig[]): number =>
+const totalTextLength = (configs: readonly AcceptedConfig[]): number =>
   configs.reduce((sum, { text }) => sum + text.length, 0);
 
 const ignoreResult = (): void => undefined;
 
-/** The history of accepted configs, as a member of the replicated log offers it. */
+/** The history of accepted configs of one member. */
 export class HistoryService {
   private readonly options: HistoryServiceOptions;
   private readonly log: Logger;
-  /** Ranges that were damaged on disk and that aren't fetched again yet. */
+  /** Ranges that were damaged on disk and haven't been fetched again yet. */
   private damaged: SequenceRange[] = [];
-  /** Whether the last write failed. */
-  private needsRetry = false;
+  /** Whether the last write of pending configs failed; it is retried. */
+  private lastWriteFailed = false;
   private isPersistScheduled = false;
   private isPersisting = false;
   /** Whether configs were missing at the last fetch. */
   private wasIncomplete = false;
-  /** No voter has the configs up to this sequence. */
+  /** The sequence up to which no voter has the configs. */
   private unavailableUpTo = 0;
 
   constructor(options: HistoryServiceOptions) {
@@ -82,10 +82,10 @@
 
   /** Serves the configs that are stored here to other members. */
   serve(): void {
-    this.options.rpc.serve(rpcMethods.history, ({ from }) => this.pieceFrom(from));
+    this.options.rpc.serve(rpcMethods.history, ({ from }) => this.readPiece(from));
   }
 
-  /** Measures the stored files, then fetches what is missing, newest first, for as long as the daemon runs. */
+  /** Measures the stored files, then fetches missing configs, newest first, as long as the daemon runs. */
   *run(): Task {
     const { runtime, history, isFormed } = this.options;
     const { clock } = runtime;
@@ -93,19 +93,19 @@
     for (;;) {
       if (isFormed()) {
         if (history.isDamaged) yield* this.check();
-        if (this.needsRetry) this.persist();
+        if (this.lastWriteFailed) this.persist();
         const startedMs = clock.nowMs();
         yield* this.fetchMissing();
-        const tookMs = clock.nowMs() - startedMs;
-        yield* sleep(clock, RESTS_PER_FETCH * tookMs);
+        const durationMs = clock.nowMs() - startedMs;
+        yield* sleep(clock, REST_TIME_PER_FETCH_TIME * durationMs);
       }
       yield* sleep(clock, FETCH_INTERVAL_MS);
     }
   }
 
   /**
-   * Writes configs to disk once those in the state machine have grown to a part of what may be pending. Members do so at
-   * different moments: a large config takes a while to write, and the leader needs a responsive majority meanwhile.
+   * Writes configs to disk once those in the state machine exceed a fraction of the pending limit. Members write at
+   * different times: writing a large config takes a while, and the leader needs a responsive majority meanwhile.
    */
   persistWhenLarge(): void {
     const { runtime, isFormed } = this.options;
@@ -117,19 +117,19 @@
     });
   }
 
-  /** Writes the configs in the state machine to disk; the state machine releases them then. */
+  /** Writes the configs in the state machine to disk, after which the state machine releases them. */
   persist(): void {
     const { stateMachine, history, writer, onReleased } = this.options;
     const { configs } = stateMachine;
     const newest = configs.at(-1)?.sequence ?? 0;
-    this.needsRetry = false;
+    this.lastWriteFailed = false;
     if (newest <= history.newestSequence) return onReleased(history.newestSequence);
     this.isPersisting = true;
     writer.attempt(
       () => history.add(configs),
       (succeeded) => {
         this.isPersisting = false;
-        this.needsRetry = !succeeded;
+        this.lastWriteFailed = !succeeded;
         if (succeeded) onReleased(newest);
         else this.dropPending();
       },
@@ -137,13 +137,13 @@
     writer.attempt(() => this.shrink(), ignoreResult);
   }
 
-  /** Reads one accepted config, from here or from another member. */
+  /** Reads one accepted config, from this member or another one. */
   *read(sequence: number): Task<ConfigRead> {
     const { stateMachine, history } = this.options;
-    const own =
+    const ownConfig =
       stateMachine.configs.find((config) => config.sequence === sequence) ??
       (yield* history.read(sequence));
-    if (own) return { kind: "found", config: own };
+    if (ownConfig) return { kind: "found", config: ownConfig };
     if (sequence <= this.unavailableUpTo) return { kind: "removed" };
     const { configs, isMissingEverywhere } = yield* this.fetch(sequence);
     const [config] = configs;
@@ -154,10 +154,10 @@
   private get isLarge(): boolean {
     const { stateMachine, maxPendingBytes } = this.options;
     const { configs } = stateMachine;
-    return configs.length > 1 && textBytesOf(configs) > maxPendingBytes * PERSIST_PART;
+    return configs.length > 1 && totalTextLength(configs) > maxPendingBytes * PERSIST_FRACTION;
   }
 
-  private *pieceFrom(from: number): Task<DecodedMessage<typeof rpcMethods.history.response>> {
+  private *readPiece(from: number): Task<DecodedMessage<typeof rpcMethods.history.response>> {
     const { stateMachine, history, isFormed } = this.options;
     if (!isFormed()) return { configs: new Uint8Array() };
     const stored = yield* history.readPiece(from);
@@ -169,7 +169,7 @@
     };
   }
 
-  /** Fetches configs from one on, as another member has them; followers are asked before the leader. */
+  /** Fetches configs from a sequence on from the first member that has them; voters are tried first, in their order. */
   private *fetch(from: number): Task<FetchResult> {
     const { rpc, voters, otherPeers } = this.options;
     const voterPeers = voters();
@@ -193,7 +193,7 @@
     return rpc.isUnreachable(peer, runtime.clock.nowMs() - UNREACHABLE_MS);
   }
 
-  /** Fetches some of the newest configs that are missing here, while there is room for them. */
+  /** Fetches some of the newest configs that are missing here, while the quota allows. */
   private *fetchMissing(): Task {
     const { history } = this.options;
     const missing = this.missingRange();
@@ -205,12 +205,15 @@
     this.wasIncomplete = true;
     const { configs, isMissingEverywhere } = yield* this.fetchFrom(missing);
     if (configs.length > 0)
-      yield* this.insert(configs.filter(({ sequence }) => sequence <= missing.to));
+      yield* this.store(configs.filter(({ sequence }) => sequence <= missing.to));
     else if (isMissingEverywhere) this.unavailableUpTo = Math.max(this.unavailableUpTo, missing.to);
     this.reportRepairs();
   }
 
-  /** Fetches configs of a range: those of its last file from their first on, or from later on where others have no older ones. */
+  /**
+   * Fetches the last `CONFIGS_PER_FILE` configs of a range; if no member has the first of them, halves the distance to
+   * its end.
+   */
   private *fetchFrom({ from, to }: SequenceRange): Task<FetchResult> {
     let first = Math.max(from, to - CONFIGS_PER_FILE + 1);
     for (;;) {
@@ -220,7 +223,7 @@
     }
   }
 
-  /** The newest range that is missing here and may be available elsewhere. */
+  /** Returns the newest range that is missing here and may be available from other members. */
   private missingRange(): SequenceRange | undefined {
     const { history } = this.options;
     const range = this.missingOnDisk();
@@ -234,12 +237,12 @@
     return history.findMissingBelow(stateMachine.configs[0]?.sequence ?? 1);
   }
 
-  private *insert(configs: AcceptedConfig[]): Task {
+  private *store(configs: AcceptedConfig[]): Task {
     const { history, writer } = this.options;
     yield* waitFor<boolean>((done) => writer.attempt(() => history.add(configs), done));
   }
 
-  /** Measures the files in a turn of the disk's writer, since what is damaged is cut off. */
+  /** Measures the files in a task of the disk's writer, since it truncates damaged files. */
   private *check(): Task {
     const { history, writer } = this.options;
     const lost: SequenceRange[] = [];
@@ -267,12 +270,12 @@
     if (removed) this.log.info("history quota exceeded, oldest configs removed", { ...removed });
   }
 
-  /** Bounds the text that waits for a disk that refuses it: beyond the limit only the newest config is retained. */
+  /** Bounds the pending text while the disk refuses writes: beyond the limit only the newest config is retained. */
   private dropPending(): void {
     const { stateMachine, maxPendingBytes, onReleased } = this.options;
     const { configs } = stateMachine;
     const upTo = configs.at(-2)?.sequence;
-    if (textBytesOf(configs) <= maxPendingBytes || upTo === undefined) return;
+    if (totalTextLength(configs) <= maxPendingBytes || upTo === undefined) return;
     this.log.warn("history write failed, pending configs dropped", { upTo });
     onReleased(upTo);
   }
--- a/src/replication/leadership/election-driver.ts
+++ b/src/replication/leadership/election-driver.ts
@@ -1,4 +1,4 @@
-/** Runs a node while it doesn't lead: election timeouts, votes and campaigns. */
+/** Runs a node while it isn't the leader: election timeouts, votes and campaigns. */
 import {
   abandonElection,
   acceptLeadershipTransfer,
@@ -24,7 +24,7 @@
 import type { NodeEvent, NodeEventQueue } from "../node-event.js";
 import type { ReplicationTimeouts } from "../replication-timeouts.js";
 
-/** What an election driver works with. */
+/** The dependencies of an election driver. */
 export interface ElectionDriverOptions {
   readonly runtime: Runtime;
   readonly rpc: RpcEndpoint;
@@ -33,11 +33,11 @@
   readonly events: NodeEventQueue;
   readonly writer: LogWriter;
   readonly timeouts: ReplicationTimeouts;
-  /** Processes one event of the node. */
+  /** Processes one event of the node's queue. */
   readonly handle: (event: NodeEvent) => void;
 }
 
-/** The node as a follower, a candidate and a voter. */
+/** Drives the node in the roles of follower, pre-candidate and candidate, and handles vote requests. */
 export class ElectionDriver {
   private readonly options: ElectionDriverOptions;
 
@@ -45,7 +45,7 @@
     this.options = options;
   }
 
-  /** Follows until this node campaigns. */
+  /** Runs the follower role until the node changes its role. */
   *runFollower(): Task {
     const { runtime, consensus, events, handle } = this.options;
     const { clock } = runtime;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Campaigns until an election is won or lost, or its time is over. */
+  /** Runs a pre-vote or an election until it is won or lost, or times out. */
   *runCandidate(isPreVote: boolean): Task {
     const { runtime, consensus, events, handle } = this.options;
     const { clock } = runtime;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Decides on another member's request for a vote. */
+  /** Decides on another member's vote request; a granted vote is synced to disk before the reply if required. */
   onVoteRequest(request: VoteRequest, respond: (reply: VoteReply) => void): void {
     const { consensus, writer } = this.options;
     const decision = decideVote(consensus.current, request, consensus.context);
@@ -90,13 +90,13 @@
     else respond(reply);
   }
 
-  /** Counts a vote, or a refusal, of this node's own election. */
+  /** Counts a reply to this node's own vote requests. */
   onVote(received: ReceivedVote): void {
     const { consensus, runtime } = this.options;
     consensus.update(countVote(consensus.current, received, runtime.clock.nowMs()));
   }
 
-  /** Accepts the leadership that the leader of a term offers, unless this node can't; returns whether it did. */
+  /** Accepts the leadership that the leader of a term offers, if this node may campaign; returns whether it accepted. */
   acceptLeadership(term: number): boolean {
     const { consensus } = this.options;
     const state = acceptLeadershipTransfer(consensus.current, term, consensus.context);
--- a/src/replication/leadership/leader-driver.ts
+++ b/src/replication/leadership/leader-driver.ts
@@ -1,4 +1,4 @@
-/** Runs a node while it leads, from its election until it steps down. */
+/** Runs a node while it is the leader, from its election until it steps down. */
 import {
   becomeLeader,
   leadershipEntryText,
@@ -19,10 +19,10 @@
 import type { LeaderLog } from "./leader-log.js";
 import type { LeaderReplication } from "./leader-replication.js";
 
-/** How long the reply to an offer of the leadership is awaited. */
+/** Timeout of an offer to transfer the leadership, in ms. */
 const TRANSFER_TIMEOUT_MS = 300;
 
-/** What a leader driver works with. */
+/** The dependencies of a leader driver. */
 export interface LeaderDriverOptions {
   readonly runtime: Runtime;
   readonly rpc: RpcEndpoint;
@@ -35,11 +35,11 @@
   readonly proposals: ProposalQueue;
   readonly pending: PendingProposals;
   readonly membership: MembershipManager;
-  /** Processes one event of the node. */
+  /** Processes one event of the node's queue. */
   readonly handle: (event: NodeEvent) => void;
 }
 
-/** The node as the leader. */
+/** Drives the node in the role of leader. */
 export class LeaderDriver {
   private readonly options: LeaderDriverOptions;
   private readonly listeners: Array<(isLeader: boolean) => void> = [];
@@ -48,12 +48,12 @@
     this.options = options;
   }
 
-  /** Registers a listener that is called each time this node begins or ceases to lead. */
+  /** Registers a listener that is called whenever this node becomes the leader or stops leading. */
   onChange(listener: (isLeader: boolean) => void): void {
     this.listeners.push(listener);
   }
 
-  /** Leads until this node steps down or learns of a newer term. */
+  /** Leads until this node steps down or sees a newer term. */
   *run(): Task {
     const { runtime, log, consensus, events, timeouts, replication, handle } = this.options;
     const { clock } = runtime;
@@ -70,7 +70,7 @@
     log.info("leadership ended", { term });
   }
 
-  /** Steps down in favour of the voter whose log is the furthest. */
+  /** Steps down and offers the leadership to the voter with the longest matching log, preferably one that isn't stopping. */
   transferLeadership(why: string): void {
     const { runtime, rpc, log, consensus, membership } = this.options;
     const { term } = consensus.current;
@@ -84,7 +84,7 @@
     startTask(runtime, "replication", offer);
   }
 
-  /** Begins to lead; returns the term. */
+  /** Starts the leadership; returns its term. */
   private begin(): number {
     const { log, consensus, leaderLog, replication, pending } = this.options;
     consensus.update(becomeLeader(consensus.current));
@@ -97,7 +97,7 @@
     return term;
   }
 
-  /** Steps down where this node must, else changes the membership where that is due. */
+  /** Steps down if this node must; otherwise makes the next membership change that is due. */
   private review(term: number, startedMs: number): void {
     const { consensus, membership } = this.options;
     const reason = stepDownReason(consensus.current, startedMs, consensus.context);
--- a/src/replication/leadership/leader-log.ts
+++ b/src/replication/leadership/leader-log.ts
@@ -6,17 +6,17 @@
 import type { PendingProposals } from "../proposals/pending-proposals.js";
 import type { ProposalCallback } from "../proposals/proposal.js";
 
-/** What a leader's log works with. */
+/** The dependencies of a leader's log. */
 export interface LeaderLogOptions {
   readonly consensus: ConsensusOwner;
   readonly events: NodeEventSink;
   readonly writer: LogWriter;
   readonly pending: PendingProposals;
-  /** Has the entries sent to the other members now. */
+  /** Sends the new entries to the other members without waiting for the next heartbeat. */
   readonly replicate: () => void;
 }
 
-/** The log of a leader, as its proposals and membership changes use it. */
+/** Appends proposals and membership changes to the log of a leader. */
 export class LeaderLog {
   private readonly options: LeaderLogOptions;
 
@@ -24,7 +24,7 @@
     this.options = options;
   }
 
-  /** Appends entries; the callback at the index of a text receives the result of its entry. */
+  /** Appends one entry for each text; the callback at the same position receives the entry's result. */
   append(texts: readonly string[], callbacks: readonly ProposalCallback[] = []): void {
     const { consensus, events, writer, pending, replicate } = this.options;
     const { state, entries, records } = appendAsLeader(consensus.current, texts);
--- a/src/replication/leadership/leader-replication.ts
+++ b/src/replication/leadership/leader-replication.ts
@@ -1,4 +1,4 @@
-/** The replication of a leader's log to all other members: one replicator for each. */
+/** Replicates a leader's log to all other members, with one replicator for each. */
 import { membersAt } from "../../consensus/state.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { Queue } from "../../runtime/queue.js";
@@ -11,7 +11,7 @@
 import { SharedSnapshot, SnapshotSender } from "../snapshot/snapshot-sender.js";
 import { PeerReplicator } from "./peer-replicator.js";
 
-/** What a leader's replication works with. */
+/** The dependencies of a leader's replication. */
 export interface LeaderReplicationOptions {
   readonly runtime: Runtime;
   readonly rpc: RpcEndpoint;
@@ -23,10 +23,10 @@
   readonly appliedIndex: () => number;
 }
 
-/** Starts, wakes and forgets the replicators of the other members. */
+/** Starts, wakes and removes the replicators of the other members. */
 export class LeaderReplication {
   private readonly options: LeaderReplicationOptions;
-  /** What wakes the replicator of each peer before its next heartbeat. */
+  /** Queues that wake the replicator of each peer before its next heartbeat. */
   private wakeups = new Map<string, Queue<true>>();
   private snapshotSender = new SnapshotSender();
 
@@ -34,13 +34,13 @@
     this.options = options;
   }
 
-  /** Begins a leadership, for which there are no replicators yet. */
+  /** Starts a new leadership, without replicators. */
   begin(): void {
     this.wakeups = new Map();
     this.snapshotSender = new SnapshotSender();
   }
 
-  /** Starts a replicator for each other member that has none. */
+  /** Starts a replicator for each other member that doesn't have one. */
   ensureReplicators(term: number): void {
     const { consensus, runtime } = this.options;
     const { voters, learners } = consensus.current.members;
@@ -52,17 +52,17 @@
     }
   }
 
-  /** Has all replicators send what is new now, or notice that the leadership has ended. */
+  /** Wakes all replicators, to send new entries or to end with the leadership. */
   wakeAll(): void {
     for (const wakeup of this.wakeups.values()) wakeup.put(true);
   }
 
-  /** Drops the snapshot that was made for transfers. */
+  /** Drops the snapshot that was created for transfers. */
   dropSnapshot(): void {
     this.snapshotSender = new SnapshotSender();
   }
 
-  /** The index after which the log must be retained for transfers under way, if there are any. */
+  /** Returns the index after which the log must be retained for active transfers; `undefined` if there are none. */
   retainedIndex(nowMs: number): number | undefined {
     return this.snapshotSender.retainedIndex(nowMs);
   }
@@ -80,7 +80,7 @@
       events,
       timeouts,
       snapshotSender,
-      createSnapshot: () => this.makeSnapshot(),
+      createSnapshot: () => this.createSnapshot(),
     });
     yield* replicator.run();
     if (this.wakeups.get(peer) !== wakeup) return;
@@ -88,7 +88,7 @@
     snapshotSender.endTransfer(peer);
   }
 
-  private makeSnapshot(): SharedSnapshot {
+  private createSnapshot(): SharedSnapshot {
     const { consensus, stateMachine } = this.options;
     const appliedIndex = this.options.appliedIndex();
     const lastTerm = consensus.current.log.termAt(appliedIndex) ?? 0;
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -1,4 +1,4 @@
-/** Replicates the leader's log to one other member, by entries, heartbeats and snapshots. */
+/** Replicates the leader's log to one other member with entries, heartbeats and snapshots. */
 import {
   appendRequestFor,
   appendTimeoutMs,
@@ -21,15 +21,15 @@
   SnapshotSender,
 } from "../snapshot/snapshot-sender.js";
 
-/** What one append request carries at most, unless a single entry is larger. */
+/** Maximum entries and bytes in one append request; a single larger entry exceeds the bytes. */
 export const APPEND_BATCH_LIMIT = { entries: 1024, bytes: 256 * 1024 };
-/** How long the reply to a snapshot, or to a piece of one, is awaited. */
+/** Timeout of a request with a snapshot or a piece of one, in ms. */
 const SNAPSHOT_TIMEOUT_MS = 5000;
 
-/** What a replicator works with. */
+/** The dependencies of a replicator. */
 export interface PeerReplicatorOptions {
   readonly peer: string;
-  /** The term of the leadership that the replicator serves. */
+  /** The term of the leadership that the replicator belongs to. */
   readonly term: number;
   /** Wakes the replicator before its next heartbeat. */
   readonly wakeup: Queue<true>;
@@ -42,11 +42,11 @@
   readonly createSnapshot: () => SharedSnapshot;
 }
 
-/** The replication to one peer during one term. */
+/** Replicates the log to one peer during one term. */
 export class PeerReplicator {
   private readonly options: PeerReplicatorOptions;
   private progress: Progress;
-  /** Whether the last request got a reply: a snapshot goes only to a responsive member. */
+  /** Whether the peer replied to the last request: a snapshot is sent only to a responsive member. */
   private isResponsive = false;
 
   constructor(options: PeerReplicatorOptions) {
@@ -54,7 +54,7 @@
     this.progress = initialProgress(options.consensus.current);
   }
 
-  /** Replicates until this node no longer leads in the term, or the peer is no longer a member. */
+  /** Replicates until this node is no longer the leader of the term, or the peer is no longer a member. */
   *run(): Task {
     const { peer, term, wakeup, clock, consensus, timeouts } = this.options;
     while (consensus.isLeadingIn(term) && consensus.isMember(peer)) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Sends entries or a heartbeat; returns whether the next request is due at once. */
+  /** Sends entries or a heartbeat; returns whether to send the next request immediately. */
   private *sendEntries(): Task<boolean> {
     const { peer, term, clock, rpc, consensus, events, timeouts } = this.options;
     const sentMs = clock.nowMs();
@@ -85,7 +85,7 @@
     return !fits || consensus.current.log.lastIndex >= this.progress.next;
   }
 
-  /** Sends the next part of the snapshot; returns whether the next request is due at once. */
+  /** Sends the next message of the snapshot; returns whether to send the next request immediately. */
   private *sendSnapshot(): Task<boolean> {
     const installedIndex = yield* this.transferSnapshot();
     this.isResponsive = installedIndex !== undefined;
@@ -94,7 +94,10 @@
     return this.isResponsive;
   }
 
-  /** Returns the index up to which the peer has the log, 0 while the transfer advances, `undefined` where it didn't. */
+  /**
+   * Sends the next message of the snapshot. Returns the index of the installed snapshot's last entry, 0 if the transfer
+   * advanced without completing, or `undefined` if it didn't advance.
+   */
   private *transferSnapshot(): Task<number | undefined> {
     const {
       peer,
@@ -108,7 +111,7 @@
     const sentMs = clock.nowMs();
     const { baseIndex } = consensus.current.log;
     const message = snapshotSender.nextMessage(peer, baseIndex, sentMs, makeSnapshot);
-    const reply = yield* this.callWithSnapshot(message);
+    const reply = yield* this.sendSnapshotMessage(message);
     if (reply && reply.term > term) events.put({ kind: "newerTermSeen", term: reply.term });
     if (reply?.term !== term) {
       snapshotSender.onNoReply(peer);
@@ -125,7 +128,7 @@
     return snapshotSender.onReply(peer, reply.receivedBytes, clock.nowMs()) ? 0 : undefined;
   }
 
-  private *callWithSnapshot(message: SnapshotMessage): Task<SnapshotPieceResponse | undefined> {
+  private *sendSnapshotMessage(message: SnapshotMessage): Task<SnapshotPieceResponse | undefined> {
     const { peer, term, rpc, consensus } = this.options;
     const leader = consensus.current.self;
     if (message.kind === "piece") {
--- a/src/replication/log/checksum.ts
+++ b/src/replication/log/checksum.ts
@@ -1,25 +1,25 @@
-/** Records behind their length and checksum, as in all files of the replicated log. */
+/** Records that are preceded by their length and checksum, the format of all files of the replicated log. */
 import { crc32 } from "node:zlib";
 
-/** How many bytes precede a record's body: its length and its checksum. */
+/** Size of the header before a record's body: its length and its CRC-32, 4 bytes each. */
 export const CHECKSUM_HEADER_BYTES = 8;
 
-/** A record's body, and where the record is in its file. */
+/** A record's body, and the record's position in its file, in bytes. */
 export interface ChecksummedRecord {
   readonly body: Buffer;
   readonly offset: number;
   readonly endOffset: number;
 }
 
-/** A body behind its length and checksum. */
+/** Encodes a record: the header, then the body. */
 export const withChecksum = (body: Uint8Array): Uint8Array => {
-  const head = Buffer.alloc(CHECKSUM_HEADER_BYTES);
-  head.writeUInt32BE(body.length, 0);
-  head.writeUInt32BE(crc32(body), 4);
-  return Buffer.concat([head, body]);
+  const header = Buffer.alloc(CHECKSUM_HEADER_BYTES);
+  header.writeUInt32BE(body.length, 0);
+  header.writeUInt32BE(crc32(body), 4);
+  return Buffer.concat([header, body]);
 };
 
-/** The body of the record at an offset; `undefined` where it is incomplete or damaged. */
+/** Returns the body of the record at an offset; `undefined` if it is incomplete or damaged. */
 export const readChecksummed = (bytes: Buffer, offset: number): Buffer | undefined => {
   const start = offset + CHECKSUM_HEADER_BYTES;
   if (start > bytes.length) return undefined;
@@ -29,7 +29,7 @@
   return crc32(body) === bytes.readUInt32BE(offset + 4) ? body : undefined;
 };
 
-/** The records that begin a file, up to the first that is incomplete or damaged. */
+/** Yields the records of a file, up to the first that is incomplete or damaged. */
 export const readRecords = function* (bytes: Buffer): Generator<ChecksummedRecord, void> {
   let offset = 0;
   for (;;) {
--- a/src/replication/log/disk-reclaimer.ts
+++ b/src/replication/log/disk-reclaimer.ts
@@ -1,16 +1,16 @@
-/** Reclaims room on a full disk. */
+/** Frees space on a full disk. */
 import type { Clock } from "../../runtime/clock.js";
 import { DiskError } from "../../runtime/disk.js";
 import type { Logger } from "../../runtime/logger.js";
 import type { Task } from "../../runtime/task.js";
 import type { ConfigHistory } from "../history/config-history.js";
 
-/** The time between the removals of the first and the second file while a disk refuses writes; doubled for each further one. */
+/** Delay between the first and the second removal while the disk refuses writes, in ms; doubled after each further one. */
 const FIRST_INTERVAL_MS = 1000;
 
 /**
- * Removes old configs from a full disk, so that the history never prevents what must be written. A disk may also refuse all
- * writes for a while without being full: files are removed one at a time, at growing intervals.
+ * Removes old configs from a full disk, so that the history never prevents other writes. Since a disk may also refuse all
+ * writes for a while without being full, files are removed one at a time, at growing intervals.
  */
 export class DiskReclaimer {
   private readonly clock: Clock;
@@ -25,7 +25,7 @@
     this.log = log;
   }
 
-  /** A write was refused; returns whether a file was removed, so that a retry may succeed. */
+  /** Handles a refused write; returns whether a file was removed, so that a retry may succeed. */
   *onWriteRefused(): Task<boolean> {
     const nowMs = this.clock.nowMs();
     if (nowMs < this.nextRemovalMs) return false;
@@ -44,7 +44,7 @@
     }
   }
 
-  /** The disk accepts writes. */
+  /** Resets the interval, since the disk accepts writes. */
   onWriteAccepted(): void {
     this.intervalMs = FIRST_INTERVAL_MS;
     this.nextRemovalMs = -Infinity;
--- a/src/replication/log/durable-state.ts
+++ b/src/replication/log/durable-state.ts
@@ -7,22 +7,22 @@
 import { Utf8TextCodec } from "../../rpc/utf8-text-codec.js";
 import { CHECKSUM_HEADER_BYTES, readChecksummed, withChecksum } from "./checksum.js";
 
-/** All that a member must still know after a restart. */
+/** Everything that a member must retain across a restart. */
 export interface DurableState {
   fleet: string;
-  /** The nonce of a rejoin under way, during which the member neither votes nor acknowledges; else an empty text. */
+  /** The nonce of an active rejoin, during which the member neither votes nor acknowledges; otherwise an empty string. */
   rejoinNonce: string;
   term: number;
   votedFor: string;
   lastIndex: number;
   lastTerm: number;
-  /** The state machine as of `lastIndex`. */
+  /** The snapshot of the state machine at `lastIndex`. */
   snapshot: string;
   /** The entries after `lastIndex`. */
   entries: Entry[];
 }
 
-/** A durable state with the sequence number under which it was written. */
+/** A durable state and the sequence number with which it was written. */
 export interface SnapshotSlot {
   readonly sequence: number;
   readonly state: DurableState;
@@ -41,23 +41,23 @@
   }),
 });
 
-/** The bytes of a slot: a record of all but the snapshot as JSON, then a record of the snapshot's text. */
+/** Encodes a slot: a record with everything but the snapshot as JSON, then a record with the snapshot's text. */
 export const encodeSlot = ({ sequence, state }: SnapshotSlot): Uint8Array => {
   const { fleet, rejoinNonce: rejoining, term, votedFor, lastIndex, lastTerm, entries } = state;
   const standing = { fleet, rejoining, term, votedFor, lastIndex, lastTerm, entries };
-  const head = Buffer.from(JSON.stringify({ sequence, standing }), "utf8");
-  return Buffer.concat([withChecksum(head), withChecksum(Buffer.from(state.snapshot, "utf8"))]);
+  const header = Buffer.from(JSON.stringify({ sequence, standing }), "utf8");
+  return Buffer.concat([withChecksum(header), withChecksum(Buffer.from(state.snapshot, "utf8"))]);
 };
 
-/** The slot in a file's bytes; `undefined` where it is damaged. */
+/** Decodes a slot from a file's bytes; `undefined` if it is damaged. */
 export const decodeSlot = (bytes: Buffer): SnapshotSlot | undefined => {
-  const head = readChecksummed(bytes, 0);
-  if (head === undefined) return undefined;
-  const snapshot = readChecksummed(bytes, CHECKSUM_HEADER_BYTES + head.length);
+  const header = readChecksummed(bytes, 0);
+  if (header === undefined) return undefined;
+  const snapshot = readChecksummed(bytes, CHECKSUM_HEADER_BYTES + header.length);
   if (snapshot === undefined) return undefined;
-  const { sequence, standing } = create(JSON.parse(head.toString("utf8")), slotShape);
-  const { rejoining: rejoinNonce, ...others } = standing;
-  return { sequence, state: { ...others, rejoinNonce, snapshot: snapshot.toString("utf8") } };
+  const { sequence, standing } = create(JSON.parse(header.toString("utf8")), slotShape);
+  const { rejoining: rejoinNonce, ...otherFields } = standing;
+  return { sequence, state: { ...otherFields, rejoinNonce, snapshot: snapshot.toString("utf8") } };
 };
 
 const recordLayout = new r.Struct({
@@ -67,10 +67,10 @@
   text: new Utf8TextCodec(),
 });
 
-/** The kinds of records by their numbers on disk. */
+/** The numbers of the record kinds on disk. */
 const RecordKind = { entry: 1, vote: 2, truncate: 3 };
 
-const fieldsOf = (record: LogRecord) => {
+const recordFields = (record: LogRecord) => {
   switch (record.kind) {
     case "entry":
       return { term: record.term, index: record.index, text: record.text };
@@ -81,11 +81,11 @@
   }
 };
 
-/** The bytes of a record of the log. */
+/** Encodes a log record. */
 export const encodeLogRecord = (record: LogRecord): Uint8Array =>
-  withChecksum(recordLayout.toBuffer({ kind: RecordKind[record.kind], ...fieldsOf(record) }));
+  withChecksum(recordLayout.toBuffer({ kind: RecordKind[record.kind], ...recordFields(record) }));
 
-/** Applies a record's body to a durable state; false where it doesn't follow on what came before. */
+/** Applies the body of a log record to a durable state; returns false if its index leaves a gap after the last entry. */
 export const replayLogRecord = (state: DurableState, body: Buffer): boolean => {
   const { kind, term, index, text } = decodeExactly(recordLayout, body);
   if (kind === RecordKind.entry) {
--- a/src/replication/log/follower-log.ts
+++ b/src/replication/log/follower-log.ts
@@ -1,4 +1,4 @@
-/** Accepts a leader's entries into the own log. */
+/** Appends a leader's entries to this member's log. */
 import {
   acknowledgeAppend,
   decideAppend,
@@ -9,14 +9,14 @@
 import type { LogApplier } from "./log-applier.js";
 import type { LogWriter } from "./log-writer.js";
 
-/** What a follower's log works with. */
+/** The dependencies of a follower's log. */
 export interface FollowerLogOptions {
   readonly consensus: ConsensusOwner;
   readonly writer: LogWriter;
   readonly applier: LogApplier;
 }
 
-/** The log of a follower, as its leader sees it. */
+/** Handles the append requests that a follower receives. */
 export class FollowerLog {
   private readonly options: FollowerLogOptions;
 
@@ -24,7 +24,7 @@
     this.options = options;
   }
 
-  /** Appends a leader's entries and acknowledges them once they are on disk, or refuses them. */
+  /** Appends a leader's entries and acknowledges them once they are on disk, or refuses the request. */
   onAppend(request: AppendRequest, respond: (reply: AppendReply) => void): void {
     const { consensus, writer, applier } = this.options;
     const decision = decideAppend(consensus.current, request, consensus.context);
--- a/src/replication/log/log-applier.ts
+++ b/src/replication/log/log-applier.ts
@@ -8,12 +8,12 @@
 import type { PendingProposals } from "../proposals/pending-proposals.js";
 import type { SnapshotWriter } from "../snapshot/snapshot-writer.js";
 
-/** Thrown when the replicated log in memory contradicts itself; the daemon must not go on. */
+/** Thrown when the replicated log in memory is inconsistent; the daemon must not continue. */
 export class LogInvariantError extends Error {
   readonly code = "LOG_INVARIANT";
 }
 
-/** What a log applier works with. */
+/** The dependencies of a log applier. */
 export interface LogApplierOptions {
   readonly steps: StepTimer;
   readonly consensus: ConsensusOwner;
@@ -22,7 +22,7 @@
   readonly snapshots: SnapshotWriter;
 }
 
-/** The owner of the index up to which the state machine has applied the log. */
+/** Applies committed entries in order, and owns the index up to which they are applied. */
 export class LogApplier {
   private readonly options: LogApplierOptions;
   private index = 0;
@@ -36,19 +36,21 @@
     return this.index;
   }
 
-  /** The state machine was restored from a snapshot that ends at an index. */
+  /** Sets the applied index after the state machine was restored from a snapshot that ends there. */
   onRestored(index: number): void {
     this.index = index;
   }
 
-  /** Sets the consensus state, applies what is committed in it, and writes a snapshot where one is due. */
+  /** Sets the consensus state, applies its committed entries, and writes a snapshot if one is due. */
   advance(state: ConsensusState): void {
     const { consensus, snapshots } = this.options;
     consensus.update(state);
     while (this.index < consensus.current.committedIndex) {
       const entry = consensus.current.log.entryAt(this.index + 1);
       if (entry?.index !== this.index + 1)
-        throw new LogInvariantError(`No committed entry at index ${this.index + 1}.`);
+        throw new LogInvariantError(
+          `The log has no entry at index ${this.index + 1}, but is committed up to index ${consensus.current.committedIndex}.`,
+        );
       this.apply(entry);
     }
     snapshots.writeIfDue(this.index);
--- a/src/replication/log/log-store.ts
+++ b/src/replication/log/log-store.ts
@@ -1,4 +1,7 @@
-/** The files of a member's durable state: two snapshot slots written in turn, and a log after the newer one. */
+/**
+ * Stores a member's durable state in files: two snapshot slots that are written alternately, and the log after the
+ * newer one.
+ */
 import type { LogRecord } from "../../consensus/log-record.js";
 import type { Disk } from "../../runtime/disk.js";
 import type { Task } from "../../runtime/task.js";
@@ -14,20 +17,20 @@
   type SnapshotSlot,
 } from "./durable-state.js";
 
-/** What a member finds on its disk. */
+/** The result of loading a member's disk. */
 export type LoadResult =
   | { readonly kind: "empty" }
   | DamagedDisk
   | { readonly kind: "loaded"; readonly state: DurableState };
 
-/** A disk whose files contradict each other or can't be read. */
+/** A disk whose files are inconsistent or can't be read. */
 interface DamagedDisk {
   readonly kind: "damaged";
   readonly why: string;
 }
 
 const SLOT_NAMES = ["slot-a", "slot-b"];
-/** Exists from before the first file of a damaged disk is removed until a new snapshot is written. */
+/** Marker file that exists from the start of clearing a damaged disk until a new snapshot is written. */
 const CLEARING_MARKER = "clearing";
 const LOG_PREFIX = "log-";
 
@@ -35,24 +38,31 @@
 const isLogName = (name: string): boolean => name.startsWith(LOG_PREFIX);
 const damaged = (why: string): DamagedDisk => ({ kind: "damaged", why });
 
-/** Whether a readable record begins anywhere after an offset: what precedes it is damage, not an incomplete write. */
+/**
+ * Whether an intact record starts anywhere after an offset; if so, the bytes before it are damaged, not an incomplete
+ * write.
+ */
 const hasRecordAfter = (bytes: Buffer, offset: number): boolean => {
-  for (let later = offset + 1; later + CHECKSUM_HEADER_BYTES < bytes.length; later += 1)
-    if (readChecksummed(bytes, later) !== undefined) return true;
+  for (
+    let candidateOffset = offset + 1;
+    candidateOffset + CHECKSUM_HEADER_BYTES < bytes.length;
+    candidateOffset += 1
+  )
+    if (readChecksummed(bytes, candidateOffset) !== undefined) return true;
   return false;
 };
 
-/** Reads and writes a member's durable state; one write at a time. */
+/** Reads and writes a member's durable state, one write at a time. */
 export class LogStore {
   private readonly disk: Disk;
-  /** Accepted configs, beside the slots, as far back as there is room. */
+  /** The history of accepted configs, which is stored beside the slots and bounded by its quota. */
   readonly history: ConfigHistory;
-  /** What has been received of a leader's snapshot. */
+  /** The received pieces of a leader's snapshot. */
   readonly snapshotPart: SnapshotPartFile;
-  /** The number of the newer slot, and of its log. */
+  /** The sequence number of the newer slot and of its log. */
   private sequence = 0;
   private currentLogBytes = 0;
-  /** Whether an append to the log was begun and not completed. */
+  /** Whether an append to the log started and didn't complete. */
   private isAppendIncomplete = false;
   private isClearing = false;
 
@@ -62,26 +72,29 @@
     this.snapshotPart = new SnapshotPartFile(disk);
   }
 
-  /** The size of the log after the newest snapshot. */
+  /** The size of the log after the newest snapshot, in bytes. */
   get logBytes(): number {
     return this.currentLogBytes;
   }
 
-  /** Reads the disk; an incomplete record at the log's end is cut off, damage before it is reported. */
+  /** Reads the disk; truncates an incomplete record at the log's end, and reports damage before it. */
   *load(): Task<LoadResult> {
     const names = yield* this.disk.list();
     yield* this.snapshotPart.load(names);
-    if (names.includes(CLEARING_MARKER)) return damaged("The disk was being cleared.");
+    if (names.includes(CLEARING_MARKER))
+      return damaged("A previous clearing of the disk was not completed.");
     const { newest, damagedCount } = yield* this.readSlots();
     if (!newest) {
-      const hasOthers = names.some(
+      const hasOtherFiles = names.some(
         (name) => isLogName(name) || ConfigHistory.isHistoryFileName(name),
       );
-      return hasOthers || damagedCount > 1 ? damaged("No slot can be read.") : { kind: "empty" };
+      return hasOtherFiles || damagedCount > 1
+        ? damaged(`None of ${SLOT_NAMES.join(", ")} can be read.`)
+        : { kind: "empty" };
     }
     this.sequence = newest.sequence;
     if (damagedCount > 0 && names.includes(logName(newest.sequence + 1)))
-      return damaged("The newer slot can't be read though its log was begun.");
+      return damaged(`The slot of ${logName(newest.sequence + 1)} can't be read.`);
     const damage = yield* this.replayLog(newest.state);
     if (damage) return damage;
     for (const name of names)
@@ -90,7 +103,7 @@
     return { kind: "loaded", state: newest.state };
   }
 
-  /** Clears a damaged disk, which counts as damaged until a new snapshot is written. */
+  /** Clears a damaged disk; it counts as damaged until a new snapshot is written. */
   *clear(): Task {
     yield* this.disk.write(CLEARING_MARKER, Buffer.alloc(0));
     for (const name of yield* this.disk.list())
@@ -113,17 +126,17 @@
     this.currentLogBytes += bytes.length;
   }
 
-  /** Writes a durable state to the older slot and begins a new log. */
+  /** Writes a durable state to the older slot and starts a new log. */
   *writeSnapshot(state: DurableState): Task {
     const sequence = this.sequence + 1;
     const name = SLOT_NAMES[sequence % SLOT_NAMES.length] ?? "slot-a";
     yield* this.disk.write(name, encodeSlot({ sequence, state }));
     yield* this.disk.write(logName(sequence), Buffer.alloc(0));
-    const former = this.sequence;
+    const previousSequence = this.sequence;
     this.sequence = sequence;
     this.currentLogBytes = 0;
     this.isAppendIncomplete = false;
-    if (former > 0) yield* this.disk.remove(logName(former));
+    if (previousSequence > 0) yield* this.disk.remove(logName(previousSequence));
     if (this.isClearing) yield* this.disk.remove(CLEARING_MARKER);
     this.isClearing = false;
   }
@@ -141,21 +154,22 @@
     return { newest, damagedCount };
   }
 
-  /** Applies the log after the newer slot to its state; returns the damage that was found, if any. */
+  /** Applies the log after the newer slot to the slot's state; returns the damage, if there is any. */
   private *replayLog(state: DurableState): Task<DamagedDisk | undefined> {
     const name = logName(this.sequence);
     const bytes = Buffer.from((yield* this.disk.read(name)) ?? Buffer.alloc(0));
-    let end = 0;
+    let intactBytes = 0;
     for (const { body, offset, endOffset } of readRecords(bytes)) {
-      if (!replayLogRecord(state, body)) return damaged(`The log has a gap at byte ${offset}.`);
-      end = endOffset;
+      if (!replayLogRecord(state, body))
+        return damaged(`${name} has a gap in its entries at byte ${offset}.`);
+      intactBytes = endOffset;
     }
-    if (end < bytes.length) {
-      if (hasRecordAfter(bytes, end))
-        return damaged(`The log is damaged at byte ${end}, before its tail.`);
-      yield* this.disk.truncate(name, end);
+    if (intactBytes < bytes.length) {
+      if (hasRecordAfter(bytes, intactBytes))
+        return damaged(`${name} is damaged at byte ${intactBytes}, before an intact record.`);
+      yield* this.disk.truncate(name, intactBytes);
     }
-    this.currentLogBytes = end;
+    this.currentLogBytes = intactBytes;
     return undefined;
   }
 }
--- a/src/replication/log/log-writer.ts
+++ b/src/replication/log/log-writer.ts
@@ -1,4 +1,4 @@
-/** The owner of a member's disk: writes one after another, many records in one sync, and retries after a failure. */
+/** Owns a member's disk: performs writes one at a time, with many records in one sync, and retries failed writes. */
 import type { LogRecord } from "../../consensus/log-record.js";
 import { type Clock, sleep } from "../../runtime/clock.js";
 import { DiskError } from "../../runtime/disk.js";
@@ -9,7 +9,7 @@
 import type { DurableState } from "./durable-state.js";
 import type { LogStore } from "./log-store.js";
 
-/** Records that are to be appended to the log. */
+/** A request to append records to the log. */
 interface AppendRequest {
   readonly kind: "append";
   readonly records: readonly LogRecord[];
@@ -25,7 +25,7 @@
       readonly onDone: (succeeded: boolean) => void;
     };
 
-/** The time between two attempts of a write that fails. */
+/** Interval between two attempts of a failing write, in ms. */
 const RETRY_INTERVAL_MS = 200;
 
 /** Writes to a log store in the order of the requests. */
@@ -47,27 +47,27 @@
     this.reclaimer = new DiskReclaimer(clock, store.history, log);
   }
 
-  /** Why the disk refuses writes now; `undefined` where it accepts them. */
+  /** The error with which the disk currently refuses writes; `undefined` if it accepts them. */
   get failure(): string | undefined {
     return this.lastFailure;
   }
 
-  /** How many syncs have ended. */
+  /** The number of completed syncs. */
   get completedSyncs(): number {
     return this.syncCount;
   }
 
-  /** How many records have been written. */
+  /** The number of written records. */
   get writtenRecords(): number {
     return this.recordCount;
   }
 
-  /** How long the oldest write has been waiting. */
+  /** How long the current batch of writes has taken so far, in ms; 0 if none is in progress. */
   get waitingMs(): number {
     return this.busySinceMs === undefined ? 0 : this.clock.nowMs() - this.busySinceMs;
   }
 
-  /** The size of the log after the newest snapshot. */
+  /** The size of the log after the newest snapshot, in bytes. */
   get logBytes(): number {
     return this.store.logBytes;
   }
@@ -87,7 +87,7 @@
     this.queue.put({ kind: "attempt", write, onDone });
   }
 
-  /** Processes requests for as long as the daemon runs. */
+  /** Processes requests as long as the daemon runs. */
   *run(): Task {
     for (;;) {
       const first = yield* this.queue.take();
@@ -127,7 +127,7 @@
     }
   }
 
-  /** Nobody waits for such a write, so that its failure is not reported as one of the disk. */
+  /** Makes one attempt of a write. Nothing depends on it, so its failure isn't reported as a disk failure. */
   private *tryOnce(write: () => Task): Task<boolean> {
     try {
       yield* write();
--- a/src/replication/membership/membership-join.ts
+++ b/src/replication/membership/membership-join.ts
@@ -1,4 +1,4 @@
-/** Asks the leader to make this node a member whenever it has to be one. */
+/** Requests the leader to make this node a member whenever it isn't one. */
 import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { sleep } from "../../runtime/clock.js";
@@ -6,56 +6,56 @@
 import type { Task } from "../../runtime/task.js";
 import { type Runtime, startTask } from "../../runtime/runtime.js";
 
-/** How long a response is awaited: the leader may have to commit two entries on slow disks. */
+/** Timeout of a request, in ms: the leader may have to commit two entries on slow disks. */
 const REQUEST_TIMEOUT_MS = 2000;
-/** The time between two rounds of requests to the contacts that owe no response. */
+/** Interval between two rounds of requests, in ms; a round skips contacts with a pending request. */
 const RETRY_INTERVAL_MS = 150;
-/** After so many rounds without success, the last contact that responded is asked to forward the request. */
+/** After this many rounds without success, the last contact that responded is requested to forward the request. */
 const ROUNDS_UNTIL_FORWARDED = 4;
-/** How long a node whose request was accepted waits for its effect before it requests again. */
+/** How long a node waits for the effect of an accepted request before it requests again, in ms. */
 const SETTLE_TIMEOUT_MS = 2000;
-/** How often a node checks whether it has to request anything. */
+/** Interval at which a node checks whether it has to request membership, in ms. */
 const CHECK_INTERVAL_MS = 250;
-/** How often a waiting node checks whether its condition is met. */
+/** Interval at which a waiting node checks its condition, in ms. */
 const POLL_INTERVAL_MS = 10;
 
-/** Whether a response says that the leader carried the request out; the text is the leader's JSON. */
+/** Whether the leader executed the request; the text is the JSON of its response. */
 const isAccepted = (text: string): boolean => text.includes('"taken"');
 
-/** A node that may have to ask the leader for its membership. */
+/** A node that may have to request membership from the leader. */
 export interface JoiningMember {
   readonly self: string;
-  /** The command that the leader must carry out for this node, or nothing while it is a member. */
+  /** The command that the leader must execute for this node; `undefined` while the node is a member. */
   readonly request: string | undefined;
-  /** How many snapshots were installed here: one may include the awaited entry, which isn't applied by itself then. */
+  /** The number of installed snapshots: one may include the awaited entry, which then isn't applied individually. */
   readonly installedSnapshots: number;
-  /** Addresses of nodes that may lead or know who does, the likeliest first. */
+  /** Addresses of nodes that may be the leader or know its address, the most likely first. */
   readonly contacts: readonly string[];
 }
 
-/** Sends the request for membership to all contacts, of which many may be unreachable, until the leader accepts it. */
+/** Sends the membership request to all contacts, many of which may be unreachable, until the leader accepts it. */
 export class MembershipJoin {
   private readonly runtime: Runtime;
   private readonly rpc: RpcEndpoint;
   private readonly member: JoiningMember;
   private readonly log: Logger;
-  /** Contacts whose response is awaited. */
+  /** Contacts with a pending request. */
   private readonly pending = new Set<string>();
-  /** Contacts tried in this round; two that name each other as the leader must not be tried over and over. */
+  /** Contacts tried in this round; prevents a loop between two contacts that report each other as the leader. */
   private readonly triedPeers = new Set<string>();
   /** The last contact that responded without accepting the request. */
   private lastResponder = "";
-  /** The request that the leader carried out. */
+  /** The last request that the leader accepted. */
   private acceptedRequest = "";
 
-  constructor(runtime: Runtime, rpc: RpcEndpoint, applicant: JoiningMember) {
+  constructor(runtime: Runtime, rpc: RpcEndpoint, member: JoiningMember) {
     this.runtime = runtime;
     this.rpc = rpc;
-    this.member = applicant;
+    this.member = member;
     this.log = runtime.loggers.component("replication");
   }
 
-  /** Runs for as long as the daemon does. */
+  /** Requests membership whenever the node needs it, as long as the daemon runs. */
   *run(): Task {
     for (;;) {
       const { request } = this.member;
@@ -64,11 +64,11 @@
     }
   }
 
-  /** Requests round by round until the leader accepts, or another request or none is due. */
+  /** Sends rounds of requests until the leader accepts, or until the required request changes. */
   private *requestMembership(request: string): Task {
     const { clock } = this.runtime;
     const startedMs = clock.nowMs();
-    const { installedSnapshots: snapshots } = this.member;
+    const { installedSnapshots: installedBefore } = this.member;
     let rounds = 0;
     while (this.acceptedRequest !== request && this.member.request === request) {
       rounds += 1;
@@ -79,21 +79,21 @@
       yield* this.waitUntil(RETRY_INTERVAL_MS, () => this.acceptedRequest === request);
     }
     if (this.acceptedRequest !== request) return;
-    const tookMs = Math.round(clock.nowMs() - startedMs);
-    this.log.info("membership request accepted", { rounds, tookMs });
-    const isOver = (): boolean =>
-      this.member.request !== request || this.member.installedSnapshots !== snapshots;
-    yield* this.waitUntil(SETTLE_TIMEOUT_MS, isOver);
+    const durationMs = Math.round(clock.nowMs() - startedMs);
+    this.log.info("membership request accepted", { rounds, tookMs: durationMs });
+    const isSettled = (): boolean =>
+      this.member.request !== request || this.member.installedSnapshots !== installedBefore;
+    yield* this.waitUntil(SETTLE_TIMEOUT_MS, isSettled);
     this.acceptedRequest = "";
   }
 
-  private *waitUntil(maxMs: number, isOver: () => boolean): Task {
+  private *waitUntil(maxMs: number, condition: () => boolean): Task {
     const { clock } = this.runtime;
-    const untilMs = clock.nowMs() + maxMs;
-    while (!isOver() && clock.nowMs() < untilMs) yield* sleep(clock, POLL_INTERVAL_MS);
+    const deadlineMs = clock.nowMs() + maxMs;
+    while (!condition() && clock.nowMs() < deadlineMs) yield* sleep(clock, POLL_INTERVAL_MS);
   }
 
-  /** Sends to all contacts at once, so that unreachable ones cost no time; only the leader carries the request out. */
+  /** Sends to all contacts concurrently, so that unreachable ones cause no delay; only the leader executes the request. */
   private sendToAll(request: string): void {
     for (const peer of this.member.contacts) this.sendRequest(peer, request, true);
   }
@@ -102,13 +102,13 @@
     if (peer === "" || peer === this.member.self || this.pending.has(peer)) return;
     this.pending.add(peer);
     this.triedPeers.add(peer);
-    const calling = this.rpc.call(
+    const rpcTask = this.rpc.call(
       peer,
       rpcMethods.command,
       { forwarded, text: request },
       REQUEST_TIMEOUT_MS,
     );
-    startTask(this.runtime, "replication", calling, (response) => {
+    startTask(this.runtime, "replication", rpcTask, (response) => {
       this.pending.delete(peer);
       if (!response) return;
       if (isAccepted(response.text)) this.acceptedRequest = request;
--- a/src/replication/membership/membership-leave.ts
+++ b/src/replication/membership/membership-leave.ts
@@ -1,4 +1,4 @@
-/** Reports to the leader that this node is about to stop, until it may. */
+/** Reports to the leader that this node is about to stop, until it may stop. */
 import { create, object, boolean, type Infer } from "superstruct";
 import { rpcMethods } from "../../rpc/rpc-method.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
@@ -6,15 +6,15 @@
 import type { Task } from "../../runtime/task.js";
 import type { Runtime } from "../../runtime/runtime.js";
 
-/** How long the leader's response is awaited; it needs no disk and no other member. */
+/** Timeout of a report, in ms; the leader's response requires neither its disk nor another member. */
 const REPORT_TIMEOUT_MS = 300;
-/** How often a stopping node reports to the leader, which otherwise forgets it. */
+/** Interval at which a stopping node reports to the leader, in ms; the leader drops a report that isn't repeated. */
 const REPORT_INTERVAL_MS = 100;
 
 const leaveStatusShape = object({
-  /** Whether the node is a voter, or a change of the members is not committed yet. */
+  /** Whether the node is a voter, or a membership change is not committed yet. */
   isVoter: boolean(),
-  /** Whether a majority of the voters has all that the node may have acknowledged, without counting it. */
+  /** Whether a majority of the voters, without the node, has all entries that the node may have acknowledged. */
   isHeld: boolean(),
 });
 
@@ -24,9 +24,9 @@
 /** A node that is about to stop. */
 export interface LeavingMember {
   readonly self: string;
-  /** The known leader's address; an empty text where there is none, its own address where it leads. */
+  /** The leader's address: an empty string if it isn't known, the node's own address if it leads. */
   readonly leader: string;
-  /** The last index that this node may have acknowledged. */
+  /** The last index that the node may have acknowledged. */
   readonly lastIndex: number;
 }
 
@@ -36,19 +36,19 @@
   private readonly rpc: RpcEndpoint;
   private readonly member: LeavingMember;
 
-  constructor(runtime: Runtime, rpc: RpcEndpoint, leaver: LeavingMember) {
+  constructor(runtime: Runtime, rpc: RpcEndpoint, member: LeavingMember) {
     this.runtime = runtime;
     this.rpc = rpc;
-    this.member = leaver;
+    this.member = member;
   }
 
-  /** Repeats the report until a status satisfies, or a moment of the clock has come; returns whether one did. */
-  *reportUntil(satisfies: (status: LeaveStatus) => boolean, untilMs: number): Task<boolean> {
+  /** Repeats the report until a status satisfies the condition or the deadline has passed; returns whether one did. */
+  *reportUntil(condition: (status: LeaveStatus) => boolean, deadlineMs: number): Task<boolean> {
     const { clock } = this.runtime;
-    while (clock.nowMs() < untilMs) {
+    while (clock.nowMs() < deadlineMs) {
       const status = yield* this.report();
-      if (status && satisfies(status)) return true;
-      yield* sleep(clock, Math.max(0, Math.min(REPORT_INTERVAL_MS, untilMs - clock.nowMs())));
+      if (status && condition(status)) return true;
+      yield* sleep(clock, Math.max(0, Math.min(REPORT_INTERVAL_MS, deadlineMs - clock.nowMs())));
     }
     return false;
   }
--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -1,4 +1,4 @@
-/** Changes the members of the replicated log, as its leader. */
+/** Changes the members of the replicated log while this node is the leader. */
 import { mayChangeMembers, membersEntryText } from "../../consensus/membership-change.js";
 import type { Members } from "../../consensus/members.js";
 import type { Clock } from "../../runtime/clock.js";
@@ -11,7 +11,7 @@
 import type { LeaveStatus } from "./membership-leave.js";
 import { MembershipPolicy, type MembershipView } from "./membership-policy.js";
 
-/** What a membership manager works with. */
+/** The dependencies of a membership manager. */
 export interface MembershipManagerOptions {
   readonly clock: Clock;
   readonly log: Logger;
@@ -21,26 +21,26 @@
   readonly leaderLog: LeaderLog;
 }
 
-/** The requests for a change of membership, and the changes that the policy makes. */
+/** Executes requested membership changes and those that the policy decides on. */
 export class MembershipManager {
   private readonly options: MembershipManagerOptions;
-  /** Machines that asked to be learners, until a change of membership may be made. */
+  /** Machines that requested to become learners and wait until the members may change. */
   private readonly requestedLearners: LearnerRequest[] = [];
-  /** Until when each member that is about to stop counts as such, unless it reports again. */
+  /** When each stopping member ceases to count as stopping, unless it reports again. */
   private readonly stoppingUntilMs = new Map<string, number>();
 
   constructor(options: MembershipManagerOptions) {
     this.options = options;
   }
 
-  /** Adds a machine as a learner, unless it is a member, as soon as the members may change. */
+  /** Adds a machine as a learner as soon as the members may change, unless it is a member. */
   requestLearner(learner: LearnerRequest): void {
     if (this.options.consensus.current.role !== "leader") return learner.respond(false);
     this.requestedLearners.push(learner);
     this.addRequestedLearners();
   }
 
-  /** Adds the requested learners, each once the change of membership before it is committed. */
+  /** Adds the requested learners, each once the previous membership change is committed. */
   addRequestedLearners(): void {
     const { consensus } = this.options;
     for (let next = this.requestedLearners[0]; next; next = this.requestedLearners[0]) {
@@ -48,26 +48,26 @@
       if (!consensus.isMember(machine)) {
         if (!mayChangeMembers(consensus.current, consensus.context)) return;
         const { voters, learners } = consensus.current.members;
-        this.change({ voters, learners: [...learners, machine] });
+        this.appendMembers({ voters, learners: [...learners, machine] });
       }
       this.requestedLearners.shift();
       respond(true);
     }
   }
 
-  /** Reports to all requested learners that they weren't added. */
+  /** Rejects all requests that are still waiting. */
   rejectLearners(): void {
     for (const { respond } of this.requestedLearners.splice(0)) respond(false);
   }
 
-  /** Notes that a member is about to stop; returns its status, or nothing where this node doesn't lead. */
+  /** Marks a member as stopping; returns its status, or `undefined` if this node isn't the leader. */
   markStopping(machine: string, lastIndex: number): LeaveStatus | undefined {
     const { clock, consensus, timeouts } = this.options;
     const { role, members, membersIndex, committedIndex, log } = consensus.current;
     if (role !== "leader") return undefined;
     const nowMs = clock.nowMs();
     this.stoppingUntilMs.set(machine, nowMs + timeouts.electionMaxMs);
-    const view = this.viewSince(nowMs);
+    const view = this.createView(nowMs);
     return {
       isVoter: members.voters.includes(machine) || membersIndex > committedIndex,
       isHeld: MembershipPolicy.isReplicatedWithout(
@@ -78,30 +78,30 @@
     };
   }
 
-  /** The members that reported lately that they are about to stop. */
+  /** Returns the members that are about to stop, by their recent reports. */
   stoppingMembers(): Set<string> {
     const nowMs = this.options.clock.nowMs();
     const stopping = [...this.stoppingUntilMs].filter(([, untilMs]) => untilMs > nowMs);
     return new Set(stopping.map(([peer]) => peer));
   }
 
-  /** Makes the next change that the policy wants, once the change before and an entry of this term are committed. */
+  /** Makes the policy's next change, once the previous change and an entry of this term are committed. */
   review(leadingSinceMs: number): void {
     const { log, consensus } = this.options;
     if (!mayChangeMembers(consensus.current, consensus.context)) return;
-    const change = MembershipPolicy.nextChange(this.viewSince(leadingSinceMs));
+    const change = MembershipPolicy.nextChange(this.createView(leadingSinceMs));
     if (!change) return;
     const { kind, member, reason } = change;
     log.warn("membership change", { change: kind, member, why: reason });
-    this.change(MembershipPolicy.applyChange(consensus.current.members, change));
+    this.appendMembers(MembershipPolicy.applyChange(consensus.current.members, change));
   }
 
-  private change(members: Members): void {
+  private appendMembers(members: Members): void {
     this.options.leaderLog.append([membersEntryText(members)]);
   }
 
-  /** What this leader knows of the members; a member that never answered counts as unresponsive since a moment. */
-  private viewSince(leadingSinceMs: number): MembershipView {
+  /** Creates the view for the policy; a member that never replied counts as unresponsive since `leadingSinceMs`. */
+  private createView(leadingSinceMs: number): MembershipView {
     const { clock, location, consensus, timeouts } = this.options;
     const nowMs = clock.nowMs();
     const { self, members, committedIndex, syncedIndex, matched } = consensus.current;
--- a/src/replication/membership/membership-policy.ts
+++ b/src/replication/membership/membership-policy.ts
@@ -1,21 +1,28 @@
 /**
- * Decides when which member of the replicated log is replaced. Pure: it reads what the leader knows at one moment and returns
- * the next change of membership, one member at a time.
+ * Decides which member of the replicated log to replace, and when. The policy is pure: from the leader's current view it
+ * computes the next membership change, which concerns one member.
  *
- * Order matters for availability. A lost voter is demoted before its successor, which has just started, is promoted: of 2f + 1
- * voters f + 1 are a majority, and so they are of the 2f that remain, so that no step needs more members than are responsive
- * already, nor the new one. A voter that may still recover, or still responds, is replaced the other way round where the
- * learner has been responsive for long: of 2f + 2 voters f + 2 are a majority, which remain after the loss of any f. Two
- * successive groups differ by one voter, so any two of their majorities share a member.
+ * The order of the steps matters for availability. By default a lost voter is demoted before its successor, which has just
+ * started, is promoted. A majority of 2f + 1 voters is f + 1, and so is a majority of the remaining 2f, so no step requires
+ * more responsive members than there already are, and none requires the new member. If the learner has been responsive for
+ * long (a lost voter may recover meanwhile), or the voter still responds, the learner is promoted first. A majority of
+ * 2f + 2 voters is f + 2, which remain after the loss of any f. Two successive groups differ by one voter, so any majorities
+ * of the two share a member.
  */
 
-/** What the leader knows of a member since it began to lead; of itself, that it is responsive and what is on its own disk. */
+/**
+ * A member's progress since the leader's election. For itself, the leader uses its synced index and counts as
+ * responsive.
+ */
 export interface MemberProgress {
-  /** The time since the last request was sent that the member acknowledged; since the leader began to lead where none was. */
+  /** Time since the last acknowledged request was sent; since the leader's election if none was acknowledged. */
   readonly unresponsiveMs: number;
-  /** Whether the member acknowledged anything under this leader; only those that have all they ever acknowledged do. */
+  /**
+   * Whether the member has acknowledged a request of this leader; a member that may lack entries that it acknowledged
+   * doesn't.
+   */
   readonly hasAcknowledged: boolean;
-  /** For how long the member has acknowledged this leader's requests, from the first one on. */
+  /** Time since the first request of this leader that the member acknowledged. */
   readonly responsiveMs: number;
   /** The index up to which the member's log is known to match the leader's. */
   readonly matchedIndex: number;
@@ -23,22 +30,25 @@
 
 /** The durations that decide when a member counts as lost. */
 export interface MembershipTimeouts {
-  /** How long a member may be without an acknowledgment and still count as responsive. */
+  /** Maximum time without an acknowledgment for which a member counts as responsive. */
   readonly responsiveWithinMs: number;
-  /** How long a voter is unresponsive until it is replaced. */
+  /** Time after which an unresponsive voter is replaced. */
   readonly replaceAfterMs: number;
-  /** How long a learner must have been responsive so that losing it would count as one more failure. */
+  /**
+   * Time after which a responsive learner may be promoted before the lost voter is demoted: its loss is then a further
+   * failure.
+   */
   readonly responsiveAfterMs: number;
-  /** How long a learner is unresponsive until it is removed. */
+  /** Time after which an unresponsive learner is removed. */
   readonly forgetAfterMs: number;
 }
 
-/** All that a decision about the membership rests on. */
+/** The inputs of a decision about the membership. */
 export interface MembershipView {
   readonly self: string;
   readonly voters: readonly string[];
   readonly learners: readonly string[];
-  /** Members that reported that they are about to stop. */
+  /** Members that have reported that they are about to stop. */
   readonly stopping: ReadonlySet<string>;
   readonly wantedVoters: number;
   readonly committedIndex: number;
@@ -46,13 +56,13 @@
   readonly timeouts: MembershipTimeouts;
 }
 
-/** One change of the membership, and why it is made. */
+/** A membership change of one member, and its reason. */
 export type MembershipChange =
   | { readonly kind: "promote"; readonly member: string; readonly reason: string }
   | { readonly kind: "demote"; readonly member: string; readonly reason: string }
   | { readonly kind: "remove"; readonly member: string; readonly reason: string };
 
-/** How many entries a learner may lack and still be promoted; it gets them with the next request. */
+/** Maximum number of entries that a learner may lack and still be promoted; the next request contains them. */
 const MAX_READY_LAG_ENTRIES = 64;
 
 const majoritySize = (voters: number): number => Math.floor(voters / 2) + 1;
@@ -93,7 +103,7 @@
 ): MembershipChange | undefined =>
   hasMajority(view, [...view.voters, member]) ? { kind: "promote", member, reason } : undefined;
 
-/** Demotes a voter too many: one that is about to stop first, then one that is lost. */
+/** Demotes a surplus voter: preferably one that is about to stop, otherwise one that is lost. */
 const removeSurplusVoter = (view: MembershipView): MembershipChange | undefined => {
   const stopping = view.voters.find((voter) => voter !== view.self && view.stopping.has(voter));
   if (stopping !== undefined) return demote(view, stopping, "stopping, and enough voters remain");
@@ -103,7 +113,7 @@
     : demote(view, lost, "unresponsive, and enough voters remain");
 };
 
-/** Replaces a voter that is lost or about to stop by a learner that is ready. */
+/** Replaces a voter that is lost or about to stop with a ready learner. */
 const replaceVoter = (view: MembershipView, ready: string): MembershipChange | undefined => {
   const lost = view.voters.find((voter) => isLost(view, voter));
   if (lost !== undefined && view.progressOf(ready).responsiveMs >= view.timeouts.responsiveAfterMs)
@@ -127,7 +137,7 @@
 
 /** The policy by which a leader changes the members. */
 export const MembershipPolicy = {
-  /** The next change of the membership, or none. */
+  /** Returns the next membership change, or `undefined`. */
   nextChange(view: MembershipView): MembershipChange | undefined {
     const { voters, learners, wantedVoters } = view;
     const ready = learners.find((learner) => isReady(view, learner));
@@ -137,25 +147,28 @@
     return replaceVoter(view, ready) ?? removeLostLearner(view);
   },
 
-  /** The group after a change. */
+  /** Returns the members after a change. */
   applyChange(
     { voters, learners }: Pick<MembershipView, "voters" | "learners">,
     change: MembershipChange,
   ): { voters: string[]; learners: string[] } {
     const { kind, member } = change;
-    const without = (members: readonly string[]): string[] =>
-      members.filter((one) => one !== member);
+    const exclude = (members: readonly string[]): string[] =>
+      members.filter((other) => other !== member);
     switch (kind) {
       case "promote":
-        return { voters: [...voters, member], learners: without(learners) };
+        return { voters: [...voters, member], learners: exclude(learners) };
       case "demote":
-        return { voters: without(voters), learners: [...learners, member] };
+        return { voters: exclude(voters), learners: [...learners, member] };
       case "remove":
-        return { voters: without(voters), learners: without(learners) };
+        return { voters: exclude(voters), learners: exclude(learners) };
     }
   },
 
-  /** Whether a majority of the voters has what is committed, and all up to an index, without counting one of them. */
+  /**
+   * Whether a majority of the voters, without counting one of them, has all entries up to the committed and a given
+   * index.
+   */
   isReplicatedWithout(view: MembershipView, stopping: string, index: number): boolean {
     const neededIndex = Math.max(view.committedIndex, index);
     const holders = view.voters.filter(
--- a/src/replication/membership/own-membership.ts
+++ b/src/replication/membership/own-membership.ts
@@ -1,24 +1,24 @@
-/** What a node has to do about its own membership: to ask for it, and to end it before the process stops. */
+/** A node's own membership: the node requests it, and ends it before the process stops. */
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import type { Runtime } from "../../runtime/runtime.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
 import { MembershipJoin } from "./membership-join.js";
 import { MembershipLeave } from "./membership-leave.js";
 
-/** What a node's own membership works with. */
+/** The dependencies of a node's own membership. */
 export interface OwnMembershipOptions {
   readonly runtime: Runtime;
   readonly rpc: RpcEndpoint;
   readonly consensus: ConsensusOwner;
   readonly formation: { readonly fleet: string };
   readonly snapshots: { readonly installedCount: number };
-  /** How long a node waits for a leader until it asks to be a member again. */
+  /** Time without a leader's request after which a node requests membership again, in ms. */
   readonly replaceAfterMs: number;
-  /** Addresses beside the known leader that may lead or know who does. */
+  /** Addresses, other than the known leader's, of nodes that may be the leader or know its address. */
   readonly contacts: () => readonly string[];
 }
 
-/** The node as one that joins and leaves. */
+/** Creates the tasks by which a node joins and leaves the members. */
 export class OwnMembership {
   private readonly options: OwnMembershipOptions;
 
@@ -26,13 +26,13 @@
     this.options = options;
   }
 
-  /** The leader's address as far as it is known, or an empty text. */
+  /** The known leader's address, or an empty string. */
   get leader(): string {
     const { role, self, knownLeader } = this.options.consensus.current;
     return role === "leader" ? self : knownLeader;
   }
 
-  /** The process by which this node asks the leader for its membership. */
+  /** Creates the task that requests membership from the leader. */
   createJoin(): MembershipJoin {
     const { runtime, rpc, consensus, snapshots, contacts } = this.options;
     const request = (): string | undefined => this.request;
@@ -50,7 +50,7 @@
     });
   }
 
-  /** The process by which this node tells the leader that it is about to stop. */
+  /** Creates the task that reports to the leader that this node is about to stop. */
   createLeave(): MembershipLeave {
     const { runtime, rpc, consensus } = this.options;
     const leader = (): string => this.leader;
@@ -65,7 +65,7 @@
     });
   }
 
-  /** The command that the leader must carry out so that this node is a member that counts, or nothing. */
+  /** The command that the leader must execute to make this node a full member; `undefined` if none is needed. */
   private get request(): string | undefined {
     const { runtime, consensus, formation, replaceAfterMs } = this.options;
     const { self, role, rejoinNonce, lastAppendMs } = consensus.current;
--- a/src/replication/node-event.ts
+++ b/src/replication/node-event.ts
@@ -20,14 +20,14 @@
 /** The reply to a piece of a snapshot. */
 export type SnapshotPieceResponse = DecodedMessage<typeof rpcMethods.snapshotPiece.response>;
 
-/** A machine that asks the leader to be added as a learner. */
+/** A request to the leader to add a machine as a learner. */
 export interface LearnerRequest {
   readonly machine: string;
-  /** Receives whether the machine is a member. */
+  /** Called with whether the machine is a member. */
   readonly respond: (isMember: boolean) => void;
 }
 
-/** Events of the log's replication; `respond` receives the result where someone waits for it. */
+/** Events of the log's replication; `respond` is called with the result of a request. */
 export type ReplicationEvent =
   | {
       readonly kind: "voteRequested";
@@ -56,7 +56,7 @@
   | { readonly kind: "proposalBatchDue" }
   | { readonly kind: "learnerRequested"; readonly learner: LearnerRequest };
 
-/** Events that change the role of a member, or that follow on a write to its disk. */
+/** Events that change a member's role or follow a write to its disk. */
 export type LifecycleEvent =
   | { readonly kind: "newerTermSeen"; readonly term: number }
   | {
@@ -77,8 +77,8 @@
 /** One event of a replication node. */
 export type NodeEvent = ReplicationEvent | LifecycleEvent;
 
-/** The queue in front of a node's event loop. */
+/** The input queue of a node's event loop. */
 export type NodeEventQueue = Queue<NodeEvent>;
 
-/** Where a collaborator of the node adds events. */
+/** The part of the queue that components use to add events. */
 export type NodeEventSink = Pick<NodeEventQueue, "put">;
--- a/src/replication/proposals/pending-proposals.ts
+++ b/src/replication/proposals/pending-proposals.ts
@@ -1,8 +1,8 @@
-/** Proposals that are in the leader's log and whose result is not known yet. */
+/** Proposals that are in the leader's log and don't have a result yet. */
 import type { Entry } from "../../rpc/rpc-method.js";
 import type { ProposalCallback } from "./proposal.js";
 
-/** The proposals of one leadership by the index of their entries. */
+/** The proposals of one leadership by the indices of their entries. */
 export class PendingProposals {
   private byIndex = new Map<number, { term: number; respond: ProposalCallback }>();
 
@@ -11,7 +11,7 @@
     this.byIndex.set(index, { term, respond });
   }
 
-  /** Reports the outcome of an applied entry to its proposal, if it has one. */
+  /** Reports the outcome of an applied entry to the proposal at its index, if any; unknown if the entry has another term. */
   complete(entry: Entry, outcome: string): void {
     const pending = this.byIndex.get(entry.index);
     this.byIndex.delete(entry.index);
@@ -28,7 +28,7 @@
     this.clear();
   }
 
-  /** Drops all proposals without a report. */
+  /** Removes all proposals without reporting a result. */
   clear(): void {
     this.byIndex = new Map();
   }
--- a/src/replication/proposals/proposal-queue.ts
+++ b/src/replication/proposals/proposal-queue.ts
@@ -1,14 +1,14 @@
-/** Collects proposals into batches, so that one write and one round of replication carry many. */
+/** Collects proposals into batches, so that they share a write and a round of replication. */
 import type { Clock } from "../../runtime/clock.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
 import type { LeaderLog } from "../leadership/leader-log.js";
 import type { NodeEventSink } from "../node-event.js";
 import type { Proposal } from "./proposal.js";
 
-/** The shortest time between two batches of proposals. */
+/** Minimum interval between two batches of proposals, in ms. */
 const BATCH_INTERVAL_MS = 8;
 
-/** What a proposal queue works with. */
+/** The dependencies of a proposal queue. */
 export interface ProposalQueueOptions {
   readonly clock: Clock;
   readonly consensus: ConsensusOwner;
@@ -16,7 +16,7 @@
   readonly leaderLog: LeaderLog;
 }
 
-/** Proposals that wait to be appended to the leader's log. */
+/** Queues proposals until they are appended to the leader's log. */
 export class ProposalQueue {
   private readonly clock: Clock;
   private readonly consensus: ConsensusOwner;
@@ -33,7 +33,7 @@
     this.leaderLog = leaderLog;
   }
 
-  /** Accepts a proposal where this node leads: it is appended at once after a pause, else with the next batch. */
+  /** Accepts a proposal if this node leads: appends it immediately if no batch was recent, otherwise with the next batch. */
   add(proposal: Proposal): void {
     if (this.consensus.current.role !== "leader") return proposal.respond({ kind: "notLeader" });
     this.waiting.push(proposal);
@@ -53,7 +53,7 @@
     );
   }
 
-  /** Reports to all waiting proposals that this node doesn't lead. */
+  /** Rejects all waiting proposals, since this node isn't the leader. */
   rejectAll(): void {
     for (const { respond } of this.waiting.splice(0)) respond({ kind: "notLeader" });
   }
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -1,4 +1,4 @@
-/** A node of the replicated log: builds its parts, serves its requests and runs its event loop. */
+/** A node of the replicated log: creates its components, serves its requests and runs its event loop. */
 import { onAcknowledgment, onOwnEntriesSynced } from "../consensus/commit.js";
 import type { MemberRights } from "../consensus/member-rights.js";
 import type { Members } from "../consensus/members.js";
@@ -38,7 +38,7 @@
 import { SnapshotInstaller } from "./snapshot/snapshot-installer.js";
 import { SnapshotWriter } from "./snapshot/snapshot-writer.js";
 
-/** What a replication node works with. */
+/** The dependencies of a replication node. */
 export interface ReplicationNodeOptions {
   readonly runtime: Runtime;
   readonly rpc: RpcEndpoint;
@@ -46,7 +46,7 @@
   readonly timeouts: ReplicationTimeouts;
   readonly stateMachine: StateMachine;
   readonly store: LogStore;
-  /** The bootstrap that the node takes part in; one of its own by default. */
+  /** The bootstrap that the node registers with; a new one by default. */
   readonly bootstrap?: ClusterBootstrap;
 }
 
@@ -70,10 +70,10 @@
   private readonly proposals: ProposalQueue;
   private readonly membership: MembershipManager;
   private readonly ownMembership: OwnMembership;
-  private readonly elections: ElectionDriver;
-  private readonly leadership: LeaderDriver;
+  private readonly electionDriver: ElectionDriver;
+  private readonly leaderDriver: LeaderDriver;
   private readonly history: HistoryService;
-  /** Set right before the process ends: what is acknowledged from then on can't be counted on. */
+  /** Set right before the process ends: the node's acknowledgments don't count for commits from then on. */
   private isRetired = false;
 
   constructor(options: ReplicationNodeOptions) {
@@ -130,24 +130,24 @@
       replaceAfterMs: timeouts.replaceAfterMs,
       contacts: () => [...bootstrap.knownNodes, ...location.seeds()],
     });
-    this.elections = new ElectionDriver(shared);
+    this.electionDriver = new ElectionDriver(shared);
     const leaderParts = { leaderLog, replication, proposals, membership };
-    this.leadership = new LeaderDriver({ ...shared, ...leaderParts });
+    this.leaderDriver = new LeaderDriver({ ...shared, ...leaderParts });
     this.history = this.createHistory();
     bootstrap.register(formation);
   }
 
-  /** The leader's address as far as this node knows, or an empty text. */
+  /** The known leader's address, or an empty string. */
   get leader(): string {
     return this.ownMembership.leader;
   }
 
-  /** Whether this node leads under a lease and has applied all that was committed before. */
+  /** Whether this node leads under a lease and has applied all entries committed before its election. */
   get holdsLease(): boolean {
     return this.applier.appliedIndex >= this.state.leadingSinceIndex && this.rights.serve;
   }
 
-  /** What this node may do now. */
+  /** What this node may currently do. */
   get rights(): MemberRights {
     return this.consensus.rights;
   }
@@ -171,12 +171,12 @@
     };
   }
 
-  /** How many bytes of a leader's snapshot have been received that is not complete yet. */
+  /** The received bytes of an incomplete snapshot from the leader. */
   get receivedSnapshotBytes(): number {
     return this.installer.receivedBytes;
   }
 
-  /** The nonce whose marker must be committed before this node counts again, or an empty text. */
+  /** The nonce whose marker must be committed before this node votes and acknowledges again, or an empty string. */
   get rejoinNonce(): string {
     return this.state.rejoinNonce;
   }
@@ -190,51 +190,51 @@
     return this.formation.bootstrapStatus;
   }
 
-  /** Registers a listener that is called each time this node begins or ceases to lead. */
+  /** Registers a listener that is called whenever this node becomes the leader or stops leading. */
   onLeadershipChange(listener: (isLeader: boolean) => void): void {
-    this.leadership.onChange(listener);
+    this.leaderDriver.onChange(listener);
   }
 
-  /** Proposes an entry; ends once its result is known, or known to be unknown. */
+  /** Proposes an entry and returns its result, which may be unknown. */
   *propose(text: string): Task<ProposalResult> {
     return yield* waitFor<ProposalResult>((respond) =>
       this.events.put({ kind: "proposed", proposal: { text, respond } }),
     );
   }
 
-  /** Adds a machine as a learner, unless it is a member; false where this node doesn't lead. */
+  /** Adds a machine as a learner unless it is a member; returns false if this node isn't the leader. */
   *addLearner(machine: string): Task<boolean> {
     return yield* waitFor<boolean>((respond) =>
       this.events.put({ kind: "learnerRequested", learner: { machine, respond } }),
     );
   }
 
-  /** Steps down in favour of the voter whose log is the furthest. */
+  /** Transfers the leadership to another voter, if this node leads; doesn't wait for the other voter's election. */
   *yieldLeadership(): Task {
     if (this.state.role === "leader")
       yield* waitFor<true>((respond) => this.events.put({ kind: "leadershipYielded", respond }));
   }
 
-  /** Notes, as the leader, that a member is about to stop; returns its status, or nothing where this node doesn't lead. */
+  /** Marks a member as stopping; returns its status, or `undefined` if this node isn't the leader. */
   *onMemberStopping(machine: string, lastIndex: number): Task<LeaveStatus | undefined> {
     return yield* waitFor<LeaveStatus | undefined>((respond) =>
       this.events.put({ kind: "memberStopping", machine, lastIndex, respond }),
     );
   }
 
-  /** Leaves the voters once a learner is ready to replace this node; ends then, or at a moment of the clock. */
-  *leave(untilMs: number): Task {
+  /** Waits until a learner has replaced this node as a voter, or until the deadline. */
+  *leave(deadlineMs: number): Task {
     const isReplaced = yield* this.ownMembership
       .createLeave()
-      .reportUntil(({ isVoter }) => !isVoter, untilMs);
+      .reportUntil(({ isVoter }) => !isVoter, deadlineMs);
     if (isReplaced) this.log.info("replaced as a voter");
   }
 
   /**
-   * The last step before the process ends: acknowledges no more, and waits until a majority without this node has all that it
-   * acknowledged; ends at a moment of the clock at the latest.
+   * The last step before the process ends: makes no more acknowledgments that count, and waits until a majority without this
+   * node has all entries that it acknowledged, or until the deadline.
    */
-  *retire(untilMs: number): Task {
+  *retire(deadlineMs: number): Task {
     if (!this.formation.isFormed) return;
     yield* this.yieldLeadership();
     this.isRetired = true;
@@ -242,18 +242,18 @@
     if (!voters.includes(this.self) || voters.length === 1) return;
     const isReplicated = yield* this.ownMembership
       .createLeave()
-      .reportUntil(({ isHeld }) => isHeld, untilMs);
+      .reportUntil(({ isHeld }) => isHeld, deadlineMs);
     if (!isReplicated) this.log.warn("stopping before all acknowledged entries are replicated");
   }
 
-  /** Reads one accepted config, from here or from another member. */
+  /** Reads one accepted config, from this member or another one. */
   *readConfig(sequence: number): Task<ConfigRead> {
     return yield* this.history.read(sequence);
   }
 
-  /** The node's own task: loads, forms or rejoins the log, then follows, campaigns and leads. */
+  /** Runs the node: loads, forms or rejoins the log, then runs the roles of follower, candidate and leader. */
   *run(): Task {
-    const { runtime, consensus, formation, elections, leadership } = this;
+    const { runtime, consensus, formation, electionDriver, leaderDriver } = this;
     this.serve();
     startTask(runtime, "replication", this.writer.run());
     const loaded = yield* this.store.load();
@@ -267,16 +267,16 @@
     for (;;) {
       switch (this.state.role) {
         case "follower":
-          yield* elections.runFollower();
+          yield* electionDriver.runFollower();
           break;
         case "preCandidate":
-          yield* elections.runCandidate(true);
+          yield* electionDriver.runCandidate(true);
           break;
         case "candidate":
-          yield* elections.runCandidate(false);
+          yield* electionDriver.runCandidate(false);
           break;
         case "leader":
-          yield* leadership.run();
+          yield* leaderDriver.run();
           break;
       }
     }
@@ -333,14 +333,14 @@
     this.history.serve();
   }
 
-  /** Processes one event; the only place where events change the node. */
+  /** Processes one event; events change the node nowhere else. */
   private handle(event: NodeEvent): void {
-    const { consensus, applier, elections, installer } = this;
+    const { consensus, applier, electionDriver, installer } = this;
     switch (event.kind) {
       case "voteRequested":
-        return elections.onVoteRequest(event.request, event.respond);
+        return electionDriver.onVoteRequest(event.request, event.respond);
       case "voteReceived":
-        return elections.onVote(event.received);
+        return electionDriver.onVote(event.received);
       case "appendRequested":
         return this.followerLog.onAppend(event.request, event.respond);
       case "snapshotReceived":
@@ -366,15 +366,15 @@
     }
   }
   private handleLifecycle(event: LifecycleEvent): void {
-    const { consensus, leadership } = this;
+    const { consensus, leaderDriver } = this;
     switch (event.kind) {
       case "newerTermSeen":
         if (event.term > consensus.current.term) consensus.follow(event.term, "");
         return;
       case "leadershipOffered":
-        return event.respond(this.elections.acceptLeadership(event.term));
+        return event.respond(this.electionDriver.acceptLeadership(event.term));
       case "leadershipYielded":
-        if (this.state.role === "leader") leadership.transferLeadership("stop requested");
+        if (this.state.role === "leader") leaderDriver.transferLeadership("stop requested");
         return event.respond(true);
       case "memberStopping":
         return event.respond(this.membership.markStopping(event.machine, event.lastIndex));
--- a/src/replication/replication-timeouts.ts
+++ b/src/replication/replication-timeouts.ts
@@ -1,24 +1,28 @@
 /** The durations that control elections, replication and membership of the replicated log. */
 
-/** The timeouts of a replication node; each is a duration on a monotonic clock. */
+/** The timeouts of a replication node, in ms on a monotonic clock, and the size limit of its log. */
 export interface ReplicationTimeouts {
   heartbeatMs: number;
   electionMinMs: number;
   electionMaxMs: number;
-  /** How long a majority's acknowledgment lets the leader serve; shorter than the shortest election timeout. */
+  /** How long the leader may serve after a majority's acknowledgment; less than the minimum election timeout. */
   leaderLeaseMs: number;
-  /** How long a write may wait for the disk before the node no longer leads or votes. */
+  /** How long a write may take before the node no longer leads or votes. */
   stallMs: number;
-  /** How long a voter is unresponsive before a learner replaces it. */
+  /** Time after which a learner replaces an unresponsive voter. */
   replaceAfterMs: number;
-  /** How long a learner must have been responsive so that losing it would count as one more failure. */
+  /**
+   * Time after which a responsive learner may be promoted before the lost voter is demoted: its loss is then a further
+   * failure.
+   */
   responsiveAfterMs: number;
-  /** How long a learner is unresponsive before it is removed from the members. */
+  /** Time after which an unresponsive learner is removed from the members. */
   forgetAfterMs: number;
-  /** The size of the log after the last snapshot at which a new snapshot is written. */
+  /** Size of the log after the last snapshot at which a new snapshot is due, in bytes. */
   snapshotBytes: number;
 }
 
+/** The timeouts and the size limit that apply unless the settings give others. */
 export const defaultReplicationTimeouts = {
   heartbeatMs: 60,
   electionMinMs: 300,
--- a/src/replication/snapshot/snapshot-installer.ts
+++ b/src/replication/snapshot/snapshot-installer.ts
@@ -1,4 +1,4 @@
-/** Installs the snapshots that a leader sends, complete or in pieces. */
+/** Installs the snapshots that a leader sends in one message or in pieces. */
 import { acknowledgeSnapshot, decideSnapshot, installSnapshot } from "../../consensus/snapshot.js";
 import type { StateMachine } from "../../state/state-machine.js";
 import type { ConsensusOwner } from "../consensus-owner.js";
@@ -15,7 +15,7 @@
 import { SnapshotReceiver } from "./snapshot-receiver.js";
 import type { SnapshotPiece } from "./snapshot-sender.js";
 
-/** What a snapshot installer works with. */
+/** The dependencies of a snapshot installer. */
 export interface SnapshotInstallerOptions {
   readonly consensus: ConsensusOwner;
   readonly stateMachine: StateMachine;
@@ -25,35 +25,35 @@
   readonly formation: { readonly fleet: string };
 }
 
-/** Nothing waits for writes to the file of received pieces: a piece that isn't on disk is sent again. */
+/** Ignores the result of writes to the file of received pieces: the leader resends a piece that isn't on disk. */
 const ignoreResult = (): void => undefined;
 
-/** The node as the receiver of a leader's snapshot. */
+/** Receives and installs a leader's snapshot. */
 export class SnapshotInstaller {
   private readonly options: SnapshotInstallerOptions;
   private readonly receiver = new SnapshotReceiver();
-  private installed = 0;
+  private installedSnapshots = 0;
 
   constructor(options: SnapshotInstallerOptions) {
     this.options = options;
   }
 
-  /** How many snapshots were installed since the start. */
+  /** The number of snapshots installed since the start of the process. */
   get installedCount(): number {
-    return this.installed;
+    return this.installedSnapshots;
   }
 
-  /** How many bytes of a snapshot have been received that is not complete yet. */
+  /** The received bytes of an incomplete snapshot. */
   get receivedBytes(): number {
     return this.receiver.receivedBytes;
   }
 
-  /** Goes on with the pieces that were received before a restart. */
+  /** Resumes a transfer with the pieces that were received before a restart. */
   resume(pieces: readonly SnapshotPiece[]): void {
     for (const piece of pieces) this.receiver.receive(piece);
   }
 
-  /** Receives a piece, and installs the snapshot once it is complete. */
+  /** Handles a piece, and installs the snapshot once it is complete. */
   onPiece(request: SnapshotPieceRequest, respond: (reply: SnapshotPieceResponse) => void): void {
     const { consensus, store, writer } = this.options;
     const decision = decideSnapshot(consensus.current, request, consensus.context);
@@ -94,7 +94,7 @@
     };
     const members = stateMachine.restore(text);
     consensus.update(installSnapshot(consensus.current, request, members, entries));
-    this.installed += 1;
+    this.installedSnapshots += 1;
     applier.onRestored(lastIndex);
     const { truncations } = consensus.current;
     const pending = { term, truncations, counts, matched: lastIndex };
@@ -107,7 +107,7 @@
     });
   }
 
-  /** Drops what was received of a snapshot that ends at an index or before: the own log covers it by now. */
+  /** Drops the pieces of a snapshot that ends at or before an index, since this node's own snapshot covers it. */
   dropUpTo(index: number): void {
     if (this.receiver.dropUpTo(index)) this.removePieces();
   }
--- a/src/replication/snapshot/snapshot-part-file.ts
+++ b/src/replication/snapshot/snapshot-part-file.ts
@@ -1,4 +1,4 @@
-/** The file of the pieces of a snapshot that is being received. */
+/** The file that stores the received pieces of an incomplete snapshot. */
 import * as r from "restructure";
 import { decodeExactly } from "../../rpc/frame.js";
 import type { Disk } from "../../runtime/disk.js";
@@ -18,8 +18,8 @@
 });
 
 /**
- * The received pieces of a snapshot on disk, so that a restarted member continues the transfer. Nothing depends on the file:
- * the text is checked as a whole before it is installed, and what is incomplete or missing is sent again.
+ * The received pieces of a snapshot on disk, so that a restarted member resumes the transfer. Correctness doesn't depend on
+ * the file: the checksum of the whole text is verified before the installation, and the leader resends missing pieces.
  */
 export class SnapshotPartFile {
   private readonly disk: Disk;
@@ -29,7 +29,7 @@
     this.disk = disk;
   }
 
-  /** Adds a piece; the first one of a snapshot replaces the file. */
+  /** Appends a piece; the first piece of a snapshot replaces the file. */
   *add(piece: SnapshotPiece): Task {
     const { lastIndex, lastTerm, totalBytes, checksum, offset, bytes } = piece;
     const record = withChecksum(
@@ -47,12 +47,12 @@
     for (const { body } of readRecords(bytes)) this.loaded.push(decodeExactly(pieceLayout, body));
   }
 
-  /** Returns the loaded pieces, once. */
+  /** Returns the loaded pieces and releases them. */
   takeLoaded(): readonly SnapshotPiece[] {
     return this.loaded.splice(0);
   }
 
-  /** Removes the file, if there is one. */
+  /** Removes the file if it exists. */
   *remove(): Task {
     if ((yield* this.disk.list()).includes(FILE_NAME)) yield* this.disk.remove(FILE_NAME);
   }
--- a/src/replication/snapshot/snapshot-receiver.ts
+++ b/src/replication/snapshot/snapshot-receiver.ts
@@ -6,33 +6,33 @@
   type SnapshotPiece,
 } from "./snapshot-sender.js";
 
-/** The largest snapshot that is accepted. */
+/** Maximum size of an accepted snapshot. */
 const MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024;
 
-/** The result of a piece: more pieces are needed, or the text is complete. */
+/** The result of receiving a piece: more pieces are needed, or the text is complete. */
 export type SnapshotReceived =
   | {
       readonly kind: "partial";
       readonly receivedBytes: number;
-      /** Whether this piece was added to the received ones. */
+      /** Whether the piece was new and valid. */
       readonly isAdded: boolean;
     }
   | { readonly kind: "complete"; readonly text: string };
 
-/** What has been received of one snapshot. */
+/** The received pieces of one snapshot. */
 interface Assembly {
   readonly identity: SnapshotIdentity;
   readonly pieces: Uint8Array[];
   receivedBytes: number;
 }
 
-const isSameSnapshot = (one: SnapshotIdentity, other: SnapshotIdentity): boolean =>
-  one.lastIndex === other.lastIndex &&
-  one.lastTerm === other.lastTerm &&
-  one.totalBytes === other.totalBytes &&
-  one.checksum === other.checksum;
+const isSameSnapshot = (a: SnapshotIdentity, b: SnapshotIdentity): boolean =>
+  a.lastIndex === b.lastIndex &&
+  a.lastTerm === b.lastTerm &&
+  a.totalBytes === b.totalBytes &&
+  a.checksum === b.checksum;
 
-/** The inflated bytes of a piece, or nothing where they aren't of the expected size. */
+/** Returns the inflated bytes of a piece; `undefined` if they are invalid or don't have the expected size. */
 const inflatePiece = (bytes: Uint8Array, expectedBytes: number): Buffer | undefined => {
   try {
     const text = inflateRawSync(bytes, { maxOutputLength: SNAPSHOT_PIECE_BYTES });
@@ -42,16 +42,16 @@
   }
 };
 
-/** Receives one snapshot at a time; its pieces are retained deflated. */
+/** Receives one snapshot at a time, and retains its pieces deflated. */
 export class SnapshotReceiver {
   private assembly: Assembly | undefined;
 
-  /** How much of the current snapshot has been received. */
+  /** The number of inflated bytes received of the current snapshot. */
   get receivedBytes(): number {
     return this.assembly?.receivedBytes ?? 0;
   }
 
-  /** Accepts a piece. One that doesn't follow the received ones changes nothing; one of another snapshot begins anew. */
+  /** Receives a piece. A piece out of order is ignored; a piece of another snapshot discards the received ones. */
   receive(piece: SnapshotPiece): SnapshotReceived {
     const { lastIndex, lastTerm, totalBytes, checksum } = piece;
     if (totalBytes > MAX_SNAPSHOT_BYTES)
@@ -64,8 +64,8 @@
       };
     const { assembly } = this;
     const expectedBytes = Math.min(SNAPSHOT_PIECE_BYTES, totalBytes - assembly.receivedBytes);
-    const follows = piece.bytes.length > 0 && piece.offset === assembly.receivedBytes;
-    const isAdded = follows && inflatePiece(piece.bytes, expectedBytes) !== undefined;
+    const isNextPiece = piece.bytes.length > 0 && piece.offset === assembly.receivedBytes;
+    const isAdded = isNextPiece && inflatePiece(piece.bytes, expectedBytes) !== undefined;
     if (isAdded) {
       assembly.pieces.push(Uint8Array.from(piece.bytes));
       assembly.receivedBytes += expectedBytes;
@@ -75,7 +75,7 @@
     return this.finish(assembly);
   }
 
-  /** Drops what was received of a snapshot that ends at an index or before; returns whether there was any. */
+  /** Drops the pieces of a snapshot that ends at or before an index; returns whether there were any. */
   dropUpTo(index: number): boolean {
     if (!this.assembly || this.assembly.identity.lastIndex > index) return false;
     this.assembly = undefined;
--- a/src/replication/snapshot/snapshot-sender.ts
+++ b/src/replication/snapshot/snapshot-sender.ts
@@ -1,14 +1,14 @@
-/** A leader's transfers of its snapshot, in pieces, to members that are behind its log. */
+/** A leader's transfers of its snapshot, in pieces, to members that lag behind its compacted log. */
 import { crc32, deflateRawSync } from "node:zlib";
 
-/** How much of a snapshot's text one piece carries. */
+/** Maximum size of the inflated text in one piece. */
 export const SNAPSHOT_PIECE_BYTES = 256 * 1024;
-/** How long a snapshot and the log after it are retained for a transfer that doesn't advance. */
+/** How long a snapshot and the log after it are retained for a transfer that doesn't advance, in ms. */
 const TRANSFER_IDLE_MS = 10_000;
-/** After so many pieces without a reply, to a member that never replied to one, the complete snapshot is sent once. */
+/** After this many pieces without a reply, the complete snapshot is sent once to a member that never replied to a piece. */
 const PIECES_BEFORE_COMPLETE = 3;
 
-/** Which snapshot a piece belongs to; the same text at the same index of the log has the same identity. */
+/** Identifies the snapshot of a piece; the same text at the same index of the log has the same identity. */
 export interface SnapshotIdentity {
   readonly lastIndex: number;
   readonly lastTerm: number;
@@ -16,15 +16,15 @@
   readonly checksum: number;
 }
 
-/** One piece of a snapshot; without bytes it queries how much has been received. */
+/** One piece of a snapshot; a piece without bytes queries how many bytes the member has received. */
 export interface SnapshotPiece extends SnapshotIdentity {
-  /** Where in the text the piece begins. */
+  /** The offset of the piece in the UTF-8 text, in bytes. */
   readonly offset: number;
-  /** The text from there on, deflated. */
+  /** The deflated text of the piece. */
   readonly bytes: Uint8Array;
 }
 
-/** A snapshot's text, made once and shared by all transfers of it. Each piece is deflated when it is first sent. */
+/** A snapshot's text, created once and shared by all transfers. Each piece is deflated when it is first sent. */
 export class SharedSnapshot {
   readonly identity: SnapshotIdentity;
   private readonly bytes: Buffer;
@@ -40,12 +40,12 @@
     };
   }
 
-  /** The complete text, for members of builds that know no pieces. */
+  /** The complete text, for members of builds that don't support pieces. */
   get text(): string {
     return this.bytes.toString("utf8");
   }
 
-  /** The piece that begins at an offset. */
+  /** Returns the piece at an offset. */
   piece(offset: number): SnapshotPiece {
     const cached = this.deflated.get(offset);
     const bytes =
@@ -54,7 +54,7 @@
     return { ...this.identity, offset, bytes };
   }
 
-  /** The query how much of this snapshot has been received. */
+  /** The piece that queries how many bytes of this snapshot the member has received. */
   get query(): SnapshotPiece {
     return { ...this.identity, offset: 0, bytes: new Uint8Array() };
   }
@@ -63,17 +63,17 @@
 /** The progress of the transfer to one member. */
 interface Transfer {
   readonly snapshot: SharedSnapshot;
-  /** What the member is known to have received; `undefined` before it was queried. */
+  /** The bytes that the member has received; `undefined` until it replies to a query. */
   readonly receivedBytes: number | undefined;
-  readonly advancedMs: number;
+  readonly lastAdvanceMs: number;
 }
 
-/** The next message: a piece, or the complete snapshot for a member that may not know of pieces. */
+/** The next message: a piece, or the complete snapshot for a member that may not support pieces. */
 export type SnapshotMessage =
   | { readonly kind: "piece"; readonly snapshot: SharedSnapshot; readonly piece: SnapshotPiece }
   | { readonly kind: "complete"; readonly snapshot: SharedSnapshot };
 
-/** Decides what each transfer sends next; it sends nothing itself. */
+/** Decides the next message of each transfer, without sending it. */
 export class SnapshotSender {
   private shared: SharedSnapshot | undefined;
   private readonly transfers = new Map<string, Transfer>();
@@ -81,27 +81,27 @@
   private readonly messagesWithoutReply = new Map<string, number>();
 
   /**
-   * The next message to a member. The shared snapshot is used as long as the log reaches back to it, so that entries can
-   * follow it; else `make` returns a new one.
+   * Returns the next message to a member. The shared snapshot is used as long as the log still contains the entries after
+   * it; otherwise `createSnapshot` creates a new one.
    */
   nextMessage(
     peer: string,
     baseIndex: number,
     nowMs: number,
-    make: () => SharedSnapshot,
+    createSnapshot: () => SharedSnapshot,
   ): SnapshotMessage {
-    if (!this.shared || this.shared.identity.lastIndex < baseIndex) this.shared = make();
+    if (!this.shared || this.shared.identity.lastIndex < baseIndex) this.shared = createSnapshot();
     const snapshot = this.shared;
     let transfer = this.transfers.get(peer);
     if (transfer?.snapshot !== snapshot) {
-      transfer = { snapshot, receivedBytes: undefined, advancedMs: nowMs };
+      transfer = { snapshot, receivedBytes: undefined, lastAdvanceMs: nowMs };
       this.transfers.set(peer, transfer);
     }
-    const count = this.messagesWithoutReply.get(peer) ?? 0;
-    this.messagesWithoutReply.set(peer, count + 1);
+    const sentCount = this.messagesWithoutReply.get(peer) ?? 0;
+    this.messagesWithoutReply.set(peer, sentCount + 1);
     if (
       !this.repliedPeers.has(peer) &&
-      count % (PIECES_BEFORE_COMPLETE + 1) === PIECES_BEFORE_COMPLETE
+      sentCount % (PIECES_BEFORE_COMPLETE + 1) === PIECES_BEFORE_COMPLETE
     )
       return { kind: "complete", snapshot };
     const isOnePiece = snapshot.identity.totalBytes <= SNAPSHOT_PIECE_BYTES;
@@ -110,38 +110,38 @@
     return { kind: "piece", snapshot, piece };
   }
 
-  /** A member replied how much of the snapshot it has received; returns whether the transfer advanced. */
+  /** Handles a reply with the number of received bytes; returns whether the transfer advanced. */
   onReply(peer: string, receivedBytes: number, nowMs: number): boolean {
     this.repliedPeers.add(peer);
     this.messagesWithoutReply.delete(peer);
     const transfer = this.transfers.get(peer);
     if (!transfer) return false;
     const { totalBytes } = transfer.snapshot.identity;
-    const isWithin = receivedBytes < totalBytes && receivedBytes % SNAPSHOT_PIECE_BYTES === 0;
-    const nextBytes = isWithin ? receivedBytes : 0;
+    const isValidOffset = receivedBytes < totalBytes && receivedBytes % SNAPSHOT_PIECE_BYTES === 0;
+    const nextBytes = isValidOffset ? receivedBytes : 0;
     const hasAdvanced = nextBytes > (transfer.receivedBytes ?? -1);
-    const answeredMs = hasAdvanced ? nowMs : transfer.advancedMs;
-    this.transfers.set(peer, { ...transfer, receivedBytes: nextBytes, advancedMs: answeredMs });
+    const lastAdvanceMs = hasAdvanced ? nowMs : transfer.lastAdvanceMs;
+    this.transfers.set(peer, { ...transfer, receivedBytes: nextBytes, lastAdvanceMs });
     return hasAdvanced;
   }
 
-  /** A message got no reply: the member is queried again how much it has received. */
+  /** Handles a missing reply: the next message queries the received bytes again. */
   onNoReply(peer: string): void {
     const transfer = this.transfers.get(peer);
     if (transfer) this.transfers.set(peer, { ...transfer, receivedBytes: undefined });
   }
 
-  /** A member needs no snapshot any more. */
+  /** Ends the transfer to a member that no longer needs a snapshot. */
   endTransfer(peer: string): void {
     this.transfers.delete(peer);
     this.messagesWithoutReply.delete(peer);
     if (this.transfers.size === 0) this.shared = undefined;
   }
 
-  /** The index after which the log must be retained for transfers under way, or nothing. */
+  /** Ends idle transfers; returns the index after which the log must be retained for the others, or `undefined`. */
   retainedIndex(nowMs: number): number | undefined {
-    for (const [peer, { advancedMs: answeredMs }] of this.transfers)
-      if (nowMs - answeredMs > TRANSFER_IDLE_MS) this.endTransfer(peer);
+    for (const [peer, { lastAdvanceMs }] of this.transfers)
+      if (nowMs - lastAdvanceMs > TRANSFER_IDLE_MS) this.endTransfer(peer);
     return this.shared?.identity.lastIndex;
   }
 }
--- a/src/replication/snapshot/snapshot-writer.ts
+++ b/src/replication/snapshot/snapshot-writer.ts
@@ -1,4 +1,4 @@
-/** Writes this node's own snapshots, and compacts its log behind them. */
+/** Writes this node's own snapshots, and compacts its log up to them. */
 import { countWithinLimit, type BatchLimit } from "../../consensus/replication.js";
 import { compactLog } from "../../consensus/snapshot.js";
 import { membersAt } from "../../consensus/state.js";
@@ -13,17 +13,17 @@
 import type { LogWriter } from "../log/log-writer.js";
 import type { NodeEventSink } from "../node-event.js";
 
-/** By which part of the snapshot size the sizes of members differ, so that not all write at once. */
+/** Fraction of the snapshot size by which members' thresholds differ, so that not all write at the same time. */
 const SNAPSHOT_SIZE_SPREAD = 0.4;
-/** What stays of the log behind a snapshot, for followers that lag a little. */
+/** The part of the log before a snapshot that is retained for followers that lag slightly. */
 const RETAINED_LOG_LIMIT: BatchLimit = { entries: 2000, bytes: 16 * 1024 * 1024 };
-/** What stays of it at most during transfers of a snapshot, so that entries can follow it. */
+/** The maximum part of the log that is retained during snapshot transfers, for the entries after the snapshot. */
 const RETAINED_LOG_LIMIT_DURING_TRANSFER: BatchLimit = {
   entries: 20_000,
   bytes: 32 * 1024 * 1024,
 };
 
-/** What a snapshot writer works with. */
+/** The dependencies of a snapshot writer. */
 export interface SnapshotWriterOptions {
   readonly runtime: Runtime;
   readonly log: Logger;
@@ -33,60 +33,63 @@
   readonly stateMachine: StateMachine;
   readonly store: LogStore;
   readonly writer: LogWriter;
-  /** The size of the log after the last snapshot at which the next is due. */
+  /** Size of the log after the last snapshot at which the next one is due, in bytes. */
   readonly snapshotBytes: number;
-  /** Which fleet's log this node has, once it is formed. */
+  /** The fleet whose log this node has, and whether the log is formed. */
   readonly formation: { readonly isFormed: boolean; readonly fleet: string };
-  /** The index after which the log must be retained for transfers under way. */
+  /** Returns the index after which the log must be retained for active transfers. */
   readonly retainedIndex: (nowMs: number) => number | undefined;
-  /** Called once the snapshot's write is queued. */
+  /** Called after the snapshot's write is queued. */
   readonly onQueued: (lastIndex: number) => void;
 }
 
-/** The number of entries at the end of a list that stay within a limit. */
+/** Counts the newest entries that stay within a limit. */
 const countRetained = (newestFirst: readonly Entry[], limit: BatchLimit): number =>
   newestFirst.length > 0 ? countWithinLimit(newestFirst, limit) : 0;
 
 /** Decides when a snapshot is due and writes it. */
 export class SnapshotWriter {
   private readonly options: SnapshotWriterOptions;
-  private readonly dueBytes: number;
+  private readonly thresholdBytes: number;
   private isWriting = false;
 
   constructor(options: SnapshotWriterOptions) {
     this.options = options;
-    const part = 1 - SNAPSHOT_SIZE_SPREAD * options.runtime.random();
-    this.dueBytes = options.snapshotBytes * part;
+    const sizeFactor = 1 - SNAPSHOT_SIZE_SPREAD * options.runtime.random();
+    this.thresholdBytes = options.snapshotBytes * sizeFactor;
   }
 
-  /** Writes a snapshot up to the applied index, where the log is large and none is being written. */
+  /** Writes a snapshot up to the applied index if the log exceeds the threshold and no snapshot is being written. */
   writeIfDue(appliedIndex: number): void {
     const { writer, formation } = this.options;
-    if (this.isWriting || writer.logBytes <= this.dueBytes || !formation.isFormed) return;
+    if (this.isWriting || writer.logBytes <= this.thresholdBytes || !formation.isFormed) return;
     this.write(appliedIndex, { completesRejoin: false });
   }
 
-  /** Writes a snapshot up to an index; one that completes the rejoin makes this member count again once it is on disk. */
+  /**
+   * Writes a snapshot up to an index; one that completes a rejoin makes this member vote and acknowledge once it is on
+   * disk.
+   */
   write(lastIndex: number, { completesRejoin }: { readonly completesRejoin: boolean }): void {
     const { runtime, log, consensus, events, writer, onQueued } = this.options;
     this.isWriting = true;
     const startedMs = runtime.clock.nowMs();
-    const durableState = this.durableState(lastIndex, completesRejoin);
+    const durableState = this.createDurableState(lastIndex, completesRejoin);
     consensus.update(compactLog(consensus.current, this.compactionIndex(lastIndex)));
-    const madeMs = runtime.clock.nowMs();
+    const createdMs = runtime.clock.nowMs();
     writer.writeSnapshot(durableState, () => {
       this.isWriting = false;
       log.info("snapshot written", {
         bytes: durableState.snapshot.length,
-        madeInMs: Math.round(madeMs - startedMs),
-        writtenInMs: Math.round(runtime.clock.nowMs() - madeMs),
+        madeInMs: Math.round(createdMs - startedMs),
+        writtenInMs: Math.round(runtime.clock.nowMs() - createdMs),
       });
       if (completesRejoin) events.put({ kind: "rejoinPersisted" });
     });
     onQueued(lastIndex);
   }
 
-  private durableState(lastIndex: number, completesRejoin: boolean): DurableState {
+  private createDurableState(lastIndex: number, completesRejoin: boolean): DurableState {
     const { steps, consensus, stateMachine, store, formation } = this.options;
     const { term, votedFor, rejoinNonce, log } = consensus.current;
     const members = membersAt(consensus.current, lastIndex);
@@ -104,7 +107,7 @@
     };
   }
 
-  /** The index up to which the log is dropped: some of it stays, and more while a snapshot is being transferred. */
+  /** Returns the index up to which the log is dropped; more of the log is retained during snapshot transfers. */
   private compactionIndex(lastIndex: number): number {
     const { runtime, consensus, retainedIndex } = this.options;
     const { log } = consensus.current;
