--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -126,7 +126,7 @@
     const { server } = this;
     const outcome = yield* waitFor<Error | "listening">((done) => {
       server.once("error", done);
-      server.listen({ ...Address.parts(address), backlog: 1024 }, () => done("listening"));
+      server.listen({ ...Address.parse(address), backlog: 1024 }, () => done("listening"));
     });
     if (outcome !== "listening")
       throw new ListenError(`Can't listen for HTTP on ${address}.`, { cause: outcome });
@@ -193,7 +193,7 @@
       headers: headersOf(request),
       body,
     };
-    this.handle(rest ? { ...clientRequest, rest } : clientRequest, client);
+    this.handle(rest ? { ...clientRequest, bodyRemainder: rest } : clientRequest, client);
   }
 
   /** Buffers a body up to its end, or up to the size from which on the rest is streamed. */
--- a/src/fleet/test-backend-server.ts
+++ b/src/fleet/test-backend-server.ts
@@ -42,7 +42,7 @@
   });
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
-    server.listen(Address.parts(testBackend.address), resolve);
+    server.listen(Address.parse(testBackend.address), resolve);
   });
   return server;
 };
--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -30,7 +30,7 @@
 const choicesAt = ({ group, stops }: Place): Step[] => {
   const choices: Step[] = [{ kind: "advance", ms: quantumMs, paused: [] }];
   for (const { id, from, to } of group.messages.values())
-    if (!group.cuts.has(`${from}>${to}`))
+    if (!group.blockedLinks.has(`${from}>${to}`))
       choices.push({ kind: "deliver", message: id, twice: false });
   for (const { name, isUp, disk, state } of group.members.values()) {
     if (!isUp) choices.push({ kind: "start", member: name });
@@ -49,7 +49,7 @@
   const steps: Step[] = [];
   const take = (step: Step): void => {
     steps.push(step);
-    group.take(step);
+    group.execute(step);
   };
   while (group.checks.acknowledgedIndex === 0) {
     take({ kind: "advance", ms: 20, paused: [] });
@@ -81,7 +81,7 @@
         const group = place.group.clone();
         const taken = [...place.steps, step];
         try {
-          group.take(step);
+          group.execute(step);
         } catch (error) {
           if (!(error instanceof InvariantViolation)) throw error;
           const { promise, message: how } = error;
--- a/src/model-checker/invariant-checks.ts
+++ b/src/model-checker/invariant-checks.ts
@@ -1,5 +1,5 @@
 import { majoritiesOverlap } from "../consensus/membership-change.js";
-import { type Members, membersIn } from "../consensus/members.js";
+import { type Members, parseMembersEntry } from "../consensus/members.js";
 import type { ModelMember } from "./model-member.js";
 
 /** A promise of the agreement that was broken, and by what. */
@@ -71,7 +71,7 @@
     if (known === undefined) {
       this.committed.set(index, { term, text, committedInTerm: state.term });
       this.lastCommittedIndex = Math.max(this.lastCommittedIndex, index);
-      const members = membersIn(text);
+      const members = parseMembersEntry(text);
       if (members !== undefined && index > this.latestMembersIndex) {
         if (!majoritiesOverlap(this.latestMembers, members))
           throw new InvariantViolation(
@@ -93,7 +93,7 @@
   /** What each member would answer now, and by which members each leader counts. */
   look(members: Iterable<ModelMember>): void {
     for (const member of members) {
-      if (member.answers && member.appliedIndex < this.acknowledgedIndex)
+      if (member.canServeReads && member.appliedIndex < this.acknowledgedIndex)
         throw new InvariantViolation(
           "no read older than an acknowledged change",
           `${member.name} answers by entry ${member.appliedIndex}, ${this.acknowledgedIndex} was acknowledged`,
--- a/src/model-checker/member-fingerprint.ts
+++ b/src/model-checker/member-fingerprint.ts
@@ -20,7 +20,7 @@
 export const fingerprintOf = (member: FingerprintedMember, nowMs: number): string => {
   const {
     log,
-    matched,
+    matchIndexes: matched,
     acknowledgedSentMs,
     responsiveSinceMs,
     votes,
--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -12,8 +12,14 @@
   nowMs: number,
   settings: GroupSettings,
 ): Members | undefined => {
-  const { members, acknowledgedSentMs, responsiveSinceMs, matched, committedIndex, syncedIndex } =
-    state;
+  const {
+    members,
+    acknowledgedSentMs,
+    responsiveSinceMs,
+    matchIndexes: matched,
+    committedIndex,
+    syncedIndex,
+  } = state;
   const change = MembershipPolicy.nextChange({
     self,
     voters: members.voters,
--- a/src/model-checker/phase-walk.ts
+++ b/src/model-checker/phase-walk.ts
@@ -66,7 +66,7 @@
     for (const from of names)
       for (const to of names) {
         if (from === to) continue;
-        const isCut = group.cuts.has(`${from}>${to}`);
+        const isCut = group.blockedLinks.has(`${from}>${to}`);
         const reaches = together.has(from) && together.has(to);
         if (isCut && reaches) this.planned.push({ kind: "mend", from, to });
         if (!isCut && !reaches) this.planned.push({ kind: "cut", from, to });
@@ -79,7 +79,7 @@
     const writer = random.oneOf(writing);
     if (writer !== undefined && random.chance(0.5)) return { kind: "sync", member: writer.name };
     const open = [...group.messages.values()].filter(
-      ({ from, to }) => !group.cuts.has(`${from}>${to}`),
+      ({ from, to }) => !group.blockedLinks.has(`${from}>${to}`),
     );
     const message = random.chance(0.15) ? random.oneOf(open) : open[0];
     if (message !== undefined && random.chance(0.9))
--- a/src/model-checker/random-walk.ts
+++ b/src/model-checker/random-walk.ts
@@ -120,7 +120,7 @@
     if (down !== undefined && random.chance(0.06)) return { kind: "start", member: down.name };
     if (random.chance(climate.crash)) return this.crash(group);
     if (random.chance(climate.wipe)) return this.wipe(group);
-    if (group.cuts.size > 0 && random.chance(0.03)) return this.mend(group);
+    if (group.blockedLinks.size > 0 && random.chance(0.03)) return this.mend(group);
     if (random.chance(climate.isolation)) return this.isolate(group);
     if (random.chance(climate.cut))
       return { kind: "cut", from: this.leader(group), to: this.voter(group) };
@@ -144,7 +144,7 @@
 
   /** One cut ends, or all of them. */
   private mend(group: MemberGroup): Step {
-    const steps = [...group.cuts].map((cut): Step => {
+    const steps = [...group.blockedLinks].map((cut): Step => {
       const [from = "", to = ""] = cut.split(">");
       return { kind: "mend", from, to };
     });
@@ -157,7 +157,7 @@
   private isolate(group: MemberGroup): Step {
     const member = this.random.chance(0.5) ? this.leader(group) : this.voter(group);
     const ways = this.random.oneOf(["both", "out", "in"]);
-    const former = this.random.chance(0.5) ? [...group.cuts] : [];
+    const former = this.random.chance(0.5) ? [...group.blockedLinks] : [];
     for (const cut of former) {
       const [from = "", to = ""] = cut.split(">");
       this.planned.push({ kind: "mend", from, to });
@@ -194,7 +194,7 @@
     if (writer !== undefined && !random.chance(0.4 + climate.slowDisk / 2))
       return { kind: "sync", member: writer.name };
     const open = [...group.messages.values()].filter(
-      ({ from, to }) => !group.cuts.has(`${from}>${to}`),
+      ({ from, to }) => !group.blockedLinks.has(`${from}>${to}`),
     );
     const { voters } = group.checks.latestMembers;
     const between = open.filter(({ from, to }) => voters.includes(from) && voters.includes(to));
--- a/src/model-checker/search-run.ts
+++ b/src/model-checker/search-run.ts
@@ -52,7 +52,7 @@
   return attempt(settings, played, () => {
     for (const step of steps) {
       played.push(step);
-      group.take(step);
+      group.execute(step);
     }
     finish(group);
   });
@@ -71,7 +71,7 @@
     while (steps.length < length) {
       const step = walk.next(group);
       steps.push(step);
-      group.take(step);
+      group.execute(step);
     }
     finish(group);
   });
--- a/src/model-checker/trace.ts
+++ b/src/model-checker/trace.ts
@@ -76,7 +76,7 @@
   for (const [at, step] of steps.entries()) {
     lines.push(`${at + 1}. ${describe(group, step)}`);
     try {
-      group.take(step);
+      group.execute(step);
     } catch (error) {
       if (!(error instanceof InvariantViolation)) throw error;
     }
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -79,7 +79,10 @@
     if (reply?.term !== term) return false;
     const { fits, counts } = reply;
     const matched = fits ? reply.matched : 0;
-    events.put({ kind: "acknowledged", acknowledgment: { peer, term, sentMs, matched, counts } });
+    events.put({
+      kind: "acknowledged",
+      acknowledgment: { peer, term, sentMs, matchIndex: matched, counts },
+    });
     this.isResponsive = true;
     this.progress = progressAfter(sent, reply);
     return !fits || consensus.current.log.lastIndex >= this.progress.next;
@@ -118,7 +121,10 @@
       return undefined;
     }
     const { matched, counts } = reply;
-    events.put({ kind: "acknowledged", acknowledgment: { peer, term, sentMs, matched, counts } });
+    events.put({
+      kind: "acknowledged",
+      acknowledgment: { peer, term, sentMs, matchIndex: matched, counts },
+    });
     const isInstalled = matched >= message.snapshot.identity.lastIndex;
     if (isInstalled) {
       snapshotSender.endTransfer(peer);
--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -104,7 +104,7 @@
   private createView(leadingSinceMs: number): MembershipView {
     const { clock, location, consensus, timeouts } = this.options;
     const nowMs = clock.nowMs();
-    const { self, members, committedIndex, syncedIndex, matched } = consensus.current;
+    const { self, members, committedIndex, syncedIndex, matchIndexes: matched } = consensus.current;
     const { acknowledgedSentMs, responsiveSinceMs } = consensus.current;
     return {
       self,
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -2,7 +2,7 @@
 import { onAcknowledgment, onOwnEntriesSynced } from "../consensus/commit.js";
 import type { MemberRights } from "../consensus/member-rights.js";
 import type { Members } from "../consensus/members.js";
-import { afterRejoin } from "../consensus/rejoin.js";
+import { stateAfterRejoin } from "../consensus/rejoin.js";
 import { safetyRules } from "../consensus/safety-rules.js";
 import { initialState, stateAfterRestart, type DecisionContext } from "../consensus/state.js";
 import type { RpcEndpoint } from "../rpc/rpc-endpoint.js";
@@ -329,7 +329,7 @@
 
   private serve(): void {
     this.bootstrap.serve();
-    serveReplicationRpc(this.rpc, this.events, () => this.rights.takePart);
+    serveReplicationRpc(this.rpc, this.events, () => this.rights.participate);
     this.history.serve();
   }
 
@@ -379,7 +379,7 @@
       case "memberStopping":
         return event.respond(this.membership.markStopping(event.machine, event.lastIndex));
       case "rejoinPersisted":
-        consensus.update(afterRejoin(consensus.current));
+        consensus.update(stateAfterRejoin(consensus.current));
         this.log.info("rejoin completed");
         return;
       case "configsReleased":
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -178,7 +178,7 @@
     return openedResponse({
       code: reply.code,
       headers: reply.headers,
-      *next() {
+      *nextChunk() {
         if (at >= body.length) {
           if (reply.cutAt !== undefined) return "cut";
           rest(line, pool);
--- a/src/simulation/virtual-clock.ts
+++ b/src/simulation/virtual-clock.ts
@@ -1,6 +1,6 @@
 import { newScheduler, newTimeline } from "@most/scheduler";
 import type { Scheduler } from "@most/types";
-import { type Clock, clockOf } from "../runtime/clock.js";
+import { type Clock, createClock } from "../runtime/clock.js";
 
 /** Time that moves only when told to; the streams' scheduler runs on it. */
 export class VirtualClock {
@@ -31,7 +31,7 @@
 
   /** A machine's clock: skewed by an offset and running at a rate of its own; silent once `alive` says no. */
   clock(offsetMs = 0, rate = 1, alive: () => boolean = () => true): Clock {
-    const base = clockOf(this.scheduler);
+    const base = createClock(this.scheduler);
     return {
       scheduler: this.scheduler,
       nowMs: () => offsetMs + this.atMs * rate,
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -280,7 +280,7 @@
     0,
   );
   const { firstAttempts: first, retries: further } = counts.ofService(1, 5000, 10_000);
-  const routes = counts.heavyRoutes(0.1, 5000, 10_000);
+  const routes = counts.findHeavyRoutes(0.1, 5000, 10_000);
   return {
     firstTries: first,
     furtherTries: further,
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -7,7 +7,7 @@
 import { storedConfig, type AcceptedConfig } from "../../src/state/accepted-config.js";
 import { ConfigHistory } from "../../src/replication/history/config-history.js";
 import { encodeCompleteConfig } from "../../src/replication/history/history-format.js";
-import { membersIn } from "../../src/consensus/members.js";
+import { parseMembersEntry } from "../../src/consensus/members.js";
 import {
   withChecksum,
   CHECKSUM_HEADER_BYTES,
@@ -80,7 +80,7 @@
     changeId,
     acceptedAt,
   })),
-  versionsByChange: changeIds.map((id) => [id, stateMachine.changeVersion(id) ?? null]),
+  versionsByChange: changeIds.map((id) => [id, stateMachine.findVersionOfChange(id) ?? null]),
   registrations: [...stateMachine.registrations.values()]
     .map((one) => ({
       address: one.address,
@@ -180,7 +180,7 @@
   const { state: durableState } = load(new DiskStage(files));
   const stateMachine = new StateMachine();
   const { voters, learners } = stateMachine.restore(durableState.snapshot);
-  const members = membersIn(encodeLogCommand({ kind: "members", voters, learners }));
+  const members = parseMembersEntry(encodeLogCommand({ kind: "members", voters, learners }));
   if (!members) throw new Error("A membership entry isn't read as one.");
   return { stored: durableState.snapshot, rewritten: stateMachine.snapshot(members) };
 };
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -9,9 +9,9 @@
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { ClusterFixture } from "../replication/fleet-stage.js";
-import { stage } from "./control-plane-stage.js";
+import { createTestCluster } from "./control-plane-stage.js";
 
-const watchRequestOf = (incarnation: string, configSequence: number): WatchRequest => ({
+const createWatchRequest = (incarnation: string, configSequence: number): WatchRequest => ({
   machine: { name: "m", zone: "z", roles: [], peer: "p", incarnation, draining: false },
   configSequence,
   directorySequence: 1,
@@ -24,24 +24,26 @@
 describe("LargeViewLimiter", () => {
   test("a large view is in transit for a while, for twice that the next time, and not for another incarnation or state", () => {
     const views = new LargeViewLimiter(1000);
-    expect(views.isInTransit(watchRequestOf("one", 0), 0)).toBe(false);
-    views.note(watchRequestOf("one", 0), 0);
-    expect(views.isInTransit(watchRequestOf("one", 0), 999)).toBe(true);
-    expect(views.isInTransit(watchRequestOf("two", 0), 999)).toBe(false);
-    expect(views.isInTransit(watchRequestOf("one", 1), 999)).toBe(false);
-    expect(views.isInTransit(watchRequestOf("one", 0), 1000)).toBe(false);
-    views.note(watchRequestOf("one", 0), 1000);
-    expect(views.isInTransit(watchRequestOf("one", 0), 2999)).toBe(true);
-    expect(views.isInTransit(watchRequestOf("one", 0), 3000)).toBe(false);
-    views.note(watchRequestOf("one", 1), 3000);
-    expect(views.isInTransit(watchRequestOf("one", 1), 4000)).toBe(false);
-    views.note(watchRequestOf("one", 1), 4000);
+    expect(views.isInTransit(createWatchRequest("one", 0), 0)).toBe(false);
+    views.recordSent(createWatchRequest("one", 0), 0);
+    expect(views.isInTransit(createWatchRequest("one", 0), 999)).toBe(true);
+    expect(views.isInTransit(createWatchRequest("two", 0), 999)).toBe(false);
+    expect(views.isInTransit(createWatchRequest("one", 1), 999)).toBe(false);
+    expect(views.isInTransit(createWatchRequest("one", 0), 1000)).toBe(false);
+    views.recordSent(createWatchRequest("one", 0), 1000);
+    expect(views.isInTransit(createWatchRequest("one", 0), 2999)).toBe(true);
+    expect(views.isInTransit(createWatchRequest("one", 0), 3000)).toBe(false);
+    views.recordSent(createWatchRequest("one", 1), 3000);
+    expect(views.isInTransit(createWatchRequest("one", 1), 4000)).toBe(false);
+    views.recordSent(createWatchRequest("one", 1), 4000);
     views.reset();
-    expect(views.isInTransit(watchRequestOf("one", 1), 4001)).toBe(false);
+    expect(views.isInTransit(createWatchRequest("one", 1), 4001)).toBe(false);
   });
 
   test("the leader sends a large view once to a daemon that retries at once", () => {
-    const { exchange, watchRequestText, watch, daemons, wait } = stage({ holdMs: 50 });
+    const { exchange, watchRequestText, watch, daemons, wait } = createTestCluster({
+      maxWatchWaitMs: 50,
+    });
     const [one] = daemons(1);
     const draw = RandomDraw.of(7);
     const routes = Object.fromEntries(
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, test } from "vitest";
 import {
-  edgePlacementsOf,
+  computeEdgePlacements,
   type EdgePlacement,
-  type PlacedDaemon,
+  type PlacementCandidate,
 } from "../../src/control-protocol/edge-placement.js";
 import { CommandForwarder } from "../../src/cluster-view/command-forwarder.js";
 import { type WatchRequest, readLeasedView } from "../../src/control-protocol/watch-request.js";
@@ -12,7 +12,11 @@
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { ClusterFixture } from "../replication/fleet-stage.js";
 
-const edge = (name: string, zone: string, more: Partial<PlacedDaemon> = {}): PlacedDaemon => ({
+const edge = (
+  name: string,
+  zone: string,
+  more: Partial<PlacementCandidate> = {},
+): PlacementCandidate => ({
   name,
   zone,
   roles: ["edge"],
@@ -22,7 +26,7 @@
 
 describe("edgePlacementsOf", () => {
   test("edges are placed by name within their zone; daemons without the role and draining ones aren't placed", () => {
-    const places = edgePlacementsOf([
+    const places = computeEdgePlacements([
       edge("c", "z"),
       edge("a", "z"),
       edge("b", "y"),
--- a/test/daemon/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -43,9 +43,9 @@
     expect(leaseMs).toBeLessThan(Math.min(applyMs, drainMs));
     expect(controlPlaneTimeouts.leaseMs).toBe(leaseMs);
     expect(pollMs * 4).toBeLessThanOrEqual(leaseMs);
-    expect(controlPlaneTimeouts.silentMs).toBeGreaterThan(leaseMs);
-    expect(controlPlaneTimeouts.holdMs).toBeLessThan(400);
-    expect(pollWaitMs - controlPlaneTimeouts.holdMs).toBeGreaterThanOrEqual(130);
+    expect(controlPlaneTimeouts.unresponsiveAfterMs).toBeGreaterThan(leaseMs);
+    expect(controlPlaneTimeouts.maxWatchWaitMs).toBeLessThan(400);
+    expect(pollWaitMs - controlPlaneTimeouts.maxWatchWaitMs).toBeGreaterThanOrEqual(130);
     expect(2 * pollWaitMs).toBeLessThan(leaseMs);
   }
 });
--- a/test/daemon/paced-responses.test.ts
+++ b/test/daemon/paced-responses.test.ts
@@ -58,7 +58,7 @@
     return outcome;
   };
   const large = [noted("/whole"), noted("/streamed")];
-  await expect.poll(() => egress.waitMs(0), { timeout: 2000 }).toBeGreaterThan(linkMs);
+  await expect.poll(() => egress.estimateWaitMs(0), { timeout: 2000 }).toBeGreaterThan(linkMs);
   expect(server.unfinished).toBe(1);
   expect(egress.queueMs).toBeLessThanOrEqual(30);
   expect((await noted("/short")).bytes).toBe(20);
@@ -91,7 +91,7 @@
     request.once("error", () => undefined);
   });
   await expect.poll(() => server.unfinished, { timeout: 2000 }).toBe(0);
-  expect(egress.waitMs(0)).toBeLessThan(100);
+  expect(egress.estimateWaitMs(0)).toBeLessThan(100);
   server.close();
   server.end();
 });
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -67,7 +67,7 @@
         seal: "seal",
         "content-length": String(responseBytes),
       },
-      *next() {
+      *nextChunk() {
         return pieces.shift() ?? "end";
       },
       cancel: () => undefined,
--- a/test/platform/thin-link.test.ts
+++ b/test/platform/thin-link.test.ts
@@ -10,7 +10,7 @@
 describe("request on a thin link", () => {
   test("one that would leave the link only after the lease expired is not sent, and gets a Retry-After", () => {
     const fixture = ProxyFixture.ready(2, { linkMbps });
-    fixture.pacers.egress.note(3000 * bytesPerMs);
+    fixture.pacers.egress.recordBytes(3000 * bytesPerMs);
     const delayed = fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" });
     expect(delayed.code).toBe(503);
     expect(delayed.headers["retry-after"]).toMatch(fraction);
@@ -23,7 +23,7 @@
   test("one for which the queue on the link grew too long while its connection opened is withdrawn", () => {
     const fixture = ProxyFixture.ready(2, { linkMbps });
     fixture.connectFailure = () => {
-      fixture.pacers.egress.note(3000 * bytesPerMs);
+      fixture.pacers.egress.recordBytes(3000 * bytesPerMs);
       return undefined;
     };
     const client = fixture.exchange("POST", "/unsafe/x", { "deadline-ms": "900" });
@@ -34,7 +34,7 @@
 
   test("a short queue on the link delays nothing", () => {
     const fixture = ProxyFixture.ready(2, { linkMbps });
-    fixture.pacers.egress.note(30 * bytesPerMs);
+    fixture.pacers.egress.recordBytes(30 * bytesPerMs);
     expect(fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" }).code).toBe(200);
   });
 });
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -3,7 +3,7 @@
 import type { AcceptedConfig } from "../../../src/state/accepted-config.js";
 import { ConfigHistory } from "../../../src/replication/history/config-history.js";
 import { encodeCompleteConfig } from "../../../src/replication/history/history-format.js";
-import { applyTextDelta, textDeltaBetween } from "../../../src/state/text-delta.js";
+import { applyTextDelta, computeTextDelta } from "../../../src/state/text-delta.js";
 import { RandomDraw } from "../../../src/simulation/random-draw.js";
 import { checkRules } from "../../../src/simulation/invariant-checker.js";
 import { shippedProfiles } from "../../../src/simulation/profile.js";
@@ -230,11 +230,11 @@
     Array.from({ length: 300 }, word).join(""),
   ];
   for (const text of texts) {
-    expect(applyTextDelta(base, textDeltaBetween(base, text))).toBe(text);
-    expect(applyTextDelta(text, textDeltaBetween(text, base))).toBe(base);
+    expect(applyTextDelta(base, computeTextDelta(base, text))).toBe(text);
+    expect(applyTextDelta(text, computeTextDelta(text, base))).toBe(base);
   }
-  expect(JSON.stringify(textDeltaBetween(base, texts[5] ?? "")).length).toBeLessThan(120);
-  expect(JSON.stringify(textDeltaBetween(base, texts[7] ?? "")).length).toBeLessThan(120);
+  expect(JSON.stringify(computeTextDelta(base, texts[5] ?? "")).length).toBeLessThan(120);
+  expect(JSON.stringify(computeTextDelta(base, texts[7] ?? "")).length).toBeLessThan(120);
 });
 
 test("a history with arbitrary damage returns a config as it was stored or none, and accepts more", () => {
--- a/test/replication/versions.test.ts
+++ b/test/replication/versions.test.ts
@@ -53,7 +53,7 @@
   expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
   expect([
     copy.version,
-    copy.changeVersion("b"),
+    copy.findVersionOfChange("b"),
     put(copy, 7, 3, "f"),
     copy.activeConfig?.sequence,
   ]).toEqual([30, 8, { accepted: 31 }, 4]);
@@ -67,7 +67,7 @@
   expect(text).not.toContain('"version"');
   const copy = new StateMachine();
   copy.restore(text);
-  expect([copy.version, copy.changeVersion("a"), put(copy, 3, 2, "c", 9)]).toEqual([
+  expect([copy.version, copy.findVersionOfChange("a"), put(copy, 3, 2, "c", 9)]).toEqual([
     2,
     1,
     { accepted: 9 },
--- a/test/simulation/virtual-backends.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -87,7 +87,7 @@
           maySend: () => true,
         });
         if (opened.kind === "failed") return opened.cause;
-        while (typeof (yield* opened.response.next()) !== "string");
+        while (typeof (yield* opened.response.nextChunk()) !== "string");
         return "returned";
       })(),
       (error) => {
