--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -29,13 +29,13 @@
     committedIndex,
     progressOf: (member) =>
       member === self
-        ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchedIndex: syncedIndex }
+        ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchIndex: syncedIndex }
         : {
             unresponsiveMs:
               nowMs - Math.max(leadingSinceMs, acknowledgedSentMs.get(member) ?? leadingSinceMs),
             hasAcknowledged: acknowledgedSentMs.has(member),
             responsiveMs: nowMs - (responsiveSinceMs.get(member) ?? nowMs),
-            matchedIndex: matched.get(member) ?? 0,
+            matchIndex: matched.get(member) ?? 0,
           },
     timeouts: {
       responsiveWithinMs: settings.waits.electionMaxMs,
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -78,10 +78,10 @@
     if (reply && reply.term > term) events.put({ kind: "newerTermSeen", term: reply.term });
     if (reply?.term !== term) return false;
     const { fits, counts } = reply;
-    const matched = fits ? reply.matched : 0;
+    const matchIndex = fits ? reply.matched : 0;
     events.put({
       kind: "acknowledged",
-      acknowledgment: { peer, term, sentMs, matchIndex: matched, counts },
+      acknowledgment: { peer, term, sentMs, matchIndex, counts },
     });
     this.isResponsive = true;
     this.progress = progressAfter(sent, reply);
@@ -120,15 +120,15 @@
       snapshotSender.onNoReply(peer);
       return undefined;
     }
-    const { matched, counts } = reply;
+    const { matched: matchIndex, counts } = reply;
     events.put({
       kind: "acknowledged",
-      acknowledgment: { peer, term, sentMs, matchIndex: matched, counts },
+      acknowledgment: { peer, term, sentMs, matchIndex, counts },
     });
-    const isInstalled = matched >= message.snapshot.identity.lastIndex;
+    const isInstalled = matchIndex >= message.snapshot.identity.lastIndex;
     if (isInstalled) {
       snapshotSender.endTransfer(peer);
-      return matched;
+      return matchIndex;
     }
     if (message.kind === "complete") return undefined;
     return snapshotSender.onReply(peer, reply.receivedBytes, clock.nowMs()) ? 0 : undefined;
--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -104,7 +104,7 @@
   private createView(leadingSinceMs: number): MembershipView {
     const { clock, location, consensus, timeouts } = this.options;
     const nowMs = clock.nowMs();
-    const { self, members, committedIndex, syncedIndex, matchIndexes: matched } = consensus.current;
+    const { self, members, committedIndex, syncedIndex, matchIndexes } = consensus.current;
     const { acknowledgedSentMs, responsiveSinceMs } = consensus.current;
     return {
       self,
@@ -115,13 +115,13 @@
       committedIndex,
       progressOf: (member) =>
         member === self
-          ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchedIndex: syncedIndex }
+          ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchIndex: syncedIndex }
           : {
               unresponsiveMs:
                 nowMs - Math.max(leadingSinceMs, acknowledgedSentMs.get(member) ?? leadingSinceMs),
               hasAcknowledged: acknowledgedSentMs.has(member),
               responsiveMs: nowMs - (responsiveSinceMs.get(member) ?? nowMs),
-              matchedIndex: matched.get(member) ?? 0,
+              matchIndex: matchIndexes.get(member) ?? 0,
             },
       timeouts: {
         responsiveWithinMs: timeouts.electionMaxMs,
--- a/src/replication/membership/membership-policy.ts
+++ b/src/replication/membership/membership-policy.ts
@@ -25,7 +25,7 @@
   /** Time since the first request of this leader that the member acknowledged. */
   readonly responsiveMs: number;
   /** The index up to which the member's log is known to match the leader's. */
-  readonly matchedIndex: number;
+  readonly matchIndex: number;
 }
 
 /** The durations that decide when a member counts as lost. */
@@ -78,7 +78,7 @@
 const isReady = (view: MembershipView, learner: string): boolean =>
   !view.stopping.has(learner) &&
   isResponsive(view, learner) &&
-  view.progressOf(learner).matchedIndex + MAX_READY_LAG_ENTRIES >= view.committedIndex;
+  view.progressOf(learner).matchIndex + MAX_READY_LAG_ENTRIES >= view.committedIndex;
 
 /** Whether the responsive members are a majority of a group of voters. */
 const hasMajority = (view: MembershipView, voters: readonly string[]): boolean =>
@@ -175,7 +175,7 @@
       (voter) =>
         voter !== stopping &&
         isResponsive(view, voter) &&
-        view.progressOf(voter).matchedIndex >= neededIndex,
+        view.progressOf(voter).matchIndex >= neededIndex,
     );
     return holders.length >= majoritySize(view.voters.length);
   },
--- a/test/replication/bootstrap/cluster-bootstrap.test.ts
+++ b/test/replication/bootstrap/cluster-bootstrap.test.ts
@@ -1,181 +1,191 @@
 import { expect, test } from "vitest";
 import { configText, ClusterFixture } from "../fleet-stage.js";
 
-const isLed = (stage: ClusterFixture) => (): boolean =>
-  stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
-const fleets = (stage: ClusterFixture): string[] => [
-  ...new Set(stage.diskMachines.map((machine) => stage.fleetIdOf(machine))),
+const hasLeader = (cluster: ClusterFixture) => (): boolean =>
+  cluster.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+const fleetIds = (cluster: ClusterFixture): string[] => [
+  ...new Set(cluster.diskMachines.map((machine) => cluster.fleetIdOf(machine))),
 ];
-const zonesOf = (stage: ClusterFixture, peers: readonly string[] = []): string =>
+const joinZones = (cluster: ClusterFixture, peers: readonly string[] = []): string =>
   peers
-    .map((peer) => stage.machines.find((one) => one.peer === peer)?.settings.zone ?? "?")
+    .map(
+      (peer) => cluster.machines.find((candidate) => candidate.peer === peer)?.settings.zone ?? "?",
+    )
     .sort()
     .join("");
 
-/** When the first recorder of a fleet has formed; the same stage does the same at the same moment. */
-const firstFormedMs = (stage: ClusterFixture): number => {
-  stage.bootAll();
-  return stage.waitUntil(
-    () => stage.diskMachines.some((machine) => stage.fleetIdOf(machine) !== ""),
+/** Measures when the first member has formed the log, in ms; clusters with the same machines behave identically. */
+const measureFirstFormation = (cluster: ClusterFixture): number => {
+  cluster.bootAll();
+  return cluster.waitUntil(
+    () => cluster.diskMachines.some((machine) => cluster.fleetIdOf(machine) !== ""),
     3000,
   );
 };
 
-/** What the settings say at a machine's restart once the fleet has started: nothing is to be formed any more. */
-const later = { bootstrap: false };
+/** Settings of a machine that starts after the fleet's first start: it must not form a log. */
+const restartSettings = { bootstrap: false };
 
-test("a first seed without a disk has the log formed: three voters of four, the fourth a learner", () => {
-  const stage = new ClusterFixture(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "d:d"], [0, 1, 2], {
+test("a first seed without a disk initiates the log: three of four nodes are voters, the fourth is a learner", () => {
+  const cluster = new ClusterFixture(["e:a", "e:b", "e:c", "d:a", "d:b", "d:c", "d:d"], [0, 1, 2], {
     tolerate: { machines: 1, zones: 0 },
   });
-  stage.bootAll();
-  expect(stage.waitUntil(isLed(stage), 5000)).toBeLessThan(3000);
-  stage.wait(1000);
-  const record = stage.leader.status;
+  cluster.bootAll();
+  expect(cluster.waitUntil(hasLeader(cluster), 5000)).toBeLessThan(3000);
+  cluster.wait(1000);
+  const status = cluster.leader.status;
   expect([
-    record?.voters.length,
-    zonesOf(stage, record?.voters),
-    zonesOf(stage, record?.learners),
+    status?.voters.length,
+    joinZones(cluster, status?.voters),
+    joinZones(cluster, status?.learners),
   ]).toEqual([3, "abc", "d"]);
-  expect(fleets(stage)).toHaveLength(1);
-  expect(stage.diskMachines.map((machine) => machine.status?.state)).toEqual([
+  expect(fleetIds(cluster)).toHaveLength(1);
+  expect(cluster.diskMachines.map((machine) => machine.status?.state)).toEqual([
     "formed",
     "formed",
     "formed",
     "formed",
   ]);
-  expect(stage.machines.map(({ daemon }) => daemon?.servingState.isGranted)).toEqual(
-    stage.machines.map(() => true),
+  expect(cluster.machines.map(({ daemon }) => daemon?.servingState.isGranted)).toEqual(
+    cluster.machines.map(() => true),
   );
 });
 
-test("five voters of six in three zones, where two losses are tolerated", () => {
-  const stage = new ClusterFixture(
+test("a log that tolerates two losses has five of six nodes in three zones as voters", () => {
+  const cluster = new ClusterFixture(
     ["d:a", "e:b", "e:c", "d:a", "d:b", "d:b", "d:c", "d:c"],
     [1, 0, 2],
     { tolerate: { machines: 2, zones: 0 } },
   );
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
-  stage.wait(1000);
-  const record = stage.leader.status;
-  expect([zonesOf(stage, record?.voters), zonesOf(stage, record?.learners)]).toEqual([
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  cluster.wait(1000);
+  const status = cluster.leader.status;
+  expect([joinZones(cluster, status?.voters), joinZones(cluster, status?.learners)]).toEqual([
     "aabbc",
     "c",
   ]);
-  expect(fleets(stage)).toHaveLength(1);
+  expect(fleetIds(cluster)).toHaveLength(1);
 });
 
-test("no log is formed while there are too few nodes, or in too few zones; then it is", () => {
-  for (const [tolerate, early, last] of [
+test("no log is formed until there are enough nodes in enough zones", () => {
+  for (const [tolerate, earlyMachines, lastMachine] of [
     [{ machines: 1, zones: 0 }, ["d:a", "d:b"], "d:b"],
     [{ machines: 1, zones: 1 }, ["d:a", "d:b", "d:b"], "d:c"],
   ] as const) {
-    const stage = new ClusterFixture(["e:a", ...early, last], [0, 1], { tolerate });
-    for (const machine of stage.machines.slice(0, -1)) stage.boot(machine);
-    stage.wait(8000);
-    expect(fleets(stage)).toEqual([""]);
+    const cluster = new ClusterFixture(["e:a", ...earlyMachines, lastMachine], [0, 1], {
+      tolerate,
+    });
+    for (const machine of cluster.machines.slice(0, -1)) cluster.boot(machine);
+    cluster.wait(8000);
+    expect(fleetIds(cluster)).toEqual([""]);
     expect(
-      stage.logLines.some((line) => line.includes("waiting for candidates to form the log")),
+      cluster.logLines.some((line) => line.includes("waiting for candidates to form the log")),
     ).toBe(true);
-    stage.bootAll();
-    stage.waitUntil(isLed(stage), 5000);
-    expect(stage.leader.status?.voters).toHaveLength(3);
+    cluster.bootAll();
+    cluster.waitUntil(hasLeader(cluster), 5000);
+    expect(cluster.leader.status?.voters).toHaveLength(3);
   }
 });
 
-test("empty nodes never form a log where the fleet doesn't start for the first time", () => {
-  const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2], later);
-  stage.bootAll();
-  stage.wait(20_000);
-  expect(fleets(stage)).toEqual([""]);
-  expect(stage.diskMachines.map((machine) => machine.status?.state)).toEqual([
+test("empty nodes never form a log unless the fleet starts for the first time", () => {
+  const cluster = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2], restartSettings);
+  cluster.bootAll();
+  cluster.wait(20_000);
+  expect(fleetIds(cluster)).toEqual([""]);
+  expect(cluster.diskMachines.map((machine) => machine.status?.state)).toEqual([
     "empty",
     "empty",
     "empty",
   ]);
 });
 
-test("a node that may not bootstrap takes no part where others do", () => {
-  const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2]);
-  for (const machine of stage.machines)
-    stage.boot(machine, machine === stage.machineAt(3) ? later : {});
-  stage.wait(10_000);
-  expect(fleets(stage)).toEqual([""]);
+test("a node that may not bootstrap isn't a candidate for the log that others form", () => {
+  const cluster = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0, 1, 2]);
+  for (const machine of cluster.machines)
+    cluster.boot(machine, machine === cluster.machineAt(3) ? restartSettings : {});
+  cluster.wait(10_000);
+  expect(fleetIds(cluster)).toEqual([""]);
 });
 
-test("an initiator killed during the formation: none campaigns before all have formed, and another completes it", () => {
-  const build = (): ClusterFixture =>
+test("if the initiator is killed during the formation, no node campaigns until all have formed the log, and another seed completes it", () => {
+  const createCluster = (): ClusterFixture =>
     new ClusterFixture(["e:a", "e:b", "d:a", "d:b", "d:c", "d:d"], [0, 1]);
-  const formsMs = firstFormedMs(build());
-  let midway = 0;
-  for (let cutMs = formsMs - 8; cutMs < formsMs + 4; cutMs += 0.25) {
-    const stage = build();
-    stage.bootAll();
-    stage.wait(cutMs);
-    const missed = stage.machineAt(4);
-    const others = stage.machines.filter((machine) => machine !== missed);
-    for (const machine of others) stage.partition(missed, machine);
-    stage.waitUntil(() => others.some((machine) => stage.fleetIdOf(machine) !== ""), 3000);
-    const chosen =
-      others
+  const firstFormationMs = measureFirstFormation(createCluster());
+  let interruptedFormations = 0;
+  for (
+    let partitionMs = firstFormationMs - 8;
+    partitionMs < firstFormationMs + 4;
+    partitionMs += 0.25
+  ) {
+    const cluster = createCluster();
+    cluster.bootAll();
+    cluster.wait(partitionMs);
+    const partitioned = cluster.machineAt(4);
+    const reachable = cluster.machines.filter((machine) => machine !== partitioned);
+    for (const machine of reachable) cluster.partition(partitioned, machine);
+    cluster.waitUntil(() => reachable.some((machine) => cluster.fleetIdOf(machine) !== ""), 3000);
+    const chosenVoters =
+      reachable
         .map((machine) => machine.daemon?.replicationNode?.bootstrapStatus.voters ?? [])
         .find((voters) => voters.length > 0) ?? [];
-    if (!chosen.includes(missed.peer) || stage.fleetIdOf(missed) !== "") continue;
-    stage.kill(stage.machineAt(0));
-    stage.wait(4000);
-    if (stage.fleetIdOf(missed) !== "") continue;
-    midway += 1;
-    expect(stage.diskMachines.map((machine) => machine.status?.term)).toEqual([0, 0, 0, 0]);
-    const formed = others
-      .map((machine) => stage.fleetIdOf(machine))
+    if (!chosenVoters.includes(partitioned.peer) || cluster.fleetIdOf(partitioned) !== "") continue;
+    cluster.kill(cluster.machineAt(0));
+    cluster.wait(4000);
+    if (cluster.fleetIdOf(partitioned) !== "") continue;
+    interruptedFormations += 1;
+    expect(cluster.diskMachines.map((machine) => machine.status?.term)).toEqual([0, 0, 0, 0]);
+    const formed = reachable
+      .map((machine) => cluster.fleetIdOf(machine))
       .filter((fleet) => fleet !== "");
-    for (const machine of others) stage.partition(missed, machine, true);
-    for (const machine of stage.machines)
-      machine.daemon?.setSeeds([stage.machineAt(1).peer, stage.machineAt(0).peer]);
-    stage.waitUntil(isLed(stage), 8000);
-    stage.wait(3000);
-    expect(fleets(stage)).toEqual([...new Set(formed)]);
-    expect(stage.leader.status?.voters).toEqual(chosen);
+    for (const machine of reachable) cluster.heal(partitioned, machine);
+    for (const machine of cluster.machines)
+      machine.daemon?.setSeeds([cluster.machineAt(1).peer, cluster.machineAt(0).peer]);
+    cluster.waitUntil(hasLeader(cluster), 8000);
+    cluster.wait(3000);
+    expect(fleetIds(cluster)).toEqual([...new Set(formed)]);
+    expect(cluster.leader.status?.voters).toEqual(chosenVoters);
   }
-  expect(midway).toBeGreaterThan(2);
+  expect(interruptedFormations).toBeGreaterThan(2);
 });
 
-test("all killed during the formation, at any moment: it is completed", () => {
-  const build = (): ClusterFixture =>
+test("the formation is completed after all nodes are killed at any time during it", () => {
+  const createCluster = (): ClusterFixture =>
     new ClusterFixture(["e:a", "d:a", "d:b", "d:c", "d:d"], [0, 1, 2]);
-  const formsMs = firstFormedMs(build());
-  for (let killMs = formsMs - 6; killMs < formsMs + 10; killMs += 1) {
-    const stage = build();
-    stage.bootAll();
-    stage.wait(killMs);
-    const before = fleets(stage).filter((fleet) => fleet !== "");
-    for (const machine of stage.machines) stage.kill(machine);
-    stage.bootAll();
-    stage.waitUntil(isLed(stage), 8000);
-    stage.wait(3000);
-    expect(fleets(stage)).toHaveLength(1);
-    if (before[0] !== undefined) expect(fleets(stage)).toEqual(before);
+  const firstFormationMs = measureFirstFormation(createCluster());
+  for (let killMs = firstFormationMs - 6; killMs < firstFormationMs + 10; killMs += 1) {
+    const cluster = createCluster();
+    cluster.bootAll();
+    cluster.wait(killMs);
+    const fleetsBeforeKill = fleetIds(cluster).filter((fleet) => fleet !== "");
+    for (const machine of cluster.machines) cluster.kill(machine);
+    cluster.bootAll();
+    cluster.waitUntil(hasLeader(cluster), 8000);
+    cluster.wait(3000);
+    expect(fleetIds(cluster)).toHaveLength(1);
+    if (fleetsBeforeKill[0] !== undefined) expect(fleetIds(cluster)).toEqual(fleetsBeforeKill);
   }
 });
 
-test("an initiator that restarts and finds only empty nodes forms no second log that lasts", () => {
-  const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c", "d:d"], [0, 1]);
-  stage.bootAll();
-  stage.waitUntil(
-    () => stage.diskMachines.some((machine) => stage.fleetIdOf(machine) !== ""),
+test("after an initiator restarts among empty nodes, only one log remains", () => {
+  const cluster = new ClusterFixture(["e:a", "d:a", "d:b", "d:c", "d:d"], [0, 1]);
+  cluster.bootAll();
+  cluster.waitUntil(
+    () => cluster.diskMachines.some((machine) => cluster.fleetIdOf(machine) !== ""),
     3000,
   );
-  const [first] = stage.diskMachines.filter((machine) => stage.fleetIdOf(machine) !== "");
-  if (!first) throw new Error("None has formed.");
-  for (const machine of stage.machines) stage.kill(machine);
-  for (const machine of stage.diskMachines) if (machine !== first) machine.disk?.wipe();
-  for (const machine of stage.machines) if (machine !== first) stage.boot(machine);
-  stage.waitUntil(isLed(stage), 10_000);
-  stage.boot(first);
-  stage.wait(6000);
-  expect(fleets(stage)).toHaveLength(1);
-  expect(stage.diskMachines.map((machine) => machine.status?.state)).toEqual([
+  const [formedMachine] = cluster.diskMachines.filter(
+    (machine) => cluster.fleetIdOf(machine) !== "",
+  );
+  if (!formedMachine) throw new Error("No node has formed the log.");
+  for (const machine of cluster.machines) cluster.kill(machine);
+  for (const machine of cluster.diskMachines) if (machine !== formedMachine) machine.disk?.wipe();
+  for (const machine of cluster.machines) if (machine !== formedMachine) cluster.boot(machine);
+  cluster.waitUntil(hasLeader(cluster), 10_000);
+  cluster.boot(formedMachine);
+  cluster.wait(6000);
+  expect(fleetIds(cluster)).toHaveLength(1);
+  expect(cluster.diskMachines.map((machine) => machine.status?.state)).toEqual([
     "formed",
     "formed",
     "formed",
@@ -183,76 +193,85 @@
   ]);
 });
 
-test("a formed fleet restarts from its nodes' disks, also while no seed is up", () => {
-  const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c", "e:b"], [0]);
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
-  expect(stage.commitConfig(1)).toBe(true);
-  for (const machine of stage.machines) stage.kill(machine);
-  for (const machine of stage.diskMachines) stage.boot(machine, later);
-  expect(stage.waitUntil(isLed(stage), 5000)).toBeLessThan(3000);
+test("a formed fleet restarts from its nodes' disks, even while no seed is up", () => {
+  const cluster = new ClusterFixture(["e:a", "d:a", "d:b", "d:c", "e:b"], [0]);
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  expect(cluster.commitConfig(1)).toBe(true);
+  for (const machine of cluster.machines) cluster.kill(machine);
+  for (const machine of cluster.diskMachines) cluster.boot(machine, restartSettings);
+  expect(cluster.waitUntil(hasLeader(cluster), 5000)).toBeLessThan(3000);
 });
 
-test("a voter that lost its disk isn't formed again beside one that doesn't know yet that all had formed", () => {
-  const stage = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0]);
-  stage.bootAll();
-  const [founder, emptied, kept, late] = [0, 1, 2, 3].map((at) => stage.machineAt(at));
-  if (!founder || !emptied || !kept || !late) throw new Error("There are too few machines.");
-  stage.waitUntil(() => late.status?.state === "unborn", 3000);
+test("a voter that lost its disk doesn't form the log again with a voter that doesn't know yet that all had formed it", () => {
+  const cluster = new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0]);
+  cluster.bootAll();
+  const [initiator, emptied, opened, unopened] = [0, 1, 2, 3].map((at) => cluster.machineAt(at));
+  if (!initiator || !emptied || !opened || !unopened)
+    throw new Error("There are too few machines.");
+  cluster.waitUntil(() => unopened.status?.state === "unborn", 3000);
   const files = ["slot-a", "slot-b", "log-1"]
-    .map((name) => [name, late.disk?.peek(name) ?? Buffer.alloc(0)] as const)
+    .map((name) => [name, unopened.disk?.peek(name) ?? Buffer.alloc(0)] as const)
     .filter(([name, bytes]) => bytes.length > 0 || name === "log-1");
-  stage.waitUntil(isLed(stage), 5000);
-  stage.kill(late, true);
-  for (const [name, bytes] of files) late.disk?.poke(name, bytes);
-  stage.waitUntil(isLed(stage), 5000);
-  expect(stage.commitConfig(1)).toBe(true);
-  const fleet = stage.fleetIdOf(kept);
-  for (const machine of [founder, emptied, late]) stage.partition(kept, machine);
-  stage.kill(founder);
-  stage.kill(emptied, true);
-  stage.bootAll();
-  stage.waitUntil(() => late.status?.state === "unborn", 1000);
-  stage.wait(8000);
-  expect([emptied, late].map((machine) => [machine.status?.state, machine.status?.term])).toEqual([
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  cluster.kill(unopened, true);
+  for (const [name, bytes] of files) unopened.disk?.poke(name, bytes);
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  expect(cluster.commitConfig(1)).toBe(true);
+  const fleet = cluster.fleetIdOf(opened);
+  for (const machine of [initiator, emptied, unopened]) cluster.partition(opened, machine);
+  cluster.kill(initiator);
+  cluster.kill(emptied, true);
+  cluster.bootAll();
+  cluster.waitUntil(() => unopened.status?.state === "unborn", 1000);
+  cluster.wait(8000);
+  expect(
+    [emptied, unopened].map((machine) => [machine.status?.state, machine.status?.term]),
+  ).toEqual([
     ["empty", 0],
     ["unborn", 0],
   ]);
-  for (const machine of [founder, emptied, late]) stage.partition(kept, machine, true);
-  stage.waitUntil(isLed(stage), 8000);
-  stage.waitUntil(() => emptied.status?.state === "formed", 5000);
-  expect(fleets(stage)).toEqual([fleet]);
-  stage.kill(kept);
-  stage.waitUntil(isLed(stage), 5000);
-  expect(stage.readConfig(stage.leader, 1)).toBe(configText(1));
+  for (const machine of [initiator, emptied, unopened]) cluster.heal(opened, machine);
+  cluster.waitUntil(hasLeader(cluster), 8000);
+  cluster.waitUntil(() => emptied.status?.state === "formed", 5000);
+  expect(fleetIds(cluster)).toEqual([fleet]);
+  cluster.kill(opened);
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  expect(cluster.readConfig(cluster.leader, 1)).toBe(configText(1));
 });
 
-test("a voter partitioned during the formation: none campaigns without it, and it forms only where the fleet starts for the first time", () => {
-  const build = (): ClusterFixture => new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0]);
-  const formsMs = firstFormedMs(build());
-  let midway = 0;
-  for (let cutMs = formsMs - 8; cutMs < formsMs + 4; cutMs += 0.1) {
-    const stage = build();
-    stage.bootAll();
-    stage.wait(cutMs);
-    const missed = stage.machineAt(3);
-    const others = stage.machines.filter((machine) => machine !== missed);
-    for (const machine of others) stage.partition(missed, machine);
-    stage.wait(3000);
-    const formed = others.filter((machine) => stage.fleetIdOf(machine) !== "");
-    if (stage.fleetIdOf(missed) !== "" || formed.length === 0) continue;
-    midway += 1;
-    const terms = (): number[] => stage.diskMachines.map((machine) => machine.status?.term ?? -1);
+test("no node campaigns while a voter is partitioned during the formation, and the voter forms the log only with `bootstrap` set", () => {
+  const createCluster = (): ClusterFixture => new ClusterFixture(["e:a", "d:a", "d:b", "d:c"], [0]);
+  const firstFormationMs = measureFirstFormation(createCluster());
+  let interruptedFormations = 0;
+  for (
+    let partitionMs = firstFormationMs - 8;
+    partitionMs < firstFormationMs + 4;
+    partitionMs += 0.1
+  ) {
+    const cluster = createCluster();
+    cluster.bootAll();
+    cluster.wait(partitionMs);
+    const partitioned = cluster.machineAt(3);
+    const reachable = cluster.machines.filter((machine) => machine !== partitioned);
+    for (const machine of reachable) cluster.partition(partitioned, machine);
+    cluster.wait(3000);
+    const formed = reachable.filter((machine) => cluster.fleetIdOf(machine) !== "");
+    if (cluster.fleetIdOf(partitioned) !== "" || formed.length === 0) continue;
+    interruptedFormations += 1;
+    const terms = (): number[] => cluster.diskMachines.map((machine) => machine.status?.term ?? -1);
     expect(terms()).toEqual([0, 0, 0]);
-    stage.kill(missed);
-    for (const machine of others) stage.partition(missed, machine, true);
-    stage.boot(missed, later);
-    stage.wait(5000);
-    expect([missed.status?.state, ...terms()]).toEqual(["empty", 0, 0, 0]);
-    stage.kill(missed);
-    stage.boot(missed, { bootstrap: true });
-    stage.waitUntil(isLed(stage), 5000);
-    expect(fleets(stage)).toEqual(formed.slice(0, 1).map((machine) => stage.fleetIdOf(machine)));
+    cluster.kill(partitioned);
+    for (const machine of reachable) cluster.heal(partitioned, machine);
+    cluster.boot(partitioned, restartSettings);
+    cluster.wait(5000);
+    expect([partitioned.status?.state, ...terms()]).toEqual(["empty", 0, 0, 0]);
+    cluster.kill(partitioned);
+    cluster.boot(partitioned, { bootstrap: true });
+    cluster.waitUntil(hasLeader(cluster), 5000);
+    expect(fleetIds(cluster)).toEqual(
+      formed.slice(0, 1).map((machine) => cluster.fleetIdOf(machine)),
+    );
   }
-  expect(midway).toBeGreaterThan(2);
+  expect(interruptedFormations).toBeGreaterThan(2);
 });
--- a/test/replication/config-entries.test.ts
+++ b/test/replication/config-entries.test.ts
@@ -11,59 +11,59 @@
 
 const service = { type: "services", meta: { name: "one" }, spec: { maxConns: 66 } };
 
-const largeOrder = (base: number, version: number, routes: number): ConfigChangeBytes => ({
+const largePutConfig = (base: number, version: number, routes: number): ConfigChangeBytes => ({
   target: "config/put",
   base: base === 0 ? "0" : `r${base}`,
   body: JSON.stringify({
     ver: `r${version}`,
-    objs: [...Array.from({ length: routes }, (_, at) => routeTo(`r${at}`, "one")), service],
+    objs: [...Array.from({ length: routes }, (_, index) => routeTo(`r${index}`, "one")), service],
   }),
 });
 
-const logBytes = (stage: ControlFixture): number[] =>
-  stage.diskMachines.map(({ disk }) => disk?.heldBytes ?? 0);
+const storedBytesByMachine = (cluster: ControlFixture): number[] =>
+  cluster.diskMachines.map(({ disk }) => disk?.heldBytes ?? 0);
 
-const begun = (): ControlFixture => {
-  const stage = new ControlFixture(machines, [0, 1, 2]);
-  stage.bootAll();
-  stage.wait(4000);
-  expect(stage.submitUntilFinal(largeOrder(0, 1, manyRoutes))).toBe(200);
-  stage.wait(2000);
-  return stage;
+const createClusterWithConfig = (): ControlFixture => {
+  const cluster = new ControlFixture(machines, [0, 1, 2]);
+  cluster.bootAll();
+  cluster.wait(4000);
+  expect(cluster.submitUntilFinal(largePutConfig(0, 1, manyRoutes))).toBe(200);
+  cluster.wait(2000);
+  return cluster;
 };
 
-/** Members begin to keep configurations within a second, each at its own moment. */
-const keptWithinMs = 2000;
+/** Time in which all members have persisted a configuration: each starts after a random delay of up to 1 s. */
+const persistWithinMs = 2000;
 
-test("what a change adds to every member's disk grows with the change, not with the configuration", () => {
-  const stage = begun();
-  // The history takes its first configuration whole, once.
+test("the bytes that a change adds to each member's disk depend on the size of the change, not of the configuration", () => {
+  const cluster = createClusterWithConfig();
+  // The history stores its first configuration completely, which these changes exclude from the measurement.
   for (const base of [1, 2, 3, 4])
     expect(
-      stage.submitUntilFinal(patchConfig(base, base + 1, { name: `r${base}`, svc: "one" })),
+      cluster.submitUntilFinal(patchConfig(base, base + 1, { name: `r${base}`, svc: "one" })),
     ).toBe(200);
-  stage.wait(keptWithinMs);
-  const before = logBytes(stage);
-  expect(stage.submitUntilFinal(patchConfig(5, 6, { name: "r7", svc: "one" }))).toBe(200);
-  expect(stage.submitUntilFinal(patchConfig(6, 7, { name: "added", svc: "one" }))).toBe(200);
-  stage.wait(keptWithinMs);
-  for (const [at, bytes] of logBytes(stage).entries())
-    expect(bytes - (before[at] ?? 0)).toBeLessThan(16 * 1024);
+  cluster.wait(persistWithinMs);
+  const bytesBefore = storedBytesByMachine(cluster);
+  expect(cluster.submitUntilFinal(patchConfig(5, 6, { name: "r7", svc: "one" }))).toBe(200);
+  expect(cluster.submitUntilFinal(patchConfig(6, 7, { name: "added", svc: "one" }))).toBe(200);
+  cluster.wait(persistWithinMs);
+  for (const [index, bytes] of storedBytesByMachine(cluster).entries())
+    expect(bytes - (bytesBefore[index] ?? 0)).toBeLessThan(16 * 1024);
 });
 
-test("a restarted member has the configuration that results from the log's changes", () => {
-  const stage = begun();
-  expect(stage.submitUntilFinal(patchConfig(1, 2, { name: "added", svc: "one" }))).toBe(200);
-  expect(stage.submitUntilFinal(largeOrder(2, 3, 2500))).toBe(200);
-  expect(stage.submitUntilFinal(patchConfig(3, 4, { name: "r9", svc: "one" }))).toBe(200);
-  stage.wait(1000);
-  const texts = stage.diskMachines.map((machine) => stage.readConfig(machine, 4));
-  for (const machine of stage.diskMachines) stage.kill(machine);
-  for (const machine of stage.diskMachines) stage.boot(machine, { bootstrap: false });
-  stage.wait(4000);
-  for (const [at, machine] of stage.diskMachines.entries()) {
-    expect(stage.readConfig(machine, 4)).toBe(texts[0]);
-    expect(texts[at]).toBe(texts[0]);
+test("a restarted member has the configuration that results from the changes in its log", () => {
+  const cluster = createClusterWithConfig();
+  expect(cluster.submitUntilFinal(patchConfig(1, 2, { name: "added", svc: "one" }))).toBe(200);
+  expect(cluster.submitUntilFinal(largePutConfig(2, 3, 2500))).toBe(200);
+  expect(cluster.submitUntilFinal(patchConfig(3, 4, { name: "r9", svc: "one" }))).toBe(200);
+  cluster.wait(1000);
+  const configTexts = cluster.diskMachines.map((machine) => cluster.readConfig(machine, 4));
+  for (const machine of cluster.diskMachines) cluster.kill(machine);
+  for (const machine of cluster.diskMachines) cluster.boot(machine, { bootstrap: false });
+  cluster.wait(4000);
+  for (const [index, machine] of cluster.diskMachines.entries()) {
+    expect(cluster.readConfig(machine, 4)).toBe(configTexts[0]);
+    expect(configTexts[index]).toBe(configTexts[0]);
   }
-  expect(stage.newestVersion(stage.machineAt(3))).toBe("r4");
+  expect(cluster.newestVersion(cluster.machineAt(3))).toBe("r4");
 });
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -10,71 +10,79 @@
 import { LargeConfig } from "./large-config.js";
 
 const diskMb = 64;
-const isLed = (stage: ClusterFixture) => (): boolean =>
-  stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+const hasLeader = (cluster: ClusterFixture) => (): boolean =>
+  cluster.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 
-/** Has the leader accept configs one after another, and keeps their texts. */
-class Changes {
+/** Proposes successive configs to the leader and retains the texts of the accepted ones. */
+class ConfigChanges {
   readonly texts: string[] = [];
-  private readonly stage: ClusterFixture;
+  private readonly cluster: ClusterFixture;
   private readonly config: LargeConfig;
   private readonly fromSequence: number;
 
-  constructor(stage: ClusterFixture, config: LargeConfig, fromSequence = 1) {
-    this.stage = stage;
+  constructor(cluster: ClusterFixture, config: LargeConfig, fromSequence = 1) {
+    this.cluster = cluster;
     this.config = config;
     this.fromSequence = fromSequence;
   }
 
-  get newest(): number {
+  get newestSequence(): number {
     return this.fromSequence + this.texts.length - 1;
   }
 
-  /** One change; tells how it ended within five seconds. */
-  accept(): string {
-    const replicationNode = this.stage.leader.daemon?.replicationNode;
+  /** Proposes the next config; returns the outcome, or the kind of result if it wasn't committed. */
+  proposeNext(): string {
+    const replicationNode = this.cluster.leader.daemon?.replicationNode;
     if (!replicationNode) return "no leader";
     const text = this.config.next();
     const command = encodeLogCommand({
       kind: "config",
-      expected: this.newest,
-      changeId: `c${this.newest + 1}`,
+      expected: this.newestSequence,
+      changeId: `c${this.newestSequence + 1}`,
       acceptedAt: "2026-01-01T00:00:00.000Z",
       text,
       services: [],
       routes: [],
     });
     const outcomes: string[] = [];
-    this.stage.startTask(
+    this.cluster.startTask(
       (function* () {
         const proposed = yield* replicationNode.propose(command);
         outcomes.push(proposed.kind === "committed" ? proposed.outcome : proposed.kind);
       })(),
     );
-    this.stage.waitUntil(() => outcomes.length > 0, 5000);
+    this.cluster.waitUntil(() => outcomes.length > 0, 5000);
     const [outcome = ""] = outcomes;
     if (outcome.includes("accepted")) this.texts.push(text);
     return outcome;
   }
 }
 
-/** How a read of a version ends at a machine. */
-const readAt = (stage: ClusterFixture, machine: FixtureMachine, sequence: number): string => {
+/** Reads a config at a machine; returns its text, or the kind of result if it isn't found. */
+const readConfigAt = (
+  cluster: ClusterFixture,
+  machine: FixtureMachine,
+  sequence: number,
+): string => {
   const { replicationNode } = machine.daemon ?? {};
   const reads: string[] = [];
   if (!replicationNode) return "no node";
-  stage.startTask(
+  cluster.startTask(
     (function* () {
       const read = yield* replicationNode.readConfig(sequence);
       reads.push(read.kind === "found" ? read.config.text : read.kind);
     })(),
   );
-  stage.waitUntil(() => reads.length > 0, 10_000);
+  cluster.waitUntil(() => reads.length > 0, 10_000);
   return reads[0] ?? "";
 };
 
-/** How the operators' port of a machine answers for a version. */
-const versionAt = (stage: ClusterFixture, machine: FixtureMachine, version: number): number => {
+/** Requests a version from a machine's admin API; returns the response's status code. */
+const requestVersionAt = (
+  cluster: ClusterFixture,
+  machine: FixtureMachine,
+  version: number,
+): number => {
   const codes: number[] = [];
   machine.daemon?.adminRequests.emit({
     clientRequest: {
@@ -85,112 +93,112 @@
     },
     respond: ({ code }) => codes.push(code),
   });
-  stage.waitUntil(() => codes.length > 0, 10_000);
+  cluster.waitUntil(() => codes.length > 0, 10_000);
   return codes[0] ?? 0;
 };
 
-const limitDisks = (stage: ClusterFixture): void => {
-  for (const { disk } of stage.diskMachines) if (disk) disk.capacityBytes = diskMb * 1_000_000;
+const limitDisks = (cluster: ClusterFixture): void => {
+  for (const { disk } of cluster.diskMachines) if (disk) disk.capacityBytes = diskMb * 1_000_000;
 };
 
-test("a large config is one that a gateway accepts", () => {
+test("the generated large config is valid", () => {
   const text = new LargeConfig(50).next();
   expect(checkConfig(JSON.parse(text))).not.toHaveProperty("faults");
 });
 
 test("1,000 changes of a configuration with 2,500 routes fit on a disk of 64 MB, before and after a restart", () => {
-  const stage = new ClusterFixture(["d:a"], [0], {
+  const cluster = new ClusterFixture(["d:a"], [0], {
     tolerate: { machines: 0, zones: 0 },
     limits: { diskMb },
   });
-  limitDisks(stage);
-  const machine = stage.machineAt(0);
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
-  const changes = new Changes(stage, new LargeConfig(2500));
-  for (let round = 0; round < 1000; round += 1) expect(changes.accept()).toContain("accepted");
-  stage.kill(machine);
-  stage.boot(machine, { bootstrap: false });
-  stage.waitUntil(isLed(stage), 10_000);
+  limitDisks(cluster);
+  const machine = cluster.machineAt(0);
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  const changes = new ConfigChanges(cluster, new LargeConfig(2500));
+  for (let round = 0; round < 1000; round += 1) expect(changes.proposeNext()).toContain("accepted");
+  cluster.kill(machine);
+  cluster.boot(machine, { bootstrap: false });
+  cluster.waitUntil(hasLeader(cluster), 10_000);
   for (const sequence of [1, 2, 64, 65, 700, 999, 1000])
-    expect(readAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
-  expect(stage.logLines.filter((line) => line.includes("disk full"))).toEqual([]);
+    expect(readConfigAt(cluster, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
+  expect(cluster.logLines.filter((line) => line.includes("disk full"))).toEqual([]);
   expect(machine.disk?.heldBytes ?? Infinity).toBeLessThan(diskMb * 1_000_000);
 }, 300_000);
 
 test("the history removes its oldest configs once its quota is used up, and reports them as removed", () => {
-  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb: 1 } });
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
+  const cluster = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb: 1 } });
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 5000);
   const config = new LargeConfig(120);
-  const changes = new Changes(stage, config);
-  let accepted = 0;
-  while (accepted < 1400) accepted += changes.accept().includes("accepted") ? 1 : 0;
-  stage.wait(5000);
-  const { leader } = stage;
-  expect(stage.logLines.some((line) => line.includes("history quota exceeded"))).toBe(true);
-  for (const machine of stage.diskMachines) {
-    expect(readAt(stage, machine, 1)).toBe("removed");
-    expect(readAt(stage, machine, 1400) === changes.texts[1399]).toBe(true);
-    expect(readAt(stage, machine, 1200) === changes.texts[1199]).toBe(true);
-    expect([1, 1200, 1400, 1401].map((version) => versionAt(stage, machine, version))).toEqual([
-      410, 200, 200, 404,
-    ]);
+  const changes = new ConfigChanges(cluster, config);
+  let acceptedCount = 0;
+  while (acceptedCount < 1400) acceptedCount += changes.proposeNext().includes("accepted") ? 1 : 0;
+  cluster.wait(5000);
+  const { leader } = cluster;
+  expect(cluster.logLines.some((line) => line.includes("history quota exceeded"))).toBe(true);
+  for (const machine of cluster.diskMachines) {
+    expect(readConfigAt(cluster, machine, 1)).toBe("removed");
+    expect(readConfigAt(cluster, machine, 1400) === changes.texts[1399]).toBe(true);
+    expect(readConfigAt(cluster, machine, 1200) === changes.texts[1199]).toBe(true);
+    expect(
+      [1, 1200, 1400, 1401].map((version) => requestVersionAt(cluster, machine, version)),
+    ).toEqual([410, 200, 200, 404]);
   }
-  for (const machine of stage.diskMachines) stage.kill(machine);
-  for (const machine of stage.diskMachines) stage.boot(machine, { bootstrap: false });
-  stage.waitUntil(isLed(stage), 6000);
-  stage.wait(3000);
-  expect(readAt(stage, leader, 1)).toBe("removed");
-  expect(readAt(stage, leader, 1400) === changes.texts[1399]).toBe(true);
+  for (const machine of cluster.diskMachines) cluster.kill(machine);
+  for (const machine of cluster.diskMachines) cluster.boot(machine, { bootstrap: false });
+  cluster.waitUntil(hasLeader(cluster), 6000);
+  cluster.wait(3000);
+  expect(readConfigAt(cluster, leader, 1)).toBe("removed");
+  expect(readConfigAt(cluster, leader, 1400) === changes.texts[1399]).toBe(true);
 }, 300_000);
 
-test("a disk that is full for a while delays changes only as long, and no old config is lost with the newest file", () => {
-  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
-  const changes = new Changes(stage, new LargeConfig(600));
+test("a full disk delays changes only while it is full, and the newest configs remain readable", () => {
+  const cluster = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  const changes = new ConfigChanges(cluster, new LargeConfig(600));
   const acceptUntil = (count: number): void => {
-    for (let tries = 0; changes.texts.length < count; tries += 1) {
-      if (tries > count + 40) throw new Error("Too many changes were refused.");
-      if (!isLed(stage)()) stage.waitUntil(isLed(stage), 6000);
-      changes.accept();
+    for (let attempts = 0; changes.texts.length < count; attempts += 1) {
+      if (attempts > count + 40) throw new Error("Too many changes were refused.");
+      if (!hasLeader(cluster)()) cluster.waitUntil(hasLeader(cluster), 6000);
+      changes.proposeNext();
     }
   };
   acceptUntil(300);
-  const [first, second] = stage.diskMachines;
+  const [first, second] = cluster.diskMachines;
   for (const machine of [first, second]) {
     if (!machine?.disk) throw new Error("A disk is missing.");
     machine.disk.full = true;
-    stage.wait(4000);
+    cluster.wait(4000);
     machine.disk.full = false;
-    stage.wait(2000);
+    cluster.wait(2000);
     acceptUntil(changes.texts.length + 150);
   }
-  for (const { disk } of stage.diskMachines) if (disk) disk.full = true;
-  stage.wait(3000);
-  for (const { disk } of stage.diskMachines) if (disk) disk.full = false;
-  stage.waitUntil(isLed(stage), 6000);
+  for (const { disk } of cluster.diskMachines) if (disk) disk.full = true;
+  cluster.wait(3000);
+  for (const { disk } of cluster.diskMachines) if (disk) disk.full = false;
+  cluster.waitUntil(hasLeader(cluster), 6000);
   acceptUntil(700);
-  for (const machine of stage.diskMachines) stage.kill(machine);
-  for (const machine of stage.diskMachines) stage.boot(machine, { bootstrap: false });
-  stage.waitUntil(isLed(stage), 6000);
-  for (const machine of stage.diskMachines)
+  for (const machine of cluster.diskMachines) cluster.kill(machine);
+  for (const machine of cluster.diskMachines) cluster.boot(machine, { bootstrap: false });
+  cluster.waitUntil(hasLeader(cluster), 6000);
+  for (const machine of cluster.diskMachines)
     for (const sequence of [690, 700])
-      expect(readAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
-  for (const { disk } of stage.diskMachines)
+      expect(readConfigAt(cluster, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
+  for (const { disk } of cluster.diskMachines)
     expect(disk?.heldBytes).toBeLessThan(diskMb * 1_000_000);
 }, 300_000);
 
-/** A member's disk as a former build left it: full of whole configs, 64 a file. */
-const fillAsFormerBuild = (
-  stage: ClusterFixture,
+/** Writes a disk as earlier builds did: files of 64 complete configs. Returns the newest sequence. */
+const writeLegacyDisk = (
+  cluster: ClusterFixture,
   machine: FixtureMachine,
   config: LargeConfig,
 ): number => {
   const { disk, peer } = machine;
   if (!disk) throw new Error("The disk is missing.");
-  const accepted = (sequence: number, text: string): AcceptedConfig => ({
+  const createAcceptedConfig = (sequence: number, text: string): AcceptedConfig => ({
     sequence,
     index: sequence,
     changeId: `c${sequence}`,
@@ -200,14 +208,14 @@
   const files = 14;
   for (let file = 0; file < files; file += 1) {
     const text = config.next();
-    const records = Array.from({ length: 64 }, (_, at) =>
-      encodeCompleteConfig(accepted(file * 64 + at + 1, text)),
+    const records = Array.from({ length: 64 }, (_, index) =>
+      encodeCompleteConfig(createAcceptedConfig(file * 64 + index + 1, text)),
     );
     disk.poke(`history-${file}`, Buffer.concat(records));
   }
   const newest = files * 64 + 1;
   const stateMachine = new StateMachine();
-  stateMachine.configs = [accepted(newest, config.next())];
+  stateMachine.configs = [createAcceptedConfig(newest, config.next())];
   stateMachine.recentConfigs = stateMachine.configs.map(({ sequence, changeId, acceptedAt }) => ({
     sequence,
     changeId,
@@ -223,61 +231,65 @@
     snapshot: stateMachine.snapshot({ voters: [peer], learners: [] }),
     entries: [],
   };
-  stage.startTask(new LogStore(disk).writeSnapshot(durableState));
-  stage.wait(200);
+  cluster.startTask(new LogStore(disk).writeSnapshot(durableState));
+  cluster.wait(200);
   return newest;
 };
 
-for (const [what, limitMb] of [
-  ["and no more than its share is kept", diskMb],
+for (const [description, limitMb] of [
+  ["and the history shrinks to its quota", diskMb],
   [
-    "also where nothing says how large the disk is: the history gives up room when it is full",
+    "even if the quota is larger than the disk: the history frees space when the disk is full",
     1000,
   ],
 ] as const)
-  test(`changes continue on a disk that a former build filled, ${what}`, () => {
-    const stage = new ClusterFixture(["d:a"], [0], {
+  test(`changes continue on a disk that an earlier build filled, ${description}`, () => {
+    const cluster = new ClusterFixture(["d:a"], [0], {
       tolerate: { machines: 0, zones: 0 },
       limits: { diskMb: limitMb },
       bootstrap: false,
     });
-    const machine = stage.machineAt(0);
+    const machine = cluster.machineAt(0);
     const config = new LargeConfig(2500);
-    const newest = fillAsFormerBuild(stage, machine, config);
+    const newest = writeLegacyDisk(cluster, machine, config);
     if (!machine.disk) throw new Error("The disk is missing.");
     expect(machine.disk.heldBytes).toBeGreaterThan(50_000_000);
     machine.disk.capacityBytes = machine.disk.heldBytes + 400_000;
-    stage.bootAll();
-    stage.waitUntil(isLed(stage), 5000);
-    const changes = new Changes(stage, config, newest + 1);
-    while (changes.texts.length < 200) expect(changes.accept()).toContain("accepted");
-    expect(readAt(stage, machine, changes.newest) === changes.texts.at(-1)).toBe(true);
-    expect(readAt(stage, machine, 1)).toBe("removed");
-    expect(JSON.parse(readAt(stage, machine, newest - 1))).toHaveProperty("routes");
-    stage.kill(machine);
-    stage.boot(machine);
-    stage.waitUntil(isLed(stage), 5000);
-    expect(readAt(stage, machine, changes.newest) === changes.texts.at(-1)).toBe(true);
+    cluster.bootAll();
+    cluster.waitUntil(hasLeader(cluster), 5000);
+    const changes = new ConfigChanges(cluster, config, newest + 1);
+    while (changes.texts.length < 200) expect(changes.proposeNext()).toContain("accepted");
+    expect(readConfigAt(cluster, machine, changes.newestSequence) === changes.texts.at(-1)).toBe(
+      true,
+    );
+    expect(readConfigAt(cluster, machine, 1)).toBe("removed");
+    expect(JSON.parse(readConfigAt(cluster, machine, newest - 1))).toHaveProperty("routes");
+    cluster.kill(machine);
+    cluster.boot(machine);
+    cluster.waitUntil(hasLeader(cluster), 5000);
+    expect(readConfigAt(cluster, machine, changes.newestSequence) === changes.texts.at(-1)).toBe(
+      true,
+    );
   }, 300_000);
 
-test("a member that lost its disk counts before it has the history, and fetches it afterwards", () => {
-  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
-  const changes = new Changes(stage, new LargeConfig(400));
-  while (changes.texts.length < 900) expect(changes.accept()).toContain("accepted");
-  const { leader } = stage;
-  const [emptied, other] = stage.diskMachines.filter((machine) => machine !== leader);
+test("a member that lost its disk votes and acknowledges before it has the history, and fetches the history afterwards", () => {
+  const cluster = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  const changes = new ConfigChanges(cluster, new LargeConfig(400));
+  while (changes.texts.length < 900) expect(changes.proposeNext()).toContain("accepted");
+  const { leader } = cluster;
+  const [emptied, other] = cluster.diskMachines.filter((machine) => machine !== leader);
   if (!emptied || !other) throw new Error("A member is missing.");
-  stage.kill(emptied, true);
-  stage.boot(emptied, { bootstrap: false });
-  stage.waitUntil(() => emptied.status?.state === "formed", 4000);
-  stage.kill(other);
-  expect(changes.accept()).toContain("accepted");
-  stage.boot(other, { bootstrap: false });
-  stage.wait(60_000);
-  for (const machine of stage.diskMachines.filter((machine) => machine !== emptied))
-    stage.kill(machine);
+  cluster.kill(emptied, true);
+  cluster.boot(emptied, { bootstrap: false });
+  cluster.waitUntil(() => emptied.status?.state === "formed", 4000);
+  cluster.kill(other);
+  expect(changes.proposeNext()).toContain("accepted");
+  cluster.boot(other, { bootstrap: false });
+  cluster.wait(60_000);
+  for (const machine of cluster.diskMachines.filter((machine) => machine !== emptied))
+    cluster.kill(machine);
   for (const sequence of [1, 64, 65, 500, 900, 901])
-    expect(readAt(stage, emptied, sequence) === changes.texts[sequence - 1]).toBe(true);
+    expect(readConfigAt(cluster, emptied, sequence) === changes.texts[sequence - 1]).toBe(true);
 }, 300_000);
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -6,11 +6,11 @@
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { configText, ClusterFixture, type FixtureMachine } from "./fleet-stage.js";
 
-const isLed = (stage: ClusterFixture) => (): boolean =>
-  stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+const hasLeader = (cluster: ClusterFixture) => (): boolean =>
+  cluster.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 
-/** The state machine with as many keys as are kept at most and names that deflate badly: 20 MB of text. */
-const fullestBook = (): { stateMachine: StateMachine; lastIndex: number } => {
+/** Creates a state machine with the maximum number of keys and names that compress badly: 20 MB of text. */
+const createLargestState = (): { stateMachine: StateMachine; lastIndex: number } => {
   const random = RandomDraw.of(21);
   const stateMachine = new StateMachine();
   let index = 0;
@@ -25,21 +25,21 @@
     services: [],
     routes: [],
   });
-  const word = (): string => random().toString(36).slice(2);
-  for (let at = 0; at < 40_000; at += 1) {
-    const scope = String(at).padStart(64, word());
-    const job = `${word()}-${at}`;
-    const name = Array.from({ length: 22 }, word).join("").slice(0, 230);
+  const randomWord = (): string => random().toString(36).slice(2);
+  for (let claim = 0; claim < 40_000; claim += 1) {
+    const scope = String(claim).padStart(64, randomWord());
+    const job = `${randomWord()}-${claim}`;
+    const name = Array.from({ length: 22 }, randomWord).join("").slice(0, 230);
     apply({ kind: "claim", scope, bodyHash: "a".repeat(64), job, holders: [name] });
   }
   return { stateMachine, lastIndex: index };
 };
-const fullest = fullestBook();
+const largest = createLargestState();
 
-/** Three voters, of whom the third knows the first entry only; the others begin with the record at its fullest. */
-const stageWithOneBehind = () => {
-  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { bootstrap: false });
-  const voters = stage.diskMachines.map(({ peer }) => peer);
+/** Creates three voters: the third has only the first entry, the others start with the largest state. */
+const createClusterWithLaggingMember = () => {
+  const cluster = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { bootstrap: false });
+  const voters = cluster.diskMachines.map(({ peer }) => peer);
   const members = { voters, learners: [] };
   const durableState = {
     fleet: "f",
@@ -50,125 +50,139 @@
     entries: [],
   };
   const first = new StateMachine();
-  first.configs = fullest.stateMachine.configs;
-  const whole: DurableState = {
+  first.configs = largest.stateMachine.configs;
+  const largestState: DurableState = {
     ...durableState,
-    lastIndex: fullest.lastIndex,
-    snapshot: fullest.stateMachine.snapshot(members),
+    lastIndex: largest.lastIndex,
+    snapshot: largest.stateMachine.snapshot(members),
   };
-  const old: DurableState = { ...durableState, lastIndex: 1, snapshot: first.snapshot(members) };
-  const [one, two, behind] = stage.diskMachines;
-  if (!one || !two || !behind) throw new Error("A machine is missing.");
-  for (const machine of stage.diskMachines)
+  const laggingState: DurableState = {
+    ...durableState,
+    lastIndex: 1,
+    snapshot: first.snapshot(members),
+  };
+  const [firstMember, secondMember, lagging] = cluster.diskMachines;
+  if (!firstMember || !secondMember || !lagging) throw new Error("A machine is missing.");
+  for (const machine of cluster.diskMachines)
     if (machine.disk)
-      stage.startTask(new LogStore(machine.disk).writeSnapshot(machine === behind ? old : whole));
-  stage.wait(500);
-  const others = [one, two];
-  return { stage, others, behind, totalBytes: Buffer.byteLength(whole.snapshot) };
+      cluster.startTask(
+        new LogStore(machine.disk).writeSnapshot(machine === lagging ? laggingState : largestState),
+      );
+  cluster.wait(500);
+  const others = [firstMember, secondMember];
+  return {
+    cluster,
+    others,
+    lagging,
+    totalBytes: Buffer.byteLength(largestState.snapshot),
+  };
 };
-type Staged = ReturnType<typeof stageWithOneBehind>;
+type LaggingMemberCase = ReturnType<typeof createClusterWithLaggingMember>;
 
-const holdsAll = ({ behind }: Staged): boolean =>
-  (behind.status?.committed ?? 0) >= fullest.lastIndex;
-const receivedOf = (machine: FixtureMachine): number =>
+const hasCaughtUp = ({ lagging }: LaggingMemberCase): boolean =>
+  (lagging.status?.committed ?? 0) >= largest.lastIndex;
+const receivedSnapshotBytes = (machine: FixtureMachine): number =>
   machine.daemon?.replicationNode?.receivedSnapshotBytes ?? 0;
 
-/** Whether the one that was behind leads and takes changes with each of the others alone. */
-const leadsInTurn = ({ stage, others, behind }: Staged, newest: number): void => {
+/** Expects that the cluster keeps its state and commits changes after each of the other members alone is lost. */
+const expectSurvivesEachLoss = (
+  { cluster, others, lagging }: LaggingMemberCase,
+  newest: number,
+): void => {
   let sequence = newest;
   for (const lost of others) {
-    stage.kill(lost);
-    stage.waitUntil(isLed(stage), 8000);
-    expect(stage.readConfig(stage.leader, sequence)).toBe(configText(sequence));
+    cluster.kill(lost);
+    cluster.waitUntil(hasLeader(cluster), 8000);
+    expect(cluster.readConfig(cluster.leader, sequence)).toBe(configText(sequence));
     sequence += 1;
-    expect(stage.commitConfig(sequence)).toBe(true);
-    stage.boot(lost);
-    stage.waitUntil(() => lost.status?.committed === stage.leader.status?.committed, 30_000);
+    expect(cluster.commitConfig(sequence)).toBe(true);
+    cluster.boot(lost);
+    cluster.waitUntil(() => lost.status?.committed === cluster.leader.status?.committed, 30_000);
   }
-  expect(behind.status?.state).toBe("formed");
+  expect(lagging.status?.state).toBe("formed");
 };
 
-test("the largest state machine reaches a member over a slow, lossy link that is cut again and again", () => {
-  const staged = stageWithOneBehind();
-  const { stage, others, behind, totalBytes } = staged;
+test("the largest snapshot reaches a member over a slow, lossy link that is partitioned repeatedly", () => {
+  const testCase = createClusterWithLaggingMember();
+  const { cluster, others, lagging, totalBytes } = testCase;
   expect(totalBytes).toBeGreaterThan(18_000_000);
-  stage.network.bytesPerMs = 1250;
-  stage.network.weather = { slowMs: 30, slowConnectMs: 0, lossPart: 0.02 };
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 8000);
-  let largest = 0;
+  cluster.network.bytesPerMs = 1250;
+  cluster.network.weather = { slowMs: 30, slowConnectMs: 0, lossPart: 0.02 };
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 8000);
+  let maxReceivedBytes = 0;
   for (let round = 0; round < 4; round += 1) {
-    stage.wait(1500);
-    expect(receivedOf(behind)).toBeGreaterThan(largest);
-    largest = receivedOf(behind);
-    for (const other of others) stage.partition(other, behind);
-    stage.wait(5000);
-    for (const other of others) stage.partition(other, behind, true);
+    cluster.wait(1500);
+    expect(receivedSnapshotBytes(lagging)).toBeGreaterThan(maxReceivedBytes);
+    maxReceivedBytes = receivedSnapshotBytes(lagging);
+    for (const other of others) cluster.partition(other, lagging);
+    cluster.wait(5000);
+    for (const other of others) cluster.heal(other, lagging);
   }
-  stage.waitUntil(() => holdsAll(staged), 60_000);
-  stage.network.heal();
-  leadsInTurn(staged, 1);
+  cluster.waitUntil(() => hasCaughtUp(testCase), 60_000);
+  cluster.network.heal();
+  expectSurvivesEachLoss(testCase, 1);
 }, 120_000);
 
-test("a snapshot transfer continues after the member was restarted, and with another leader", () => {
-  const staged = stageWithOneBehind();
-  const { stage, behind } = staged;
-  stage.network.bytesPerMs = 2500;
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 8000);
-  stage.waitUntil(() => receivedOf(behind) > 4_000_000, 20_000);
-  const before = receivedOf(behind);
-  stage.kill(behind);
-  stage.boot(behind);
-  stage.waitUntil(() => receivedOf(behind) > 0, 3000);
-  expect(receivedOf(behind)).toBeGreaterThan(before - 1_000_000);
-  stage.waitUntil(() => receivedOf(behind) > 8_000_000, 20_000);
-  const former = stage.leader;
-  stage.kill(former);
-  stage.boot(former);
-  stage.waitUntil(isLed(stage), 8000);
-  stage.waitUntil(() => holdsAll(staged), 60_000);
-  leadsInTurn(staged, 1);
+test("a snapshot transfer continues after the member restarts, and under another leader", () => {
+  const testCase = createClusterWithLaggingMember();
+  const { cluster, lagging } = testCase;
+  cluster.network.bytesPerMs = 2500;
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 8000);
+  cluster.waitUntil(() => receivedSnapshotBytes(lagging) > 4_000_000, 20_000);
+  const receivedBefore = receivedSnapshotBytes(lagging);
+  cluster.kill(lagging);
+  cluster.boot(lagging);
+  cluster.waitUntil(() => receivedSnapshotBytes(lagging) > 0, 3000);
+  expect(receivedSnapshotBytes(lagging)).toBeGreaterThan(receivedBefore - 1_000_000);
+  cluster.waitUntil(() => receivedSnapshotBytes(lagging) > 8_000_000, 20_000);
+  const previousLeader = cluster.leader;
+  cluster.kill(previousLeader);
+  cluster.boot(previousLeader);
+  cluster.waitUntil(hasLeader(cluster), 8000);
+  cluster.waitUntil(() => hasCaughtUp(testCase), 60_000);
+  expectSurvivesEachLoss(testCase, 1);
 }, 120_000);
 
 test("a member catches up during hundreds of changes, with snapshots written meanwhile", () => {
-  const staged = stageWithOneBehind();
-  const { stage, behind } = staged;
-  stage.network.bytesPerMs = 2500;
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 8000);
+  const testCase = createClusterWithLaggingMember();
+  const { cluster, lagging } = testCase;
+  cluster.network.bytesPerMs = 2500;
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 8000);
   let newest = 1;
-  while (newest < 400 || !holdsAll(staged)) {
+  while (newest < 400 || !hasCaughtUp(testCase)) {
     newest += 1;
-    expect(stage.commitConfig(newest)).toBe(true);
-    if (newest > 4000) throw new Error("It never catches up.");
+    expect(cluster.commitConfig(newest)).toBe(true);
+    if (newest > 4000) throw new Error("The member has not caught up after 4000 changes.");
   }
-  stage.waitUntil(() => behind.status?.committed === stage.leader.status?.committed, 5000);
-  leadsInTurn(staged, newest);
+  cluster.waitUntil(() => lagging.status?.committed === cluster.leader.status?.committed, 5000);
+  expectSurvivesEachLoss(testCase, newest);
 }, 120_000);
 
-test("300 changes while a member is away, then the others are lost in turn: it leads with the newest state only", () => {
-  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2]);
-  stage.bootAll();
-  stage.waitUntil(isLed(stage), 5000);
-  expect(stage.commitConfig(1)).toBe(true);
-  const { leader } = stage;
-  const away = stage.diskMachines.find((machine) => machine !== leader);
-  if (!away) throw new Error("A machine is missing.");
-  stage.kill(away);
+test("a member that missed 300 changes catches up before the others are lost in turn, and no committed change is lost", () => {
+  const cluster = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2]);
+  cluster.bootAll();
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  expect(cluster.commitConfig(1)).toBe(true);
+  const { leader } = cluster;
+  const stopped = cluster.diskMachines.find((machine) => machine !== leader);
+  if (!stopped) throw new Error("A machine is missing.");
+  cluster.kill(stopped);
   for (let sequence = 2; sequence <= 330; sequence += 1)
-    expect(stage.commitConfig(sequence)).toBe(true);
-  stage.boot(away, { bootstrap: false });
-  const others = stage.diskMachines.filter((machine) => machine !== away);
-  stage.waitUntil(() => away.status?.committed === stage.leader.status?.committed, 5000);
+    expect(cluster.commitConfig(sequence)).toBe(true);
+  cluster.boot(stopped, { bootstrap: false });
+  const others = cluster.diskMachines.filter((machine) => machine !== stopped);
+  cluster.waitUntil(() => stopped.status?.committed === cluster.leader.status?.committed, 5000);
   let newest = 330;
   for (const lost of others) {
-    stage.kill(lost);
-    stage.waitUntil(isLed(stage), 6000);
-    expect(stage.readConfig(stage.leader, newest)).toBe(configText(newest));
+    cluster.kill(lost);
+    cluster.waitUntil(hasLeader(cluster), 6000);
+    expect(cluster.readConfig(cluster.leader, newest)).toBe(configText(newest));
     newest += 1;
-    expect(stage.commitConfig(newest)).toBe(true);
-    stage.boot(lost, { bootstrap: false });
-    stage.waitUntil(() => lost.status?.committed === stage.leader.status?.committed, 5000);
+    expect(cluster.commitConfig(newest)).toBe(true);
+    cluster.boot(lost, { bootstrap: false });
+    cluster.waitUntil(() => lost.status?.committed === cluster.leader.status?.committed, 5000);
   }
 }, 120_000);
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -1,3 +1,4 @@
+/** A cluster of virtual machines for tests of the replicated log and of what depends on it. */
 import { Daemon } from "../../src/daemon/daemon.js";
 import type { DaemonOptions } from "../../src/daemon/daemon-options.js";
 import type { Settings } from "../../src/daemon/settings.js";
@@ -13,15 +14,15 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-const fail = (error: unknown): void => {
+const throwError = (error: unknown): void => {
   throw error;
 };
 
-/** The text of the config that has a sequence in a staged fleet. */
+/** Returns the text of the config that `commitConfig` commits under a sequence. */
 export const configText = (sequence: number): string =>
   `{"services":{"service-${sequence}":{}},"routes":{}}`;
 
-/** One machine of a staged fleet. */
+/** One machine of a fixture's cluster; its daemon is `undefined` while the machine is down. */
 export class FixtureMachine {
   settings: Settings;
   readonly disk: VirtualDisk | undefined;
@@ -37,19 +38,20 @@
     return this.settings.peers;
   }
 
+  /** The status of the machine's replication node. */
   get status() {
     return this.daemon?.replicationNode?.status;
   }
 }
 
-/** What the process of a staged machine runs on. */
+/** The environment of one process on a machine of the fixture. */
 export interface ProcessEnvironment {
   readonly gate: EventGate;
   readonly clock: Clock;
   readonly network: Network;
 }
 
-/** Daemons on a virtual network: `d` is a machine with a disk, `e` one without; each letter pair names kind and zone. */
+/** A cluster of daemons on a virtual clock, network and disks, run in one process. */
 export class ClusterFixture {
   readonly virtualClock = new VirtualClock();
   readonly random = RandomDraw.of(7);
@@ -57,7 +59,7 @@
   readonly logLines: string[] = [];
   readonly machines: FixtureMachine[];
 
-  /** Machines such as "d:a" (a disk in zone a) and "e:b" (an edge in zone b); the seeds are given by their places in the list. */
+  /** Machines are given as "d:a" (with a disk, in zone a) or "e:b" (an edge in zone b), seeds by their positions in the list. */
   constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
     const peer = (position: number): string => `10.0.0.${position + 1}:7000`;
     this.machines = machines.map((spec, position) => {
@@ -78,33 +80,36 @@
     });
   }
 
-  machineAt(place: number): FixtureMachine {
-    const machine = this.machines[place];
-    if (!machine) throw new Error(`There is no machine ${place}.`);
+  /** Returns the machine at a position of the list. */
+  machineAt(position: number): FixtureMachine {
+    const machine = this.machines[position];
+    if (!machine) throw new Error(`no machine at position ${position} of ${this.machines.length}`);
     return machine;
   }
 
+  /** The machines with a disk. */
   get diskMachines(): FixtureMachine[] {
     return this.machines.filter(({ disk }) => disk !== undefined);
   }
 
-  /** The machine that leads and may answer. */
+  /** The machine of the leader that holds a lease. */
   get leader(): FixtureMachine {
     const leader = this.diskMachines.find(
       ({ daemon }) => daemon?.replicationNode?.holdsLease === true,
     );
-    if (!leader) throw new Error("Nobody leads.");
+    if (!leader) throw new Error("No node leads under a lease.");
     return leader;
   }
 
-  /** The fleets whose record is held, by machine. */
+  /** Returns the id of the fleet whose log a machine has, or an empty string. */
   fleetIdOf(machine: FixtureMachine): string {
     return machine.daemon?.replicationNode?.bootstrapStatus.fleet ?? "";
   }
 
-  boot(machine: FixtureMachine, more: Partial<Settings> = {}): void {
+  /** Starts a machine's daemon unless it runs, with changed settings if any are given. */
+  boot(machine: FixtureMachine, settings: Partial<Settings> = {}): void {
     if (machine.daemon) return;
-    machine.settings = { ...machine.settings, ...more };
+    machine.settings = { ...machine.settings, ...settings };
     const { gate, clock, network } = this.createEnvironment(machine);
     machine.gate = gate;
     machine.disk?.restart(clock);
@@ -121,12 +126,12 @@
     this.startTask(machine.daemon.start());
   }
 
-  /** What its daemons are told besides their settings. */
+  /** The daemons' options, in addition to their settings. */
   protected daemonOptions(): DaemonOptions {
     return { backendClient: unreachableBackends };
   }
 
-  /** What a machine's next life runs on. */
+  /** Creates the environment of a machine's next process. */
   protected createEnvironment({ settings }: FixtureMachine): ProcessEnvironment {
     const gate = new EventGate();
     const clock = gate.clock(this.virtualClock.clock());
@@ -137,44 +142,46 @@
     for (const machine of this.machines) this.boot(machine);
   }
 
-  /** The process dies at once; with `wipes`, its disk is lost too. */
-  kill(machine: FixtureMachine, wipes = false): void {
+  /** Ends a machine's process without a shutdown; with `wipesDisk`, its disk is wiped as well. */
+  kill(machine: FixtureMachine, wipesDisk = false): void {
     machine.gate.kill();
     machine.daemon = undefined;
     machine.disk?.finishWrites();
-    if (wipes) machine.disk?.wipe();
+    if (wipesDisk) machine.disk?.wipe();
     this.network.drop(machine.settings.machine);
   }
 
-  /** Cuts two machines from each other, or joins them again. */
-  partition(one: FixtureMachine, other: FixtureMachine, mends = false): void {
-    for (const [from, to] of [
-      [one, other],
-      [other, one],
-    ] as const) {
-      if (mends) this.network.mend(from.settings.machine, to.settings.machine);
-      else this.network.cut(from.settings.machine, to.settings.machine);
-    }
+  /** Partitions the network between two machines, in both directions. */
+  partition(one: FixtureMachine, other: FixtureMachine): void {
+    this.network.cut(one.settings.machine, other.settings.machine);
+    this.network.cut(other.settings.machine, one.settings.machine);
+  }
+
+  /** Heals the partition between two machines. */
+  heal(one: FixtureMachine, other: FixtureMachine): void {
+    this.network.mend(one.settings.machine, other.settings.machine);
+    this.network.mend(other.settings.machine, one.settings.machine);
   }
 
-  wait(forMs: number): void {
-    this.virtualClock.runUntil(this.virtualClock.nowMs() + forMs);
+  /** Advances the clock. */
+  wait(durationMs: number): void {
+    this.virtualClock.runUntil(this.virtualClock.nowMs() + durationMs);
   }
 
-  /** Moves time on until something holds; tells how long that took. */
-  waitUntil(holds: () => boolean, atMostMs: number): number {
-    const sinceMs = this.virtualClock.nowMs();
-    while (!holds()) {
-      if (this.virtualClock.nowMs() - sinceMs >= atMostMs)
+  /** Advances the clock until a condition holds; returns the elapsed time in ms, and throws after the timeout. */
+  waitUntil(condition: () => boolean, timeoutMs: number): number {
+    const startedMs = this.virtualClock.nowMs();
+    while (!condition()) {
+      if (this.virtualClock.nowMs() - startedMs >= timeoutMs)
         throw new Error(
-          `It doesn't hold after ${atMostMs} ms.\n${this.logLines.slice(-30).join("\n")}`,
+          `condition not met after ${timeoutMs} ms\n${this.logLines.slice(-30).join("\n")}`,
         );
       this.wait(5);
     }
-    return this.virtualClock.nowMs() - sinceMs;
+    return this.virtualClock.nowMs() - startedMs;
   }
 
-  /** Has the leader accept a config; tells whether it was acknowledged within five seconds. */
+  /** Proposes a config to the leader; returns whether it was accepted, and throws if there is no result within 5 s. */
   commitConfig(sequence: number): boolean {
     const outcomes: boolean[] = [];
     const replicationNode = this.leader.daemon?.replicationNode;
@@ -198,7 +205,7 @@
     return outcomes[0] === true;
   }
 
-  /** The text of an accepted config, as a machine's recorder finds it. */
+  /** Reads the text of an accepted config through a machine's node; `undefined` if it isn't found. */
   readConfig(machine: FixtureMachine, sequence: number): string | undefined {
     const texts: Array<string | undefined> = [];
     const replicationNode = machine.daemon?.replicationNode;
@@ -214,6 +221,6 @@
   }
 
   startTask(task: Task<unknown>): void {
-    runTask(task, fail);
+    runTask(task, throwError);
   }
 }
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -11,7 +11,7 @@
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../../src/simulation/virtual-disk.js";
 
-const config = (sequence: number, version?: number): AcceptedConfig => ({
+const createConfig = (sequence: number, version?: number): AcceptedConfig => ({
   sequence,
   index: sequence,
   changeId: `c${sequence}`,
@@ -20,67 +20,67 @@
   ...(version === undefined ? {} : { version }),
 });
 
-test("what a failed addition left is cut off before more is added, and versions are stored", () => {
-  const time = new VirtualClock();
-  const disk = new VirtualDisk(time.clock(), () => 0.5);
+test("the remains of a failed append are truncated before the next one, and versions are stored", () => {
+  const virtualClock = new VirtualClock();
+  const disk = new VirtualDisk(virtualClock.clock(), () => 0.5);
   const errors: unknown[] = [];
-  const run = <T>(task: Task<T>): T | undefined => {
+  const runTaskToEnd = <T>(task: Task<T>): T | undefined => {
     const values: T[] = [];
     runTask(
       task,
       (error) => errors.push(error),
       (value) => values.push(value),
     );
-    time.runUntil(time.nowMs() + 5000);
+    virtualClock.runUntil(virtualClock.nowMs() + 5000);
     return values[0];
   };
   const history = new ConfigHistory(disk);
-  run(history.load([]));
-  run(history.add([config(1), config(2, 9)]));
-  const whole = Buffer.from(disk.peek("configs-1"));
+  runTaskToEnd(history.load([]));
+  runTaskToEnd(history.add([createConfig(1), createConfig(2, 9)]));
+  const storedBytes = Buffer.from(disk.peek("configs-1"));
   disk.full = true;
-  run(history.add([config(3, 12)]));
+  runTaskToEnd(history.add([createConfig(3, 12)]));
   expect(errors).toHaveLength(1);
   disk.full = false;
-  disk.poke("configs-1", Buffer.concat([whole, whole.subarray(0, 20)]));
-  run(history.add([config(3, 12), config(4, 13)]));
-  const again = new ConfigHistory(disk);
-  run(again.load(["configs-1"]));
-  expect(again.newestSequence).toBe(4);
-  expect([1, 2, 3, 4].map((sequence) => run(again.read(sequence)))).toEqual([
-    config(1),
-    config(2, 9),
-    config(3, 12),
-    config(4, 13),
+  disk.poke("configs-1", Buffer.concat([storedBytes, storedBytes.subarray(0, 20)]));
+  runTaskToEnd(history.add([createConfig(3, 12), createConfig(4, 13)]));
+  const reopened = new ConfigHistory(disk);
+  runTaskToEnd(reopened.load(["configs-1"]));
+  expect(reopened.newestSequence).toBe(4);
+  expect([1, 2, 3, 4].map((sequence) => runTaskToEnd(reopened.read(sequence)))).toEqual([
+    createConfig(1),
+    createConfig(2, 9),
+    createConfig(3, 12),
+    createConfig(4, 13),
   ]);
   expect(errors).toHaveLength(1);
 });
 
-const fail = (error: unknown): void => {
+const throwError = (error: unknown): void => {
   throw error;
 };
 const setUp = () => {
-  const time = new VirtualClock();
-  const disk = new VirtualDisk(time.clock(), () => 0.5);
-  const run = <T>(task: Task<T>): T => {
+  const virtualClock = new VirtualClock();
+  const disk = new VirtualDisk(virtualClock.clock(), () => 0.5);
+  const runTaskToEnd = <T>(task: Task<T>): T => {
     const values: T[] = [];
-    runTask(task, fail, (value) => values.push(value));
-    time.runUntil(time.nowMs() + 5000);
+    runTask(task, throwError, (value) => values.push(value));
+    virtualClock.runUntil(virtualClock.nowMs() + 5000);
     for (const value of values) return value;
     throw new Error("The task has not ended.");
   };
-  const reopened = (): ConfigHistory => {
+  const reopenHistory = (): ConfigHistory => {
     const history = new ConfigHistory(disk);
-    run(history.load(run(disk.list())));
+    runTaskToEnd(history.load(runTaskToEnd(disk.list())));
     return history;
   };
-  return { disk, run, reopened };
+  return { disk, runTaskToEnd, reopenHistory };
 };
 
-test("hundreds of accepted configs are read back, also after one disk was lost, one damaged, and the third machine lost", () => {
+test("hundreds of accepted configs are readable after one disk was lost, one was damaged and the third machine was lost", () => {
   const simulation = new Simulation(shippedProfiles.rastro, 3, 0.01);
-  const wait = (forMs: number): void =>
-    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
+  const wait = (durationMs: number): void =>
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + durationMs);
   simulation.begin();
   wait(3000);
   while (simulation.recorder.of("accepted").length < 230) {
@@ -93,9 +93,9 @@
   one.disk.wipe();
   simulation.boot(one);
   simulation.kill(two, true);
-  const bent = Buffer.from(two.disk.peek("configs-1"));
-  bent[400] = (bent[400] ?? 0) ^ 255;
-  two.disk.poke("configs-1", bent);
+  const corruptedBytes = Buffer.from(two.disk.peek("configs-1"));
+  corruptedBytes[400] = (corruptedBytes[400] ?? 0) ^ 255;
+  two.disk.poke("configs-1", corruptedBytes);
   simulation.boot(two);
   wait(8000);
   expect([one, two].map(({ daemon }) => daemon?.replicationNode?.status.state)).toEqual([
@@ -116,106 +116,109 @@
   expect(Math.max(...slots)).toBeLessThan(150_000);
 });
 
-test("configs are stored in order across files, once each, and an incomplete record at the end is cut off", () => {
-  const { disk, run, reopened } = setUp();
-  const history = reopened();
-  run(history.add(Array.from({ length: 150 }, (_, at) => config(at + 1))));
-  run(history.add([config(149), config(150), config(151)]));
+test("configs are stored once each, in order across files, and an incomplete record at the end is truncated", () => {
+  const { disk, runTaskToEnd, reopenHistory } = setUp();
+  const history = reopenHistory();
+  runTaskToEnd(history.add(Array.from({ length: 150 }, (_, at) => createConfig(at + 1))));
+  runTaskToEnd(history.add([createConfig(149), createConfig(150), createConfig(151)]));
   expect(history.newestSequence).toBe(151);
   const tail = disk.peek("configs-129");
   disk.poke("configs-129", tail.subarray(0, tail.length - 3));
-  const again = reopened();
-  expect(again.newestSequence).toBe(150);
-  run(again.add([config(151), config(152)]));
+  const reopened = reopenHistory();
+  expect(reopened.newestSequence).toBe(150);
+  runTaskToEnd(reopened.add([createConfig(151), createConfig(152)]));
   for (const sequence of [1, 64, 65, 128, 129, 152])
-    expect(run(reopened().read(sequence))).toEqual(config(sequence));
-  expect(run(again.read(153))).toBeUndefined();
+    expect(runTaskToEnd(reopenHistory().read(sequence))).toEqual(createConfig(sequence));
+  expect(runTaskToEnd(reopened.read(153))).toBeUndefined();
   expect(
-    ConfigHistory.unpackPiece(run(again.readPiece(100)), 100).map(({ sequence }) => sequence),
+    ConfigHistory.unpackPiece(runTaskToEnd(reopened.readPiece(100)), 100).map(
+      ({ sequence }) => sequence,
+    ),
   ).toEqual(Array.from({ length: 29 }, (_, at) => at + 100));
-  expect(run(disk.list()).sort()).toEqual(["configs-1", "configs-129", "configs-65"]);
-  expect([again.findMissingBelow(153), again.findMissingBelow(160)]).toEqual([
+  expect(runTaskToEnd(disk.list()).sort()).toEqual(["configs-1", "configs-129", "configs-65"]);
+  expect([reopened.findMissingBelow(153), reopened.findMissingBelow(160)]).toEqual([
     undefined,
     { from: 153, to: 159 },
   ]);
 });
 
-const formerFiles = (count: number): Array<[string, Buffer]> =>
+const createLegacyFiles = (count: number): Array<[string, Buffer]> =>
   Array.from({ length: Math.ceil(count / 64) }, (_, file) => [
     `history-${file}`,
     Buffer.concat(
       Array.from({ length: Math.min(64, count - file * 64) }, (__, at) =>
-        encodeCompleteConfig(config(file * 64 + at + 1)),
+        encodeCompleteConfig(createConfig(file * 64 + at + 1)),
       ),
     ),
   ]);
 
-test("files of former builds are read, and later configs are added in the current layout", () => {
-  const { disk, run, reopened } = setUp();
-  for (const [name, bytes] of formerFiles(70)) disk.poke(name, bytes);
-  const history = reopened();
+test("files of earlier builds are read, and later configs are added in the current layout", () => {
+  const { disk, runTaskToEnd, reopenHistory } = setUp();
+  for (const [name, bytes] of createLegacyFiles(70)) disk.poke(name, bytes);
+  const history = reopenHistory();
   expect(history.newestSequence).toBe(70);
-  run(history.add(Array.from({ length: 140 }, (_, at) => config(at + 65))));
-  expect(run(disk.list()).sort()).toEqual([
+  runTaskToEnd(history.add(Array.from({ length: 140 }, (_, at) => createConfig(at + 65))));
+  expect(runTaskToEnd(disk.list()).sort()).toEqual([
     "configs-135",
     "configs-199",
     "configs-71",
     "history-0",
     "history-1",
   ]);
-  const again = reopened();
-  expect(run(again.check())).toEqual([]);
-  expect(again.newestSequence).toBe(204);
+  const reopened = reopenHistory();
+  expect(runTaskToEnd(reopened.check())).toEqual([]);
+  expect(reopened.newestSequence).toBe(204);
   for (const sequence of [1, 64, 65, 70, 71, 150, 198, 199, 204])
-    expect(run(again.read(sequence))).toEqual(config(sequence));
-  expect(again.findMissingBelow(205)).toBeUndefined();
+    expect(runTaskToEnd(reopened.read(sequence))).toEqual(createConfig(sequence));
+  expect(reopened.findMissingBelow(205)).toBeUndefined();
 });
 
 test("older configs fill gaps between files, and later ones are appended to them", () => {
-  const { run, reopened } = setUp();
-  const history = reopened();
-  run(history.add([config(1), config(2)]));
-  run(history.add([config(300), config(301)]));
+  const { runTaskToEnd, reopenHistory } = setUp();
+  const history = reopenHistory();
+  runTaskToEnd(history.add([createConfig(1), createConfig(2)]));
+  runTaskToEnd(history.add([createConfig(300), createConfig(301)]));
   expect(history.findMissingBelow(300)).toEqual({ from: 3, to: 299 });
-  run(history.add(Array.from({ length: 20 }, (_, at) => config(at + 190))));
-  run(history.add(Array.from({ length: 100 }, (_, at) => config(at + 205))));
+  runTaskToEnd(history.add(Array.from({ length: 20 }, (_, at) => createConfig(at + 190))));
+  runTaskToEnd(history.add(Array.from({ length: 100 }, (_, at) => createConfig(at + 205))));
   expect(history.findMissingBelow(300)).toEqual({ from: 3, to: 189 });
-  const again = reopened();
-  run(again.check());
-  expect(again.findMissingBelow(302)).toEqual({ from: 3, to: 189 });
+  const reopened = reopenHistory();
+  runTaskToEnd(reopened.check());
+  expect(reopened.findMissingBelow(302)).toEqual({ from: 3, to: 189 });
   for (const sequence of [1, 2, 190, 209, 210, 299, 300, 301])
-    expect(run(again.read(sequence))).toEqual(config(sequence));
-  expect(run(again.read(189))).toBeUndefined();
+    expect(runTaskToEnd(reopened.read(sequence))).toEqual(createConfig(sequence));
+  expect(runTaskToEnd(reopened.read(189))).toBeUndefined();
 });
 
-test("the oldest files are removed beyond the quota and on a full disk, never the newest", () => {
-  const { disk, run } = setUp();
+test("the oldest files are removed when the quota is exceeded or the disk is full, but never the newest", () => {
+  const { disk, runTaskToEnd } = setUp();
   const random = RandomDraw.of(5);
-  const large = (sequence: number): AcceptedConfig => ({
-    ...config(sequence),
+  const createLargeConfig = (sequence: number): AcceptedConfig => ({
+    ...createConfig(sequence),
     text: Array.from({ length: 4000 }, () => random().toString(36)).join(" "),
   });
   const history = new ConfigHistory(disk, 1_000_000);
-  run(history.load([]));
-  for (let sequence = 1; sequence <= 60; sequence += 1) run(history.add([large(sequence)]));
-  const filled = history.measuredBytes;
-  const removed = run(history.shrink());
+  runTaskToEnd(history.load([]));
+  for (let sequence = 1; sequence <= 60; sequence += 1)
+    runTaskToEnd(history.add([createLargeConfig(sequence)]));
+  const bytesBeforeShrink = history.measuredBytes;
+  const removed = runTaskToEnd(history.shrink());
   expect(removed?.from).toBe(1);
   expect(history.removedUpTo).toBe(removed?.to);
-  expect(filled).toBeGreaterThan(1_000_000);
+  expect(bytesBeforeShrink).toBeGreaterThan(1_000_000);
   expect(history.measuredBytes).toBeLessThanOrEqual(1_000_000);
   expect(disk.heldBytes).toBe(history.measuredBytes);
-  expect(run(history.read(removed?.to ?? 0))).toBeUndefined();
-  expect(run(history.read((removed?.to ?? 0) + 1))?.sequence).toBe((removed?.to ?? 0) + 1);
-  for (let round = 0; round < 40; round += 1) run(history.reclaim());
-  expect(run(history.read(60))?.sequence).toBe(60);
+  expect(runTaskToEnd(history.read(removed?.to ?? 0))).toBeUndefined();
+  expect(runTaskToEnd(history.read((removed?.to ?? 0) + 1))?.sequence).toBe((removed?.to ?? 0) + 1);
+  for (let round = 0; round < 40; round += 1) runTaskToEnd(history.reclaim());
+  expect(runTaskToEnd(history.read(60))?.sequence).toBe(60);
   expect([history.measuredBytes > 0, history.hasSpareQuota]).toEqual([true, false]);
 });
 
-test("a delta restores any text, also one that shares nothing or only moves parts", () => {
+test("a delta restores any text, including unrelated texts and texts whose parts only moved", () => {
   const random = RandomDraw.of(9);
-  const word = (): string => `"${random().toString(36)}":{"a":${Math.floor(random() * 9)}},`;
-  const items = Array.from({ length: 300 }, word);
+  const randomItem = (): string => `"${random().toString(36)}":{"a":${Math.floor(random() * 9)}},`;
+  const items = Array.from({ length: 300 }, randomItem);
   const base = items.join("");
   const texts = [
     base,
@@ -223,11 +226,11 @@
     "x",
     `${base}tail`,
     `head${base}`,
-    [...items.slice(0, 100), word(), ...items.slice(101)].join(""),
+    [...items.slice(0, 100), randomItem(), ...items.slice(101)].join(""),
     [...items].reverse().join(""),
     [...items.slice(200), ...items.slice(0, 200)].join(""),
     `${base.slice(0, 500)}\u{1f600}${base.slice(700)}`,
-    Array.from({ length: 300 }, word).join(""),
+    Array.from({ length: 300 }, randomItem).join(""),
   ];
   for (const text of texts) {
     expect(applyTextDelta(base, computeTextDelta(base, text))).toBe(text);
@@ -237,15 +240,18 @@
   expect(JSON.stringify(computeTextDelta(base, texts[7] ?? "")).length).toBeLessThan(120);
 });
 
-test("a history with arbitrary damage returns a config as it was stored or none, and accepts more", () => {
+test("a history with arbitrary damage returns each config unchanged or not at all, and accepts further configs", () => {
   const random = RandomDraw.of(11);
-  let missing = 0;
+  let missingCount = 0;
   for (let round = 0; round < 60; round += 1) {
-    const { disk, run, reopened } = setUp();
-    const isFormer = round % 4 >= 2;
-    if (isFormer) for (const [file, bytes] of formerFiles(70)) disk.poke(file, bytes);
-    else run(reopened().add(Array.from({ length: 150 }, (_, at) => config(at + 1))));
-    const names = isFormer ? ["history-0", "history-1"] : ["configs-1", "configs-65"];
+    const { disk, runTaskToEnd, reopenHistory } = setUp();
+    const isLegacy = round % 4 >= 2;
+    if (isLegacy) for (const [file, bytes] of createLegacyFiles(70)) disk.poke(file, bytes);
+    else
+      runTaskToEnd(
+        reopenHistory().add(Array.from({ length: 150 }, (_, at) => createConfig(at + 1))),
+      );
+    const names = isLegacy ? ["history-0", "history-1"] : ["configs-1", "configs-65"];
     const name = names[round % 2] ?? "";
     const bytes = Buffer.from(disk.peek(name));
     const at = Math.floor(random() * bytes.length);
@@ -254,17 +260,17 @@
       bytes[at] = Math.floor(random() * 256);
       disk.poke(name, bytes);
     }
-    const history = reopened();
-    for (const sequence of isFormer ? [1, 30, 64, 65, 70] : [1, 64, 65, 128, 150]) {
-      const read = run(history.read(sequence));
-      if (read) expect(read).toEqual(config(sequence));
-      else missing += 1;
+    const history = reopenHistory();
+    for (const sequence of isLegacy ? [1, 30, 64, 65, 70] : [1, 64, 65, 128, 150]) {
+      const read = runTaskToEnd(history.read(sequence));
+      if (read) expect(read).toEqual(createConfig(sequence));
+      else missingCount += 1;
     }
     const { newestSequence: newest } = history;
-    run(history.add([config(newest + 1)]));
-    expect(run(reopened().read(newest + 1))).toEqual(config(newest + 1));
+    runTaskToEnd(history.add([createConfig(newest + 1)]));
+    expect(runTaskToEnd(reopenHistory().read(newest + 1))).toEqual(createConfig(newest + 1));
   }
-  expect(missing).toBeGreaterThan(20);
+  expect(missingCount).toBeGreaterThan(20);
   expect(
     ConfigHistory.unpackPiece(
       Buffer.from(Array.from({ length: 300 }, () => Math.floor(random() * 256))),
--- a/test/replication/membership/membership-leave.test.ts
+++ b/test/replication/membership/membership-leave.test.ts
@@ -1,36 +1,36 @@
 import { expect, test } from "vitest";
 import { configText, ClusterFixture, type FixtureMachine } from "../fleet-stage.js";
 
-const isLed = (stage: ClusterFixture) => (): boolean =>
-  stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
-const later = { bootstrap: false };
+const hasLeader = (cluster: ClusterFixture) => (): boolean =>
+  cluster.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+const restartSettings = { bootstrap: false };
 const catchUpMs = 4000;
 const graceMs = 6000;
 
-const fleetOf = (disks: number, up: number): ClusterFixture => {
-  const words = Array.from({ length: disks }, (_, at) => `d:${"abc"[at % 3] ?? "a"}`);
-  const stage = new ClusterFixture(words, [0, 1, 2], { bounds: { catchUpMs, graceMs } });
-  for (const machine of stage.diskMachines.slice(0, up)) stage.boot(machine);
-  stage.waitUntil(isLed(stage), 5000);
-  return stage;
+const createCluster = (diskCount: number, bootedCount: number): ClusterFixture => {
+  const machineSpecs = Array.from({ length: diskCount }, (_, at) => `d:${"abc"[at % 3] ?? "a"}`);
+  const cluster = new ClusterFixture(machineSpecs, [0, 1, 2], { bounds: { catchUpMs, graceMs } });
+  for (const machine of cluster.diskMachines.slice(0, bootedCount)) cluster.boot(machine);
+  cluster.waitUntil(hasLeader(cluster), 5000);
+  return cluster;
 };
 
-const follower = (stage: ClusterFixture): FixtureMachine => {
-  const { leader } = stage;
+const findFollowingVoter = (cluster: ClusterFixture): FixtureMachine => {
+  const { leader } = cluster;
   const voters = leader.status?.voters ?? [];
-  const other = stage.diskMachines.find(
+  const other = cluster.diskMachines.find(
     (machine) => machine.daemon && machine !== leader && voters.includes(machine.peer),
   );
-  if (!other) throw new Error("There is no other voter.");
+  if (!other) throw new Error("No voter other than the leader is running.");
   return other;
 };
 
-/** Tells a machine to stop; the holder says whether its process has ended. */
-const stop = (stage: ClusterFixture, machine: FixtureMachine): { ended: boolean } => {
+/** Drains a machine's daemon; the returned object's `ended` is set once the daemon has ended. */
+const stopMachine = (cluster: ClusterFixture, machine: FixtureMachine): { ended: boolean } => {
   const state = { ended: false };
   const { daemon } = machine;
-  if (!daemon) throw new Error("It doesn't run.");
-  stage.startTask(
+  if (!daemon) throw new Error(`${machine.settings.machine} has no running daemon.`);
+  cluster.startTask(
     (function* () {
       yield* daemon.drain();
       state.ended = true;
@@ -39,85 +39,88 @@
   return state;
 };
 
-for (const who of ["a follower", "the leader"] as const)
-  test(`${who} that stops is replaced by the ready learner before it ends`, () => {
-    const stage = fleetOf(4, 3);
-    expect(stage.commitConfig(1)).toBe(true);
-    const successor = stage.machineAt(3);
-    stage.boot(successor, later);
-    stage.wait(catchUpMs);
-    const leaver = who === "the leader" ? stage.leader : follower(stage);
-    const stopping = stop(stage, leaver);
-    stage.waitUntil(() => stopping.ended, graceMs);
-    const voters = stage.leader.status?.voters ?? [];
+for (const role of ["a follower", "the leader"] as const)
+  test(`${role} that stops is replaced by a ready learner before its process ends`, () => {
+    const cluster = createCluster(4, 3);
+    expect(cluster.commitConfig(1)).toBe(true);
+    const successor = cluster.machineAt(3);
+    cluster.boot(successor, restartSettings);
+    cluster.wait(catchUpMs);
+    const stoppingMachine = role === "the leader" ? cluster.leader : findFollowingVoter(cluster);
+    const stopping = stopMachine(cluster, stoppingMachine);
+    cluster.waitUntil(() => stopping.ended, graceMs);
+    const voters = cluster.leader.status?.voters ?? [];
     expect(voters).toHaveLength(3);
     expect(voters).toContain(successor.peer);
-    expect(voters).not.toContain(leaver.peer);
-    stage.kill(leaver, true);
-    stage.kill(stage.leader, true);
-    stage.waitUntil(isLed(stage), 2000);
-    expect(stage.commitConfig(2)).toBe(true);
-    expect(stage.readConfig(stage.leader, 1)).toBe(configText(1));
+    expect(voters).not.toContain(stoppingMachine.peer);
+    cluster.kill(stoppingMachine, true);
+    cluster.kill(cluster.leader, true);
+    cluster.waitUntil(hasLeader(cluster), 2000);
+    expect(cluster.commitConfig(2)).toBe(true);
+    expect(cluster.readConfig(cluster.leader, 1)).toBe(configText(1));
   });
 
-test("a voter that stops ends only once a majority without it has what it acknowledged", () => {
-  const stage = fleetOf(3, 3);
-  const { leader } = stage;
-  const leaver = follower(stage);
-  const [behind] = stage.diskMachines.filter((machine) => machine !== leader && machine !== leaver);
-  if (!behind) throw new Error("There are too few members.");
-  for (const other of [leader, leaver]) stage.partition(behind, other);
-  expect(stage.commitConfig(1)).toBe(true);
-  const stopping = stop(stage, leaver);
-  stage.wait(3500);
+test("a stopping voter ends only once a majority without it has the entries that it acknowledged", () => {
+  const cluster = createCluster(3, 3);
+  const { leader } = cluster;
+  const stoppingMachine = findFollowingVoter(cluster);
+  const [lagging] = cluster.diskMachines.filter(
+    (machine) => machine !== leader && machine !== stoppingMachine,
+  );
+  if (!lagging) throw new Error("There are too few members.");
+  for (const other of [leader, stoppingMachine]) cluster.partition(lagging, other);
+  expect(cluster.commitConfig(1)).toBe(true);
+  const stopping = stopMachine(cluster, stoppingMachine);
+  cluster.wait(3500);
   expect(stopping.ended).toBe(false);
-  for (const other of [leader, leaver]) stage.partition(behind, other, true);
-  stage.waitUntil(() => stopping.ended, graceMs - 3500);
-  expect(behind.status?.lastIndex).toBeGreaterThanOrEqual(leader.status?.committed ?? Infinity);
-  stage.kill(leaver, true);
-  stage.waitUntil(isLed(stage), 2000);
-  expect(stage.commitConfig(2)).toBe(true);
+  for (const other of [leader, stoppingMachine]) cluster.heal(lagging, other);
+  cluster.waitUntil(() => stopping.ended, graceMs - 3500);
+  expect(lagging.status?.lastIndex).toBeGreaterThanOrEqual(leader.status?.committed ?? Infinity);
+  cluster.kill(stoppingMachine, true);
+  cluster.waitUntil(hasLeader(cluster), 2000);
+  expect(cluster.commitConfig(2)).toBe(true);
 });
 
-test("a voter that stops while there is no leader ends within its grace period", () => {
-  const stage = fleetOf(3, 3);
-  const [one, two, three] = stage.diskMachines;
-  if (!one || !two || !three) throw new Error("There are too few members.");
-  stage.kill(one);
-  stage.kill(two);
-  const stopping = stop(stage, three);
-  stage.waitUntil(() => stopping.ended, graceMs);
+test("a voter that stops without a leader ends within its grace period", () => {
+  const cluster = createCluster(3, 3);
+  const [firstMember, secondMember, stoppingMember] = cluster.diskMachines;
+  if (!firstMember || !secondMember || !stoppingMember)
+    throw new Error("There are too few members.");
+  cluster.kill(firstMember);
+  cluster.kill(secondMember);
+  const stopping = stopMachine(cluster, stoppingMember);
+  cluster.waitUntil(() => stopping.ended, graceMs);
 });
 
-for (const [disks, what] of [
+for (const [diskCount, description] of [
   [3, "without a learner"],
-  [4, "with a learner that stands ready"],
+  [4, "with a ready learner"],
 ] as const)
-  test(`a rolling restart ${what} leaves enough voters at all times, and a leader at once`, () => {
-    const stage = fleetOf(disks, disks);
-    stage.wait(2000);
+  test(`a rolling restart ${description} always leaves enough voters, and is without a leader only briefly`, () => {
+    const cluster = createCluster(diskCount, diskCount);
+    cluster.wait(2000);
     let sequence = 0;
     let leaderlessMs = 0;
-    const wait = (forMs: number): void => {
-      for (let at = 0; at < forMs; at += 20) {
-        stage.wait(20);
-        if (!isLed(stage)()) leaderlessMs += 20;
-        else expect(stage.leader.status?.voters.length).toBeGreaterThanOrEqual(3);
+    const wait = (durationMs: number): void => {
+      for (let at = 0; at < durationMs; at += 20) {
+        cluster.wait(20);
+        if (!hasLeader(cluster)()) leaderlessMs += 20;
+        else expect(cluster.leader.status?.voters.length).toBeGreaterThanOrEqual(3);
       }
     };
-    for (const machine of [...stage.diskMachines, ...stage.diskMachines]) {
-      const stopping = stop(stage, machine);
+    for (const machine of [...cluster.diskMachines, ...cluster.diskMachines]) {
+      const stopping = stopMachine(cluster, machine);
       while (!stopping.ended) wait(20);
-      stage.kill(machine);
+      cluster.kill(machine);
       wait(300);
-      stage.boot(machine, later);
+      cluster.boot(machine, restartSettings);
       wait(1300);
       sequence += 1;
-      expect(stage.commitConfig(sequence)).toBe(true);
+      expect(cluster.commitConfig(sequence)).toBe(true);
     }
     expect(leaderlessMs).toBeLessThan(1500);
-    stage.wait(catchUpMs);
-    stage.kill(follower(stage), true);
-    stage.wait(100);
-    expect(stage.commitConfig(sequence + 1)).toBe(true);
+    cluster.wait(catchUpMs);
+    cluster.kill(findFollowingVoter(cluster), true);
+    cluster.wait(100);
+    expect(cluster.commitConfig(sequence + 1)).toBe(true);
   });
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -17,63 +17,63 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-type AppendAsk = DecodedMessage<typeof rpcMethods.append.request>;
-type VoteAsk = DecodedMessage<typeof rpcMethods.vote.request>;
+type AppendMessage = DecodedMessage<typeof rpcMethods.append.request>;
+type VoteMessage = DecodedMessage<typeof rpcMethods.vote.request>;
 
-const [own, second, third] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
-const note = (index: number, term: number): Entry => ({
+const [ownPeer, leaderPeer, otherPeer] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
+const createNoteEntry = (index: number, term: number): Entry => ({
   index,
   term,
   text: '{"kind":"note","text":"n"}',
 });
 
-/** One node under test, and the network by which a recorded trace is sent to it. */
-const stage = (formed: boolean) => {
-  const time = new VirtualClock();
-  const network = new VirtualNetwork(time.clock(), RandomDraw.of(1));
-  const disk = new VirtualDisk(time.clock(), () => 0.5);
-  const fail = (error: unknown): void => {
+/** Creates a node under test and a peer endpoint that sends it requests; the peer responds to probes with a formed log. */
+const createNodeFixture = (hasFormedLog: boolean) => {
+  const virtualClock = new VirtualClock();
+  const network = new VirtualNetwork(virtualClock.clock(), RandomDraw.of(1));
+  const disk = new VirtualDisk(virtualClock.clock(), () => 0.5);
+  const throwError = (error: unknown): void => {
     throw error;
   };
-  const worldOf = (place: string): Runtime =>
+  const createRuntime = (host: string): Runtime =>
     virtualRuntime({
-      clock: time.clock(),
-      network: network.wire(place, new EventGate()),
+      clock: virtualClock.clock(),
+      network: network.wire(host, new EventGate()),
       disk,
       random: RandomDraw.of(2),
     });
-  const seeds = [own, second, third];
-  const place = {
-    self: own,
+  const seeds = [ownPeer, leaderPeer, otherPeer];
+  const location = {
+    self: ownPeer,
     machine: "own",
     zone: "a",
     mayBootstrap: true,
     tolerate: { machines: 1, zones: 0 },
     seeds: () => seeds,
   };
-  const begin = (): ReplicationNode => {
-    const runtime = worldOf("own");
-    const rpc = new RpcEndpoint(runtime, own);
+  const startNode = (): ReplicationNode => {
+    const runtime = createRuntime("own");
+    const rpc = new RpcEndpoint(runtime, ownPeer);
     const replicationNode = new ReplicationNode({
       runtime,
       rpc,
-      location: place,
+      location,
       timeouts: defaultReplicationTimeouts,
       stateMachine: new StateMachine(),
       store: new LogStore(disk),
     });
-    runTask(rpc.listen(), fail);
-    runTask(replicationNode.run(), fail);
+    runTask(rpc.listen(), throwError);
+    runTask(replicationNode.run(), throwError);
     return replicationNode;
   };
-  const player = new RpcEndpoint(worldOf("player"), second);
-  player.serve(rpcMethods.discover, function* () {
+  const peerEndpoint = new RpcEndpoint(createRuntime("player"), leaderPeer);
+  peerEndpoint.serve(rpcMethods.discover, function* () {
     return {
-      machine: second,
+      machine: leaderPeer,
       zone: "b",
       state: "formed",
       fleet: "f",
-      leader: second,
+      leader: leaderPeer,
       founds: true,
       incarnation: "i",
       voters: seeds,
@@ -81,14 +81,16 @@
       recorders: seeds,
     };
   });
-  runTask(player.listen(), fail);
-  const send = <A, R>(kind: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
-    const returns: Array<R | undefined> = [];
-    runTask(player.call(own, kind, asked, waitMs), fail, (ret) => returns.push(ret));
-    time.runUntil(time.nowMs() + waitMs);
-    return returns[0];
+  runTask(peerEndpoint.listen(), throwError);
+  const send = <A, R>(method: RpcMethod<A, R>, request: A, waitMs = 200): R | undefined => {
+    const responses: Array<R | undefined> = [];
+    runTask(peerEndpoint.call(ownPeer, method, request, waitMs), throwError, (response) =>
+      responses.push(response),
+    );
+    virtualClock.runUntil(virtualClock.nowMs() + waitMs);
+    return responses[0];
   };
-  if (formed) {
+  if (hasFormedLog) {
     const durableState: DurableState = {
       fleet: "f",
       rejoinNonce: "",
@@ -97,94 +99,125 @@
       lastIndex: 0,
       lastTerm: 0,
       snapshot: new StateMachine().snapshot({ voters: seeds, learners: [] }),
-      entries: [note(1, 1)],
+      entries: [createNoteEntry(1, 1)],
     };
-    runTask(new LogStore(disk).writeSnapshot(durableState), fail);
-    time.runUntil(100);
+    runTask(new LogStore(disk).writeSnapshot(durableState), throwError);
+    virtualClock.runUntil(100);
   }
-  return { time, disk, begin, send };
+  return { virtualClock, disk, startNode, send };
 };
-const append = (
+const createAppendRequest = (
   term: number,
   previousIndex: number,
   previousTerm: number,
   entries: Entry[],
   committed = 0,
-): AppendAsk => ({ term, leader: second, previousIndex, previousTerm, committed, entries });
-const vote = (term: number, lastIndex: number, lastTerm: number, isPreVote = false): VoteAsk => ({
+): AppendMessage => ({ term, leader: leaderPeer, previousIndex, previousTerm, committed, entries });
+const createVoteRequest = (
+  term: number,
+  lastIndex: number,
+  lastTerm: number,
+  isPreVote = false,
+): VoteMessage => ({
   isPreVote,
   term,
-  candidate: third,
+  candidate: otherPeer,
   lastIndex,
   lastTerm,
   handOver: false,
 });
 
-test("trace: no vote within an election timeout of a leader's contact, none for a shorter log, one in a term, also after a restart", () => {
-  const { time, begin, send } = stage(true);
-  begin();
-  time.runUntil(150);
-  expect(send(rpcMethods.vote, vote(2, 9, 9))?.granted).toBe(false);
-  expect(send(rpcMethods.append, append(2, 1, 1, []))).toMatchObject({
+test("a node grants no vote within an election timeout of a leader's request or for a shorter log, and one per term, even after a restart", () => {
+  const { virtualClock, startNode, send } = createNodeFixture(true);
+  startNode();
+  virtualClock.runUntil(150);
+  expect(send(rpcMethods.vote, createVoteRequest(2, 9, 9))?.granted).toBe(false);
+  expect(send(rpcMethods.append, createAppendRequest(2, 1, 1, []))).toMatchObject({
     fits: true,
     counts: true,
     matched: 1,
   });
-  expect(send(rpcMethods.vote, vote(3, 9, 9, true))?.granted).toBe(false);
-  time.runUntil(time.nowMs() + 450);
-  expect(send(rpcMethods.vote, vote(9, 0, 0))?.granted).toBe(false);
-  expect(send(rpcMethods.vote, vote(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
-  begin();
-  time.runUntil(time.nowMs() + 10);
-  time.runUntil(time.nowMs() + 500);
-  expect(send(rpcMethods.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
+  expect(send(rpcMethods.vote, createVoteRequest(3, 9, 9, true))?.granted).toBe(false);
+  virtualClock.runUntil(virtualClock.nowMs() + 450);
+  expect(send(rpcMethods.vote, createVoteRequest(9, 0, 0))?.granted).toBe(false);
+  expect(send(rpcMethods.vote, createVoteRequest(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
+  startNode();
+  virtualClock.runUntil(virtualClock.nowMs() + 10);
+  virtualClock.runUntil(virtualClock.nowMs() + 500);
+  expect(
+    send(rpcMethods.vote, { ...createVoteRequest(9, 5, 5), candidate: leaderPeer }, 30)?.granted,
+  ).toBe(false);
 });
 
-test("trace: an entry is acknowledged once it is on disk, and not after the term has changed", () => {
-  const { time, disk, begin, send } = stage(true);
-  begin();
-  time.runUntil(150);
+test("an entry is acknowledged once it is on disk, unless the term has changed", () => {
+  const { virtualClock, disk, startNode, send } = createNodeFixture(true);
+  startNode();
+  virtualClock.runUntil(150);
   disk.stall(600);
-  expect(send(rpcMethods.append, append(2, 1, 1, [note(2, 2)]), 100)).toBeUndefined();
-  expect(send(rpcMethods.append, append(3, 1, 1, [note(2, 3)]), 1500)).toMatchObject({
+  expect(
+    send(rpcMethods.append, createAppendRequest(2, 1, 1, [createNoteEntry(2, 2)]), 100),
+  ).toBeUndefined();
+  expect(
+    send(rpcMethods.append, createAppendRequest(3, 1, 1, [createNoteEntry(2, 3)]), 1500),
+  ).toMatchObject({
     term: 3,
     fits: true,
     matched: 2,
   });
-  expect(send(rpcMethods.append, append(2, 2, 2, [note(3, 2)]))).toMatchObject({
+  expect(
+    send(rpcMethods.append, createAppendRequest(2, 2, 2, [createNoteEntry(3, 2)])),
+  ).toMatchObject({
     term: 3,
     fits: false,
   });
 });
 
-test("trace: a node that lost its disk neither votes nor counts until its own rejoin marker is committed", () => {
-  const { time, begin, send } = stage(false);
-  const replicationNode = begin();
-  time.runUntil(400);
+test("a node that lost its disk neither votes nor counts for commits until its own rejoin marker is committed", () => {
+  const { virtualClock, startNode, send } = createNodeFixture(false);
+  const replicationNode = startNode();
+  virtualClock.runUntil(400);
   expect(replicationNode.status.state).toBe("rejoining");
-  expect(send(rpcMethods.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
-  expect(send(rpcMethods.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
+  expect(send(rpcMethods.vote, { ...createVoteRequest(5, 9, 9), handOver: true })?.granted).toBe(
+    false,
+  );
+  expect(
+    send(
+      rpcMethods.append,
+      createAppendRequest(5, 0, 0, [createNoteEntry(1, 5), createNoteEntry(2, 5)], 2),
+    ),
+  ).toMatchObject({
     fits: true,
     counts: false,
     matched: 2,
   });
-  const foreign = {
+  const foreignMarker = {
     index: 3,
     term: 5,
-    text: JSON.stringify({ kind: "rejoined", machine: own, nonce: "another" }),
+    text: JSON.stringify({ kind: "rejoined", machine: ownPeer, nonce: "another" }),
   };
-  expect(send(rpcMethods.append, append(5, 2, 5, [foreign], 3))).toMatchObject({ counts: false });
-  expect(send(rpcMethods.append, append(5, 3, 5, []))).toMatchObject({ counts: false });
-  const mark = {
+  expect(send(rpcMethods.append, createAppendRequest(5, 2, 5, [foreignMarker], 3))).toMatchObject({
+    counts: false,
+  });
+  expect(send(rpcMethods.append, createAppendRequest(5, 3, 5, []))).toMatchObject({
+    counts: false,
+  });
+  const ownMarker = {
     index: 4,
     term: 5,
-    text: JSON.stringify({ kind: "rejoined", machine: own, nonce: replicationNode.rejoinNonce }),
+    text: JSON.stringify({
+      kind: "rejoined",
+      machine: ownPeer,
+      nonce: replicationNode.rejoinNonce,
+    }),
   };
-  send(rpcMethods.append, append(5, 3, 5, [mark], 4));
-  expect(send(rpcMethods.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
+  send(rpcMethods.append, createAppendRequest(5, 3, 5, [ownMarker], 4));
+  expect(send(rpcMethods.append, createAppendRequest(5, 4, 5, []))).toMatchObject({
+    counts: true,
+    matched: 4,
+  });
 });
 
-test("batches and the retained log are bounded in entries and bytes; a single larger entry is a batch", () => {
+test("batches are bounded in entries and bytes, and a single larger entry is a batch of its own", () => {
   const entries = (bytes: number, count: number): Entry[] =>
     Array.from({ length: count }, (_, at) => ({ index: at + 1, term: 1, text: "x".repeat(bytes) }));
   expect([
@@ -195,13 +228,13 @@
   ]).toEqual([1024, 4, 1, 0]);
 });
 
-test("the timeout of an append request includes the time of its entries on a slow link", () => {
+test("the timeout of an append request includes the transmission of its entries over a slow link", () => {
   const entries = [{ index: 1, term: 1, text: "x".repeat(4 * 1024 * 1024) }];
-  const request = append(1, 0, 0, entries);
+  const request = createAppendRequest(1, 0, 0, entries);
   expect(appendTimeoutMs({ ...request, entries: [] }, defaultReplicationTimeouts)).toBe(
     defaultReplicationTimeouts.electionMinMs,
   );
-  // A link of 5 Mbit/s takes 625 bytes in a millisecond.
+  // A link of 5 Mbit/s transmits 625 bytes per ms.
   expect(appendTimeoutMs(request, defaultReplicationTimeouts)).toBeGreaterThan(
     (4 * 1024 * 1024) / 625 + 300,
   );
--- a/test/replication/snapshot/snapshot-pieces.test.ts
+++ b/test/replication/snapshot/snapshot-pieces.test.ts
@@ -9,25 +9,25 @@
 } from "../../../src/replication/snapshot/snapshot-sender.js";
 
 const random = RandomDraw.of(3);
-const textOf = (bytes: number): string => {
+const createText = (bytes: number): string => {
   let text = "";
   while (text.length < bytes) text += random().toString(36).slice(2);
   return `${text.slice(0, bytes - 2)}é`;
 };
-const pieceIn = (message: SnapshotMessage) => {
-  if (message.kind === "complete") throw new Error("A complete snapshot was to be sent.");
+const expectPiece = (message: SnapshotMessage) => {
+  if (message.kind === "complete") throw new Error("expected a piece, got a complete snapshot");
   return message.piece;
 };
 
-test("a snapshot is received completely although pieces and replies are lost or duplicated, each piece about once", () => {
-  const snapshot = new SharedSnapshot(50, 3, textOf(2_000_000));
+test("a snapshot is received completely with few retransmissions although pieces and replies are lost or duplicated", () => {
+  const snapshot = new SharedSnapshot(50, 3, createText(2_000_000));
   const sender = new SnapshotSender();
   const receiver = new SnapshotReceiver();
-  let sent = 0;
+  let sentPieces = 0;
   let text = "";
   for (let round = 0; text === "" && round < 200; round += 1) {
-    const piece = pieceIn(sender.nextMessage("a", 40, round, () => snapshot));
-    sent += piece.bytes.length > 0 ? 1 : 0;
+    const piece = expectPiece(sender.nextMessage("a", 40, round, () => snapshot));
+    sentPieces += piece.bytes.length > 0 ? 1 : 0;
     if (random() < 0.2) {
       sender.onNoReply("a");
       continue;
@@ -39,31 +39,38 @@
     else sender.onReply("a", received.receivedBytes, round);
   }
   expect(text === snapshot.text).toBe(true);
-  expect(sent).toBeLessThan(2 * Math.ceil(2_000_000 / SNAPSHOT_PIECE_BYTES));
+  expect(sentPieces).toBeLessThan(2 * Math.ceil(2_000_000 / SNAPSHOT_PIECE_BYTES));
 });
 
-test("two transfers share one snapshot; a new one is made only once the log is compacted beyond it", () => {
+test("transfers share one snapshot, and a new one is created only once the log is compacted beyond it", () => {
   const sender = new SnapshotSender();
-  let made = 0;
-  const make = (): SharedSnapshot => {
-    made += 1;
-    return new SharedSnapshot(100 * made, 1, textOf(600_000));
+  let createdCount = 0;
+  const createSnapshot = (): SharedSnapshot => {
+    createdCount += 1;
+    return new SharedSnapshot(100 * createdCount, 1, createText(600_000));
   };
-  const of = (peer: string, baseIndex: number): number =>
-    pieceIn(sender.nextMessage(peer, baseIndex, 0, make)).lastIndex;
-  expect([of("a", 50), of("b", 90), of("a", 100), made]).toEqual([100, 100, 100, 1]);
+  const nextSnapshotIndex = (peer: string, baseIndex: number): number =>
+    expectPiece(sender.nextMessage(peer, baseIndex, 0, createSnapshot)).lastIndex;
+  expect([
+    nextSnapshotIndex("a", 50),
+    nextSnapshotIndex("b", 90),
+    nextSnapshotIndex("a", 100),
+    createdCount,
+  ]).toEqual([100, 100, 100, 1]);
   expect(sender.retainedIndex(0)).toBe(100);
-  expect([of("a", 101), made, sender.retainedIndex(0)]).toEqual([200, 2, 200]);
+  expect([nextSnapshotIndex("a", 101), createdCount, sender.retainedIndex(0)]).toEqual([
+    200, 2, 200,
+  ]);
   sender.endTransfer("a");
   sender.onReply("b", 0, 5000);
   expect(sender.retainedIndex(9000)).toBe(200);
   expect(sender.retainedIndex(60_000)).toBeUndefined();
 });
 
-test("a piece of another snapshot begins anew; pieces that can't be inflated or don't follow change nothing", () => {
+test("a piece of another snapshot restarts the transfer, and pieces that are out of order or can't be inflated are ignored", () => {
   const receiver = new SnapshotReceiver();
-  const one = new SharedSnapshot(10, 1, textOf(700_000));
-  const other = new SharedSnapshot(11, 2, textOf(700_000));
+  const one = new SharedSnapshot(10, 1, createText(700_000));
+  const other = new SharedSnapshot(11, 2, createText(700_000));
   expect(receiver.receive(one.piece(0))).toMatchObject({
     kind: "partial",
     receivedBytes: SNAPSHOT_PIECE_BYTES,
@@ -88,17 +95,19 @@
   expect(receiver.receive(huge)).toMatchObject({ kind: "partial", receivedBytes: 0 });
 });
 
-test("a member that replies to no piece is sent the complete snapshot now and then, until it replies to one", () => {
+test("a member that replies to no piece is sent the complete snapshot periodically, until it replies to a piece", () => {
   const sender = new SnapshotSender();
-  const make = (): SharedSnapshot => new SharedSnapshot(100, 1, "x".repeat(1000));
+  const createSnapshot = (): SharedSnapshot => new SharedSnapshot(100, 1, "x".repeat(1000));
   const kinds = Array.from({ length: 8 }, () => {
-    const { kind } = sender.nextMessage("a", 0, 0, make);
+    const { kind } = sender.nextMessage("a", 0, 0, createSnapshot);
     sender.onNoReply("a");
     return kind;
   });
   expect(kinds.filter((kind) => kind === "complete")).toHaveLength(2);
   sender.onReply("a", 0, 0);
   expect(
-    Array.from({ length: 9 }, () => sender.nextMessage("a", 0, 0, make).kind).includes("complete"),
+    Array.from({ length: 9 }, () => sender.nextMessage("a", 0, 0, createSnapshot).kind).includes(
+      "complete",
+    ),
   ).toBe(false);
 });
--- a/test/replication/tombstones.test.ts
+++ b/test/replication/tombstones.test.ts
@@ -3,9 +3,9 @@
 import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 import { MAX_TOMBSTONES } from "../../src/state/tombstone-table.js";
 
-const registration = (
+const createRegistration = (
   instance: string,
-  more: Partial<Extract<LogCommand, { kind: "contract" }>> = {},
+  overrides: Partial<Extract<LogCommand, { kind: "contract" }>> = {},
 ): LogCommand => ({
   kind: "contract",
   address: "a:1",
@@ -13,9 +13,9 @@
   zone: "z",
   warmth: 1,
   instance,
-  ...more,
+  ...overrides,
 });
-const leave = (instance: string): LogCommand => ({
+const createLeave = (instance: string): LogCommand => ({
   kind: "leave",
   address: "",
   service: "",
@@ -24,21 +24,21 @@
 });
 const members = { voters: ["a"], learners: [] };
 
-test("a registration that is entered after its instance left changes nothing, on a restored copy too", () => {
+test("a registration that is applied after its instance left has no effect, even on a restored copy", () => {
   const stateMachine = new StateMachine();
-  const apply = (on: StateMachine, index: number, command: LogCommand): unknown =>
-    JSON.parse(on.apply(index, encodeLogCommand(command)));
-  expect(apply(stateMachine, 1, registration("one"))).toEqual({ number: 1 });
-  expect(apply(stateMachine, 2, leave("one"))).toEqual({ known: true });
-  expect(apply(stateMachine, 3, leave("never-seen"))).toEqual({ known: false });
+  const apply = (target: StateMachine, index: number, command: LogCommand): unknown =>
+    JSON.parse(target.apply(index, encodeLogCommand(command)));
+  expect(apply(stateMachine, 1, createRegistration("one"))).toEqual({ number: 1 });
+  expect(apply(stateMachine, 2, createLeave("one"))).toEqual({ known: true });
+  expect(apply(stateMachine, 3, createLeave("never-seen"))).toEqual({ known: false });
   const copy = new StateMachine();
   copy.restore(stateMachine.snapshot(members));
-  for (const on of [stateMachine, copy]) {
-    expect(apply(on, 4, registration("one"))).toEqual({ gone: true });
-    expect(apply(on, 5, registration("never-seen"))).toEqual({ gone: true });
-    expect(apply(on, 6, registration("two"))).toEqual({ number: 6 });
-    expect(apply(on, 7, registration("three"))).toEqual({ number: 7 });
-    expect([...on.tombstones]).toEqual([
+  for (const target of [stateMachine, copy]) {
+    expect(apply(target, 4, createRegistration("one"))).toEqual({ gone: true });
+    expect(apply(target, 5, createRegistration("never-seen"))).toEqual({ gone: true });
+    expect(apply(target, 6, createRegistration("two"))).toEqual({ number: 6 });
+    expect(apply(target, 7, createRegistration("three"))).toEqual({ number: 7 });
+    expect([...target.tombstones]).toEqual([
       ["one", 2],
       ["never-seen", 3],
       ["two", 7],
@@ -46,15 +46,15 @@
   }
 });
 
-test("a drain by address removes its instance for good; an older log is read as one without instances", () => {
+test("a drain by address leaves a tombstone for the instance, and snapshots of earlier builds are read as without instances", () => {
   const stateMachine = new StateMachine();
-  stateMachine.apply(1, encodeLogCommand(registration("one")));
+  stateMachine.apply(1, encodeLogCommand(createRegistration("one")));
   stateMachine.apply(
     2,
     encodeLogCommand({ kind: "leave", address: "a:1", service: "s", drained: true }),
   );
   expect(stateMachine.tombstones.has("one")).toBe(true);
-  const before = {
+  const registrationWithoutInstance = {
     address: "a:1",
     service: "s",
     zone: "z",
@@ -67,12 +67,12 @@
   const text = new StateMachine()
     .snapshot(members)
     .replace('"gone":[],', "")
-    .replace('"contracts":[]', `"contracts":${JSON.stringify([before])}`);
+    .replace('"contracts":[]', `"contracts":${JSON.stringify([registrationWithoutInstance])}`);
   expect(text).not.toContain("gone");
   const copy = new StateMachine();
   copy.restore(text);
   expect(copy.registrations.get("a:1")).toEqual({
-    ...before,
+    ...registrationWithoutInstance,
     instance: "",
     capacity: 0,
     warmMs: 0,
@@ -82,8 +82,8 @@
 
 test("tombstones are bounded: the oldest are removed", () => {
   const stateMachine = new StateMachine();
-  for (let at = 1; at <= MAX_TOMBSTONES + 5; at += 1)
-    stateMachine.apply(at, encodeLogCommand(leave(`i${at}`)));
+  for (let index = 1; index <= MAX_TOMBSTONES + 5; index += 1)
+    stateMachine.apply(index, encodeLogCommand(createLeave(`i${index}`)));
   expect(stateMachine.tombstones.size).toBe(MAX_TOMBSTONES);
   expect([stateMachine.tombstones.has("i5"), stateMachine.tombstones.has("i6")]).toEqual([
     false,
