--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -150,7 +150,7 @@
 
   /** The number that the replicated log assigned to a service or a route. */
   idOf(kind: "service" | "route", name: string): number | undefined {
-    return this.config.numbers.get(`${kind} ${name}`);
+    return this.config.ids.get(`${kind} ${name}`);
   }
 
   /** The name behind a number, also for a while after it went out of force. */
@@ -267,7 +267,7 @@
 
   private takeConfig(): void {
     this.routeTable = new RouteTable(this.config.config, this.routeTable);
-    for (const [name, number] of this.config.numbers) this.names.set(number, name);
+    for (const [name, number] of this.config.ids) this.names.set(number, name);
     this.onConfig(this.routeTable);
   }
 
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -64,7 +64,7 @@
   }
 
   /** The numbers of services and routes. */
-  get numbers(): ReadonlyMap<string, number> {
+  get ids(): ReadonlyMap<string, number> {
     return this.current.ids;
   }
 
@@ -94,31 +94,31 @@
     return "differs";
   }
 
-  private replaceAll(config: Config, numbers: Record<string, number>): void {
-    this.current = { config, ids: new Map(Object.entries(numbers)) };
+  private replaceAll(config: Config, ids: Record<string, number>): void {
+    this.current = { config, ids: new Map(Object.entries(ids)) };
     this.hashes = new Map();
     this.setDigest = new SetDigest();
     for (const item of ConfigItems.all(this.current)) this.put(item.key, ConfigItems.hash(item));
   }
 
   private applyUpdate(update: ConfigUpdate): void {
-    const { put, removed, numbers } = update;
+    const { put, removed, numbers: ids } = update;
     for (const key of new Set(removed)) this.drop(key);
-    for (const item of ConfigItems.all({ config: put, ids: new Map(Object.entries(numbers)) }))
+    for (const item of ConfigItems.all({ config: put, ids: new Map(Object.entries(ids)) }))
       this.put(item.key, ConfigItems.hash(item));
     this.current = {
       config: updatedConfig(this.config, update),
-      ids: this.updatedNumbers(removed, numbers),
+      ids: this.updatedNumbers(removed, ids),
     };
   }
 
   private updatedNumbers(
     removedKeys: readonly string[],
-    numbers: Record<string, number>,
+    ids: Record<string, number>,
   ): ReadonlyMap<string, number> {
     const updated = new Map(this.current.ids);
     for (const key of removedKeys) updated.delete(ConfigItems.parseIdKey(key) ?? "");
-    for (const [name, number] of Object.entries(numbers)) updated.set(name, number);
+    for (const [name, number] of Object.entries(ids)) updated.set(name, number);
     return updated;
   }
 
--- a/src/load-balancing/backend-stats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -13,7 +13,7 @@
 /** From how many failures in a row on a backend is avoided. */
 const MIN_CONSECUTIVE_FAILURES = 2;
 /** How long a backend is avoided after failures in a row: doubled with each, up to a limit, and spread at random. */
-const AVOIDANCE = { initialMs: 250, maxDoublings: 6, maxMs: 5000, spread: 0.5 };
+const AVOIDANCE = { initialMs: 250, maxDoublings: 6, maxMs: 5000, jitter: 0.5 };
 
 /** Moving statistics of one backend. */
 export class BackendStats {
@@ -84,7 +84,7 @@
     if (this.consecutiveFailures < MIN_CONSECUTIVE_FAILURES) return;
     const doublings = Math.min(this.consecutiveFailures, AVOIDANCE.maxDoublings);
     const avoidMs = Math.min(AVOIDANCE.maxMs, AVOIDANCE.initialMs * 2 ** doublings);
-    this.avoidUntilMs = nowMs + avoidMs * (1 - AVOIDANCE.spread / 2 + random() * AVOIDANCE.spread);
+    this.avoidUntilMs = nowMs + avoidMs * (1 - AVOIDANCE.jitter / 2 + random() * AVOIDANCE.jitter);
   }
 
   /** Adjusts the weight by the latency target, at most twice a second. */
--- a/test/control-plane/config-change-log.test.ts
+++ b/test/control-plane/config-change-log.test.ts
@@ -80,7 +80,7 @@
 const expectEqualConfig = (replica: ConfigReplica, leader: TestLeader): void => {
   expect(toComparable(replica.config)).toEqual(toComparable(leader.config));
   expect(Object.keys(replica.config.routes)).toEqual(Object.keys(leader.config.routes));
-  expect(Object.fromEntries(replica.numbers)).toEqual(
+  expect(Object.fromEntries(replica.ids)).toEqual(
     Object.fromEntries(leader.stateMachine.idAllocator.activeIds),
   );
 };
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { boundsOf } from "../../src/daemon/bounds.js";
+import { deriveBounds } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { createConfig, oneWayMs, zoneOf } from "./topology.js";
@@ -33,7 +33,7 @@
       runtime,
       { machine: name, zone, peer: `10.9.0.${at + 1}:7000` },
       [stage.machineAt(0).peer],
-      boundsOf({}),
+      deriveBounds({}),
     );
     daemon.start();
     return { daemon, gate, wire, name };
@@ -67,7 +67,7 @@
     const watchRequests =
       sumBy(all, ({ daemon }) => daemon.clusterView.watchRequests) - before.watchRequests;
     const out = sumBy(all, ({ wire }) => wire.totals.messagesOut) - before.out;
-    const { watchIntervalMs: pollMs, controlPlaneTimeouts } = boundsOf({});
+    const { watchIntervalMs: pollMs, controlPlaneTimeouts } = deriveBounds({});
     const farMs = 2 * oneWayMs("zone-1", "zone-8", topology);
     expect(watchRequests).toBeGreaterThan(
       daemonCount * Math.floor(4000 / (pollMs + controlPlaneTimeouts.maxWatchWaitMs + farMs + 50)),
