--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -77,7 +77,7 @@
     fleet.wait(4000);
     const gate = new EventGate();
     const clock = gate.clock(fleet.virtualClock.clock());
-    const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
+    const wire = new DelayedNetwork(fleet.network.createInterface("far", gate), clock, () => 350);
     const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
     const bounds = deriveBounds({});
     const daemon = new PollingDaemon(
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -50,7 +50,7 @@
     const peer = "10.0.9.7:7000";
     const runtime = virtualRuntime({
       clock: stage.virtualClock.clock(),
-      network: stage.network.wire(`poll-${stage.virtualClock.nowMs()}`, new EventGate()),
+      network: stage.network.createInterface(`poll-${stage.virtualClock.nowMs()}`, new EventGate()),
       random: stage.random,
     });
     const rpc = new RpcEndpoint(runtime, peer);
--- a/test/platform/command-stage.ts
+++ b/test/platform/command-stage.ts
@@ -179,6 +179,6 @@
   /** Cuts all ways from some machines to others, one way only. */
   blockLinks(from: readonly FixtureMachine[], to: readonly FixtureMachine[]): void {
     for (const one of from)
-      for (const other of to) this.network.cut(one.settings.machine, other.settings.machine);
+      for (const other of to) this.network.partition(one.settings.machine, other.settings.machine);
   }
 }
