--- a/src/model-checker/model-disk.ts
+++ b/src/model-checker/model-disk.ts
@@ -8,8 +8,9 @@
 
 /** A write under way, and what its member does once it is on disk. */
 export interface PendingWrite<Then> {
-  readonly content: { readonly records: readonly LogRecord[] } | { readonly whole: DiskContent };
-  readonly then: Then;
+  readonly content:
+    { readonly records: readonly LogRecord[] } | { readonly fullContent: DiskContent };
+  readonly effect: Then;
 }
 
 /** Adds one record to what the disk holds, as the store replays its log. */
@@ -39,7 +40,7 @@
     const write = this.pending.shift();
     if (write === undefined) return undefined;
     this.put(write);
-    return write.then;
+    return write.effect;
   }
 
   /** The machine stops: some of the oldest writes are on disk though nobody was told, the others are lost. */
@@ -61,7 +62,7 @@
   }
 
   private put({ content }: PendingWrite<Then>): void {
-    if ("whole" in content) this.content = content.whole;
+    if ("whole" in content) this.content = content.fullContent;
     else if (this.content !== undefined)
       this.content = content.records.reduce(withRecord, this.content);
   }
--- a/test/simulation/simulated-day.test.ts
+++ b/test/simulation/simulated-day.test.ts
@@ -2,10 +2,10 @@
 import { shippedProfiles } from "../../src/simulation/profile.js";
 import { runSimulation } from "../../src/simulation/simulated-day.js";
 
-const days = Object.values(shippedProfiles).flatMap((profile) =>
+const runs = Object.values(shippedProfiles).flatMap((profile) =>
   [1, 2, 3].map((seed) => ({ profile, seed, name: `${profile.name}, seed ${seed}` })),
 );
-test.each(days)("a day of all kinds of failures breaks no rule: $name", ({ profile, seed }) => {
+test.each(runs)("a day of all kinds of failures breaks no rule: $name", ({ profile, seed }) => {
   const day = runSimulation({
     profile,
     seed,
@@ -16,7 +16,7 @@
   expect(day.requests).toBeGreaterThan(500);
   expect(day.elections).toBeGreaterThan(0);
 });
-const points: Record<string, string[]> = {
+const faultGroups: Record<string, string[]> = {
   "addresses handed over": ["reuseAddress", "reuseManyAddresses"],
   "cuts, slow connections and loss toward callers and back ends": [
     "cutFromCallers",
@@ -45,13 +45,13 @@
     "loseZoneWithLeader",
   ],
 };
-test.each(Object.keys(points))("a day of one point breaks no rule: %s", (point) => {
+test.each(Object.keys(faultGroups))("a day of one point breaks no rule: %s", (point) => {
   const day = runSimulation({
     profile: shippedProfiles.rastro,
     seed: 11,
     faultPeriodMs: 9000,
     rateFactor: 0.08,
-    ...(points[point] ? { faultNames: points[point] } : {}),
+    ...(faultGroups[point] ? { faultNames: faultGroups[point] } : {}),
   });
   expect(day.violations).toEqual([]);
   expect(day.injectedFaults.length).toBeGreaterThan(1);
