--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -16,26 +16,26 @@
   readonly counterexample: Counterexample | undefined;
 }
 
-interface Place {
+interface SearchNode {
   readonly group: MemberGroup;
   readonly steps: readonly Step[];
   /** How many members have stopped on the way here. */
-  readonly stops: number;
+  readonly failures: number;
 }
 
-const quantumMs = 100;
-const mostStops = 2;
+const tickMs = 100;
+const maxFailures = 2;
 
 /** Everything that may happen next: each message, each write, time, a client's write, a stop with or without the disk. */
-const choicesAt = ({ group, stops }: Place): Step[] => {
-  const choices: Step[] = [{ kind: "advance", ms: quantumMs, paused: [] }];
+const possibleSteps = ({ group, failures: stops }: SearchNode): Step[] => {
+  const choices: Step[] = [{ kind: "advance", ms: tickMs, paused: [] }];
   for (const { id, from, to } of group.messages.values())
     if (!group.blockedLinks.has(`${from}>${to}`))
       choices.push({ kind: "deliver", message: id, twice: false });
   for (const { name, isUp, disk, state } of group.members.values()) {
     if (!isUp) choices.push({ kind: "start", member: name });
-    else if (stops < mostStops) choices.push({ kind: "crash", member: name, keptWrites: 0 });
-    if (isUp && stops < mostStops && group.mayWipe(name))
+    else if (stops < maxFailures) choices.push({ kind: "crash", member: name, keptWrites: 0 });
+    if (isUp && stops < maxFailures && group.mayWipe(name))
       choices.push({ kind: "wipe", member: name });
     if (disk.pending.length > 0) choices.push({ kind: "sync", member: name });
     if (isUp && state.role === "leader") choices.push({ kind: "write", member: name });
@@ -44,7 +44,7 @@
 };
 
 /** A group that has a leader and one committed entry, with nothing under way. */
-const settled = (settings: GroupSettings): Place => {
+const createInitialNode = (settings: GroupSettings): SearchNode => {
   const group = new MemberGroup(settings);
   const steps: Step[] = [];
   const take = (step: Step): void => {
@@ -58,7 +58,7 @@
     for (const id of [...group.messages.keys()])
       take({ kind: "deliver", message: id, twice: false });
   }
-  return { group, steps, stops: 0 };
+  return { group, steps, failures: 0 };
 };
 
 /** Tries all orders of steps up to a depth, once from each situation, from a settled group of three on. */
@@ -69,12 +69,12 @@
 ): Coverage => {
   const settings = createGroupSettings(3, 0, 1, alteration);
   const seen = new Set<string>();
-  let frontier: Place[] = [settled(settings)];
+  let frontier: SearchNode[] = [createInitialNode(settings)];
   let steps = 0;
   for (let level = 0; level < depth; level += 1) {
-    const next: Place[] = [];
+    const next: SearchNode[] = [];
     for (const place of frontier)
-      for (const step of choicesAt(place)) {
+      for (const step of possibleSteps(place)) {
         steps += 1;
         if (steps > mostSteps)
           return { steps, states: seen.size, depth: level, counterexample: undefined };
@@ -92,7 +92,7 @@
         if (seen.has(fingerprint)) continue;
         seen.add(fingerprint);
         const isStop = step.kind === "crash" || step.kind === "wipe";
-        next.push({ group, steps: taken, stops: place.stops + (isStop ? 1 : 0) });
+        next.push({ group, steps: taken, failures: place.failures + (isStop ? 1 : 0) });
       }
     frontier = next;
   }
--- a/src/model-checker/group-settings.ts
+++ b/src/model-checker/group-settings.ts
@@ -20,7 +20,7 @@
 }
 
 /** How far clocks may differ: the lease and the election wait leave room for 11% each way. */
-const clockSpread = 0.08;
+const clockRateSpread = 0.08;
 
 /** A group with production's waits and rules. */
 export function createGroupSettings(
@@ -30,7 +30,7 @@
   change: { rules?: Partial<SafetyRules>; timeouts?: Partial<ElectionTimeouts> } = {},
 ): GroupSettings {
   const names = Array.from({ length: voters + spares }, (_, at) => `m${at + 1}`);
-  const clockRates = names.map((_, at) => 1 + clockSpread * (((seed + at * 2) % 3) - 1));
+  const clockRates = names.map((_, at) => 1 + clockRateSpread * (((seed + at * 2) % 3) - 1));
   return {
     names,
     wantedVoters: voters,
--- a/src/model-checker/main.ts
+++ b/src/model-checker/main.ts
@@ -18,27 +18,27 @@
   readonly out?: string;
 }
 
-const say = (line: string): void => {
+const print = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-const report = (found: Counterexample, out: string | undefined): void => {
+const reportCounterexample = (found: Counterexample, out: string | undefined): void => {
   const shrunk = shrink(found);
-  say(formatTrace(shrunk));
+  print(formatTrace(shrunk));
   if (out !== undefined) writeFileSync(out, formatTraceFile(shrunk));
   process.exitCode = 1;
 };
 
 const exploreProduction = ({ steps, run, seed, depth, out }: Options): void => {
   const all = exploreAll(depth, steps);
-  say(`all orders: depth ${all.depth}, ${all.steps} steps, ${all.states} situations`);
-  if (all.counterexample !== undefined) return report(all.counterexample, out);
+  print(`all orders: depth ${all.depth}, ${all.steps} steps, ${all.states} situations`);
+  if (all.counterexample !== undefined) return reportCounterexample(all.counterexample, out);
   const random = exploreRandomly({ firstSeed: seed, maxSteps: steps, stepsPerRun: run });
-  say(`at random: ${random.runs} runs, ${random.steps} steps`);
+  print(`at random: ${random.runs} runs, ${random.steps} steps`);
   if (random.counterexample !== undefined) {
-    say(`seed ${random.seed ?? 0}`);
-    report(random.counterexample, out);
-  } else say("no promise was broken");
+    print(`seed ${random.seed ?? 0}`);
+    reportCounterexample(random.counterexample, out);
+  } else print("no promise was broken");
 };
 
 const exploreMutants = ({ steps, run, seed }: Options): void => {
@@ -46,13 +46,13 @@
     const extent = { firstSeed: seed, maxSteps: steps, stepsPerRun: run };
     const found = exploreRandomly(extent, alteration);
     const promise = found.counterexample?.invariant ?? "not found";
-    say(`| ${name} | ${promise} | ${found.steps} | ${found.seed ?? "-"} |`);
+    print(`| ${name} | ${promise} | ${found.steps} | ${found.seed ?? "-"} |`);
   }
 };
 
-const playAgain = (file: string, seed: number): void => {
+const replayFile = (file: string, seed: number): void => {
   const found = replay(settingsFor(seed, {}), parseSteps(readFileSync(file, "utf8")));
-  say(found === undefined ? "no promise was broken" : formatTrace(found));
+  print(found === undefined ? "no promise was broken" : formatTrace(found));
   if (found !== undefined) process.exitCode = 1;
 };
 
@@ -67,7 +67,7 @@
   .option("--replay <file>", "Plays a trace again instead")
   .option("--out <file>", "Where the trace of a counterexample goes")
   .action((options: Options) => {
-    if (options.replay !== undefined) playAgain(options.replay, options.seed);
+    if (options.replay !== undefined) replayFile(options.replay, options.seed);
     else if (options.mutants === true) exploreMutants(options);
     else exploreProduction(options);
   });
--- a/src/model-checker/model-disk.ts
+++ b/src/model-checker/model-disk.ts
@@ -14,7 +14,7 @@
 }
 
 /** Adds one record to what the disk holds, as the store replays its log. */
-const withRecord = (content: DiskContent, record: LogRecord): DiskContent => {
+const applyRecord = (content: DiskContent, record: LogRecord): DiskContent => {
   switch (record.kind) {
     case "vote":
       return { ...content, term: record.term, votedFor: record.text };
@@ -64,6 +64,6 @@
   private put({ content }: PendingWrite<Then>): void {
     if ("whole" in content) this.content = content.fullContent;
     else if (this.content !== undefined)
-      this.content = content.records.reduce(withRecord, this.content);
+      this.content = content.records.reduce(applyRecord, this.content);
   }
 }
--- a/src/model-checker/phase-walk.ts
+++ b/src/model-checker/phase-walk.ts
@@ -4,8 +4,8 @@
 import type { Step } from "./step.js";
 
 /** How likely a phase ends with the next step. */
-const phaseEnd = 0.03;
-const paces = [5, 20, 60];
+const phaseEndProbability = 0.03;
+const timeStepsMs = [5, 20, 60];
 
 /**
  * Draws steps in phases. In each, some members reach one another and nothing is lost among them; the others are cut
@@ -25,7 +25,7 @@
   }
 
   next(group: MemberGroup): Step {
-    if (this.planned.length === 0 && this.random.chance(phaseEnd)) this.plan(group);
+    if (this.planned.length === 0 && this.random.chance(phaseEndProbability)) this.plan(group);
     return this.planned.shift() ?? this.progress(group);
   }
 
@@ -84,6 +84,6 @@
     const message = random.chance(0.15) ? random.oneOf(open) : open[0];
     if (message !== undefined && random.chance(0.9))
       return { kind: "deliver", message: message.id, twice: random.chance(0.02) };
-    return { kind: "advance", ms: random.oneOf(paces) ?? 20, paused: [] };
+    return { kind: "advance", ms: random.oneOf(timeStepsMs) ?? 20, paused: [] };
   }
 }
--- a/src/model-checker/recovery.ts
+++ b/src/model-checker/recovery.ts
@@ -2,14 +2,14 @@
 import type { MemberGroup } from "./member-group.js";
 import type { Step } from "./step.js";
 
-const quantumMs = 20;
+const tickMs = 20;
 /** How long a group whose failures are over may take until all members hold the same. */
-const healedWithinMs = 12_000;
+const recoveryTimeoutMs = 12_000;
 
-const advance: Step = { kind: "advance", ms: quantumMs, paused: [] };
+const advance: Step = { kind: "advance", ms: tickMs, paused: [] };
 
 /** Does all that is waiting, in order, as a network and disks without failures would. */
-const settle = (group: MemberGroup): void => {
+const completePending = (group: MemberGroup): void => {
   for (const name of group.members.keys())
     while (group.member(name).isUp && group.member(name).disk.pending.length > 0)
       group.execute({ kind: "sync", member: name });
@@ -17,7 +17,7 @@
     group.execute({ kind: "deliver", message, twice: false });
 };
 
-const isHealed = (group: MemberGroup): boolean => {
+const hasRecovered = (group: MemberGroup): boolean => {
   const { voters } = group.checks.latestMembers;
   const members = [...group.members.values()];
   return (
@@ -34,8 +34,8 @@
 export const recover = (group: MemberGroup): void => {
   group.blockedLinks.clear();
   for (const name of group.members.keys()) group.execute({ kind: "start", member: name });
-  const untilMs = group.nowMs + healedWithinMs;
-  while (!isHealed(group)) {
+  const untilMs = group.nowMs + recoveryTimeoutMs;
+  while (!hasRecovered(group)) {
     if (group.nowMs > untilMs && !group.isWithinTolerance) return;
     if (group.nowMs > untilMs) {
       const members = [...group.members.values()].map(
@@ -45,7 +45,7 @@
       );
       throw new InvariantViolation("the group heals", members.join("; "));
     }
-    settle(group);
+    completePending(group);
     group.execute(advance);
   }
 };
--- a/src/model-checker/search-run.ts
+++ b/src/model-checker/search-run.ts
@@ -23,12 +23,12 @@
     );
 };
 
-const finish = (group: MemberGroup): void => {
+const checkEnd = (group: MemberGroup): void => {
   checkHistory(group);
   recover(group);
 };
 
-const attempt = (
+const catchViolation = (
   settings: GroupSettings,
   steps: readonly Step[],
   work: () => void,
@@ -49,12 +49,12 @@
 ): Counterexample | undefined => {
   const group = new MemberGroup(settings);
   const played: Step[] = [];
-  return attempt(settings, played, () => {
+  return catchViolation(settings, played, () => {
     for (const step of steps) {
       played.push(step);
       group.execute(step);
     }
-    finish(group);
+    checkEnd(group);
   });
 };
 
@@ -67,12 +67,12 @@
   const group = new MemberGroup(settings);
   const walk = new RandomWalk(seed);
   const steps: Step[] = [];
-  return attempt(settings, steps, () => {
+  return catchViolation(settings, steps, () => {
     while (steps.length < length) {
       const step = walk.next(group);
       steps.push(step);
       group.execute(step);
     }
-    finish(group);
+    checkEnd(group);
   });
 };
