--- a/test/replication/bootstrap/node-location.test.ts
+++ b/test/replication/bootstrap/node-location.test.ts
@@ -1,3 +1,4 @@
+/** The choice of a new log's members by zone. */
 import { expect, test } from "vitest";
 import {
   type NodeLocation,
@@ -15,16 +16,16 @@
   seeds: () => [],
 });
 const createCandidates = (zones: string): BootstrapCandidate[] =>
-  [...zones].map((zone, at) => ({ peer: `${zone}${at}`, machine: `m${at}`, zone }));
+  [...zones].map((zone, index) => ({ peer: `${zone}${index}`, machine: `m${index}`, zone }));
 
-test("voters are chosen from the zones in turn, in whatever order candidates were found", () => {
-  const all = createCandidates("aabbcc");
-  expect(chooseMembers(createLocation(2, 0), all)).toEqual({
+test("voters are chosen from the zones in turn, independently of the order of the candidates", () => {
+  const candidates = createCandidates("aabbcc");
+  expect(chooseMembers(createLocation(2, 0), candidates)).toEqual({
     voters: ["a0", "b2", "c4", "a1", "b3"],
     learners: ["c5"],
   });
-  expect(chooseMembers(createLocation(2, 0), [...all].reverse())).toEqual(
-    chooseMembers(createLocation(2, 0), all),
+  expect(chooseMembers(createLocation(2, 0), [...candidates].reverse())).toEqual(
+    chooseMembers(createLocation(2, 0), candidates),
   );
   expect(chooseMembers(createLocation(1, 0), createCandidates("abcd"))).toEqual({
     voters: ["a0", "b1", "c2"],
@@ -32,7 +33,7 @@
   });
 });
 
-test("no members are chosen from too few candidates, nor from too few zones where losses of zones are tolerated", () => {
+test("no members are chosen from too few candidates, or from too few zones if losses of zones are tolerated", () => {
   expect(chooseMembers(createLocation(1, 0), createCandidates("ab"))).toBeUndefined();
   expect(chooseMembers(createLocation(1, 0), createCandidates("aaa"))?.voters).toHaveLength(3);
   expect(chooseMembers(createLocation(1, 1), createCandidates("aab"))).toBeUndefined();
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -1,3 +1,4 @@
+/** The config history on disk, and its repair from other members. */
 import { expect, test } from "vitest";
 import { type Task, runTask } from "../../../src/runtime/task.js";
 import type { AcceptedConfig } from "../../../src/state/accepted-config.js";
@@ -20,9 +21,9 @@
   ...(version === undefined ? {} : { version }),
 });
 
-test("what a failed addition left is cut off before more is added, and versions are stored", () => {
-  const time = new VirtualClock();
-  const disk = new VirtualDisk(time.clock(), () => 0.5);
+test("the remains of a failed append are truncated before the next one, and versions are stored", () => {
+  const virtualClock = new VirtualClock();
+  const disk = new VirtualDisk(virtualClock.clock(), () => 0.5);
   const errors: unknown[] = [];
   const runTaskToEnd = <T>(task: Task<T>): T | undefined => {
     const values: T[] = [];
@@ -31,23 +32,23 @@
       (error) => errors.push(error),
       (value) => values.push(value),
     );
-    time.runUntil(time.nowMs() + 5000);
+    virtualClock.runUntil(virtualClock.nowMs() + 5000);
     return values[0];
   };
   const history = new ConfigHistory(disk);
   runTaskToEnd(history.load([]));
   runTaskToEnd(history.add([createConfig(1), createConfig(2, 9)]));
-  const whole = Buffer.from(disk.peek("configs-1"));
+  const storedBytes = Buffer.from(disk.peek("configs-1"));
   disk.isFull = true;
   runTaskToEnd(history.add([createConfig(3, 12)]));
   expect(errors).toHaveLength(1);
   disk.isFull = false;
-  disk.poke("configs-1", Buffer.concat([whole, whole.subarray(0, 20)]));
+  disk.poke("configs-1", Buffer.concat([storedBytes, storedBytes.subarray(0, 20)]));
   runTaskToEnd(history.add([createConfig(3, 12), createConfig(4, 13)]));
-  const again = new ConfigHistory(disk);
-  runTaskToEnd(again.load(["configs-1"]));
-  expect(again.newestSequence).toBe(4);
-  expect([1, 2, 3, 4].map((sequence) => runTaskToEnd(again.read(sequence)))).toEqual([
+  const reopened = new ConfigHistory(disk);
+  runTaskToEnd(reopened.load(["configs-1"]));
+  expect(reopened.newestSequence).toBe(4);
+  expect([1, 2, 3, 4].map((sequence) => runTaskToEnd(reopened.read(sequence)))).toEqual([
     createConfig(1),
     createConfig(2, 9),
     createConfig(3, 12),
@@ -60,12 +61,12 @@
   throw error;
 };
 const setUp = () => {
-  const time = new VirtualClock();
-  const disk = new VirtualDisk(time.clock(), () => 0.5);
+  const virtualClock = new VirtualClock();
+  const disk = new VirtualDisk(virtualClock.clock(), () => 0.5);
   const runTaskToEnd = <T>(task: Task<T>): T => {
     const values: T[] = [];
     runTask(task, throwError, (value) => values.push(value));
-    time.runUntil(time.nowMs() + 5000);
+    virtualClock.runUntil(virtualClock.nowMs() + 5000);
     for (const value of values) return value;
     throw new Error("The task has not ended.");
   };
@@ -74,13 +75,13 @@
     runTaskToEnd(history.load(runTaskToEnd(disk.list())));
     return history;
   };
-  return { disk, run: runTaskToEnd, reopened: reopenHistory };
+  return { disk, runTaskToEnd, reopenHistory };
 };
 
-test("hundreds of accepted configs are read back, also after one disk was lost, one damaged, and the third machine lost", () => {
+test("hundreds of accepted configs are readable after one disk was lost, one was damaged and the third machine was lost", () => {
   const simulation = new Simulation(shippedProfiles.rastro, 3, 0.01);
-  const wait = (forMs: number): void =>
-    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
+  const wait = (durationMs: number): void =>
+    simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + durationMs);
   simulation.startAll();
   wait(3000);
   while (simulation.recorder.ofKind("accepted").length < 230) {
@@ -93,9 +94,9 @@
   one.disk.wipe();
   simulation.boot(one);
   simulation.kill(two, true);
-  const bent = Buffer.from(two.disk.peek("configs-1"));
-  bent[400] = (bent[400] ?? 0) ^ 255;
-  two.disk.poke("configs-1", bent);
+  const corruptedBytes = Buffer.from(two.disk.peek("configs-1"));
+  corruptedBytes[400] = (corruptedBytes[400] ?? 0) ^ 255;
+  two.disk.poke("configs-1", corruptedBytes);
   simulation.boot(two);
   wait(8000);
   expect([one, two].map(({ daemon }) => daemon?.replicationNode?.status.state)).toEqual([
@@ -118,27 +119,27 @@
   expect(Math.max(...slots)).toBeLessThan(150_000);
 });
 
-test("configs are stored in order across files, once each, and an incomplete record at the end is cut off", () => {
-  const { disk, run: runTaskToEnd, reopened: reopenHistory } = setUp();
+test("configs are stored once each, in order across files, and an incomplete record at the end is truncated", () => {
+  const { disk, runTaskToEnd, reopenHistory } = setUp();
   const history = reopenHistory();
   runTaskToEnd(history.add(Array.from({ length: 150 }, (_, at) => createConfig(at + 1))));
   runTaskToEnd(history.add([createConfig(149), createConfig(150), createConfig(151)]));
   expect(history.newestSequence).toBe(151);
   const tail = disk.peek("configs-129");
   disk.poke("configs-129", tail.subarray(0, tail.length - 3));
-  const again = reopenHistory();
-  expect(again.newestSequence).toBe(150);
-  runTaskToEnd(again.add([createConfig(151), createConfig(152)]));
+  const reopened = reopenHistory();
+  expect(reopened.newestSequence).toBe(150);
+  runTaskToEnd(reopened.add([createConfig(151), createConfig(152)]));
   for (const sequence of [1, 64, 65, 128, 129, 152])
     expect(runTaskToEnd(reopenHistory().read(sequence))).toEqual(createConfig(sequence));
-  expect(runTaskToEnd(again.read(153))).toBeUndefined();
+  expect(runTaskToEnd(reopened.read(153))).toBeUndefined();
   expect(
-    ConfigHistory.unpackPiece(runTaskToEnd(again.readPiece(100)), 100).map(
+    ConfigHistory.unpackPiece(runTaskToEnd(reopened.readPiece(100)), 100).map(
       ({ sequence }) => sequence,
     ),
   ).toEqual(Array.from({ length: 29 }, (_, at) => at + 100));
   expect(runTaskToEnd(disk.list()).sort()).toEqual(["configs-1", "configs-129", "configs-65"]);
-  expect([again.findMissingBelow(153), again.findMissingBelow(160)]).toEqual([
+  expect([reopened.findMissingBelow(153), reopened.findMissingBelow(160)]).toEqual([
     undefined,
     { from: 153, to: 159 },
   ]);
@@ -154,8 +155,8 @@
     ),
   ]);
 
-test("files of former builds are read, and later configs are added in the current layout", () => {
-  const { disk, run: runTaskToEnd, reopened: reopenHistory } = setUp();
+test("files of earlier builds are read, and later configs are added in the current layout", () => {
+  const { disk, runTaskToEnd, reopenHistory } = setUp();
   for (const [name, bytes] of createLegacyFiles(70)) disk.poke(name, bytes);
   const history = reopenHistory();
   expect(history.newestSequence).toBe(70);
@@ -167,16 +168,16 @@
     "history-0",
     "history-1",
   ]);
-  const again = reopenHistory();
-  expect(runTaskToEnd(again.check())).toEqual([]);
-  expect(again.newestSequence).toBe(204);
+  const reopened = reopenHistory();
+  expect(runTaskToEnd(reopened.check())).toEqual([]);
+  expect(reopened.newestSequence).toBe(204);
   for (const sequence of [1, 64, 65, 70, 71, 150, 198, 199, 204])
-    expect(runTaskToEnd(again.read(sequence))).toEqual(createConfig(sequence));
-  expect(again.findMissingBelow(205)).toBeUndefined();
+    expect(runTaskToEnd(reopened.read(sequence))).toEqual(createConfig(sequence));
+  expect(reopened.findMissingBelow(205)).toBeUndefined();
 });
 
 test("older configs fill gaps between files, and later ones are appended to them", () => {
-  const { run: runTaskToEnd, reopened: reopenHistory } = setUp();
+  const { runTaskToEnd, reopenHistory } = setUp();
   const history = reopenHistory();
   runTaskToEnd(history.add([createConfig(1), createConfig(2)]));
   runTaskToEnd(history.add([createConfig(300), createConfig(301)]));
@@ -184,30 +185,30 @@
   runTaskToEnd(history.add(Array.from({ length: 20 }, (_, at) => createConfig(at + 190))));
   runTaskToEnd(history.add(Array.from({ length: 100 }, (_, at) => createConfig(at + 205))));
   expect(history.findMissingBelow(300)).toEqual({ from: 3, to: 189 });
-  const again = reopenHistory();
-  runTaskToEnd(again.check());
-  expect(again.findMissingBelow(302)).toEqual({ from: 3, to: 189 });
+  const reopened = reopenHistory();
+  runTaskToEnd(reopened.check());
+  expect(reopened.findMissingBelow(302)).toEqual({ from: 3, to: 189 });
   for (const sequence of [1, 2, 190, 209, 210, 299, 300, 301])
-    expect(runTaskToEnd(again.read(sequence))).toEqual(createConfig(sequence));
-  expect(runTaskToEnd(again.read(189))).toBeUndefined();
+    expect(runTaskToEnd(reopened.read(sequence))).toEqual(createConfig(sequence));
+  expect(runTaskToEnd(reopened.read(189))).toBeUndefined();
 });
 
-test("the oldest files are removed beyond the quota and on a full disk, never the newest", () => {
-  const { disk, run: runTaskToEnd } = setUp();
+test("the oldest files are removed when the quota is exceeded or the disk is full, but never the newest", () => {
+  const { disk, runTaskToEnd } = setUp();
   const random = RandomDraw.of(5);
-  const large = (sequence: number): AcceptedConfig => ({
+  const createLargeConfig = (sequence: number): AcceptedConfig => ({
     ...createConfig(sequence),
     text: Array.from({ length: 4000 }, () => random().toString(36)).join(" "),
   });
   const history = new ConfigHistory(disk, 1_000_000);
   runTaskToEnd(history.load([]));
   for (let sequence = 1; sequence <= 60; sequence += 1)
-    runTaskToEnd(history.add([large(sequence)]));
-  const filled = history.measuredBytes;
+    runTaskToEnd(history.add([createLargeConfig(sequence)]));
+  const bytesBeforeShrink = history.measuredBytes;
   const removed = runTaskToEnd(history.shrink());
   expect(removed?.from).toBe(1);
   expect(history.removedUpTo).toBe(removed?.to);
-  expect(filled).toBeGreaterThan(1_000_000);
+  expect(bytesBeforeShrink).toBeGreaterThan(1_000_000);
   expect(history.measuredBytes).toBeLessThanOrEqual(1_000_000);
   expect(disk.usedBytes).toBe(history.measuredBytes);
   expect(runTaskToEnd(history.read(removed?.to ?? 0))).toBeUndefined();
@@ -217,10 +218,10 @@
   expect([history.measuredBytes > 0, history.hasSpareQuota]).toEqual([true, false]);
 });
 
-test("a delta restores any text, also one that shares nothing or only moves parts", () => {
+test("a delta restores any text, including unrelated texts and texts whose parts only moved", () => {
   const random = RandomDraw.of(9);
-  const word = (): string => `"${random().toString(36)}":{"a":${Math.floor(random() * 9)}},`;
-  const items = Array.from({ length: 300 }, word);
+  const randomItem = (): string => `"${random().toString(36)}":{"a":${Math.floor(random() * 9)}},`;
+  const items = Array.from({ length: 300 }, randomItem);
   const base = items.join("");
   const texts = [
     base,
@@ -228,11 +229,11 @@
     "x",
     `${base}tail`,
     `head${base}`,
-    [...items.slice(0, 100), word(), ...items.slice(101)].join(""),
+    [...items.slice(0, 100), randomItem(), ...items.slice(101)].join(""),
     [...items].reverse().join(""),
     [...items.slice(200), ...items.slice(0, 200)].join(""),
     `${base.slice(0, 500)}\u{1f600}${base.slice(700)}`,
-    Array.from({ length: 300 }, word).join(""),
+    Array.from({ length: 300 }, randomItem).join(""),
   ];
   for (const text of texts) {
     expect(applyTextDelta(base, computeTextDelta(base, text))).toBe(text);
@@ -242,18 +243,18 @@
   expect(JSON.stringify(computeTextDelta(base, texts[7] ?? "")).length).toBeLessThan(120);
 });
 
-test("a history with arbitrary damage returns a config as it was stored or none, and accepts more", () => {
+test("a history with arbitrary damage returns each config unchanged or not at all, and accepts further configs", () => {
   const random = RandomDraw.of(11);
-  let missing = 0;
+  let missingCount = 0;
   for (let round = 0; round < 60; round += 1) {
-    const { disk, run: runTaskToEnd, reopened: reopenHistory } = setUp();
-    const isFormer = round % 4 >= 2;
-    if (isFormer) for (const [file, bytes] of createLegacyFiles(70)) disk.poke(file, bytes);
+    const { disk, runTaskToEnd, reopenHistory } = setUp();
+    const isLegacy = round % 4 >= 2;
+    if (isLegacy) for (const [file, bytes] of createLegacyFiles(70)) disk.poke(file, bytes);
     else
       runTaskToEnd(
         reopenHistory().add(Array.from({ length: 150 }, (_, at) => createConfig(at + 1))),
       );
-    const names = isFormer ? ["history-0", "history-1"] : ["configs-1", "configs-65"];
+    const names = isLegacy ? ["history-0", "history-1"] : ["configs-1", "configs-65"];
     const name = names[round % 2] ?? "";
     const bytes = Buffer.from(disk.peek(name));
     const at = Math.floor(random() * bytes.length);
@@ -263,16 +264,16 @@
       disk.poke(name, bytes);
     }
     const history = reopenHistory();
-    for (const sequence of isFormer ? [1, 30, 64, 65, 70] : [1, 64, 65, 128, 150]) {
+    for (const sequence of isLegacy ? [1, 30, 64, 65, 70] : [1, 64, 65, 128, 150]) {
       const read = runTaskToEnd(history.read(sequence));
       if (read) expect(read).toEqual(createConfig(sequence));
-      else missing += 1;
+      else missingCount += 1;
     }
     const { newestSequence: newest } = history;
     runTaskToEnd(history.add([createConfig(newest + 1)]));
     expect(runTaskToEnd(reopenHistory().read(newest + 1))).toEqual(createConfig(newest + 1));
   }
-  expect(missing).toBeGreaterThan(20);
+  expect(missingCount).toBeGreaterThan(20);
   expect(
     ConfigHistory.unpackPiece(
       Buffer.from(Array.from({ length: 300 }, () => Math.floor(random() * 256))),
--- a/test/replication/large-config.ts
+++ b/test/replication/large-config.ts
@@ -6,13 +6,10 @@
     "",
   );
 
-/** A configuration with many routes whose names, hosts and paths are drawn, of which each change alters one route. */
+/** Generates versions of a large configuration: names, hosts and paths are random, and each version changes one route. */
 export class LargeConfig {
   private readonly names: string[];
-  private readonly routes: Record<
-    string,
-    { match: object; randomService: string; giveUpMs: number }
-  >;
+  private readonly routes: Record<string, { match: object; service: string; giveUpMs: number }>;
   private readonly services = Array.from({ length: 60 }, () => randomWord(8));
   private changes = 0;
 
@@ -27,19 +24,19 @@
             host: `${randomWord(5)}.example`,
             methods: ["GET"],
           },
-          randomService: this.randomService(),
+          service: this.randomService(),
           giveUpMs: 1000 + Math.floor(random() * 9) * 100,
         },
       ]),
     );
   }
 
-  /** The text of the next version: one more route than none goes to another service, another has another time-out. */
+  /** Returns the text of the next version: one random route gets another service and another `giveUpMs`. */
   next(): string {
     this.changes += 1;
     const route = this.routes[this.names[Math.floor(random() * this.names.length)] ?? ""];
     if (route) {
-      route.randomService = this.randomService();
+      route.service = this.randomService();
       route.giveUpMs = 1000 + this.changes;
     }
     const services = Object.fromEntries(this.services.map((name) => [name, {}]));
--- a/test/replication/log/log-store.test.ts
+++ b/test/replication/log/log-store.test.ts
@@ -1,3 +1,4 @@
+/** The files of the durable state: synced records survive crashes, and damage is reported instead of loaded. */
 import { expect, test } from "vitest";
 import { type Task, runTask } from "../../../src/runtime/task.js";
 import type { DurableState } from "../../../src/replication/log/durable-state.js";
@@ -17,8 +18,8 @@
   entries: [],
 };
 const setUp = () => {
-  const time = new VirtualClock();
-  const disk = new VirtualDisk(time.clock(), () => 0.5);
+  const virtualClock = new VirtualClock();
+  const disk = new VirtualDisk(virtualClock.clock(), () => 0.5);
   const runTaskToEnd = <T>(task: Task<T>): T => {
     const values: T[] = [];
     runTask(
@@ -28,15 +29,15 @@
       },
       (value) => values.push(value),
     );
-    time.runUntil(time.nowMs() + 1000);
+    virtualClock.runUntil(virtualClock.nowMs() + 1000);
     for (const value of values) return value;
     throw new Error("The task has not ended.");
   };
-  return { disk, run: runTaskToEnd };
+  return { disk, runTaskToEnd };
 };
 
-test("an incomplete record at the log's end is cut off, damage before it is reported, and nothing synced is lost", () => {
-  const { disk, run: runTaskToEnd } = setUp();
+test("an incomplete record at the log's end is truncated, damage before it is reported, and no synced record is lost", () => {
+  const { disk, runTaskToEnd } = setUp();
   const store = new LogStore(disk);
   expect(runTaskToEnd(store.load())).toEqual({ kind: "empty" });
   runTaskToEnd(store.writeSnapshot(durableState));
@@ -60,14 +61,14 @@
         4,
       ]);
   }
-  const bent = Buffer.from(bytes);
-  bent[12] = (bent[12] ?? 0) ^ 255;
-  disk.poke(name, bent);
+  const corruptedBytes = Buffer.from(bytes);
+  corruptedBytes[12] = (corruptedBytes[12] ?? 0) ^ 255;
+  disk.poke(name, corruptedBytes);
   expect(runTaskToEnd(new LogStore(disk).load()).kind).toBe("damaged");
 });
 
-test("an entry that is both in the slot and in the log counts once; a gap is reported", () => {
-  const { disk, run: runTaskToEnd } = setUp();
+test("an entry that is in both the slot and the log is loaded once, and a gap is reported as damage", () => {
+  const { disk, runTaskToEnd } = setUp();
   const store = new LogStore(disk);
   runTaskToEnd(store.load());
   const entries = [1, 2].map((index) => ({ index, term: 1, text: `e${index}` }));
@@ -88,9 +89,9 @@
 
 test("a disk with arbitrary damage is loaded or reported as damaged, and then accepts writes", async () => {
   const random = RandomDraw.of(6);
-  const seen = new Set<string>();
+  const seenKinds = new Set<string>();
   for (let round = 0; round < 200; round += 1) {
-    const { disk, run: runTaskToEnd } = setUp();
+    const { disk, runTaskToEnd } = setUp();
     const store = new LogStore(disk);
     runTaskToEnd(store.load());
     runTaskToEnd(store.writeSnapshot(durableState));
@@ -102,36 +103,36 @@
     for (const name of runTaskToEnd(disk.list())) {
       if (random() < 0.5) continue;
       const bytes = disk.peek(name);
-      const at = Math.floor(random() * bytes.length);
-      if (random() < 0.5) disk.poke(name, bytes.subarray(0, at));
+      const offset = Math.floor(random() * bytes.length);
+      if (random() < 0.5) disk.poke(name, bytes.subarray(0, offset));
       else
         disk.poke(
           name,
           Buffer.concat([
-            bytes.subarray(0, at),
+            bytes.subarray(0, offset),
             Buffer.from([Math.floor(random() * 256), 7]),
-            bytes.subarray(at + 2),
+            bytes.subarray(offset + 2),
           ]),
         );
     }
-    const again = new LogStore(disk);
-    const loaded = runTaskToEnd(again.load());
-    seen.add(loaded.kind);
+    const reopened = new LogStore(disk);
+    const loaded = runTaskToEnd(reopened.load());
+    seenKinds.add(loaded.kind);
     if (loaded.kind === "damaged") {
-      runTaskToEnd(again.clear());
+      runTaskToEnd(reopened.clear());
       expect(runTaskToEnd(new LogStore(disk).load()).kind).toBe("damaged");
     }
-    runTaskToEnd(again.writeSnapshot(durableState));
+    runTaskToEnd(reopened.writeSnapshot(durableState));
     expect(runTaskToEnd(new LogStore(disk).load())).toMatchObject({
       kind: "loaded",
       state: { entries: [] },
     });
   }
-  expect([...seen].sort()).toEqual(["damaged", "loaded"]);
+  expect([...seenKinds].sort()).toEqual(["damaged", "loaded"]);
 });
 
-test("an incomplete snapshot leaves the older slot and its log valid", () => {
-  const { disk, run: runTaskToEnd } = setUp();
+test("an incomplete snapshot doesn't invalidate the older slot and its log", () => {
+  const { disk, runTaskToEnd } = setUp();
   const store = new LogStore(disk);
   runTaskToEnd(store.load());
   runTaskToEnd(store.writeSnapshot(durableState));
--- a/test/replication/membership/membership-policy.test.ts
+++ b/test/replication/membership/membership-policy.test.ts
@@ -1,3 +1,4 @@
+/** The policy of membership changes, from given views of the leader. */
 import { expect, test } from "vitest";
 import {
   type MemberProgress,
@@ -24,12 +25,12 @@
   matchIndex: 0,
 };
 
-/** A view of a leader "a" whose members answer, but for those whose progress is given. */
+/** Creates the view of leader "a"; members without a given progress are responsive and up to date. */
 const createView = (
   voters: string,
   learners: string,
   progress: Record<string, Partial<MemberProgress>> = {},
-  more: Partial<MembershipView> = {},
+  overrides: Partial<MembershipView> = {},
 ): MembershipView => ({
   self: "a",
   voters: [...voters],
@@ -39,7 +40,7 @@
   committedIndex: 100,
   progressOf: (member) => ({ ...responsive, ...progress[member] }),
   timeouts,
-  ...more,
+  ...overrides,
 });
 const describeNextChange = (view: MembershipView): string => {
   const change = MembershipPolicy.nextChange(view);
@@ -61,13 +62,13 @@
   expect(describeNextChange(createView("abc", "d", { c: { unresponsiveMs: 990 } }))).toBe("none");
 });
 
-test("a lost voter is demoted first, then the learner is promoted", () => {
+test("a lost voter is demoted before the learner is promoted", () => {
   expect(describeNextChange(createView("abc", "d", { c: lost }))).toBe("demote c");
   expect(describeNextChange(createView("ab", "dc", { c: lost }))).toBe("promote d");
   expect(describeNextChange(createView("abd", "c", { c: lost }))).toBe("none");
 });
 
-test("a lost voter, which may recover, stays until a learner that has been responsive for long is promoted", () => {
+test("a lost voter, which may recover, is demoted only after a learner that has been responsive for long is promoted", () => {
   const progress = { c: lost, d: { responsiveMs: 4000 } };
   expect(describeNextChange(createView("abc", "d", progress))).toBe("promote d");
   expect(describeNextChange(createView("abcd", "", progress))).toBe("demote c");
@@ -87,7 +88,7 @@
   expect(describeNextChange(createView("abcfg", "de", progress, five))).toBe("none");
 });
 
-test("no change is made that the responsive members can't commit", () => {
+test("no change is made that the responsive members couldn't commit", () => {
   expect(describeNextChange(createView("abc", "d", { b: { unresponsiveMs: 600 }, c: lost }))).toBe(
     "none",
   );
@@ -101,7 +102,7 @@
   expect(describeNextChange(createView("abcd", "", two))).toBe("none");
 });
 
-test("a stopping voter is replaced while all are responsive: the learner is promoted first", () => {
+test("a stopping voter is demoted after a learner is promoted, while all voters are responsive", () => {
   const stopping = { stopping: new Set("c") };
   expect(describeNextChange(createView("abc", "d", {}, stopping))).toBe("promote d");
   expect(describeNextChange(createView("abcd", "", {}, stopping))).toBe("demote c");
@@ -119,13 +120,13 @@
   expect(describeNextChange(createView("abcd", "", {}, { stopping: new Set("a") }))).toBe("none");
 });
 
-test("a learner that is lost for good is removed", () => {
+test("a learner that is unresponsive for long is removed", () => {
   expect(
     describeNextChange(createView("abc", "d", { d: { ...lost, unresponsiveMs: 61_000 } })),
   ).toBe("remove d");
 });
 
-test("what a stopping voter acknowledged is safe without it once a majority of the voters has it", () => {
+test("a stopping voter isn't needed once a majority of the voters without it has the entries that it acknowledged", () => {
   expect(MembershipPolicy.isReplicatedWithout(createView("abc", ""), "c", 100)).toBe(true);
   expect(
     MembershipPolicy.isReplicatedWithout(createView("abc", "", { b: { matchIndex: 99 } }), "c", 0),
@@ -134,7 +135,7 @@
     true,
   );
   expect(MembershipPolicy.isReplicatedWithout(createView("abc", ""), "c", 101)).toBe(false);
-  // What is silent may have lost what it acknowledged before.
+  // An unresponsive voter may have lost the entries that it acknowledged.
   expect(
     MembershipPolicy.isReplicatedWithout(
       createView("abc", "", { b: { unresponsiveMs: 600 } }),
@@ -144,19 +145,22 @@
   ).toBe(false);
 });
 
-test("from any members and losses, each step leaves a responsive majority, and the steps end in the wanted group", () => {
+test("from any members and losses, each change leaves a responsive majority, and the changes end with the wanted number of voters", () => {
   for (const [voters, learners, wantedVoters] of [
     ["abc", "de", 3],
     ["abcde", "fg", 5],
     ["abcdefg", "hij", 7],
   ] as const) {
     const tolerated = (wantedVoters - 1) / 2;
-    for (let from = 1; from < voters.length; from += 1) {
-      const gone = [...voters].slice(from, from + Math.min(tolerated, learners.length));
+    for (let firstLost = 1; firstLost < voters.length; firstLost += 1) {
+      const lostVoters = [...voters].slice(
+        firstLost,
+        firstLost + Math.min(tolerated, learners.length),
+      );
       let view = createView(
         voters,
         learners,
-        Object.fromEntries(gone.map((voter) => [voter, lost])),
+        Object.fromEntries(lostVoters.map((voter) => [voter, lost])),
         {
           wantedVoters,
         },
@@ -166,14 +170,14 @@
         change;
         change = MembershipPolicy.nextChange(view)
       ) {
-        const after = MembershipPolicy.applyChange(view, change);
-        const alive = after.voters.filter((voter) => !gone.includes(voter));
-        expect(2 * alive.length).toBeGreaterThan(after.voters.length);
-        expect(Math.abs(after.voters.length - view.voters.length)).toBe(1);
-        view = { ...view, ...after };
+        const membersAfter = MembershipPolicy.applyChange(view, change);
+        const remainingVoters = membersAfter.voters.filter((voter) => !lostVoters.includes(voter));
+        expect(2 * remainingVoters.length).toBeGreaterThan(membersAfter.voters.length);
+        expect(Math.abs(membersAfter.voters.length - view.voters.length)).toBe(1);
+        view = { ...view, ...membersAfter };
       }
       expect(view.voters).toHaveLength(wantedVoters);
-      expect(view.voters.filter((voter) => gone.includes(voter))).toEqual([]);
+      expect(view.voters.filter((voter) => lostVoters.includes(voter))).toEqual([]);
     }
   }
 });
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -1,3 +1,4 @@
+/** One replication node against recorded requests of its peers, and the limits of append requests. */
 import { expect, test } from "vitest";
 import { type Entry, type RpcMethod, rpcMethods } from "../../src/rpc/rpc-method.js";
 import { type DecodedMessage, RpcEndpoint } from "../../src/rpc/rpc-endpoint.js";
@@ -20,31 +21,31 @@
 type AppendMessage = DecodedMessage<typeof rpcMethods.append.request>;
 type VoteMessage = DecodedMessage<typeof rpcMethods.vote.request>;
 
-const [own, second, third] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
+const [ownPeer, leaderPeer, otherPeer] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
 const createNoteEntry = (index: number, term: number): Entry => ({
   index,
   term,
   text: '{"kind":"note","text":"n"}',
 });
 
-/** One node under test, and the network by which a recorded trace is sent to it. */
-const createNodeFixture = (formed: boolean) => {
+/** Creates a node under test and a peer endpoint that sends it requests; the peer responds to probes with a formed log. */
+const createNodeFixture = (hasFormedLog: boolean) => {
   const virtualClock = new VirtualClock();
   const network = new VirtualNetwork(virtualClock.clock(), RandomDraw.of(1));
   const disk = new VirtualDisk(virtualClock.clock(), () => 0.5);
-  const fail = (error: unknown): void => {
+  const throwError = (error: unknown): void => {
     throw error;
   };
-  const worldOf = (place: string): Runtime =>
+  const createRuntime = (host: string): Runtime =>
     virtualRuntime({
       clock: virtualClock.clock(),
-      network: network.createInterface(place, new EventGate()),
+      network: network.createInterface(host, new EventGate()),
       disk,
       random: RandomDraw.of(2),
     });
-  const seeds = [own, second, third];
-  const place = {
-    self: own,
+  const seeds = [ownPeer, leaderPeer, otherPeer];
+  const location = {
+    self: ownPeer,
     machine: "own",
     zone: "a",
     mayBootstrap: true,
@@ -52,28 +53,28 @@
     seeds: () => seeds,
   };
   const startNode = (): ReplicationNode => {
-    const runtime = worldOf("own");
-    const rpc = new RpcEndpoint(runtime, own);
+    const runtime = createRuntime("own");
+    const rpc = new RpcEndpoint(runtime, ownPeer);
     const replicationNode = new ReplicationNode({
       runtime,
       rpc,
-      location: place,
+      location,
       timeouts: defaultReplicationTimeouts,
       stateMachine: new StateMachine(),
       store: new LogStore(disk),
     });
-    runTask(rpc.listen(), fail);
-    runTask(replicationNode.run(), fail);
+    runTask(rpc.listen(), throwError);
+    runTask(replicationNode.run(), throwError);
     return replicationNode;
   };
-  const player = new RpcEndpoint(worldOf("player"), second);
-  player.serve(rpcMethods.discover, function* () {
+  const peerEndpoint = new RpcEndpoint(createRuntime("player"), leaderPeer);
+  peerEndpoint.serve(rpcMethods.discover, function* () {
     return {
-      machine: second,
+      machine: leaderPeer,
       zone: "b",
       state: "formed",
       fleet: "f",
-      leader: second,
+      leader: leaderPeer,
       founds: true,
       incarnation: "i",
       voters: seeds,
@@ -81,14 +82,16 @@
       recorders: seeds,
     };
   });
-  runTask(player.listen(), fail);
-  const send = <A, R>(method: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
-    const returns: Array<R | undefined> = [];
-    runTask(player.call(own, method, asked, waitMs), fail, (ret) => returns.push(ret));
+  runTask(peerEndpoint.listen(), throwError);
+  const send = <A, R>(method: RpcMethod<A, R>, request: A, waitMs = 200): R | undefined => {
+    const responses: Array<R | undefined> = [];
+    runTask(peerEndpoint.call(ownPeer, method, request, waitMs), throwError, (response) =>
+      responses.push(response),
+    );
     virtualClock.runUntil(virtualClock.nowMs() + waitMs);
-    return returns[0];
+    return responses[0];
   };
-  if (formed) {
+  if (hasFormedLog) {
     const durableState: DurableState = {
       fleet: "f",
       rejoinNonce: "",
@@ -99,10 +102,10 @@
       snapshot: new StateMachine().snapshot({ voters: seeds, learners: [] }),
       entries: [createNoteEntry(1, 1)],
     };
-    runTask(new LogStore(disk).writeSnapshot(durableState), fail);
+    runTask(new LogStore(disk).writeSnapshot(durableState), throwError);
     virtualClock.runUntil(100);
   }
-  return { time: virtualClock, disk, begin: startNode, send };
+  return { virtualClock, disk, startNode, send };
 };
 const createAppendRequest = (
   term: number,
@@ -110,7 +113,7 @@
   previousTerm: number,
   entries: Entry[],
   committed = 0,
-): AppendMessage => ({ term, leader: second, previousIndex, previousTerm, committed, entries });
+): AppendMessage => ({ term, leader: leaderPeer, previousIndex, previousTerm, committed, entries });
 const createVoteRequest = (
   term: number,
   lastIndex: number,
@@ -119,14 +122,14 @@
 ): VoteMessage => ({
   isPreVote,
   term,
-  candidate: third,
+  candidate: otherPeer,
   lastIndex,
   lastTerm,
   handOver: false,
 });
 
-test("trace: no vote within an election timeout of a leader's contact, none for a shorter log, one in a term, also after a restart", () => {
-  const { time: virtualClock, begin: startNode, send } = createNodeFixture(true);
+test("a node grants no vote within an election timeout of a leader's request or for a shorter log, and one per term, even after a restart", () => {
+  const { virtualClock, startNode, send } = createNodeFixture(true);
   startNode();
   virtualClock.runUntil(150);
   expect(send(rpcMethods.vote, createVoteRequest(2, 9, 9))?.granted).toBe(false);
@@ -143,12 +146,12 @@
   virtualClock.runUntil(virtualClock.nowMs() + 10);
   virtualClock.runUntil(virtualClock.nowMs() + 500);
   expect(
-    send(rpcMethods.vote, { ...createVoteRequest(9, 5, 5), candidate: second }, 30)?.granted,
+    send(rpcMethods.vote, { ...createVoteRequest(9, 5, 5), candidate: leaderPeer }, 30)?.granted,
   ).toBe(false);
 });
 
-test("trace: an entry is acknowledged once it is on disk, and not after the term has changed", () => {
-  const { time: virtualClock, disk, begin: startNode, send } = createNodeFixture(true);
+test("an entry is acknowledged once it is on disk, unless the term has changed", () => {
+  const { virtualClock, disk, startNode, send } = createNodeFixture(true);
   startNode();
   virtualClock.runUntil(150);
   disk.stall(600);
@@ -170,8 +173,8 @@
   });
 });
 
-test("trace: a node that lost its disk neither votes nor counts until its own rejoin marker is committed", () => {
-  const { time: virtualClock, begin: startNode, send } = createNodeFixture(false);
+test("a node that lost its disk neither votes nor counts for commits until its own rejoin marker is committed", () => {
+  const { virtualClock, startNode, send } = createNodeFixture(false);
   const replicationNode = startNode();
   virtualClock.runUntil(400);
   expect(replicationNode.status.state).toBe("rejoining");
@@ -188,30 +191,34 @@
     counts: false,
     matched: 2,
   });
-  const foreign = {
+  const foreignMarker = {
     index: 3,
     term: 5,
-    text: JSON.stringify({ method: "rejoined", machine: own, nonce: "another" }),
+    text: JSON.stringify({ kind: "rejoined", machine: ownPeer, nonce: "another" }),
   };
-  expect(send(rpcMethods.append, createAppendRequest(5, 2, 5, [foreign], 3))).toMatchObject({
+  expect(send(rpcMethods.append, createAppendRequest(5, 2, 5, [foreignMarker], 3))).toMatchObject({
     counts: false,
   });
   expect(send(rpcMethods.append, createAppendRequest(5, 3, 5, []))).toMatchObject({
     counts: false,
   });
-  const mark = {
+  const ownMarker = {
     index: 4,
     term: 5,
-    text: JSON.stringify({ method: "rejoined", machine: own, nonce: replicationNode.rejoinNonce }),
+    text: JSON.stringify({
+      kind: "rejoined",
+      machine: ownPeer,
+      nonce: replicationNode.rejoinNonce,
+    }),
   };
-  send(rpcMethods.append, createAppendRequest(5, 3, 5, [mark], 4));
+  send(rpcMethods.append, createAppendRequest(5, 3, 5, [ownMarker], 4));
   expect(send(rpcMethods.append, createAppendRequest(5, 4, 5, []))).toMatchObject({
     counts: true,
     matched: 4,
   });
 });
 
-test("batches and the retained log are bounded in entries and bytes; a single larger entry is a batch", () => {
+test("batches are bounded in entries and bytes, and a single larger entry is a batch of its own", () => {
   const entries = (bytes: number, count: number): Entry[] =>
     Array.from({ length: count }, (_, at) => ({ index: at + 1, term: 1, text: "x".repeat(bytes) }));
   expect([
@@ -222,13 +229,13 @@
   ]).toEqual([1024, 4, 1, 0]);
 });
 
-test("the timeout of an append request includes the time of its entries on a slow link", () => {
+test("the timeout of an append request includes the transmission of its entries over a slow link", () => {
   const entries = [{ index: 1, term: 1, text: "x".repeat(4 * 1024 * 1024) }];
   const request = createAppendRequest(1, 0, 0, entries);
   expect(appendTimeoutMs({ ...request, entries: [] }, defaultReplicationTimeouts)).toBe(
     defaultReplicationTimeouts.electionMinMs,
   );
-  // A link of 5 Mbit/s takes 625 bytes in a millisecond.
+  // A link of 5 Mbit/s transmits 625 bytes per ms.
   expect(appendTimeoutMs(request, defaultReplicationTimeouts)).toBeGreaterThan(
     (4 * 1024 * 1024) / 625 + 300,
   );
--- a/test/replication/versions.test.ts
+++ b/test/replication/versions.test.ts
@@ -1,3 +1,4 @@
+/** Versions of configs, which clients choose, and sequences, which the log assigns. */
 import { expect, test } from "vitest";
 import { StateMachine } from "../../src/state/state-machine.js";
 import { encodeLogCommand } from "../../src/state/log-command.js";
@@ -26,7 +27,7 @@
     ),
   );
 
-test("versions rise by whatever steps are chosen, beside sequences without a gap", () => {
+test("versions increase by any steps, while sequences have no gaps", () => {
   const stateMachine = new StateMachine();
   expect([
     applyConfig(stateMachine, 1, 0, "a", 7),
@@ -59,7 +60,7 @@
   ]).toEqual([30, 8, { accepted: 31 }, 4]);
 });
 
-test("a snapshot from before there were versions is read with the sequences as versions", () => {
+test("a snapshot of an earlier build, without versions, is read with the sequences as versions", () => {
   const stateMachine = new StateMachine();
   applyConfig(stateMachine, 1, 0, "a");
   applyConfig(stateMachine, 2, 1, "b");
