--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -139,7 +139,7 @@
 }
 
 /** The timeouts that meet the bounds in the settings. */
-export function boundsOf(settings: TimeoutSettings): Bounds {
+export function deriveBounds(settings: TimeoutSettings): Bounds {
   const values = boundValuesOf(settings);
   const {
     applyMs,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -25,7 +25,7 @@
 import { CountAggregator } from "../retry-budget/count-aggregator.js";
 import { EdgeCounts } from "../retry-budget/edge-counts.js";
 import { LoadBalancer } from "../load-balancing/load-balancer.js";
-import { type Bounds, boundsOf } from "./bounds.js";
+import { type Bounds, deriveBounds } from "./bounds.js";
 import type { DaemonOptions, IncomingAdminRequest, IncomingRequest } from "./daemon-options.js";
 import { sleep } from "../runtime/clock.js";
 import { linkPacersOf, type LinkPacer } from "../runtime/link-pacer.js";
@@ -72,7 +72,7 @@
   onRequestLimits: (limits: RouteTable["limits"]) => void = () => undefined;
 
   constructor(runtime: Runtime, settings: Settings, options: DaemonOptions) {
-    const bounds = boundsOf(settings);
+    const bounds = deriveBounds(settings);
     this.runtime = runtime;
     this.settings = settings;
     this.archive = options.archive;
@@ -320,7 +320,7 @@
       ownAddress: this.settings.operators,
       daemon: {
         status: () => this.status(),
-        notReady: () => this.notReady(),
+        notReadyReason: () => this.notReady(),
         counts: () => this.countAggregator?.latest ?? this.edgeCounts.latest,
       },
       changeTimeoutMs: this.bounds.changeTimeoutMs,
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -19,7 +19,7 @@
 }
 
 /** The state of a connection that was just opened. */
-export const newHttpConnectionState = (): HttpConnectionState => ({
+export const createHttpConnectionState = (): HttpConnectionState => ({
   isClosed: false,
   closeListeners: new Set(),
   pending: [],
@@ -35,7 +35,7 @@
   readonly egress: LinkPacer;
   readonly transferClass: TransferClass;
   /** How many buffered responses are being written. */
-  unfinished: number;
+  unfinishedResponses: number;
 }
 
 /** The approximate size of a response's head. */
@@ -136,12 +136,12 @@
   }
 
   private *writeBody(body: Uint8Array): Task {
-    this.context.unfinished += 1;
+    this.context.unfinishedResponses += 1;
     try {
       this.beginTransfer(body.length);
       if (yield* this.writeChunk(body)) this.end();
     } finally {
-      this.context.unfinished -= 1;
+      this.context.unfinishedResponses -= 1;
     }
   }
 
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -10,7 +10,7 @@
 import type { Runtime } from "../runtime/runtime.js";
 import { type Task, runTask, waitFor } from "../runtime/task.js";
 import type { Adapter } from "./adapter.js";
-import { boundsOf } from "./bounds.js";
+import { deriveBounds } from "./bounds.js";
 import { Daemon } from "./daemon.js";
 import { HttpServers } from "./http-servers.js";
 import { monitorProcess } from "./process-monitor.js";
@@ -116,7 +116,7 @@
 
   private *drain(daemon: Daemon, servers: HttpServers): Task {
     const { clock } = this;
-    const deadlineMs = clock.nowMs() + boundsOf(this.settings).abandonMs;
+    const deadlineMs = clock.nowMs() + deriveBounds(this.settings).abandonMs;
     servers.closeClientConnections();
     yield* daemon.drain(() => servers.stopAcceptingClients());
     while (servers.hasUnfinishedResponses && clock.nowMs() < deadlineMs)
--- a/src/simulation/faults/catch-up-faults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -1,4 +1,4 @@
-import { boundsOf } from "../../daemon/bounds.js";
+import { deriveBounds } from "../../daemon/bounds.js";
 import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
@@ -25,7 +25,7 @@
 /** A member is behind by hundreds of changes when the others are lost in turn. */
 export const catchUpFaults: Record<string, FaultScenario> = {
   *changeWhileMemberIsAway(simulation) {
-    const { catchUpMs } = boundsOf(simulation.profile).values;
+    const { catchUpMs } = deriveBounds(simulation.profile).values;
     const away = pick(simulation, diskMachines(simulation));
     if (!away) return;
     simulation.kill(away, true);
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -1,4 +1,4 @@
-import { boundsOf } from "../../daemon/bounds.js";
+import { deriveBounds } from "../../daemon/bounds.js";
 import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { SimulatedMachine } from "../simulated-machine.js";
@@ -17,7 +17,8 @@
 /** One way to lose a member; it tells from when on the member no longer counts as lost. */
 type Loss = (simulation: Simulation, member: SimulatedMachine) => Task<number>;
 
-const syncMs = (simulation: Simulation): number => boundsOf(simulation.profile).values.catchUpMs;
+const syncMs = (simulation: Simulation): number =>
+  deriveBounds(simulation.profile).values.catchUpMs;
 
 const replacedSuddenly: Loss = function* (simulation, member) {
   simulation.remove(member);
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { boundsOf } from "../../src/daemon/bounds.js";
+import { deriveBounds } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { configOf, oneWayMs, zoneOf } from "./topology.js";
@@ -33,7 +33,7 @@
       runtime,
       { machine: name, zone, peer: `10.9.0.${at + 1}:7000` },
       [stage.at(0).peer],
-      boundsOf({}),
+      deriveBounds({}),
     );
     daemon.start();
     return { daemon, gate, wire, name };
@@ -66,7 +66,7 @@
     stage.wait(4000);
     const polls = sumOf(all, ({ daemon }) => daemon.clusterView.watchRequests) - before.polls;
     const out = sumOf(all, ({ wire }) => wire.totals.messagesOut) - before.out;
-    const { watchIntervalMs: pollMs, controlPlaneTimeouts } = boundsOf({});
+    const { watchIntervalMs: pollMs, controlPlaneTimeouts } = deriveBounds({});
     const farMs = 2 * oneWayMs("zone-1", "zone-8", spread);
     expect(polls).toBeGreaterThan(
       many * Math.floor(4000 / (pollMs + controlPlaneTimeouts.holdMs + farMs + 50)),
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { boundsOf } from "../../src/daemon/bounds.js";
+import { deriveBounds } from "../../src/daemon/bounds.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
 import { DelayedNetwork } from "./delayed-network.js";
@@ -77,7 +77,7 @@
     const clock = gate.clock(fleet.time.clock());
     const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
     const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
-    const bounds = boundsOf({});
+    const bounds = deriveBounds({});
     const daemon = new PollingDaemon(
       runtime,
       { machine: "far", zone: "zone-9", peer: "10.9.0.1:7000" },
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import { boundsOf } from "../../src/daemon/bounds.js";
+import { deriveBounds } from "../../src/daemon/bounds.js";
 import { rpcMethods } from "../../src/rpc/rpc-method.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 import { PollingDaemon } from "./polling-daemon.js";
@@ -24,7 +24,7 @@
       runtime,
       { machine: "one", zone: "zone-1", peer: "10.9.0.1:7000" },
       [fleet.at(0).peer],
-      boundsOf({}),
+      deriveBounds({}),
     );
     daemon.start();
     fleet.wait(2000);
--- a/test/daemon/limits.test.ts
+++ b/test/daemon/limits.test.ts
@@ -45,7 +45,7 @@
 
 afterAll(() => {
   server.close();
-  server.end();
+  server.closeConnections();
 });
 
 test("callers are held to limits, also when they change while the server runs", async () => {
--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -6,7 +6,7 @@
   ControlFixture,
   routeTo,
   putConfig,
-  type RecordedCall,
+  type RecordedRequest,
   type ConfigChangeBytes,
 } from "./command-stage.js";
 
@@ -32,7 +32,7 @@
 const all = (code: number): number[] => machines.map(() => code);
 
 /** Eight orders at a time through changing daemons: three proper ones that race, five that are invalid. */
-const eightAt = (fixture: ControlFixture, base: number, round: number): RecordedCall[] => {
+const eightAt = (fixture: ControlFixture, base: number, round: number): RecordedRequest[] => {
   const bad = patchConfig(base, base + 1, { name: "z", svc: "nowhere" });
   const commands = [
     putConfig(base, base + 2, `p${round}`),
@@ -185,13 +185,13 @@
         ).toBe(200);
         const command = patchConfig(9, 11, { name: "m", svc: "new" });
         const calls = fixture.machines.map((machine) => fixture.submit(machine, command));
-        const reads: RecordedCall[] = [];
+        const reads: RecordedRequest[] = [];
         fixture.wait(restMs);
         begin(fixture);
         for (let at = 0; at < 50; at += 1) {
           const machine: StageMachine = fixture.at(at % machines.length);
           calls.push(fixture.submit(machine, command));
-          reads.push(fixture.call(machine, "GET", "config/get"));
+          reads.push(fixture.sendRequest(machine, "GET", "config/get"));
           fixture.wait(100);
         }
         fixture.wait(5000);
@@ -209,9 +209,9 @@
   test("before the first configuration is applied, a read gets 503, not a final refusal", () => {
     const fixture = new ControlFixture(machines, [0, 1, 2]);
     fixture.bootAll();
-    const reads: RecordedCall[] = [];
+    const reads: RecordedRequest[] = [];
     for (let at = 0; at < 40; at += 1) {
-      reads.push(fixture.call(fixture.at(at % machines.length), "GET", "config/get"));
+      reads.push(fixture.sendRequest(fixture.at(at % machines.length), "GET", "config/get"));
       fixture.wait(100);
     }
     fixture.wait(1000);
--- a/test/platform/cut-off-daemons.test.ts
+++ b/test/platform/cut-off-daemons.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from "vitest";
 import type { StageMachine } from "../replication/fleet-stage.js";
-import { patchConfig, ControlFixture, putConfig, type RecordedCall } from "./command-stage.js";
+import { patchConfig, ControlFixture, putConfig, type RecordedRequest } from "./command-stage.js";
 
 /** A long cut, and one that ends while what was sent during it still waits in the network. */
 const cutsMs = [20_000, 3500];
@@ -16,7 +16,7 @@
   id: string,
   calls: number,
   state: "up" | "draining" = "up",
-): RecordedCall => fixture.heartbeat(at, { id, calls, state });
+): RecordedRequest => fixture.heartbeat(at, { id, calls, state });
 
 const startedFixture = (): ControlFixture => {
   const fixture = new ControlFixture(["e:a", "e:b", "d:a", "d:b", "d:c"], [0, 1, 2]);
@@ -31,7 +31,7 @@
 
 interface Sent {
   readonly kind: "change" | "read" | "heartbeat" | "leave";
-  readonly call: RecordedCall;
+  readonly call: RecordedRequest;
 }
 
 /** All that may be asked of a control address, asked of a machine at once. */
@@ -41,11 +41,11 @@
     kind: "change",
     call: fixture.submit(at, patchConfig(3, 6 + round, { name: "m", svc: "one" })),
   },
-  { kind: "read", call: fixture.call(at, "GET", "config/get") },
+  { kind: "read", call: fixture.sendRequest(at, "GET", "config/get") },
   { kind: "heartbeat", call: heartbeat(fixture, at, "1", 10 + round) },
   { kind: "heartbeat", call: heartbeat(fixture, at, `${100 + round}`, 1) },
   { kind: "leave", call: heartbeat(fixture, at, "2", 10 + round, "draining") },
-  { kind: "leave", call: fixture.call(at, "POST", "backends/2/deregister") },
+  { kind: "leave", call: fixture.sendRequest(at, "POST", "backends/2/deregister") },
 ];
 
 const allWays = ["both ways", "they hear nothing", "they are not heard"] as const;
@@ -53,8 +53,8 @@
 
 const cutOff = (fixture: ControlFixture, few: StageMachine[], ways: Ways): StageMachine[] => {
   const rest = fixture.machines.filter((machine) => !few.includes(machine));
-  if (ways !== "they are not heard") fixture.cutLinks(rest, few);
-  if (ways !== "they hear nothing") fixture.cutLinks(few, rest);
+  if (ways !== "they are not heard") fixture.blockLinks(rest, few);
+  if (ways !== "they hear nothing") fixture.blockLinks(few, rest);
   return rest;
 };
 
@@ -115,7 +115,7 @@
         for (const { kind, call } of sent) {
           const atMs = call.sentMs - fromMs;
           const leaseMs = kind === "heartbeat" ? edgeLeaseMs : leaderLeaseMs;
-          const tookMs = (call.answeredMs ?? Infinity) - call.sentMs;
+          const tookMs = (call.respondedMs ?? Infinity) - call.sentMs;
           const what = `${kind} after ${atMs} ms: ${call.code} in ${tookMs} ms ${call.body}`;
           const isAnsweredWhileCut = atMs + tookMs < cutMs;
           if (isAnsweredWhileCut && atMs > leaseMs)
