--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -15,7 +15,7 @@
 } from "../retry-budget/request-counts.js";
 import type { TimeoutSettings } from "./bound-settings.js";
 
-/** The bounds with a value for each. */
+/** A value for every bound. */
 type BoundValues = Required<{ [name in keyof NonNullable<TimeoutSettings["bounds"]>]: number }>;
 
 const DEFAULT_BOUNDS: BoundValues = {
@@ -38,43 +38,43 @@
 const MIN_HEARTBEAT_MS = 50;
 const DEFAULT_HEARTBEAT_MS = 1000;
 
-/** The longest time for which the leader delays a poll's response; the daemon that polls waits longer. */
+/** Maximum time for which the leader delays the response to a poll; the timeout of a poll is longer. */
 const MAX_POLL_HOLD_MS = 320;
-/** The time allowed for a poll beyond that delay, for the network and the leader's work, as a fraction of a lease. */
+/** Time for the network and the leader's work that a poll's timeout adds to that delay, as a fraction of a lease. */
 const POLL_OVERHEAD_FRACTION = 0.08;
 const MIN_POLL_OVERHEAD_MS = 130;
-/** The fraction of a bound that a lease may last; the rest is for requests in flight. */
+/** Duration of a lease as a fraction of the bound; the rest is for requests in flight. */
 const LEASE_FRACTION = 0.8;
 const MIN_LEASE_BOUND_MS = 600;
 const MIN_CONTACT_MS = 1000;
 const MIN_GRACE_MS = 1000;
 const MIN_RETRY_WINDOW_MS = 1000;
-/** The shortest time in which a replacement voter starts, catches up with the log and is promoted. */
+/** Minimum time in which a replacement voter starts, catches up with the log and is promoted. */
 const MIN_CATCH_UP_MS = 1200;
-/** From these values on, a lease or `contactMs` does not shorten election timeouts. */
+/** A lease or a `contactMs` of at least these values does not shorten election timeouts. */
 const UNSHORTENED_LEASE_MS = 1600;
 const UNSHORTENED_CONTACT_MS = 3000;
-const MIN_ELECTION_PACE = 0.3;
-/** The least number of longest election timeouts within `catchUpMs`; shorter bounds shorten election timeouts. */
+const MIN_ELECTION_TIMEOUT_SCALE = 0.3;
+/** How many maximum election timeouts fit into `catchUpMs`; a shorter `catchUpMs` shortens election timeouts. */
 const ELECTIONS_PER_CATCH_UP = 8;
-/** The fraction of `catchUpMs` after which an unresponsive voter is replaced; the rest is for elections and the change itself. */
+/** Delay before an unresponsive voter is replaced, as a fraction of `catchUpMs`; the rest is for elections and the membership change. */
 const REPLACE_FRACTION = 1 / 4;
-/** An unresponsive voter is replaced after this at the latest, however long a returning member may take. */
+/** Maximum delay before an unresponsive voter is replaced, for any value of `catchUpMs`. */
 const MAX_REPLACE_AFTER_MS = 10_000;
-/** An unresponsive learner is removed after this many times `catchUpMs`. */
-const FORGET_FACTOR = 15;
-/** How much of the grace period is reserved for the exit of the process. */
-const EXIT_MS = 400;
+/** Delay before an unresponsive learner is removed, as a multiple of `catchUpMs`. */
+const LEARNER_REMOVAL_FACTOR = 15;
+/** Part of the grace period that is reserved for the exit of the process. */
+const EXIT_RESERVE_MS = 400;
 
 /** All timeouts of a daemon, derived from its bounds. */
 export interface Bounds {
-  /** The bounds that the timeouts were derived from. */
+  /** The bounds from which the timeouts are derived. */
   readonly values: BoundValues;
-  /** How long an edge may serve by its last lease. */
+  /** Duration of the lease during which an edge may serve. */
   readonly leaseMs: number;
-  /** How often an edge polls for a new lease. */
+  /** Interval between an edge's polls for a new lease. */
   readonly watchIntervalMs: number;
-  /** The timeout of a poll; longer than the leader delays its response. */
+  /** Timeout of a poll; longer than the leader's delay of its response. */
   readonly watchTimeoutMs: number;
   readonly controlPlaneTimeouts: ControlPlaneTimeouts;
   readonly replicationTimeouts: ReplicationTimeouts;
@@ -82,17 +82,17 @@
   readonly retryRules: RetryRules;
   /** The format of request counts for the retry window. */
   readonly requestCountsFormat: RequestCountsFormat;
-  /** The timeout of an operator's change, after which its outcome counts as unknown. */
+  /** Timeout of an operator's change, after which its outcome counts as unknown. */
   readonly changeTimeoutMs: number;
-  /** How long a stopping daemon still accepts requests, until load balancers have noticed that it isn't ready. */
+  /** Time for which a stopping daemon still accepts requests, so that load balancers detect that it isn't ready. */
   readonly acceptRequestsMs: number;
-  /** When a stopping daemon abandons unfinished requests, from the start of its drain. */
+  /** Time from the start of the drain after which a stopping daemon abandons unfinished requests. */
   readonly abandonMs: number;
-  /** Until when a stopping voter waits for the others to replicate what it acknowledged. */
+  /** Time from the start of the drain for which a stopping voter waits until the others have replicated what it acknowledged. */
   readonly retireMs: number;
 }
 
-const boundValuesOf = ({ bounds }: TimeoutSettings): BoundValues => {
+const resolveBoundValues = ({ bounds }: TimeoutSettings): BoundValues => {
   const values = { ...DEFAULT_BOUNDS };
   for (const name of Object.keys(DEFAULT_BOUNDS)) {
     if (!isBoundName(name)) continue;
@@ -101,46 +101,49 @@
   return values;
 };
 
-/** The factor by which election timeouts are shortened against their defaults, so that an election fits into each bound that includes one. */
-const electionPaceOf = (leaseMs: number, { contactMs, catchUpMs }: BoundValues): number => {
+/** Computes the factor, at most 1, that scales the default election timeouts so that an election fits into each bound that includes one. */
+const computeElectionTimeoutScale = (
+  leaseMs: number,
+  { contactMs, catchUpMs }: BoundValues,
+): number => {
   const defaultElectionsMs = ELECTIONS_PER_CATCH_UP * defaultReplicationTimeouts.electionMaxMs;
-  const fittingPace = Math.min(
+  const maxScale = Math.min(
     leaseMs / UNSHORTENED_LEASE_MS,
     contactMs / UNSHORTENED_CONTACT_MS,
     catchUpMs / defaultElectionsMs,
   );
-  return Math.min(1, Math.max(MIN_ELECTION_PACE, fittingPace));
+  return Math.min(1, Math.max(MIN_ELECTION_TIMEOUT_SCALE, maxScale));
 };
 
 const isBoundName = (name: string): name is keyof BoundValues => name in DEFAULT_BOUNDS;
 
-/** The bounds in the settings that are too short to be met, by their paths. */
+/** Returns a fault for each bound in the settings that is below the minimum that a daemon can meet. */
 export function boundFaults(settings: TimeoutSettings): ValidationFault[] {
-  const values = boundValuesOf(settings);
-  const minimums: Array<[name: keyof BoundValues, minimum: number, why: string]> = [
-    ["applyMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
-    ["drainMs", MIN_LEASE_BOUND_MS, "a lease has to outlast a poll and an election"],
-    ["contactMs", MIN_CONTACT_MS, "an election has to fit in"],
-    ["graceMs", MIN_GRACE_MS, "work in hand has to end in it"],
-    ["catchUpMs", MIN_CATCH_UP_MS, "a successor has to take a lost member's place in it"],
-    ["retryWindowMs", MIN_RETRY_WINDOW_MS, "counts have to travel in it"],
-    ["retryRatio", 0, "it is a part of the requests"],
-    ["retryExtra", 0, "it is a number of tries"],
+  const values = resolveBoundValues(settings);
+  const minimums: Array<[name: keyof BoundValues, minimum: number, reason: string]> = [
+    ["applyMs", MIN_LEASE_BOUND_MS, "a lease must be longer than a poll and an election"],
+    ["drainMs", MIN_LEASE_BOUND_MS, "a lease must be longer than a poll and an election"],
+    ["contactMs", MIN_CONTACT_MS, "it includes an election"],
+    ["graceMs", MIN_GRACE_MS, "requests in progress must end within it"],
+    ["catchUpMs", MIN_CATCH_UP_MS, "a replacement voter must be promoted within it"],
+    ["retryWindowMs", MIN_RETRY_WINDOW_MS, "request counts must be propagated within it"],
+    ["retryRatio", 0, "it is a ratio of retries to requests"],
+    ["retryExtra", 0, "it is a number of retries"],
   ];
   const faults = minimums
     .filter(([name, minimum]) => values[name] < minimum)
-    .map(([name, minimum, why]) => ({
+    .map(([name, minimum, reason]) => ({
       path: `bounds.${name}`,
-      expected: `${minimum} or more, since ${why}`,
+      expected: `${minimum} or more, since ${reason}`,
     }));
   if (settings.heartbeatMs !== undefined && settings.heartbeatMs < MIN_HEARTBEAT_MS)
     faults.push({ path: "heartbeatMs", expected: `${MIN_HEARTBEAT_MS} or more` });
   return faults;
 }
 
-/** The timeouts that meet the bounds in the settings. */
+/** Derives the timeouts that meet the bounds in the settings. */
 export function deriveBounds(settings: TimeoutSettings): Bounds {
-  const values = boundValuesOf(settings);
+  const values = resolveBoundValues(settings);
   const {
     applyMs,
     drainMs,
@@ -157,8 +160,8 @@
   const watchIntervalMs = leaseMs / 4;
   const holdMs = Math.min(leaseMs / 5, MAX_POLL_HOLD_MS);
   const heartbeatMs = settings.heartbeatMs ?? DEFAULT_HEARTBEAT_MS;
-  const pace = electionPaceOf(leaseMs, values);
-  const paced = (ms: number): number => Math.round(ms * pace);
+  const electionTimeoutScale = computeElectionTimeoutScale(leaseMs, values);
+  const scaled = (ms: number): number => Math.round(ms * electionTimeoutScale);
   return {
     values: values,
     leaseMs,
@@ -178,23 +181,23 @@
     },
     replicationTimeouts: {
       ...defaultReplicationTimeouts,
-      heartbeatMs: paced(defaultReplicationTimeouts.heartbeatMs),
-      electionMinMs: paced(defaultReplicationTimeouts.electionMinMs),
-      electionMaxMs: paced(defaultReplicationTimeouts.electionMaxMs),
-      leaderLeaseMs: paced(defaultReplicationTimeouts.leaderLeaseMs),
-      stallMs: paced(defaultReplicationTimeouts.stallMs),
+      heartbeatMs: scaled(defaultReplicationTimeouts.heartbeatMs),
+      electionMinMs: scaled(defaultReplicationTimeouts.electionMinMs),
+      electionMaxMs: scaled(defaultReplicationTimeouts.electionMaxMs),
+      leaderLeaseMs: scaled(defaultReplicationTimeouts.leaderLeaseMs),
+      stallMs: scaled(defaultReplicationTimeouts.stallMs),
       replaceAfterMs: Math.max(
-        2 * paced(defaultReplicationTimeouts.electionMaxMs),
+        2 * scaled(defaultReplicationTimeouts.electionMaxMs),
         Math.round(Math.min(MAX_REPLACE_AFTER_MS, catchUpMs * REPLACE_FRACTION)),
       ),
       responsiveAfterMs: catchUpMs,
-      forgetAfterMs: FORGET_FACTOR * catchUpMs,
+      forgetAfterMs: LEARNER_REMOVAL_FACTOR * catchUpMs,
     },
     retryRules: retryRulesOf(retryRatio, retryExtra, retryWindowMs),
     requestCountsFormat: requestCountsFormatFor(retryWindowMs),
     changeTimeoutMs: 0.8 * ackMs,
     acceptRequestsMs: Math.min(2600, (graceMs * 13) / 30),
-    abandonMs: graceMs - EXIT_MS,
-    retireMs: graceMs - EXIT_MS / 2,
+    abandonMs: graceMs - EXIT_RESERVE_MS,
+    retireMs: graceMs - EXIT_RESERVE_MS / 2,
   };
 }
--- a/src/daemon/daemon-options.ts
+++ b/src/daemon/daemon-options.ts
@@ -1,4 +1,4 @@
-/** What a daemon is constructed with, and the requests that are handed to it. */
+/** The dependencies of a daemon and the requests that it receives. */
 import type { ConfigArchive } from "../admin/config-archive.js";
 import type { HeaderNames } from "../proxy/header-names.js";
 import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
@@ -20,15 +20,15 @@
   readonly respond: (response: ClientResponse) => void;
 }
 
-/** What a daemon is constructed with besides its settings. */
+/** The dependencies and overrides that a daemon is constructed with in addition to its settings. */
 export interface DaemonOptions {
-  /** The client for the backends as this machine reaches them. */
+  /** The client that sends requests to backends from this machine. */
   readonly backendClient: BackendClient;
-  /** Where accepted configs are archived, on a machine with a disk. */
+  /** The archive of accepted configs, on a machine with a disk. */
   readonly archive?: ConfigArchive | undefined;
   /** The headers exchanged with clients and backends. */
   readonly headerNames?: HeaderNames;
-  /** The pacers of both directions of the machine's link, where its rate is limited. */
+  /** The pacers for both directions of the machine's link, whose rate may be limited. */
   readonly pacers?: LinkPacers;
   /** Timeouts of the replicated log that override those derived from the bounds. */
   readonly replicationTimeouts?: Partial<ReplicationTimeouts>;
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon put together: the replicated log, the control plane, the proxy and the admin API, by the roles of its machine. */
+/** Assembles a daemon from the replicated log, the control plane, the proxy and the admin API, by its roles. */
 import { CommandForwarder } from "../cluster-view/command-forwarder.js";
 import type { RouteTable } from "../cluster-view/route-table.js";
 import type { DaemonInfo } from "../control-protocol/watch-request.js";
@@ -35,9 +35,9 @@
 import type { Task } from "../runtime/task.js";
 import { type Runtime, randomNonce, startTask } from "../runtime/runtime.js";
 
-/** How often request counts are pushed to their aggregator. */
+/** Interval between pushes of request counts to their aggregator. */
 const COUNTS_PUSH_INTERVAL_MS = 2000;
-/** How often a draining daemon checks whether requests are still unfinished. */
+/** Interval at which a draining daemon checks whether requests are still unfinished. */
 const DRAIN_CHECK_INTERVAL_MS = 20;
 const DEFAULT_TOLERANCE = { machines: 1, zones: 0 };
 
@@ -51,7 +51,7 @@
   private readonly settings: Settings;
   private readonly bounds: Bounds;
   private readonly archive: ConfigArchive | undefined;
-  /** The name of this process, unique over restarts. */
+  /** A random id of this process; a restart changes it. */
   private readonly incarnation: string;
   private readonly rpc: RpcEndpoint;
   private readonly forwarder: CommandForwarder;
@@ -83,7 +83,7 @@
     this.rpc = new RpcEndpoint(runtime, settings.peers, undefined, pacers);
     this.seeds = settings.seeds;
     this.forwarder = this.createForwarder();
-    const location = this.nodeLocation();
+    const location = this.createNodeLocation();
     this.bootstrap = this.createBootstrap(location);
     this.clusterView = new ClusterView(
       runtime,
@@ -104,7 +104,7 @@
       loadBalancer: this.loadBalancer,
       incarnation: this.incarnation,
       headerNames: options.headerNames ?? ownHeaderNames,
-      expiredLeasePolicy: this.lapsedLease(),
+      expiredLeasePolicy: this.createExpiredLeasePolicy(),
       outcomes: this.outcomes,
       egress: pacers.egress,
     });
@@ -132,14 +132,14 @@
     this.adminApi = this.createAdminApi(pacers.egress);
   }
 
-  /** Starts all tasks; returns once the daemon listens for its peers. */
+  /** Starts all tasks, and returns once the daemon listens for its peers. */
   *start(): Task {
     const { runtime, controlPlane, replicationNode, countAggregator } = this;
     this.clientRequests.subscribe(runtime.clock.scheduler, ({ clientRequest, client }) =>
       startTask(runtime, "proxy", this.proxy.handle(clientRequest, client)),
     );
-    this.adminRequests.subscribe(runtime.clock.scheduler, ({ clientRequest, respond: give }) =>
-      startTask(runtime, "admin", this.adminApi.handle(clientRequest), give),
+    this.adminRequests.subscribe(runtime.clock.scheduler, ({ clientRequest, respond }) =>
+      startTask(runtime, "admin", this.adminApi.handle(clientRequest), respond),
     );
     if (replicationNode && controlPlane) {
       const leadership = {
@@ -177,18 +177,18 @@
     this.log.info("daemon started", { roles: this.roles, zone: this.settings.zone });
   }
 
-  /** Finishes the requests in progress and accepts no more; returns when all are finished or the drain timeout is over. */
+  /** Stops accepting requests and waits until all requests in progress are finished or the drain timeout has passed. */
   *drain(closeToClients: () => void = () => undefined): Task {
     const startedMs = this.runtime.clock.nowMs();
     this.isDraining = true;
     this.log.info("drain started", { unfinishedRequests: this.proxy.unfinished });
-    const { acceptRequestsMs: serveOnMs, abandonMs, retireMs } = this.bounds;
+    const { acceptRequestsMs, abandonMs, retireMs } = this.bounds;
     const { replicationNode } = this;
     if (replicationNode) {
       yield* replicationNode.yieldLeadership();
-      startTask(this.runtime, "replication", replicationNode.leave(startedMs + serveOnMs));
+      startTask(this.runtime, "replication", replicationNode.leave(startedMs + acceptRequestsMs));
     }
-    yield* sleep(this.runtime.clock, startedMs + serveOnMs - this.runtime.clock.nowMs());
+    yield* sleep(this.runtime.clock, startedMs + acceptRequestsMs - this.runtime.clock.nowMs());
     this.proxy.close();
     closeToClients();
     while (this.proxy.unfinished > 0 && this.runtime.clock.nowMs() - startedMs < abandonMs)
@@ -203,7 +203,7 @@
     this.log.info("drain completed");
   }
 
-  /** Replaces the peer addresses through which other daemons are found. */
+  /** Replaces the peer addresses through which the daemon discovers others. */
   setSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
@@ -216,12 +216,12 @@
     };
   }
 
-  /** The name of this process, unique over restarts. */
+  /** The incarnation of this daemon: a random id of its process, which a restart changes. */
   get name(): string {
     return this.incarnation;
   }
 
-  /** The fleet's counts of a service's requests and retries in the window, with this edge's own since. */
+  /** The fleet's latest counts of a service's requests and retries in the window, with this edge's own counts since then. */
   fleetRetryCounts(service: string): ReturnType<EdgeCounts["ofService"]> {
     return this.edgeCounts.ofService(service);
   }
@@ -234,7 +234,7 @@
     return this.runtime.loggers.component("machine");
   }
 
-  private nodeLocation(): NodeLocation {
+  private createNodeLocation(): NodeLocation {
     const { peers, machine, zone, bootstrap, tolerate } = this.settings;
     return {
       self: peers,
@@ -247,8 +247,8 @@
   }
 
   private createForwarder(): CommandForwarder {
-    const contacts = () => [...this.seeds, ...this.bootstrap.knownNodes];
-    return new CommandForwarder(this.runtime, this.rpc, contacts);
+    const peerAddresses = () => [...this.seeds, ...this.bootstrap.knownNodes];
+    return new CommandForwarder(this.runtime, this.rpc, peerAddresses);
   }
 
   private createBootstrap(location: NodeLocation): ClusterBootstrap {
@@ -265,10 +265,10 @@
     });
   }
 
-  /** Passes updates of the cluster view on to the parts that depend on it. */
+  /** Forwards updates of the cluster view to the components that depend on it. */
   private observeClusterView(backendClient: BackendClient): void {
     this.clusterView.onLease = () => this.proxy.notifyLease();
-    this.clusterView.onPlacement = (place) => this.loadBalancer.setPlacement(place);
+    this.clusterView.onPlacement = (placement) => this.loadBalancer.setPlacement(placement);
     this.clusterView.onConfig = ({ limits }) => this.onRequestLimits(limits);
     this.clusterView.onEndpoints = (registrations) => {
       backendClient.retainPools(new Set(registrations.map(connectionPoolKey)));
@@ -320,7 +320,7 @@
       ownAddress: this.settings.operators,
       daemon: {
         status: () => this.status(),
-        notReadyReason: () => this.notReady(),
+        notReadyReason: () => this.notReadyReason(),
         counts: () => this.countAggregator?.latest ?? this.edgeCounts.latest,
       },
       changeTimeoutMs: this.bounds.changeTimeoutMs,
@@ -328,7 +328,7 @@
     });
   }
 
-  private lapsedLease(): ExpiredLeasePolicy {
+  private createExpiredLeasePolicy(): ExpiredLeasePolicy {
     const { forwarder, rpc } = this;
     const members = {
       get replicas() {
@@ -352,16 +352,16 @@
     };
   }
 
-  private notReady(): string {
+  private notReadyReason(): string {
     if (this.isDraining) return "draining";
-    if (!this.clusterView.holdsLease) return "no fresh grant";
+    if (!this.clusterView.holdsLease) return "no valid lease";
     return "";
   }
 
   private status(): Record<string, unknown> {
     return {
       ...this.daemonInfo(),
-      ready: this.notReady() === "",
+      ready: this.notReadyReason() === "",
       granted: this.clusterView.holdsLease,
       configSequence: this.clusterView.configSequence,
       polls: this.clusterView.watchRequests,
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -1,24 +1,24 @@
-/** The response side of an HTTP request: order on its connection, backpressure, and pacing on the machine's link. */
+/** Sends the response to an HTTP request: in order on its connection, with backpressure, and paced on the machine's link. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { ClientConnection } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
 import type { LinkPacer, Transfer, TransferClass } from "../runtime/link-pacer.js";
 import { type Task, waitFor, runTask } from "../runtime/task.js";
 
-/** The state of one client's connection, shared by its requests. */
+/** The state of one client connection, shared by its requests. */
 export interface HttpConnectionState {
   isClosed: boolean;
-  /** Listeners for its close. */
+  /** Called when the connection closes. */
   readonly closeListeners: Set<() => void>;
-  /** Its requests without a response yet, in order of arrival. */
+  /** Requests on the connection that have no response yet, in order of arrival. */
   readonly pending: HttpClientConnection[];
-  /** Whether a response that closes it was sent: requests after that one count as not received. */
+  /** Whether a response with `connection: close` was sent; later requests on the connection count as not received. */
   isClosing: boolean;
-  /** Listeners for the end of a response. */
+  /** Called when a response on the connection ends. */
   readonly responseListeners: Set<() => void>;
 }
 
-/** The state of a connection that was just opened. */
+/** Creates the state of a newly opened connection. */
 export const createHttpConnectionState = (): HttpConnectionState => ({
   isClosed: false,
   closeListeners: new Set(),
@@ -27,21 +27,21 @@
   responseListeners: new Set(),
 });
 
-/** The state that the responses of one server share. */
+/** The state that all responses of one server share. */
 export interface ResponseContext {
   /** Whether responses ask clients to close their connections. */
   isClosing(): boolean;
-  /** The link that responses leave by. */
+  /** The pacer of the link on which responses are sent. */
   readonly egress: LinkPacer;
   readonly transferClass: TransferClass;
-  /** How many buffered responses are being written. */
+  /** Number of buffered responses that are being written. */
   unfinishedResponses: number;
 }
 
-/** The approximate size of a response's head. */
+/** Approximate size of a response's status line and headers. */
 const RESPONSE_HEAD_BYTES = 300;
 
-/** The response side of one request: large bodies share the link in turns with all others. */
+/** Sends the response to one request. Large bodies take turns on the link with all other transfers. */
 export class HttpClientConnection implements ClientConnection {
   dueMs = Infinity;
   private readonly request: IncomingMessage;
@@ -74,7 +74,7 @@
     return () => closeListeners.delete(run);
   }
 
-  /** Waits until all earlier requests of the connection have their responses; false where the connection closes first. */
+  /** Waits until all earlier requests on the connection have their responses; false if the connection closes first. */
   *awaitEarlierResponses(): Task<boolean> {
     const { connection } = this;
     while (connection.pending[0] !== this && !connection.isClosed) {
@@ -153,10 +153,10 @@
   }
 
   private sendHead(code: number, headers: Record<string, string>): void {
-    const sent = this.context.isClosing() ? { ...headers, connection: "close" } : headers;
-    if (sent["connection"] === "close") this.connection.isClosing = true;
+    const sentHeaders = this.context.isClosing() ? { ...headers, connection: "close" } : headers;
+    if (sentHeaders["connection"] === "close") this.connection.isClosing = true;
     this.response.sendDate = false;
-    this.response.writeHead(code, sent);
+    this.response.writeHead(code, sentHeaders);
   }
 
   private beginTransfer(bytes: number): Transfer {
@@ -168,7 +168,7 @@
     return transfer;
   }
 
-  /** Writes a part and waits until the connection accepts more; false once it is closed. */
+  /** Writes a part and waits until the connection accepts more; false if the connection is closed. */
   private *writePart(part: Uint8Array): Task<boolean> {
     const { response, connection } = this;
     if (connection.isClosed) return false;
--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP/1.1 server of a daemon: limits on requests, buffering of small bodies and streaming of large ones. */
+/** The HTTP/1.1 server of a daemon: limits requests, buffers small bodies and streams large ones. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
@@ -19,19 +19,19 @@
 export interface ServerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
-  /** How long the headers of a request may take. */
+  /** Maximum time until the headers of a request are complete. */
   readonly headerMs: number;
-  /** How long a connection may be idle between requests. */
+  /** Maximum time that a connection may be idle between requests. */
   readonly idleMs: number;
 }
 
-/** How a server differs from the default. */
+/** Options of a server. */
 export interface ServerOptions {
   /** Whether request bodies are always buffered, whatever their size. */
   readonly bufferWholeBodies?: boolean;
-  /** The link that responses leave by. */
+  /** The pacer of the link on which responses are sent. */
   readonly egress?: LinkPacer;
-  /** The class of large responses on that link. */
+  /** The transfer class of large responses on that link. */
   readonly transferClass?: TransferClass;
 }
 
@@ -41,11 +41,11 @@
   headerMs: 10_000,
   idleMs: 15_000,
 };
-/** The parser's own limit on headers, above any that the limits may set. */
+/** The parser's limit on the size of headers, above any value that `headerBytes` may have. */
 const MAX_PARSED_HEADER_BYTES = 256 * 1024;
-/** How often connections are checked for headers that take too long. */
+/** Interval at which connections are checked for the timeout of their headers. */
 const CONNECTION_CHECK_INTERVAL_MS = 1000;
-/** A body up to this size is buffered before its request is handled; of a larger one the rest is streamed. */
+/** A body up to this size is buffered before its request is handled; the rest of a larger body is streamed. */
 export const BUFFERED_BODY_BYTES = 256 * 1024;
 
 const headersOf = (request: IncomingMessage): Record<string, string> => {
@@ -57,24 +57,25 @@
   return headers;
 };
 
-/** The bytes of a request line besides its method and target, and of the separator after a header's name or value. */
+/** Size of a request line without its method and target, and of the separator after a header's name or value. */
 const REQUEST_LINE_BYTES = 12;
 const HEADER_SEPARATOR_BYTES = 2;
 
 const headerBytesOf = (request: IncomingMessage): number => {
   let bytes = (request.url?.length ?? 0) + (request.method?.length ?? 0) + REQUEST_LINE_BYTES;
-  for (const word of request.rawHeaders) bytes += word.length + HEADER_SEPARATOR_BYTES;
+  for (const nameOrValue of request.rawHeaders)
+    bytes += nameOrValue.length + HEADER_SEPARATOR_BYTES;
   return bytes;
 };
 
 const refuse = (client: ClientConnection, code: number, error: string): void =>
   client.respond(jsonResponse(code, { error, verdict: "neverRan" }, { connection: "close" }));
 
-/** An HTTP/1.1 server that passes each request to a handler, with small bodies buffered. */
+/** An HTTP/1.1 server that passes each request to a handler, with its body buffered if it is small. */
 export class HttpServer {
   private readonly server: Server;
   private readonly handle: (clientRequest: ProxyRequest, client: ClientConnection) => void;
-  private readonly wholeOnly: boolean;
+  private readonly buffersWholeBodies: boolean;
   private readonly connections = new WeakMap<Socket, HttpConnectionState>();
   private limits: ServerLimits = DEFAULT_LIMITS;
   private isClosing = false;
@@ -83,13 +84,13 @@
   constructor(
     handle: (clientRequest: ProxyRequest, client: ClientConnection) => void,
     {
-      bufferWholeBodies: wholeOnly = true,
+      bufferWholeBodies: buffersWholeBodies = true,
       egress = new LinkPacer(systemClock(), undefined),
       transferClass = "response",
     }: ServerOptions = {},
   ) {
     this.handle = handle;
-    this.wholeOnly = wholeOnly;
+    this.buffersWholeBodies = buffersWholeBodies;
     this.responses = {
       isClosing: () => this.isClosing,
       egress,
@@ -109,7 +110,7 @@
     this.setLimits(DEFAULT_LIMITS);
   }
 
-  /** Sets the limits on requests from now on; those not named return to their defaults. */
+  /** Sets the limits on subsequent requests; each limit that is undefined returns to its default. */
   setLimits({
     headerBytes,
     bodyBytes,
@@ -126,7 +127,7 @@
     this.server.keepAliveTimeout = this.limits.idleMs;
   }
 
-  /** Listens on an address; throws a ListenError where that fails. */
+  /** Listens on an address; throws a ListenError if that fails. */
   *listen(address: string): Task {
     const { server } = this;
     const outcome = yield* waitFor<Error | "listening">((done) => {
@@ -137,19 +138,19 @@
       throw new ListenError(`Can't listen for HTTP on ${address}.`, { cause: outcome });
   }
 
-  /** Has every response close its connection from now on; open connections are still served. */
+  /** Closes each connection with its next response; open connections are served until then. */
   closeClientConnections(): void {
     this.isClosing = true;
   }
 
-  /** Accepts no new connections and closes idle ones. A request in flight on one of these is lost. */
+  /** Stops accepting connections and closes idle ones. A request in flight on an idle connection is lost. */
   close(): void {
     this.isClosing = true;
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** How many buffered responses are still being written. */
+  /** Number of buffered responses that are still being written. */
   get unfinishedResponses(): number {
     return this.responses.unfinishedResponses;
   }
@@ -176,9 +177,9 @@
     response.on("error", () => undefined);
     const declaredBytes = Number(request.headers["content-length"] ?? 0);
     if (headerBytesOf(request) > headerBytes)
-      return refuse(client, 431, `The headers have at most ${headerBytes} bytes.`);
+      return refuse(client, 431, `The request headers exceed the limit of ${headerBytes} bytes.`);
     if (declaredBytes > bodyBytes)
-      return refuse(client, 413, `A body has at most ${bodyBytes} bytes.`);
+      return refuse(client, 413, `The request body exceeds the limit of ${bodyBytes} bytes.`);
     if (declaredBytes === 0 && request.headers["transfer-encoding"] === undefined) {
       request.resume();
       return this.forward(request, client, new Uint8Array());
@@ -201,7 +202,7 @@
     this.handle(rest ? { ...clientRequest, rest } : clientRequest, client);
   }
 
-  /** Buffers a body up to its end, or up to the size from which on the rest is streamed. */
+  /** Buffers a body to its end, or up to `BUFFERED_BODY_BYTES` and streams the rest. */
   private readBody(
     request: IncomingMessage,
     response: ServerResponse,
@@ -211,20 +212,22 @@
     const { bodyBytes } = this.limits;
     const chunks: Buffer[] = [];
     let bufferedBytes = 0;
-    let isForwarded = false;
+    let isHandled = false;
     const isStillBuffered = (): boolean =>
-      this.wholeOnly || bufferedBytes <= BUFFERED_BODY_BYTES || bufferedBytes === declaredBytes;
+      this.buffersWholeBodies ||
+      bufferedBytes <= BUFFERED_BODY_BYTES ||
+      bufferedBytes === declaredBytes;
     const onData = (chunk: Buffer): void => {
       bufferedBytes += chunk.length;
-      if (isForwarded) return;
+      if (isHandled) return;
       if (bufferedBytes > bodyBytes) {
-        isForwarded = true;
+        isHandled = true;
         chunks.length = 0;
-        return refuse(client, 413, `A body has at most ${bodyBytes} bytes.`);
+        return refuse(client, 413, `The request body exceeds the limit of ${bodyBytes} bytes.`);
       }
       chunks.push(chunk);
       if (isStillBuffered()) return;
-      isForwarded = true;
+      isHandled = true;
       request.off("data", onData);
       request.pause();
       let isStreamed = false;
@@ -239,8 +242,8 @@
     };
     request.on("data", onData);
     request.on("end", () => {
-      if (isForwarded || !request.complete) return;
-      isForwarded = true;
+      if (isHandled || !request.complete) return;
+      isHandled = true;
       this.forward(request, client, Buffer.concat(chunks));
     });
   }
--- a/src/daemon/http-servers.ts
+++ b/src/daemon/http-servers.ts
@@ -1,4 +1,4 @@
-/** The HTTP servers of one daemon: for clients, for the admin API, and for readiness checks alone. */
+/** The HTTP servers of one daemon: for clients, for the admin API, and for readiness checks only. */
 import { type ProxyRequest, requestPath } from "../proxy/proxy-request.js";
 import { jsonResponse } from "../proxy/request-outcome.js";
 import type { LinkPacer } from "../runtime/link-pacer.js";
@@ -18,7 +18,7 @@
   translateResponse: (response) => response,
 });
 
-/** A server that hands the requests of a filter to the daemon's admin API. */
+/** Creates a server that passes the requests for which `isServed` holds to the daemon's admin API, and refuses others with 404. */
 const createAdminServer = (
   daemon: Daemon,
   egress: LinkPacer,
@@ -36,7 +36,8 @@
           clientRequest: translated.clientRequest,
           respond: (response) => client.respond(translated.translateResponse(response)),
         });
-      else client.respond(jsonResponse(404, { error: "Only readiness is served here." }));
+      else
+        client.respond(jsonResponse(404, { error: "This address serves only readiness checks." }));
     },
     { egress, transferClass: "control" },
   );
@@ -44,7 +45,7 @@
   return server;
 };
 
-/** The servers of a daemon, opened and closed together. */
+/** Opens and closes all HTTP servers of a daemon. */
 export class HttpServers {
   private readonly settings: Settings;
   private readonly clients: HttpServer;
@@ -62,7 +63,7 @@
     daemon.onRequestLimits = (limits) => this.clients.setLimits(limits);
   }
 
-  /** Listens on the addresses of the settings. */
+  /** Listens on the addresses in the settings. */
   *listen(): Task {
     const { operators, ready } = this.settings;
     yield* this.admin.listen(operators);
@@ -76,12 +77,12 @@
     return this.clients.unfinishedResponses > 0;
   }
 
-  /** Has every response close its client's connection from now on. */
+  /** Closes each client connection with its next response. */
   closeClientConnections(): void {
     this.clients.closeClientConnections();
   }
 
-  /** Accepts no new client connections. */
+  /** Stops accepting client connections. */
   stopAcceptingClients(): void {
     if (this.clientAddress !== undefined) this.clients.close();
   }
@@ -95,7 +96,7 @@
     }
   }
 
-  /** Where clients connect; undefined at a daemon that is no edge. */
+  /** The address for clients; undefined if the daemon is not an edge. */
   private get clientAddress(): string | undefined {
     return rolesOf(this.settings).includes("edge") ? this.settings.callers : undefined;
   }
--- a/src/daemon/process-monitor.ts
+++ b/src/daemon/process-monitor.ts
@@ -5,32 +5,32 @@
 import type { Task } from "../runtime/task.js";
 
 const CHECK_INTERVAL_MS = 1000;
-/** The utilization of the event loop, as a part of the interval, from which on a warning is logged. */
+/** Minimum utilization of the event loop, as a fraction of the interval, that is logged as a warning. */
 const SATURATED_UTILIZATION = 0.9;
-/** The delay of a check's timer from which on a warning is logged. */
+/** Minimum delay of the check's timer that is logged as a warning. */
 const LATE_TIMER_MS = 200;
 const US_PER_MS = 1000;
 
 /**
- * Checks the event loop every second and logs a warning where it is saturated or was blocked, with its utilization, the
- * delay of the check's timer and the processor time used since the last check.
+ * Checks the event loop every second and logs a warning if it is saturated or was blocked, with its utilization, the
+ * delay of the check's timer and the CPU time used since the previous check.
  */
 export const monitorProcess = function* (clock: Clock, log: Logger): Task {
-  let loop = performance.eventLoopUtilization();
-  let processor = process.cpuUsage();
+  let previousUtilization = performance.eventLoopUtilization();
+  let previousCpuUsage = process.cpuUsage();
   for (;;) {
     const dueMs = clock.nowMs() + CHECK_INTERVAL_MS;
     yield* sleep(clock, CHECK_INTERVAL_MS);
     const lateMs = clock.nowMs() - dueMs;
-    const used = process.cpuUsage(processor);
-    const { utilization } = performance.eventLoopUtilization(loop);
-    loop = performance.eventLoopUtilization();
-    processor = process.cpuUsage();
+    const cpuUsage = process.cpuUsage(previousCpuUsage);
+    const { utilization } = performance.eventLoopUtilization(previousUtilization);
+    previousUtilization = performance.eventLoopUtilization();
+    previousCpuUsage = process.cpuUsage();
     if (utilization < SATURATED_UTILIZATION && lateMs < LATE_TIMER_MS) continue;
     log.warn("event loop saturated", {
       busyPart: Number(utilization.toFixed(2)),
       lateMs: Math.round(lateMs),
-      processorMs: Math.round((used.user + used.system) / US_PER_MS),
+      processorMs: Math.round((cpuUsage.user + cpuUsage.system) / US_PER_MS),
     });
   }
 };
--- a/src/daemon/request-body.ts
+++ b/src/daemon/request-body.ts
@@ -1,12 +1,15 @@
-/** Reading of request bodies that are too large to buffer, within a limit. */
+/** Streams or discards request bodies that are too large to buffer, up to a size limit. */
 import type { IncomingMessage } from "node:http";
 
-/** Thrown where a body is cut short or exceeds its limit while it is streamed. */
+/** Thrown when a streamed body ends before it is complete or exceeds its size limit. */
 export class RequestBodyAbortedError extends Error {
   readonly code = "REQUEST_BODY_ABORTED";
 }
 
-/** Reads and discards the rest of an unwanted body: a connection closed with unread bytes can lose its response. */
+/**
+ * Reads and discards the rest of a body that is no longer needed, since closing a connection with unread bytes can lose
+ * the response. Destroys the connection if the body exceeds the limit.
+ */
 export const discardBody = (
   request: IncomingMessage,
   readBytes: number,
@@ -21,7 +24,10 @@
   request.resume();
 };
 
-/** The chunks of a body after the bytes that were buffered; `onStart` is called when the first one is requested. */
+/**
+ * Yields the chunks of a body after its buffered bytes; calls `onStart` when the first one is requested. Throws a
+ * RequestBodyAbortedError if the body exceeds the limit or the client aborts it.
+ */
 export const streamBody = async function* (
   request: IncomingMessage,
   bufferedBytes: number,
@@ -33,12 +39,16 @@
   try {
     for await (const chunk of request.iterator({ destroyOnReturn: false })) {
       if (!(chunk instanceof Uint8Array))
-        throw new RequestBodyAbortedError("The body is not bytes.");
+        throw new RequestBodyAbortedError("The request body yielded a chunk that is not bytes.");
       totalBytes += chunk.length;
-      if (totalBytes > limitBytes) throw new RequestBodyAbortedError("The body is over its limit.");
+      if (totalBytes > limitBytes)
+        throw new RequestBodyAbortedError(
+          `The request body exceeds the limit of ${limitBytes} bytes.`,
+        );
       yield chunk;
     }
-    if (!request.complete) throw new RequestBodyAbortedError("The body was cut short.");
+    if (!request.complete)
+      throw new RequestBodyAbortedError(`The request body ended early, after ${totalBytes} bytes.`);
   } finally {
     discardBody(request, totalBytes, limitBytes);
   }
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -1,4 +1,4 @@
-/** Runs the daemon of this machine as a process: opens what it needs, reloads settings, and drains on a signal. */
+/** Runs the daemon of this machine as a process: opens its disk and servers, reloads settings, and drains on a signal. */
 import { ConfigArchive } from "../admin/config-archive.js";
 import { HttpBackendClient } from "../proxy/upstream/http-backend-client.js";
 import { type Clock, systemClock, sleep } from "../runtime/clock.js";
@@ -18,17 +18,17 @@
 import { SettingsFile } from "./settings-file.js";
 import { SettingsReloader } from "./settings-reloader.js";
 
-/** How a daemon is run besides its settings. */
+/** Options of a daemon's process in addition to its settings. */
 export interface ServeOptions {
-  /** Translates for a platform whose headers and admin requests have another form. */
+  /** Translates headers and admin requests for a platform that has its own formats. */
   readonly adapter?: Adapter;
   /** Whether accepted configs are archived in a Git repository. */
   readonly archive?: boolean;
 }
 
-/** How often a draining process checks whether responses are still being written. */
+/** Interval at which a draining process checks whether responses are still being written. */
 const RESPONSE_CHECK_INTERVAL_MS = 20;
-/** How long the last bytes of responses have to leave before connections are closed. */
+/** Delay before connections are closed, in which the last bytes of responses are sent. */
 const CLOSE_DELAY_MS = 50;
 
 type Signal = "SIGTERM" | "SIGINT" | "SIGHUP";
@@ -40,7 +40,7 @@
   return signals;
 };
 
-/** A daemon's process, from its settings to its exit code. */
+/** Runs one daemon from reading its settings to its exit code. */
 class DaemonProcess {
   private readonly file: SettingsFile;
   private readonly options: ServeOptions;
@@ -70,7 +70,7 @@
     });
   }
 
-  /** Starts the process; `exit` is called when it ends. */
+  /** Starts the daemon; `exit` is called with its exit code when it ends. */
   start(): void {
     runTask(this.run(), this.fail, this.exit);
   }
@@ -90,9 +90,9 @@
     const reloader = new SettingsReloader(
       this.file,
       settings,
-      (after, applied) => {
-        if (applied.includes("logLevel")) this.loggers.setLevel(after.logLevel ?? "info");
-        if (applied.includes("seeds")) daemon.setSeeds(after.seeds);
+      (newSettings, applied) => {
+        if (applied.includes("logLevel")) this.loggers.setLevel(newSettings.logLevel ?? "info");
+        if (applied.includes("seeds")) daemon.setSeeds(newSettings.seeds);
       },
       this.log,
     );
@@ -157,10 +157,10 @@
   }
 }
 
-/** Runs the daemon of this machine until a signal stops it; resolves to the exit code. Throws a SettingsError where the settings have faults. */
+/** Runs the daemon of this machine until a signal stops it; resolves to the exit code. Rejects with a SettingsError if the settings are invalid. */
 export const serve = async (file: SettingsFile, options: ServeOptions = {}): Promise<number> =>
   new Promise<number>((exit) => new DaemonProcess(file, options, exit).start());
 
-/** Runs the daemon described by a settings file in daledoor's own format, with flags overriding its fields. */
+/** Runs the daemon that a settings file in daledoor's own format describes; flags override its fields. */
 export const run = (file: string | undefined, flags: Record<string, unknown>): Promise<number> =>
   serve(SettingsFile.withOverrides(file, flags), { archive: true });
--- a/src/daemon/settings-error.ts
+++ b/src/daemon/settings-error.ts
@@ -1,4 +1,4 @@
-/** The error of settings that can't be used. */
+/** The error for invalid settings. */
 import type { ValidationFault } from "../configuration/config-validation.js";
 
 /** Thrown when settings are invalid; carries every fault with its path. */
@@ -7,7 +7,9 @@
   readonly faults: ValidationFault[];
 
   constructor(faults: ValidationFault[]) {
-    super("The settings have faults.");
+    super(
+      `Invalid settings: ${faults.map(({ path, expected }) => `${path}: ${expected}`).join("; ")}`,
+    );
     this.faults = faults;
   }
 }
--- a/src/daemon/settings-file.ts
+++ b/src/daemon/settings-file.ts
@@ -1,4 +1,4 @@
-/** The settings file: reading, checking and detecting changes. */
+/** Reads and checks the settings file, and detects its changes. */
 import { readFileSync } from "node:fs";
 import { type Settings, checkSettings } from "./settings.js";
 import { SettingsError } from "./settings-error.js";
@@ -8,19 +8,17 @@
     const value: unknown = JSON.parse(text);
     return value;
   } catch (error) {
-    throw new SettingsError([
-      { path, expected: `a file with JSON that can be read (${String(error)})` },
-    ]);
+    throw new SettingsError([{ path, expected: `valid JSON (${String(error)})` }]);
   }
 };
 
-/** A file that settings are read from, repeatedly while a daemon runs. */
+/** A settings file that is read repeatedly while a daemon runs. */
 export class SettingsFile {
   private readonly path: string | undefined;
   private readonly translate: (text: string, path: string) => unknown;
   private text: string | undefined;
 
-  /** `translate` turns the file's text into daledoor's own format; without a path it is given an empty object. */
+  /** `translate` converts the file's text to daledoor's own format; without a path, it receives the text `{}`. */
   constructor(
     path: string | undefined,
     translate: (text: string, path: string) => unknown = parseJson,
@@ -29,23 +27,23 @@
     this.translate = translate;
   }
 
-  /** Reads and checks the settings; throws a SettingsError with all their faults. */
+  /** Reads and checks the settings; throws a SettingsError with all faults if they are invalid. */
   read(): Settings {
-    if (this.path === undefined) return SettingsFile.validated(this.translate("{}", ""));
+    if (this.path === undefined) return SettingsFile.validate(this.translate("{}", ""));
     try {
       this.text = readFileSync(this.path, "utf8");
     } catch (error) {
       throw new SettingsError([
         {
           path: this.path,
-          expected: `a file that can be read (${error instanceof Error ? error.message : String(error)})`,
+          expected: `a readable file (${error instanceof Error ? error.message : String(error)})`,
         },
       ]);
     }
-    return SettingsFile.validated(this.translate(this.text, this.path));
+    return SettingsFile.validate(this.translate(this.text, this.path));
   }
 
-  /** Whether the file's text differs from what was last read; false where it can't be read. */
+  /** Whether the file's text differs from the text last read; false if the file can't be read. */
   get hasChanged(): boolean {
     if (this.path === undefined) return false;
     try {
@@ -55,7 +53,7 @@
     }
   }
 
-  /** A file in daledoor's own format, with flags overriding its fields. */
+  /** Creates a settings file in daledoor's own format whose fields the flags override. */
   static withOverrides(file: string | undefined, flags: Record<string, unknown>): SettingsFile {
     return new SettingsFile(file, (text, path) => {
       const value = parseJson(text, path);
@@ -65,7 +63,7 @@
     });
   }
 
-  private static validated(value: unknown): Settings {
+  private static validate(value: unknown): Settings {
     const checked = checkSettings(value);
     if ("faults" in checked) throw new SettingsError(checked.faults);
     return checked.settings;
--- a/src/daemon/settings-reloader.ts
+++ b/src/daemon/settings-reloader.ts
@@ -1,4 +1,4 @@
-/** Reloads the settings file while the daemon runs: on a change of the file, or on request. */
+/** Reloads the settings file while the daemon runs, when the file changes or on request. */
 import { type Clock, sleep } from "../runtime/clock.js";
 import type { Logger } from "../runtime/logger.js";
 import type { Task } from "../runtime/task.js";
@@ -6,17 +6,17 @@
 import type { SettingsFile } from "./settings-file.js";
 import { type Settings, settingsDifference } from "./settings.js";
 
-/** How often the settings file is checked for changes. */
+/** Interval at which the settings file is checked for changes. */
 const FILE_CHECK_INTERVAL_MS = 1000;
 
-/** Applies what can change at run time, and logs what needs a restart. */
+/** Applies changed settings that can change at run time, and logs those that need a restart. */
 export class SettingsReloader {
   private readonly file: SettingsFile;
   private readonly apply: (settings: Settings, changedNames: readonly string[]) => void;
   private readonly log: Logger;
   private settings: Settings;
 
-  /** `apply` is called with the new settings and the names of those that changed and apply at once. */
+  /** `apply` is called with the new settings and the names of the changed ones that take effect at run time. */
   constructor(
     file: SettingsFile,
     settings: Settings,
@@ -37,14 +37,18 @@
     }
   }
 
-  /** Reads the file again; settings with faults are logged and the former ones stay. */
+  /** Reads the file again. If the new settings are invalid, logs their faults and keeps the previous ones. */
   reload(): void {
     try {
-      const after = this.file.read();
-      const { applied, needRestart } = settingsDifference(this.settings, after);
-      this.apply(after, applied);
+      const newSettings = this.file.read();
+      const { applied, needRestart } = settingsDifference(this.settings, newSettings);
+      this.apply(newSettings, applied);
       this.log.info("settings reloaded", { applied, needRestart });
-      this.settings = { ...this.settings, logLevel: after.logLevel ?? "info", seeds: after.seeds };
+      this.settings = {
+        ...this.settings,
+        logLevel: newSettings.logLevel ?? "info",
+        seeds: newSettings.seeds,
+      };
     } catch (error) {
       this.log.warn("settings reload failed", {
         faults: error instanceof SettingsError ? error.faults : String(error),
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -27,7 +27,7 @@
   "word",
   (value) =>
     (typeof value === "string" && /^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/.test(value)) ||
-    "Expected a name of letters, digits, dots and dashes",
+    "Expected a name of 1 to 63 letters, digits, dots, dashes and underscores",
 );
 const addressShape = define<string>("address", (value) => {
   if (typeof value !== "string") return "Expected an address of the form IP:port";
@@ -55,11 +55,11 @@
   roles: optional(nonempty(array(enums(["edge", "recorder", "collector"])))),
   dataFolder: optional(nonempty(string())),
   logLevel: optional(enums(["debug", "info", "warn", "error"])),
-  /** Whether the fleet starts for the first time, so that a replicated log may be formed. */
+  /** Whether this is the first start of the fleet, so that a new replicated log may be created. */
   bootstrap: optional(boolean()),
-  /** How many machines and zones may fail at the same time without a bound being exceeded. */
+  /** Numbers of machines and zones that may fail at the same time without exceeding a bound. */
   tolerate: optional(object({ machines: min(integer(), 0), zones: min(integer(), 0) })),
-  /** How often backends send heartbeats. */
+  /** Interval between the heartbeats of a backend. */
   heartbeatMs: optional(durationMs),
   /** The resources of this machine. */
   limits: optional(
@@ -80,7 +80,7 @@
 /** A role of a daemon: it proxies requests, replicates the log, or aggregates request counts. */
 export type Role = NonNullable<Settings["roles"]>[number];
 
-/** The settings that apply at once when they change; all others need a restart. */
+/** The settings whose changes take effect at run time; all others need a restart. */
 const RELOADABLE_NAMES: ReadonlyArray<keyof Settings> = ["logLevel", "seeds"];
 
 /** Validates settings and reports all faults at once. */
@@ -99,7 +99,7 @@
       expected: "an address of the form IP:port, since this daemon is an edge",
     });
   if (new Set(settings.seeds).size !== settings.seeds.length)
-    faults.push({ path: "seeds", expected: "addresses that differ" });
+    faults.push({ path: "seeds", expected: "addresses without duplicates" });
   const ownAddresses = [
     settings.callers,
     settings.operators,
@@ -109,20 +109,20 @@
   if (new Set(ownAddresses).size !== ownAddresses.length)
     faults.push({
       path: "peers",
-      expected: "an address of its own for callers, operators, peers and readiness",
+      expected: "different addresses for callers, operators, peers and ready",
     });
   faults.push(...boundFaults(settings));
   return faults.length > 0 ? { faults } : { settings };
 }
 
-/** The roles that are set, by default those that the machine's disk allows. */
+/** The configured roles; by default recorder and collector on a machine with a data folder, else edge. */
 export function rolesOf(settings: Settings): Role[] {
   return (
     settings.roles ?? (settings.dataFolder === undefined ? ["edge"] : ["recorder", "collector"])
   );
 }
 
-/** The names of the settings that differ: those that apply at once and those that need a restart. */
+/** The names of the settings that differ: those that take effect at run time and those that need a restart. */
 export function settingsDifference(
   before: Settings,
   after: Settings,
