--- a/src/admin/admin-api.ts
+++ b/src/admin/admin-api.ts
@@ -14,7 +14,7 @@
 
 const CONFIG_VERSION_PATH = /^\/config\/(\d{1,15})$/;
 
-/** The endpoints as listed to a client that requests an unknown path. */
+/** The endpoints, as listed in the response to a request for an unknown path. */
 const SERVED_ENDPOINTS = [
   "GET /ready",
   "GET /status",
@@ -57,7 +57,7 @@
     ]);
   }
 
-  /** Answers one request. */
+  /** Handles one request. */
   *handle(clientRequest: ProxyRequest): Task<ClientResponse> {
     const path = requestPath(clientRequest);
     const version = CONFIG_VERSION_PATH.exec(path)?.[1];
@@ -65,15 +65,17 @@
       return yield* this.config.read(Number(version));
     const endpoint = this.endpoints.get(`${clientRequest.method} ${path}`);
     if (!endpoint)
-      return errorResponse(404, "Nothing is served at this path.", { served: SERVED_ENDPOINTS });
+      return errorResponse(404, `No endpoint for ${clientRequest.method} ${path}.`, {
+        served: SERVED_ENDPOINTS,
+      });
     return yield* endpoint(clientRequest);
   }
 
   private *readiness(): Task<ClientResponse> {
-    const why = this.daemon.notReadyReason();
-    return why === ""
+    const reason = this.daemon.notReadyReason();
+    return reason === ""
       ? jsonResponse(200, create({ ready: true }, readyShape))
-      : jsonResponse(503, { ready: false, why });
+      : jsonResponse(503, { ready: false, why: reason });
   }
 
   private *status(): Task<ClientResponse> {
--- a/src/admin/admin-dependencies.ts
+++ b/src/admin/admin-dependencies.ts
@@ -1,4 +1,4 @@
-/** The parts of a daemon that the endpoints of the admin API work with, and the timeouts they share. */
+/** The components of a daemon that the endpoints of the admin API use, and the timeout that they share. */
 import type { ClusterView } from "../cluster-view/cluster-view.js";
 import type { CommandForwarder } from "../cluster-view/command-forwarder.js";
 import type { LoadBalancer } from "../load-balancing/load-balancer.js";
@@ -8,33 +8,33 @@
 
 /**
  * Timeout of a command that an endpoint forwards to the leader. Clients fail over to another daemon after a second
- * without a response, so an unknown outcome is reported before that; a repeat, to any daemon, tells more.
+ * without a response, so an unknown outcome is reported earlier; a retry, at any daemon, can return the outcome.
  */
 export const COMMAND_TIMEOUT_MS = 800;
 
-/** What the admin API reads from its own daemon. */
+/** The state of its own daemon that the admin API reads. */
 export interface DaemonStatusSource {
   /** The body of `GET /status`. */
   status(): Record<string, unknown>;
-  /** Why the daemon is not ready; empty when it is. */
+  /** The reason why the daemon is not ready; empty if it is ready. */
   notReadyReason(): string;
-  /** The latest request counts of the fleet, their age and how many edges they cover. */
+  /** The latest request counts of the fleet, their age, and how many edges they cover; undefined before the first ones. */
   counts():
     | { counts: RequestCounts; ageMs: number; coverage: { edges: number; oldestMs: number } }
     | undefined;
 }
 
-/** What an admin API is constructed with. */
+/** The dependencies that an admin API is constructed with. */
 export interface AdminDependencies {
   readonly forwarder: CommandForwarder;
   readonly clusterView: ClusterView;
   readonly loadBalancer: LoadBalancer;
-  /** The link that responses leave by. */
+  /** The pacer of the link on which responses are sent. */
   readonly egress: LinkPacer;
   /** The address of this daemon's own admin API, IP:port. */
   readonly ownAddress: string;
   readonly daemon: DaemonStatusSource;
-  /** Upper limit on how long a configuration change may take until its outcome counts as unknown. */
+  /** Maximum time after which the outcome of a configuration change counts as unknown. */
   readonly changeTimeoutMs: number;
   readonly retryRules: RetryRules;
 }
--- a/src/admin/backend-registration-endpoints.ts
+++ b/src/admin/backend-registration-endpoints.ts
@@ -1,4 +1,4 @@
-/** The endpoints by which backends register themselves, send heartbeats and deregister. */
+/** The endpoints with which backends register themselves, send heartbeats and deregister. */
 import {
   boolean,
   define,
@@ -31,7 +31,7 @@
   RETRY_AFTER_HEADER,
 } from "./admin-response.js";
 
-/** A deregistration that is acknowledged later than this is logged. */
+/** Time after which the acknowledgment of a deregistration is logged as late. */
 const SLOW_DEREGISTRATION_MS = 400;
 const MAX_CAPACITY = 1_000_000;
 const MAX_WARM_UP_MS = 3_600_000;
@@ -61,7 +61,7 @@
 });
 const addressDeregistrationShape = object({ service: nameShape, address: addressShape });
 const instanceDeregistrationShape = object({ instance: instanceShape });
-/** The leader's response to a daemon whose directory is too old for the registration. */
+/** The leader's response if the daemon's directory is too old to forward the registration. */
 const staleDirectoryShape = type({ state: literal("behind") });
 
 /** Serves the paths below `/backends`. */
@@ -76,12 +76,12 @@
     this.log = log;
   }
 
-  /** Registers a backend, or renews its registration; a heartbeat without changes is answered by this daemon alone. */
+  /** Registers a backend or renews its registration. This daemon acknowledges a heartbeat without changes by itself. */
   *register(clientRequest: ProxyRequest): Task<ClientResponse> {
     const { clusterView, forwarder } = this.dependencies;
     const [failure, body] = validate(parseJsonBody(clientRequest.body)?.value, registrationShape);
     if (failure)
-      return errorResponse(400, "The announcement is refused.", {
+      return errorResponse(400, "Invalid registration.", {
         faults: validationFaults(failure.failures()),
       });
     const registration = { ...body, warmth: body.warmth ?? 1 };
@@ -97,7 +97,11 @@
       : yield* forwarder.command(command, COMMAND_TIMEOUT_MS);
     if (text === undefined) return noLeaderResponse();
     return is(JSON.parse(text), staleDirectoryShape)
-      ? jsonResponse(503, { error: "This daemon is behind; ask another." }, RETRY_AFTER_HEADER)
+      ? jsonResponse(
+          503,
+          { error: "The directory of this daemon is stale; retry at another daemon." },
+          RETRY_AFTER_HEADER,
+        )
       : forwardedResponse(text);
   }
 
@@ -109,14 +113,14 @@
         ? validate(value, instanceDeregistrationShape)
         : validate(value, addressDeregistrationShape);
     if (failure)
-      return errorResponse(400, "The notice is refused.", {
+      return errorResponse(400, "Invalid deregistration.", {
         faults: validationFaults(failure.failures()),
       });
     const text = yield* this.forwardDeregistration({ kind: "leave", ...body });
     return text === undefined ? noLeaderResponse() : forwardedResponse(text);
   }
 
-  /** Forwards a deregistration to the leader; a late or missing acknowledgment is logged with every attempt. */
+  /** Forwards a deregistration to the leader; logs a late or missing acknowledgment with all attempts. */
   private *forwardDeregistration(command: Command): Task<string | undefined> {
     const startedMs = this.runtime.clock.nowMs();
     const attempts: ForwardAttempt[] = [];
--- a/src/admin/config-archive.ts
+++ b/src/admin/config-archive.ts
@@ -1,4 +1,4 @@
-/** The archive of accepted configs: a Git repository beside the log, for operators to read; nothing depends on it. */
+/** Archives accepted configs in a Git repository that only operators read; the daemon does not depend on it. */
 import { existsSync, promises as files } from "node:fs";
 import { mkdir, writeFile } from "node:fs/promises";
 import { join } from "node:path";
@@ -7,7 +7,7 @@
 import { Queue } from "../runtime/queue.js";
 import { type Task, fromPromise } from "../runtime/task.js";
 
-/** Loaded on first use only, since most daemons have no archive. */
+/** Loads the Git library on first use, since most daemons have no archive. */
 const loadGit = async () => (await import("isomorphic-git")).default;
 
 const AUTHOR = { name: "daledoor", email: "record@daledoor.invalid" };
@@ -31,12 +31,12 @@
     this.log = log;
   }
 
-  /** Queues an accepted config, to be committed by `run`. */
+  /** Queues an accepted config for `run` to commit. */
   enqueue(config: AcceptedConfig): void {
     this.queue.put(config);
   }
 
-  /** Commits queued configs one after another; one that fails is logged and skipped. */
+  /** Commits queued configs in order; logs and skips a config that can't be committed. */
   *run(): Task {
     const opened = yield* fromPromise(this.open());
     if ("error" in opened)
--- a/src/admin/config-change-request.ts
+++ b/src/admin/config-change-request.ts
@@ -1,4 +1,4 @@
-/** Reads a configuration change from an HTTP request: its headers, and the items of `POST /config/items`. */
+/** Parses a configuration change from an HTTP request: its headers, and the items of `POST /config/items`. */
 import { object, optional, partial, validate } from "superstruct";
 import { itemsShape, namesShape } from "../configuration/config-changes.js";
 import { validationFaults } from "../configuration/config-validation.js";
@@ -9,33 +9,33 @@
 import { errorResponse, parseJsonBody } from "./admin-response.js";
 
 const MAX_CHANGE_ID_LENGTH = 100;
-/** An entity tag that holds a version, weak or strong; the quotes may be missing. */
-const IF_MATCH = /^(?:W\/)?"?(\d{1,15})"?$/;
-const CONFIG_VERSION = /^(\d{1,15})$/;
+/** An entity tag that holds a version: weak or strong, with optional quotes. */
+const IF_MATCH_PATTERN = /^(?:W\/)?"?(\d{1,15})"?$/;
+const CONFIG_VERSION_PATTERN = /^(\d{1,15})$/;
 
 const itemsChangeShape = object({
   put: optional(itemsShape),
   remove: optional(partial(namesShape)),
 });
 
-/** What a change's headers state: its identity and the versions it refers to. */
+/** The headers of a change: its id and the versions that it refers to. */
 interface ChangeHeaders {
   readonly changeId: string;
-  /** The version that must be active for the change to be accepted. */
+  /** The version that must be active for the change to be accepted; any version if undefined. */
   readonly base?: number;
-  /** The version that the changed config shall have. */
+  /** The version of the changed config; by default one above the latest version. */
   readonly version?: number;
 }
 
-/** A change read from a request, or the response that refuses it. */
+/** A parsed change, or the response that refuses the request. */
 export type ConfigChangeRequest = { command: ConfigCommand } | { refusal: ClientResponse };
 
 const refuse = (error: string, path: string, expected: string): { refusal: ClientResponse } => ({
   refusal: errorResponse(400, error, { faults: [{ path, expected }] }),
 });
 
-/** The version that a header names; undefined without the header. */
-const versionIn = (
+/** Parses the version in a header; undefined without the header. */
+const parseVersionHeader = (
   header: string | undefined,
   pattern: RegExp,
 ): { isValid: boolean; version?: number } => {
@@ -44,37 +44,42 @@
   return digits === undefined ? { isValid: false } : { isValid: true, version: Number(digits) };
 };
 
-const readHeaders = (
+const parseChangeHeaders = (
   runtime: Runtime,
   headers: ProxyRequest["headers"],
 ): { change: ChangeHeaders } | { refusal: ClientResponse } => {
-  const base = versionIn(headers["if-match"], IF_MATCH);
+  const base = parseVersionHeader(headers["if-match"], IF_MATCH_PATTERN);
   if (!base.isValid)
     return refuse(
-      "If-Match names no version.",
+      "If-Match is not a version.",
       "If-Match",
       'the version of a config, such as "12"',
     );
-  const chosen = versionIn(headers["config-version"], CONFIG_VERSION);
-  if (!chosen.isValid)
-    return refuse("Config-Version names no version.", "Config-Version", "a number, such as 12");
+  const version = parseVersionHeader(headers["config-version"], CONFIG_VERSION_PATTERN);
+  if (!version.isValid)
+    return refuse("Config-Version is not a version.", "Config-Version", "a number, such as 12");
   const changeId = headers["change-id"] ?? randomNonce(runtime);
   if (changeId.length === 0 || changeId.length > MAX_CHANGE_ID_LENGTH)
-    return { refusal: errorResponse(400, "A Change-Id has 1 to 100 characters.") };
+    return {
+      refusal: errorResponse(
+        400,
+        `Change-Id must have 1 to ${MAX_CHANGE_ID_LENGTH} characters, but has ${changeId.length}.`,
+      ),
+    };
   return {
     change: {
       changeId,
       ...(base.version === undefined ? {} : { base: base.version }),
-      ...(chosen.version === undefined ? {} : { version: chosen.version }),
+      ...(version.version === undefined ? {} : { version: version.version }),
     },
   };
 };
 
-const readItems = (value: unknown, change: ChangeHeaders): ConfigChangeRequest => {
+const parseItems = (value: unknown, change: ChangeHeaders): ConfigChangeRequest => {
   const [failure, items] = validate(value, itemsChangeShape);
   if (failure)
     return {
-      refusal: errorResponse(400, "The change is refused whole.", {
+      refusal: errorResponse(400, "Invalid change; no part of it was applied.", {
         faults: validationFaults(failure.failures()),
       }),
     };
@@ -92,16 +97,16 @@
   };
 };
 
-/** Reads `PUT /config`, `PATCH /config` or `POST /config/items`; a change without a Change-Id is given a random one. */
+/** Parses `PUT /config`, `PATCH /config` or `POST /config/items`; a change without a Change-Id gets a random one. */
 export const readConfigChange = (
   runtime: Runtime,
   { method, headers, body }: ProxyRequest,
 ): ConfigChangeRequest => {
   const parsed = parseJsonBody(body);
   if (!parsed) return refuse("The body is not JSON.", "(whole)", "JSON");
-  const read = readHeaders(runtime, headers);
-  if ("refusal" in read) return read;
-  if (method === "POST") return readItems(parsed.value, read.change);
+  const parsedHeaders = parseChangeHeaders(runtime, headers);
+  if ("refusal" in parsedHeaders) return parsedHeaders;
+  if (method === "POST") return parseItems(parsed.value, parsedHeaders.change);
   const kind = method === "PUT" ? "put" : "patch";
-  return { command: { kind, ...read.change, value: parsed.value } };
+  return { command: { kind, ...parsedHeaders.change, value: parsed.value } };
 };
--- a/src/admin/config-endpoints.ts
+++ b/src/admin/config-endpoints.ts
@@ -1,4 +1,4 @@
-/** The configuration endpoints: reading the active and earlier configs, and submitting changes. */
+/** The configuration endpoints: read the active and earlier configs, and submit changes. */
 import {
   boolean,
   create,
@@ -29,15 +29,15 @@
 } from "./admin-response.js";
 import { readConfigChange } from "./config-change-request.js";
 
-/** A response that would wait longer than this for the link is redirected to a daemon with a faster one. */
+/** A read whose response would wait longer than this for the link is redirected to a daemon with a faster link. */
 const REDIRECT_AFTER_MS = 200;
-/** The rate at which a slow link takes a body, in bytes per millisecond; a large change is waited for longer. */
+/** Rate at which a slow link transfers a body, in bytes per millisecond; it extends the timeout of a large change. */
 const SLOW_LINK_BYTES_PER_MS = 100;
 
 const changeResultShape = union([
   object({ accepted: number() }),
   object({ lost: number() }),
-  /** Possibly accepted, but so long ago that the change's outcome is no longer retained. */
+  /** The change may have been accepted, but its outcome is no longer retained. */
   object({ forgottenUpTo: number() }),
   object({ faults: define<ValidationFault[]>("faults", Array.isArray) }),
 ]);
@@ -58,19 +58,19 @@
 
 type ConfigResult = Infer<typeof configResultShape>;
 
-/** The response for a config that the leader doesn't have; a missing active config may still come, so it isn't final. */
+/** The response for a config that the leader doesn't have. A missing active config gets 503, which is not final, since a config may still be accepted. */
 const missingConfigResponse = (
   version: number | undefined,
   { noLongerKept }: ConfigResult,
 ): ClientResponse => {
   if (version === undefined)
-    return jsonResponse(503, { error: "No config was accepted yet." }, RETRY_AFTER_HEADER);
+    return jsonResponse(503, { error: "No config has been accepted yet." }, RETRY_AFTER_HEADER);
   if (noLongerKept === true)
     return errorResponse(
       410,
-      `Config ${version} is no longer kept: the oldest go first when the disk's share for them is full.`,
+      `Config ${version} was deleted: the oldest configs are deleted when the disk quota for configs is full.`,
     );
-  return errorResponse(404, `No config ${version} is kept.`);
+  return errorResponse(404, `Config ${version} does not exist.`);
 };
 
 const changeResultResponse = (
@@ -85,11 +85,13 @@
       { etag: `"${result.accepted}"` },
     );
   if ("lost" in result)
-    return errorResponse(412, `Another change came first; config ${result.lost} is in force.`, {
+    return errorResponse(412, `Version conflict: the active config is ${result.lost}.`, {
       sequence: result.lost,
       version: result.lost,
     });
-  return errorResponse(400, "The config is refused whole.", { faults: result.faults });
+  return errorResponse(400, "Invalid config; no part of it was applied.", {
+    faults: result.faults,
+  });
 };
 
 /** Serves `/config` and the paths below it. */
@@ -102,13 +104,13 @@
     this.dependencies = dependencies;
   }
 
-  /** Forwards a command to the leader and passes its response on unchanged. */
+  /** Forwards a command to the leader and returns its response unchanged. */
   *forward(command: Command): Task<ClientResponse> {
     const text = yield* this.command(command);
     return text === undefined ? noLeaderResponse() : forwardedResponse(text);
   }
 
-  /** The active config, or the one of a version. */
+  /** Reads the active config, or the config with a version. */
   *read(version?: number): Task<ClientResponse> {
     const text = yield* this.command({
       kind: "get",
@@ -119,11 +121,13 @@
     const { found } = result;
     if (!found) return missingConfigResponse(version, result);
     const configText = readCompressedText(found);
-    const redirectAddress = this.redirectAddress(configText);
+    const redirectAddress = this.findRedirectAddress(configText);
     if (redirectAddress !== undefined)
       return jsonResponse(
         307,
-        { error: "This daemon's link is too slow for it; a member of the log has it." },
+        {
+          error: `The link of this daemon is too slow for a config of ${configText.length} characters; read it from a member of the replicated log.`,
+        },
         {
           location: `http://${redirectAddress}/config${version === undefined ? "" : `/${version}`}`,
         },
@@ -142,14 +146,14 @@
     );
   }
 
-  /** Submits the change that a request states. */
+  /** Parses the change in a request and submits it. */
   *change(clientRequest: ProxyRequest): Task<ClientResponse> {
-    const read = readConfigChange(this.runtime, clientRequest);
-    if ("refusal" in read) return read.refusal;
-    return yield* this.submit(read.command, clientRequest.body.length);
+    const parsed = readConfigChange(this.runtime, clientRequest);
+    if ("refusal" in parsed) return parsed.refusal;
+    return yield* this.submit(parsed.command, clientRequest.body.length);
   }
 
-  /** Applies a merge patch on behalf of a query about a route, which must be part of the leader's active config. */
+  /** Applies a merge patch to a route, which must be part of the leader's active config. */
   *patchRoute(route: string, value: unknown): Task<ClientResponse> {
     // This daemon's view may be stale, so the leader's config decides whether the route exists.
     const text = yield* this.command({ kind: "get" });
@@ -157,11 +161,11 @@
     const { found } = create(JSON.parse(text), configResultShape);
     const checked = found ? checkConfig(JSON.parse(readCompressedText(found))) : undefined;
     if (!checked || "faults" in checked || !Object.hasOwn(checked.config.routes, route))
-      return errorResponse(404, `No route "${route}" is in force.`);
+      return errorResponse(404, `The active config has no route "${route}".`);
     return yield* this.submit({ kind: "patch", changeId: randomNonce(this.runtime), value });
   }
 
-  /** Proposes a change; the timeout grows with the body, as that of its sender does. */
+  /** Proposes a change. The timeout grows with the body, like the timeout of the client that sends it. */
   private *submit(command: ConfigCommand, bodyBytes = 0): Task<ClientResponse> {
     const { forwarder, changeTimeoutMs } = this.dependencies;
     const timeoutMs = Math.min(
@@ -177,8 +181,8 @@
     return this.dependencies.forwarder.command(command, COMMAND_TIMEOUT_MS);
   }
 
-  /** Another member to read a text from that this daemon's own link would take too long for: members' machines are the stronger ones. */
-  private redirectAddress(text: string): string | undefined {
+  /** Another member from which to read a text that this daemon's link would delay too long; members run on the stronger machines. */
+  private findRedirectAddress(text: string): string | undefined {
     const { egress, clusterView, ownAddress } = this.dependencies;
     if (egress.waitMs(text.length) <= REDIRECT_AFTER_MS) return undefined;
     const others = clusterView.memberAdminAddresses.filter((address) => address !== ownAddress);
--- a/src/admin/query-endpoint.ts
+++ b/src/admin/query-endpoint.ts
@@ -1,4 +1,4 @@
-/** The query endpoint: operators' one-line queries about the fleet, and the few changes that have a query form. */
+/** The query endpoint: handles operators' one-line queries about the fleet, and changes that have a query form. */
 import { create, define, string, type, unknown } from "superstruct";
 import type { Command } from "../control-protocol/command.js";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
@@ -11,7 +11,7 @@
 import { parseQuery, QUERY_FORMS, type Query } from "./query-parser.js";
 import { RoutingExplanations } from "./routing-explanations.js";
 
-/** How many of the latest journal entries `explain` returns. */
+/** Number of the latest journal entries that `explain` returns. */
 const MAX_JOURNAL_ENTRIES = 100;
 
 const historyShape = type({
@@ -43,13 +43,13 @@
     this.routing = new RoutingExplanations(runtime.clock, dependencies);
   }
 
-  /** Parses the request's body as one query and answers it. */
+  /** Parses the request's body as one query and handles it. */
   *handle(clientRequest: ProxyRequest): Task<ClientResponse> {
     const parsed = parseQuery(Buffer.from(clientRequest.body).toString("utf8"));
     if ("fault" in parsed)
       return errorResponse(
         400,
-        `"${parsed.fault.word}" is not understood; expected ${parsed.fault.expected}.`,
+        `Unexpected "${parsed.fault.word}"; expected ${parsed.fault.expected}.`,
         { ...parsed.fault, forms: QUERY_FORMS },
       );
     const { query } = parsed;
--- a/src/admin/query-parser.ts
+++ b/src/admin/query-parser.ts
@@ -1,4 +1,4 @@
-/** The parser of the operators' query language: one line, read word by word. */
+/** Parses the operators' query language: one line, word by word. */
 
 /** A parsed query. */
 export type Query =
@@ -15,7 +15,7 @@
   | { kind: "drainBackend"; address: string }
   | { kind: "explain" };
 
-/** The first unexpected word of a line, and what was expected; sent to the client as it is. */
+/** The first unexpected word of a line, and what was expected; sent to the client unchanged. */
 export interface QueryFault {
   word: string;
   expected: string;
@@ -37,18 +37,18 @@
   "explain",
 ];
 
-/** Thrown at the first unexpected word. */
+/** Thrown at the first unexpected word of a line. */
 class QuerySyntaxError extends Error {
   readonly code = "QUERY_SYNTAX";
   readonly fault: QueryFault;
 
   constructor(fault: QueryFault) {
-    super(`"${fault.word}" is not understood; expected ${fault.expected}.`);
+    super(`Unexpected "${fault.word}"; expected ${fault.expected}.`);
     this.fault = fault;
   }
 }
 
-/** The words of a line, taken from the front. */
+/** Reads the words of a line in order. */
 class WordReader {
   private readonly words: string[];
 
@@ -56,7 +56,7 @@
     this.words = line.trim().split(/\s+/).filter(Boolean);
   }
 
-  /** The next word, which has to match. */
+  /** Returns the next word; throws a QuerySyntaxError if it doesn't match. */
   next(expected: string, matches: (word: string) => boolean = () => true): string {
     const word = this.words.shift();
     if (word === undefined || !matches(word))
@@ -64,8 +64,8 @@
     return word;
   }
 
-  /** The next word, which has to be one of several. */
-  oneOf(...choices: string[]): string {
+  /** Returns the next word; throws a QuerySyntaxError if it is none of the choices. */
+  nextOneOf(...choices: string[]): string {
     const expected = choices.map((choice) => `"${choice}"`).join(" or ");
     return this.next(expected, (word) => choices.includes(word));
   }
@@ -84,16 +84,16 @@
 const serviceName = (words: WordReader): string => words.next("the name of a service");
 
 const backendAddress = (words: WordReader): string =>
-  words.next("the address of a back end, IP:port", (word) => /^\S+:\d{1,5}$/.test(word));
+  words.next("the address of a backend, IP:port", (word) => /^\S+:\d{1,5}$/.test(word));
 
 const parseShow = (words: WordReader): Query => {
-  switch (words.oneOf("service", "routes", "heavy", "shares", "machines", "backends")) {
+  switch (words.nextOneOf("service", "routes", "heavy", "shares", "machines", "backends")) {
     case "service":
       return { kind: "showService", service: serviceName(words) };
     case "routes":
       return { kind: "showRoutes" };
     case "heavy":
-      words.oneOf("routes");
+      words.nextOneOf("routes");
       return { kind: "showHeavyRoutes" };
     case "shares":
       return { kind: "showShares" };
@@ -105,37 +105,37 @@
 };
 
 const parseWhy = (words: WordReader): Query =>
-  words.oneOf("share", "route") === "share"
+  words.nextOneOf("share", "route") === "share"
     ? { kind: "whyShare", address: backendAddress(words) }
     : { kind: "whyRoute", route: routeName(words) };
 
 const parseMove = (words: WordReader): Query => {
-  words.oneOf("route");
+  words.nextOneOf("route");
   const route = routeName(words);
-  words.oneOf("to");
+  words.nextOneOf("to");
   return { kind: "moveRoute", route, service: serviceName(words) };
 };
 
 const parseSet = (words: WordReader): Query => {
-  words.oneOf("goal");
+  words.nextOneOf("goal");
   const route = routeName(words);
   const latency = words.next("a latency such as 250ms", (word) => /^[1-9]\d{0,5}ms$/.test(word));
   const latencyMs = Number(latency.slice(0, -"ms".length));
   if (words.isAtEnd) return { kind: "setGoal", route, latencyMs, retryLimit: undefined };
-  words.oneOf("tries");
+  words.nextOneOf("tries");
   const retryLimit = Number(
-    words.next("a number of further tries from 0 to 5", (word) => /^[0-5]$/.test(word)),
+    words.next("a number of retries from 0 to 5", (word) => /^[0-5]$/.test(word)),
   );
   return { kind: "setGoal", route, latencyMs, retryLimit };
 };
 
 const parseDrain = (words: WordReader): Query => {
-  words.oneOf("backend");
+  words.nextOneOf("backend");
   return { kind: "drainBackend", address: backendAddress(words) };
 };
 
 const parseWords = (words: WordReader): Query => {
-  switch (words.oneOf("show", "why", "move", "set", "drain", "explain")) {
+  switch (words.nextOneOf("show", "why", "move", "set", "drain", "explain")) {
     case "show":
       return parseShow(words);
     case "why":
@@ -151,7 +151,7 @@
   }
 };
 
-/** Parses one line into a query, or reports its first unexpected word. */
+/** Parses one line as a query; returns a fault for its first unexpected word. */
 export const parseQuery = (line: string): { query: Query } | { fault: QueryFault } => {
   try {
     const words = new WordReader(line);
--- a/src/admin/routing-explanations.ts
+++ b/src/admin/routing-explanations.ts
@@ -1,11 +1,11 @@
-/** What this daemon itself knows of routes, services, backends' shares and request counts, as query responses. */
+/** Query responses about routes, services, backends' shares and request counts, from this daemon's view. */
 import type { LoadBalancer } from "../load-balancing/load-balancer.js";
 import { type ClientResponse, jsonResponse } from "../proxy/request-outcome.js";
 import type { Clock } from "../runtime/clock.js";
 import type { AdminDependencies, DaemonStatusSource } from "./admin-dependencies.js";
 import { errorResponse } from "./admin-response.js";
 
-/** The part of all requests from which on a route counts as heavy. */
+/** Minimum fraction of all requests for which a route counts as heavy. */
 const HEAVY_ROUTE_FRACTION = 0.1;
 
 type BackendShare = { readonly service: string } & ReturnType<LoadBalancer["explain"]>[number];
@@ -40,12 +40,12 @@
   /** A route's service, and how its requests are shared among that service's backends. */
   route(name: string): ClientResponse {
     const { clusterView } = this.dependencies;
-    const route = clusterView.routeTable.all.find((one) => one.name === name);
-    if (!route) return errorResponse(404, `No route "${name}" is in force.`);
+    const route = clusterView.routeTable.all.find((candidate) => candidate.name === name);
+    if (!route) return errorResponse(404, `The active config has no route "${name}".`);
     return jsonResponse(200, {
       route: route.name,
       service: route.service,
-      why: `config ${clusterView.configSequence} says so`,
+      why: `set by config ${clusterView.configSequence}`,
       backEnds: this.explain(route.service),
     });
   }
@@ -54,7 +54,8 @@
   service(service: string): ClientResponse {
     const { clusterView, daemon, retryRules } = this.dependencies;
     const id = clusterView.idOf("service", service);
-    if (id === undefined) return errorResponse(404, `No service "${service}" is in force.`);
+    if (id === undefined)
+      return errorResponse(404, `The active config has no service "${service}".`);
     const { sketch, windowMs } = retryRules;
     const latest = daemon.counts();
     const counts = latest?.counts.ofService(id, this.clock.nowMs(), windowMs);
@@ -71,11 +72,11 @@
     });
   }
 
-  /** The routes that receive a large part of all requests. */
+  /** The routes that receive a large fraction of all requests. */
   heavyRoutes(): ClientResponse {
     const { clusterView, daemon, retryRules } = this.dependencies;
     const latest = daemon.counts();
-    if (!latest) return errorResponse(503, "The fleet's counts have not come yet.");
+    if (!latest) return errorResponse(503, "No request counts of the fleet are available yet.");
     const { windowMs } = retryRules;
     const heavy = latest.counts.heavyRoutes(HEAVY_ROUTE_FRACTION, this.clock.nowMs(), windowMs);
     const routes = heavy.map(({ item, estimate }) => ({
@@ -100,7 +101,7 @@
     const found = this.allShares().find((share) => share.address === address);
     return found
       ? jsonResponse(200, { ...found })
-      : errorResponse(404, `No back end at ${address} is known here.`);
+      : errorResponse(404, `No backend is registered at ${address}.`);
   }
 
   private allShares(): BackendShare[] {
--- a/src/cli/admin-request.ts
+++ b/src/cli/admin-request.ts
@@ -1,17 +1,17 @@
-/** Requests of the command line to the admin API of a daemon. */
+/** Sends requests from the command line to the admin API of a daemon. */
 import { request } from "undici";
 import { ExitCode } from "./exit-code.js";
 import { errorMessage, printError } from "./output.js";
 
 const RESPONSE_TIMEOUT_MS = 10_000;
 
-/** The admin API's address where a command names none. */
+/** The default address of the admin API. */
 export const DEFAULT_ADMIN_ADDRESS = process.env.DALEDOOR_AT ?? "127.0.0.1:7070";
 
-/** The help text of the option that names the address. */
-export const ADMIN_ADDRESS_HELP = "Operators' address of any daemon";
+/** The help text of the option `--at`. */
+export const ADMIN_ADDRESS_HELP = "Address of any daemon's admin API";
 
-/** One request to the admin API. */
+/** A request to the admin API. */
 export interface AdminRequest {
   /** IP:port of the daemon. */
   readonly address: string;
@@ -26,16 +26,16 @@
   return statusCode >= 500 ? ExitCode.failure : ExitCode.refused;
 };
 
-const formatted = (text: string): string => {
+const formatJson = (text: string): string => {
   try {
     return `${JSON.stringify(JSON.parse(text), null, 2)}\n`;
   } catch {
-    printError("The return is not JSON.");
+    printError("The response is not JSON.");
     return text;
   }
 };
 
-/** Sends a request and prints its response, an error response on the error stream; resolves to the exit code. */
+/** Sends a request and prints its response, on standard error if it is an error; resolves to the exit code. */
 export const sendAdminRequest = async ({
   address,
   method,
@@ -50,12 +50,12 @@
       body: body ?? null,
       headersTimeout: RESPONSE_TIMEOUT_MS,
     });
-    const shown = formatted(await response.body.text());
+    const text = formatJson(await response.body.text());
     const isSuccess = response.statusCode < 300;
-    (isSuccess ? process.stdout : process.stderr).write(shown);
+    (isSuccess ? process.stdout : process.stderr).write(text);
     return exitCodeOf(response.statusCode);
   } catch (error) {
-    printError(`${address} can't be reached: ${errorMessage(error)}`);
+    printError(`Can't connect to ${address}: ${errorMessage(error)}`);
     return ExitCode.unreachable;
   }
 };
--- a/src/cli/command.ts
+++ b/src/cli/command.ts
@@ -1,7 +1,7 @@
-/** The common form of the commands: each adds itself to the program and hands over its run. */
+/** The interface of the commands: each adds itself to the program and registers its run. */
 import type { CAC } from "cac";
 
-/** Takes the run of the command that the arguments name; it resolves to the exit code. */
+/** Registers the run of the matched command; the promise resolves to the exit code. */
 export type StartRun = (run: Promise<number>) => void;
 
 /** Adds one command to the program. */
--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -7,15 +7,15 @@
 import { printFaults } from "../output.js";
 
 const checkFile = async (file: string): Promise<number> => {
-  const read = await readJsonFile(file);
-  if (!read) return ExitCode.usage;
-  const isSettings = typeof read.value === "object" && read.value !== null && "seeds" in read.value;
-  const checked = isSettings ? checkSettings(read.value) : checkConfig(read.value);
+  const json = await readJsonFile(file);
+  if (!json) return ExitCode.usage;
+  const isSettings = typeof json.value === "object" && json.value !== null && "seeds" in json.value;
+  const checked = isSettings ? checkSettings(json.value) : checkConfig(json.value);
   if ("faults" in checked) {
     printFaults(checked.faults);
     return ExitCode.refused;
   }
-  process.stdout.write(`${file}: a good ${isSettings ? "settings file" : "config"}.\n`);
+  process.stdout.write(`${file}: valid ${isSettings ? "settings file" : "config"}.\n`);
   return ExitCode.success;
 };
 
--- a/src/cli/commands/config.ts
+++ b/src/cli/commands/config.ts
@@ -20,13 +20,13 @@
   file: string,
   options: ChangeOptions,
 ): Promise<number> => {
-  const read = await readJsonFile(file);
-  if (!read) return ExitCode.usage;
+  const json = await readJsonFile(file);
+  if (!json) return ExitCode.usage;
   return sendAdminRequest({
     address: options.at,
     method,
     path: "/config",
-    body: read.text,
+    body: json.text,
     headers: changeHeaders(options),
   });
 };
@@ -38,19 +38,22 @@
       .command(
         `${method.toLowerCase()} <file>`,
         method === "PUT"
-          ? "Put a whole config in force"
-          : "Change parts of the config (JSON merge patch)",
+          ? "Replace the active config"
+          : "Change parts of the active config (JSON merge patch)",
       )
       .option("--at <ip:port>", ADMIN_ADDRESS_HELP, { default: DEFAULT_ADMIN_ADDRESS })
-      .option("--base <sequence>", "Only if this config is in force")
-      .option("--change-id <id>", "Name of the change; a repeat under it returns the first outcome")
+      .option("--base <sequence>", "Apply the change only if this config is active")
+      .option(
+        "--change-id <id>",
+        "Id of the change; a retry with the same id returns the first outcome",
+      )
       .action((file: string, options: ChangeOptions) => start(sendFile(method, file, options)));
 };
 
 /** Adds the command `get`. */
 export const addGetCommand: CommandDefinition = (program, start) => {
   program
-    .command("get [sequence]", "Read back the config in force, or an earlier one, or `history`")
+    .command("get [sequence]", "Read the active config, an earlier one, or `history`")
     .option("--at <ip:port>", ADMIN_ADDRESS_HELP, { default: DEFAULT_ADMIN_ADDRESS })
     .action((sequence: string | undefined, { at }: { at: string }) => {
       const path = sequence === undefined ? "/config" : `/config/${sequence}`;
--- a/src/cli/commands/restore.ts
+++ b/src/cli/commands/restore.ts
@@ -1,4 +1,4 @@
-/** `daledoor restore`: restores the replicated log from one voter after the majority is lost for good. */
+/** `daledoor restore`: restores the replicated log from one voter after the majority is permanently lost. */
 import { SettingsError } from "../../daemon/settings-error.js";
 import { SettingsFile } from "../../daemon/settings-file.js";
 import {
@@ -30,15 +30,15 @@
 const restore = async ({ settings: file, acceptLoss }: RestoreOptions): Promise<number> => {
   const { dataFolder, peers } = SettingsFile.withOverrides(file, {}).read();
   if (dataFolder === undefined) {
-    printError("dataFolder: this daemon keeps no record.");
+    printError("dataFolder: not set, so this daemon has no replicated log to restore.");
     return ExitCode.usage;
   }
   printError(
-    "WARNING: this makes this recorder the only voter. What only the lost recorders had acknowledged is gone. Their data folders must be emptied before they start again.",
+    "WARNING: this makes this recorder the only voter. Entries that only the lost recorders stored are lost. Empty their data folders before they start again.",
   );
   if (acceptLoss !== true) {
     printError(
-      "Nothing was changed. Repeat with --accept-loss if the other voters are lost for good.",
+      "Nothing was changed. Run again with --accept-loss if the other voters are permanently lost.",
     );
     return ExitCode.refused;
   }
@@ -48,7 +48,7 @@
     return ExitCode.refused;
   }
   process.stdout.write(
-    `Restored: ${peers} is the only voter; the record ends at entry ${restored.lastIndex}. Start this daemon, then the others with empty data folders.\n`,
+    `Restored: ${peers} is the only voter; the log ends at entry ${restored.lastIndex}. Start this daemon, then the others with empty data folders.\n`,
   );
   return ExitCode.success;
 };
@@ -68,9 +68,9 @@
   program
     .command(
       "restore",
-      "Restore the record from this recorder alone, when a majority is lost for good (the daemon must not run)",
+      "Restore the replicated log from this recorder only, after a majority is permanently lost (stop the daemon first)",
     )
     .option("--settings <file>", "Settings file of this recorder")
-    .option("--accept-loss", "Do it, knowing that what only the lost recorders held is gone")
+    .option("--accept-loss", "Confirm that entries which only the lost recorders stored are lost")
     .action((options: RestoreOptions) => start(restoreOrPrintFaults(options)));
 };
--- a/src/cli/commands/run.ts
+++ b/src/cli/commands/run.ts
@@ -33,7 +33,7 @@
 
 const runDaemon = async (file: string | undefined, options: RunOptions): Promise<number> => {
   if (file !== undefined && options.settings !== undefined) {
-    printError("Name one settings file, as an argument or by --settings.");
+    printError("Two settings files given; use either the argument or --settings.");
     return ExitCode.usage;
   }
   try {
@@ -48,22 +48,25 @@
 /** Adds the command `run`. */
 export const addRunCommand: CommandDefinition = (program, start) => {
   program
-    .command("run [file]", "Run this machine's daemon, with the settings of a file")
+    .command("run [file]", "Run this machine's daemon with the settings in a file")
     .option(
       "--settings <file>",
-      "Settings file (JSON), in place of the argument; flags go before it",
+      "Settings file (JSON), instead of the argument; flags override its fields",
     )
     .option("--machine <name>", "Name of this machine")
     .option("--zone <name>", "Zone of this machine")
-    .option("--callers <ip:port>", "Where callers' requests are taken")
-    .option("--operators <ip:port>", "Where operators and back ends are heard")
-    .option("--peers <ip:port>", "Where other daemons are heard")
+    .option("--callers <ip:port>", "Address for clients' requests")
+    .option("--operators <ip:port>", "Address of the admin API, for operators and backends")
+    .option("--peers <ip:port>", "Address for other daemons")
     .option(
       "--seeds <list>",
-      "Peer addresses of up to nine daemons, through which the others are found",
+      "Comma-separated peer addresses of up to nine daemons, used to discover the others",
     )
-    .option("--roles <list>", "edge, recorder, collector; by default what the machine can bear")
-    .option("--data-folder <folder>", "Where a recorder keeps its files")
+    .option(
+      "--roles <list>",
+      "Comma-separated: edge, recorder, collector; by default edge without a data folder, else recorder and collector",
+    )
+    .option("--data-folder <folder>", "Folder for a recorder's files")
     .option("--log-level <level>", "debug, info, warn or error")
     .action((file: string | undefined, options: RunOptions) => start(runDaemon(file, options)));
 };
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -5,7 +5,7 @@
 /** Adds the command `status`. */
 export const addStatusCommand: CommandDefinition = (program, start) => {
   program
-    .command("status", "Show how one daemon stands")
+    .command("status", "Show the status of one daemon")
     .option("--at <ip:port>", ADMIN_ADDRESS_HELP, { default: DEFAULT_ADMIN_ADDRESS })
     .action(({ at }: { at: string }) =>
       start(sendAdminRequest({ address: at, method: "GET", path: "/status" })),
--- a/src/cli/json-file.ts
+++ b/src/cli/json-file.ts
@@ -1,8 +1,8 @@
-/** Reading of the JSON files that commands are given. */
+/** Reads the JSON files that commands have as arguments. */
 import { readFile } from "node:fs/promises";
 import { errorMessage, printError } from "./output.js";
 
-/** Reads and parses a file; undefined, with the reason on the error stream, where that fails. */
+/** Reads and parses a file; if that fails, prints the reason on standard error and returns undefined. */
 export const readJsonFile = async (
   file: string,
 ): Promise<{ text: string; value: unknown } | undefined> => {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line of daledoor: runs a daemon, and sends operators' requests to one. */
+/** The command line of daledoor: runs a daemon, or sends an operator's request to one. */
 import { cac } from "cac";
 import { addAskCommand } from "./commands/ask.js";
 import { addCheckCommand } from "./commands/check.js";
@@ -16,7 +16,7 @@
 const program = cac("daledoor");
 let running: Promise<number> | undefined;
 
-/** In the order in which the help lists them. */
+/** The commands in the order of the help text. */
 const commands = [
   addRunCommand,
   addAskCommand,
@@ -37,7 +37,7 @@
   program.parse(process.argv, { run: false });
   const isHelp = process.argv.some((argument) => HELP_OPTIONS.includes(argument));
   if (!program.matchedCommand && !isHelp) {
-    printError(`There is no command "${process.argv[2] ?? ""}". See daledoor --help.`);
+    printError(`Unknown command "${process.argv[2] ?? ""}". See daledoor --help.`);
     process.exitCode = ExitCode.usage;
   } else if (!isHelp) {
     program.runMatchedCommand();
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -129,7 +129,7 @@
       bodyOf(heartbeat.translateResponse(jsonResponse(200, { contract: 9, state: "taken" }))),
     ).toEqual({});
     expect(
-      heartbeat.translateResponse(jsonResponse(503, { error: "No leader could be asked." })).code,
+      heartbeat.translateResponse(jsonResponse(503, { error: "No leader could be reached." })).code,
     ).toBe(503);
     const leave = into(platformRequest("POST", "backends/i-7/deregister", ""));
     expect([
