--- a/test/daemon/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -25,32 +25,27 @@
   ]);
 });
 
-test("a lease is shorter than both applyMs and drainMs, with room for polls within it", () => {
+test("a lease is shorter than both applyMs and drainMs, and allows several polls", () => {
   for (const [applyMs, drainMs] of [
     [2000, 2500],
     [2500, 2000],
     [600, 9000],
     [9000, 9000],
   ] as const) {
-    const {
-      leaseMs,
-      watchIntervalMs: pollMs,
-      watchTimeoutMs: pollWaitMs,
-      controlPlaneTimeouts,
-    } = deriveBounds({
+    const { leaseMs, watchIntervalMs, watchTimeoutMs, controlPlaneTimeouts } = deriveBounds({
       bounds: { applyMs, drainMs },
     });
     expect(leaseMs).toBeLessThan(Math.min(applyMs, drainMs));
     expect(controlPlaneTimeouts.leaseMs).toBe(leaseMs);
-    expect(pollMs * 4).toBeLessThanOrEqual(leaseMs);
+    expect(watchIntervalMs * 4).toBeLessThanOrEqual(leaseMs);
     expect(controlPlaneTimeouts.silentMs).toBeGreaterThan(leaseMs);
     expect(controlPlaneTimeouts.holdMs).toBeLessThan(400);
-    expect(pollWaitMs - controlPlaneTimeouts.holdMs).toBeGreaterThanOrEqual(130);
-    expect(2 * pollWaitMs).toBeLessThan(leaseMs);
+    expect(watchTimeoutMs - controlPlaneTimeouts.holdMs).toBeGreaterThanOrEqual(130);
+    expect(2 * watchTimeoutMs).toBeLessThan(leaseMs);
   }
 });
 
-test("the leader's lease expires before any voter may start an election, whatever the bounds", () => {
+test("the leader's lease expires before any voter may start an election, for any bounds", () => {
   for (const contactMs of [1000, 2000, 3000, 30_000]) {
     const { replicationTimeouts } = deriveBounds({ bounds: { contactMs } });
     expect(replicationTimeouts.leaderLeaseMs).toBeLessThan(replicationTimeouts.electionMinMs);
@@ -59,19 +54,20 @@
   }
 });
 
-test("a lost voter is replaced well within catchUpMs, whatever the bounds", () => {
+test("an unresponsive voter is replaced well within catchUpMs, for any bounds", () => {
   for (const catchUpMs of [1200, 1500, 2000, 4000, 6000, 60_000])
     for (const contactMs of [1000, 3000, 30_000]) {
       const { replicationTimeouts } = deriveBounds({ bounds: { catchUpMs, contactMs } });
       expect(replicationTimeouts.replaceAfterMs).toBeGreaterThanOrEqual(
         2 * replicationTimeouts.electionMaxMs,
       );
-      // The lost one led, two elections are needed, and its first follower in the lead is followed by another.
-      const oneLeader = 2 * replicationTimeouts.electionMaxMs + replicationTimeouts.replaceAfterMs;
-      const twoLeaders =
-        oneLeader + replicationTimeouts.electionMaxMs + replicationTimeouts.replaceAfterMs;
-      expect(oneLeader).toBeLessThanOrEqual(0.51 * catchUpMs);
-      expect(twoLeaders).toBeLessThanOrEqual(0.88 * catchUpMs);
+      // The lost voter was the leader. In the second case its successor is replaced as leader too, by a second election.
+      const afterOneElectionMs =
+        2 * replicationTimeouts.electionMaxMs + replicationTimeouts.replaceAfterMs;
+      const afterTwoElectionsMs =
+        afterOneElectionMs + replicationTimeouts.electionMaxMs + replicationTimeouts.replaceAfterMs;
+      expect(afterOneElectionMs).toBeLessThanOrEqual(0.51 * catchUpMs);
+      expect(afterTwoElectionsMs).toBeLessThanOrEqual(0.88 * catchUpMs);
       expect(replicationTimeouts.forgetAfterMs).toBeGreaterThan(
         10 * replicationTimeouts.replaceAfterMs,
       );
@@ -82,35 +78,31 @@
 });
 
 test("the retry rules of sketch and guard are stricter than the configured one", () => {
-  const { retryRules: budget } = deriveBounds({
+  const { retryRules } = deriveBounds({
     bounds: { retryRatio: 0.1, retryExtra: 20, retryWindowMs: 5000 },
   });
-  expect(budget.rule).toEqual({ earned: 0.1, pool: 20 });
-  expect(budget.sketch.earned).toBeLessThan(budget.guard.earned);
-  expect(budget.sketch.pool).toBeLessThan(budget.guard.pool);
-  expect(budget.guard.earned).toBeLessThan(0.1);
-  expect(budget.guard.pool).toBeLessThan(20);
+  expect(retryRules.rule).toEqual({ earned: 0.1, pool: 20 });
+  expect(retryRules.sketch.earned).toBeLessThan(retryRules.guard.earned);
+  expect(retryRules.sketch.pool).toBeLessThan(retryRules.guard.pool);
+  expect(retryRules.guard.earned).toBeLessThan(0.1);
+  expect(retryRules.guard.pool).toBeLessThan(20);
   expect(
     deriveBounds({ bounds: { retryWindowMs: 5000 } }).requestCountsFormat.attempts.windowMs,
   ).toBe(10_000);
 });
 
 test("an idempotency key is retained beyond its window, and a drain ends within graceMs", () => {
-  const {
-    controlPlaneTimeouts,
-    acceptRequestsMs: serveOnMs,
-    abandonMs,
-  } = deriveBounds({
+  const { controlPlaneTimeouts, acceptRequestsMs, abandonMs } = deriveBounds({
     bounds: { keyWindowMs: 60_000, graceMs: 6000 },
   });
   expect(controlPlaneTimeouts.keyMs).toBe(70_000);
-  expect([serveOnMs, abandonMs]).toEqual([2600, 5600]);
+  expect([acceptRequestsMs, abandonMs]).toEqual([2600, 5600]);
   const short = deriveBounds({ bounds: { graceMs: 1000 } });
   expect(short.acceptRequestsMs).toBeLessThan(short.abandonMs);
   expect(short.abandonMs).toBeLessThan(1000);
 });
 
-test("a registration survives two missed heartbeats, whatever their interval", () => {
+test("a registration survives two missed heartbeats, for any heartbeat interval", () => {
   for (const heartbeatMs of [200, 1300, 5000]) {
     const { controlPlaneTimeouts } = deriveBounds({ heartbeatMs });
     expect(controlPlaneTimeouts.heartbeatMs).toBe(heartbeatMs);
@@ -118,7 +110,7 @@
   }
 });
 
-test("refuses a bound that can't be met, with its path", () => {
+test("reports each bound that is below its minimum, with its path", () => {
   const settings = {
     machine: "m",
     zone: "a",
@@ -140,6 +132,6 @@
     "bounds.retryExtra",
   ]);
   expect(paths({ colour: 1 })).toEqual(["bounds.colour"]);
-  const bad = checkSettings({ ...settings, heartbeatMs: 1 });
-  expect("faults" in bad && bad.faults[0]?.path).toBe("heartbeatMs");
+  const invalid = checkSettings({ ...settings, heartbeatMs: 1 });
+  expect("faults" in invalid && invalid.faults[0]?.path).toBe("heartbeatMs");
 });
--- a/test/daemon/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -3,7 +3,7 @@
 import { shippedProfiles } from "../../src/simulation/profile.js";
 import { Simulation } from "../../src/simulation/simulation.js";
 
-test("a stop finishes what can be finished, and gives the rest a final answer before the process ends", () => {
+test("a stopping daemon completes requests that finish in time and gives the others a final response before it exits", () => {
   const simulation = new Simulation(shippedProfiles.rastro, 5, 0.0001);
   const fail = (error: unknown): void => {
     throw error;
@@ -22,11 +22,11 @@
   });
   wait(2000);
   const edge = simulation.machines.find(({ settings }) => settings.callers !== undefined);
-  if (!edge) throw new Error("There is no edge.");
+  if (!edge) throw new Error("The fleet has no edge.");
   for (const testBackend of simulation.testBackends)
     testBackend.behave({ slowFactor: testBackend.service === "issues" ? 4000 : 150 });
   const codes: string[] = [];
-  const call = (path: string): void =>
+  const sendRequest = (path: string): void =>
     runTask(
       simulation.call(
         edge.settings.machine,
@@ -36,8 +36,8 @@
       fail,
       ({ code, broke }) => codes.push(`${path} ${code} ${broke}`),
     );
-  call("/issues/1");
-  call("/crashes/1");
+  sendRequest("/issues/1");
+  sendRequest("/crashes/1");
   wait(100);
   simulation.start(simulation.stop(edge));
   wait(9000);
--- a/test/daemon/http-server.test.ts
+++ b/test/daemon/http-server.test.ts
@@ -4,7 +4,7 @@
 import { HttpServer } from "../../src/daemon/http-server.js";
 import { runTask } from "../../src/runtime/task.js";
 
-test("a request sent over an open connection right before the server starts closing client connections is answered", async () => {
+test("a request sent on an open connection just before the server starts closing client connections gets its response", async () => {
   const server = new HttpServer((clientRequest, client) =>
     client.respond({ code: 200, headers: {}, body: Buffer.from(clientRequest.target) }),
   );
--- a/test/daemon/limits.test.ts
+++ b/test/daemon/limits.test.ts
@@ -4,10 +4,10 @@
 import { HttpServer } from "../../src/daemon/http-server.js";
 import { runTask } from "../../src/runtime/task.js";
 
-const taken: string[] = [];
+const handledRequests: string[] = [];
 const server = new HttpServer(
   (clientRequest, client) => {
-    taken.push(
+    handledRequests.push(
       `${clientRequest.method} ${clientRequest.target} ${clientRequest.body.length}${clientRequest.rest ? " and more" : ""}`,
     );
     client.respond({ code: 200, headers: {}, body: Buffer.from(clientRequest.target) });
@@ -29,18 +29,18 @@
   return port;
 });
 
-/** All that comes back over one connection until it ends. */
-const said = async (sent: string): Promise<string> => {
+/** Sends bytes on a new connection and returns all bytes received until it closes. */
+const exchangeBytes = async (requestBytes: string): Promise<string> => {
   const port = await listening;
   return new Promise((done) => {
-    const heard: string[] = [];
-    const socket = connect(port, "127.0.0.1", () => socket.write(sent));
-    socket.on("data", (bytes: Buffer) => heard.push(bytes.toString()));
+    const chunks: string[] = [];
+    const socket = connect(port, "127.0.0.1", () => socket.write(requestBytes));
+    socket.on("data", (bytes: Buffer) => chunks.push(bytes.toString()));
     socket.on("error", () => undefined);
-    socket.once("close", () => done(heard.join("")));
+    socket.once("close", () => done(chunks.join("")));
   });
 };
-const codes = (text: string): string[] =>
+const statusCodes = (text: string): string[] =>
   [...text.matchAll(/HTTP\/1\.1 (\d+)/g)].map(([, code]) => code ?? "");
 
 afterAll(() => {
@@ -48,16 +48,16 @@
   server.closeConnections();
 });
 
-test("callers are held to limits, also when they change while the server runs", async () => {
+test("requests over the limits are refused, also after the limits change at run time", async () => {
   server.setLimits({ headerBytes: 2000, bodyBytes: 100 });
   const long = `GET /long HTTP/1.1\r\nhost: a\r\nx-long: ${"x".repeat(3000)}\r\nconnection: close\r\n\r\n`;
   const body = (bytes: number): string =>
     `POST /body HTTP/1.1\r\nhost: a\r\ncontent-length: ${bytes}\r\nconnection: close\r\n\r\n${"x".repeat(bytes)}`;
-  expect(codes(await said(long))).toEqual(["431"]);
-  expect(codes(await said(body(101)))).toEqual(["413"]);
+  expect(statusCodes(await exchangeBytes(long))).toEqual(["431"]);
+  expect(statusCodes(await exchangeBytes(body(101)))).toEqual(["413"]);
   expect(
-    codes(
-      await said(
+    statusCodes(
+      await exchangeBytes(
         "POST /body HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n80\r\n" +
           "x".repeat(128) +
           "\r\n0\r\n\r\n",
@@ -65,30 +65,33 @@
     ),
   ).toEqual(["413"]);
   server.setLimits({ headerBytes: 16_000, bodyBytes: 1000 });
-  expect(codes(await said(long))).toEqual(["200"]);
-  expect(codes(await said(body(101)))).toEqual(["200"]);
-  expect(taken).toEqual(["GET /long 0", "POST /body 101"]);
+  expect(statusCodes(await exchangeBytes(long))).toEqual(["200"]);
+  expect(statusCodes(await exchangeBytes(body(101)))).toEqual(["200"]);
+  expect(handledRequests).toEqual(["GET /long 0", "POST /body 101"]);
 });
 
-test("pipelined requests are answered in order; two lengths, bad chunks and requests without a host are refused", async () => {
-  const one = (path: string, more = ""): string => `GET ${path} HTTP/1.1\r\nhost: a\r\n${more}\r\n`;
-  const text = await said(one("/1") + one("/2") + one("/3", "connection: close\r\n"));
+test("pipelined requests get their responses in order; a request with two lengths, malformed chunks or no host is refused", async () => {
+  const getRequest = (path: string, more = ""): string =>
+    `GET ${path} HTTP/1.1\r\nhost: a\r\n${more}\r\n`;
+  const text = await exchangeBytes(
+    getRequest("/1") + getRequest("/2") + getRequest("/3", "connection: close\r\n"),
+  );
   expect([...text.matchAll(/\r\n\r\n(\/\d)/g)].map(([, path]) => path)).toEqual(["/1", "/2", "/3"]);
-  const before = taken.length;
+  const handledBefore = handledRequests.length;
   expect(
-    codes(
-      await said(
+    statusCodes(
+      await exchangeBytes(
         "POST /two HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\nhost: a\r\n\r\n",
       ),
     ),
   ).toEqual(["400"]);
   expect(
-    codes(
-      await said(
+    statusCodes(
+      await exchangeBytes(
         "POST /bad HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nx\r\n0\r\n\r\n",
       ),
     ),
   ).toEqual(["400"]);
-  expect(codes(await said("GET /none HTTP/1.1\r\n\r\n"))).toEqual(["400"]);
-  expect(taken.slice(before)).toEqual([]);
+  expect(statusCodes(await exchangeBytes("GET /none HTTP/1.1\r\n\r\n"))).toEqual(["400"]);
+  expect(handledRequests.slice(handledBefore)).toEqual([]);
 });
--- a/test/daemon/paced-responses.test.ts
+++ b/test/daemon/paced-responses.test.ts
@@ -16,22 +16,22 @@
 
 const largeBytes = 120_000;
 const linkMbps = 4;
-/** What the link takes the body in: 500 bytes a millisecond. */
+/** Time to transfer the large body at 500 bytes per millisecond. */
 const linkMs = largeBytes / 500;
 
-const fetched = (port: number, path: string): Promise<{ bytes: number; tookMs: number }> =>
+const fetchBody = (port: number, path: string): Promise<{ bytes: number; tookMs: number }> =>
   new Promise((done, fail) => {
     const startedMs = performance.now();
     let bytes = 0;
     get({ host: "127.0.0.1", port, path, agent: false }, (response) => {
-      response.on("data", (piece: Buffer) => {
-        bytes += piece.length;
+      response.on("data", (chunk: Buffer) => {
+        bytes += chunk.length;
       });
       response.once("end", () => done({ bytes, tookMs: performance.now() - startedMs }));
     }).once("error", fail);
   });
 
-test("large responses, held whole or streamed, leave at the rate of the link and take turns; a short one waits for none of them", async () => {
+test("large responses, buffered or streamed, take turns at the rate of the link; a short response does not wait for them", async () => {
   const clock = systemClock();
   const egress = new LinkPacer(clock, linkMbps);
   const server = new HttpServer(
@@ -51,18 +51,18 @@
   );
   const port = await freePort();
   await new Promise<void>((done, fail) => runTask(server.listen(`127.0.0.1:${port}`), fail, done));
-  const ended: string[] = [];
-  const noted = async (path: string): Promise<{ bytes: number; tookMs: number }> => {
-    const outcome = await fetched(port, path);
-    ended.push(path);
+  const completedPaths: string[] = [];
+  const fetchAndRecord = async (path: string): Promise<{ bytes: number; tookMs: number }> => {
+    const outcome = await fetchBody(port, path);
+    completedPaths.push(path);
     return outcome;
   };
-  const large = [noted("/whole"), noted("/streamed")];
+  const large = [fetchAndRecord("/whole"), fetchAndRecord("/streamed")];
   await expect.poll(() => egress.waitMs(0), { timeout: 2000 }).toBeGreaterThan(linkMs);
   expect(server.unfinishedResponses).toBe(1);
   expect(egress.queueMs).toBeLessThanOrEqual(30);
-  expect((await noted("/short")).bytes).toBe(20);
-  expect(ended).toEqual(["/short"]);
+  expect((await fetchAndRecord("/short")).bytes).toBe(20);
+  expect(completedPaths).toEqual(["/short"]);
   for (const { bytes, tookMs } of await Promise.all(large)) {
     expect(bytes).toBe(largeBytes);
     expect(tookMs).toBeGreaterThan(linkMs);
@@ -72,10 +72,10 @@
   server.closeConnections();
 });
 
-test("a caller who hangs up in the middle of a large response frees the link for others", async () => {
+test("a client that disconnects during a large response frees the link for other responses", async () => {
   const egress = new LinkPacer(systemClock(), linkMbps);
   const server = new HttpServer(
-    (_job, client) =>
+    (_clientRequest, client) =>
       client.respond({ code: 200, headers: {}, body: Buffer.alloc(largeBytes * 10, "x") }),
     { bufferWholeBodies: false, egress },
   );
@@ -96,8 +96,8 @@
   server.closeConnections();
 });
 
-/** A pacer that notes the class of each transfer. */
-class NotingPacer extends LinkPacer {
+/** A pacer that records the class of each transfer. */
+class RecordingPacer extends LinkPacer {
   readonly classes: string[] = [];
 
   override begin(rank: TransferRank, bytes = 0): Transfer {
@@ -106,12 +106,12 @@
   }
 }
 
-test("large responses to operators are control traffic, those to callers are not", async () => {
-  const egress = new NotingPacer(systemClock(), linkMbps * 100);
+test("large responses of the admin API have the transfer class control, those to clients have the class response", async () => {
+  const egress = new RecordingPacer(systemClock(), linkMbps * 100);
   const body = Buffer.alloc(largeBytes, "x");
   for (const transferClass of ["control", "response"] as const) {
     const server = new HttpServer(
-      (_job, client) => client.respond({ code: 200, headers: {}, body }),
+      (_clientRequest, client) => client.respond({ code: 200, headers: {}, body }),
       {
         egress,
         transferClass,
@@ -121,7 +121,7 @@
     await new Promise<void>((done, fail) =>
       runTask(server.listen(`127.0.0.1:${port}`), fail, done),
     );
-    expect((await fetched(port, "/config")).bytes).toBe(largeBytes);
+    expect((await fetchBody(port, "/config")).bytes).toBe(largeBytes);
     server.close();
     server.closeConnections();
   }
--- a/test/daemon/settings-file.test.ts
+++ b/test/daemon/settings-file.test.ts
@@ -5,7 +5,7 @@
 import { SettingsError } from "../../src/daemon/settings-error.js";
 import { SettingsFile } from "../../src/daemon/settings-file.js";
 
-const good = {
+const validSettings = {
   machine: "m1",
   zone: "a",
   callers: "127.0.0.1:1",
@@ -14,15 +14,18 @@
   seeds: ["127.0.0.1:3"],
 };
 
-test("reads a settings file with flags overriding it, and detects a changed text", () => {
+test("reads a settings file whose fields flags override, and detects a changed text", () => {
   const folder = mkdtempSync(join(tmpdir(), "daledoor-settings-"));
   try {
     const path = join(folder, "settings.json");
-    writeFileSync(path, JSON.stringify(good));
+    writeFileSync(path, JSON.stringify(validSettings));
     const file = SettingsFile.withOverrides(path, { zone: "b" });
-    expect(file.read()).toEqual({ ...good, zone: "b" });
+    expect(file.read()).toEqual({ ...validSettings, zone: "b" });
     expect(file.hasChanged).toBe(false);
-    writeFileSync(path, JSON.stringify({ ...good, seeds: ["127.0.0.1:4", "127.0.0.1:5"] }));
+    writeFileSync(
+      path,
+      JSON.stringify({ ...validSettings, seeds: ["127.0.0.1:4", "127.0.0.1:5"] }),
+    );
     expect(file.hasChanged).toBe(true);
     expect(file.read().seeds).toEqual(["127.0.0.1:4", "127.0.0.1:5"]);
     writeFileSync(path, "{");
@@ -38,6 +41,6 @@
 });
 
 test("uses the flags alone as settings without a file", () => {
-  expect(SettingsFile.withOverrides(undefined, good).read()).toEqual(good);
+  expect(SettingsFile.withOverrides(undefined, validSettings).read()).toEqual(validSettings);
   expect(() => SettingsFile.withOverrides(undefined, {}).read()).toThrow(SettingsError);
 });
--- a/test/daemon/settings.test.ts
+++ b/test/daemon/settings.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { checkSettings, settingsDifference } from "../../src/daemon/settings.js";
 
-const good = {
+const validSettings = {
   machine: "m1",
   zone: "a",
   callers: "127.0.0.1:1",
@@ -10,28 +10,37 @@
   seeds: ["127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"],
 };
 test("reports every fault of the settings at once, with its path", () => {
-  expect(checkSettings(good)).toEqual({ settings: good });
-  const bad = checkSettings({
-    ...good,
+  expect(checkSettings(validSettings)).toEqual({ settings: validSettings });
+  const invalid = checkSettings({
+    ...validSettings,
     machine: "",
     operators: "localhost:9",
     seeds: [],
     colour: "red",
   });
-  expect("faults" in bad && bad.faults.map(({ path }) => path)).toEqual([
+  expect("faults" in invalid && invalid.faults.map(({ path }) => path)).toEqual([
     "machine",
     "operators",
     "seeds",
     "colour",
   ]);
-  const roles = checkSettings({ ...good, callers: undefined, roles: ["edge", "recorder"] });
+  const roles = checkSettings({
+    ...validSettings,
+    callers: undefined,
+    roles: ["edge", "recorder"],
+  });
   expect("faults" in roles && roles.faults.map(({ path }) => path)).toEqual([
     "dataFolder",
     "callers",
   ]);
 });
-test("separates changes that apply at run time from those that need a restart", () => {
+test("separates changes that take effect at run time from those that need a restart", () => {
   expect(
-    settingsDifference(good, { ...good, zone: "b", logLevel: "warn", seeds: ["127.0.0.1:4"] }),
+    settingsDifference(validSettings, {
+      ...validSettings,
+      zone: "b",
+      logLevel: "warn",
+      seeds: ["127.0.0.1:4"],
+    }),
   ).toEqual({ applied: ["logLevel", "seeds"], needRestart: ["zone"] });
 });
--- a/test/platform/client-leaves.test.ts
+++ b/test/platform/client-leaves.test.ts
@@ -2,29 +2,29 @@
 import { afterEach, beforeEach, describe, expect, test } from "vitest";
 import { EdgeFixture } from "./edge-fixture.js";
 
-/** The connections of the requests that reached a backend, which never replies. */
-class Work {
+/** The connections of requests to backends that never reply. */
+class PendingRequests {
   readonly sockets: Socket[] = [];
-  closed = 0;
+  closedCount = 0;
 
-  take(socket: Socket): void {
+  add(socket: Socket): void {
     this.sockets.push(socket);
     socket.once("close", () => {
-      this.closed += 1;
+      this.closedCount += 1;
     });
   }
 }
 
-/** Shorter than any time-out of the routes. */
-const soonMs = 400;
+/** Time to wait for effects of a disconnect; shorter than any timeout of the routes. */
+const settleMs = 400;
 let edge: EdgeFixture;
-let work = new Work();
+let pending = new PendingRequests();
 
 beforeEach(async () => {
   edge = await EdgeFixture.create(2);
-  const own = new Work();
-  work = own;
-  edge.raw.reply = (_request, socket) => own.take(socket);
+  const current = new PendingRequests();
+  pending = current;
+  edge.raw.reply = (_request, socket) => current.add(socket);
 });
 afterEach(async () => {
   await edge.close();
@@ -36,11 +36,11 @@
     async (path) => {
       const client = edge.connectClient();
       client.request("GET", path, "try-1");
-      await edge.raw.advanceUntil(() => work.sockets.length === 1);
+      await edge.raw.advanceUntil(() => pending.sockets.length === 1);
       client.socket.destroy();
-      await edge.raw.advance(soonMs);
-      expect(work.closed).toBe(1);
-      expect(work.sockets).toHaveLength(1);
+      await edge.raw.advance(settleMs);
+      expect(pending.closedCount).toBe(1);
+      expect(pending.sockets).toHaveLength(1);
     },
   );
 
@@ -49,24 +49,24 @@
     async (path) => {
       const client = edge.connectClient();
       client.request("POST", path, "try-1", { "content-length": "0", "op-key": "k-1" });
-      await edge.raw.advanceUntil(() => work.sockets.length === 1);
+      await edge.raw.advanceUntil(() => pending.sockets.length === 1);
       client.socket.destroy();
-      await edge.raw.advance(soonMs);
-      expect(work.closed).toBe(0);
+      await edge.raw.advance(settleMs);
+      expect(pending.closedCount).toBe(0);
     },
   );
 
-  test("closing clients don't count as failures of the backend: it gets the next request", async () => {
+  test("disconnects of clients don't count as failures of the backend, which gets the next request", async () => {
     for (let round = 0; round < 6; round += 1) {
       const client = edge.connectClient();
       client.request("GET", `/safe/${round}`, `try-${round}`);
-      await edge.raw.advanceUntil(() => work.sockets.length === round + 1);
+      await edge.raw.advanceUntil(() => pending.sockets.length === round + 1);
       client.socket.destroy();
-      await edge.raw.advanceUntil(() => work.closed === round + 1);
+      await edge.raw.advanceUntil(() => pending.closedCount === round + 1);
     }
     const client = edge.connectClient();
     client.request("GET", "/safe/last", "try-last");
-    await edge.raw.advanceUntil(() => work.sockets.length === 7);
+    await edge.raw.advanceUntil(() => pending.sockets.length === 7);
     expect(client.responseCount).toBe(0);
   });
 });
--- a/test/platform/command-stage.ts
+++ b/test/platform/command-stage.ts
@@ -5,7 +5,7 @@
 import type { Settings } from "../../src/daemon/settings.js";
 import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
 
-/** A call on a control address: its answer once there is one, and how long that took. */
+/** A request to the admin API with its response, if it has arrived, and the times of both. */
 export interface RecordedRequest {
   readonly sentMs: number;
   respondedMs: number | undefined;
@@ -14,14 +14,14 @@
   body: string;
 }
 
-/** An order of an operator, as bytes. */
+/** A configuration change as an operator sends it, byte for byte. */
 export interface ConfigChangeBytes {
   readonly target: "config/put" | "config/patch";
   readonly base: string;
   readonly body: string;
 }
 
-/** What a backend tells of itself. */
+/** The fields of a backend's heartbeat. */
 export interface Heartbeat {
   readonly id: string;
   readonly calls: number;
@@ -35,7 +35,7 @@
   spec: { healthPath: "/healthz", maxConns: 150, protocol: "h1", tls: false, idempotent: false },
 });
 
-/** A route to a service. */
+/** Creates an entry for a route to a service. */
 export const routeTo = (name: string, svc: string) => ({
   type: "routes",
   meta: { name },
@@ -51,7 +51,7 @@
   },
 });
 
-/** A whole configuration with one route; `note` tells it from others under the same version. */
+/** A change to a complete configuration with one route; `note` distinguishes it from others with the same version. */
 export const putConfig = (base: number, version: number, note = "x"): ConfigChangeBytes => ({
   target: "config/put",
   base: base === 0 ? "0" : `r${base}`,
@@ -69,7 +69,7 @@
   }),
 });
 
-/** A change of items: a route, and a service of that name beside it if wanted. */
+/** A change of entries: adds a route, and optionally its service. */
 export const patchConfig = (
   base: number,
   version: number,
@@ -88,7 +88,7 @@
   }),
 });
 
-/** A staged fleet whose control addresses are called in the platform's words. */
+/** A simulated fleet whose admin APIs get requests in the platform's format. */
 export class ControlFixture extends FleetStage {
   constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
     super(machines, seeds, more);
@@ -97,7 +97,7 @@
   /** The platform's headers. */
   static readonly headerNames = headerNames;
 
-  /** Sends a request to a machine's control address; a machine that is down never answers. */
+  /** Sends a request to a machine's admin API; a machine that is down never responds. */
   sendRequest(
     machine: StageMachine,
     method: string,
@@ -112,7 +112,7 @@
       headers: {},
       body: "",
     };
-    const give = (response: ClientResponse): void => {
+    const recordResponse = (response: ClientResponse): void => {
       request.code = response.code;
       request.headers = response.headers;
       request.body = Buffer.from(response.body).toString();
@@ -124,12 +124,12 @@
       headers,
       body: Buffer.from(body),
     };
-    const read = control.translateRequest(clientRequest);
-    if ("code" in read) give(read);
+    const translated = control.translateRequest(clientRequest);
+    if ("code" in translated) recordResponse(translated);
     else
       machine.daemon?.adminRequests.emit({
-        clientRequest: read.clientRequest,
-        respond: (response) => give(read.translateResponse(response)),
+        clientRequest: translated.clientRequest,
+        respond: (response) => recordResponse(translated.translateResponse(response)),
       });
     return request;
   }
@@ -152,33 +152,36 @@
     return this.sendRequest(machine, "POST", `backends/${id}/heartbeat`, JSON.stringify(body));
   }
 
+  /** Sends a configuration change to a machine's admin API. */
   submit(machine: StageMachine, { target, base, body }: ConfigChangeBytes): RecordedRequest {
     return this.sendRequest(machine, "POST", target, body, { "base-version": base });
   }
 
-  /** Sends an order again and again, to one machine after another, until it has a clear answer. */
-  submitUntilFinal(command: ConfigChangeBytes, from = 0, atMostMs = 20_000): number {
-    const untilMs = this.time.nowMs() + atMostMs;
-    for (let at = from; this.time.nowMs() < untilMs; at += 1) {
-      const request = this.submit(this.at(at % this.machines.length), command);
-      const patienceMs = this.time.nowMs() + 1000;
-      while (request.code === undefined && this.time.nowMs() < patienceMs) this.wait(5);
+  /** Retries a configuration change, at each machine in turn, until it gets a final response; returns its status code. */
+  submitUntilFinal(command: ConfigChangeBytes, from = 0, timeoutMs = 20_000): number {
+    const deadlineMs = this.time.nowMs() + timeoutMs;
+    for (let index = from; this.time.nowMs() < deadlineMs; index += 1) {
+      const request = this.submit(this.at(index % this.machines.length), command);
+      const responseDeadlineMs = this.time.nowMs() + 1000;
+      while (request.code === undefined && this.time.nowMs() < responseDeadlineMs) this.wait(5);
       if (request.code !== undefined && request.code < 500) return request.code;
       this.wait(100);
     }
-    throw new Error(`No clear answer.\n${this.lines.slice(-30).join("\n")}`);
+    throw new Error(
+      `No final response within ${timeoutMs} ms.\n${this.lines.slice(-30).join("\n")}`,
+    );
   }
 
-  /** What the newest configuration is called, read through a machine; undefined where there is no clear answer. */
+  /** Reads the version of the active configuration through a machine; undefined without a successful response. */
   newestVersion(machine: StageMachine): string | undefined {
     const request = this.sendRequest(machine, "GET", "config/get");
     this.wait(1000);
     return request.code === 200 ? /"ver":"(r\d+)"/.exec(request.body)?.[1] : undefined;
   }
 
-  /** Cuts all ways from some machines to others, one way only. */
+  /** Blocks the network from some machines to others, in this direction only. */
   blockLinks(from: readonly StageMachine[], to: readonly StageMachine[]): void {
-    for (const one of from)
-      for (const other of to) this.network.cut(one.settings.machine, other.settings.machine);
+    for (const source of from)
+      for (const target of to) this.network.cut(source.settings.machine, target.settings.machine);
   }
 }
--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -12,7 +12,7 @@
 
 const machines = ["e:a", "e:b", "d:a", "d:b", "d:c"];
 
-const startedFixture = (): ControlFixture => {
+const startFixture = (): ControlFixture => {
   const fixture = new ControlFixture(machines, [0, 1, 2]);
   fixture.bootAll();
   fixture.wait(4000);
@@ -20,40 +20,44 @@
   return fixture;
 };
 
-/** Sends an order through every machine at once and tells the answers. */
-const everywhere = (
+/** Sends a change through every machine at once and returns the status codes. */
+const submitEverywhere = (
   fixture: ControlFixture,
   command: ConfigChangeBytes,
 ): Array<number | undefined> => {
-  const calls = fixture.machines.map((machine) => fixture.submit(machine, command));
+  const requests = fixture.machines.map((machine) => fixture.submit(machine, command));
   fixture.wait(1000);
-  return calls.map(({ code }) => code);
+  return requests.map(({ code }) => code);
 };
-const all = (code: number): number[] => machines.map(() => code);
+const codeFromEach = (code: number): number[] => machines.map(() => code);
 
-/** Eight orders at a time through changing daemons: three proper ones that race, five that are invalid. */
-const eightAt = (fixture: ControlFixture, base: number, round: number): RecordedRequest[] => {
-  const bad = patchConfig(base, base + 1, { name: "z", svc: "nowhere" });
+/** Sends eight concurrent changes through different daemons: three valid ones on the same base, and five invalid ones. */
+const submitEightChanges = (
+  fixture: ControlFixture,
+  base: number,
+  round: number,
+): RecordedRequest[] => {
+  const invalidPatch = patchConfig(base, base + 1, { name: "z", svc: "nowhere" });
   const commands = [
     putConfig(base, base + 2, `p${round}`),
     putConfig(base, base + 2, `q${round}`),
     patchConfig(base, base + 5, { name: `s${round}`, svc: "one" }),
-    bad,
+    invalidPatch,
     putConfig(base, base, "same"),
     { ...putConfig(base, base + 2), body: putConfig(base, base + 2).body.slice(0, -9) },
-    { ...bad, body: bad.body.replace('"tries":2', '"tries":0') },
-    { ...bad, body: bad.body.replace('"safe"', '"wild"') },
+    { ...invalidPatch, body: invalidPatch.body.replace('"tries":2', '"tries":0') },
+    { ...invalidPatch, body: invalidPatch.body.replace('"safe"', '"wild"') },
   ];
   return commands.map((command, at) =>
     fixture.submit(fixture.at((at + round) % machines.length), command),
   );
 };
 
-/** What may befall the core while an order is under way. */
-const troubles: Array<[name: string, begin: (fixture: ControlFixture) => void]> = [
+/** Failures of the cluster during a change. */
+const failures: Array<[name: string, begin: (fixture: ControlFixture) => void]> = [
   ["the leader is killed", (fixture) => fixture.kill(fixture.leader)],
   [
-    "the leader is killed and comes back",
+    "the leader is killed and restarts",
     (fixture) => {
       const { leader } = fixture;
       fixture.kill(leader);
@@ -61,7 +65,7 @@
     },
   ],
   [
-    "the leader loses its disk and comes back",
+    "the leader loses its disk and restarts",
     (fixture) => {
       const { leader } = fixture;
       fixture.kill(leader, true);
@@ -69,14 +73,14 @@
     },
   ],
   [
-    "all are killed and come back",
+    "all are killed and restart",
     (fixture) => {
       for (const machine of fixture.machines) fixture.kill(machine);
       for (const machine of fixture.machines) fixture.boot(machine, { bootstrap: false });
     },
   ],
   [
-    "the leader is cut off",
+    "the leader is partitioned",
     (fixture) => {
       const { leader } = fixture;
       for (const machine of fixture.machines) if (machine !== leader) fixture.cut(leader, machine);
@@ -92,29 +96,29 @@
 ];
 
 describe("retried configuration change", () => {
-  test("the same bytes get the same response through every daemon: during the first commit, after a new leader, after a restart of all, after hundreds of others", () => {
-    const fixture = startedFixture();
+  test("the same bytes get the same response through every daemon: during the first commit, after a leader change, after a restart of all, after hundreds of other changes", () => {
+    const fixture = startFixture();
     const command = putConfig(3, 7, "kept");
-    expect(everywhere(fixture, command)).toEqual(all(200));
+    expect(submitEverywhere(fixture, command)).toEqual(codeFromEach(200));
     const other = putConfig(3, 7, "other");
-    expect(everywhere(fixture, other)).toEqual(all(412));
+    expect(submitEverywhere(fixture, other)).toEqual(codeFromEach(412));
 
-    const former = fixture.leader;
-    fixture.kill(former);
+    const previousLeader = fixture.leader;
+    fixture.kill(previousLeader);
     fixture.until(
       () => fixture.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
       5000,
     );
-    fixture.boot(former, { bootstrap: false });
+    fixture.boot(previousLeader, { bootstrap: false });
     fixture.wait(3000);
-    expect(everywhere(fixture, command)).toEqual(all(200));
-    expect(everywhere(fixture, other)).toEqual(all(412));
+    expect(submitEverywhere(fixture, command)).toEqual(codeFromEach(200));
+    expect(submitEverywhere(fixture, other)).toEqual(codeFromEach(412));
 
     for (const machine of fixture.machines) fixture.kill(machine);
     for (const machine of fixture.machines) fixture.boot(machine, { bootstrap: false });
     fixture.wait(5000);
-    expect(everywhere(fixture, command)).toEqual(all(200));
-    expect(everywhere(fixture, other)).toEqual(all(412));
+    expect(submitEverywhere(fixture, command)).toEqual(codeFromEach(200));
+    expect(submitEverywhere(fixture, other)).toEqual(codeFromEach(412));
 
     for (let at = 0, base = 7; at < 300; at += 1, base += 3)
       expect(
@@ -123,18 +127,18 @@
           at,
         ),
       ).toBe(200);
-    expect(everywhere(fixture, command)).toEqual(all(200));
-    expect(everywhere(fixture, other)).toEqual(all(412));
+    expect(submitEverywhere(fixture, command)).toEqual(codeFromEach(200));
+    expect(submitEverywhere(fixture, other)).toEqual(codeFromEach(412));
   });
 
   test("a change older than the retained change ids gets no final response: it is neither refused nor applied again", () => {
-    const fixture = startedFixture();
+    const fixture = startFixture();
     const command = putConfig(3, 7, "old");
     expect(fixture.submitUntilFinal(command)).toBe(200);
     const first = 3;
     for (let sequence = first; sequence < first + 2100; sequence += 1) {
       const replicationNode = fixture.leader.daemon?.replicationNode;
-      if (!replicationNode) throw new Error("Nobody leads.");
+      if (!replicationNode) throw new Error("There is no leader.");
       fixture.start(
         replicationNode.propose(
           encodeLogCommand({
@@ -154,20 +158,22 @@
     fixture.wait(3000);
     const newest = fixture.newestVersion(fixture.at(0));
     expect(newest).toBe(`r${first + 2099 + 100}`);
-    expect(everywhere(fixture, command)).toEqual(all(504));
+    expect(submitEverywhere(fixture, command)).toEqual(codeFromEach(504));
     expect(fixture.newestVersion(fixture.at(1))).toBe(newest);
-    expect(everywhere(fixture, putConfig(3, first + 2099 + 100, "late"))).toEqual(all(412));
+    expect(submitEverywhere(fixture, putConfig(3, first + 2099 + 100, "late"))).toEqual(
+      codeFromEach(412),
+    );
   });
 });
 
 describe("concurrent configuration changes", () => {
-  test("of eight at once on one base version exactly one is applied, and none that is invalid", () => {
-    const fixture = startedFixture();
+  test("of eight concurrent changes on one base version exactly one is applied, and no invalid one", () => {
+    const fixture = startFixture();
     let base = 3;
     for (let round = 0; round < 20; round += 1) {
-      const calls = eightAt(fixture, base, round);
+      const requests = submitEightChanges(fixture, base, round);
       fixture.wait(1000);
-      const codes = calls.map(({ code }) => code);
+      const codes = requests.map(({ code }) => code);
       expect(codes.slice(0, 3).sort()).toEqual([200, 412, 412]);
       for (const code of codes.slice(3)) expect([400, 412]).toContain(code);
       base = Number(fixture.newestVersion(fixture.at(round % machines.length))?.slice(1));
@@ -176,28 +182,28 @@
 });
 
 describe("transient failures of the cluster", () => {
-  for (const [name, begin] of troubles)
-    test(`neither a valid change nor a read is refused for good: ${name}`, () => {
-      for (let restMs = 0; restMs < 12; restMs += 3) {
-        const fixture = startedFixture();
+  for (const [name, begin] of failures)
+    test(`no valid change and no read gets a final refusal: ${name}`, () => {
+      for (let delayMs = 0; delayMs < 12; delayMs += 3) {
+        const fixture = startFixture();
         expect(
           fixture.submitUntilFinal(patchConfig(3, 9, { name: "n", svc: "new", addsService: true })),
         ).toBe(200);
         const command = patchConfig(9, 11, { name: "m", svc: "new" });
-        const calls = fixture.machines.map((machine) => fixture.submit(machine, command));
+        const requests = fixture.machines.map((machine) => fixture.submit(machine, command));
         const reads: RecordedRequest[] = [];
-        fixture.wait(restMs);
+        fixture.wait(delayMs);
         begin(fixture);
         for (let at = 0; at < 50; at += 1) {
           const machine: StageMachine = fixture.at(at % machines.length);
-          calls.push(fixture.submit(machine, command));
+          requests.push(fixture.submit(machine, command));
           reads.push(fixture.sendRequest(machine, "GET", "config/get"));
           fixture.wait(100);
         }
         fixture.wait(5000);
-        for (const call of [...calls, ...reads])
-          if (call.code !== undefined && call.code !== 200)
-            expect(call.code, call.body).toBeGreaterThanOrEqual(500);
+        for (const request of [...requests, ...reads])
+          if (request.code !== undefined && request.code !== 200)
+            expect(request.code, request.body).toBeGreaterThanOrEqual(500);
         for (const read of reads.filter(({ code }) => code === 200))
           expect(read.body).toContain('"n"');
         expect(fixture.submitUntilFinal(command)).toBe(200);
@@ -206,7 +212,7 @@
 });
 
 describe("reads of the configuration", () => {
-  test("before the first configuration is applied, a read gets 503, not a final refusal", () => {
+  test("before the first configuration is applied, a read gets 503 and no final refusal", () => {
     const fixture = new ControlFixture(machines, [0, 1, 2]);
     fixture.bootAll();
     const reads: RecordedRequest[] = [];
@@ -218,17 +224,17 @@
     for (const read of reads) expect(read.code, read.body).toBe(503);
   });
 
-  test("a large configuration is read in time through a daemon on a thin link", () => {
-    const fixture = startedFixture();
+  test("a large configuration is read in time through a daemon with a slow link", () => {
+    const fixture = startFixture();
     const routes = Array.from({ length: 2500 }, (_, at) => routeTo(`route-${at}`, "one"));
     const { base, body } = putConfig(3, 5);
     const items = routes.map((route) => JSON.stringify(route)).join(",");
-    const whole = body.replace('"objs":[', `"objs":[${items},`);
-    expect(fixture.submitUntilFinal({ target: "config/put", base, body: whole })).toBe(200);
+    const largeBody = body.replace('"objs":[', `"objs":[${items},`);
+    expect(fixture.submitUntilFinal({ target: "config/put", base, body: largeBody })).toBe(200);
     fixture.wait(3000);
-    // 3 Mbit/s: the text as it is would take longer than an answer may.
+    // 3 Mbit/s: the uncompressed text would take longer than the timeout of a response.
     fixture.network.bytesPerMs = 375;
-    expect(whole.length / fixture.network.bytesPerMs).toBeGreaterThan(800);
+    expect(largeBody.length / fixture.network.bytesPerMs).toBeGreaterThan(800);
     expect(fixture.machines.map((machine) => fixture.newestVersion(machine))).toEqual(
       fixture.machines.map(() => "r5"),
     );
--- a/test/platform/control.test.ts
+++ b/test/platform/control.test.ts
@@ -7,7 +7,7 @@
 import { jsonResponse } from "../../src/proxy/request-outcome.js";
 import type { TranslatedRequest } from "../../src/daemon/adapter.js";
 
-const route = (name: string, more: Record<string, unknown> = {}) => ({
+const route = (name: string, overrides: Record<string, unknown> = {}) => ({
   type: "routes",
   meta: { name },
   spec: {
@@ -20,7 +20,7 @@
     svc: "one",
     tries: 2,
     note: "kept as it is",
-    ...more,
+    ...overrides,
   },
 });
 const service = (name: string) => ({
@@ -33,7 +33,7 @@
   meta: {},
   spec: { hdrMaxBytes: 16_384, bodyMaxBytes: 67_108_864, hdrRead: "3000ms", idle: "15000ms" },
 };
-const whole = {
+const completeConfig = {
   ver: "r7",
   objs: [
     route("x"),
@@ -63,18 +63,19 @@
   body: Buffer.from(typeof body === "string" ? body : JSON.stringify(body ?? {})),
 });
 
-const into = (sent: ProxyRequest): TranslatedRequest => {
-  const read = control.translateRequest(sent);
-  if ("code" in read) throw new Error(`${read.code} ${Buffer.from(read.body).toString()}`);
-  return read;
+const translate = (sent: ProxyRequest): TranslatedRequest => {
+  const translated = control.translateRequest(sent);
+  if ("code" in translated)
+    throw new Error(`${translated.code} ${Buffer.from(translated.body).toString()}`);
+  return translated;
 };
-const codeOf = (sent: ProxyRequest): number | undefined => {
-  const read = control.translateRequest(sent);
-  return "code" in read ? read.code : undefined;
+const refusalCode = (sent: ProxyRequest): number | undefined => {
+  const translated = control.translateRequest(sent);
+  return "code" in translated ? translated.code : undefined;
 };
-const bodyOf = ({ body }: { body: Uint8Array }): unknown =>
+const parseBody = ({ body }: { body: Uint8Array }): unknown =>
   JSON.parse(Buffer.from(body).toString());
-const productOf = (value: unknown): Config => {
+const parseProductConfig = (value: unknown): Config => {
   const checked = checkConfig(value);
   if ("faults" in checked) throw new Error(JSON.stringify(checked.faults));
   return checked.config;
@@ -92,16 +93,16 @@
     const route: unknown = new Map(Object.entries(body.put.routes ?? {})).get(name);
     if (typeof route === "object" && route !== null) return route;
   }
-  throw new Error(`There is no route ${name}.`);
+  throw new Error(`The body has no route ${name}.`);
 };
 
 describe("requests of backends and probes", () => {
-  test("readiness, heartbeats and deregistrations are translated into the product's requests", () => {
-    expect(into(platformRequest("GET", "readyz")).clientRequest).toMatchObject({
+  test("readiness checks, heartbeats and deregistrations are translated to daledoor's requests", () => {
+    expect(translate(platformRequest("GET", "readyz")).clientRequest).toMatchObject({
       method: "GET",
       target: "/ready",
     });
-    const heartbeat = into(
+    const heartbeat = translate(
       platformRequest("POST", "backends/i-7/heartbeat", {
         svc: "one",
         addr: "10.1.0.9:8080",
@@ -114,7 +115,7 @@
       }),
     );
     expect(heartbeat.clientRequest).toMatchObject({ method: "POST", target: "/backends/announce" });
-    expect(bodyOf(heartbeat.clientRequest)).toEqual({
+    expect(parseBody(heartbeat.clientRequest)).toEqual({
       service: "one",
       address: "10.1.0.9:8080",
       zone: "a",
@@ -126,42 +127,46 @@
       warmMs: 1500,
     });
     expect(
-      bodyOf(heartbeat.translateResponse(jsonResponse(200, { contract: 9, state: "taken" }))),
+      parseBody(heartbeat.translateResponse(jsonResponse(200, { contract: 9, state: "taken" }))),
     ).toEqual({});
     expect(
       heartbeat.translateResponse(jsonResponse(503, { error: "No leader could be reached." })).code,
     ).toBe(503);
-    const leave = into(platformRequest("POST", "backends/i-7/deregister", ""));
+    const leave = translate(platformRequest("POST", "backends/i-7/deregister", ""));
     expect([
       leave.clientRequest.method,
       leave.clientRequest.target,
-      bodyOf(leave.clientRequest),
+      parseBody(leave.clientRequest),
     ]).toEqual(["POST", "/backends/leave", { instance: "i-7" }]);
   });
 
-  test("an invalid request is refused with the reason, and the product's own paths pass unchanged", () => {
-    expect(codeOf(platformRequest("POST", "backends/i-7/heartbeat", "{"))).toBe(400);
-    expect(codeOf(platformRequest("POST", "backends/i-7/heartbeat", { svc: "one" }))).toBe(400);
-    expect(codeOf(platformRequest("GET", "nothing"))).toBe(404);
+  test("an invalid request is refused, and requests to daledoor's own paths pass unchanged", () => {
+    expect(refusalCode(platformRequest("POST", "backends/i-7/heartbeat", "{"))).toBe(400);
+    expect(refusalCode(platformRequest("POST", "backends/i-7/heartbeat", { svc: "one" }))).toBe(
+      400,
+    );
+    expect(refusalCode(platformRequest("GET", "nothing"))).toBe(404);
     const own: ProxyRequest = {
       method: "GET",
       target: "/status",
       headers: {},
       body: new Uint8Array(),
     };
-    expect(into(own).clientRequest).toBe(own);
+    expect(translate(own).clientRequest).toBe(own);
   });
 });
 
 describe("complete configuration", () => {
-  test("it is translated into the product's, and is read back as it was sent", () => {
-    const put = into(platformRequest("POST", "config/put", whole, { "base-version": "r5" }));
+  test("it is translated to daledoor's format, and is read back as it was sent", () => {
+    const put = translate(
+      platformRequest("POST", "config/put", completeConfig, { "base-version": "r5" }),
+    );
     expect(put.clientRequest).toMatchObject({
       method: "PUT",
       target: "/config",
       headers: { "if-match": '"5"', "config-version": "7" },
     });
-    const config = productOf(bodyOf(put.clientRequest));
+    const config = parseProductConfig(parseBody(put.clientRequest));
     expect(config.routes["x"]).toMatchObject({
       match: { host: "a.example", path: "/x/*" },
       service: "one",
@@ -188,42 +193,51 @@
       headerMs: 3000,
       idleMs: 15_000,
     });
-    const got = into(platformRequest("GET", "config/get"));
+    const readBack = translate(platformRequest("GET", "config/get"));
     expect(
-      bodyOf(got.translateResponse(jsonResponse(200, { version: 7, sequence: 7, config }))),
-    ).toEqual(JSON.parse(JSON.stringify(whole)));
-    expect(got.translateResponse(jsonResponse(503, {})).code).toBe(503);
+      parseBody(readBack.translateResponse(jsonResponse(200, { version: 7, sequence: 7, config }))),
+    ).toEqual(JSON.parse(JSON.stringify(completeConfig)));
+    expect(readBack.translateResponse(jsonResponse(503, {})).code).toBe(503);
   });
 });
 
 describe("change id", () => {
-  test("a retry of a change has the same id, another change has another", () => {
+  test("a retry of a change has the same id, a different change has a different id", () => {
     const idOf = (sent: ProxyRequest): string | undefined =>
-      into(sent).clientRequest.headers["change-id"];
-    const id = idOf(platformRequest("POST", "config/put", whole, { "base-version": "r5" }));
-    expect(idOf(platformRequest("POST", "config/put", whole, { "base-version": "r5" }))).toBe(id);
-    expect(idOf(platformRequest("POST", "config/put", whole, { "base-version": "r6" }))).not.toBe(
-      id,
+      translate(sent).clientRequest.headers["change-id"];
+    const id = idOf(
+      platformRequest("POST", "config/put", completeConfig, { "base-version": "r5" }),
     );
+    expect(
+      idOf(platformRequest("POST", "config/put", completeConfig, { "base-version": "r5" })),
+    ).toBe(id);
+    expect(
+      idOf(platformRequest("POST", "config/put", completeConfig, { "base-version": "r6" })),
+    ).not.toBe(id);
     expect(
       idOf(
-        platformRequest("POST", "config/put", { ...whole, ver: "r8" }, { "base-version": "r5" }),
+        platformRequest(
+          "POST",
+          "config/put",
+          { ...completeConfig, ver: "r8" },
+          { "base-version": "r5" },
+        ),
       ),
     ).not.toBe(id);
     expect(
-      into(platformRequest("POST", "config/put", whole, { "base-version": "0" })).clientRequest
-        .headers["if-match"],
+      translate(platformRequest("POST", "config/put", completeConfig, { "base-version": "0" }))
+        .clientRequest.headers["if-match"],
     ).toBe('"0"');
   });
 });
 
 describe("change of entries", () => {
-  test("it replaces by name, adds and removes, and is read back complete", () => {
-    const before = productOf(
-      bodyOf(into(platformRequest("POST", "config/put", whole)).clientRequest),
+  test("it replaces, adds and removes entries by name, and the result is read back complete", () => {
+    const before = parseProductConfig(
+      parseBody(translate(platformRequest("POST", "config/put", completeConfig)).clientRequest),
     );
     const replaced = route("x", { tries: 3, target_time: undefined });
-    const patch = into(
+    const patch = translate(
       platformRequest(
         "POST",
         "config/patch",
@@ -240,7 +254,7 @@
       target: "/config/items",
       headers: { "if-match": '"7"', "config-version": "9" },
     });
-    const body = bodyOf(patch.clientRequest);
+    const body = parseBody(patch.clientRequest);
     expect(body).toMatchObject({
       put: { goals: { x: null, z: { latencyMs: 250 } } },
       remove: { routes: ["y"], services: ["two"] },
@@ -253,10 +267,10 @@
       applyItemChanges(before, items, { routes: ["y"], services: ["two"], goals: [] }),
     );
     if ("faults" in after) throw new Error(JSON.stringify(after.faults));
-    const got = into(platformRequest("GET", "config/get")).translateResponse(
+    const readBack = translate(platformRequest("GET", "config/get")).translateResponse(
       jsonResponse(200, { version: 9, config: after.config }),
     );
-    expect(bodyOf(got)).toEqual(
+    expect(parseBody(readBack)).toEqual(
       JSON.parse(
         JSON.stringify({ ver: "r9", objs: [replaced, route("z"), service("one"), limits] }),
       ),
@@ -266,7 +280,7 @@
 
 describe("configuration that an operator changed", () => {
   test("it is encoded in the platform's format", () => {
-    const config = productOf({
+    const config = parseProductConfig({
       services: { one: { maxConnections: 5 } },
       routes: {
         x: {
@@ -279,10 +293,10 @@
       },
       goals: { x: { latencyMs: 90 } },
     });
-    const got = into(platformRequest("GET", "config/get")).translateResponse(
+    const readBack = translate(platformRequest("GET", "config/get")).translateResponse(
       jsonResponse(200, { version: 3, config }),
     );
-    expect(bodyOf(got)).toEqual({
+    expect(parseBody(readBack)).toEqual({
       ver: "r3",
       objs: [
         {
@@ -305,21 +319,21 @@
 });
 
 describe("invalid configuration", () => {
-  test("it is refused here or by the product, never ignored and never a crash", () => {
+  test("it is refused by the translation or by the validation, never ignored, and causes no exception", () => {
     const refused = (value: unknown): boolean => {
-      const read = control.translateRequest(
+      const translated = control.translateRequest(
         platformRequest("POST", "config/put", value, { "base-version": "r5" }),
       );
-      return "code" in read
-        ? read.code === 400
-        : "faults" in checkConfig(bodyOf(read.clientRequest));
+      return "code" in translated
+        ? translated.code === 400
+        : "faults" in checkConfig(parseBody(translated.clientRequest));
     };
-    const withRoute = (more: Record<string, unknown>) => ({
+    const withRoute = (overrides: Record<string, unknown>) => ({
       ver: "r7",
-      objs: [route("x", more), service("one")],
+      objs: [route("x", overrides), service("one")],
     });
     expect(refused(withRoute({}))).toBe(false);
-    for (const more of [
+    for (const overrides of [
       { svc: "nobody" },
       { svc: undefined },
       { split: [{ svc: "one", wt: 1 }] },
@@ -335,10 +349,10 @@
       { prio: -1 },
       { target_time: "1e9ms" },
     ])
-      expect([more, refused(withRoute(more))]).toEqual([more, true]);
+      expect([overrides, refused(withRoute(overrides))]).toEqual([overrides, true]);
     expect(refused({ ver: "r7" })).toBe(true);
-    expect(refused({ ...whole, ver: "7" })).toBe(true);
-    expect(refused({ ...whole, ver: "r" })).toBe(true);
+    expect(refused({ ...completeConfig, ver: "7" })).toBe(true);
+    expect(refused({ ...completeConfig, ver: "r" })).toBe(true);
     expect(refused({ ver: "r7", objs: [{ type: "others", meta: { name: "x" }, spec: {} }] })).toBe(
       true,
     );
@@ -346,8 +360,8 @@
     expect(refused({ ver: "r7", objs: [route("__proto__"), service("one")] })).toBe(true);
     expect(refused('{"ver":"r7","objs":[')).toBe(true);
     expect(refused("null")).toBe(true);
-    expect(codeOf(platformRequest("POST", "config/put", whole, { "base-version": "new" }))).toBe(
-      400,
-    );
+    expect(
+      refusalCode(platformRequest("POST", "config/put", completeConfig, { "base-version": "new" })),
+    ).toBe(400);
   });
 });
--- a/test/platform/cut-off-daemons.test.ts
+++ b/test/platform/cut-off-daemons.test.ts
@@ -2,23 +2,23 @@
 import type { StageMachine } from "../replication/fleet-stage.js";
 import { patchConfig, ControlFixture, putConfig, type RecordedRequest } from "./command-stage.js";
 
-/** A long cut, and one that ends while what was sent during it still waits in the network. */
-const cutsMs = [20_000, 3500];
-/** How long the leader, and how long an edge, may go on by what a majority last said. */
+/** Durations of the partition: a long one, and one that ends while messages sent during it are still queued in the network. */
+const partitionDurationsMs = [20_000, 3500];
+/** Durations of the leader's lease and of an edge's lease, during which either may serve without a majority. */
 const leaderLeaseMs = 240;
 const edgeLeaseMs = 1600;
-/** How long an answer may take: callers give up after a second. */
-const answerMs = 900;
+/** Maximum response time; clients time out after a second. */
+const maxResponseMs = 900;
 
 const heartbeat = (
   fixture: ControlFixture,
-  at: StageMachine,
+  machine: StageMachine,
   id: string,
   calls: number,
   state: "up" | "draining" = "up",
-): RecordedRequest => fixture.heartbeat(at, { id, calls, state });
+): RecordedRequest => fixture.heartbeat(machine, { id, calls, state });
 
-const startedFixture = (): ControlFixture => {
+const startFixture = (): ControlFixture => {
   const fixture = new ControlFixture(["e:a", "e:b", "d:a", "d:b", "d:c"], [0, 1, 2]);
   fixture.bootAll();
   fixture.wait(4000);
@@ -29,42 +29,53 @@
   return fixture;
 };
 
-interface Sent {
+interface SentRequest {
   readonly kind: "change" | "read" | "heartbeat" | "leave";
-  readonly call: RecordedRequest;
+  readonly request: RecordedRequest;
 }
 
-/** All that may be asked of a control address, asked of a machine at once. */
-const askAll = (fixture: ControlFixture, at: StageMachine, round: number): Sent[] => [
-  { kind: "change", call: fixture.submit(at, putConfig(3, 5 + round, "minority")) },
+/** Sends every kind of admin request to one machine at once. */
+const sendAllRequests = (
+  fixture: ControlFixture,
+  machine: StageMachine,
+  round: number,
+): SentRequest[] => [
+  { kind: "change", request: fixture.submit(machine, putConfig(3, 5 + round, "minority")) },
   {
     kind: "change",
-    call: fixture.submit(at, patchConfig(3, 6 + round, { name: "m", svc: "one" })),
+    request: fixture.submit(machine, patchConfig(3, 6 + round, { name: "m", svc: "one" })),
   },
-  { kind: "read", call: fixture.sendRequest(at, "GET", "config/get") },
-  { kind: "heartbeat", call: heartbeat(fixture, at, "1", 10 + round) },
-  { kind: "heartbeat", call: heartbeat(fixture, at, `${100 + round}`, 1) },
-  { kind: "leave", call: heartbeat(fixture, at, "2", 10 + round, "draining") },
-  { kind: "leave", call: fixture.sendRequest(at, "POST", "backends/2/deregister") },
+  { kind: "read", request: fixture.sendRequest(machine, "GET", "config/get") },
+  { kind: "heartbeat", request: heartbeat(fixture, machine, "1", 10 + round) },
+  { kind: "heartbeat", request: heartbeat(fixture, machine, `${100 + round}`, 1) },
+  { kind: "leave", request: heartbeat(fixture, machine, "2", 10 + round, "draining") },
+  { kind: "leave", request: fixture.sendRequest(machine, "POST", "backends/2/deregister") },
 ];
 
-const allWays = ["both ways", "they hear nothing", "they are not heard"] as const;
-type Ways = (typeof allWays)[number];
+const directions = ["both directions", "inbound", "outbound"] as const;
+type Direction = (typeof directions)[number];
 
-const cutOff = (fixture: ControlFixture, few: StageMachine[], ways: Ways): StageMachine[] => {
-  const rest = fixture.machines.filter((machine) => !few.includes(machine));
-  if (ways !== "they are not heard") fixture.blockLinks(rest, few);
-  if (ways !== "they hear nothing") fixture.blockLinks(few, rest);
-  return rest;
+/** Blocks messages between a minority and all other machines, in a direction as seen from the minority; returns the others. */
+const partition = (
+  fixture: ControlFixture,
+  minority: StageMachine[],
+  direction: Direction,
+): StageMachine[] => {
+  const majority = fixture.machines.filter((machine) => !minority.includes(machine));
+  if (direction !== "outbound") fixture.blockLinks(majority, minority);
+  if (direction !== "inbound") fixture.blockLinks(minority, majority);
+  return majority;
 };
 
-const sides: Array<[name: string, few: (fixture: ControlFixture) => StageMachine[]]> = [
+const minorities: Array<
+  [name: string, selectMinority: (fixture: ControlFixture) => StageMachine[]]
+> = [
   ["the leader", (fixture) => [fixture.leader]],
   ["the leader and an edge", (fixture) => [fixture.leader, fixture.at(0)]],
   [
     "a follower and an edge",
     (fixture) => [
-      ...fixture.disks.filter((one) => one !== fixture.leader).slice(0, 1),
+      ...fixture.disks.filter((machine) => machine !== fixture.leader).slice(0, 1),
       fixture.at(0),
     ],
   ],
@@ -72,7 +83,7 @@
 ];
 
 /** Whether the leader's directory holds a backend that isn't leaving. */
-const stands = (fixture: ControlFixture, address: string): boolean => {
+const isRegistered = (fixture: ControlFixture, address: string): boolean => {
   const bodies: string[] = [];
   fixture.at(1).daemon?.adminRequests.emit({
     clientRequest: {
@@ -88,45 +99,47 @@
 };
 
 describe("network partition", () => {
-  for (const [name, fewOf] of sides)
-    for (const [cutMs, ways] of cutsMs.flatMap((ms) => allWays.map((one) => [ms, one] as const)))
-      test(`for ${cutMs / 1000} s, ${ways}: ${name}`, () => {
-        const fixture = startedFixture();
-        const few = fewOf(fixture);
-        const rest = cutOff(fixture, few, ways);
+  for (const [name, selectMinority] of minorities)
+    for (const [partitionMs, direction] of partitionDurationsMs.flatMap((ms) =>
+      directions.map((direction) => [ms, direction] as const),
+    ))
+      test(`of ${name} for ${partitionMs / 1000} s, ${direction}: the minority acknowledges nothing after its leases expire, and all agree after healing`, () => {
+        const fixture = startFixture();
+        const minority = selectMinority(fixture);
+        const majority = partition(fixture, minority, direction);
         const fromMs = fixture.time.nowMs();
-        const sent: Sent[] = [];
-        for (let round = 0; fixture.time.nowMs() < fromMs + cutMs; round += 1) {
-          for (const machine of few) sent.push(...askAll(fixture, machine, round));
+        const sent: SentRequest[] = [];
+        for (let round = 0; fixture.time.nowMs() < fromMs + partitionMs; round += 1) {
+          for (const machine of minority) sent.push(...sendAllRequests(fixture, machine, round));
           fixture.wait(250);
           if (round !== 8) continue;
-          // Some two seconds on, those on the other side take a change.
-          const [one = fixture.at(1)] = rest.filter(({ disk }) => disk !== undefined);
-          // Where the few are heard, one of their orders may have been taken, though they can't be told.
-          const base = Number(fixture.newestVersion(one)?.slice(1));
-          if (ways !== "they hear nothing") expect(base).toBe(3);
-          const command = fixture.submit(one, putConfig(base, 1000, "majority"));
+          // After about two seconds, the majority applies a change.
+          const [member = fixture.at(1)] = majority.filter(({ disk }) => disk !== undefined);
+          // If only inbound messages are blocked, a change of the minority may be applied without an acknowledgment.
+          const base = Number(fixture.newestVersion(member)?.slice(1));
+          if (direction !== "inbound") expect(base).toBe(3);
+          const command = fixture.submit(member, putConfig(base, 1000, "majority"));
           fixture.wait(1000);
           expect(command.code).toBe(200);
         }
         fixture.network.heal();
         fixture.wait(6000);
 
-        for (const { kind, call } of sent) {
-          const atMs = call.sentMs - fromMs;
+        for (const { kind, request } of sent) {
+          const atMs = request.sentMs - fromMs;
           const leaseMs = kind === "heartbeat" ? edgeLeaseMs : leaderLeaseMs;
-          const tookMs = (call.respondedMs ?? Infinity) - call.sentMs;
-          const what = `${kind} after ${atMs} ms: ${call.code} in ${tookMs} ms ${call.body}`;
-          const isAnsweredWhileCut = atMs + tookMs < cutMs;
-          if (isAnsweredWhileCut && atMs > leaseMs)
-            expect(call.code, what).toBeGreaterThanOrEqual(500);
-          else if (isAnsweredWhileCut && call.code !== 200)
-            expect(call.code, what).toBeGreaterThanOrEqual(500);
-          else if (!isAnsweredWhileCut && kind === "change")
-            expect([412, 503, 504], what).toContain(call.code);
-          else if (!isAnsweredWhileCut && kind === "read" && call.code === 200)
-            expect(call.body, what).toContain('"r1000"');
-          expect(tookMs, what).toBeLessThan(answerMs);
+          const tookMs = (request.respondedMs ?? Infinity) - request.sentMs;
+          const description = `${kind} after ${atMs} ms: ${request.code} in ${tookMs} ms ${request.body}`;
+          const isDuringPartition = atMs + tookMs < partitionMs;
+          if (isDuringPartition && atMs > leaseMs)
+            expect(request.code, description).toBeGreaterThanOrEqual(500);
+          else if (isDuringPartition && request.code !== 200)
+            expect(request.code, description).toBeGreaterThanOrEqual(500);
+          else if (!isDuringPartition && kind === "change")
+            expect([412, 503, 504], description).toContain(request.code);
+          else if (!isDuringPartition && kind === "read" && request.code === 200)
+            expect(request.body, description).toContain('"r1000"');
+          expect(tookMs, description).toBeLessThan(maxResponseMs);
         }
         expect(fixture.machines.map((machine) => fixture.newestVersion(machine))).toEqual(
           fixture.machines.map(() => "r1000"),
@@ -135,22 +148,22 @@
 });
 
 describe("heartbeat after a partition", () => {
-  for (let restMs = 0; restMs < 300; restMs += 10)
-    test(`${restMs} ms after the partition of an edge heals, an acknowledged heartbeat takes effect`, () => {
-      const fixture = startedFixture();
+  for (let delayMs = 0; delayMs < 300; delayMs += 10)
+    test(`${delayMs} ms after the partition of an edge heals, an acknowledged heartbeat takes effect`, () => {
+      const fixture = startFixture();
       const edge = fixture.at(0);
-      expect(stands(fixture, "10.1.0.1:90")).toBe(true);
-      cutOff(fixture, [edge], "both ways");
+      expect(isRegistered(fixture, "10.1.0.1:90")).toBe(true);
+      partition(fixture, [edge], "both directions");
       fixture.wait(20_000);
-      expect(stands(fixture, "10.1.0.1:90")).toBe(false);
+      expect(isRegistered(fixture, "10.1.0.1:90")).toBe(false);
       fixture.network.heal();
-      fixture.wait(restMs);
-      const call = heartbeat(fixture, edge, "1", 50);
-      fixture.until(() => call.code !== undefined, 1000);
-      if (call.code === 200) expect(stands(fixture, "10.1.0.1:90")).toBe(true);
-      else expect(call.code).toBe(503);
+      fixture.wait(delayMs);
+      const request = heartbeat(fixture, edge, "1", 50);
+      fixture.until(() => request.code !== undefined, 1000);
+      if (request.code === 200) expect(isRegistered(fixture, "10.1.0.1:90")).toBe(true);
+      else expect(request.code).toBe(503);
       heartbeat(fixture, fixture.at(1), "1", 51);
       fixture.wait(200);
-      expect(stands(fixture, "10.1.0.1:90")).toBe(true);
+      expect(isRegistered(fixture, "10.1.0.1:90")).toBe(true);
     });
 });
--- a/test/platform/edge-fixture.ts
+++ b/test/platform/edge-fixture.ts
@@ -1,4 +1,4 @@
-/** A fixture of the proxy with real connections on both sides. */
+/** A fixture of the proxy with real connections to clients and backends. */
 import { createServer } from "node:http";
 import { connect, type Socket } from "node:net";
 import { HttpServer } from "../../src/daemon/http-server.js";
@@ -24,23 +24,23 @@
     this.socket = connect(port, "127.0.0.1");
     this.socket.setNoDelay(true);
     this.socket.on("error", () => undefined);
-    this.socket.on("data", (piece: Buffer) => this.chunks.push(piece));
+    this.socket.on("data", (chunk: Buffer) => this.chunks.push(chunk));
     this.socket.once("close", () => {
       this.isClosed = true;
     });
   }
 
-  /** All that was received. */
+  /** All bytes received, as text. */
   get received(): string {
     return Buffer.concat(this.chunks).toString("latin1");
   }
 
-  /** How many response heads came. */
+  /** Number of response heads received. */
   get responseCount(): number {
     return this.received.split("HTTP/1.1 ").length - 1;
   }
 
-  /** Sends a request's head, and as much of its body as is given. */
+  /** Sends a request's head and the given part of its body. */
   request(
     method: string,
     target: string,
@@ -48,14 +48,14 @@
     headers: Readonly<Record<string, string>> = {},
     body: Uint8Array | string = "",
   ): void {
-    const all = { host: "shop.example", "try-id": tryId, ...headers };
-    const lines = Object.entries(all).map(([name, value]) => `${name}: ${value}\r\n`);
+    const allHeaders = { host: "shop.example", "try-id": tryId, ...headers };
+    const lines = Object.entries(allHeaders).map(([name, value]) => `${name}: ${value}\r\n`);
     this.socket.write(`${method} ${target} HTTP/1.1\r\n${lines.join("")}\r\n`);
     if (body.length > 0) this.socket.write(body);
   }
 }
 
-/** A daemon between clients and backends that write bytes. */
+/** A daemon between raw clients and raw backends. */
 export class EdgeFixture {
   readonly raw: RawBackendFixture;
   readonly server: HttpServer;
@@ -68,12 +68,12 @@
     this.port = port;
   }
 
-  /** A daemon before so many backends, listening on a free port. */
+  /** Starts a daemon on a free port with `count` backends. */
   static async create(count = 2): Promise<EdgeFixture> {
     const raw = await RawBackendFixture.create(count);
-    const { clientRequests: callers } = raw.proxy.daemon;
+    const { clientRequests } = raw.proxy.daemon;
     const server = new HttpServer(
-      (clientRequest, client) => callers.emit({ clientRequest, client }),
+      (clientRequest, client) => clientRequests.emit({ clientRequest, client }),
       {
         bufferWholeBodies: false,
       },
@@ -87,9 +87,9 @@
 
   /** Opens a client connection. */
   connectClient(): RawClient {
-    const one = new RawClient(this.port);
-    this.clients.push(one);
-    return one;
+    const client = new RawClient(this.port);
+    this.clients.push(client);
+    return client;
   }
 
   /** Closes all connections, the daemon and the backends. */
--- a/test/platform/invalid-commands.test.ts
+++ b/test/platform/invalid-commands.test.ts
@@ -6,8 +6,8 @@
 
 const service = { type: "services", meta: { name: "one" }, spec: { maxConns: 66 } };
 
-/** A route whose spec differs from a proper one in some fields. */
-const bent = (fields: Spec): unknown => {
+/** A valid route with some fields of its spec replaced. */
+const routeWith = (fields: Spec): unknown => {
   const route = routeTo("bent", "one");
   return { ...route, spec: { ...route.spec, ...fields } };
 };
@@ -16,35 +16,35 @@
   split: weights.map(([svc, wt]) => ({ svc, wt })),
 });
 
-/** What the platform's pages call invalid: routes, each wrong in one thing. */
+/** Routes that are invalid by the platform's documentation, each with one fault, by that fault. */
 const invalidRoutes: Record<string, unknown> = {
-  "an unknown service": bent({ svc: "nowhere" }),
-  "an unknown service of weight 0 in a split": bent(
+  "an unknown service": routeWith({ svc: "nowhere" }),
+  "an unknown service of weight 0 in a split": routeWith(
     split([
       ["one", 1],
       ["nowhere", 0],
     ]),
   ),
-  "a weight below 0": bent(
+  "a weight below 0": routeWith(
     split([
       ["one", 2],
       ["one", -1],
     ]),
   ),
-  "a weight a little below 0": bent(
+  "a weight slightly below 0": routeWith(
     split([
       ["one", 2],
       ["one", -0.000_1],
     ]),
   ),
-  "a deadline over ten minutes": bent({ deadline: "600001ms" }),
-  "a deadline of eleven minutes in seconds": bent({ deadline: "660s" }),
-  "no tries": bent({ tries: 0 }),
-  "a kind that is none": bent({ kind: "sometimes" }),
-  "a kind in other letters": bent({ kind: "Safe" }),
-  "no deadline": bent({ deadline: undefined }),
-  "a deadline without sense": bent({ deadline: "soon" }),
-  "tries below 0": bent({ tries: -1 }),
+  "a deadline over ten minutes": routeWith({ deadline: "600001ms" }),
+  "a deadline of eleven minutes in seconds": routeWith({ deadline: "660s" }),
+  "no tries": routeWith({ tries: 0 }),
+  "an unknown kind": routeWith({ kind: "sometimes" }),
+  "a kind in a different case": routeWith({ kind: "Safe" }),
+  "no deadline": routeWith({ deadline: undefined }),
+  "a deadline that is no duration": routeWith({ deadline: "soon" }),
+  "tries below 0": routeWith({ tries: -1 }),
 };
 
 const put = (base: number, version: string, objs: readonly unknown[]): ConfigChangeBytes => ({
@@ -58,43 +58,43 @@
   body: JSON.stringify({ ver: version, ...change }),
 });
 
-/** All orders upon a version that are invalid, by what is wrong. */
-const invalidOrders = (base: number): Array<[string, ConfigChangeBytes]> => {
+/** Invalid changes of a base version, by their fault. */
+const invalidChanges = (base: number): Array<[string, ConfigChangeBytes]> => {
   const next = `r${base + 2}`;
-  const proper = put(base, next, [routeTo("x", "one"), service]);
+  const validChange = put(base, next, [routeTo("x", "one"), service]);
   const routes = Object.entries(invalidRoutes);
   return [
-    ...routes.map(([what, route]): [string, ConfigChangeBytes] => [
-      `put: ${what}`,
+    ...routes.map(([fault, route]): [string, ConfigChangeBytes] => [
+      `put: ${fault}`,
       put(base, next, [routeTo("x", "one"), route, service]),
     ]),
-    ...routes.map(([what, route]): [string, ConfigChangeBytes] => [
-      `patch: ${what}`,
+    ...routes.map(([fault, route]): [string, ConfigChangeBytes] => [
+      `patch: ${fault}`,
       patch(base, next, { upsert: { objs: [route] } }),
     ]),
     [
-      "patch: a service goes that a route needs",
+      "patch: removal of a service that a route uses",
       patch(base, next, { remove: { services: ["one"] } }),
     ],
-    ["put: the version in force", put(base, `r${base}`, [routeTo("y", "one"), service])],
+    ["put: the active version", put(base, `r${base}`, [routeTo("y", "one"), service])],
     ["put: an older version", put(base, `r${base - 1}`, [routeTo("y", "one"), service])],
     [
-      "patch: the version in force",
+      "patch: the active version",
       patch(base, `r${base}`, { upsert: { objs: [routeTo("y", "one")] } }),
     ],
-    ["put: no version", put(base, "12", [routeTo("y", "one"), service])],
-    ["put: a stale base", { ...proper, base: `r${base - 1}` }],
-    ["put: a base still to come", { ...proper, base: `r${base + 1}` }],
-    ...[1, 9, Math.floor(proper.body.length / 2), proper.body.length - 1].map(
+    ["put: a malformed version", put(base, "12", [routeTo("y", "one"), service])],
+    ["put: a stale base", { ...validChange, base: `r${base - 1}` }],
+    ["put: a future base", { ...validChange, base: `r${base + 1}` }],
+    ...[1, 9, Math.floor(validChange.body.length / 2), validChange.body.length - 1].map(
       (bytes): [string, ConfigChangeBytes] => [
-        `put: cut short after ${bytes} bytes`,
-        { ...proper, body: proper.body.slice(0, bytes) },
+        `put: truncated after ${bytes} bytes`,
+        { ...validChange, body: validChange.body.slice(0, bytes) },
       ],
     ),
   ];
 };
 
-const startedFixture = (): ControlFixture => {
+const startFixture = (): ControlFixture => {
   const fixture = new ControlFixture(machines, [0, 1, 2]);
   fixture.bootAll();
   fixture.wait(4000);
@@ -102,85 +102,90 @@
   return fixture;
 };
 
-const code = (
+const submitAndAwaitCode = (
   fixture: ControlFixture,
   command: ConfigChangeBytes,
   at: number,
 ): number | undefined => {
-  const call = fixture.submit(fixture.at(at % machines.length), command);
-  fixture.until(() => call.code !== undefined, 1000);
-  return call.code;
+  const request = fixture.submit(fixture.at(at % machines.length), command);
+  fixture.until(() => request.code !== undefined, 1000);
+  return request.code;
 };
 
 describe("invalid configuration change", () => {
-  test("it is refused through every daemon, as is its retry, and the configuration in force stays", () => {
-    const fixture = startedFixture();
-    for (const [what, command] of invalidOrders(3))
+  test("it and its retries are refused through every daemon, and the active configuration stays", () => {
+    const fixture = startFixture();
+    for (const [fault, command] of invalidChanges(3))
       for (let at = 0; at < machines.length; at += 1) {
-        const expected = what.includes("base") ? [412] : [400, 412];
-        expect(expected, `${what}, through ${at}`).toContain(code(fixture, command, at));
+        const expected = fault.includes("base") ? [412] : [400, 412];
+        expect(expected, `${fault}, through ${at}`).toContain(
+          submitAndAwaitCode(fixture, command, at),
+        );
       }
     expect(fixture.newestVersion(fixture.at(0))).toBe("r3");
   });
 
-  test("raced against a valid change on the same version, it is never applied, whichever is sent first", () => {
-    const fixture = startedFixture();
+  test("concurrent with a valid change of the same version, it is never applied, whichever is sent first", () => {
+    const fixture = startFixture();
     let base = 3;
-    for (const [at, [what]] of invalidOrders(base).entries()) {
-      const invalid = invalidOrders(base)[at]?.[1];
-      if (!invalid) throw new Error("There is no such order.");
-      const proper = putConfig(base, base + 2, `p${at}`);
-      const pair = at % 2 === 0 ? [invalid, proper] : [proper, invalid];
-      const calls = pair.map((command, place) =>
+    for (const [at, [fault]] of invalidChanges(base).entries()) {
+      const invalid = invalidChanges(base)[at]?.[1];
+      if (!invalid) throw new Error(`There is no invalid change ${at}.`);
+      const validChange = putConfig(base, base + 2, `p${at}`);
+      const pair = at % 2 === 0 ? [invalid, validChange] : [validChange, invalid];
+      const requests = pair.map((command, place) =>
         fixture.submit(fixture.at((at + place) % machines.length), command),
       );
-      fixture.until(() => calls.every(({ code: answer }) => answer !== undefined), 1000);
-      const [first, second] = calls.map(({ code: answer }) => answer);
-      const [ofInvalid, ofProper] = at % 2 === 0 ? [first, second] : [second, first];
-      expect([400, 412], what).toContain(ofInvalid);
-      expect(ofProper, what).toBe(200);
+      fixture.until(() => requests.every(({ code: response }) => response !== undefined), 1000);
+      const [first, second] = requests.map(({ code: response }) => response);
+      const [invalidCode, validCode] = at % 2 === 0 ? [first, second] : [second, first];
+      expect([400, 412], fault).toContain(invalidCode);
+      expect(validCode, fault).toBe(200);
       base += 2;
-      expect(fixture.newestVersion(fixture.at(0)), what).toBe(`r${base}`);
+      expect(fixture.newestVersion(fixture.at(0)), fault).toBe(`r${base}`);
     }
   });
 
-  test("a change that is valid by itself but invalid after the one before it in the queue is refused", () => {
-    const fixture = startedFixture();
+  test("a change that is valid by itself but invalid after a concurrent change is refused", () => {
+    const fixture = startFixture();
     expect(
-      code(
+      submitAndAwaitCode(
         fixture,
         patch(3, "r4", { upsert: { objs: [{ ...service, meta: { name: "two" } }] } }),
         0,
       ),
     ).toBe(200);
-    const goes = fixture.submit(fixture.at(1), patch(4, "r5", { remove: { services: ["two"] } }));
-    const needs = fixture.submit(
+    const removal = fixture.submit(
+      fixture.at(1),
+      patch(4, "r5", { remove: { services: ["two"] } }),
+    );
+    const addition = fixture.submit(
       fixture.at(2),
       patch(4, "r6", { upsert: { objs: [routeTo("needs", "two")] } }),
     );
-    fixture.until(() => goes.code !== undefined && needs.code !== undefined, 1000);
-    expect([goes.code, needs.code].sort()).toEqual([200, 412]);
-    const version = goes.code === 200 ? 5 : 6;
-    const refused =
-      goes.code === 200
+    fixture.until(() => removal.code !== undefined && addition.code !== undefined, 1000);
+    expect([removal.code, addition.code].sort()).toEqual([200, 412]);
+    const version = removal.code === 200 ? 5 : 6;
+    const invalidChange =
+      removal.code === 200
         ? patch(5, "r9", { upsert: { objs: [routeTo("needs", "two")] } })
         : patch(6, "r9", { remove: { services: ["two"] } });
-    expect(code(fixture, refused, 3)).toBe(400);
+    expect(submitAndAwaitCode(fixture, invalidChange, 3)).toBe(400);
     expect(fixture.newestVersion(fixture.at(0))).toBe(`r${version}`);
   });
 
-  test("during a change of leader it is never acknowledged, and an unknown result is no refusal", () => {
-    const fixture = startedFixture();
-    const former = fixture.leader;
-    const followers = fixture.machines.filter((machine) => machine !== former);
-    fixture.kill(former);
-    for (const [at, [what, command]] of invalidOrders(3).entries()) {
+  test("during a leader change it is never acknowledged, and an unknown outcome is not reported as a refusal", () => {
+    const fixture = startFixture();
+    const previousLeader = fixture.leader;
+    const followers = fixture.machines.filter((machine) => machine !== previousLeader);
+    fixture.kill(previousLeader);
+    for (const [at, [fault, command]] of invalidChanges(3).entries()) {
       const through = followers[at % followers.length];
       if (!through) throw new Error("There is no follower.");
-      const call = fixture.submit(through, command);
+      const request = fixture.submit(through, command);
       fixture.wait(30);
-      if (call.code === undefined) fixture.until(() => call.code !== undefined, 1000);
-      expect([400, 412, 503, 504], what).toContain(call.code);
+      if (request.code === undefined) fixture.until(() => request.code !== undefined, 1000);
+      expect([400, 412, 503, 504], fault).toContain(request.code);
     }
     fixture.until(
       () => fixture.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
--- a/test/platform/large-reads.test.ts
+++ b/test/platform/large-reads.test.ts
@@ -2,11 +2,11 @@
 import { ControlFixture, routeTo, type ConfigChangeBytes } from "./command-stage.js";
 
 const machines = ["d:a", "d:b", "d:c", "e:a", "e:b"];
-const thin = { limits: { linkMbps: 3.5 } };
+const slowLink = { limits: { linkMbps: 3.5 } };
 
 const service = { type: "services", meta: { name: "one" }, spec: { maxConns: 66 } };
 
-const putOf = (routes: number): ConfigChangeBytes => ({
+const putRoutes = (routes: number): ConfigChangeBytes => ({
   target: "config/put",
   base: "0",
   body: JSON.stringify({
@@ -15,32 +15,32 @@
   }),
 });
 
-const startedFixture = (routes: number): ControlFixture => {
+const startFixture = (routes: number): ControlFixture => {
   const fixture = new ControlFixture(machines, [0, 1, 2]);
   for (const machine of fixture.machines)
-    if (!machine.disk) machine.settings = { ...machine.settings, ...thin };
+    if (!machine.disk) machine.settings = { ...machine.settings, ...slowLink };
   fixture.bootAll();
   fixture.wait(4000);
-  expect(fixture.submitUntilFinal(putOf(routes))).toBe(200);
+  expect(fixture.submitUntilFinal(putRoutes(routes))).toBe(200);
   fixture.wait(2000);
   return fixture;
 };
 
 describe("read of a large configuration", () => {
   test.each([1500, 2500])(
-    "%i routes are read through any daemon: one with a thin link redirects to a replica of the log that isn't the leader",
+    "%i routes are read through any daemon: one with a slow link redirects to a replica of the log that isn't the leader",
     (routes) => {
-      const fixture = startedFixture(routes);
+      const fixture = startFixture(routes);
       for (const machine of fixture.machines) {
-        const call = fixture.sendRequest(machine, "GET", "config/get");
+        const request = fixture.sendRequest(machine, "GET", "config/get");
         fixture.wait(800);
         if (machine.disk) {
-          expect(call.code).toBe(200);
+          expect(request.code).toBe(200);
           continue;
         }
-        expect(call.code).toBe(307);
+        expect(request.code).toBe(307);
         const host = /^http:\/\/([^/]+)\/daledoor\/config\/get$/.exec(
-          call.headers["location"] ?? "",
+          request.headers["location"] ?? "",
         )?.[1];
         const member = fixture.disks.find(({ settings }) => settings.operators === host);
         expect(member).toBeDefined();
@@ -56,12 +56,12 @@
 });
 
 describe("read of a small configuration", () => {
-  test("it is served by the daemon that is call, over a thin link too", () => {
-    const fixture = startedFixture(20);
+  test("every daemon serves it itself, also one with a slow link", () => {
+    const fixture = startFixture(20);
     for (const machine of fixture.machines) {
-      const call = fixture.sendRequest(machine, "GET", "config/get");
+      const request = fixture.sendRequest(machine, "GET", "config/get");
       fixture.wait(800);
-      expect(call.code).toBe(200);
+      expect(request.code).toBe(200);
     }
   });
 });
--- a/test/platform/outcome-fuzz.test.ts
+++ b/test/platform/outcome-fuzz.test.ts
@@ -15,24 +15,24 @@
   await fixture.close();
 });
 
-let asked = 0;
-/** A path that no other request has, so that its arrivals can be counted. */
+let requestedPath = 0;
+/** A path that no other request has, so that a test can count its arrivals. */
 const newPath = (kind: string): string => {
-  asked += 1;
-  return `/${kind}/${asked}`;
+  requestedPath += 1;
+  return `/${kind}/${requestedPath}`;
 };
 const arrivals = (path: string): number =>
   fixture.requestHeads.filter((request) => request.path === path).length;
 
-/** What a backend writes, and what the client of a request that runs once must get; undefined: no promise, a 502 or 504. */
+/** What a backend writes, and the status that the client of a request that runs at most once gets; undefined for an unknown outcome, a 502 or 504. */
 interface Script {
-  readonly way: string;
+  readonly scenario: string;
   readonly bytes: (tryId: string) => string;
   readonly code: number | undefined;
   readonly body?: string;
 }
 
-const theirs = { tryId: "another" };
+const otherRequest = { tryId: "another" };
 const chunks = (text: string): string =>
   text.replace(/.{1,7}/gsu, (part) => `${part.length.toString(16)}\r\n${part}\r\n`) + "0\r\n\r\n";
 const chunked = (tryId: string, text: string): string =>
@@ -40,46 +40,46 @@
 const text = "the server's own bytes\r\n\r\nHTTP/1.1 200 OK\r\n";
 const own = (tryId: string): string => success({ tryId }, text, { seal: "s" });
 const scripts: Script[] = [
-  { way: "whole", bytes: (tryId) => own(tryId), code: 200, body: text },
-  { way: "chunked", bytes: (tryId) => chunked(tryId, text), code: 200, body: text },
-  { way: "twice", bytes: (tryId) => own(tryId).repeat(2), code: 200, body: text },
-  { way: "surplus", bytes: (tryId) => `${chunked(tryId, text)}more`, code: 200, body: text },
+  { scenario: "whole", bytes: (tryId) => own(tryId), code: 200, body: text },
+  { scenario: "chunked", bytes: (tryId) => chunked(tryId, text), code: 200, body: text },
+  { scenario: "twice", bytes: (tryId) => own(tryId).repeat(2), code: 200, body: text },
+  { scenario: "surplus", bytes: (tryId) => `${chunked(tryId, text)}more`, code: 200, body: text },
   {
-    way: "interim first",
+    scenario: "interim first",
     bytes: (tryId) => `HTTP/1.1 103 Hints\r\nlink: a\r\n\r\n${own(tryId)}`,
     code: 200,
     body: text,
   },
   {
-    way: "failure",
+    scenario: "failure",
     bytes: (tryId) => response(500, { "try-id": tryId }, text),
     code: 500,
     body: text,
   },
   {
-    way: "not run",
+    scenario: "not run",
     bytes: (tryId) => response(503, { "try-id": tryId, "not-run": "1" }, "full"),
     code: 503,
   },
-  { way: "theirs", bytes: () => success(theirs, "theirs"), code: undefined },
+  { scenario: "theirs", bytes: () => success(otherRequest, "theirs"), code: undefined },
   {
-    way: "theirs first",
-    bytes: (tryId) => success(theirs, "theirs") + own(tryId),
+    scenario: "theirs first",
+    bytes: (tryId) => success(otherRequest, "theirs") + own(tryId),
     code: undefined,
   },
   {
-    way: "their 421 first",
+    scenario: "their 421 first",
     bytes: (tryId) => response(421, { "try-id": "another" }) + own(tryId),
     code: undefined,
   },
   {
-    way: "their Not-Run first",
+    scenario: "their Not-Run first",
     bytes: (tryId) => response(503, { "try-id": "another", "not-run": "1" }) + own(tryId),
     code: undefined,
   },
 ];
 
-/** Writes bytes in pieces that end at the given offsets, a little apart, and then ends the connection where that is asked. */
+/** Writes bytes in pieces that end at the given offsets, in separate turns of the event loop, and then ends the connection as `ending` says. */
 const writePieces = (
   socket: Socket,
   bytes: string,
@@ -101,32 +101,33 @@
   next();
 };
 
-const checkOnce = (path: string, client: RecordingClient, turnedAway: boolean): void => {
+/** Checks that a client got a complete response of its own, and that its request arrived as often as the status allows. */
+const checkRunsAtMostOnce = (path: string, client: RecordingClient, isDeclined: boolean): void => {
   expect(client.ending).toBe("whole");
   expect(client.body.toString()).not.toContain("theirs");
-  if (turnedAway) return;
-  const [least, most] = client.code === 503 ? [0, 0] : [client.code < 500 ? 1 : 0, 1];
-  expect(arrivals(path)).toBeGreaterThanOrEqual(least);
-  expect(arrivals(path)).toBeLessThanOrEqual(most);
+  if (isDeclined) return;
+  const [minArrivals, maxArrivals] = client.code === 503 ? [0, 0] : [client.code < 500 ? 1 : 0, 1];
+  expect(arrivals(path)).toBeGreaterThanOrEqual(minArrivals);
+  expect(arrivals(path)).toBeLessThanOrEqual(maxArrivals);
 };
 
-describe("response bytes at random", () => {
-  test("however a response is split into packets, its outcome is the same", async () => {
+describe("random response bytes", () => {
+  test("a response has the same outcome however it is split into packets", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.constantFrom(...scripts),
         fc.array(fc.nat(400), { maxLength: 6 }),
         fc.constantFrom("unsafe", "safe"),
-        async ({ way, bytes, code, body }, offsets, kind) => {
+        async ({ scenario, bytes, code, body }, offsets, kind) => {
           const path = newPath(kind);
-          fixture.reply = ({ tryId, path: asked }, socket) => {
-            if (asked === path) writePieces(socket, bytes(tryId), offsets, "open");
+          fixture.reply = ({ tryId, path: requestedPath }, socket) => {
+            if (requestedPath === path) writePieces(socket, bytes(tryId), offsets, "open");
             else socket.write(success({ tryId }, "fine"));
           };
           const client = await fixture.exchange("POST", path, { "deadline-ms": "400" });
-          expect([way, client.code]).toEqual([way, code ?? 502]);
+          expect([scenario, client.code]).toEqual([scenario, code ?? 502]);
           if (body !== undefined) expect(client.body.toString()).toBe(body);
-          if (kind === "unsafe") checkOnce(path, client, code === 503);
+          if (kind === "unsafe") checkRunsAtMostOnce(path, client, code === 503);
         },
       ),
       { seed: 17, numRuns: 250 },
@@ -140,19 +141,19 @@
         fc.nat(1000),
         fc.array(fc.nat(400), { maxLength: 3 }),
         fc.constantFrom("end" as const, "reset" as const),
-        async ({ way, bytes, body }, at, offsets, ending) => {
+        async ({ scenario, bytes, body }, at, offsets, ending) => {
           const path = newPath("unsafe");
           let isWhole = false;
           fixture.reply = ({ tryId }, socket) => {
             const whole = bytes(tryId);
             const written = whole.slice(0, at % whole.length);
-            const own = way === "twice" ? whole.length / 2 : whole.length;
-            isWhole = written.length >= own - (way === "surplus" ? 4 : 0);
+            const own = scenario === "twice" ? whole.length / 2 : whole.length;
+            isWhole = written.length >= own - (scenario === "surplus" ? 4 : 0);
             if (written.length > 0) writePieces(socket, written, offsets, ending);
             else socket.destroy();
           };
           const client = await fixture.exchange("POST", path, { "deadline-ms": "400" });
-          checkOnce(path, client, false);
+          checkRunsAtMostOnce(path, client, false);
           if (client.code === 200) expect([isWhole, client.body.toString()]).toEqual([true, body]);
           else expect([isWhole && ending === "end", client.code]).toEqual([false, 502]);
         },
@@ -164,26 +165,26 @@
   test("garbled bytes affect neither the daemon nor another request, and no request that runs at most once is sent twice", async () => {
     await fc.assert(
       fc.asyncProperty(
-        fc.constantFrom(...scripts.filter(({ way }) => !/421|run$|Run/u.test(way))),
+        fc.constantFrom(...scripts.filter(({ scenario }) => !/421|run$|Run/u.test(scenario))),
         fc.array(fc.tuple(fc.nat(300), fc.nat(255)), { minLength: 1, maxLength: 4 }),
         fc.array(fc.nat(400), { maxLength: 2 }),
-        async ({ way, bytes }, flips, offsets) => {
+        async ({ scenario, bytes }, flips, offsets) => {
           const path = newPath("unsafe");
-          fixture.reply = ({ tryId, path: asked }, socket) => {
-            if (asked !== path) return socket.write(success({ tryId }, asked));
+          fixture.reply = ({ tryId, path: requestedPath }, socket) => {
+            if (requestedPath !== path) return socket.write(success({ tryId }, requestedPath));
             const garbled = Buffer.from(bytes(tryId), "latin1");
             for (const [index, byte] of flips) garbled[index % garbled.length] = byte;
             return writePieces(socket, garbled.toString("latin1"), offsets, "open");
           };
           const client = await fixture.exchange("POST", path, { "deadline-ms": "60" });
-          if (way.startsWith("their")) expect(client.code).toBeGreaterThanOrEqual(500);
-          checkOnce(path, client, false);
+          if (scenario.startsWith("their")) expect(client.code).toBeGreaterThanOrEqual(500);
+          checkRunsAtMostOnce(path, client, false);
           for (let round = 0, code = 0; code !== 200; round += 1) {
             const next = newPath("unsafe");
             const after = await fixture.exchange("POST", next);
             ({ code } = after);
             if (code === 200) expect(after.body.toString()).toBe(next);
-            else checkOnce(next, after, false);
+            else checkRunsAtMostOnce(next, after, false);
             expect(round).toBeLessThan(20);
             if (code !== 200) await fixture.advance(100);
           }
@@ -195,7 +196,7 @@
 });
 
 describe("idle connections", () => {
-  test("closed around the next send: a request that runs at most once arrives once, and never after a promise that it did not run", async () => {
+  test("closed at about the time of the next send: a request that runs at most once arrives once, and never after a response says that it did not run", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(
@@ -212,16 +213,16 @@
             fixture.reply = (request: RawRequest, socket) => {
               socket.write(success(request, "fine"));
               const startedUs = performance.now() * 1000;
-              const part = (): void => {
-                if (performance.now() * 1000 - startedUs < delayUs) setImmediate(part);
+              const waitOrClose = (): void => {
+                if (performance.now() * 1000 - startedUs < delayUs) setImmediate(waitOrClose);
                 else if (how === "end") socket.end();
                 else if (how === "destroy") socket.destroy();
                 else socket.resetAndDestroy();
               };
-              part();
+              waitOrClose();
             };
             const client = await fixture.exchange("POST", path, { "deadline-ms": "400" });
-            checkOnce(path, client, false);
+            checkRunsAtMostOnce(path, client, false);
             expect([200, 502, 503]).toContain(client.code);
             await fixture.advance(pauseMs);
           }
--- a/test/platform/outcomes.test.ts
+++ b/test/platform/outcomes.test.ts
@@ -3,62 +3,62 @@
 import { RawBackend, type RawRequest } from "./raw-backend.js";
 import { RawBackendFixture } from "./raw-backend-fixture.js";
 
-let staged: RawBackendFixture | undefined;
-const ready = async (count = 2): Promise<RawBackendFixture> => {
-  staged = await RawBackendFixture.create(count);
-  return staged;
+let currentFixture: RawBackendFixture | undefined;
+const createFixture = async (count = 2): Promise<RawBackendFixture> => {
+  currentFixture = await RawBackendFixture.create(count);
+  return currentFixture;
 };
 afterEach(async () => {
-  await staged?.close();
-  staged = undefined;
+  await currentFixture?.close();
+  currentFixture = undefined;
 });
 
-/** One way in which a backend ends an exchange, and what must follow. */
-interface Row {
-  readonly way: string;
+/** One way in which a backend ends an exchange, and the expected results. */
+interface ResponseCase {
+  readonly ending: string;
   readonly reply: (request: RawRequest, socket: Socket) => void;
-  /** What the client of an unsafe request gets. */
+  /** The status that the client of an unsafe request gets. */
   readonly code: number;
-  /** An unsafe request may be sent to another backend too. */
-  readonly sentOn?: true;
-  /** Whether the connection carries the next request. */
-  readonly kept?: true;
+  /** Whether an unsafe request is sent to other backends. */
+  readonly isSentToOthers?: true;
+  /** Whether the next request reuses the connection. */
+  readonly isReused?: true;
   readonly method?: string;
 }
 
 const { response, success } = RawBackend;
-const other = { tryId: "another" };
-const unrun = (tryId: string, code: number): string =>
+const otherRequest = { tryId: "another" };
+const declined = (tryId: string, code: number): string =>
   response(code, { "try-id": tryId, "not-run": "1" }, "full");
 const misdirected = (tryId: string): string => response(421, { "try-id": tryId });
 
-const rows: Row[] = [
-  { way: "a reset before any byte", reply: (_, socket) => socket.resetAndDestroy(), code: 502 },
-  { way: "a close before any byte", reply: (_, socket) => socket.end(), code: 502 },
-  { way: "silence until the deadline", reply: () => undefined, code: 504 },
+const responseCases: ResponseCase[] = [
+  { ending: "a reset before any byte", reply: (_, socket) => socket.resetAndDestroy(), code: 502 },
+  { ending: "a close before any byte", reply: (_, socket) => socket.end(), code: 502 },
+  { ending: "silence until the deadline", reply: () => undefined, code: 504 },
   {
-    way: "a reset within the head",
+    ending: "a reset within the head",
     reply: (_, socket) => socket.write("HTTP/1.1 200 OK\r\ntry-", () => socket.resetAndDestroy()),
     code: 502,
   },
   {
-    way: "a close within the body",
+    ending: "a close within the body",
     reply: (request, socket) => socket.end(success(request, "whole").slice(0, -2)),
     code: 502,
   },
   {
-    way: "a reset within the body",
+    ending: "a reset within the body",
     reply: (request, socket) =>
       socket.write(success(request, "whole").slice(0, -2), () => socket.resetAndDestroy()),
     code: 502,
   },
   {
-    way: "silence within the body until the deadline",
+    ending: "silence within the body until the deadline",
     reply: (request, socket) => socket.write(success(request, "whole").slice(0, -2)),
     code: 502,
   },
   {
-    way: "a close within chunks",
+    ending: "a close within chunks",
     reply: ({ tryId }, socket) =>
       socket.end(
         `HTTP/1.1 200 OK\r\ntry-id: ${tryId}\r\nseal: s\r\ntransfer-encoding: chunked\r\n\r\n4\r\nwhol\r\n`,
@@ -66,18 +66,18 @@
     code: 502,
   },
   {
-    way: "a body that ends with the connection",
+    ending: "a body that ends with the connection",
     reply: ({ tryId }, socket) =>
       socket.end(`HTTP/1.1 200 OK\r\ntry-id: ${tryId}\r\nseal: s\r\n\r\nwhole`),
     code: 502,
   },
   {
-    way: "garbled bytes",
+    ending: "garbled bytes",
     reply: (_, socket) => socket.write("\u0000\u00ffnot http\r\n\r\n"),
     code: 502,
   },
   {
-    way: "two lengths that differ",
+    ending: "two lengths that differ",
     reply: ({ tryId }, socket) =>
       socket.write(
         `HTTP/1.1 200 OK\r\ntry-id: ${tryId}\r\nseal: s\r\ncontent-length: 2\r\ncontent-length: 4\r\n\r\nwhol`,
@@ -85,7 +85,7 @@
     code: 502,
   },
   {
-    way: "a length and chunks at once",
+    ending: "a length and chunks at once",
     reply: ({ tryId }, socket) =>
       socket.write(
         `HTTP/1.1 200 OK\r\ntry-id: ${tryId}\r\nseal: s\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n4\r\nwhol\r\n0\r\n\r\n`,
@@ -93,78 +93,79 @@
     code: 502,
   },
   {
-    way: "another request's success",
-    reply: (_, socket) => socket.write(success(other, "theirs")),
+    ending: "another request's success",
+    reply: (_, socket) => socket.write(success(otherRequest, "theirs")),
     code: 502,
   },
   {
-    way: "another request's answer, then its own",
-    reply: (request, socket) => socket.write(success(other, "theirs") + success(request, "own")),
+    ending: "another request's response, then its own",
+    reply: (request, socket) =>
+      socket.write(success(otherRequest, "theirs") + success(request, "own")),
     code: 502,
   },
   {
-    way: "another request's 421",
+    ending: "another request's 421",
     reply: (_, socket) => socket.write(misdirected("another")),
     code: 502,
   },
   {
-    way: "another request's Not-Run",
-    reply: (_, socket) => socket.write(unrun("another", 503)),
+    ending: "another request's Not-Run",
+    reply: (_, socket) => socket.write(declined("another", 503)),
     code: 502,
   },
   {
-    way: "a 503 without Not-Run",
+    ending: "a 503 without Not-Run",
     reply: ({ tryId }, socket) => socket.write(response(503, { "try-id": tryId })),
     code: 502,
   },
   {
-    way: "its own Not-Run",
-    reply: ({ tryId }, socket) => socket.write(unrun(tryId, 503)),
+    ending: "its own Not-Run",
+    reply: ({ tryId }, socket) => socket.write(declined(tryId, 503)),
     code: 503,
-    sentOn: true,
-    kept: true,
+    isSentToOthers: true,
+    isReused: true,
   },
   {
-    way: "its own 421",
+    ending: "its own 421",
     reply: ({ tryId }, socket) => socket.write(misdirected(tryId)),
     code: 503,
-    sentOn: true,
+    isSentToOthers: true,
   },
   {
-    way: "a whole answer",
+    ending: "a complete response",
     reply: (request, socket) => socket.write(success(request, "own")),
     code: 200,
-    kept: true,
+    isReused: true,
   },
   {
-    way: "a failure of its own",
+    ending: "a failure of its own",
     reply: ({ tryId }, socket) => socket.write(response(500, { "try-id": tryId }, "own")),
     code: 500,
-    kept: true,
+    isReused: true,
   },
   {
-    way: "a whole answer with Connection: close",
+    ending: "a complete response with Connection: close",
     reply: (request, socket) => socket.end(success(request, "own", { connection: "close" })),
     code: 200,
   },
   {
-    way: "a whole answer with Connection: close that never closes",
+    ending: "a complete response with Connection: close on a connection that stays open",
     reply: (request, socket) => socket.write(success(request, "own", { connection: "close" })),
     code: 200,
   },
   {
-    way: "a whole answer and a reset at once",
+    ending: "a complete response, then a reset 5 ms later",
     reply: (request, socket) =>
       socket.write(success(request, "own"), () => setTimeout(() => socket.resetAndDestroy(), 5)),
     code: 200,
   },
   {
-    way: "a whole answer with its duplicate behind it",
+    ending: "a complete response, then a duplicate of it at once",
     reply: (request, socket) => socket.write(success(request, "own") + success(request, "own")),
     code: 200,
   },
   {
-    way: "a whole answer, its duplicate some time later",
+    ending: "a complete response, then a duplicate of it 20 ms later",
     reply: (request, socket) => {
       socket.write(success(request, "own"));
       setTimeout(() => socket.write(success(request, "own")), 20);
@@ -172,40 +173,40 @@
     code: 200,
   },
   {
-    way: "a whole answer with surplus bytes behind it",
+    ending: "a complete response, then surplus bytes",
     reply: (request, socket) => socket.write(`${success(request, "own")}and more`),
     code: 200,
   },
   {
-    way: "interim answers before the whole one",
+    ending: "interim responses before the complete one",
     reply: (request, socket) =>
       socket.write(
         `HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Hints\r\nlink: x\r\n\r\n${success(request, "own")}`,
       ),
     code: 200,
-    kept: true,
+    isReused: true,
   },
   {
-    way: "an unasked 100 before the whole answer",
+    ending: "an unrequested 100 before the complete response",
     reply: (request, socket) =>
       socket.write(`HTTP/1.1 100 Continue\r\n\r\n${success(request, "own")}`),
     code: 502,
   },
   {
-    way: "an answer 204",
+    ending: "a 204 response",
     reply: ({ tryId }, socket) =>
       socket.write(`HTTP/1.1 204 None\r\ntry-id: ${tryId}\r\nseal: s\r\n\r\n`),
     code: 204,
-    kept: true,
+    isReused: true,
   },
   {
-    way: "an answer 304 that states the length of what it doesn't send",
+    ending: "a 304 response with the length of a body that it doesn't send",
     reply: ({ tryId }, socket) =>
       socket.write(`HTTP/1.1 304 Same\r\ntry-id: ${tryId}\r\ncontent-length: 400\r\n\r\n`),
     code: 304,
   },
   {
-    way: "an answer to HEAD that states the length of what it doesn't send",
+    ending: "a response to HEAD with the length of a body that it doesn't send",
     reply: ({ tryId }, socket) =>
       socket.write(`HTTP/1.1 200 OK\r\ntry-id: ${tryId}\r\nseal: s\r\ncontent-length: 400\r\n\r\n`),
     code: 200,
@@ -213,20 +214,20 @@
   },
 ];
 
-const broken = rows.filter(({ way }) => /^a (reset|close)|^garbled/u.test(way));
+const brokenCases = responseCases.filter(({ ending }) => /^a (reset|close)|^garbled/u.test(ending));
 
 describe("outcome of an attempt on a reused connection", () => {
-  test.each(rows)(
-    "$way: an unsafe request gets its status, and arrives once unless it was declined",
-    async ({ reply, code, sentOn, method = "POST" }) => {
-      const fixture = await ready(3);
+  test.each(responseCases)(
+    "$ending: an unsafe request gets its status, and arrives once unless it was declined",
+    async ({ reply, code, isSentToOthers, method = "POST" }) => {
+      const fixture = await createFixture(3);
       await fixture.warmConnections();
       fixture.reply = reply;
       const client = await fixture.exchange(method, "/thriceUnsafe/x", { "deadline-ms": "400" });
       await fixture.advance(40);
       expect([client.code, client.ending, client.isStreamed]).toEqual([code, "whole", false]);
       const arrivals = fixture.requestHeads.filter(({ path }) => path === "/thriceUnsafe/x");
-      expect(arrivals.length).toBe(sentOn ? 3 : 1);
+      expect(arrivals.length).toBe(isSentToOthers ? 3 : 1);
       expect(new Set(arrivals.map(({ tryId }) => tryId)).size).toBe(1);
       expect(client.body.toString()).not.toContain("theirs");
       if (code === 502) expect(client.headers).not.toHaveProperty("seal");
@@ -235,15 +236,15 @@
 });
 
 describe("reuse of a connection", () => {
-  test.each(rows.filter(({ way }) => way !== "its own 421"))(
-    "$way: whether the connection carries the next request",
-    async ({ reply, kept, method = "POST" }) => {
-      const fixture = await ready(1);
+  test.each(responseCases.filter(({ ending }) => ending !== "its own 421"))(
+    "$ending: the next request reuses the connection only if the exchange left it in a clean state",
+    async ({ reply, isReused, method = "POST" }) => {
+      const fixture = await createFixture(1);
       await fixture.warmConnections();
       const [backend] = fixture.backends;
       if (!backend) throw new Error("There is no backend.");
-      const used = backend.requestHeads.length;
-      const connection = backend.requestHeads[used - 1]?.connection;
+      const requestsBefore = backend.requestHeads.length;
+      const connection = backend.requestHeads[requestsBefore - 1]?.connection;
       backend.reply = reply;
       await fixture.exchange(method, "/unsafe/x", { "deadline-ms": "400" });
       await fixture.advance(300);
@@ -251,19 +252,19 @@
       const next = await fixture.exchange("POST", "/unsafe/next");
       expect([next.code, next.body.toString()]).toEqual([200, "next"]);
       const last = backend.requestHeads.at(-1);
-      expect([backend.requestHeads[used]?.connection, last?.connection === connection]).toEqual([
-        connection,
-        kept === true,
-      ]);
+      expect([
+        backend.requestHeads[requestsBefore]?.connection,
+        last?.connection === connection,
+      ]).toEqual([connection, isReused === true]);
     },
   );
 });
 
 describe("retry of a safe request", () => {
-  test.each(rows.filter(({ code }) => code === 502 || code === 504 || code === 503))(
-    "$way: it is sent to another backend, where its deadline allows",
+  test.each(responseCases.filter(({ code }) => code === 502 || code === 504 || code === 503))(
+    "$ending: the request is sent to another backend if its deadline allows",
     async ({ reply }) => {
-      const fixture = await ready(2);
+      const fixture = await createFixture(2);
       await fixture.warmConnections();
       const before = fixture.requestHeads.length;
       let arrivals = 0;
@@ -282,9 +283,9 @@
   );
 });
 
-describe("responses and connections at fault", () => {
+describe("faulty responses and connections", () => {
   test("a request in progress when the daemon closes its connections is not sent again", async () => {
-    const fixture = await ready(1);
+    const fixture = await createFixture(1);
     expect((await fixture.exchange("POST", "/unsafe/first")).code).toBe(200);
     fixture.reply = () => undefined;
     const client = fixture.proxy.send("POST", "/unsafe/second");
@@ -299,15 +300,15 @@
     expect(client.code).toBe(502);
   });
 
-  test("a second Not-Run that names no request is not taken for the response to the next one", async () => {
-    const fixture = await ready(2);
+  test("a second Not-Run without a request id is not taken for the response to the next request", async () => {
+    const fixture = await createFixture(2);
     await fixture.warmConnections();
     const unnamed = response(503, { "not-run": "1" }, "full");
     const declinedOn = new Set<Socket>();
     fixture.reply = ({ path }, socket) => {
       if (path === "/safe/turned-away") declinedOn.add(socket);
       if (declinedOn.has(socket)) socket.write(unnamed);
-      else socket.write(success(other, "theirs"));
+      else socket.write(success(otherRequest, "theirs"));
     };
     expect((await fixture.exchange("GET", "/safe/turned-away")).code).toBe(503);
     expect(declinedOn.size).toBe(2);
@@ -319,13 +320,13 @@
     expect(Math.max(...connections)).toBeLessThanOrEqual(2);
   });
   test.each(
-    broken.flatMap(({ way, reply }) =>
-      ["GET", "PUT", "DELETE"].map((method) => ({ way, reply, method })),
+    brokenCases.flatMap(({ ending, reply }) =>
+      ["GET", "PUT", "DELETE"].map((method) => ({ way: ending, reply, method })),
     ),
   )(
-    "$way: a $method on an unsafe route is not repeated either, least of all by the HTTP library",
+    "$ending: a $method on an unsafe route is not repeated, neither by the proxy nor by the HTTP library",
     async ({ reply, method }) => {
-      const fixture = await ready(3);
+      const fixture = await createFixture(3);
       await fixture.warmConnections();
       fixture.reply = reply;
       const client = await fixture.exchange(method, "/thriceUnsafe/x", { "deadline-ms": "400" });
@@ -337,14 +338,14 @@
 
   test.each([
     ["at once", 0],
-    ["a moment later", 1],
+    ["1 ms later", 1],
   ])(
     "a response that a backend sends %s, before any request, is forwarded to no request",
     async (_when, waitMs) => {
-      const fixture = await ready(2);
-      for (const one of fixture.backends) {
-        one.onConnection = (socket) => {
-          const write = (): unknown => socket.write(success(other, "theirs"));
+      const fixture = await createFixture(2);
+      for (const backend of fixture.backends) {
+        backend.onConnection = (socket) => {
+          const write = (): unknown => socket.write(success(otherRequest, "theirs"));
           if (waitMs === 0) write();
           else setTimeout(write, waitMs);
         };
--- a/test/platform/pipelining.test.ts
+++ b/test/platform/pipelining.test.ts
@@ -17,7 +17,7 @@
   path: string,
 ): { blockedCount: () => number; release: () => void; arrived: readonly string[] } => {
   const blocked: Array<{ request: RawRequest; socket: Socket }> = [];
-  /** The paths of all requests in the order of their arrival, at whichever backend. */
+  /** The paths of all requests at all backends, in the order of their arrival. */
   const arrived: string[] = [];
   edge.raw.reply = (request, socket) => {
     arrived.push(request.path);
@@ -37,7 +37,7 @@
 const paths = (): string[] => edge.raw.requestHeads.map(({ path }) => path);
 
 describe("pipelined requests", () => {
-  test("they are answered in their order", async () => {
+  test("their responses are sent in the order of the requests", async () => {
     const { blockedCount, release } = blockRequests("/safe/1");
     const client = edge.connectClient();
     for (const index of [1, 2, 3]) client.request("GET", `/safe/${index}`, `try-${index}`);
@@ -66,7 +66,7 @@
     expect([client.responseCount, paths()]).toEqual([1, ["/safe/1"]]);
   });
 
-  test("an unsafe request after one whose response is cut does not run", async () => {
+  test("an unsafe request after one whose client disconnects does not run", async () => {
     const { blockedCount } = blockRequests("/unsafe/1");
     const client = edge.connectClient();
     client.request("POST", "/unsafe/1", "try-1", { "content-length": "0" });
--- a/test/platform/proxy-fixture.ts
+++ b/test/platform/proxy-fixture.ts
@@ -1,4 +1,4 @@
-/** A fixture of the proxy: one daemon in simulated time, before backends whose replies a test scripts. */
+/** A fixture of the proxy: one daemon in simulated time, with backends whose replies a test scripts. */
 import { headerNames } from "../../platform/header-names.js";
 import {
   openedResponse,
@@ -21,7 +21,7 @@
 import { type LinkPacers, linkPacersOf } from "../../src/runtime/link-pacer.js";
 import { type Task, runTask } from "../../src/runtime/task.js";
 
-/** One request as it reached a backend. */
+/** One request as a backend received it. */
 export interface ReceivedRequest {
   readonly address: string;
   readonly receivedMs: number;
@@ -32,7 +32,7 @@
   readonly tryId: string;
 }
 
-/** How a backend replies to a request: its connection breaks, it never replies, or its response. */
+/** The reply of a backend: a lost connection, no reply before the deadline, or a response. */
 export type BackendReply =
   | "lost"
   | "late"
@@ -52,20 +52,20 @@
 export const success = (
   tryId: string,
   text: string,
-  more: { code?: number; headers?: Record<string, string>; waitMs?: number } = {},
+  options: { code?: number; headers?: Record<string, string>; waitMs?: number } = {},
 ): Exclude<BackendReply, string> => {
   const body = Buffer.from(text);
   return {
-    code: more.code ?? 200,
+    code: options.code ?? 200,
     headers: {
       "try-id": tryId,
       seal: `seal-of-${text}`,
       "content-type": "text/plain",
       "content-length": String(body.length),
-      ...more.headers,
+      ...options.headers,
     },
     chunks: [body],
-    ...(more.waitMs === undefined ? {} : { waitMs: more.waitMs }),
+    ...(options.waitMs === undefined ? {} : { waitMs: options.waitMs }),
   };
 };
 
@@ -76,7 +76,7 @@
   headers: Record<string, string> = {};
   ending: "open" | "whole" | "cut" = "open";
   isStreamed = false;
-  /** When the head came, and when the last byte. */
+  /** When the response head and its last byte arrived; -1 before. */
   headMs = -1;
   endMs = -1;
   readonly startedMs: number;
@@ -92,20 +92,20 @@
     return Buffer.concat(this.chunks);
   }
 
-  /** How long it took until the response had ended. */
+  /** Time from the request to the end of the response. */
   get tookMs(): number {
     return this.endMs - this.startedMs;
   }
 
   respond({ code, headers, body }: ClientResponse): void {
-    this.head(code, headers);
+    this.recordHead(code, headers);
     this.chunks.push(body);
-    this.close("whole");
+    this.recordEnd("whole");
   }
 
   writeHead(code: number, headers: Record<string, string>): void {
     this.isStreamed = true;
-    this.head(code, headers);
+    this.recordHead(code, headers);
   }
 
   *writeChunk(bytes: Uint8Array): Task<boolean> {
@@ -114,54 +114,54 @@
   }
 
   end(): void {
-    this.close("whole");
+    this.recordEnd("whole");
   }
 
   abort(): void {
-    this.close("cut");
+    this.recordEnd("cut");
   }
 
-  private head(code: number, headers: Record<string, string>): void {
-    if (this.code !== 0) throw new Error("A client was answered twice.");
+  private recordHead(code: number, headers: Record<string, string>): void {
+    if (this.code !== 0) throw new Error("A client got a second response head.");
     this.code = code;
     this.headers = headers;
     this.headMs = this.nowMs();
   }
 
-  private close(how: "whole" | "cut"): void {
+  private recordEnd(how: "whole" | "cut"): void {
     if (this.ending !== "open") throw new Error("A response ended twice.");
     this.ending = how;
     this.endMs = this.nowMs();
   }
 }
 
-/** How a fixture differs from the default one. */
+/** Options of a fixture. */
 export interface ProxyFixtureOptions {
   readonly backendClient?: (clock: Clock) => BackendClient;
   readonly linkMbps?: number;
 }
 
-/** One daemon that is a whole cluster, with the platform's headers, before backends whose replies a test scripts. */
+/** A cluster of one daemon, with the platform's headers, and with backends whose replies a test scripts. */
 export class ProxyFixture {
   readonly virtualClock = new VirtualClock();
   readonly receivedRequests: ReceivedRequest[] = [];
   readonly logLines: string[] = [];
   readonly disk: VirtualDisk;
   readonly daemon: Daemon;
-  /** The reply to each request, by the request and how many came before it. */
+  /** Returns the reply to a request; `index` is the number of requests received before it. */
   reply: (request: ReceivedRequest, index: number) => BackendReply = ({ tryId }) =>
     success(tryId, "fine");
-  /** Why no connection to an address comes about; undefined where it does. */
+  /** Returns why a connection to an address fails; undefined if it is established. */
   connectFailure: (address: string) => "refused" | "foreign" | "unreached" | undefined = () =>
     undefined;
-  /** The backends that register themselves twice a second: their instances by their addresses. */
+  /** The backends that register themselves twice a second: instances by address. */
   readonly registered = new Map<string, string>();
   readonly pacers: LinkPacers;
   private readonly clock: Clock;
   private registrations = 0;
   private requestCount = 0;
 
-  /** `backendClient` replaces the scripted backends, by real connections for example; `linkMbps` is the rate of the machine's link. */
+  /** `backendClient` replaces the scripted backends, for example with real connections; `linkMbps` is the rate of the machine's link. */
   constructor({ backendClient, linkMbps }: ProxyFixtureOptions = {}) {
     this.clock = this.virtualClock.clock();
     this.pacers = linkPacersOf(this.clock, linkMbps);
@@ -188,7 +188,7 @@
     });
     this.daemon = new Daemon(runtime, settings, {
       headerNames,
-      backendClient: backendClient ? backendClient(this.clock) : this.scriptedClient(),
+      backendClient: backendClient ? backendClient(this.clock) : this.createScriptedClient(),
       pacers: this.pacers,
     });
     runTask(this.daemon.start(), fail);
@@ -196,15 +196,15 @@
     this.registerPeriodically();
   }
 
-  /** A daemon with a configuration of all kinds of routes, before so many backends, whose retry budget is filled. */
+  /** Creates a daemon with `backendCount` backends, a configuration with routes of all kinds, and a full retry budget. */
   static create(backendCount = 2, options: ProxyFixtureOptions = {}): ProxyFixture {
     const fixture = new ProxyFixture(options);
-    const route = (name: string, more: Record<string, unknown>) => ({
+    const route = (name: string, fields: Record<string, unknown>) => ({
       match: { host: "shop.example", path: `/${name}/*` },
       service: "shop",
       attempts: 2,
       giveUpMs: 1000,
-      ...more,
+      ...fields,
     });
     const put = fixture.sendAdminRequest("PUT", "/config", {
       services: { shop: {} },
@@ -228,7 +228,7 @@
     return fixture;
   }
 
-  /** Sends a request to the operators' port and waits for its response. */
+  /** Sends a request to the admin API and waits for its response. */
   sendAdminRequest(method: string, target: string, body: unknown): ClientResponse {
     const responses: ClientResponse[] = [];
     this.daemon.adminRequests.emit({
@@ -237,11 +237,11 @@
     });
     this.advanceUntil(() => responses.length > 0, 5000);
     const [response] = responses;
-    if (!response) throw new Error("The operators' port didn't answer.");
+    if (!response) throw new Error("The admin API did not respond.");
     return response;
   }
 
-  /** Sends a request and doesn't wait. Each has an id of its own, unless a test overrides it; undefined removes a header. */
+  /** Sends a request without waiting. Each request has a unique id unless a test overrides it; undefined removes a header. */
   send(
     method: string,
     target: string,
@@ -262,7 +262,7 @@
     return client;
   }
 
-  /** Sends a request and waits until it has ended. */
+  /** Sends a request and waits until its response has ended. */
   exchange(
     method: string,
     target: string,
@@ -285,7 +285,7 @@
     while (!holds()) {
       if (this.virtualClock.nowMs() - sinceMs >= timeoutMs)
         throw new Error(
-          `It doesn't hold after ${timeoutMs} ms.\n${this.logLines.slice(-20).join("\n")}`,
+          `The condition does not hold after ${timeoutMs} ms.\n${this.logLines.slice(-20).join("\n")}`,
         );
       this.advance(1);
     }
@@ -315,9 +315,9 @@
     this.clock.after(500, () => this.registerPeriodically());
   }
 
-  private scriptedClient(): BackendClient {
+  private createScriptedClient(): BackendClient {
     return {
-      send: (one) => this.sendScripted(one),
+      send: (attempt) => this.sendScripted(attempt),
       retainPools: () => undefined,
       close: () => undefined,
     };
@@ -326,7 +326,7 @@
   private *sendScripted({
     address,
     request,
-    deadlineMs: untilMs,
+    deadlineMs,
     maySend,
   }: BackendAttempt): Task<OpenResult> {
     const { clock } = this;
@@ -346,7 +346,7 @@
     this.receivedRequests.push(received);
     const reply = this.reply(received, this.receivedRequests.length - 1);
     if (reply === "late") {
-      yield* sleep(clock, untilMs - clock.nowMs());
+      yield* sleep(clock, deadlineMs - clock.nowMs());
       return openFailure("late");
     }
     yield* sleep(clock, reply === "lost" ? 3 : (reply.waitMs ?? 3));
--- a/test/platform/proxy.test.ts
+++ b/test/platform/proxy.test.ts
@@ -4,21 +4,21 @@
 const fraction = /^\d+\.\d+$/;
 const addresses = (fixture: ProxyFixture): string[] =>
   fixture.receivedRequests.map(({ address }) => address);
-const declines = (tryId: string, code = 503): BackendReply => ({
+const declined = (tryId: string, code = 503): BackendReply => ({
   code,
   headers: { "try-id": tryId, "not-run": "full", "content-length": "4" },
   chunks: [Buffer.from("full")],
 });
-const other = (tryId: string): BackendReply => ({
+const misdirected = (tryId: string): BackendReply => ({
   code: 421,
   headers: { "try-id": tryId, "content-length": "0" },
   chunks: [],
 });
 
-const whole = (
+const completeResponse = (
   tryId: string,
   headers: Record<string, string | undefined>,
-  pieces: ReadonlyArray<Uint8Array | "cut"> = [Buffer.from("wrong")],
+  chunks: ReadonlyArray<Uint8Array | "cut"> = [Buffer.from("wrong")],
 ): BackendReply => {
   const sentHeaders: Record<string, string> = {};
   for (const [name, value] of Object.entries({
@@ -28,67 +28,73 @@
     ...headers,
   }))
     if (value !== undefined) sentHeaders[name] = value;
-  return { code: 200, headers: sentHeaders, chunks: pieces };
+  return { code: 200, headers: sentHeaders, chunks };
 };
-const plain = (tryId: string, code: number): BackendReply => ({
+const responseWithoutBody = (tryId: string, code: number): BackendReply => ({
   code,
   headers: { "try-id": tryId, "retry-after": "0.1", "content-length": "0" },
   chunks: [],
 });
-const faulty: Array<[what: string, reply: (sent: ReceivedRequest) => BackendReply]> = [
-  ["with another request's id", () => whole("another", {})],
-  ["without an id", ({ tryId }) => whole(tryId, { "try-id": undefined })],
-  ["without the seal", ({ tryId }) => whole(tryId, { seal: undefined })],
-  ["that is encoded", ({ tryId }) => whole(tryId, { "content-encoding": "gzip" })],
-  ["with a 503 of its own without the word that it didn't run", ({ tryId }) => plain(tryId, 503)],
-  ["with a 429 of its own without the word that it didn't run", ({ tryId }) => plain(tryId, 429)],
-  ["with a 408 of its own without the word that it didn't run", ({ tryId }) => plain(tryId, 408)],
-  ["with another request's word that it didn't run", () => declines("another")],
-  ["that breaks off", ({ tryId }) => whole(tryId, {}, [Buffer.from("wro"), "cut"])],
-  ["that breaks off before its first byte", ({ tryId }) => whole(tryId, {}, ["cut"])],
-  ["that ends before the length it states", ({ tryId }) => whole(tryId, {}, [Buffer.from("wro")])],
+const faultyReplies: Array<[what: string, reply: (sent: ReceivedRequest) => BackendReply]> = [
+  ["with another request's id", () => completeResponse("another", {})],
+  ["without an id", ({ tryId }) => completeResponse(tryId, { "try-id": undefined })],
+  ["without the seal", ({ tryId }) => completeResponse(tryId, { seal: undefined })],
+  ["that is encoded", ({ tryId }) => completeResponse(tryId, { "content-encoding": "gzip" })],
+  ["with a 503 without Not-Run", ({ tryId }) => responseWithoutBody(tryId, 503)],
+  ["with a 429 without Not-Run", ({ tryId }) => responseWithoutBody(tryId, 429)],
+  ["with a 408 without Not-Run", ({ tryId }) => responseWithoutBody(tryId, 408)],
+  ["with another request's Not-Run", () => declined("another")],
+  ["that ends abruptly", ({ tryId }) => completeResponse(tryId, {}, [Buffer.from("wro"), "cut"])],
+  ["that ends abruptly before its first byte", ({ tryId }) => completeResponse(tryId, {}, ["cut"])],
+  [
+    "that ends before the length it states",
+    ({ tryId }) => completeResponse(tryId, {}, [Buffer.from("wro")]),
+  ],
   [
     "that is longer than it states",
-    ({ tryId }) => whole(tryId, {}, [Buffer.from("wrong"), Buffer.from("more")]),
+    ({ tryId }) => completeResponse(tryId, {}, [Buffer.from("wrong"), Buffer.from("more")]),
   ],
   [
-    "in chunks that break off",
+    "in chunks that end abruptly",
     ({ tryId }) =>
-      whole(tryId, { "content-length": undefined, "transfer-encoding": "chunked" }, [
+      completeResponse(tryId, { "content-length": undefined, "transfer-encoding": "chunked" }, [
         Buffer.from("wrong"),
         "cut",
       ]),
   ],
-  ["whose end can't be known", ({ tryId }) => whole(tryId, { "content-length": undefined })],
+  [
+    "without a length or chunks",
+    ({ tryId }) => completeResponse(tryId, { "content-length": undefined }),
+  ],
 ];
 
-const declining: Array<[what: string, reply: (sent: ReceivedRequest) => BackendReply]> = [
-  ["503 with Not-Run", ({ tryId }) => declines(tryId)],
-  ["429 with Not-Run", ({ tryId }) => declines(tryId, 429)],
-  ["421 with Not-Run", ({ tryId }) => declines(tryId, 421)],
-  ["421 alone", ({ tryId }) => other(tryId)],
+const decliningReplies: Array<[what: string, reply: (sent: ReceivedRequest) => BackendReply]> = [
+  ["503 with Not-Run", ({ tryId }) => declined(tryId)],
+  ["429 with Not-Run", ({ tryId }) => declined(tryId, 429)],
+  ["421 with Not-Run", ({ tryId }) => declined(tryId, 421)],
+  ["421 alone", ({ tryId }) => misdirected(tryId)],
 ];
 
-const big = Array.from({ length: 12 }, (_, index) => Buffer.alloc(64 * 1024, index + 1));
-const bigBytes = big.reduce((sum, { length }) => sum + length, 0);
-const length = { "content-length": String(bigBytes) };
-const chunked = { "transfer-encoding": "chunked" };
+const largeBody = Array.from({ length: 12 }, (_, index) => Buffer.alloc(64 * 1024, index + 1));
+const largeBodyBytes = largeBody.reduce((sum, { length }) => sum + length, 0);
+const length = { "content-length": String(largeBodyBytes) };
+const chunkedHeader = { "transfer-encoding": "chunked" };
 const large = (
   tryId: string,
   headers: Record<string, string>,
-  pieces: ReadonlyArray<Uint8Array | "cut"> = big,
+  chunks: ReadonlyArray<Uint8Array | "cut"> = largeBody,
 ): BackendReply => ({
   code: 200,
   headers: { "try-id": tryId, seal: "s-large", ...headers },
-  chunks: pieces,
+  chunks,
   pieceMs: 20,
 });
 
 describe("request to a backend", () => {
-  test("it has the method, path, body and end-to-end headers of the client, its id, the remaining deadline and the expected instance", () => {
+  test("it has the method, path, body, id and end-to-end headers of the client's request, the remaining deadline and the expected instance", () => {
     const fixture = ProxyFixture.create(1);
     const body = Buffer.from([0, 255, 10, 13, 195, 40]);
-    const kept = {
+    const endToEndHeaders = {
       host: "shop.example",
       "try-id": "9c41d07be2a35f68",
       "content-type": "application/x-any",
@@ -96,7 +102,7 @@
       cookie: "a=b; c=d",
       "x-own": "kept",
     };
-    const hop = {
+    const hopByHopHeaders = {
       connection: "keep-alive, X-Named",
       "keep-alive": "timeout=5",
       te: "trailers",
@@ -112,20 +118,20 @@
     const client = fixture.exchange(
       "PATCH",
       target,
-      { ...kept, ...hop, "deadline-ms": "800" },
+      { ...endToEndHeaders, ...hopByHopHeaders, "deadline-ms": "800" },
       body,
     );
     expect(client.code).toBe(200);
     const [sent] = fixture.receivedRequests;
     expect(sent).toMatchObject({ method: "PATCH", path: target, body });
-    const { "deadline-ms": left, ...rest } = sent?.headers ?? {};
-    expect(rest).toEqual({ ...kept, "want-backend": "i-1" });
-    expect(left).toMatch(/^\d+$/);
-    expect(Number(left)).toBeGreaterThan(700);
-    expect(Number(left)).toBeLessThanOrEqual(800);
+    const { "deadline-ms": remainingMs, ...rest } = sent?.headers ?? {};
+    expect(rest).toEqual({ ...endToEndHeaders, "want-backend": "i-1" });
+    expect(remainingMs).toMatch(/^\d+$/);
+    expect(Number(remainingMs)).toBeGreaterThan(700);
+    expect(Number(remainingMs)).toBeLessThanOrEqual(800);
   });
 
-  test("the remaining deadline shrinks with each attempt, the route's own applies where it is shorter, and each attempt names its own backend's instance", () => {
+  test("the remaining deadline decreases with each attempt, the route's deadline applies if it is shorter, and each attempt names its backend's instance", () => {
     const fixture = ProxyFixture.create(2);
     fixture.reply = ({ tryId }, index) =>
       index === 0
@@ -152,7 +158,7 @@
 });
 
 describe("response of a backend", () => {
-  test("it reaches the client with status, body and seal unchanged, also an error of the backend's own", () => {
+  test("it reaches the client with its status, body and seal unchanged, also if it is an error of the backend", () => {
     const fixture = ProxyFixture.create(1);
     fixture.reply = ({ tryId }) =>
       success(tryId, "made", {
@@ -185,8 +191,8 @@
     expect(fixture.receivedRequests.length).toBe(6);
   });
 
-  test.each(faulty)(
-    "one %s never reaches a client: a request that may not be repeated is sent once and ends with 502",
+  test.each(faultyReplies)(
+    "one %s never reaches a client: an unsafe request is sent once and ends with 502",
     (_what, reply) => {
       const fixture = ProxyFixture.create(2);
       fixture.reply = reply;
@@ -202,7 +208,7 @@
     },
   );
 
-  test.each(faulty)(
+  test.each(faultyReplies)(
     "one %s never reaches a client: a safe request is sent to a second backend",
     (_what, reply) => {
       const fixture = ProxyFixture.create(2);
@@ -226,8 +232,8 @@
 });
 
 describe("declined request", () => {
-  test.each(declining)(
-    "declined by %s, it is sent to another backend, also where it is unsafe or keyed",
+  test.each(decliningReplies)(
+    "declined with %s, it is sent to another backend, even if it is unsafe or keyed",
     (_what, reply) => {
       for (const [method, target] of [
         ["POST", "/unsafe/x"],
@@ -243,7 +249,7 @@
     },
   );
 
-  test.each(declining)(
+  test.each(decliningReplies)(
     "declined by all backends with %s, it ends with 503 and a Retry-After in fractions of a second",
     (_what, reply) => {
       for (const [method, target] of [
@@ -263,18 +269,19 @@
     },
   );
 
-  test("an unsafe request that one backend declines and another loses ends with 502", () => {
+  test("an unsafe request that one backend declines and whose connection to another is lost ends with 502", () => {
     const fixture = ProxyFixture.create(3);
-    fixture.reply = ({ tryId }, index) => (index === 0 ? declines(tryId) : "lost");
+    fixture.reply = ({ tryId }, index) => (index === 0 ? declined(tryId) : "lost");
     expect([
       fixture.exchange("POST", "/thriceUnsafe/x").code,
       fixture.receivedRequests.length,
     ]).toEqual([502, 2]);
   });
 
-  test("a 421 ends the registration: that instance is not picked again, at once and later", () => {
+  test("a 421 ends the registration at once: that instance gets no further requests", () => {
     const fixture = ProxyFixture.create(2);
-    fixture.reply = ({ tryId }, index) => (index === 0 ? other(tryId) : success(tryId, "taken"));
+    fixture.reply = ({ tryId }, index) =>
+      index === 0 ? misdirected(tryId) : success(tryId, "taken");
     fixture.exchange("GET", "/safe/x");
     const [endedAddress = ""] = addresses(fixture);
     fixture.registered.delete(endedAddress);
@@ -285,22 +292,22 @@
     expect(addresses(fixture).slice(1)).not.toContain(endedAddress);
   });
 
-  test("Not-Run ends no registration: the backend is picked again", () => {
+  test("Not-Run does not end the registration: the backend gets further requests", () => {
     const fixture = ProxyFixture.create(2);
-    fixture.reply = ({ tryId }, index) => (index === 0 ? declines(tryId) : success(tryId, "taken"));
+    fixture.reply = ({ tryId }, index) => (index === 0 ? declined(tryId) : success(tryId, "taken"));
     fixture.exchange("GET", "/safe/x");
-    const [full = ""] = addresses(fixture);
+    const [decliningAddress = ""] = addresses(fixture);
     for (let round = 0; round < 60; round += 1) {
       fixture.exchange("GET", "/safe/x");
       fixture.advance(50);
     }
-    expect(addresses(fixture).slice(1)).toContain(full);
+    expect(addresses(fixture).slice(1)).toContain(decliningAddress);
   });
 
   test("a 421 with another request's id does not decline this one: an unsafe request is sent once and ends with 502", () => {
     const fixture = ProxyFixture.create(2);
     fixture.reply = ({ tryId }, index) =>
-      index === 0 ? other("another") : success(tryId, "run twice");
+      index === 0 ? misdirected("another") : success(tryId, "run twice");
     const client = fixture.exchange("POST", "/unsafe/x");
     expect([client.code, fixture.receivedRequests.length]).toEqual([502, 1]);
   });
@@ -324,7 +331,7 @@
     expect(client.tookMs).toBeLessThanOrEqual(605);
   });
 
-  test("where a backend accepts no connection, an unsafe request is sent to another, and ends with 503 where none does", () => {
+  test("an unsafe request to a backend that accepts no connection is sent to another, and ends with 503 if none accepts one", () => {
     for (const why of ["refused", "foreign", "unreached"] as const) {
       const fixture = ProxyFixture.create(2);
       fixture.connectFailure = (address) => (address === "10.9.0.1:80" ? why : undefined);
@@ -346,9 +353,9 @@
     ] as const) {
       for (const reply of [
         (): BackendReply => "lost",
-        ({ tryId }: ReceivedRequest) => declines(tryId),
-        ({ tryId }: ReceivedRequest) => other(tryId),
-        ({ tryId }: ReceivedRequest) => plain(tryId, 503),
+        ({ tryId }: ReceivedRequest) => declined(tryId),
+        ({ tryId }: ReceivedRequest) => misdirected(tryId),
+        ({ tryId }: ReceivedRequest) => responseWithoutBody(tryId, 503),
       ]) {
         const fixture = ProxyFixture.create(5);
         fixture.reply = reply;
@@ -360,7 +367,7 @@
       }
     }
     const fixture = ProxyFixture.create(5);
-    fixture.reply = ({ tryId }) => declines(tryId);
+    fixture.reply = ({ tryId }) => declined(tryId);
     expect([
       fixture.exchange("POST", "/thriceUnsafe/x").code,
       fixture.receivedRequests.length,
@@ -369,12 +376,12 @@
 });
 
 describe("idempotency key", () => {
-  test("a keyed request runs once: a repeat gets the first one's status, body and seal", () => {
+  test("a keyed request runs once: a repeat gets the status, body and seal of the first response", () => {
     const fixture = ProxyFixture.create(2);
     fixture.reply = ({ tryId }, index) => success(tryId, `run ${index}`, { code: 201 });
-    const ask = (key: string, body = "buy") =>
+    const sendPurchase = (key: string, body = "buy") =>
       fixture.exchange("POST", "/keyed/x", { "op-key": key }, Buffer.from(body));
-    const first = ask("k-1");
+    const first = sendPurchase("k-1");
     expect([first.code, first.body.toString(), first.headers["seal"]]).toEqual([
       201,
       "run 0",
@@ -382,7 +389,7 @@
     ]);
     for (let round = 0; round < 3; round += 1) {
       fixture.advance(round * 3000);
-      const repeat = ask("k-1");
+      const repeat = sendPurchase("k-1");
       expect([repeat.code, repeat.body.toString(), repeat.headers["seal"]]).toEqual([
         201,
         "run 0",
@@ -390,12 +397,15 @@
       ]);
     }
     expect(fixture.receivedRequests.length).toBe(1);
-    expect(ask("k-1", "buy more").code).toBe(422);
+    expect(sendPurchase("k-1", "buy more").code).toBe(422);
     expect(fixture.receivedRequests.length).toBe(1);
-    expect([ask("k-2").body.toString(), fixture.receivedRequests.length]).toEqual(["run 1", 2]);
+    expect([sendPurchase("k-2").body.toString(), fixture.receivedRequests.length]).toEqual([
+      "run 1",
+      2,
+    ]);
   });
 
-  test("the first response is repeated also where it was an error of the backend's own that counts as run", () => {
+  test("a repeat gets the first response also if it was an error of the backend, which counts as run", () => {
     const fixture = ProxyFixture.create(2);
     fixture.reply = ({ tryId }) => ({
       code: 500,
@@ -412,7 +422,7 @@
     }
   });
 
-  test("a repeat while the first is in progress gets 409 or, once the first has ended, its response, and never runs", () => {
+  test("a repeat during the first request gets 409 or, once the first has ended, its response, and never runs", () => {
     const fixture = ProxyFixture.create(2);
     fixture.reply = ({ tryId }) => success(tryId, "run", { waitMs: 3000 });
     const first = fixture.send("POST", "/slow/x", { "op-key": "k-1" });
@@ -435,20 +445,20 @@
   test("of many concurrent requests with one key, one runs", () => {
     const fixture = ProxyFixture.create(2);
     fixture.reply = ({ tryId }) => success(tryId, "run", { waitMs: 200 });
-    const all = Array.from({ length: 8 }, () =>
+    const clients = Array.from({ length: 8 }, () =>
       fixture.send("POST", "/keyed/x", { "op-key": "k-1" }),
     );
-    fixture.advanceUntil(() => all.every(({ ending }) => ending !== "open"), 5000);
+    fixture.advanceUntil(() => clients.every(({ ending }) => ending !== "open"), 5000);
     expect(fixture.receivedRequests.length).toBe(1);
-    for (const { code, body } of all) expect([code, body.toString()]).toEqual([200, "run"]);
+    for (const { code, body } of clients) expect([code, body.toString()]).toEqual([200, "run"]);
   });
 
   test("a repeat after the first one's response was lost gets 502 and does not run", () => {
     for (const reply of [
       (): BackendReply => "lost",
       (): BackendReply => "late",
-      (): BackendReply => whole("another", {}),
-      ({ tryId }: ReceivedRequest) => plain(tryId, 503),
+      (): BackendReply => completeResponse("another", {}),
+      ({ tryId }: ReceivedRequest) => responseWithoutBody(tryId, 503),
     ]) {
       const fixture = ProxyFixture.create(2);
       fixture.reply = reply;
@@ -464,9 +474,9 @@
     }
   });
 
-  test("a key whose first request was declined by all backends is free: a repeat runs", () => {
+  test("a key is released when all backends decline its first request: a repeat runs", () => {
     const fixture = ProxyFixture.create(2);
-    fixture.reply = ({ tryId }) => declines(tryId);
+    fixture.reply = ({ tryId }) => declined(tryId);
     expect([
       fixture.exchange("POST", "/keyed/x", { "op-key": "k-1" }).code,
       fixture.receivedRequests.length,
@@ -495,7 +505,7 @@
     ]).toEqual([200, 1]);
   });
 
-  test("a claim with little of its time left waits for the log", () => {
+  test("a claim with little of its deadline left waits for the log", () => {
     const fixture = ProxyFixture.create(2);
     fixture.disk.stall(200);
     fixture.advance(5);
@@ -515,7 +525,7 @@
     expect(fixture.receivedRequests).toEqual([]);
   });
 
-  test("one that no route takes is answered with 404", () => {
+  test("one that matches no route gets 404", () => {
     const fixture = ProxyFixture.create(1);
     expect(fixture.exchange("GET", "/nowhere/x").code).toBe(404);
     expect(fixture.exchange("GET", "/saf").code).toBe(404);
@@ -534,7 +544,7 @@
 });
 
 describe("daemon that has just started", () => {
-  test("it lets a request wait for the first view for a third of its time, then refuses it", () => {
+  test("it lets a request wait for the first cluster view for a third of its deadline, then refuses it", () => {
     const fixture = new ProxyFixture();
     const client = fixture.send("GET", "/safe/x", { "deadline-ms": "900" });
     fixture.advance(280);
@@ -547,7 +557,7 @@
     expect([long.ending, long.code]).toEqual(["whole", 503]);
   });
 
-  test("requests that wait for the first view are served as soon as it has come", () => {
+  test("requests that wait for the first cluster view are served as soon as it arrives", () => {
     const fixture = new ProxyFixture();
     fixture.registered.set("10.9.0.1:80", "i-1");
     fixture.advance(3000);
@@ -567,7 +577,7 @@
 describe("large response", () => {
   test.each([
     ["with a length", length],
-    ["in chunks", chunked],
+    ["in chunks", chunkedHeader],
   ] as const)("%s, it is streamed to its end", (_what, headers) => {
     const fixture = ProxyFixture.create(2);
     fixture.reply = ({ tryId }) => large(tryId, headers);
@@ -578,24 +588,24 @@
       "whole",
       "s-large",
     ]);
-    expect(client.body.equals(Buffer.concat(big))).toBe(true);
+    expect(client.body.equals(Buffer.concat(largeBody))).toBe(true);
     expect(client.headMs).toBeLessThan(client.endMs - 100);
     expect(client.headers["content-length"]).toBe(
-      headers === length ? String(bigBytes) : undefined,
+      headers === length ? String(largeBodyBytes) : undefined,
     );
     expect(fixture.receivedRequests.length).toBe(1);
   });
 
   test.each([
-    ["breaks off", length, [...big.slice(0, 8), "cut" as const]],
-    ["ends before its length", length, big.slice(0, 8)],
-    ["is longer than it states", length, [...big, Buffer.from("more")]],
-    ["breaks off in chunks", chunked, [...big.slice(0, 8), "cut" as const]],
+    ["ends abruptly", length, [...largeBody.slice(0, 8), "cut" as const]],
+    ["ends before its length", length, largeBody.slice(0, 8)],
+    ["is longer than it states", length, [...largeBody, Buffer.from("more")]],
+    ["ends abruptly in chunks", chunkedHeader, [...largeBody.slice(0, 8), "cut" as const]],
   ] as const)(
-    "one that %s while it is streamed cuts the client's connection, and the request is not sent again",
-    (_what, headers, pieces) => {
+    "one that %s while it is streamed aborts the client's connection, and the request is not sent again",
+    (_what, headers, chunks) => {
       const fixture = ProxyFixture.create(2);
-      fixture.reply = ({ tryId }) => large(tryId, headers, pieces);
+      fixture.reply = ({ tryId }) => large(tryId, headers, chunks);
       const client = fixture.exchange("GET", "/download/x");
       expect([
         client.isStreamed,
@@ -603,7 +613,7 @@
         client.ending,
         fixture.receivedRequests.length,
       ]).toEqual([true, 200, "cut", 1]);
-      expect(client.body.length).toBeLessThanOrEqual(bigBytes);
+      expect(client.body.length).toBeLessThanOrEqual(largeBodyBytes);
     },
   );
 });
--- a/test/platform/raw-backend-fixture.ts
+++ b/test/platform/raw-backend-fixture.ts
@@ -1,10 +1,10 @@
-/** A fixture of the proxy before backends on real connections, whose bytes a test writes. */
+/** A fixture of the proxy with backends on real connections, whose bytes a test writes. */
 import { HttpBackendClient } from "../../src/proxy/upstream/http-backend-client.js";
 import type { BackendClient } from "../../src/proxy/upstream/backend-client.js";
 import { ProxyFixture, type RecordingClient } from "./proxy-fixture.js";
 import { RawBackend, type RawRequest } from "./raw-backend.js";
 
-/** How much simulated time passes for each turn of the real event loop. */
+/** Simulated time that passes in each turn of the real event loop. */
 const TURN_MS = 1;
 
 /** A proxy whose backends are real connections: simulated time advances with each turn of the event loop. */
@@ -23,7 +23,7 @@
     this.backendClient = backendClient;
   }
 
-  /** A proxy before so many backends. */
+  /** Creates a proxy with `count` backends. */
   static async create(count = 2): Promise<RawBackendFixture> {
     const opened: BackendClient[] = [];
     const proxy = ProxyFixture.create(0, {
@@ -37,28 +37,29 @@
     if (!backendClient) throw new Error("The daemon created no backend client.");
     const backends: RawBackend[] = [];
     for (let index = 0; index < count; index += 1) {
-      const one = await RawBackend.open();
-      backends.push(one);
-      proxy.registered.set(one.address, `i-${index}`);
+      const backend = await RawBackend.open();
+      backends.push(backend);
+      proxy.registered.set(backend.address, `i-${index}`);
     }
     proxy.advance(4000);
     return new RawBackendFixture(proxy, backends, backendClient);
   }
 
-  /** The heads of all requests that reached a backend, in no order among backends. */
+  /** The heads of all requests that reached a backend, grouped by backend. */
   get requestHeads(): RawRequest[] {
     return this.backends.flatMap(({ requestHeads: heads }) => heads);
   }
 
   /** Sets the reply of all backends. */
   set reply(reply: RawBackend["reply"]) {
-    for (const one of this.backends) one.reply = reply;
+    for (const backend of this.backends) backend.reply = reply;
   }
 
   /** Advances real and simulated time until a condition holds; throws after `timeoutMs`. */
   async advanceUntil(holds: () => boolean, timeoutMs = 12_000): Promise<void> {
     for (let passedMs = 0; !holds(); passedMs += TURN_MS) {
-      if (passedMs >= timeoutMs) throw new Error(`It doesn't hold after ${timeoutMs} ms.`);
+      if (passedMs >= timeoutMs)
+        throw new Error(`The condition does not hold after ${timeoutMs} ms.`);
       await this.turn();
     }
   }
@@ -68,16 +69,16 @@
     for (let passedMs = 0; passedMs < forMs; passedMs += TURN_MS) await this.turn();
   }
 
-  /** Has a request answered over one connection to each backend, so that the next requests reuse those. */
+  /** Sends requests until each backend has handled one, so that the next requests reuse those connections. */
   async warmConnections(): Promise<void> {
     const isUsed = (): boolean => this.backends.every(({ requests }) => requests.length > 0);
     for (let round = 0; !isUsed(); round += 1) {
-      if (round > 100) throw new Error("Some backend gets no request.");
+      if (round > 100) throw new Error("A backend received no request within 100 rounds.");
       await this.exchange("GET", "/safe/use");
     }
   }
 
-  /** Sends a request and waits for its end. */
+  /** Sends a request and waits until its response has ended. */
   async exchange(
     method: string,
     target: string,
@@ -92,7 +93,7 @@
   /** Closes all connections and the backends. */
   async close(): Promise<void> {
     this.backendClient.close();
-    for (const one of this.backends) await one.close();
+    for (const backend of this.backends) await backend.close();
   }
 
   private async turn(): Promise<void> {
--- a/test/platform/raw-backend.ts
+++ b/test/platform/raw-backend.ts
@@ -1,9 +1,9 @@
-/** A backend on a real port that writes whatever bytes a test gives it. */
+/** A backend on a real port that writes the bytes that a test provides. */
 import { createServer, type Server, type Socket } from "node:net";
 
-/** One request as its bytes came in. */
+/** One received request. */
 export interface RawRequest {
-  /** Which of the backend's connections it came on, and which request of that connection it is; both from 0. */
+  /** The index of the connection at the backend, and of the request on that connection; both from 0. */
   readonly connection: number;
   readonly index: number;
   readonly method: string;
@@ -13,7 +13,7 @@
   readonly body: Buffer;
 }
 
-/** What a backend has read of one connection. */
+/** The state of reading from one connection. */
 interface Reading {
   readonly connection: number;
   bytes: Buffer;
@@ -21,8 +21,8 @@
   isHeadReported: boolean;
 }
 
-/** The body that starts at an offset, and where it ends; undefined while it isn't complete. */
-const bodyFrom = (
+/** Parses the body that starts at an offset, and returns it with its end; undefined while it isn't complete. */
+const parseBody = (
   bytes: Buffer,
   startBytes: number,
   headers: Readonly<Record<string, string>>,
@@ -33,27 +33,27 @@
       ? undefined
       : { body: bytes.subarray(startBytes, endBytes), endBytes };
   }
-  const pieces: Buffer[] = [];
+  const chunks: Buffer[] = [];
   for (let at = startBytes; ;) {
     const lineEnd = bytes.indexOf("\r\n", at);
     if (lineEnd < 0) return undefined;
     const sizeBytes = Number.parseInt(bytes.toString("latin1", at, lineEnd), 16);
     const nextBytes = lineEnd + 2 + sizeBytes + 2;
     if (bytes.length < nextBytes) return undefined;
-    if (sizeBytes === 0) return { body: Buffer.concat(pieces), endBytes: nextBytes };
-    pieces.push(bytes.subarray(lineEnd + 2, lineEnd + 2 + sizeBytes));
+    if (sizeBytes === 0) return { body: Buffer.concat(chunks), endBytes: nextBytes };
+    chunks.push(bytes.subarray(lineEnd + 2, lineEnd + 2 + sizeBytes));
     at = nextBytes;
   }
 };
 
-/** A backend that replies with whatever bytes a test writes. */
+/** A backend that replies with the bytes that a test writes. */
 export class RawBackend {
-  /** All requests whose heads came, and those that came complete. */
+  /** All requests whose heads were received, and all that were received completely. */
   readonly requestHeads: RawRequest[] = [];
   readonly requests: RawRequest[] = [];
   readonly sockets: Socket[] = [];
   address = "";
-  /** Called with each connection, each request's head, and each complete request. */
+  /** Called for each new connection, each request's head, and each complete request. */
   onConnection: (socket: Socket) => void = () => undefined;
   onHead: (request: RawRequest, socket: Socket) => void = () => undefined;
   reply: (request: RawRequest, socket: Socket) => void = (request, socket) => {
@@ -65,20 +65,20 @@
     this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
 
-  /** Opens one on a free port, or on the one that is given. */
+  /** Opens a backend on the given port, or on a free one if it is 0. */
   static async open(port = 0): Promise<RawBackend> {
-    const one = new RawBackend();
+    const backend = new RawBackend();
     await new Promise<void>((done, fail) => {
-      one.server.once("error", fail);
-      one.server.listen(port, "127.0.0.1", done);
+      backend.server.once("error", fail);
+      backend.server.listen(port, "127.0.0.1", done);
     });
-    const bound = one.server.address();
-    if (bound === null || typeof bound !== "object") throw new Error("The port has no number.");
-    one.address = `127.0.0.1:${bound.port}`;
-    return one;
+    const bound = backend.server.address();
+    if (bound === null || typeof bound !== "object") throw new Error("The server has no TCP port.");
+    backend.address = `127.0.0.1:${bound.port}`;
+    return backend;
   }
 
-  /** The bytes of one response with a length, its headers given in full. */
+  /** The bytes of a response with a Content-Length and the given headers. */
   static response(code: number, headers: Readonly<Record<string, string>>, body = ""): string {
     const lines = Object.entries({ "content-length": String(body.length), ...headers }).map(
       ([name, value]) => `${name}: ${value}\r\n`,
@@ -86,7 +86,7 @@
     return `HTTP/1.1 ${code} Any\r\n${lines.join("")}\r\n${body}`;
   }
 
-  /** A complete success to a request. */
+  /** The bytes of a successful response to a request. */
   static success(
     { tryId }: Pick<RawRequest, "tryId">,
     text: string,
@@ -95,7 +95,7 @@
     return RawBackend.response(200, { "try-id": tryId, seal: `seal-of-${text}`, ...headers }, text);
   }
 
-  /** Ends it and all its connections. */
+  /** Closes the server and all its connections. */
   async close(): Promise<void> {
     for (const socket of this.sockets) socket.destroy();
     await new Promise<void>((done) => this.server.close(() => done()));
@@ -111,13 +111,13 @@
     this.sockets.push(socket);
     socket.on("error", () => undefined);
     this.onConnection(socket);
-    socket.on("data", (piece: Buffer) => {
-      reading.bytes = Buffer.concat([reading.bytes, piece]);
+    socket.on("data", (chunk: Buffer) => {
+      reading.bytes = Buffer.concat([reading.bytes, chunk]);
       while (this.parseRequest(reading, socket));
     });
   }
 
-  /** Removes one request from what was read; false where none is complete yet. */
+  /** Removes one request from the bytes read; false if none is complete yet. */
   private parseRequest(reading: Reading, socket: Socket): boolean {
     const headEnd = reading.bytes.indexOf("\r\n\r\n");
     if (headEnd < 0) return false;
@@ -136,7 +136,7 @@
       this.requestHeads.push(head);
       this.onHead(head, socket);
     }
-    const complete = bodyFrom(reading.bytes, headEnd + 4, headers);
+    const complete = parseBody(reading.bytes, headEnd + 4, headers);
     if (!complete) return false;
     const request = { ...head, body: Buffer.from(complete.body) };
     reading.bytes = reading.bytes.subarray(complete.endBytes);
--- a/test/platform/settings.test.ts
+++ b/test/platform/settings.test.ts
@@ -52,15 +52,15 @@
 keyWindow = "60s"
 `;
 
-const checked = (text: string): Settings => {
-  const read = checkSettings(decodeSettings(text, "boot"));
-  if ("faults" in read) throw new SettingsError(read.faults);
-  return read.settings;
+const decodeAndCheck = (text: string): Settings => {
+  const checked = checkSettings(decodeSettings(text, "boot"));
+  if ("faults" in checked) throw new SettingsError(checked.faults);
+  return checked.settings;
 };
 
-const pathsOf = (text: string): string[] => {
+const faultPaths = (text: string): string[] => {
   try {
-    checked(text);
+    decodeAndCheck(text);
     return [];
   } catch (error) {
     if (!(error instanceof SettingsError)) throw error;
@@ -69,8 +69,8 @@
 };
 
 describe("settings of the platform", () => {
-  test("they are translated into the product's", () => {
-    const settings = checked(boot);
+  test("they are translated to daledoor's settings", () => {
+    const settings = decodeAndCheck(boot);
     expect(settings).toMatchObject({
       machine: "edge-north-1",
       zone: "north",
@@ -103,27 +103,33 @@
     });
   });
 
-  test("a machine without a disk, or whose disk doesn't count for the quorum, is an edge alone", () => {
-    expect(checked(boot.replace('datadir = "/data/gate"', ""))).toMatchObject({ roles: ["edge"] });
-    const idle = checked(boot.replace("quorum = true", "quorum = false"));
-    expect([idle.roles, idle.dataFolder]).toEqual([["edge"], undefined]);
+  test("a machine without a disk, or that is not part of the quorum, is only an edge", () => {
+    expect(decodeAndCheck(boot.replace('datadir = "/data/gate"', ""))).toMatchObject({
+      roles: ["edge"],
+    });
+    const nonVoter = decodeAndCheck(boot.replace("quorum = true", "quorum = false"));
+    expect([nonVoter.roles, nonVoter.dataFolder]).toEqual([["edge"], undefined]);
   });
 
-  test("fewer seeds are taken as they are, and without any a daemon is its own seed", () => {
-    expect(checked(boot.replace(/seeds = .*/, 'seeds = ["10.9.0.1:8382"]')).seeds).toEqual([
+  test("fewer than nine seeds are all used, and a daemon without seeds is its own seed", () => {
+    expect(decodeAndCheck(boot.replace(/seeds = .*/, 'seeds = ["10.9.0.1:8382"]')).seeds).toEqual([
       "10.9.0.1:7200",
     ]);
-    expect(checked(boot.replace(/seeds = .*/, "seeds = []")).seeds).toEqual(["10.1.0.18:7200"]);
+    expect(decodeAndCheck(boot.replace(/seeds = .*/, "seeds = []")).seeds).toEqual([
+      "10.1.0.18:7200",
+    ]);
   });
 
   test("missing, malformed or unsupported values are reported with their path", () => {
     expect(
-      pathsOf(
+      faultPaths(
         boot.replace(/^ip = .*$/m, "").replace("portRange = [7200,7215]", "portRange = [7200]"),
       ),
     ).toEqual(["self.ip", "network.portRange"]);
-    expect(pathsOf(boot.replace('"1300ms"', '"soon"'))).toEqual(["infra.heartbeat"]);
-    expect(pathsOf("[self")).toEqual(["boot"]);
-    expect(pathsOf(boot.replace('drain = "2000ms"', 'drain = "20ms"'))).toEqual(["bounds.drainMs"]);
+    expect(faultPaths(boot.replace('"1300ms"', '"soon"'))).toEqual(["infra.heartbeat"]);
+    expect(faultPaths("[self")).toEqual(["boot"]);
+    expect(faultPaths(boot.replace('drain = "2000ms"', 'drain = "20ms"'))).toEqual([
+      "bounds.drainMs",
+    ]);
   });
 });
--- a/test/platform/thin-link.test.ts
+++ b/test/platform/thin-link.test.ts
@@ -1,14 +1,14 @@
 import { describe, expect, test } from "vitest";
 import { ProxyFixture, success } from "./proxy-fixture.js";
 
-/** 3.2 Mbit/s: 360 bytes a millisecond are counted on. */
+/** The rate of the link, 400 bytes per millisecond, of which the pacer plans with 360. */
 const linkMbps = 3.2;
 const bytesPerMs = 360;
 const fraction = /^\d+\.\d+$/;
 const largeText = "x".repeat(200_000);
 
-describe("request on a thin link", () => {
-  test("one that would leave the link only after the lease expired is not sent, and gets a Retry-After", () => {
+describe("request on a slow link", () => {
+  test("one that the link would send only after the lease expires is not sent, and gets a Retry-After", () => {
     const fixture = ProxyFixture.create(2, { linkMbps });
     fixture.pacers.egress.note(3000 * bytesPerMs);
     const delayed = fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" });
@@ -20,7 +20,7 @@
     expect(fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" }).code).toBe(200);
   });
 
-  test("one for which the queue on the link grew too long while its connection opened is withdrawn", () => {
+  test("one is withdrawn if the queue on the link grows too long while its connection opens", () => {
     const fixture = ProxyFixture.create(2, { linkMbps });
     fixture.connectFailure = () => {
       fixture.pacers.egress.note(3000 * bytesPerMs);
@@ -32,47 +32,47 @@
     expect(fixture.receivedRequests).toEqual([]);
   });
 
-  test("a short queue on the link delays nothing", () => {
+  test("one is served if the queue on the link is short", () => {
     const fixture = ProxyFixture.create(2, { linkMbps });
     fixture.pacers.egress.note(30 * bytesPerMs);
     expect(fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" }).code).toBe(200);
   });
 });
 
-describe("download on a thin link", () => {
-  test("one that can't be sent in time is refused before it runs; short requests are still served", () => {
+describe("download on a slow link", () => {
+  test("one that the link can't send in time is refused before it runs; short requests are still served", () => {
     const fixture = ProxyFixture.create(2, { linkMbps });
     fixture.reply = ({ tryId, path }) =>
       success(tryId, path.startsWith("/download") ? largeText : "short");
-    const ask = (deadlineMs: number) =>
+    const download = (deadlineMs: number) =>
       fixture.exchange("GET", "/download/x", { "deadline-ms": String(deadlineMs) });
-    expect(ask(8000).code).toBe(200);
-    const many = fixture.pacers.egress.begin(
+    expect(download(8000).code).toBe(200);
+    const bulkTransfer = fixture.pacers.egress.begin(
       { transferClass: "response", dueMs: Infinity },
       20_000 * bytesPerMs,
     );
     const before = fixture.receivedRequests.length;
-    const refused = ask(8000);
+    const refused = download(8000);
     expect(refused.code).toBe(503);
     expect(refused.headers["retry-after"]).toMatch(fraction);
     expect(refused.tookMs).toBeLessThan(50);
     expect(fixture.receivedRequests).toHaveLength(before);
     expect(fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" }).code).toBe(200);
-    many.end();
-    expect(ask(8000).code).toBe(200);
+    bulkTransfer.end();
+    expect(download(8000).code).toBe(200);
   });
 
-  test("active downloads count before their first byte: of many at once, those that can't be sent in time are refused", () => {
+  test("downloads count before their first byte: of many concurrent ones, those that the link can't send in time are refused", () => {
     const fixture = ProxyFixture.create(2, { linkMbps });
     fixture.reply = ({ tryId }) => success(tryId, largeText, { waitMs: 100 });
     expect(fixture.exchange("GET", "/download/x", { "deadline-ms": "8000" }).code).toBe(200);
-    const all = Array.from({ length: 30 }, () =>
+    const clients = Array.from({ length: 30 }, () =>
       fixture.send("GET", "/download/x", { "deadline-ms": "2000" }),
     );
     fixture.advance(1000);
-    const taken = all.filter(({ code }) => code === 200).length;
-    expect(taken).toBeGreaterThan(0);
-    expect(taken).toBeLessThanOrEqual((2000 * bytesPerMs) / largeText.length);
-    expect(all.filter(({ code }) => code === 503)).toHaveLength(30 - taken);
+    const servedCount = clients.filter(({ code }) => code === 200).length;
+    expect(servedCount).toBeGreaterThan(0);
+    expect(servedCount).toBeLessThanOrEqual((2000 * bytesPerMs) / largeText.length);
+    expect(clients.filter(({ code }) => code === 503)).toHaveLength(30 - servedCount);
   });
 });
