--- a/test/platform/outcomes.test.ts
+++ b/test/platform/outcomes.test.ts
@@ -321,7 +321,7 @@
   });
   test.each(
     brokenCases.flatMap(({ ending, reply }) =>
-      ["GET", "PUT", "DELETE"].map((method) => ({ way: ending, reply, method })),
+      ["GET", "PUT", "DELETE"].map((method) => ({ ending, reply, method })),
     ),
   )(
     "$ending: a $method on an unsafe route is not repeated, neither by the proxy nor by the HTTP library",
