--- a/src/admin/config-endpoints.ts
+++ b/src/admin/config-endpoints.ts
@@ -184,7 +184,7 @@
   /** Another member from which to read a text that this daemon's link would delay too long; members run on the stronger machines. */
   private findRedirectAddress(text: string): string | undefined {
     const { egress, clusterView, ownAddress } = this.dependencies;
-    if (egress.waitMs(text.length) <= REDIRECT_AFTER_MS) return undefined;
+    if (egress.estimateWaitMs(text.length) <= REDIRECT_AFTER_MS) return undefined;
     const others = clusterView.memberAdminAddresses.filter((address) => address !== ownAddress);
     return others[Math.floor(this.runtime.random() * others.length)];
   }
--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -8,10 +8,10 @@
   type ReplicationTimeouts,
   defaultReplicationTimeouts,
 } from "../replication/replication-timeouts.js";
-import { type RetryRules, retryRulesOf } from "../retry-budget/retry-rules.js";
+import { type RetryRules, createRetryRules } from "../retry-budget/retry-rules.js";
 import {
   type RequestCountsFormat,
-  requestCountsFormatFor,
+  createRequestCountsFormat,
 } from "../retry-budget/request-counts.js";
 import type { TimeoutSettings } from "./bound-settings.js";
 
@@ -173,11 +173,11 @@
       heartbeatMs,
       // A heartbeat reaches the leader with the next poll of the daemon that received it.
       expiryMs: 3.5 * heartbeatMs + 2 * watchIntervalMs,
-      holdMs,
-      leaveHoldMs: drainMs + 500,
+      maxWatchWaitMs: holdMs,
+      holdDownMs: drainMs + 500,
       keyMs: keyWindowMs + 10_000,
-      silentMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
-      idRestMs: Math.max(60_000, 6 * retryWindowMs),
+      unresponsiveAfterMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
+      idQuarantineMs: Math.max(60_000, 6 * retryWindowMs),
     },
     replicationTimeouts: {
       ...defaultReplicationTimeouts,
@@ -193,8 +193,8 @@
       responsiveAfterMs: catchUpMs,
       forgetAfterMs: LEARNER_REMOVAL_FACTOR * catchUpMs,
     },
-    retryRules: retryRulesOf(retryRatio, retryExtra, retryWindowMs),
-    requestCountsFormat: requestCountsFormatFor(retryWindowMs),
+    retryRules: createRetryRules(retryRatio, retryExtra, retryWindowMs),
+    requestCountsFormat: createRequestCountsFormat(retryWindowMs),
     changeTimeoutMs: 0.8 * ackMs,
     acceptRequestsMs: Math.min(2600, (graceMs * 13) / 30),
     abandonMs: graceMs - EXIT_RESERVE_MS,
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -99,7 +99,7 @@
       isBodiless ? headers : { ...headers, "content-length": String(body.length) },
     );
     if (isBodiless || body.length <= context.egress.smallBytes) {
-      context.egress.note(RESPONSE_HEAD_BYTES + (isBodiless ? 0 : body.length));
+      context.egress.recordBytes(RESPONSE_HEAD_BYTES + (isBodiless ? 0 : body.length));
       response.end(isBodiless ? undefined : body);
       return;
     }
@@ -116,7 +116,7 @@
     const transfer = this.transfer ?? this.beginTransfer(bytes.length);
     for (let offset = 0; offset < bytes.length; offset += turnBytes) {
       const part = bytes.subarray(offset, offset + turnBytes);
-      yield* transfer.turn(part.length);
+      yield* transfer.awaitTurn(part.length);
       if (!(yield* this.writePart(part))) {
         transfer.end();
         return false;
--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -132,7 +132,7 @@
     const { server } = this;
     const outcome = yield* waitFor<Error | "listening">((done) => {
       server.once("error", done);
-      server.listen({ ...Address.parts(address), backlog: 1024 }, () => done("listening"));
+      server.listen({ ...Address.parse(address), backlog: 1024 }, () => done("listening"));
     });
     if (outcome !== "listening")
       throw new ListenError(`Can't listen for HTTP on ${address}.`, { cause: outcome });
@@ -199,7 +199,7 @@
       headers: headersOf(request),
       body,
     };
-    this.handle(rest ? { ...clientRequest, rest } : clientRequest, client);
+    this.handle(rest ? { ...clientRequest, bodyRemainder: rest } : clientRequest, client);
   }
 
   /** Buffers a body to its end, or up to `BUFFERED_BODY_BYTES` and streams the rest. */
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -4,7 +4,7 @@
 import { type Clock, systemClock, sleep } from "../runtime/clock.js";
 import { openDisk } from "../runtime/disk.js";
 import { EventStream } from "../runtime/event-stream.js";
-import { type LinkPacers, linkPacersOf } from "../runtime/link-pacer.js";
+import { type LinkPacers, createLinkPacers } from "../runtime/link-pacer.js";
 import { createLoggers, type Logger } from "../runtime/logger.js";
 import { tcpNetwork } from "../runtime/network.js";
 import type { Runtime } from "../runtime/runtime.js";
@@ -63,7 +63,7 @@
     this.log = this.loggers.component("machine");
     this.clock = systemClock();
     this.network = tcpNetwork();
-    this.pacers = linkPacersOf(this.clock, limits?.linkMbps);
+    this.pacers = createLinkPacers(this.clock, limits?.linkMbps);
     this.backendClient = new HttpBackendClient(this.clock, {
       proof: options.adapter?.headerNames.proof,
       pacers: this.pacers,
--- a/test/daemon/bounds.test.ts
+++ b/test/daemon/bounds.test.ts
@@ -38,9 +38,9 @@
     expect(leaseMs).toBeLessThan(Math.min(applyMs, drainMs));
     expect(controlPlaneTimeouts.leaseMs).toBe(leaseMs);
     expect(watchIntervalMs * 4).toBeLessThanOrEqual(leaseMs);
-    expect(controlPlaneTimeouts.silentMs).toBeGreaterThan(leaseMs);
-    expect(controlPlaneTimeouts.holdMs).toBeLessThan(400);
-    expect(watchTimeoutMs - controlPlaneTimeouts.holdMs).toBeGreaterThanOrEqual(130);
+    expect(controlPlaneTimeouts.unresponsiveAfterMs).toBeGreaterThan(leaseMs);
+    expect(controlPlaneTimeouts.maxWatchWaitMs).toBeLessThan(400);
+    expect(watchTimeoutMs - controlPlaneTimeouts.maxWatchWaitMs).toBeGreaterThanOrEqual(130);
     expect(2 * watchTimeoutMs).toBeLessThan(leaseMs);
   }
 });
--- a/test/daemon/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -10,7 +10,7 @@
   };
   const wait = (forMs: number): void =>
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
-  simulation.begin();
+  simulation.startAll();
   simulation.start(simulation.workload.putConfig());
   wait(6000);
   const patch = Buffer.from(
@@ -24,17 +24,17 @@
   const edge = simulation.machines.find(({ settings }) => settings.callers !== undefined);
   if (!edge) throw new Error("The fleet has no edge.");
   for (const testBackend of simulation.testBackends)
-    testBackend.behave({ slowFactor: testBackend.service === "issues" ? 4000 : 150 });
+    testBackend.setBehavior({ slowFactor: testBackend.service === "issues" ? 4000 : 150 });
   const codes: string[] = [];
   const sendRequest = (path: string): void =>
     runTask(
-      simulation.call(
+      simulation.sendRequest(
         edge.settings.machine,
         { method: "GET", target: path, headers: { "x-caller": path }, body: Buffer.alloc(0) },
         20_000,
       ),
       fail,
-      ({ code, broke }) => codes.push(`${path} ${code} ${broke}`),
+      ({ code, failure }) => codes.push(`${path} ${code} ${failure}`),
     );
   sendRequest("/issues/1");
   sendRequest("/crashes/1");
@@ -43,6 +43,6 @@
   wait(9000);
   expect(codes).toEqual(["/crashes/1 200 ", "/issues/1 504 "]);
   expect(
-    simulation.recorder.of("stopped").map(({ atMs, endedMs }) => endedMs - atMs < 7000),
+    simulation.recorder.ofKind("stopped").map(({ atMs, endedMs }) => endedMs - atMs < 7000),
   ).toEqual([true]);
 });
--- a/test/daemon/limits.test.ts
+++ b/test/daemon/limits.test.ts
@@ -8,7 +8,7 @@
 const server = new HttpServer(
   (clientRequest, client) => {
     handledRequests.push(
-      `${clientRequest.method} ${clientRequest.target} ${clientRequest.body.length}${clientRequest.rest ? " and more" : ""}`,
+      `${clientRequest.method} ${clientRequest.target} ${clientRequest.body.length}${clientRequest.bodyRemainder ? " and more" : ""}`,
     );
     client.respond({ code: 200, headers: {}, body: Buffer.from(clientRequest.target) });
   },
--- a/test/daemon/paced-responses.test.ts
+++ b/test/daemon/paced-responses.test.ts
@@ -58,7 +58,7 @@
     return outcome;
   };
   const large = [fetchAndRecord("/whole"), fetchAndRecord("/streamed")];
-  await expect.poll(() => egress.waitMs(0), { timeout: 2000 }).toBeGreaterThan(linkMs);
+  await expect.poll(() => egress.estimateWaitMs(0), { timeout: 2000 }).toBeGreaterThan(linkMs);
   expect(server.unfinishedResponses).toBe(1);
   expect(egress.queueMs).toBeLessThanOrEqual(30);
   expect((await fetchAndRecord("/short")).bytes).toBe(20);
@@ -91,7 +91,7 @@
     request.once("error", () => undefined);
   });
   await expect.poll(() => server.unfinishedResponses, { timeout: 2000 }).toBe(0);
-  expect(egress.waitMs(0)).toBeLessThan(100);
+  expect(egress.estimateWaitMs(0)).toBeLessThan(100);
   server.close();
   server.closeConnections();
 });
--- a/test/platform/command-stage.ts
+++ b/test/platform/command-stage.ts
@@ -3,7 +3,7 @@
 import type { ProxyRequest } from "../../src/proxy/proxy-request.js";
 import type { ClientResponse } from "../../src/proxy/request-outcome.js";
 import type { Settings } from "../../src/daemon/settings.js";
-import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
+import { ClusterFixture, type FixtureMachine } from "../replication/fleet-stage.js";
 
 /** A request to the admin API with its response, if it has arrived, and the times of both. */
 export interface RecordedRequest {
@@ -89,7 +89,7 @@
 });
 
 /** A simulated fleet whose admin APIs get requests in the platform's format. */
-export class ControlFixture extends FleetStage {
+export class ControlFixture extends ClusterFixture {
   constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
     super(machines, seeds, more);
   }
@@ -99,14 +99,14 @@
 
   /** Sends a request to a machine's admin API; a machine that is down never responds. */
   sendRequest(
-    machine: StageMachine,
+    machine: FixtureMachine,
     method: string,
     target: string,
     body = "",
     headers: Record<string, string> = {},
   ): RecordedRequest {
     const request: RecordedRequest = {
-      sentMs: this.time.nowMs(),
+      sentMs: this.virtualClock.nowMs(),
       respondedMs: undefined,
       code: undefined,
       headers: {},
@@ -116,7 +116,7 @@
       request.code = response.code;
       request.headers = response.headers;
       request.body = Buffer.from(response.body).toString();
-      request.respondedMs = this.time.nowMs();
+      request.respondedMs = this.virtualClock.nowMs();
     };
     const clientRequest: ProxyRequest = {
       method,
@@ -136,7 +136,7 @@
 
   /** A heartbeat of a backend, as the platform's backends send them. */
   heartbeat(
-    machine: StageMachine,
+    machine: FixtureMachine,
     { id, calls, state = "up", service = "one" }: Heartbeat,
   ): RecordedRequest {
     const body = {
@@ -153,35 +153,37 @@
   }
 
   /** Sends a configuration change to a machine's admin API. */
-  submit(machine: StageMachine, { target, base, body }: ConfigChangeBytes): RecordedRequest {
+  submit(machine: FixtureMachine, { target, base, body }: ConfigChangeBytes): RecordedRequest {
     return this.sendRequest(machine, "POST", target, body, { "base-version": base });
   }
 
   /** Retries a configuration change, at each machine in turn, until it gets a final response; returns its status code. */
   submitUntilFinal(command: ConfigChangeBytes, from = 0, timeoutMs = 20_000): number {
-    const deadlineMs = this.time.nowMs() + timeoutMs;
-    for (let index = from; this.time.nowMs() < deadlineMs; index += 1) {
-      const request = this.submit(this.at(index % this.machines.length), command);
-      const responseDeadlineMs = this.time.nowMs() + 1000;
-      while (request.code === undefined && this.time.nowMs() < responseDeadlineMs) this.wait(5);
+    const deadlineMs = this.virtualClock.nowMs() + timeoutMs;
+    for (let index = from; this.virtualClock.nowMs() < deadlineMs; index += 1) {
+      const request = this.submit(this.machineAt(index % this.machines.length), command);
+      const responseDeadlineMs = this.virtualClock.nowMs() + 1000;
+      while (request.code === undefined && this.virtualClock.nowMs() < responseDeadlineMs)
+        this.wait(5);
       if (request.code !== undefined && request.code < 500) return request.code;
       this.wait(100);
     }
     throw new Error(
-      `No final response within ${timeoutMs} ms.\n${this.lines.slice(-30).join("\n")}`,
+      `No final response within ${timeoutMs} ms.\n${this.logLines.slice(-30).join("\n")}`,
     );
   }
 
   /** Reads the version of the active configuration through a machine; undefined without a successful response. */
-  newestVersion(machine: StageMachine): string | undefined {
+  newestVersion(machine: FixtureMachine): string | undefined {
     const request = this.sendRequest(machine, "GET", "config/get");
     this.wait(1000);
     return request.code === 200 ? /"ver":"(r\d+)"/.exec(request.body)?.[1] : undefined;
   }
 
   /** Blocks the network from some machines to others, in this direction only. */
-  blockLinks(from: readonly StageMachine[], to: readonly StageMachine[]): void {
+  blockLinks(from: readonly FixtureMachine[], to: readonly FixtureMachine[]): void {
     for (const source of from)
-      for (const target of to) this.network.cut(source.settings.machine, target.settings.machine);
+      for (const target of to)
+        this.network.partition(source.settings.machine, target.settings.machine);
   }
 }
--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, test } from "vitest";
 import { encodeLogCommand } from "../../src/state/log-command.js";
-import { configText, type StageMachine } from "../replication/fleet-stage.js";
+import { configText, type FixtureMachine } from "../replication/fleet-stage.js";
 import {
   patchConfig,
   ControlFixture,
@@ -49,7 +49,7 @@
     { ...invalidPatch, body: invalidPatch.body.replace('"safe"', '"wild"') },
   ];
   return commands.map((command, at) =>
-    fixture.submit(fixture.at((at + round) % machines.length), command),
+    fixture.submit(fixture.machineAt((at + round) % machines.length), command),
   );
 };
 
@@ -83,14 +83,15 @@
     "the leader is partitioned",
     (fixture) => {
       const { leader } = fixture;
-      for (const machine of fixture.machines) if (machine !== leader) fixture.cut(leader, machine);
+      for (const machine of fixture.machines)
+        if (machine !== leader) fixture.partition(leader, machine);
     },
   ],
   [
     "the leader's disk is full",
     (fixture) => {
       const { disk } = fixture.leader;
-      if (disk) disk.full = true;
+      if (disk) disk.isFull = true;
     },
   ],
 ];
@@ -105,8 +106,8 @@
 
     const previousLeader = fixture.leader;
     fixture.kill(previousLeader);
-    fixture.until(
-      () => fixture.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+    fixture.waitUntil(
+      () => fixture.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
       5000,
     );
     fixture.boot(previousLeader, { bootstrap: false });
@@ -139,7 +140,7 @@
     for (let sequence = first; sequence < first + 2100; sequence += 1) {
       const replicationNode = fixture.leader.daemon?.replicationNode;
       if (!replicationNode) throw new Error("There is no leader.");
-      fixture.start(
+      fixture.startTask(
         replicationNode.propose(
           encodeLogCommand({
             kind: "config",
@@ -156,10 +157,10 @@
       if (sequence % 50 === 0) fixture.wait(100);
     }
     fixture.wait(3000);
-    const newest = fixture.newestVersion(fixture.at(0));
+    const newest = fixture.newestVersion(fixture.machineAt(0));
     expect(newest).toBe(`r${first + 2099 + 100}`);
     expect(submitEverywhere(fixture, command)).toEqual(codeFromEach(504));
-    expect(fixture.newestVersion(fixture.at(1))).toBe(newest);
+    expect(fixture.newestVersion(fixture.machineAt(1))).toBe(newest);
     expect(submitEverywhere(fixture, putConfig(3, first + 2099 + 100, "late"))).toEqual(
       codeFromEach(412),
     );
@@ -176,7 +177,7 @@
       const codes = requests.map(({ code }) => code);
       expect(codes.slice(0, 3).sort()).toEqual([200, 412, 412]);
       for (const code of codes.slice(3)) expect([400, 412]).toContain(code);
-      base = Number(fixture.newestVersion(fixture.at(round % machines.length))?.slice(1));
+      base = Number(fixture.newestVersion(fixture.machineAt(round % machines.length))?.slice(1));
     }
   });
 });
@@ -195,7 +196,7 @@
         fixture.wait(delayMs);
         begin(fixture);
         for (let at = 0; at < 50; at += 1) {
-          const machine: StageMachine = fixture.at(at % machines.length);
+          const machine: FixtureMachine = fixture.machineAt(at % machines.length);
           requests.push(fixture.submit(machine, command));
           reads.push(fixture.sendRequest(machine, "GET", "config/get"));
           fixture.wait(100);
@@ -217,7 +218,7 @@
     fixture.bootAll();
     const reads: RecordedRequest[] = [];
     for (let at = 0; at < 40; at += 1) {
-      reads.push(fixture.sendRequest(fixture.at(at % machines.length), "GET", "config/get"));
+      reads.push(fixture.sendRequest(fixture.machineAt(at % machines.length), "GET", "config/get"));
       fixture.wait(100);
     }
     fixture.wait(1000);
--- a/test/platform/cut-off-daemons.test.ts
+++ b/test/platform/cut-off-daemons.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, test } from "vitest";
-import type { StageMachine } from "../replication/fleet-stage.js";
+import type { FixtureMachine } from "../replication/fleet-stage.js";
 import { patchConfig, ControlFixture, putConfig, type RecordedRequest } from "./command-stage.js";
 
 /** Durations of the partition: a long one, and one that ends while messages sent during it are still queued in the network. */
@@ -12,7 +12,7 @@
 
 const heartbeat = (
   fixture: ControlFixture,
-  machine: StageMachine,
+  machine: FixtureMachine,
   id: string,
   calls: number,
   state: "up" | "draining" = "up",
@@ -23,8 +23,8 @@
   fixture.bootAll();
   fixture.wait(4000);
   expect(fixture.submitUntilFinal(putConfig(0, 3, "first"))).toBe(200);
-  heartbeat(fixture, fixture.at(0), "1", 1);
-  heartbeat(fixture, fixture.at(0), "2", 1);
+  heartbeat(fixture, fixture.machineAt(0), "1", 1);
+  heartbeat(fixture, fixture.machineAt(0), "2", 1);
   fixture.wait(1000);
   return fixture;
 };
@@ -37,7 +37,7 @@
 /** Sends every kind of admin request to one machine at once. */
 const sendAllRequests = (
   fixture: ControlFixture,
-  machine: StageMachine,
+  machine: FixtureMachine,
   round: number,
 ): SentRequest[] => [
   { kind: "change", request: fixture.submit(machine, putConfig(3, 5 + round, "minority")) },
@@ -58,9 +58,9 @@
 /** Blocks messages between a minority and all other machines, in a direction as seen from the minority; returns the others. */
 const partition = (
   fixture: ControlFixture,
-  minority: StageMachine[],
+  minority: FixtureMachine[],
   direction: Direction,
-): StageMachine[] => {
+): FixtureMachine[] => {
   const majority = fixture.machines.filter((machine) => !minority.includes(machine));
   if (direction !== "outbound") fixture.blockLinks(majority, minority);
   if (direction !== "inbound") fixture.blockLinks(minority, majority);
@@ -68,24 +68,24 @@
 };
 
 const minorities: Array<
-  [name: string, selectMinority: (fixture: ControlFixture) => StageMachine[]]
+  [name: string, selectMinority: (fixture: ControlFixture) => FixtureMachine[]]
 > = [
   ["the leader", (fixture) => [fixture.leader]],
-  ["the leader and an edge", (fixture) => [fixture.leader, fixture.at(0)]],
+  ["the leader and an edge", (fixture) => [fixture.leader, fixture.machineAt(0)]],
   [
     "a follower and an edge",
     (fixture) => [
-      ...fixture.disks.filter((machine) => machine !== fixture.leader).slice(0, 1),
-      fixture.at(0),
+      ...fixture.diskMachines.filter((machine) => machine !== fixture.leader).slice(0, 1),
+      fixture.machineAt(0),
     ],
   ],
-  ["an edge", (fixture) => [fixture.at(0)]],
+  ["an edge", (fixture) => [fixture.machineAt(0)]],
 ];
 
 /** Whether the leader's directory holds a backend that isn't leaving. */
 const isRegistered = (fixture: ControlFixture, address: string): boolean => {
   const bodies: string[] = [];
-  fixture.at(1).daemon?.adminRequests.emit({
+  fixture.machineAt(1).daemon?.adminRequests.emit({
     clientRequest: {
       method: "POST",
       target: "/ask",
@@ -107,14 +107,14 @@
         const fixture = startFixture();
         const minority = selectMinority(fixture);
         const majority = partition(fixture, minority, direction);
-        const fromMs = fixture.time.nowMs();
+        const fromMs = fixture.virtualClock.nowMs();
         const sent: SentRequest[] = [];
-        for (let round = 0; fixture.time.nowMs() < fromMs + partitionMs; round += 1) {
+        for (let round = 0; fixture.virtualClock.nowMs() < fromMs + partitionMs; round += 1) {
           for (const machine of minority) sent.push(...sendAllRequests(fixture, machine, round));
           fixture.wait(250);
           if (round !== 8) continue;
           // After about two seconds, the majority applies a change.
-          const [member = fixture.at(1)] = majority.filter(({ disk }) => disk !== undefined);
+          const [member = fixture.machineAt(1)] = majority.filter(({ disk }) => disk !== undefined);
           // If only inbound messages are blocked, a change of the minority may be applied without an acknowledgment.
           const base = Number(fixture.newestVersion(member)?.slice(1));
           if (direction !== "inbound") expect(base).toBe(3);
@@ -122,7 +122,7 @@
           fixture.wait(1000);
           expect(command.code).toBe(200);
         }
-        fixture.network.heal();
+        fixture.network.healAll();
         fixture.wait(6000);
 
         for (const { kind, request } of sent) {
@@ -151,18 +151,18 @@
   for (let delayMs = 0; delayMs < 300; delayMs += 10)
     test(`${delayMs} ms after the partition of an edge heals, an acknowledged heartbeat takes effect`, () => {
       const fixture = startFixture();
-      const edge = fixture.at(0);
+      const edge = fixture.machineAt(0);
       expect(isRegistered(fixture, "10.1.0.1:90")).toBe(true);
       partition(fixture, [edge], "both directions");
       fixture.wait(20_000);
       expect(isRegistered(fixture, "10.1.0.1:90")).toBe(false);
-      fixture.network.heal();
+      fixture.network.healAll();
       fixture.wait(delayMs);
       const request = heartbeat(fixture, edge, "1", 50);
-      fixture.until(() => request.code !== undefined, 1000);
+      fixture.waitUntil(() => request.code !== undefined, 1000);
       if (request.code === 200) expect(isRegistered(fixture, "10.1.0.1:90")).toBe(true);
       else expect(request.code).toBe(503);
-      heartbeat(fixture, fixture.at(1), "1", 51);
+      heartbeat(fixture, fixture.machineAt(1), "1", 51);
       fixture.wait(200);
       expect(isRegistered(fixture, "10.1.0.1:90")).toBe(true);
     });
--- a/test/platform/invalid-commands.test.ts
+++ b/test/platform/invalid-commands.test.ts
@@ -107,8 +107,8 @@
   command: ConfigChangeBytes,
   at: number,
 ): number | undefined => {
-  const request = fixture.submit(fixture.at(at % machines.length), command);
-  fixture.until(() => request.code !== undefined, 1000);
+  const request = fixture.submit(fixture.machineAt(at % machines.length), command);
+  fixture.waitUntil(() => request.code !== undefined, 1000);
   return request.code;
 };
 
@@ -122,7 +122,7 @@
           submitAndAwaitCode(fixture, command, at),
         );
       }
-    expect(fixture.newestVersion(fixture.at(0))).toBe("r3");
+    expect(fixture.newestVersion(fixture.machineAt(0))).toBe("r3");
   });
 
   test("concurrent with a valid change of the same version, it is never applied, whichever is sent first", () => {
@@ -134,15 +134,15 @@
       const validChange = putConfig(base, base + 2, `p${at}`);
       const pair = at % 2 === 0 ? [invalid, validChange] : [validChange, invalid];
       const requests = pair.map((command, place) =>
-        fixture.submit(fixture.at((at + place) % machines.length), command),
+        fixture.submit(fixture.machineAt((at + place) % machines.length), command),
       );
-      fixture.until(() => requests.every(({ code: response }) => response !== undefined), 1000);
+      fixture.waitUntil(() => requests.every(({ code: response }) => response !== undefined), 1000);
       const [first, second] = requests.map(({ code: response }) => response);
       const [invalidCode, validCode] = at % 2 === 0 ? [first, second] : [second, first];
       expect([400, 412], fault).toContain(invalidCode);
       expect(validCode, fault).toBe(200);
       base += 2;
-      expect(fixture.newestVersion(fixture.at(0)), fault).toBe(`r${base}`);
+      expect(fixture.newestVersion(fixture.machineAt(0)), fault).toBe(`r${base}`);
     }
   });
 
@@ -156,14 +156,14 @@
       ),
     ).toBe(200);
     const removal = fixture.submit(
-      fixture.at(1),
+      fixture.machineAt(1),
       patch(4, "r5", { remove: { services: ["two"] } }),
     );
     const addition = fixture.submit(
-      fixture.at(2),
+      fixture.machineAt(2),
       patch(4, "r6", { upsert: { objs: [routeTo("needs", "two")] } }),
     );
-    fixture.until(() => removal.code !== undefined && addition.code !== undefined, 1000);
+    fixture.waitUntil(() => removal.code !== undefined && addition.code !== undefined, 1000);
     expect([removal.code, addition.code].sort()).toEqual([200, 412]);
     const version = removal.code === 200 ? 5 : 6;
     const invalidChange =
@@ -171,7 +171,7 @@
         ? patch(5, "r9", { upsert: { objs: [routeTo("needs", "two")] } })
         : patch(6, "r9", { remove: { services: ["two"] } });
     expect(submitAndAwaitCode(fixture, invalidChange, 3)).toBe(400);
-    expect(fixture.newestVersion(fixture.at(0))).toBe(`r${version}`);
+    expect(fixture.newestVersion(fixture.machineAt(0))).toBe(`r${version}`);
   });
 
   test("during a leader change it is never acknowledged, and an unknown outcome is not reported as a refusal", () => {
@@ -184,11 +184,11 @@
       if (!through) throw new Error("There is no follower.");
       const request = fixture.submit(through, command);
       fixture.wait(30);
-      if (request.code === undefined) fixture.until(() => request.code !== undefined, 1000);
+      if (request.code === undefined) fixture.waitUntil(() => request.code !== undefined, 1000);
       expect([400, 412, 503, 504], fault).toContain(request.code);
     }
-    fixture.until(
-      () => fixture.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
+    fixture.waitUntil(
+      () => fixture.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true),
       5000,
     );
     fixture.wait(1000);
--- a/test/platform/large-reads.test.ts
+++ b/test/platform/large-reads.test.ts
@@ -42,7 +42,7 @@
         const host = /^http:\/\/([^/]+)\/daledoor\/config\/get$/.exec(
           request.headers["location"] ?? "",
         )?.[1];
-        const member = fixture.disks.find(({ settings }) => settings.operators === host);
+        const member = fixture.diskMachines.find(({ settings }) => settings.operators === host);
         expect(member).toBeDefined();
         expect(member).not.toBe(fixture.leader);
         if (!member) continue;
--- a/test/platform/proxy-fixture.ts
+++ b/test/platform/proxy-fixture.ts
@@ -18,7 +18,7 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 import { type Clock, sleep } from "../../src/runtime/clock.js";
-import { type LinkPacers, linkPacersOf } from "../../src/runtime/link-pacer.js";
+import { type LinkPacers, createLinkPacers } from "../../src/runtime/link-pacer.js";
 import { type Task, runTask } from "../../src/runtime/task.js";
 
 /** One request as a backend received it. */
@@ -164,7 +164,7 @@
   /** `backendClient` replaces the scripted backends, for example with real connections; `linkMbps` is the rate of the machine's link. */
   constructor({ backendClient, linkMbps }: ProxyFixtureOptions = {}) {
     this.clock = this.virtualClock.clock();
-    this.pacers = linkPacersOf(this.clock, linkMbps);
+    this.pacers = createLinkPacers(this.clock, linkMbps);
     const random = RandomDraw.of(11);
     const network = new VirtualNetwork(this.clock, random);
     this.disk = new VirtualDisk(this.clock, random);
@@ -181,10 +181,10 @@
     };
     const runtime = virtualRuntime({
       clock: this.clock,
-      network: network.wire("disk-1", new EventGate()),
+      network: network.createInterface("disk-1", new EventGate()),
       disk: this.disk,
       random,
-      lines: (line) => this.logLines.push(`${this.virtualClock.nowMs().toFixed(0)} ${line}`),
+      writeLine: (line) => this.logLines.push(`${this.virtualClock.nowMs().toFixed(0)} ${line}`),
     });
     this.daemon = new Daemon(runtime, settings, {
       headerNames,
@@ -357,7 +357,7 @@
     return openedResponse({
       code,
       headers,
-      *next() {
+      *nextChunk() {
         if (pieceMs > 0) yield* sleep(clock, pieceMs);
         return isCancelled ? "cut" : (remaining.shift() ?? "end");
       },
--- a/test/platform/thin-link.test.ts
+++ b/test/platform/thin-link.test.ts
@@ -10,7 +10,7 @@
 describe("request on a slow link", () => {
   test("one that the link would send only after the lease expires is not sent, and gets a Retry-After", () => {
     const fixture = ProxyFixture.create(2, { linkMbps });
-    fixture.pacers.egress.note(3000 * bytesPerMs);
+    fixture.pacers.egress.recordBytes(3000 * bytesPerMs);
     const delayed = fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" });
     expect(delayed.code).toBe(503);
     expect(delayed.headers["retry-after"]).toMatch(fraction);
@@ -23,7 +23,7 @@
   test("one is withdrawn if the queue on the link grows too long while its connection opens", () => {
     const fixture = ProxyFixture.create(2, { linkMbps });
     fixture.connectFailure = () => {
-      fixture.pacers.egress.note(3000 * bytesPerMs);
+      fixture.pacers.egress.recordBytes(3000 * bytesPerMs);
       return undefined;
     };
     const client = fixture.exchange("POST", "/unsafe/x", { "deadline-ms": "900" });
@@ -34,7 +34,7 @@
 
   test("one is served if the queue on the link is short", () => {
     const fixture = ProxyFixture.create(2, { linkMbps });
-    fixture.pacers.egress.note(30 * bytesPerMs);
+    fixture.pacers.egress.recordBytes(30 * bytesPerMs);
     expect(fixture.exchange("GET", "/safe/x", { "deadline-ms": "900" }).code).toBe(200);
   });
 });
