--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -11,7 +11,7 @@
 } from "../retry-budget/request-counts.js";
 import { EcmSketch } from "../sketch/ecm-sketch.js";
 import { stampOf } from "../sketch/exponential-histogram.js";
-import { measureBudget } from "./retry-budget-benchmark.js";
+import { measureRetryBudget } from "./retry-budget-benchmark.js";
 import { RandomDraw } from "../simulation/random-draw.js";
 import { type Profile, shippedProfiles } from "../simulation/profile.js";
 import { Simulation } from "../simulation/simulation.js";
@@ -225,17 +225,17 @@
   for (const where of ["even", "one"] as const) {
     for (const losesPart of [0.05, 0.3, 1]) {
       const all = Array.from({ length: seeds }, (_, at) =>
-        measureBudget(profile, at + 1, rate, where, losesPart, 20_000),
+        measureRetryBudget(profile, at + 1, rate, where, losesPart, 20_000),
       );
       const sum = (of: (one: (typeof all)[number]) => number): number =>
         all.reduce((total, one) => total + of(one), 0);
       const [sketch, guard] = [sum((one) => one.sketch), sum((one) => one.guard)];
       say(
-        `${profile.name} at ${rate} of its rate, ${where === "even" ? "all edges" : "one edge"} losing ${losesPart * 100}% of answers: ${sum((one) => one.granted)} further tries granted, ${sketch} refused by the sketch and ${guard} by the guard; ${sum((one) => one.needless.sketch)} and ${sum((one) => one.needless.guard)} of them though there was room; the sketch's error ${spread(all.flatMap((one) => one.errors))}; own part ${spread(
-          all.flatMap((one) => one.agesMs),
+        `${profile.name} at ${rate} of its rate, ${where === "even" ? "all edges" : "one edge"} losing ${losesPart * 100}% of answers: ${sum((one) => one.grantedRetries)} further tries granted, ${sketch} refused by the sketch and ${guard} by the guard; ${sum((one) => one.needlessRefusals.sketch)} and ${sum((one) => one.needlessRefusals.guard)} of them though there was room; the sketch's error ${spread(all.flatMap((one) => one.relativeErrors))}; own part ${spread(
+          all.flatMap((one) => one.sketchAgesMs),
           0,
         )} ms old; edges covered ${spread(
-          all.flatMap((one) => one.coverage),
+          all.flatMap((one) => one.coveredEdges),
           0,
         )}`,
       );
--- a/src/fleet/fleet-client.ts
+++ b/src/fleet/fleet-client.ts
@@ -40,7 +40,7 @@
   private readonly pools = new Map<string, Pool>();
 
   /** Sends one request; a client that has no response by its timeout hangs up. */
-  *call(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
+  *send(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
     const outcome = yield* fromPromise(
       this.pool(address)
         .request({
--- a/src/fleet/fleet-layout.ts
+++ b/src/fleet/fleet-layout.ts
@@ -78,7 +78,7 @@
 };
 
 /** Lays a fleet out in a new folder. */
-export const layOutFleet = async (profile: Profile): Promise<FleetLayout> => {
+export const createFleetLayout = async (profile: Profile): Promise<FleetLayout> => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-fleet-"));
   const count = profile.diskMachines + profile.smallMachines;
   const backendCount = Object.values(profile.backEnds).reduce((sum, many) => sum + many, 0);
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -7,7 +7,7 @@
 import type { Task } from "../../src/runtime/task.js";
 import { patchConfig, routeTo, type ConfigChangeBytes } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
-import { LimitedStage } from "./limited-stage.js";
+import { LimitedCluster } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
 const word = (kind: string, count: number): string[] =>
@@ -30,8 +30,8 @@
 const claimMs = 180;
 const claimEveryMs = 20;
 
-const begun = (): LimitedStage => {
-  const stage = new LimitedStage([...word("d", 6), ...word("e", 30)], [0, 1, 2], {
+const begun = (): LimitedCluster => {
+  const stage = new LimitedCluster([...word("d", 6), ...word("e", 30)], [0, 1, 2], {
     tolerate: { machines: 2, zones: 0 },
   });
   stage.bootAll();
@@ -40,7 +40,7 @@
 };
 
 /** A daemon's way to the leader, on a machine of its own that is never short of anything. */
-const forwarderOf = (stage: LimitedStage): CommandForwarder => {
+const forwarderOf = (stage: LimitedCluster): CommandForwarder => {
   const runtime = virtualRuntime({
     clock: stage.time.clock(),
     network: stage.network.wire("caller", new EventGate()),
@@ -51,7 +51,7 @@
 };
 
 /** Claims one key after another, for as long as the stage runs; how long each claim took. */
-const claiming = (stage: LimitedStage): number[] => {
+const claiming = (stage: LimitedCluster): number[] => {
   const tookMs: number[] = [];
   const clock = stage.time.clock();
   const forwarder = forwarderOf(stage);
@@ -74,7 +74,7 @@
 
 test("on links and processors of the grown size, a configuration of 2,500 routes and a storm of changes hold up neither each other nor keyed writes, and cost no leader its lead", () => {
   const stage = begun();
-  const leaders = stage.changesOfLeader;
+  const leaders = stage.electionCount;
   expect(stage.submitUntilFinal(largeOrder(2500), 6)).toBe(200);
   stage.wait(2000);
   const edges = stage.machines.filter(({ disk }) => !disk);
@@ -89,7 +89,7 @@
       daemon?.servingState.isGranted !== true || daemon.servingState.configSequence < version + 1;
     stage.until(() => !edges.some(isBehind), applyMs);
   }
-  expect(stage.changesOfLeader).toBe(leaders);
+  expect(stage.electionCount).toBe(leaders);
   expect(claimsTookMs.length).toBeGreaterThan(20);
   expect(Math.max(...claimsTookMs)).toBeLessThan(claimMs);
 }, 120_000);
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -10,7 +10,7 @@
 import type { Task } from "../../src/runtime/task.js";
 import type { ConfigChangeBytes } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
-import { LimitedStage } from "./limited-stage.js";
+import { LimitedCluster } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
 const machinesOf = (kind: string, count: number): string[] =>
@@ -77,13 +77,13 @@
   close: () => undefined,
 });
 
-interface Written {
+interface KeyedWrite {
   code: number | undefined;
-  tookMs: number;
+  durationMs: number;
 }
 
-class KeyedStage extends LimitedStage {
-  readonly written: Written[] = [];
+class KeyedWriteCluster extends LimitedCluster {
+  readonly writes: KeyedWrite[] = [];
   private readonly leaving = new Set<number>();
 
   constructor() {
@@ -93,7 +93,7 @@
   }
 
   protected override daemonOptions(): DaemonOptions {
-    return { backendClient: answering(this.time.clock()), headerNames: LimitedStage.headerNames };
+    return { backendClient: answering(this.time.clock()), headerNames: LimitedCluster.headerNames };
   }
 
   get edges(): StageMachine[] {
@@ -101,14 +101,14 @@
   }
 
   /** Sends keyed writes at a rate, each with a key of its own, to all edges in turn. */
-  write(perSecond: number, forMs: number): void {
+  startWrites(perSecond: number, forMs: number): void {
     const { time, edges } = this;
     const startMs = time.nowMs();
     const count = (perSecond * forMs) / 1000;
-    const writing = function* (stage: KeyedStage): Task {
-      while (stage.written.length < count) {
+    const writing = function* (stage: KeyedWriteCluster): Task {
+      while (stage.writes.length < count) {
         const dueCount = Math.min(count, ((time.nowMs() - startMs) * perSecond) / 1000);
-        for (let at = stage.written.length; at < dueCount; at += 1)
+        for (let at = stage.writes.length; at < dueCount; at += 1)
           stage.send(edges[at % edges.length], `key-${at}`);
         yield* sleep(time.clock(), 1);
       }
@@ -118,13 +118,13 @@
 
   private send(edge: StageMachine | undefined, key: string): void {
     const sentMs = this.time.nowMs();
-    const written: Written = { code: undefined, tookMs: Infinity };
-    this.written.push(written);
+    const writes: KeyedWrite = { code: undefined, durationMs: Infinity };
+    this.writes.push(writes);
     const client: ClientConnection = {
       isClosed: false,
       respond: ({ code }) => {
-        written.code = code;
-        written.tookMs = this.time.nowMs() - sentMs;
+        writes.code = code;
+        writes.durationMs = this.time.nowMs() - sentMs;
       },
       writeHead: () => undefined,
       *writeChunk() {
@@ -144,9 +144,9 @@
   }
 
   /** Has backends announce themselves through one edge after another, until they leave. */
-  announce(ids: readonly number[]): void {
+  startHeartbeats(ids: readonly number[]): void {
     const clock = this.time.clock();
-    const announcing = function* (stage: KeyedStage, id: number): Task {
+    const announcing = function* (stage: KeyedWriteCluster, id: number): Task {
       for (let calls = 1; !stage.leaving.has(id); calls += 1) {
         const edge = stage.edges[(id + calls) % stage.edges.length];
         if (edge) stage.heartbeat(edge, { id: `${id}`, calls, service: "ledger" });
@@ -157,10 +157,10 @@
   }
 
   /** Has backends leave, each calling one daemon after another until it is acknowledged; how long each took. */
-  leave(ids: readonly number[]): number[] {
+  deregister(ids: readonly number[]): number[] {
     const tookMs = ids.map(() => Infinity);
     const clock = this.time.clock();
-    const leaving = function* (stage: KeyedStage, id: number, place: number): Task {
+    const leaving = function* (stage: KeyedWriteCluster, id: number, place: number): Task {
       const startedMs = clock.nowMs();
       stage.leaving.add(id);
       for (let calls = 1000; ; calls += 1) {
@@ -187,27 +187,27 @@
   }
 }
 
-const begun = (): KeyedStage => {
-  const stage = new KeyedStage();
+const begun = (): KeyedWriteCluster => {
+  const stage = new KeyedWriteCluster();
   stage.bootAll();
   stage.wait(5000);
   expect(stage.submitUntilFinal(configuration, 6)).toBe(200);
-  stage.announce(Array.from({ length: backEndCount }, (_, id) => id));
+  stage.startHeartbeats(Array.from({ length: backEndCount }, (_, id) => id));
   stage.wait(3000);
   return stage;
 };
 
 test("under one and a half times the keyed writes of a grown deployment's peak the leader keeps its lead, writes are answered in time, and every backend that leaves is acknowledged", () => {
   const stage = begun();
-  const leaders = stage.changesOfLeader;
-  stage.write(writesPerSecond, 6000);
+  const leaders = stage.electionCount;
+  stage.startWrites(writesPerSecond, 6000);
   stage.wait(3000);
   const ids = Array.from({ length: backEndCount / 2 }, (_, id) => id);
-  const tookMs = stage.leave(ids);
+  const tookMs = stage.deregister(ids);
   stage.wait(deadlineMs);
-  expect(stage.written.length).toBe(writesPerSecond * 6);
-  expect(stage.changesOfLeader).toBe(leaders);
+  expect(stage.writes.length).toBe(writesPerSecond * 6);
+  expect(stage.electionCount).toBe(leaders);
   expect(Math.max(...tookMs)).toBeLessThan(ackMs);
-  const inTime = stage.written.filter((one) => one.code === 200 && one.tookMs < aimMs);
-  expect(inTime.length).toBeGreaterThan(stage.written.length * 0.9);
+  const inTime = stage.writes.filter((one) => one.code === 200 && one.durationMs < aimMs);
+  expect(inTime.length).toBeGreaterThan(stage.writes.length * 0.9);
 }, 120_000);
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -3,10 +3,10 @@
 import type { MachineLife, StageMachine } from "../replication/fleet-stage.js";
 import {
   LimitedGate,
-  limitedWire,
+  limitNetwork,
   LinkQueue,
   Processor,
-  usualCharges,
+  estimatedCpuCosts,
   type MachineLimits,
 } from "./machine-limits.js";
 
@@ -15,7 +15,7 @@
 const edgeLimits: MachineLimits = { cpuShare: 0.27, linkMbps: 3.5 };
 
 /** A staged fleet in which every machine has a share of a core and a link of its own rate. */
-export class LimitedStage extends ControlFixture {
+export class LimitedCluster extends ControlFixture {
   private readonly processors = new Map<StageMachine, Processor>();
 
   constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
@@ -34,7 +34,7 @@
   }
 
   /** How often another machine has come to lead. */
-  get changesOfLeader(): number {
+  get electionCount(): number {
     return this.lines.filter((line) => line.includes("leader elected")).length;
   }
 
@@ -43,14 +43,14 @@
     const { cpuShare, linkMbps } = this.limitsOf(machine);
     const processor = new Processor(time, cpuShare);
     this.processors.set(machine, processor);
-    const gate = new LimitedGate(time, processor, usualCharges);
+    const gate = new LimitedGate(time, processor, estimatedCpuCosts);
     const clock = gate.clock(time);
-    const network = limitedWire(this.network.wire(machine.settings.machine, gate), {
+    const network = limitNetwork(this.network.wire(machine.settings.machine, gate), {
       clock,
       processor,
       egress: new LinkQueue(clock, linkMbps),
       ingress: new LinkQueue(clock, linkMbps),
-      charges: usualCharges,
+      costs: estimatedCpuCosts,
     });
     return { gate, clock, network };
   }
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -8,7 +8,7 @@
 import type { Task } from "../../src/runtime/task.js";
 import { patchConfig, putConfig } from "../platform/command-stage.js";
 import type { StageMachine } from "../replication/fleet-stage.js";
-import { LimitedStage } from "./limited-stage.js";
+import { LimitedCluster } from "./limited-stage.js";
 
 const machines = [
   ...["d:a", "d:b", "d:c", "d:a", "d:b"],
@@ -18,8 +18,8 @@
 /** A change is in force at all that serve within this time. */
 const applyMs = 2000;
 
-const begun = (): LimitedStage => {
-  const stage = new LimitedStage(machines, [0, 1, 2], { tolerate: { machines: 2, zones: 0 } });
+const begun = (): LimitedCluster => {
+  const stage = new LimitedCluster(machines, [0, 1, 2], { tolerate: { machines: 2, zones: 0 } });
   stage.bootAll();
   stage.wait(5000);
   expect(stage.submitUntilFinal(putConfig(0, 3, "first"), 6)).toBe(200);
@@ -28,7 +28,7 @@
 };
 
 /** Keeps the processors of some machines busy, so that what comes waits for a fifth of a second and more. */
-const burden = (stage: LimitedStage, busy: readonly StageMachine[], forMs: number): void => {
+const burden = (stage: LimitedCluster, busy: readonly StageMachine[], forMs: number): void => {
   const untilMs = stage.time.nowMs() + forMs;
   const clock = stage.time.clock();
   stage.start(
@@ -42,7 +42,7 @@
 };
 
 /** An edge's link to the members: it asks one after another, as one does whose leader answers late. */
-const askingAll = (stage: LimitedStage): RpcEndpoint => {
+const askingAll = (stage: LimitedCluster): RpcEndpoint => {
   const runtime = virtualRuntime({
     clock: stage.time.clock(),
     network: stage.network.wire("asking", new EventGate()),
