--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -1,3 +1,4 @@
+/** The program that measures elections, config roll-outs, the replicated log, the retry budget, sketches and snapshots in the simulator. */
 import { cac } from "cac";
 import { StateMachine } from "../state/state-machine.js";
 import { type LogCommand, encodeLogCommand } from "../state/log-command.js";
@@ -11,231 +12,246 @@
 } from "../retry-budget/request-counts.js";
 import { EcmSketch } from "../sketch/ecm-sketch.js";
 import { stampOf } from "../sketch/exponential-histogram.js";
-import { measureRetryBudget } from "./retry-budget-benchmark.js";
+import { measureRetryBudget, type RetryDecisions } from "./retry-budget-benchmark.js";
 import { RandomDraw } from "../simulation/random-draw.js";
 import { type Profile, shippedProfiles } from "../simulation/profile.js";
 import { Simulation } from "../simulation/simulation.js";
 import type { SimulatedMachine } from "../simulation/simulated-machine.js";
 
-const say = (line: string): void => {
+const printLine = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-const spread = (values: number[], digits = 2): string => {
+const formatDistribution = (values: number[], digits = 2): string => {
   const sorted = [...values].sort((a, b) => a - b);
-  const at = (part: number): string =>
-    (sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? 0).toFixed(digits);
-  return `least ${at(0)}, half ${at(0.5)}, nine of ten ${at(0.9)}, most ${at(1)} (${sorted.length} readings)`;
+  const quantile = (fraction: number): string =>
+    (sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0).toFixed(
+      digits,
+    );
+  return `min ${quantile(0)}, median ${quantile(0.5)}, 90th percentile ${quantile(0.9)}, max ${quantile(1)} (${sorted.length} samples)`;
 };
 
+/** Resolution of the measured delays. */
 const stepMs = 2;
+/** Duration of a lease that an edge holds. */
+const edgeLeaseMs = 1600;
 
-const until = (simulation: Simulation, holds: () => boolean, limitMs: number): number => {
+/** Advances virtual time until a condition holds or the limit is reached; returns the elapsed time in ms. */
+const runUntil = (simulation: Simulation, condition: () => boolean, limitMs: number): number => {
   const startMs = simulation.virtualClock.nowMs();
-  while (!holds() && simulation.virtualClock.nowMs() < startMs + limitMs)
+  while (!condition() && simulation.virtualClock.nowMs() < startMs + limitMs)
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + stepMs);
   return simulation.virtualClock.nowMs() - startMs;
 };
 
-const leading = (simulation: Simulation): SimulatedMachine | undefined =>
+const findLeader = (simulation: Simulation): SimulatedMachine | undefined =>
   simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease);
-const edgesOf = (simulation: Simulation): SimulatedMachine[] =>
+const findRunningEdges = (simulation: Simulation): SimulatedMachine[] =>
   simulation.machines.filter(
     ({ settings, daemon }) => settings.callers !== undefined && daemon !== undefined,
   );
 
-const fleetUp = (profile: Profile, seed: number, rate: number): Simulation => {
+/** Starts a simulated cluster and waits until it has a leader and all edges hold a lease, for at most 20 s. */
+const startSimulation = (profile: Profile, seed: number, rate: number): Simulation => {
   const simulation = new Simulation(profile, seed, rate);
   simulation.begin();
-  until(
+  runUntil(
     simulation,
     () =>
-      leading(simulation) !== undefined &&
-      edgesOf(simulation).every(({ daemon }) => daemon?.servingState.isGranted),
+      findLeader(simulation) !== undefined &&
+      findRunningEdges(simulation).every(({ daemon }) => daemon?.servingState.isGranted),
     20_000,
   );
   return simulation;
 };
 
+/** Kills leaders, and measures the time to the next leader, the expired leases and the catch-up of the restarted member. */
 const measureElections = (profile: Profile, seeds: number): void => {
-  const elected: number[] = [];
-  const shortest: number[] = [];
-  let stopped = 0;
+  const electionDelays: number[] = [];
+  const catchUpDelays: number[] = [];
+  let electionsWithExpiry = 0;
   for (let seed = 1; seed <= seeds; seed += 1) {
-    const simulation = fleetUp(profile, seed, 0.05);
+    const simulation = startSimulation(profile, seed, 0.05);
     simulation.virtualClock.runUntil(
       simulation.virtualClock.nowMs() + 1000 + simulation.random() * 500,
     );
-    const old = leading(simulation);
-    if (!old) continue;
-    simulation.kill(old, true);
-    let lapsed = 0;
-    elected.push(
-      until(simulation, () => leading(simulation) !== undefined, 10_000) /
+    const formerLeader = findLeader(simulation);
+    if (!formerLeader) continue;
+    simulation.kill(formerLeader, true);
+    let expiredLeases = 0;
+    electionDelays.push(
+      runUntil(simulation, () => findLeader(simulation) !== undefined, 10_000) /
         defaultReplicationTimeouts.electionMinMs,
     );
-    until(
+    runUntil(
       simulation,
       () => {
-        lapsed = Math.max(
-          lapsed,
-          edgesOf(simulation).filter(({ daemon }) => !daemon?.servingState.isGranted).length,
+        expiredLeases = Math.max(
+          expiredLeases,
+          findRunningEdges(simulation).filter(({ daemon }) => !daemon?.servingState.isGranted)
+            .length,
         );
         return false;
       },
       1500,
     );
-    if (lapsed > 0) stopped += 1;
-    simulation.boot(old);
-    shortest.push(
-      until(
+    if (expiredLeases > 0) electionsWithExpiry += 1;
+    simulation.boot(formerLeader);
+    catchUpDelays.push(
+      runUntil(
         simulation,
         () =>
-          old.daemon?.replicationNode?.status.role === "follower" &&
-          (old.daemon?.replicationNode?.status.applied ?? -1) >=
-            (leading(simulation)?.daemon?.replicationNode?.status.committed ?? Infinity),
+          formerLeader.daemon?.replicationNode?.status.role === "follower" &&
+          (formerLeader.daemon?.replicationNode?.status.applied ?? -1) >=
+            (findLeader(simulation)?.daemon?.replicationNode?.status.committed ?? Infinity),
         10_000,
       ) / defaultReplicationTimeouts.electionMinMs,
     );
   }
-  say(
-    `${profile.name}: a leader's death to the next leader's first answer, in shortest election waits: ${spread(elected)}`,
+  printLine(
+    `${profile.name}: time from a leader's death until its successor holds the lease, in minimum election timeouts: ${formatDistribution(electionDelays)}`,
   );
-  say(
-    `${profile.name}: a restarted recorder has caught up, in shortest election waits: ${spread(shortest)}`,
+  printLine(
+    `${profile.name}: time until the restarted member has caught up, in minimum election timeouts: ${formatDistribution(catchUpDelays)}`,
   );
-  say(
-    `${profile.name}: leaders' deaths after which some edge lost its grant: ${stopped} of ${seeds}`,
+  printLine(
+    `${profile.name}: leader failures after which the lease of some edge expired: ${electionsWithExpiry} of ${seeds}`,
   );
 };
 
+/** Measures the time from the acceptance of a config until each edge serves requests by it. */
 const measureRollOut = (profile: Profile, seeds: number, extraRoutes: number): void => {
   const delays: number[] = [];
   for (let seed = 1; seed <= seeds; seed += 1) {
-    const simulation = fleetUp(profile, seed, 0.05);
+    const simulation = startSimulation(profile, seed, 0.05);
     simulation.workload.growRoutes(extraRoutes);
     for (let round = 0; round < 3; round += 1) {
-      const wanted = simulation.workload.sequence + 1;
+      const newSequence = simulation.workload.sequence + 1;
       simulation.start(simulation.workload.putConfig());
-      until(
+      runUntil(
         simulation,
-        () => simulation.recorder.of("accepted").some(({ sequence }) => sequence === wanted),
+        () => simulation.recorder.of("accepted").some(({ sequence }) => sequence === newSequence),
         10_000,
       );
       const startMs = simulation.virtualClock.nowMs();
-      const waiting = new Set(edgesOf(simulation));
-      until(
+      const pendingEdges = new Set(findRunningEdges(simulation));
+      runUntil(
         simulation,
         () => {
-          for (const edge of waiting) {
-            if ((edge.daemon?.servingState.configSequence ?? 0) < wanted) continue;
-            delays.push((simulation.virtualClock.nowMs() - startMs) / 1600);
-            waiting.delete(edge);
+          for (const edge of pendingEdges) {
+            if ((edge.daemon?.servingState.configSequence ?? 0) < newSequence) continue;
+            delays.push((simulation.virtualClock.nowMs() - startMs) / edgeLeaseMs);
+            pendingEdges.delete(edge);
           }
-          return waiting.size === 0;
+          return pendingEdges.size === 0;
         },
         5000,
       );
     }
   }
-  say(
-    `${profile.name}: an acceptance to an edge serving by it, in grants, with ${extraRoutes} more routes: ${spread(delays)}`,
+  printLine(
+    `${profile.name}: time from the acceptance of a config until an edge serves by it, in edge leases, with ${extraRoutes} more routes: ${formatDistribution(delays)}`,
   );
 };
 
-const measureRecord = (profile: Profile, rate: number): void => {
-  const simulation = fleetUp(profile, 1, rate);
+/** Measures keyed writes, log entries and entries per disk sync at a fraction of the profile's rate, over 10 s. */
+const measureReplicatedLog = (profile: Profile, rate: number): void => {
+  const simulation = startSimulation(profile, 1, rate);
   simulation.start(simulation.workload.putConfig());
   simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 3000);
-  const status = () => leading(simulation)?.daemon?.replicationNode?.status;
-  const [before, fromMs, keyed] = [
-    status(),
+  const readStatus = () => findLeader(simulation)?.daemon?.replicationNode?.status;
+  const [before, fromMs, earlierRequests] = [
+    readStatus(),
     simulation.virtualClock.nowMs(),
     simulation.recorder.callers.length,
   ];
   simulation.virtualClock.runUntil(fromMs + 10_000);
-  const after = status();
+  const after = readStatus();
   if (!before || !after) return;
   const writes = simulation.recorder.callers
-    .slice(keyed)
+    .slice(earlierRequests)
     .filter(({ key }) => key !== undefined).length;
   const entries = after.written - before.written;
-  say(
-    `${profile.name} at ${rate} of its rate: ${(writes / 10).toFixed(0)} keyed writes a second, ${(entries / 10).toFixed(0)} entries a second, ${(entries / (after.syncs - before.syncs)).toFixed(2)} entries in a sync`,
+  printLine(
+    `${profile.name} at ${rate} of its rate: ${(writes / 10).toFixed(0)} keyed writes/s, ${(entries / 10).toFixed(0)} log entries/s, ${(entries / (after.syncs - before.syncs)).toFixed(2)} entries per sync`,
   );
 };
 
+/** Measures the encoded size of an edge's counts, the cost of merging, and the error of sketches merged over two levels. */
 const measureSketches = (): void => {
   for (const epsilon of [0.05, 0.1, 0.2]) {
-    const form = {
+    const format = {
       ...defaultRequestCountsFormat,
       tries: { ...defaultRequestCountsFormat.attempts, epsilon },
       routes: { ...defaultRequestCountsFormat.routes, epsilon: epsilon * 2 },
     };
     const random = RandomDraw.of(3);
-    const leaves = Array.from({ length: 16 }, () => new RequestCounts(form));
-    const sketches = Array.from({ length: 16 }, () => new EcmSketch(form.tries));
-    const times: number[][] = [[], [], []];
+    const edgeCounts = Array.from({ length: 16 }, () => new RequestCounts(format));
+    const sketches = Array.from({ length: 16 }, () => new EcmSketch(format.tries));
+    const attemptTimesMs: number[][] = [[], [], []];
     for (let atMs = 0; atMs < 15_000; atMs += 1.8) {
-      const leaf = Math.floor(random() * 16);
+      const edge = Math.floor(random() * 16);
       const service = random() < 0.75 ? 0 : random() < 0.85 ? 1 : 2;
-      leaves[leaf]?.countAttempt(service, false, atMs);
-      leaves[leaf]?.countRoute(Math.floor(200 * random() ** 4), atMs);
-      sketches[leaf]?.add(service * 2, stampOf(atMs));
-      times[service]?.push(atMs);
+      edgeCounts[edge]?.countAttempt(service, false, atMs);
+      edgeCounts[edge]?.countRoute(Math.floor(200 * random() ** 4), atMs);
+      sketches[edge]?.add(service * 2, stampOf(atMs));
+      attemptTimesMs[service]?.push(atMs);
     }
-    const bytes = (leaves[0]?.encode(15_000).length ?? 0) / 1024;
-    const cost: number[] = [];
-    let single = 0;
+    const bytes = (edgeCounts[0]?.encode(15_000).length ?? 0) / 1024;
+    const relativeCosts: number[] = [];
+    let singleMs = 0;
     for (const fanIn of [1, 4, 16]) {
       const startMs = performance.now();
       for (let round = 0; round < 5; round += 1)
-        RequestCounts.merge(leaves.slice(0, fanIn), form, 15_000);
-      const tookMs = performance.now() - startMs;
-      if (fanIn === 1) single = tookMs;
-      cost.push(tookMs / single);
+        RequestCounts.merge(edgeCounts.slice(0, fanIn), format, 15_000);
+      const durationMs = performance.now() - startMs;
+      if (fanIn === 1) singleMs = durationMs;
+      relativeCosts.push(durationMs / singleMs);
     }
-    const root = EcmSketch.merge(
+    const mergedSketch = EcmSketch.merge(
       [
-        EcmSketch.merge(sketches.slice(0, 8), form.tries, stampOf(15_000)),
-        EcmSketch.merge(sketches.slice(8), form.tries, stampOf(15_000)),
+        EcmSketch.merge(sketches.slice(0, 8), format.tries, stampOf(15_000)),
+        EcmSketch.merge(sketches.slice(8), format.tries, stampOf(15_000)),
       ],
-      form.tries,
+      format.tries,
       stampOf(15_000),
     );
-    const total = times.flat().filter((atMs) => atMs > 15_000 - RETRY_WINDOW_MS).length;
-    const worst = Math.max(
-      ...times.map(
-        (one, service) =>
+    const totalAttempts = attemptTimesMs
+      .flat()
+      .filter((atMs) => atMs > 15_000 - RETRY_WINDOW_MS).length;
+    const maxError = Math.max(
+      ...attemptTimesMs.map(
+        (timesMs, service) =>
           Math.abs(
-            root.estimate(service * 2, stampOf(15_000), RETRY_WINDOW_MS) -
-              one.filter((atMs) => atMs > 15_000 - RETRY_WINDOW_MS).length,
-          ) / total,
+            mergedSketch.estimate(service * 2, stampOf(15_000), RETRY_WINDOW_MS) -
+              timesMs.filter((atMs) => atMs > 15_000 - RETRY_WINDOW_MS).length,
+          ) / totalAttempts,
       ),
     );
-    const cell = root.cellEpsilon;
-    const merged = 2 * cell * (1 + cell) + cell;
-    say(
-      `eps ${epsilon}: an edge's push has ${bytes.toFixed(1)} KiB; merging 1, 4, 16 costs ${cost.map((one) => one.toFixed(1)).join(", ")}; error over two levels ${(worst * 100).toFixed(2)}% of all arrivals, bound ${((merged + cell + merged * cell) * 100).toFixed(1)}%`,
+    const cellEpsilon = mergedSketch.cellEpsilon;
+    const mergedEpsilon = 2 * cellEpsilon * (1 + cellEpsilon) + cellEpsilon;
+    printLine(
+      `eps ${epsilon}: an edge's encoded counts have ${bytes.toFixed(1)} KiB; relative cost of merging 1, 4, 16 of them ${relativeCosts.map((cost) => cost.toFixed(1)).join(", ")}; error after two merge levels ${(maxError * 100).toFixed(2)}% of all attempts, bound ${((mergedEpsilon + cellEpsilon + mergedEpsilon * cellEpsilon) * 100).toFixed(1)}%`,
     );
   }
 };
 
-const measureDecisions = (profile: Profile, seeds: number, rate: number): void => {
-  for (const where of ["even", "one"] as const) {
-    for (const losesPart of [0.05, 0.3, 1]) {
-      const all = Array.from({ length: seeds }, (_, at) =>
-        measureRetryBudget(profile, at + 1, rate, where, losesPart, 20_000),
+/** Measures the decisions on retries while all edges, or one edge alone, receive no response to some requests. */
+const measureRetryBudgets = (profile: Profile, seeds: number, rate: number): void => {
+  for (const scope of ["even", "one"] as const) {
+    for (const lostFraction of [0.05, 0.3, 1]) {
+      const runs = Array.from({ length: seeds }, (_, index) =>
+        measureRetryBudget(profile, index + 1, rate, scope, lostFraction, 20_000),
       );
-      const sum = (of: (one: (typeof all)[number]) => number): number =>
-        all.reduce((total, one) => total + of(one), 0);
-      const [sketch, guard] = [sum((one) => one.sketch), sum((one) => one.guard)];
-      say(
-        `${profile.name} at ${rate} of its rate, ${where === "even" ? "all edges" : "one edge"} losing ${losesPart * 100}% of answers: ${sum((one) => one.grantedRetries)} further tries granted, ${sketch} refused by the sketch and ${guard} by the guard; ${sum((one) => one.needlessRefusals.sketch)} and ${sum((one) => one.needlessRefusals.guard)} of them though there was room; the sketch's error ${spread(all.flatMap((one) => one.relativeErrors))}; own part ${spread(
-          all.flatMap((one) => one.sketchAgesMs),
+      const sumOver = (valueOf: (run: RetryDecisions) => number): number =>
+        runs.reduce((total, run) => total + valueOf(run), 0);
+      const [sketch, guard] = [sumOver((run) => run.sketch), sumOver((run) => run.guard)];
+      printLine(
+        `${profile.name} at ${rate} of its rate, ${scope === "even" ? "all edges" : "one edge"} losing ${lostFraction * 100}% of responses: ${sumOver((run) => run.grantedRetries)} retries granted, ${sketch} refused by the sketch and ${guard} by the guard, of which ${sumOver((run) => run.needlessRefusals.sketch)} and ${sumOver((run) => run.needlessRefusals.guard)} needlessly; relative error of the sketch ${formatDistribution(runs.flatMap((run) => run.relativeErrors))}; age of the sketch ${formatDistribution(
+          runs.flatMap((run) => run.sketchAgesMs),
           0,
-        )} ms old; edges covered ${spread(
-          all.flatMap((one) => one.coveredEdges),
+        )} ms; edges covered ${formatDistribution(
+          runs.flatMap((run) => run.coveredEdges),
           0,
         )}`,
       );
@@ -243,13 +259,13 @@
   }
 };
 
-/** A book at its fullest: keys with their returns, routes, back ends. */
-const fullBook = (keys: number, bodyBytes: number): StateMachine => {
+/** Creates a state machine at its maximum size: idempotency claims with stored outcomes, 5,000 routes and 400 backends. */
+const createFullState = (keys: number, bodyBytes: number): StateMachine => {
   const stateMachine = new StateMachine();
   let index = 0;
   const apply = (command: LogCommand): void =>
     void stateMachine.apply((index += 1), encodeLogCommand(command));
-  const names = Array.from({ length: 5000 }, (_, at) => `route-${at}`);
+  const names = Array.from({ length: 5000 }, (_, number) => `route-${number}`);
   const routes = Object.fromEntries(
     names.map((name) => [name, { match: { path: `/${name}/*` }, service: "issues" }]),
   );
@@ -284,9 +300,10 @@
   return stateMachine;
 };
 
-const measureBounds = (): void => {
+/** Measures how long the snapshot of a state of maximum size takes to write and to restore. */
+const measureSnapshots = (): void => {
   const members = { voters: ["a"], learners: [] };
-  const inGrants = (run: () => unknown): number => {
+  const durationInLeases = (run: () => unknown): number => {
     const startMs = performance.now();
     run();
     return (performance.now() - startMs) / defaultReplicationTimeouts.leaderLeaseMs;
@@ -296,16 +313,18 @@
     [14_400, 21_844],
     [MAX_IDEMPOTENCY_CLAIMS, 120],
   ] as const) {
-    const stateMachine = fullBook(keys, bodyBytes);
+    const stateMachine = createFullState(keys, bodyBytes);
     let text = "";
-    const made = Array.from({ length: 5 }, () =>
-      inGrants(() => withChecksum(Buffer.from((text = stateMachine.snapshot(members)), "utf8"))),
+    const snapshotDurations = Array.from({ length: 5 }, () =>
+      durationInLeases(() =>
+        withChecksum(Buffer.from((text = stateMachine.snapshot(members)), "utf8")),
+      ),
     );
-    const restored = Array.from({ length: 5 }, () =>
-      inGrants(() => new StateMachine().restore(text)),
+    const restoreDurations = Array.from({ length: 5 }, () =>
+      durationInLeases(() => new StateMachine().restore(text)),
     );
-    say(
-      `${keys} keys, returns of ${bodyBytes} bytes, 5,000 routes, 400 back ends: a checkpoint of ${(text.length / 2 ** 20).toFixed(1)} MiB, made in ${spread(made)} and restored in ${spread(restored)} of a leader's grant`,
+    printLine(
+      `${keys} keys, responses of ${bodyBytes} bytes, 5,000 routes, 400 backends: a snapshot of ${(text.length / 2 ** 20).toFixed(1)} MiB, in leader leases: written in ${formatDistribution(snapshotDurations)}, restored in ${formatDistribution(restoreDurations)}`,
     );
   }
 };
@@ -314,21 +333,21 @@
 program
   .command(
     "",
-    "Measure elections, roll-outs, the record and the sketches; ratios and counts, no absolute times",
+    "Measure elections, roll-outs, the replicated log, retries, sketches and snapshots, as ratios and counts without absolute times",
   )
-  .option("--seeds <count>", "How many fleets each figure is drawn from", { default: 20 })
+  .option("--seeds <count>", "Number of simulated clusters per figure", { default: 20 })
   .option("--only <part>", "elections, rollout, record, sketches, bounds or budget")
   .action(async ({ seeds, only }: { seeds: number; only?: string }) => {
-    const wants = (part: string): boolean => only === undefined || only === part;
+    const isSelected = (part: string): boolean => only === undefined || only === part;
     for (const profile of Object.values(shippedProfiles)) {
-      if (wants("elections")) measureElections(profile, seeds);
-      if (wants("rollout"))
+      if (isSelected("elections")) measureElections(profile, seeds);
+      if (isSelected("rollout"))
         for (const routes of [0, 2000]) measureRollOut(profile, Math.ceil(seeds / 4), routes);
-      if (wants("record")) for (const rate of [0.25, 1]) measureRecord(profile, rate);
-      if (wants("budget")) measureDecisions(profile, Math.ceil(seeds / 10), 1);
+      if (isSelected("record")) for (const rate of [0.25, 1]) measureReplicatedLog(profile, rate);
+      if (isSelected("budget")) measureRetryBudgets(profile, Math.ceil(seeds / 10), 1);
     }
-    if (wants("sketches")) measureSketches();
-    if (wants("bounds")) measureBounds();
+    if (isSelected("sketches")) measureSketches();
+    if (isSelected("bounds")) measureSnapshots();
   });
 program.help();
 program.parse();
--- a/src/benchmarks/retry-budget-benchmark.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -1,36 +1,46 @@
+/** Measures how the retry budget decides in a simulated cluster, against a count of all attempts. */
 import { defaultSketchRule } from "../retry-budget/retry-budget.js";
 import { RETRY_WINDOW_MS } from "../retry-budget/request-counts.js";
 import type { Profile } from "../simulation/profile.js";
 import { Simulation } from "../simulation/simulation.js";
 import type { SimulatedMachine } from "../simulation/simulated-machine.js";
 
-/** Where back ends break down: for all edges alike, or for one edge alone. */
+/** Which edges get no response from failing backends: all edges alike ("even") or one edge alone ("one"). */
 export type FaultScope = "even" | "one";
 
-/** How a measured stretch of breakdowns was decided. */
+/** The decisions on retries during a measured failure of backends. */
 export interface RetryDecisions {
   grantedRetries: number;
+  /** Retries refused by the cluster-wide sketch. */
   sketch: number;
+  /** Retries refused by the local guard. */
   guard: number;
-  /** Refused though true counts had room under the sketch's rule. */
+  /** Refusals although the true counts allowed a retry under the sketch's rule. */
   needlessRefusals: { sketch: number; guard: number };
-  /** How far the sketch's counts were from what was sent, relative, at worst and on the average, and how old they were. */
+  /** Relative differences between the sketch's counts and the attempts that were sent, one per sample. */
   relativeErrors: number[];
+  /** Ages of the sketch's counts, one per sample. */
   sketchAgesMs: number[];
+  /** Numbers of edges that the sketch's counts covered, one per sample. */
   coveredEdges: number[];
   worst: number;
 }
 
+/** Interval at which refusals and attempts are read. */
 const stepMs = 10;
 
-/** Runs a fleet at some part of its rate while back ends lose a part of their answers, and tells who decided on further tries. */
+/**
+ * Runs a simulated cluster while the backends of its first service drop a fraction of their responses.
+ *
+ * `rate` is the fraction of the profile's requests that is sent. Returns how the sketch and the guard decided on retries.
+ */
 export const measureRetryBudget = (
   profile: Profile,
   seed: number,
   rate: number,
-  where: FaultScope,
-  losesPart: number,
-  forMs: number,
+  scope: FaultScope,
+  lostFraction: number,
+  durationMs: number,
 ): RetryDecisions => {
   const simulation = new Simulation(profile, seed, rate);
   simulation.begin();
@@ -39,15 +49,15 @@
   const edges = simulation.machines.filter(
     (machine): machine is SimulatedMachine => machine.settings.callers !== undefined,
   );
-  const [only] = edges;
+  const [firstEdge] = edges;
   const [service = ""] = Object.keys(profile.backEnds);
   for (const testBackend of simulation.testBackends)
     if (testBackend.service === service)
       testBackend.behave({
-        losesPart,
-        ...(where === "one" && only ? { onlyFrom: only.daemon?.name ?? "" } : {}),
+        losesPart: lostFraction,
+        ...(scope === "one" && firstEdge ? { onlyFrom: firstEdge.daemon?.name ?? "" } : {}),
       });
-  const decided: RetryDecisions = {
+  const decisions: RetryDecisions = {
     grantedRetries: 0,
     sketch: 0,
     guard: 0,
@@ -57,86 +67,89 @@
     coveredEdges: [],
     worst: 0,
   };
-  const seen = new Map<SimulatedMachine, { sketch: number; guard: number }>();
-  const tallyOf = (edge: SimulatedMachine): { sketch: number; guard: number } =>
+  const refusedBefore = new Map<SimulatedMachine, { sketch: number; guard: number }>();
+  const readRefusedRetries = (edge: SimulatedMachine): { sketch: number; guard: number } =>
     edge.daemon?.proxy.counters.furtherRefused ?? { sketch: 0, guard: 0 };
-  const tried = new Set<string>();
-  const further: number[] = [];
-  let readRuns = 0;
-  for (const edge of edges) seen.set(edge, { ...tallyOf(edge) });
+  const attemptedRequests = new Set<string>();
+  const retryTimesMs: number[] = [];
+  let readRunCount = 0;
+  for (const edge of edges) refusedBefore.set(edge, { ...readRefusedRetries(edge) });
   const grantedBefore = edges.reduce(
     (sum, { daemon }) => sum + (daemon?.proxy.counters.furtherTries ?? 0),
     0,
   );
-  const untilMs = simulation.virtualClock.nowMs() + forMs;
+  const untilMs = simulation.virtualClock.nowMs() + durationMs;
   while (simulation.virtualClock.nowMs() < untilMs) {
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + stepMs);
     const nowMs = simulation.virtualClock.nowMs();
-    for (; readRuns < simulation.recorder.runs.length; readRuns += 1) {
-      const run = simulation.recorder.runs[readRuns];
+    for (; readRunCount < simulation.recorder.runs.length; readRunCount += 1) {
+      const run = simulation.recorder.runs[readRunCount];
       if (!run || run.meant !== service) continue;
-      if (tried.has(run.caller)) further.push(run.atMs);
-      tried.add(run.caller);
+      if (attemptedRequests.has(run.caller)) retryTimesMs.push(run.atMs);
+      attemptedRequests.add(run.caller);
     }
-    let hasRoom: boolean | undefined;
+    let isAllowed: boolean | undefined;
     for (const edge of edges) {
-      const before = seen.get(edge) ?? { sketch: 0, guard: 0 };
-      const now = tallyOf(edge);
-      for (const who of ["sketch", "guard"] as const) {
-        const refused = now[who] - before[who];
+      const before = refusedBefore.get(edge) ?? { sketch: 0, guard: 0 };
+      const now = readRefusedRetries(edge);
+      for (const limiter of ["sketch", "guard"] as const) {
+        const refused = now[limiter] - before[limiter];
         if (refused === 0) continue;
-        hasRoom ??= room(simulation, service, further, nowMs);
-        decided[who] += refused;
-        if (hasRoom) decided.needlessRefusals[who] += refused;
+        isAllowed ??= allowsRetry(simulation, service, retryTimesMs, nowMs);
+        decisions[limiter] += refused;
+        if (isAllowed) decisions.needlessRefusals[limiter] += refused;
       }
-      seen.set(edge, { ...now });
+      refusedBefore.set(edge, { ...now });
     }
-    if (nowMs % 500 < stepMs) sample(simulation, edges, service, decided, nowMs);
+    if (nowMs % 500 < stepMs) sampleCounts(simulation, edges, service, decisions, nowMs);
   }
-  decided.grantedRetries =
+  decisions.grantedRetries =
     edges.reduce((sum, { daemon }) => sum + (daemon?.proxy.counters.furtherTries ?? 0), 0) -
     grantedBefore;
-  return decided;
+  return decisions;
 };
 
-/** Whether one more further try now would keep the sketch's rule, on true counts, in every stretch of the window. */
-const room = (
+/** Whether the true counts allow one more retry now under the sketch's rule, in every span of the window. */
+const allowsRetry = (
   simulation: Simulation,
   service: string,
-  further: readonly number[],
+  retryTimesMs: readonly number[],
   nowMs: number,
 ): boolean => {
-  const requests: number[] = [];
-  for (let at = simulation.recorder.callers.length - 1; at >= 0; at -= 1) {
-    const record = simulation.recorder.callers[at];
+  const requestTimesMs: number[] = [];
+  for (let index = simulation.recorder.callers.length - 1; index >= 0; index -= 1) {
+    const record = simulation.recorder.callers[index];
     if (!record || record.endedMs < nowMs - RETRY_WINDOW_MS) break;
     if (record.service === service && record.sentMs > nowMs - RETRY_WINDOW_MS)
-      requests.push(record.sentMs);
+      requestTimesMs.push(record.sentMs);
   }
-  const lately = further.filter((atMs) => atMs > nowMs - RETRY_WINDOW_MS);
-  return lately.every(
-    (fromMs, at) =>
-      lately.length - at + 1 <=
-      defaultSketchRule.earned * requests.filter((atMs) => atMs >= fromMs).length +
+  const recentRetryTimesMs = retryTimesMs.filter((atMs) => atMs > nowMs - RETRY_WINDOW_MS);
+  return recentRetryTimesMs.every(
+    (fromMs, index) =>
+      recentRetryTimesMs.length - index + 1 <=
+      defaultSketchRule.earned * requestTimesMs.filter((atMs) => atMs >= fromMs).length +
         defaultSketchRule.pool,
   );
 };
 
-const sample = (
+/** Compares each edge's counts of the cluster's attempts with the true count. */
+const sampleCounts = (
   simulation: Simulation,
   edges: readonly SimulatedMachine[],
   service: string,
-  decided: RetryDecisions,
+  decisions: RetryDecisions,
   nowMs: number,
 ): void => {
-  const truth = simulation.recorder.runs.filter(
+  const trueCount = simulation.recorder.runs.filter(
     (run) => run.meant === service && run.atMs > nowMs - RETRY_WINDOW_MS,
   ).length;
   for (const { daemon } of edges) {
-    const told = daemon?.fleetRetryCounts(service);
-    if (!told || truth === 0) continue;
-    decided.relativeErrors.push(Math.abs(told.firstAttempts + told.retries - truth) / truth);
-    decided.sketchAgesMs.push(told.ageMs);
-    decided.coveredEdges.push(told.edges);
+    const counts = daemon?.fleetRetryCounts(service);
+    if (!counts || trueCount === 0) continue;
+    decisions.relativeErrors.push(
+      Math.abs(counts.firstAttempts + counts.retries - trueCount) / trueCount,
+    );
+    decisions.sketchAgesMs.push(counts.ageMs);
+    decisions.coveredEdges.push(counts.edges);
   }
 };
--- a/src/fleet/fleet-client.ts
+++ b/src/fleet/fleet-client.ts
@@ -1,4 +1,4 @@
-/** The HTTP clients of a fleet of real processes: for requests to the proxy, and to the admin API. */
+/** HTTP clients for a fleet of real processes: one for requests to the proxy, one for the admin API. */
 import { Pool, request } from "undici";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
@@ -9,7 +9,7 @@
 const ADMIN_TIMEOUT_MS = 5000;
 const MAX_CONNECTIONS_PER_DAEMON = 200;
 
-/** What a client records where no response came. */
+/** What a client records when it received no response. */
 export const noResponse = (broke: ClientSide["broke"]): ClientSide => ({
   code: 0,
   broke,
@@ -18,36 +18,37 @@
   retryAfterS: undefined,
 });
 
-const failureOf = (error: unknown, timeoutMs: number): ClientSide["broke"] => {
+/** How a failed request looks to the client, from the error and the client's timeout. */
+const classifyFailure = (error: unknown, timeoutMs: number): ClientSide["broke"] => {
   if (!(error instanceof Error)) return "broken";
   if (error.name === "TimeoutError") return timeoutMs < CLIENT_TIMEOUT_MS ? "hungUp" : "silent";
   return "code" in error && error.code === "ECONNREFUSED" ? "refused" : "broken";
 };
 
-const firstOf = (value: string | string[] | undefined): string | undefined =>
+const firstValue = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
-const numberOf = (value: string | string[] | undefined): number | undefined => {
-  const text = firstOf(value);
+const parseNumber = (value: string | string[] | undefined): number | undefined => {
+  const text = firstValue(value);
   return text === undefined ? undefined : Number(text);
 };
 
-const bodyOf = (clientRequest: ProxyRequest): Uint8Array | null =>
+const getRequestBody = (clientRequest: ProxyRequest): Uint8Array | null =>
   clientRequest.body.length > 0 ? clientRequest.body : null;
 
-/** Sends requests to the proxies of daemons, with a connection pool for each. */
+/** Sends requests to the proxies of daemons, with one connection pool per address. */
 export class FleetClient {
   private readonly pools = new Map<string, Pool>();
 
-  /** Sends one request; a client that has no response by its timeout hangs up. */
+  /** Sends one request, and closes the connection if no response has arrived by the timeout. */
   *send(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
     const outcome = yield* fromPromise(
-      this.pool(address)
+      this.getPool(address)
         .request({
           method: clientRequest.method,
           path: clientRequest.target,
           headers: clientRequest.headers,
-          body: bodyOf(clientRequest),
+          body: getRequestBody(clientRequest),
           signal: AbortSignal.timeout(Math.ceil(timeoutMs)),
         })
         .then(async ({ statusCode, headers, body }) => ({
@@ -56,14 +57,14 @@
           body: Buffer.from(await body.arrayBuffer()),
         })),
     );
-    if ("error" in outcome) return noResponse(failureOf(outcome.error, timeoutMs));
+    if ("error" in outcome) return noResponse(classifyFailure(outcome.error, timeoutMs));
     const { statusCode, headers, body } = outcome.value;
     return {
       code: statusCode,
       broke: "",
       body,
-      statedBytes: numberOf(headers["content-length"]),
-      retryAfterS: numberOf(headers["retry-after"]),
+      statedBytes: parseNumber(headers["content-length"]),
+      retryAfterS: parseNumber(headers["retry-after"]),
     };
   }
 
@@ -72,9 +73,9 @@
     await Promise.all([...this.pools.values()].map((pool) => pool.destroy()));
   }
 
-  private pool(address: string): Pool {
-    const known = this.pools.get(address);
-    if (known) return known;
+  private getPool(address: string): Pool {
+    const existing = this.pools.get(address);
+    if (existing) return existing;
     const pool = new Pool(`http://${address}`, {
       pipelining: 1,
       connections: MAX_CONNECTIONS_PER_DAEMON,
@@ -84,19 +85,19 @@
   }
 }
 
-const adminMethodOf = ({ method }: ProxyRequest): "GET" | "PUT" | "PATCH" | "POST" =>
+const toAdminMethod = ({ method }: ProxyRequest): "GET" | "PUT" | "PATCH" | "POST" =>
   method === "PUT" || method === "PATCH" || method === "GET" ? method : "POST";
 
-/** Sends one request to the admin API at an address; undefined without a response. */
+/** Sends one request to the admin API at an address; returns undefined if no response arrives in time. */
 export const sendAdminRequest = function* (
   address: string,
   clientRequest: ProxyRequest,
 ): Task<ClientResponse | undefined> {
   const outcome = yield* fromPromise(
     request(`http://${address}${clientRequest.target}`, {
-      method: adminMethodOf(clientRequest),
+      method: toAdminMethod(clientRequest),
       headers: clientRequest.headers,
-      body: bodyOf(clientRequest),
+      body: getRequestBody(clientRequest),
       signal: AbortSignal.timeout(ADMIN_TIMEOUT_MS),
     }).then(async ({ statusCode, body }) => ({
       code: statusCode,
--- a/src/fleet/fleet-layout.ts
+++ b/src/fleet/fleet-layout.ts
@@ -1,4 +1,4 @@
-/** The layout of a fleet on this machine: free ports, settings files and data folders. */
+/** Prepares a fleet on this machine: free ports, settings files and data folders. */
 import type { ChildProcess } from "node:child_process";
 import { mkdir, mkdtemp, writeFile } from "node:fs/promises";
 import { createServer } from "node:net";
@@ -7,39 +7,46 @@
 import type { Settings } from "../daemon/settings.js";
 import type { Profile } from "../simulation/profile.js";
 
-/** Each daemon has a port for peers, for the admin API, and for clients. */
+/** Each daemon has one port for peers, one for the admin API and one for clients. */
 const PORTS_PER_MACHINE = 3;
 
-/** One machine of a fleet of real processes. */
+/** One machine of a fleet of real processes. Its daemon runs as a child process. */
 export interface FleetMachine {
   readonly settings: Settings;
   readonly settingsFile: string;
   process: ChildProcess | undefined;
   isReady: boolean;
-  /** The exit code of its last process; undefined while that runs. */
+  /** The exit code of the last process; undefined while it runs, null if a signal ended it. */
   exitCode: number | null | undefined;
 }
 
-/** The parts of a fleet before it starts. */
+/** The folder, machines and backend ports of a fleet that hasn't started. */
 export interface FleetLayout {
   readonly folder: string;
   readonly machines: FleetMachine[];
   readonly backendPorts: number[];
 }
 
-/** Ports that are free now. */
-const freePorts = async (count: number): Promise<number[]> => {
+/**
+ * Finds ports that are free now.
+ *
+ * All of them are open at the same time while they are chosen, so that no port is returned twice.
+ */
+const findFreePorts = async (count: number): Promise<number[]> => {
   const servers = await Promise.all(
     Array.from(
       { length: count },
       () =>
-        new Promise<{ port: number; close: () => Promise<void> }>((done, fail) => {
+        new Promise<{ port: number; close: () => Promise<void> }>((resolve, reject) => {
           const server = createServer();
-          server.once("error", fail);
+          server.once("error", reject);
           server.listen(0, "127.0.0.1", () => {
             const address = server.address();
             const port = address !== null && typeof address === "object" ? address.port : 0;
-            done({ port, close: () => new Promise((closed) => server.close(() => closed())) });
+            resolve({
+              port,
+              close: () => new Promise((resolveClose) => server.close(() => resolveClose())),
+            });
           });
         }),
     ),
@@ -48,11 +55,11 @@
   return servers.map(({ port }) => port);
 };
 
-const settingsFor = (
+const createSettings = (
   profile: Profile,
   folder: string,
   index: number,
-  address: (portIndex: number) => string,
+  addressAt: (portIndex: number) => string,
 ): Settings => {
   const hasDisk = index < profile.diskMachines;
   const name = `${hasDisk ? "disk" : "small"}-${index + 1}`;
@@ -60,10 +67,10 @@
   return {
     machine: name,
     zone: profile.zones[index % profile.zones.length] ?? "",
-    operators: address(firstPort + 1),
-    peers: address(firstPort),
-    seeds: [address(0), address(PORTS_PER_MACHINE), address(2 * PORTS_PER_MACHINE)],
-    ...(hasDisk ? { dataFolder: join(folder, name) } : { callers: address(firstPort + 2) }),
+    operators: addressAt(firstPort + 1),
+    peers: addressAt(firstPort),
+    seeds: [addressAt(0), addressAt(PORTS_PER_MACHINE), addressAt(2 * PORTS_PER_MACHINE)],
+    ...(hasDisk ? { dataFolder: join(folder, name) } : { callers: addressAt(firstPort + 2) }),
   };
 };
 
@@ -77,16 +84,16 @@
   return file;
 };
 
-/** Lays a fleet out in a new folder. */
+/** Reserves ports for a fleet and writes its settings files to a new folder. */
 export const createFleetLayout = async (profile: Profile): Promise<FleetLayout> => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-fleet-"));
-  const count = profile.diskMachines + profile.smallMachines;
-  const backendCount = Object.values(profile.backEnds).reduce((sum, many) => sum + many, 0);
-  const ports = await freePorts(count * PORTS_PER_MACHINE + backendCount);
-  const address = (portIndex: number): string => `127.0.0.1:${ports[portIndex] ?? 0}`;
+  const machineCount = profile.diskMachines + profile.smallMachines;
+  const backendCount = Object.values(profile.backEnds).reduce((sum, count) => sum + count, 0);
+  const ports = await findFreePorts(machineCount * PORTS_PER_MACHINE + backendCount);
+  const addressAt = (portIndex: number): string => `127.0.0.1:${ports[portIndex] ?? 0}`;
   const machines: FleetMachine[] = [];
-  for (let index = 0; index < count; index += 1) {
-    const settings = settingsFor(profile, folder, index, address);
+  for (let index = 0; index < machineCount; index += 1) {
+    const settings = createSettings(profile, folder, index, addressAt);
     const settingsFile = await writeSettings(folder, settings);
     machines.push({
       settings,
@@ -96,5 +103,5 @@
       exitCode: undefined,
     });
   }
-  return { folder, machines, backendPorts: ports.slice(count * PORTS_PER_MACHINE) };
+  return { folder, machines, backendPorts: ports.slice(machineCount * PORTS_PER_MACHINE) };
 };
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of real daemon processes, for tests of failures that the simulator can't show. */
+/** A fleet of real daemon processes, for failures that the simulator can't reproduce. */
 import { spawn } from "node:child_process";
 import { createWriteStream } from "node:fs";
 import { rm } from "node:fs/promises";
@@ -19,7 +19,7 @@
 import { createFleetLayout, type FleetMachine } from "./fleet-layout.js";
 import { openTestBackendServer } from "./test-backend-server.js";
 
-/** The compiled command line, also where this module runs uncompiled. */
+/** Path of the compiled command line program, also when this module itself runs uncompiled. */
 export const daemonProgram = fileURLToPath(
   new URL(
     import.meta.url.endsWith(".ts") ? "../../dist/cli/main.js" : "../cli/main.js",
@@ -27,7 +27,7 @@
   ),
 );
 const READINESS_CHECK_INTERVAL_MS = 200;
-/** How often an operator reads the configuration. */
+/** Interval between an operator's reads of the configuration. */
 const CONFIG_READ_INTERVAL_MS = 1000;
 const HEARTBEAT_INTERVAL_MS = 1000;
 const PROBES_PER_SECOND = 8;
@@ -44,9 +44,9 @@
   private readonly random: () => number;
   private readonly servers = new Map<string, Server>();
   private readonly client = new FleetClient();
-  /** Errors of the harness itself: with any of these, the results of a run are void. */
+  /** Errors of the harness itself. If there are any, the results of the run are invalid. */
   readonly harnessErrors: unknown[] = [];
-  private isOver = false;
+  private isShutDown = false;
 
   private constructor(
     profile: Profile,
@@ -61,19 +61,19 @@
     this.machines = machines;
     this.random = RandomDraw.of(seed);
     const bodyBytes = new Map(
-      profile.traffic.map((one) => [
-        `${one.method} /${one.path(0).split("/")[1] ?? ""}`,
-        one.bodyBytes,
+      profile.traffic.map((traffic) => [
+        `${traffic.method} /${traffic.path(0).split("/")[1] ?? ""}`,
+        traffic.bodyBytes,
       ]),
     );
     const ports = [...backendPorts];
-    this.testBackends = Object.entries(profile.backEnds).flatMap(([service, many]) =>
+    this.testBackends = Object.entries(profile.backEnds).flatMap(([service, count]) =>
       Array.from(
-        { length: many },
-        (_, at) =>
+        { length: count },
+        (_, index) =>
           new TestBackend(
             `127.0.0.1:${ports.shift() ?? 0}`,
-            profile.zones[at % profile.zones.length] ?? "",
+            profile.zones[index % profile.zones.length] ?? "",
             service,
             this.recorder,
             this.random,
@@ -81,10 +81,10 @@
           ),
       ),
     );
-    this.workload = new Workload(this.outside(), profile, this.recorder, rateFactor);
+    this.workload = new Workload(this.createTransport(), profile, this.recorder, rateFactor);
   }
 
-  /** Lays a fleet out: free ports, settings files and data folders. */
+  /** Creates a fleet with free ports and new settings files, without starting a process. */
   static async create(profile: Profile, seed: number, rateFactor: number): Promise<Fleet> {
     const { folder, machines, backendPorts } = await createFleetLayout(profile);
     return new Fleet(profile, seed, rateFactor, folder, machines, backendPorts);
@@ -94,18 +94,19 @@
   async startProcesses(): Promise<void> {
     await Promise.all(this.testBackends.map((testBackend) => this.openBackend(testBackend)));
     for (const machine of this.machines) this.boot(machine);
-    for (const machine of this.machines) this.start(this.watchReadiness(machine));
+    for (const machine of this.machines) this.start(this.pollReadiness(machine));
     for (const testBackend of this.testBackends)
       this.start(this.workload.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
   }
 
-  /** Starts the clients' requests. */
+  /** Starts the requests of clients, probes and operators. */
   startRequests(): void {
     for (const traffic of this.profile.traffic) this.start(this.workload.callers(traffic));
     this.start(this.workload.probers(PROBES_PER_SECOND));
     this.start(this.workload.operators.reading(CONFIG_READ_INTERVAL_MS));
   }
 
+  /** Starts a machine's daemon, whose error output is appended to a log file beside its settings file. */
   boot(machine: FleetMachine): void {
     const child = spawn(
       process.execPath,
@@ -122,18 +123,18 @@
     });
   }
 
-  /** Fills a daemon's disk by a limit on its files' sizes, or lifts that limit. */
+  /** Simulates a full disk by limiting the size of the daemon's files to 1 byte, or removes that limit. */
   *fillDisk(machine: FleetMachine, isFull: boolean): Task {
     const pid = machine.process?.pid;
     if (pid === undefined) return;
-    yield* waitFor<boolean>((done) =>
+    yield* waitFor<boolean>((resume) =>
       spawn("prlimit", [`--fsize=${isFull ? "1" : "unlimited"}:unlimited`, `--pid=${pid}`], {
         stdio: "ignore",
-      }).once("exit", () => done(true)),
+      }).once("exit", () => resume(true)),
     );
   }
 
-  /** Kills a daemon's process at once. */
+  /** Kills a daemon's process with SIGKILL and waits until it has ended. */
   *kill(machine: FleetMachine): Task {
     const child = machine.process;
     if (!child) return;
@@ -143,26 +144,26 @@
       daemon: machine.settings.machine,
     });
     machine.isReady = false;
-    yield* waitFor<boolean>((done) => {
-      child.once("exit", () => done(true));
+    yield* waitFor<boolean>((resume) => {
+      child.once("exit", () => resume(true));
       child.kill("SIGKILL");
     });
   }
 
-  /** Suspends a daemon's process for a while, as on a machine that swaps or migrates. */
-  *freeze(machine: FleetMachine, forMs: number): Task {
+  /** Suspends a daemon's process for some time, as happens on a machine that swaps or migrates. */
+  *freeze(machine: FleetMachine, durationMs: number): Task {
     machine.process?.kill("SIGSTOP");
-    yield* sleep(this.clock, forMs);
+    yield* sleep(this.clock, durationMs);
     machine.process?.kill("SIGCONT");
   }
 
-  /** Stops a daemon and waits until its process has ended. */
+  /** Stops a daemon with SIGTERM and waits until its process has ended. */
   *stop(machine: FleetMachine): Task {
     const child = machine.process;
     if (!child) return;
     const atMs = this.clock.nowMs();
-    yield* waitFor<boolean>((done) => {
-      child.once("exit", () => done(true));
+    yield* waitFor<boolean>((resume) => {
+      child.once("exit", () => resume(true));
       child.kill("SIGTERM");
     });
     this.recorder.world.push({
@@ -173,37 +174,37 @@
     });
   }
 
-  /** Ends a backend: its port closes and its connections break. */
+  /** Stops a backend abruptly: closes its port and breaks its connections. */
   *crash(testBackend: TestBackend): Task {
     testBackend.end();
     const server = this.servers.get(testBackend.address);
     this.servers.delete(testBackend.address);
     if (!server) return;
-    yield* waitFor<boolean>((done) => {
-      server.close(() => done(true));
+    yield* waitFor<boolean>((resume) => {
+      server.close(() => resume(true));
       server.closeAllConnections();
     });
   }
 
-  /** Replaces a backend by a new process at its address, perhaps of another service. */
+  /** Replaces a backend by a new instance at the same address, which may belong to another service. */
   *replace(testBackend: TestBackend, service: string): Task {
     testBackend.replace(service);
     yield* fromPromise(this.openBackend(testBackend));
   }
 
-  /** Waits until a condition holds; false after the timeout. */
-  *waitUntil(holds: () => boolean, waitMs: number): Task<boolean> {
-    const untilMs = this.clock.nowMs() + waitMs;
-    while (!holds()) {
-      if (this.clock.nowMs() > untilMs) return false;
+  /** Waits until a condition holds; returns false after the timeout. */
+  *waitUntil(condition: () => boolean, timeoutMs: number): Task<boolean> {
+    const deadlineMs = this.clock.nowMs() + timeoutMs;
+    while (!condition()) {
+      if (this.clock.nowMs() > deadlineMs) return false;
       yield* sleep(this.clock, 50);
     }
     return true;
   }
 
-  /** The status that a daemon reports. */
+  /** Reads the status that a daemon reports; undefined if the daemon doesn't respond. */
   *fetchStatus(machine: FleetMachine): Task<unknown> {
-    const response = yield* this.desk(machine.settings.machine, {
+    const response = yield* this.sendAdminRequest(machine.settings.machine, {
       method: "GET",
       target: "/status",
       headers: {},
@@ -212,6 +213,7 @@
     return response ? JSON.parse(Buffer.from(response.body).toString()) : undefined;
   }
 
+  /** Starts a task in the background, and records an error that it throws as one of the harness. */
   start(task: Task<unknown>): void {
     runTask(task, (error) => {
       this.harnessErrors.push(error);
@@ -221,22 +223,22 @@
     });
   }
 
-  /** Runs a task of the fleet to its end. */
+  /** Runs a task to its end and returns its value. */
   run<T>(task: Task<T>): Promise<T> {
-    return new Promise((done, fail) => runTask(task, fail, done));
+    return new Promise((resolve, reject) => runTask(task, reject, resolve));
   }
 
-  /** Ends everything that was started here, and removes the folder unless `keep` is set. */
-  async shutDown(keep: boolean): Promise<void> {
-    this.isOver = true;
+  /** Ends all processes, servers and requests of this fleet, and removes its folder unless `keepFolder` is set. */
+  async shutDown(keepFolder: boolean): Promise<void> {
+    this.isShutDown = true;
     this.workload.isOver = true;
     await Promise.all(
       this.machines.map(
         (machine) =>
-          new Promise<void>((done) => {
+          new Promise<void>((resolve) => {
             const child = machine.process;
-            if (!child) return done();
-            child.once("exit", () => done());
+            if (!child) return resolve();
+            child.once("exit", () => resolve());
             child.kill("SIGKILL");
           }),
       ),
@@ -246,7 +248,7 @@
       server.closeAllConnections();
     }
     await this.client.close();
-    if (!keep) await rm(this.folder, { recursive: true, force: true });
+    if (!keepFolder) await rm(this.folder, { recursive: true, force: true });
   }
 
   private async openBackend(testBackend: TestBackend): Promise<void> {
@@ -254,12 +256,12 @@
     this.servers.set(testBackend.address, server);
   }
 
-  /** Checks a daemon's readiness again and again, as a load balancer does. */
-  private *watchReadiness(machine: FleetMachine): Task {
-    while (!this.isOver) {
+  /** Polls a daemon's readiness periodically, as a load balancer does. */
+  private *pollReadiness(machine: FleetMachine): Task {
+    while (!this.isShutDown) {
       yield* sleep(this.clock, READINESS_CHECK_INTERVAL_MS);
       if (!machine.process) continue;
-      const response = yield* this.desk(machine.settings.machine, {
+      const response = yield* this.sendAdminRequest(machine.settings.machine, {
         method: "GET",
         target: "/ready",
         headers: {},
@@ -269,41 +271,49 @@
     }
   }
 
-  private outside(): ClientTransport {
+  private createTransport(): ClientTransport {
     return {
       clock: this.clock,
       random: this.random,
       start: (task) => this.start(task),
       ready: () =>
         this.machines
-          .filter((one) => one.settings.callers !== undefined && one.isReady)
+          .filter(({ settings, isReady }) => settings.callers !== undefined && isReady)
           .map(({ settings }) => settings),
       isUp: (daemon) =>
-        this.machines.some((one) => one.settings.machine === daemon && one.process !== undefined),
-      call: (daemon, clientRequest, timeoutMs) => this.call(daemon, clientRequest, timeoutMs),
-      desk: (daemon, clientRequest) => this.desk(daemon, clientRequest),
+        this.machines.some(
+          (machine) => machine.settings.machine === daemon && machine.process !== undefined,
+        ),
+      call: (daemon, clientRequest, timeoutMs) =>
+        this.sendRequest(daemon, clientRequest, timeoutMs),
+      desk: (daemon, clientRequest) => this.sendAdminRequest(daemon, clientRequest),
     };
   }
 
-  private settingsOf(name: string): Settings | undefined {
+  private findSettings(name: string): Settings | undefined {
     return this.machines.find(({ settings }) => settings.machine === name)?.settings;
   }
 
-  private *call(daemon: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
-    const address = this.settingsOf(daemon)?.callers;
+  private *sendRequest(
+    daemon: string,
+    clientRequest: ProxyRequest,
+    timeoutMs: number,
+  ): Task<ClientSide> {
+    const address = this.findSettings(daemon)?.callers;
     if (address === undefined) return noResponse("refused");
     return yield* this.client.send(address, clientRequest, timeoutMs);
   }
 
-  private *desk(
+  /** Sends a request to the admin API of a daemon, or of a random running one if no name is given. */
+  private *sendAdminRequest(
     name: string | undefined,
     clientRequest: ProxyRequest,
   ): Task<ClientResponse | undefined> {
-    const running = this.machines.filter((one) => one.process !== undefined);
+    const runningMachines = this.machines.filter(({ process }) => process !== undefined);
     const settings =
       name === undefined
-        ? running[Math.floor(this.random() * running.length)]?.settings
-        : this.settingsOf(name);
+        ? runningMachines[Math.floor(this.random() * runningMachines.length)]?.settings
+        : this.findSettings(name);
     if (!settings) return undefined;
     return yield* sendAdminRequest(settings.operators, clientRequest);
   }
--- a/src/fleet/main.ts
+++ b/src/fleet/main.ts
@@ -1,3 +1,4 @@
+/** The program that runs a fleet of real daemons under faults and checks the simulator's invariants on what it recorded. */
 import { cac } from "cac";
 import { is, number, string, type } from "superstruct";
 import { sleep } from "../runtime/clock.js";
@@ -21,118 +22,121 @@
   keep?: boolean;
 }
 
-const decided = type({
+const retryCountersShape = type({
   door: type({
     furtherTries: number(),
     furtherRefused: type({ sketch: number(), guard: number() }),
   }),
 });
-const leads = type({ record: type({ role: string() }) });
-/** How long callers come after the last fault: the time to recover, and then some. */
-const settleMs = 18_000;
+const roleShape = type({ record: type({ role: string() }) });
+/** How long clients keep sending requests after the last fault: the time to recover, with a margin. */
+const recoveryMs = 18_000;
 
-const leaderOf = function* (fleet: Fleet): Task<FleetMachine | undefined> {
+const findLeader = function* (fleet: Fleet): Task<FleetMachine | undefined> {
   for (const machine of fleet.machines) {
     const status = yield* fleet.fetchStatus(machine);
-    if (is(status, leads) && status.record.role === "leader") return machine;
+    if (is(status, roleShape) && status.record.role === "leader") return machine;
   }
   return undefined;
 };
 
-/** Says who decided on the further tries of the daemons that run. */
-const decisions = function* (fleet: Fleet): Task {
+/** Prints how many retries the running daemons granted and how many the sketch and the guard refused. */
+const printRetryDecisions = function* (fleet: Fleet): Task {
   const sum = { granted: 0, sketch: 0, guard: 0 };
   for (const machine of fleet.machines) {
     const status = yield* fleet.fetchStatus(machine);
-    if (!is(status, decided)) continue;
+    if (!is(status, retryCountersShape)) continue;
     sum.granted += status.door.furtherTries;
     sum.sketch += status.door.furtherRefused.sketch;
     sum.guard += status.door.furtherRefused.guard;
   }
   printLine(
-    `  ${sum.granted} further tries were granted, ${sum.sketch} refused by the sketch, ${sum.guard} by the guard`,
+    `  Retries: ${sum.granted} granted, ${sum.sketch} refused by the sketch, ${sum.guard} refused by the guard`,
   );
 };
 
-const trouble = function* (fleet: Fleet, secondsMs: number): Task {
+/** Injects one fault after another, each at a fixed fraction of the run's duration. */
+const injectFaults = function* (fleet: Fleet, durationMs: number): Task {
   const { clock } = fleet;
-  const after = function* (part: number, startedMs: number): Task {
-    yield* sleep(clock, startedMs + secondsMs * part - clock.nowMs());
+  const waitUntilFraction = function* (fraction: number, startedMs: number): Task {
+    yield* sleep(clock, startedMs + durationMs * fraction - clock.nowMs());
   };
   const startedMs = clock.nowMs();
   const edges = fleet.machines.filter(({ settings }) => settings.callers !== undefined);
   const [edgeToKill, edgeToStop, edgeToFreeze] = edges;
-  yield* after(0.15, startedMs);
-  const leader = yield* leaderOf(fleet);
+  yield* waitUntilFraction(0.15, startedMs);
+  const leader = yield* findLeader(fleet);
   if (leader) {
-    printLine(`${leader.settings.machine}, which leads the record, is killed`);
+    printLine(`${leader.settings.machine}, the leader, is killed`);
     yield* fleet.kill(leader);
     yield* sleep(clock, 3000);
     fleet.boot(leader);
   }
-  yield* after(0.3, startedMs);
+  yield* waitUntilFraction(0.3, startedMs);
   if (edgeToKill) {
     printLine(`${edgeToKill.settings.machine}, an edge, is killed`);
     yield* fleet.kill(edgeToKill);
     yield* sleep(clock, 2000);
     fleet.boot(edgeToKill);
   }
-  yield* after(0.4, startedMs);
-  const [crashed, leaver, reused, liar] = fleet.testBackends.filter((_, at) => at % 7 === 3);
-  if (crashed) {
-    printLine(`${crashed.address} of ${crashed.service} crashes and is replaced`);
-    yield* fleet.crash(crashed);
+  yield* waitUntilFraction(0.4, startedMs);
+  const [crashing, deregistering, reused, faulty] = fleet.testBackends.filter(
+    (_, index) => index % 7 === 3,
+  );
+  if (crashing) {
+    printLine(`${crashing.address} of ${crashing.service} crashes and is replaced`);
+    yield* fleet.crash(crashing);
     yield* sleep(clock, 2500);
-    yield* fleet.replace(crashed, crashed.service);
+    yield* fleet.replace(crashing, crashing.service);
   }
-  if (leaver) {
-    printLine(`${leaver.address} of ${leaver.service} leaves`);
-    yield* fleet.workload.leave(leaver);
+  if (deregistering) {
+    printLine(`${deregistering.address} of ${deregistering.service} deregisters`);
+    yield* fleet.workload.leave(deregistering);
     yield* sleep(clock, 3000);
-    yield* fleet.crash(leaver);
+    yield* fleet.crash(deregistering);
   }
   if (reused) {
-    const other =
+    const otherService =
       fleet.testBackends.find(({ service }) => service !== reused.service)?.service ??
       reused.service;
-    printLine(`${reused.address} of ${reused.service} is reused by ${other}`);
+    printLine(`${reused.address} of ${reused.service} is reused by ${otherService}`);
     yield* fleet.crash(reused);
     yield* sleep(clock, 1500);
     fleet.recorder.world.push({
       kind: "reused",
       atMs: clock.nowMs(),
       address: reused.address,
-      service: other,
+      service: otherService,
     });
-    yield* fleet.replace(reused, other);
+    yield* fleet.replace(reused, otherService);
   }
-  if (liar) {
+  if (faulty) {
     printLine(
-      `${liar.address} of ${liar.service} loses answers, sends garbage and cuts bodies short`,
+      `${faulty.address} of ${faulty.service} drops responses, sends garbage and truncates bodies`,
     );
-    liar.behave({ losesPart: 0.3, garbagePart: 0.3, cutPart: 0.3 });
+    faulty.behave({ losesPart: 0.3, garbagePart: 0.3, cutPart: 0.3 });
   }
-  yield* after(0.55, startedMs);
+  yield* waitUntilFraction(0.55, startedMs);
   if (edgeToFreeze) {
-    printLine(`${edgeToFreeze.settings.machine}, an edge, is frozen for twice a grant`);
+    printLine(`${edgeToFreeze.settings.machine}, an edge, is suspended for two lease durations`);
     yield* fleet.freeze(edgeToFreeze, 3200);
   }
-  liar?.behave({});
-  yield* after(0.6, startedMs);
+  faulty?.behave({});
+  yield* waitUntilFraction(0.6, startedMs);
   const [service] = Object.keys(fleet.profile.backEnds);
-  const broken = fleet.testBackends.filter((testBackend) => testBackend.service === service);
-  printLine(`all ${broken.length} back ends of ${service ?? ""} lose 7 of 10 answers`);
-  for (const testBackend of broken) testBackend.behave({ losesPart: 0.7 });
-  yield* after(0.7, startedMs);
-  for (const testBackend of broken) testBackend.behave({});
-  yield* decisions(fleet);
+  const failing = fleet.testBackends.filter((testBackend) => testBackend.service === service);
+  printLine(`all ${failing.length} backends of ${service ?? ""} drop 7 of 10 responses`);
+  for (const testBackend of failing) testBackend.behave({ losesPart: 0.7 });
+  yield* waitUntilFraction(0.7, startedMs);
+  for (const testBackend of failing) testBackend.behave({});
+  yield* printRetryDecisions(fleet);
   if (edgeToStop) {
-    printLine(`${edgeToStop.settings.machine}, an edge, is told to stop and started again`);
+    printLine(`${edgeToStop.settings.machine}, an edge, is stopped and restarted`);
     yield* fleet.stop(edgeToStop);
-    if (edgeToStop.exitCode !== 0) printLine(`  it ended with code ${String(edgeToStop.exitCode)}`);
+    if (edgeToStop.exitCode !== 0) printLine(`  its exit code is ${String(edgeToStop.exitCode)}`);
     fleet.boot(edgeToStop);
   }
-  yield* after(0.8, startedMs);
+  yield* waitUntilFraction(0.8, startedMs);
   fleet.recorder.world.push({ kind: "recovered", atMs: clock.nowMs() });
 };
 
@@ -140,13 +144,13 @@
 program
   .command(
     "",
-    "Start a whole fleet of real daemons on this machine, with callers and back ends, and judge it",
+    "Start a fleet of real daemons on this machine, with clients and backends, and check its invariants",
   )
   .option("--profile <name>", "kovacic or rastro", { default: "kovacic" })
-  .option("--seconds <count>", "How long callers come", { default: 60 })
-  .option("--rate <part>", "Part of the profile's requests that are sent", { default: 1 })
-  .option("--seed <number>", "Seed of callers and back ends", { default: 1 })
-  .option("--calm", "Kill and break nothing")
+  .option("--seconds <count>", "How long clients send requests", { default: 60 })
+  .option("--rate <part>", "Fraction of the profile's requests that is sent", { default: 1 })
+  .option("--seed <number>", "Seed of clients and backends", { default: 1 })
+  .option("--calm", "Inject no faults")
   .option("--keep", "Keep the folder with settings, data and logs")
   .action(async (options: Options) => {
     const profile = findProfile(options.profile);
@@ -158,22 +162,22 @@
     for (const name of ["SIGINT", "SIGTERM"] as const)
       process.once(name, () => void fleet.shutDown(false).then(() => process.exit(130)));
     printLine(
-      `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.smallMachines} small ones, ${fleet.testBackends.length} back ends; logs under ${fleet.folder}`,
+      `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.smallMachines} small ones, ${fleet.testBackends.length} backends; logs under ${fleet.folder}`,
     );
     if (!(await startFleet(fleet))) process.exit(1);
-    printLine("All machines are ready and a config is in force; callers come");
-    const fromMs = fleet.clock.nowMs();
+    printLine("All machines are ready and a config is in force; clients start sending requests");
+    const startedMs = fleet.clock.nowMs();
     fleet.startRequests();
     fleet.start(applyConfigsPeriodically(fleet));
     await fleet.run(
       options.calm
         ? sleep(fleet.clock, options.seconds * 1000)
-        : trouble(fleet, options.seconds * 1000),
+        : injectFaults(fleet, options.seconds * 1000),
     );
-    if (!options.calm) await fleet.run(sleep(fleet.clock, settleMs));
-    const breaches = await stopFleet(fleet, fromMs);
+    if (!options.calm) await fleet.run(sleep(fleet.clock, recoveryMs));
+    const violations = await stopFleet(fleet, startedMs);
     await fleet.shutDown(options.keep ?? false);
-    process.exit(breaches > 0 ? 1 : 0);
+    process.exit(violations > 0 ? 1 : 0);
   });
 program.help();
 program.parse();
--- a/src/fleet/report.ts
+++ b/src/fleet/report.ts
@@ -1,3 +1,4 @@
+/** What the programs with real processes share: the start of a fleet, the end of a run, and its report. */
 import { sleep } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import type { Fleet } from "./fleet.js";
@@ -5,24 +6,30 @@
 import { checkRules, rules, servedPart, worstRepeats } from "../simulation/invariant-checker.js";
 import { type Profile, shippedProfiles } from "../simulation/profile.js";
 
-const upMs = 30_000;
-const lastCallsMs = 3500;
+/** Timeout for all machines to become ready, and for all backends to register. */
+const readyTimeoutMs = 30_000;
+/** Time for the last requests to end after clients stop sending new ones. */
+const drainMs = 3500;
 
-/** Prints one line for a person to read. */
+/** Prints one line to standard output. */
 export const printLine = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-const quantile = (sorted: number[], part: number): number =>
-  Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? 0);
+const quantile = (sorted: number[], fraction: number): number =>
+  Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0);
 
-/** Prints what callers, back ends and operators recorded, rule by rule; tells how often a rule was broken. */
+/**
+ * Prints what clients, backends and operators recorded, and the result of each invariant.
+ *
+ * Returns the number of violations and of the harness's own errors.
+ */
 export const printReport = (fleet: Fleet, fromMs: number): number => {
   const { recorder } = fleet;
-  const tallied = (nameOf: (record: ClientRecord) => string): string => {
+  const formatCounts = (keyOf: (record: ClientRecord) => string): string => {
     const counts = new Map<string, number>();
     for (const record of recorder.callers)
-      counts.set(nameOf(record), (counts.get(nameOf(record)) ?? 0) + 1);
+      counts.set(keyOf(record), (counts.get(keyOf(record)) ?? 0) + 1);
     return [...counts]
       .sort(([a], [b]) => a.localeCompare(b))
       .map(([name, count]) => `${name}: ${count}`)
@@ -31,90 +38,92 @@
   printLine(
     `Requests: ${recorder.callers.length}, ${(servedPart(recorder, fromMs, Infinity) * 100).toFixed(2)}% served`,
   );
-  printLine(`  by return: ${tallied(({ code, broke }) => (code === 0 ? broke : String(code)))}`);
   printLine(
-    `  by verdict: ${tallied(({ code, verdict }) => (code === 0 ? "none heard" : verdict || "ran"))}`,
+    `  by response: ${formatCounts(({ code, broke }) => (code === 0 ? broke : String(code)))}`,
+  );
+  printLine(
+    `  by execution status: ${formatCounts(({ code, verdict }) => (code === 0 ? "no response" : verdict || "ran"))}`,
   );
   for (const { route, method } of fleet.profile.traffic) {
-    const sample = fleet.profile.traffic
-      .find((one) => one.route === route)
+    const firstSegment = fleet.profile.traffic
+      .find((traffic) => traffic.route === route)
       ?.path(0)
       .split("/")[1];
-    const took = recorder.callers
+    const durationsMs = recorder.callers
       .filter(
-        (one) =>
-          one.method === method &&
-          one.path.split("/")[1] === sample &&
-          one.code >= 200 &&
-          one.code < 300,
+        (record) =>
+          record.method === method &&
+          record.path.split("/")[1] === firstSegment &&
+          record.code >= 200 &&
+          record.code < 300,
       )
-      .map((one) => one.endedMs - one.sentMs)
+      .map((record) => record.endedMs - record.sentMs)
       .sort((a, b) => a - b);
     printLine(
-      `  ${route}: ${took.length} served, half within ${quantile(took, 0.5)} ms, 99 of 100 within ${quantile(took, 0.99)} ms`,
+      `  ${route}: ${durationsMs.length} served, median ${quantile(durationsMs, 0.5)} ms, 99th percentile ${quantile(durationsMs, 0.99)} ms`,
     );
   }
   printLine(
-    `Tries that reached back ends: ${recorder.runs.length}; configs accepted: ${recorder.of("accepted").length}`,
+    `Attempts that reached backends: ${recorder.runs.length}; configs accepted: ${recorder.of("accepted").length}`,
   );
   for (const [service, { further, requests, allowed }] of worstRepeats(recorder))
     printLine(
-      `  ${service}: worst ten seconds had ${further} repeats with ${requests} requests, ${Math.floor(allowed)} allowed`,
+      `  ${service}: worst 10 s window had ${further} retries for ${requests} requests, ${Math.floor(allowed)} allowed`,
     );
-  const breaches = checkRules(recorder);
+  const violations = checkRules(recorder);
   for (const rule of Object.keys(rules)) {
-    const own = breaches.filter((breach) => breach.rule === rule);
+    const ruleViolations = violations.filter((violation) => violation.rule === rule);
     printLine(
-      `${own.length === 0 ? "kept  " : "BROKEN"} ${rule}${own.length > 0 ? ` (${own.length} times)` : ""}`,
+      `${ruleViolations.length === 0 ? "kept  " : "BROKEN"} ${rule}${ruleViolations.length > 0 ? ` (${ruleViolations.length} times)` : ""}`,
     );
-    for (const { what } of own.slice(0, 5)) printLine(`         ${what}`);
+    for (const { what } of ruleViolations.slice(0, 5)) printLine(`         ${what}`);
   }
   if (fleet.harnessErrors.length > 0)
     printLine(
-      `BROKEN the rehearsal itself broke down ${fleet.harnessErrors.length} times; it proves nothing`,
+      `BROKEN the harness itself failed ${fleet.harnessErrors.length} times; the results of this run are invalid`,
     );
-  return breaches.length + fleet.harnessErrors.length;
+  return violations.length + fleet.harnessErrors.length;
 };
 
-/** Starts a fleet and puts a first config in force; false, and why on the error stream, when that fails. */
+/** Starts a fleet and applies a first config. On failure it prints the reason to standard error and returns false. */
 export const startFleet = async (fleet: Fleet): Promise<boolean> => {
   await fleet.startProcesses();
-  const up = await fleet.run(
-    fleet.waitUntil(() => fleet.machines.every(({ isReady }) => isReady), upMs),
+  const areReady = await fleet.run(
+    fleet.waitUntil(() => fleet.machines.every(({ isReady }) => isReady), readyTimeoutMs),
   );
-  const configured = up && (await fleet.run(fleet.workload.putConfig()));
-  if (configured) {
+  const hasConfig = areReady && (await fleet.run(fleet.workload.putConfig()));
+  if (hasConfig) {
     await fleet.run(
       fleet.waitUntil(
         () =>
           new Set(fleet.recorder.of("announced").map(({ address }) => address)).size >=
           fleet.testBackends.length,
-        upMs,
+        readyTimeoutMs,
       ),
     );
     return true;
   }
-  const late = fleet.machines
+  const unreadyMachines = fleet.machines
     .filter(({ isReady }) => !isReady)
     .map(({ settings }) => settings.machine);
   process.stderr.write(
-    `${up ? "The first config was not accepted" : `Not ready: ${late.join(", ")}`}; logs under ${fleet.folder}\n`,
+    `${areReady ? "The first config was not accepted" : `Machines not ready after ${readyTimeoutMs} ms: ${unreadyMachines.join(", ")}`}; logs under ${fleet.folder}\n`,
   );
   await fleet.shutDown(true);
   return false;
 };
 
-/** Lets callers come to their end, reads every config back, and reports. */
+/** Stops the requests, waits for the last responses, reads every config back, and prints the report. */
 export const stopFleet = async (fleet: Fleet, fromMs: number): Promise<number> => {
   fleet.recorder.endMs = fleet.clock.nowMs();
   fleet.workload.isOver = true;
-  await fleet.run(sleep(fleet.clock, lastCallsMs));
+  await fleet.run(sleep(fleet.clock, drainMs));
   fleet.workload.isOver = false;
   await fleet.run(fleet.workload.readBack());
   return printReport(fleet, fromMs);
 };
 
-/** Puts a new config in force every few seconds. */
+/** Applies a new config every 3 s until the workload stops. */
 export const applyConfigsPeriodically = function* (fleet: Fleet): Task {
   while (!fleet.workload.isOver) {
     yield* fleet.workload.putConfig();
@@ -122,12 +131,12 @@
   }
 };
 
-/** The profile of a name; undefined, and the names there are on the error stream, when there is none. */
+/** Finds a profile by its name. If there is none, it prints the known names to standard error and returns undefined. */
 export const findProfile = (name: string): Profile | undefined => {
-  const profile = Object.values(shippedProfiles).find((one) => one.name === name);
+  const profile = Object.values(shippedProfiles).find((candidate) => candidate.name === name);
   if (!profile)
     process.stderr.write(
-      `There is no profile "${name}"; there are ${Object.keys(shippedProfiles).join(" and ")}.\n`,
+      `unknown profile "${name}"; known profiles: ${Object.keys(shippedProfiles).join(", ")}\n`,
     );
   return profile;
 };
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -6,7 +6,7 @@
 import { checkRules } from "../../src/simulation/invariant-checker.js";
 import type { Profile } from "../../src/simulation/profile.js";
 
-const small: Profile = {
+const smallProfile: Profile = {
   name: "small",
   zones: ["a", "b", "c"],
   diskMachines: 3,
@@ -35,12 +35,12 @@
   moves: {},
 };
 const diskShape = type({ record: type({ disk: string() }) });
-const recorderShape = type({
+const replicationShape = type({
   record: type({ committed: number(), role: string(), state: string() }),
 });
 
 test("real processes: all recorders killed at once come back with every config, a stop drains, no rule is broken", async () => {
-  const fleet = await Fleet.create(small, 1, 1);
+  const fleet = await Fleet.create(smallProfile, 1, 1);
   try {
     await fleet.startProcesses();
     expect(
@@ -56,22 +56,24 @@
       ),
     );
     fleet.startRequests();
-    const served = (): number =>
+    const countServed = (): number =>
       fleet.recorder.callers.filter(({ code }) => code === 200 || code === 201).length;
-    expect(await fleet.run(fleet.waitUntil(() => served() > 60, 20_000))).toBe(true);
+    expect(await fleet.run(fleet.waitUntil(() => countServed() > 60, 20_000))).toBe(true);
 
-    const recorders = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
+    const diskMachines = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
     const edges = fleet.machines.filter(({ settings }) => settings.callers !== undefined);
-    for (const machine of recorders) await fleet.run(fleet.kill(machine));
-    for (const machine of recorders) fleet.boot(machine);
+    for (const machine of diskMachines) await fleet.run(fleet.kill(machine));
+    for (const machine of diskMachines) fleet.boot(machine);
     expect(
       await fleet.run(
         fleet.waitUntil(() => fleet.machines.every(({ isReady }) => isReady), 30_000),
       ),
     ).toBe(true);
-    const before = served();
+    const servedBefore = countServed();
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
-    expect(await fleet.run(fleet.waitUntil(() => served() > before + 60, 20_000))).toBe(true);
+    expect(await fleet.run(fleet.waitUntil(() => countServed() > servedBefore + 60, 20_000))).toBe(
+      true,
+    );
 
     const [edge] = edges;
     if (!edge) throw new Error("There is no edge.");
@@ -83,8 +85,8 @@
     expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.harnessErrors).toEqual([]);
     const statuses = [];
-    for (const machine of recorders)
-      statuses.push(create(await fleet.run(fleet.fetchStatus(machine)), recorderShape).record);
+    for (const machine of diskMachines)
+      statuses.push(create(await fleet.run(fleet.fetchStatus(machine)), replicationShape).record);
     expect(statuses.filter(({ role }) => role === "leader")).toHaveLength(1);
     expect(statuses.every(({ state }) => state === "formed")).toBe(true);
   } finally {
@@ -93,16 +95,16 @@
 });
 
 test("real processes: a leader whose disk is full hands over, nothing accepted is lost, and it takes writes again", async () => {
-  const fleet = await Fleet.create({ ...small, smallMachines: 1 }, 2, 1);
-  const recorders = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
-  const leaderOf = async (): Promise<FleetMachine | undefined> => {
-    for (const machine of recorders) {
+  const fleet = await Fleet.create({ ...smallProfile, smallMachines: 1 }, 2, 1);
+  const diskMachines = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
+  const findLeader = async (): Promise<FleetMachine | undefined> => {
+    for (const machine of diskMachines) {
       const status = await fleet.run(fleet.fetchStatus(machine));
-      if (is(status, recorderShape) && status.record.role === "leader") return machine;
+      if (is(status, replicationShape) && status.record.role === "leader") return machine;
     }
     return undefined;
   };
-  const diskOf = async (machine: FleetMachine): Promise<string> =>
+  const readDiskState = async (machine: FleetMachine): Promise<string> =>
     create(await fleet.run(fleet.fetchStatus(machine)), diskShape).record.disk;
   try {
     await fleet.startProcesses();
@@ -112,17 +114,17 @@
       ),
     ).toBe(true);
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
-    const leader = await leaderOf();
+    const leader = await findLeader();
     if (!leader) throw new Error("Nobody leads.");
     await fleet.run(fleet.fillDisk(leader, true));
     for (let count = 0; count < 5; count += 1)
       expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
-    expect(await leaderOf()).not.toBe(leader);
-    await expect.poll(() => diskOf(leader), { timeout: 20_000 }).not.toBe("well");
+    expect(await findLeader()).not.toBe(leader);
+    await expect.poll(() => readDiskState(leader), { timeout: 20_000 }).not.toBe("well");
     await fleet.run(fleet.fillDisk(leader, false));
-    await expect.poll(() => diskOf(leader), { timeout: 20_000 }).toBe("well");
-    const other = await leaderOf();
-    if (other) await fleet.run(fleet.kill(other));
+    await expect.poll(() => readDiskState(leader), { timeout: 20_000 }).toBe("well");
+    const nextLeader = await findLeader();
+    if (nextLeader) await fleet.run(fleet.kill(nextLeader));
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
     await fleet.run(fleet.workload.readBack());
     expect(fleet.recorder.of("readBack")).toHaveLength(7);
@@ -139,10 +141,10 @@
     [daemonProgram, "run", "--machine", "x", "--peers", "nowhere"],
     { stdio: ["ignore", "ignore", "pipe"] },
   );
-  const pieces: Buffer[] = [];
-  child.stderr.on("data", (piece: Buffer) => pieces.push(piece));
+  const chunks: Buffer[] = [];
+  child.stderr.on("data", (piece: Buffer) => chunks.push(piece));
   const code = await new Promise((done) => child.once("close", done));
   expect(code).toBe(2);
   for (const path of ["zone", "operators", "peers", "seeds"])
-    expect(Buffer.concat(pieces).toString()).toContain(`daledoor: ${path}: `);
+    expect(Buffer.concat(chunks).toString()).toContain(`daledoor: ${path}: `);
 });
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -10,11 +10,11 @@
 import { LimitedCluster } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
-const word = (kind: string, count: number): string[] =>
+const machinesOf = (kind: string, count: number): string[] =>
   Array.from({ length: count }, (_, at) => `${kind}:${zones[at % zones.length]}`);
 
 const service = { type: "services", meta: { name: "one" }, spec: { maxConns: 66 } };
-const largeOrder = (routes: number): ConfigChangeBytes => ({
+const createLargeConfig = (routes: number): ConfigChangeBytes => ({
   target: "config/put",
   base: "0",
   body: JSON.stringify({
@@ -27,69 +27,69 @@
 const applyMs = 2000;
 const ackMs = 4000;
 /** How long a first try of a keyed write waits for its claim: a fifth of a goal of 900 ms. */
-const claimMs = 180;
-const claimEveryMs = 20;
+const claimTimeoutMs = 180;
+const claimIntervalMs = 20;
 
-const begun = (): LimitedCluster => {
-  const stage = new LimitedCluster([...word("d", 6), ...word("e", 30)], [0, 1, 2], {
+const createCluster = (): LimitedCluster => {
+  const cluster = new LimitedCluster([...machinesOf("d", 6), ...machinesOf("e", 30)], [0, 1, 2], {
     tolerate: { machines: 2, zones: 0 },
   });
-  stage.bootAll();
-  stage.wait(5000);
-  return stage;
+  cluster.bootAll();
+  cluster.wait(5000);
+  return cluster;
 };
 
 /** A daemon's way to the leader, on a machine of its own that is never short of anything. */
-const forwarderOf = (stage: LimitedCluster): CommandForwarder => {
+const createForwarder = (cluster: LimitedCluster): CommandForwarder => {
   const runtime = virtualRuntime({
-    clock: stage.time.clock(),
-    network: stage.network.wire("caller", new EventGate()),
-    random: stage.random,
+    clock: cluster.time.clock(),
+    network: cluster.network.wire("caller", new EventGate()),
+    random: cluster.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.9:7000");
-  return new CommandForwarder(runtime, rpc, () => stage.disks.map(({ peer }) => peer));
+  return new CommandForwarder(runtime, rpc, () => cluster.disks.map(({ peer }) => peer));
 };
 
 /** Claims one key after another, for as long as the stage runs; how long each claim took. */
-const claiming = (stage: LimitedCluster): number[] => {
-  const tookMs: number[] = [];
-  const clock = stage.time.clock();
-  const forwarder = forwarderOf(stage);
+const startClaims = (cluster: LimitedCluster): number[] => {
+  const durationsMs: number[] = [];
+  const clock = cluster.time.clock();
+  const forwarder = createForwarder(cluster);
   const claim = function* (at: number): Task {
-    const sentMs = stage.time.nowMs();
+    const sentMs = cluster.time.nowMs();
     const command = { kind: "claim", scope: `key-${at}`, bodyHash: "h", job: `job-${at}` } as const;
     const text = yield* forwarder.command(command, 5000);
-    tookMs.push(text === '{"claimed":true}' ? stage.time.nowMs() - sentMs : Infinity);
+    durationsMs.push(text === '{"claimed":true}' ? cluster.time.nowMs() - sentMs : Infinity);
   };
-  stage.start(
+  cluster.start(
     (function* (): Task {
       for (let at = 0; ; at += 1) {
-        stage.start(claim(at));
-        yield* sleep(clock, claimEveryMs);
+        cluster.start(claim(at));
+        yield* sleep(clock, claimIntervalMs);
       }
     })(),
   );
-  return tookMs;
+  return durationsMs;
 };
 
 test("on links and processors of the grown size, a configuration of 2,500 routes and a storm of changes hold up neither each other nor keyed writes, and cost no leader its lead", () => {
-  const stage = begun();
-  const leaders = stage.electionCount;
-  expect(stage.submitUntilFinal(largeOrder(2500), 6)).toBe(200);
-  stage.wait(2000);
-  const edges = stage.machines.filter(({ disk }) => !disk);
-  const claimsTookMs = claiming(stage);
+  const cluster = createCluster();
+  const electionsBefore = cluster.electionCount;
+  expect(cluster.submitUntilFinal(createLargeConfig(2500), 6)).toBe(200);
+  cluster.wait(2000);
+  const edges = cluster.machines.filter(({ disk }) => !disk);
+  const claimDurationsMs = startClaims(cluster);
   for (let version = 1; version <= 10; version += 1) {
-    const through = edges[version % edges.length] ?? stage.at(0);
+    const edge = edges[version % edges.length] ?? cluster.at(0);
     const change = patchConfig(version, version + 1, { name: `s${version}`, svc: "one" });
-    const call = stage.submit(through, change);
-    stage.until(() => call.code !== undefined, ackMs);
-    expect(call.code).toBe(200);
+    const request = cluster.submit(edge, change);
+    cluster.until(() => request.code !== undefined, ackMs);
+    expect(request.code).toBe(200);
     const isBehind = ({ daemon }: StageMachine): boolean =>
       daemon?.servingState.isGranted !== true || daemon.servingState.configSequence < version + 1;
-    stage.until(() => !edges.some(isBehind), applyMs);
+    cluster.until(() => !edges.some(isBehind), applyMs);
   }
-  expect(stage.electionCount).toBe(leaders);
-  expect(claimsTookMs.length).toBeGreaterThan(20);
-  expect(Math.max(...claimsTookMs)).toBeLessThan(claimMs);
+  expect(cluster.electionCount).toBe(electionsBefore);
+  expect(claimDurationsMs.length).toBeGreaterThan(20);
+  expect(Math.max(...claimDurationsMs)).toBeLessThan(claimTimeoutMs);
 }, 120_000);
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -17,17 +17,17 @@
   Array.from({ length: count }, (_, at) => `${kind}:${zones[at % zones.length]}`);
 
 /** Figures of the grown deployments: how soon a leave is acknowledged, and how soon a keyed write is to be answered. */
-const ackMs = 4000;
-const aimMs = 900;
+const ackTimeoutMs = 4000;
+const targetTimeMs = 900;
 const deadlineMs = 3300;
 /** Whoever calls a control address goes on to another daemon after a second of silence. */
-const patienceMs = 1000;
+const clientTimeoutMs = 1000;
 /** Grown Rastro has some 400 keyed writes a second at its peak. */
 const writesPerSecond = 600;
-const workMs = 160;
+const processingMs = 160;
 const responseBytes = 5000;
-const backEndCount = 20;
-const beatMs = 1000;
+const backendCount = 20;
+const heartbeatIntervalMs = 1000;
 
 const configuration: ConfigChangeBytes = {
   target: "config/put",
@@ -43,7 +43,7 @@
           pfx: "/write/",
           kind: "idempotent",
           deadline: `${deadlineMs}ms`,
-          target_time: `${aimMs}ms`,
+          target_time: `${targetTimeMs}ms`,
           prio: 1,
           svc: "ledger",
           tries: 2,
@@ -55,10 +55,10 @@
 };
 
 /** Backends that answer each request after some work with a body of usual size. */
-const answering = (clock: Clock): BackendClient => ({
+const createBackendClient = (clock: Clock): BackendClient => ({
   *send({ request: job, maySend: mayStill }) {
     if (!mayStill()) return openFailure("withdrawn");
-    yield* sleep(clock, workMs);
+    yield* sleep(clock, processingMs);
     const pieces = [Buffer.alloc(responseBytes, "r")];
     return openedResponse({
       code: 200,
@@ -84,7 +84,7 @@
 
 class KeyedWriteCluster extends LimitedCluster {
   readonly writes: KeyedWrite[] = [];
-  private readonly leaving = new Set<number>();
+  private readonly deregisteringIds = new Set<number>();
 
   constructor() {
     super([...machinesOf("d", 6), ...machinesOf("e", 30)], [0, 1, 2], {
@@ -93,7 +93,10 @@
   }
 
   protected override daemonOptions(): DaemonOptions {
-    return { backendClient: answering(this.time.clock()), headerNames: LimitedCluster.headerNames };
+    return {
+      backendClient: createBackendClient(this.time.clock()),
+      headerNames: LimitedCluster.headerNames,
+    };
   }
 
   get edges(): StageMachine[] {
@@ -101,30 +104,30 @@
   }
 
   /** Sends keyed writes at a rate, each with a key of its own, to all edges in turn. */
-  startWrites(perSecond: number, forMs: number): void {
+  startWrites(ratePerSecond: number, durationMs: number): void {
     const { time, edges } = this;
     const startMs = time.nowMs();
-    const count = (perSecond * forMs) / 1000;
-    const writing = function* (stage: KeyedWriteCluster): Task {
-      while (stage.writes.length < count) {
-        const dueCount = Math.min(count, ((time.nowMs() - startMs) * perSecond) / 1000);
-        for (let at = stage.writes.length; at < dueCount; at += 1)
-          stage.send(edges[at % edges.length], `key-${at}`);
+    const count = (ratePerSecond * durationMs) / 1000;
+    const writeAtRate = function* (cluster: KeyedWriteCluster): Task {
+      while (cluster.writes.length < count) {
+        const due = Math.min(count, ((time.nowMs() - startMs) * ratePerSecond) / 1000);
+        for (let at = cluster.writes.length; at < due; at += 1)
+          cluster.send(edges[at % edges.length], `key-${at}`);
         yield* sleep(time.clock(), 1);
       }
     };
-    this.start(writing(this));
+    this.start(writeAtRate(this));
   }
 
   private send(edge: StageMachine | undefined, key: string): void {
     const sentMs = this.time.nowMs();
-    const writes: KeyedWrite = { code: undefined, durationMs: Infinity };
-    this.writes.push(writes);
+    const write: KeyedWrite = { code: undefined, durationMs: Infinity };
+    this.writes.push(write);
     const client: ClientConnection = {
       isClosed: false,
       respond: ({ code }) => {
-        writes.code = code;
-        writes.durationMs = this.time.nowMs() - sentMs;
+        write.code = code;
+        write.durationMs = this.time.nowMs() - sentMs;
       },
       writeHead: () => undefined,
       *writeChunk() {
@@ -139,75 +142,84 @@
       "op-key": key,
       "deadline-ms": String(deadlineMs),
     };
-    const job = { method: "POST", target: `/write/${key}`, headers, body: Buffer.from(key) };
-    edge?.daemon?.clientRequests.emit({ clientRequest: job, client });
+    const clientRequest = {
+      method: "POST",
+      target: `/write/${key}`,
+      headers,
+      body: Buffer.from(key),
+    };
+    edge?.daemon?.clientRequests.emit({ clientRequest, client });
   }
 
   /** Has backends announce themselves through one edge after another, until they leave. */
   startHeartbeats(ids: readonly number[]): void {
     const clock = this.time.clock();
-    const announcing = function* (stage: KeyedWriteCluster, id: number): Task {
-      for (let calls = 1; !stage.leaving.has(id); calls += 1) {
-        const edge = stage.edges[(id + calls) % stage.edges.length];
-        if (edge) stage.heartbeat(edge, { id: `${id}`, calls, service: "ledger" });
-        yield* sleep(clock, beatMs);
+    const sendHeartbeats = function* (cluster: KeyedWriteCluster, id: number): Task {
+      for (let calls = 1; !cluster.deregisteringIds.has(id); calls += 1) {
+        const edge = cluster.edges[(id + calls) % cluster.edges.length];
+        if (edge) cluster.heartbeat(edge, { id: `${id}`, calls, service: "ledger" });
+        yield* sleep(clock, heartbeatIntervalMs);
       }
     };
-    for (const id of ids) this.start(announcing(this, id));
+    for (const id of ids) this.start(sendHeartbeats(this, id));
   }
 
   /** Has backends leave, each calling one daemon after another until it is acknowledged; how long each took. */
   deregister(ids: readonly number[]): number[] {
-    const tookMs = ids.map(() => Infinity);
+    const durationsMs = ids.map(() => Infinity);
     const clock = this.time.clock();
-    const leaving = function* (stage: KeyedWriteCluster, id: number, place: number): Task {
+    const deregisteringIds = function* (
+      cluster: KeyedWriteCluster,
+      id: number,
+      index: number,
+    ): Task {
       const startedMs = clock.nowMs();
-      stage.leaving.add(id);
+      cluster.deregisteringIds.add(id);
       for (let calls = 1000; ; calls += 1) {
-        const edge = stage.edges[Math.floor(stage.random() * stage.edges.length)];
+        const edge = cluster.edges[Math.floor(cluster.random() * cluster.edges.length)];
         if (!edge) return;
-        const call = stage.heartbeat(edge, {
+        const call = cluster.heartbeat(edge, {
           id: `${id}`,
           calls,
           state: "draining",
           service: "ledger",
         });
-        const untilMs = clock.nowMs() + patienceMs;
+        const untilMs = clock.nowMs() + clientTimeoutMs;
         while (call.code === undefined && clock.nowMs() < untilMs) yield* sleep(clock, 5);
         if (call.code === 200) {
-          tookMs[place] = clock.nowMs() - startedMs;
+          durationsMs[index] = clock.nowMs() - startedMs;
           return;
         }
         yield* sleep(clock, 50);
       }
     };
-    for (const [place, id] of ids.entries()) this.start(leaving(this, id, place));
-    this.wait(ackMs);
-    return tookMs;
+    for (const [index, id] of ids.entries()) this.start(deregisteringIds(this, id, index));
+    this.wait(ackTimeoutMs);
+    return durationsMs;
   }
 }
 
-const begun = (): KeyedWriteCluster => {
-  const stage = new KeyedWriteCluster();
-  stage.bootAll();
-  stage.wait(5000);
-  expect(stage.submitUntilFinal(configuration, 6)).toBe(200);
-  stage.startHeartbeats(Array.from({ length: backEndCount }, (_, id) => id));
-  stage.wait(3000);
-  return stage;
+const createCluster = (): KeyedWriteCluster => {
+  const cluster = new KeyedWriteCluster();
+  cluster.bootAll();
+  cluster.wait(5000);
+  expect(cluster.submitUntilFinal(configuration, 6)).toBe(200);
+  cluster.startHeartbeats(Array.from({ length: backendCount }, (_, id) => id));
+  cluster.wait(3000);
+  return cluster;
 };
 
 test("under one and a half times the keyed writes of a grown deployment's peak the leader keeps its lead, writes are answered in time, and every backend that leaves is acknowledged", () => {
-  const stage = begun();
-  const leaders = stage.electionCount;
-  stage.startWrites(writesPerSecond, 6000);
-  stage.wait(3000);
-  const ids = Array.from({ length: backEndCount / 2 }, (_, id) => id);
-  const tookMs = stage.deregister(ids);
-  stage.wait(deadlineMs);
-  expect(stage.writes.length).toBe(writesPerSecond * 6);
-  expect(stage.electionCount).toBe(leaders);
-  expect(Math.max(...tookMs)).toBeLessThan(ackMs);
-  const inTime = stage.writes.filter((one) => one.code === 200 && one.durationMs < aimMs);
-  expect(inTime.length).toBeGreaterThan(stage.writes.length * 0.9);
+  const cluster = createCluster();
+  const electionsBefore = cluster.electionCount;
+  cluster.startWrites(writesPerSecond, 6000);
+  cluster.wait(3000);
+  const ids = Array.from({ length: backendCount / 2 }, (_, id) => id);
+  const deregistrationsMs = cluster.deregister(ids);
+  cluster.wait(deadlineMs);
+  expect(cluster.writes.length).toBe(writesPerSecond * 6);
+  expect(cluster.electionCount).toBe(electionsBefore);
+  expect(Math.max(...deregistrationsMs)).toBeLessThan(ackTimeoutMs);
+  const inTime = cluster.writes.filter((one) => one.code === 200 && one.durationMs < targetTimeMs);
+  expect(inTime.length).toBeGreaterThan(cluster.writes.length * 0.9);
 }, 120_000);
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -28,9 +28,9 @@
 
   /** The processor of a machine's present life. */
   processor(machine: StageMachine): Processor {
-    const known = this.processors.get(machine);
-    if (!known) throw new Error("The machine was never started.");
-    return known;
+    const processor = this.processors.get(machine);
+    if (!processor) throw new Error("The machine was never started.");
+    return processor;
   }
 
   /** How often another machine has come to lead. */
--- a/test/load/machine-limits.ts
+++ b/test/load/machine-limits.ts
@@ -31,7 +31,7 @@
 /** Timers go off on whole milliseconds: waiting for less than that would let one event through for each. */
 const clockStepMs = 1;
 const bytesPerMsOfMbps = 125;
-const kibibyte = 1024;
+const BYTES_PER_KIB = 1024;
 
 /** One process's share of a core: work is done one piece after another, and what comes while it is busy waits. */
 export class Processor {
@@ -129,30 +129,30 @@
   readonly costs: CpuCosts;
 }
 
-const fail = (error: unknown): void => {
+const rethrow = (error: unknown): void => {
   throw error;
 };
 
-const limitedChannel = (inner: Connection, parts: MachineResources): Connection => {
-  const { clock, processor, egress, ingress, costs: charges } = parts;
+const limitConnection = (inner: Connection, resources: MachineResources): Connection => {
+  const { clock, processor, egress, ingress, costs: charges } = resources;
   const incoming = new Queue<Uint8Array | "closed">();
   const chargeFor = (bytes: number): void =>
-    processor.charge(charges.messageMs + (bytes / kibibyte) * charges.kibibyteMs);
-  const receiving = function* (): Task {
+    processor.charge(charges.messageMs + (bytes / BYTES_PER_KIB) * charges.kibibyteMs);
+  const forwardIncoming = function* (): Task {
     for (;;) {
-      const piece = yield* inner.incoming.take();
-      if (piece === "closed") {
+      const chunk = yield* inner.incoming.take();
+      if (chunk === "closed") {
         incoming.put("closed");
         return;
       }
-      const waitMs = ingress.enqueue(piece.length);
+      const waitMs = ingress.enqueue(chunk.length);
       clock.after(waitMs, () => {
-        chargeFor(piece.length);
-        incoming.put(piece);
+        chargeFor(chunk.length);
+        incoming.put(chunk);
       });
     }
   };
-  runTask(receiving(), fail);
+  runTask(forwardIncoming(), rethrow);
   return {
     incoming,
     send(bytes) {
@@ -164,16 +164,16 @@
 };
 
 /** A wire whose bytes take processor time at this machine, and time on its link. */
-export const limitNetwork = (inner: Network, parts: MachineResources): Network => ({
+export const limitNetwork = (inner: Network, resources: MachineResources): Network => ({
   *connect(address) {
-    parts.processor.charge(parts.costs.connectionMs);
+    resources.processor.charge(resources.costs.connectionMs);
     const connection = yield* inner.connect(address);
-    return connection && limitedChannel(connection, parts);
+    return connection && limitConnection(connection, resources);
   },
   *listen(address, accept) {
     yield* inner.listen(address, (connection) => {
-      parts.processor.charge(parts.costs.connectionMs);
-      accept(limitedChannel(connection, parts));
+      resources.processor.charge(resources.costs.connectionMs);
+      accept(limitConnection(connection, resources));
     });
   },
 });
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -14,27 +14,31 @@
   ...["d:a", "d:b", "d:c", "d:a", "d:b"],
   ...Array.from({ length: 15 }, (_, at) => `e:${["a", "b", "c"][at % 3]}`),
 ];
-const bounds = { staleMs: 5000, contactMs: 3000 };
+const expiredLeaseBounds = { staleMs: 5000, contactMs: 3000 };
 /** A change is in force at all that serve within this time. */
 const applyMs = 2000;
 
-const begun = (): LimitedCluster => {
-  const stage = new LimitedCluster(machines, [0, 1, 2], { tolerate: { machines: 2, zones: 0 } });
-  stage.bootAll();
-  stage.wait(5000);
-  expect(stage.submitUntilFinal(putConfig(0, 3, "first"), 6)).toBe(200);
-  stage.wait(1000);
-  return stage;
+const createCluster = (): LimitedCluster => {
+  const cluster = new LimitedCluster(machines, [0, 1, 2], { tolerate: { machines: 2, zones: 0 } });
+  cluster.bootAll();
+  cluster.wait(5000);
+  expect(cluster.submitUntilFinal(putConfig(0, 3, "first"), 6)).toBe(200);
+  cluster.wait(1000);
+  return cluster;
 };
 
 /** Keeps the processors of some machines busy, so that what comes waits for a fifth of a second and more. */
-const burden = (stage: LimitedCluster, busy: readonly StageMachine[], forMs: number): void => {
-  const untilMs = stage.time.nowMs() + forMs;
-  const clock = stage.time.clock();
-  stage.start(
+const overloadProcessors = (
+  cluster: LimitedCluster,
+  overloaded: readonly StageMachine[],
+  durationMs: number,
+): void => {
+  const untilMs = cluster.time.nowMs() + durationMs;
+  const clock = cluster.time.clock();
+  cluster.start(
     (function* (): Task {
-      while (stage.time.nowMs() < untilMs) {
-        for (const machine of busy) stage.processor(machine).charge(180);
+      while (cluster.time.nowMs() < untilMs) {
+        for (const machine of overloaded) cluster.processor(machine).charge(180);
         yield* sleep(clock, 300);
       }
     })(),
@@ -42,67 +46,67 @@
 };
 
 /** An edge's link to the members: it asks one after another, as one does whose leader answers late. */
-const askingAll = (stage: LimitedCluster): RpcEndpoint => {
+const pollAllMembers = (cluster: LimitedCluster): RpcEndpoint => {
   const runtime = virtualRuntime({
-    clock: stage.time.clock(),
-    network: stage.network.wire("asking", new EventGate()),
-    random: stage.random,
+    clock: cluster.time.clock(),
+    network: cluster.network.wire("asking", new EventGate()),
+    random: cluster.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.8:7000");
-  const asking = function* (): Task {
+  const pollMembers = function* (): Task {
     for (;;)
-      for (const { peer } of stage.disks) {
+      for (const { peer } of cluster.disks) {
         yield* rpc.call(peer, rpcMethods.handOver, { term: 0 }, 200);
         yield* sleep(runtime.clock, 350);
       }
   };
-  stage.start(asking());
+  cluster.start(pollMembers());
   return rpc;
 };
 
 test("members whose processors are overloaded are never taken for a core that is out of reach", () => {
-  const stage = begun();
-  const rpc = askingAll(stage);
-  const lease = new ExpiredLeasePolicy(
-    stage.time.clock(),
+  const cluster = createCluster();
+  const rpc = pollAllMembers(cluster);
+  const policy = new ExpiredLeasePolicy(
+    cluster.time.clock(),
     {
-      replicas: stage.disks.map(({ peer }) => peer),
+      replicas: cluster.disks.map(({ peer }) => peer),
       isUnreachable: (member, sinceMs) => rpc.isUnreachable(member, sinceMs),
     },
-    bounds,
+    expiredLeaseBounds,
   );
-  burden(stage, stage.disks, 12_000);
-  const untilMs = stage.time.nowMs() + 12_000;
-  let allowed = 0;
-  while (stage.time.nowMs() < untilMs) {
-    stage.wait(20);
-    if (lease.allows(1)) allowed += 1;
+  overloadProcessors(cluster, cluster.disks, 12_000);
+  const untilMs = cluster.time.nowMs() + 12_000;
+  let allowedCount = 0;
+  while (cluster.time.nowMs() < untilMs) {
+    cluster.wait(20);
+    if (policy.allows(1)) allowedCount += 1;
   }
-  expect(allowed).toBe(0);
+  expect(allowedCount).toBe(0);
 });
 
 test("under an overloaded leader a change that is acknowledged is in force in time wherever a lease holds, also when that leader is killed", () => {
-  const stage = begun();
-  const edges = stage.machines.filter(({ disk }) => !disk);
+  const cluster = createCluster();
+  const edges = cluster.machines.filter(({ disk }) => !disk);
   for (let base = 3, round = 0; round < 6; round += 1) {
-    const { leader } = stage;
-    burden(stage, [leader], 1500);
+    const { leader } = cluster;
+    overloadProcessors(cluster, [leader], 1500);
     expect(
-      stage.submitUntilFinal(
+      cluster.submitUntilFinal(
         patchConfig(base, base + 2, { name: `r${round}`, svc: "one" }),
         6 + round,
       ),
     ).toBe(200);
     base += 2;
     if (round % 2 === 1) {
-      stage.kill(leader);
-      stage.boot(leader, { bootstrap: false });
+      cluster.kill(leader);
+      cluster.boot(leader, { bootstrap: false });
     }
-    stage.wait(applyMs);
+    cluster.wait(applyMs);
     for (const { daemon } of edges)
       if (daemon?.servingState.isGranted === true)
         expect(daemon.servingState.configSequence).toBeGreaterThanOrEqual(round + 2);
-    stage.wait(3000);
+    cluster.wait(3000);
     expect(edges.filter(({ daemon }) => daemon?.servingState.isGranted === true)).toHaveLength(15);
   }
 });
