--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -17,7 +17,7 @@
       route: "issues",
       service: "issues",
       method: "GET",
-      path: (at) => `/issues/${at % 9}`,
+      path: (index) => `/issues/${index % 9}`,
       keyed: false,
       perSecond: 30,
       bodyBytes: 300_000,
@@ -26,7 +26,7 @@
       route: "resolves",
       service: "triage",
       method: "POST",
-      path: (at) => `/issues/${at % 9}/resolve`,
+      path: (index) => `/issues/${index % 9}/resolve`,
       keyed: true,
       perSecond: 30,
       bodyBytes: 80,
@@ -39,7 +39,11 @@
   record: type({ committed: number(), role: string(), state: string() }),
 });
 
-test("real processes: all recorders killed at once come back with every config, a stop drains, no rule is broken", async () => {
+/**
+ * Guards against the loss of acknowledged configs. All machines with a disk are killed and restarted, so that configs
+ * survive only on their disks. An edge is stopped while clients send requests, which it must complete before it exits.
+ */
+test("real processes: all configs survive when every member is killed, a stopped edge drains, and no invariant is violated", async () => {
   const fleet = await Fleet.create(smallProfile, 1, 1);
   try {
     await fleet.startProcesses();
@@ -76,7 +80,7 @@
     );
 
     const [edge] = edges;
-    if (!edge) throw new Error("There is no edge.");
+    if (!edge) throw new Error("the profile has no edge");
     await fleet.run(fleet.stop(edge));
     expect(edge.exitCode).toBe(0);
     fleet.recorder.endMs = fleet.clock.nowMs();
@@ -94,7 +98,11 @@
   }
 });
 
-test("real processes: a leader whose disk is full hands over, nothing accepted is lost, and it takes writes again", async () => {
+/**
+ * Guards against a leader that keeps leading, or a config that is lost, when writes to its disk fail. A limit on the size of
+ * the daemon's files makes them fail, and the disk must be usable again once the limit is removed.
+ */
+test("real processes: a leader with a full disk hands over, no accepted config is lost, and it accepts writes again", async () => {
   const fleet = await Fleet.create({ ...smallProfile, smallMachines: 1 }, 2, 1);
   const diskMachines = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
   const findLeader = async (): Promise<FleetMachine | undefined> => {
@@ -115,7 +123,7 @@
     ).toBe(true);
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
     const leader = await findLeader();
-    if (!leader) throw new Error("Nobody leads.");
+    if (!leader) throw new Error("no member is the leader");
     await fleet.run(fleet.fillDisk(leader, true));
     for (let count = 0; count < 5; count += 1)
       expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
@@ -135,14 +143,15 @@
   }
 });
 
-test("real processes: faults in the settings end with code 2, each named", async () => {
+/** Guards against a daemon that starts with invalid settings, or reports only the first invalid one. */
+test("real processes: invalid settings end the daemon with exit code 2 and an error for each", async () => {
   const child = spawn(
     process.execPath,
     [daemonProgram, "run", "--machine", "x", "--peers", "nowhere"],
     { stdio: ["ignore", "ignore", "pipe"] },
   );
   const chunks: Buffer[] = [];
-  child.stderr.on("data", (piece: Buffer) => chunks.push(piece));
+  child.stderr.on("data", (chunk: Buffer) => chunks.push(chunk));
   const code = await new Promise((done) => child.once("close", done));
   expect(code).toBe(2);
   for (const path of ["zone", "operators", "peers", "seeds"])
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -10,8 +10,9 @@
 import { LimitedCluster } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
+/** Machines of one kind in alternating zones: "d" with a disk, "e" an edge. */
 const machinesOf = (kind: string, count: number): string[] =>
-  Array.from({ length: count }, (_, at) => `${kind}:${zones[at % zones.length]}`);
+  Array.from({ length: count }, (_, index) => `${kind}:${zones[index % zones.length]}`);
 
 const service = { type: "services", meta: { name: "one" }, spec: { maxConns: 66 } };
 const createLargeConfig = (routes: number): ConfigChangeBytes => ({
@@ -19,14 +20,15 @@
   base: "0",
   body: JSON.stringify({
     ver: "r1",
-    objs: [...Array.from({ length: routes }, (_, at) => routeTo(`r${at}`, "one")), service],
+    objs: [...Array.from({ length: routes }, (_, index) => routeTo(`r${index}`, "one")), service],
   }),
 });
 
-/** Bounds of the grown deployments: a change is in force everywhere, and acknowledged, within these. */
-const applyMs = 2000;
-const ackMs = 4000;
-/** How long a first try of a keyed write waits for its claim: a fifth of a goal of 900 ms. */
+/** In the grown deployments a change must be in force on all edges within this time. */
+const applyTimeoutMs = 2000;
+/** In the grown deployments a change must be acknowledged within this time. */
+const ackTimeoutMs = 4000;
+/** Timeout of the idempotency claim for the first attempt of a keyed write: a fifth of a target time of 900 ms. */
 const claimTimeoutMs = 180;
 const claimIntervalMs = 20;
 
@@ -39,7 +41,7 @@
   return cluster;
 };
 
-/** A daemon's way to the leader, on a machine of its own that is never short of anything. */
+/** Creates a forwarder to the leader on a separate machine without limits on its processor and link. */
 const createForwarder = (cluster: LimitedCluster): CommandForwarder => {
   const runtime = virtualRuntime({
     clock: cluster.time.clock(),
@@ -50,21 +52,26 @@
   return new CommandForwarder(runtime, rpc, () => cluster.disks.map(({ peer }) => peer));
 };
 
-/** Claims one key after another, for as long as the stage runs; how long each claim took. */
+/** Claims a new key every 20 ms while the cluster runs. Returns the duration of each claim, infinite for one that failed. */
 const startClaims = (cluster: LimitedCluster): number[] => {
   const durationsMs: number[] = [];
   const clock = cluster.time.clock();
   const forwarder = createForwarder(cluster);
-  const claim = function* (at: number): Task {
+  const claim = function* (index: number): Task {
     const sentMs = cluster.time.nowMs();
-    const command = { kind: "claim", scope: `key-${at}`, bodyHash: "h", job: `job-${at}` } as const;
+    const command = {
+      kind: "claim",
+      scope: `key-${index}`,
+      bodyHash: "h",
+      job: `job-${index}`,
+    } as const;
     const text = yield* forwarder.command(command, 5000);
     durationsMs.push(text === '{"claimed":true}' ? cluster.time.nowMs() - sentMs : Infinity);
   };
   cluster.start(
     (function* (): Task {
-      for (let at = 0; ; at += 1) {
-        cluster.start(claim(at));
+      for (let index = 0; ; index += 1) {
+        cluster.start(claim(index));
         yield* sleep(clock, claimIntervalMs);
       }
     })(),
@@ -72,7 +79,12 @@
   return durationsMs;
 };
 
-test("on links and processors of the grown size, a configuration of 2,500 routes and a storm of changes hold up neither each other nor keyed writes, and cost no leader its lead", () => {
+/**
+ * Guards against configuration traffic that fills the links or the leader's processor. A configuration of 2,500 routes goes
+ * to 30 edges on narrow links, then changes follow each other. If they delay each other, the leader's heartbeats or the
+ * claims of keyed writes, then changes exceed their bounds, an election occurs, or claims time out.
+ */
+test("with the links and processors of a grown deployment, a configuration of 2,500 routes and rapid changes delay neither each other nor keyed writes, and cause no election", () => {
   const cluster = createCluster();
   const electionsBefore = cluster.electionCount;
   expect(cluster.submitUntilFinal(createLargeConfig(2500), 6)).toBe(200);
@@ -83,11 +95,11 @@
     const edge = edges[version % edges.length] ?? cluster.at(0);
     const change = patchConfig(version, version + 1, { name: `s${version}`, svc: "one" });
     const request = cluster.submit(edge, change);
-    cluster.until(() => request.code !== undefined, ackMs);
+    cluster.until(() => request.code !== undefined, ackTimeoutMs);
     expect(request.code).toBe(200);
     const isBehind = ({ daemon }: StageMachine): boolean =>
       daemon?.servingState.isGranted !== true || daemon.servingState.configSequence < version + 1;
-    cluster.until(() => !edges.some(isBehind), applyMs);
+    cluster.until(() => !edges.some(isBehind), applyTimeoutMs);
   }
   expect(cluster.electionCount).toBe(electionsBefore);
   expect(claimDurationsMs.length).toBeGreaterThan(20);
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -13,17 +13,20 @@
 import { LimitedCluster } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
+/** Machines of one kind in alternating zones: "d" with a disk, "e" an edge. */
 const machinesOf = (kind: string, count: number): string[] =>
-  Array.from({ length: count }, (_, at) => `${kind}:${zones[at % zones.length]}`);
+  Array.from({ length: count }, (_, index) => `${kind}:${zones[index % zones.length]}`);
 
-/** Figures of the grown deployments: how soon a leave is acknowledged, and how soon a keyed write is to be answered. */
+/** In the grown deployments a deregistration must be acknowledged within this time. */
 const ackTimeoutMs = 4000;
+/** Target time and deadline of the response to a keyed write in the grown deployments. */
 const targetTimeMs = 900;
 const deadlineMs = 3300;
-/** Whoever calls a control address goes on to another daemon after a second of silence. */
+/** A client of a control address tries another daemon if no response arrives within this time. */
 const clientTimeoutMs = 1000;
-/** Grown Rastro has some 400 keyed writes a second at its peak. */
+/** The grown Rastro deployment has about 400 keyed writes/s at its peak. */
 const writesPerSecond = 600;
+/** Time that a backend takes to process a request. */
 const processingMs = 160;
 const responseBytes = 5000;
 const backendCount = 20;
@@ -54,21 +57,21 @@
   }),
 };
 
-/** Backends that answer each request after some work with a body of usual size. */
+/** Creates a client whose backends respond to each request after the processing time, with a body of typical size. */
 const createBackendClient = (clock: Clock): BackendClient => ({
-  *send({ request: job, maySend: mayStill }) {
-    if (!mayStill()) return openFailure("withdrawn");
+  *send({ request, maySend }) {
+    if (!maySend()) return openFailure("withdrawn");
     yield* sleep(clock, processingMs);
-    const pieces = [Buffer.alloc(responseBytes, "r")];
+    const chunks = [Buffer.alloc(responseBytes, "r")];
     return openedResponse({
       code: 200,
       headers: {
-        "try-id": job.headers["try-id"] ?? "",
+        "try-id": request.headers["try-id"] ?? "",
         seal: "seal",
         "content-length": String(responseBytes),
       },
       *next() {
-        return pieces.shift() ?? "end";
+        return chunks.shift() ?? "end";
       },
       cancel: () => undefined,
     });
@@ -77,11 +80,13 @@
   close: () => undefined,
 });
 
+/** The response to a keyed write: no code and an infinite duration until it arrives. */
 interface KeyedWrite {
   code: number | undefined;
   durationMs: number;
 }
 
+/** A cluster with limited machines that receives keyed writes, heartbeats and deregistrations. */
 class KeyedWriteCluster extends LimitedCluster {
   readonly writes: KeyedWrite[] = [];
   private readonly deregisteringIds = new Set<number>();
@@ -103,7 +108,7 @@
     return this.machines.filter(({ disk }) => !disk);
   }
 
-  /** Sends keyed writes at a rate, each with a key of its own, to all edges in turn. */
+  /** Starts keyed writes at a fixed rate, each with its own key, distributed round-robin over all edges. */
   startWrites(ratePerSecond: number, durationMs: number): void {
     const { time, edges } = this;
     const startMs = time.nowMs();
@@ -111,8 +116,8 @@
     const writeAtRate = function* (cluster: KeyedWriteCluster): Task {
       while (cluster.writes.length < count) {
         const due = Math.min(count, ((time.nowMs() - startMs) * ratePerSecond) / 1000);
-        for (let at = cluster.writes.length; at < due; at += 1)
-          cluster.send(edges[at % edges.length], `key-${at}`);
+        for (let index = cluster.writes.length; index < due; index += 1)
+          cluster.send(edges[index % edges.length], `key-${index}`);
         yield* sleep(time.clock(), 1);
       }
     };
@@ -151,7 +156,7 @@
     edge?.daemon?.clientRequests.emit({ clientRequest, client });
   }
 
-  /** Has backends announce themselves through one edge after another, until they leave. */
+  /** Starts the heartbeats of backends, each to a different edge than the previous one, until the backend deregisters. */
   startHeartbeats(ids: readonly number[]): void {
     const clock = this.time.clock();
     const sendHeartbeats = function* (cluster: KeyedWriteCluster, id: number): Task {
@@ -164,11 +169,15 @@
     for (const id of ids) this.start(sendHeartbeats(this, id));
   }
 
-  /** Has backends leave, each calling one daemon after another until it is acknowledged; how long each took. */
+  /**
+   * Deregisters backends, each through random edges until one of them acknowledges it.
+   *
+   * Returns how long each deregistration took, infinite for one that wasn't acknowledged.
+   */
   deregister(ids: readonly number[]): number[] {
     const durationsMs = ids.map(() => Infinity);
     const clock = this.time.clock();
-    const deregisteringIds = function* (
+    const deregisterBackend = function* (
       cluster: KeyedWriteCluster,
       id: number,
       index: number,
@@ -178,22 +187,22 @@
       for (let calls = 1000; ; calls += 1) {
         const edge = cluster.edges[Math.floor(cluster.random() * cluster.edges.length)];
         if (!edge) return;
-        const call = cluster.heartbeat(edge, {
+        const request = cluster.heartbeat(edge, {
           id: `${id}`,
           calls,
           state: "draining",
           service: "ledger",
         });
-        const untilMs = clock.nowMs() + clientTimeoutMs;
-        while (call.code === undefined && clock.nowMs() < untilMs) yield* sleep(clock, 5);
-        if (call.code === 200) {
+        const timeoutAtMs = clock.nowMs() + clientTimeoutMs;
+        while (request.code === undefined && clock.nowMs() < timeoutAtMs) yield* sleep(clock, 5);
+        if (request.code === 200) {
           durationsMs[index] = clock.nowMs() - startedMs;
           return;
         }
         yield* sleep(clock, 50);
       }
     };
-    for (const [index, id] of ids.entries()) this.start(deregisteringIds(this, id, index));
+    for (const [index, id] of ids.entries()) this.start(deregisterBackend(this, id, index));
     this.wait(ackTimeoutMs);
     return durationsMs;
   }
@@ -209,7 +218,11 @@
   return cluster;
 };
 
-test("under one and a half times the keyed writes of a grown deployment's peak the leader keeps its lead, writes are answered in time, and every backend that leaves is acknowledged", () => {
+/**
+ * Guards against a leader whose processor the claims of keyed writes use up. It then misses its own heartbeats and loses its
+ * leadership, responds too late, or leaves deregistrations unacknowledged.
+ */
+test("at 1.5 times the peak rate of keyed writes of a grown deployment the leader keeps its leadership, writes are answered in time, and all deregistrations are acknowledged", () => {
   const cluster = createCluster();
   const electionsBefore = cluster.electionCount;
   cluster.startWrites(writesPerSecond, 6000);
@@ -220,6 +233,8 @@
   expect(cluster.writes.length).toBe(writesPerSecond * 6);
   expect(cluster.electionCount).toBe(electionsBefore);
   expect(Math.max(...deregistrationsMs)).toBeLessThan(ackTimeoutMs);
-  const inTime = cluster.writes.filter((one) => one.code === 200 && one.durationMs < targetTimeMs);
+  const inTime = cluster.writes.filter(
+    ({ code, durationMs }) => code === 200 && durationMs < targetTimeMs,
+  );
   expect(inTime.length).toBeGreaterThan(cluster.writes.length * 0.9);
 }, 120_000);
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -1,3 +1,4 @@
+/** A simulated cluster whose machines have limited processors and links. */
 import type { Settings } from "../../src/daemon/settings.js";
 import { ControlFixture } from "../platform/command-stage.js";
 import type { MachineLife, StageMachine } from "../replication/fleet-stage.js";
@@ -10,11 +11,12 @@
   type MachineLimits,
 } from "./machine-limits.js";
 
-/** Machines with a disk, and those without, as the grown deployments have them. */
+/** Limits of the machines with a disk in the grown deployments. */
 const memberLimits: MachineLimits = { cpuShare: 0.675, linkMbps: 100 };
+/** Limits of the edges in the grown deployments. */
 const edgeLimits: MachineLimits = { cpuShare: 0.27, linkMbps: 3.5 };
 
-/** A staged fleet in which every machine has a share of a core and a link of its own rate. */
+/** A simulated cluster in which every machine has a share of a core and a link with a limited rate. */
 export class LimitedCluster extends ControlFixture {
   private readonly processors = new Map<StageMachine, Processor>();
 
@@ -26,25 +28,25 @@
     }
   }
 
-  /** The processor of a machine's present life. */
+  /** The processor of a machine's current process. */
   processor(machine: StageMachine): Processor {
     const processor = this.processors.get(machine);
-    if (!processor) throw new Error("The machine was never started.");
+    if (!processor) throw new Error(`${machine.settings.machine} was never started`);
     return processor;
   }
 
-  /** How often another machine has come to lead. */
+  /** Number of times that a leader was elected. */
   get electionCount(): number {
     return this.lines.filter((line) => line.includes("leader elected")).length;
   }
 
   protected override lifeOf(machine: StageMachine): MachineLife {
-    const time = this.time.clock();
+    const ungatedClock = this.time.clock();
     const { cpuShare, linkMbps } = this.limitsOf(machine);
-    const processor = new Processor(time, cpuShare);
+    const processor = new Processor(ungatedClock, cpuShare);
     this.processors.set(machine, processor);
-    const gate = new LimitedGate(time, processor, estimatedCpuCosts);
-    const clock = gate.clock(time);
+    const gate = new LimitedGate(ungatedClock, processor, estimatedCpuCosts);
+    const clock = gate.clock(ungatedClock);
     const network = limitNetwork(this.network.wire(machine.settings.machine, gate), {
       clock,
       processor,
--- a/test/load/machine-limits.ts
+++ b/test/load/machine-limits.ts
@@ -1,18 +1,19 @@
+/** A model of limited machines: a share of a core for the process, and a link with a limited rate. */
 import type { Clock } from "../../src/runtime/clock.js";
 import { Queue } from "../../src/runtime/queue.js";
 import { type Task, runTask } from "../../src/runtime/task.js";
 import type { Connection, Network } from "../../src/runtime/network.js";
 import { EventGate } from "../../src/simulation/event-gate.js";
 
-/** What a machine of a simulated fleet may use. */
+/** The resources of a simulated machine. */
 export interface MachineLimits {
-  /** The share of a core that its process gets. */
+  /** The share of a core that the machine's process gets. */
   readonly cpuShare: number;
-  /** The rate of its link, each way. */
+  /** The rate of the machine's link in each direction. */
   readonly linkMbps: number;
 }
 
-/** What a whole core takes for each thing that a process does. */
+/** The time that a whole core needs for each operation of a process. */
 export interface CpuCosts {
   readonly wakeUpMs: number;
   readonly messageMs: number;
@@ -20,7 +21,7 @@
   readonly connectionMs: number;
 }
 
-/** Estimates, not yet calibrated against the real program; what tests assert must not hang on them alone. */
+/** Estimates that aren't calibrated against the real program, so no test may depend on their exact values alone. */
 export const estimatedCpuCosts: CpuCosts = {
   wakeUpMs: 0.02,
   messageMs: 0.06,
@@ -28,17 +29,17 @@
   connectionMs: 0.4,
 };
 
-/** Timers go off on whole milliseconds: waiting for less than that would let one event through for each. */
-const clockStepMs = 1;
-const bytesPerMsOfMbps = 125;
+/** Resolution of timers. A shorter wait would be rounded up to it, and let only one event pass per millisecond. */
+const timerResolutionMs = 1;
+const bytesPerMsPerMbps = 125;
 const BYTES_PER_KIB = 1024;
 
-/** One process's share of a core: work is done one piece after another, and what comes while it is busy waits. */
+/** One process's share of a core. It works sequentially: work that arrives while it is busy waits. */
 export class Processor {
   private readonly clock: Clock;
   private readonly share: number;
   private freeAtMs = 0;
-  /** How much work was done, in milliseconds of a whole core. */
+  /** Total work so far, in milliseconds of a whole core. */
   usedMs = 0;
 
   constructor(clock: Clock, share: number) {
@@ -46,31 +47,31 @@
     this.share = share;
   }
 
-  /** How long new work waits. */
+  /** How long work that arrives now waits. */
   get waitMs(): number {
     return Math.max(0, this.freeAtMs - this.clock.nowMs());
   }
 
-  /** Counts work that takes so long on a whole core. */
+  /** Adds work that takes `coreMs` on a whole core. */
   charge(coreMs: number): void {
     this.usedMs += coreMs;
     this.freeAtMs = Math.max(this.freeAtMs, this.clock.nowMs()) + coreMs / this.share;
   }
 }
 
-/** A gate whose events wait for the processor. */
+/** A gate whose events wait until the processor is free. */
 export class LimitedGate extends EventGate {
   private readonly queue: Array<() => void> = [];
   private isWaiting = false;
   private readonly processor: Processor;
-  private readonly charges: CpuCosts;
-  private readonly time: Clock;
+  private readonly costs: CpuCosts;
+  private readonly ungatedClock: Clock;
 
-  constructor(time: Clock, processor: Processor, charges: CpuCosts) {
+  constructor(ungatedClock: Clock, processor: Processor, costs: CpuCosts) {
     super();
-    this.time = time;
+    this.ungatedClock = ungatedClock;
     this.processor = processor;
-    this.charges = charges;
+    this.costs = costs;
   }
 
   override pass(run: () => void): void {
@@ -86,22 +87,22 @@
   private serve(): void {
     while (!this.isWaiting && this.queue.length > 0) {
       const { waitMs } = this.processor;
-      if (waitMs > clockStepMs) {
+      if (waitMs > timerResolutionMs) {
         this.isWaiting = true;
-        this.time.after(waitMs, () => {
+        this.ungatedClock.after(waitMs, () => {
           this.isWaiting = false;
           this.serve();
         });
         return;
       }
       const next = this.queue.shift();
-      this.processor.charge(this.charges.wakeUpMs);
+      this.processor.charge(this.costs.wakeUpMs);
       if (next) super.pass(next);
     }
   }
 }
 
-/** One direction of a machine's link: bytes leave one after another at its rate. */
+/** One direction of a machine's link, which transmits bytes in order at a fixed rate. */
 export class LinkQueue {
   private readonly clock: Clock;
   private readonly bytesPerMs: number;
@@ -109,10 +110,10 @@
 
   constructor(clock: Clock, mbps: number) {
     this.clock = clock;
-    this.bytesPerMs = mbps * bytesPerMsOfMbps;
+    this.bytesPerMs = mbps * bytesPerMsPerMbps;
   }
 
-  /** Queues bytes; tells in how long the last of them has left. */
+  /** Queues bytes; returns the time until the last of them is transmitted, in ms. */
   enqueue(bytes: number): number {
     const nowMs = this.clock.nowMs();
     this.emptyAtMs = Math.max(this.emptyAtMs, nowMs) + bytes / this.bytesPerMs;
@@ -120,7 +121,7 @@
   }
 }
 
-/** What one machine's traffic passes. */
+/** The clock, processor and link of one machine, and the cost of its operations. */
 export interface MachineResources {
   readonly clock: Clock;
   readonly processor: Processor;
@@ -134,10 +135,10 @@
 };
 
 const limitConnection = (inner: Connection, resources: MachineResources): Connection => {
-  const { clock, processor, egress, ingress, costs: charges } = resources;
+  const { clock, processor, egress, ingress, costs } = resources;
   const incoming = new Queue<Uint8Array | "closed">();
   const chargeFor = (bytes: number): void =>
-    processor.charge(charges.messageMs + (bytes / BYTES_PER_KIB) * charges.kibibyteMs);
+    processor.charge(costs.messageMs + (bytes / BYTES_PER_KIB) * costs.kibibyteMs);
   const forwardIncoming = function* (): Task {
     for (;;) {
       const chunk = yield* inner.incoming.take();
@@ -163,7 +164,7 @@
   };
 };
 
-/** A wire whose bytes take processor time at this machine, and time on its link. */
+/** Wraps a machine's network so that its traffic uses the machine's processor and link. */
 export const limitNetwork = (inner: Network, resources: MachineResources): Network => ({
   *connect(address) {
     resources.processor.charge(resources.costs.connectionMs);
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -12,11 +12,11 @@
 
 const machines = [
   ...["d:a", "d:b", "d:c", "d:a", "d:b"],
-  ...Array.from({ length: 15 }, (_, at) => `e:${["a", "b", "c"][at % 3]}`),
+  ...Array.from({ length: 15 }, (_, index) => `e:${["a", "b", "c"][index % 3]}`),
 ];
 const expiredLeaseBounds = { staleMs: 5000, contactMs: 3000 };
-/** A change is in force at all that serve within this time. */
-const applyMs = 2000;
+/** A change must be in force on all edges that serve requests within this time. */
+const applyTimeoutMs = 2000;
 
 const createCluster = (): LimitedCluster => {
   const cluster = new LimitedCluster(machines, [0, 1, 2], { tolerate: { machines: 2, zones: 0 } });
@@ -27,7 +27,7 @@
   return cluster;
 };
 
-/** Keeps the processors of some machines busy, so that what comes waits for a fifth of a second and more. */
+/** Overloads the processors of some machines, so that incoming work waits for 200 ms and more. */
 const overloadProcessors = (
   cluster: LimitedCluster,
   overloaded: readonly StageMachine[],
@@ -45,7 +45,7 @@
   );
 };
 
-/** An edge's link to the members: it asks one after another, as one does whose leader answers late. */
+/** Creates an endpoint that sends requests to the members in turn, as an edge does when its leader responds late. */
 const pollAllMembers = (cluster: LimitedCluster): RpcEndpoint => {
   const runtime = virtualRuntime({
     clock: cluster.time.clock(),
@@ -64,7 +64,11 @@
   return rpc;
 };
 
-test("members whose processors are overloaded are never taken for a core that is out of reach", () => {
+/**
+ * Guards against serving by an expired lease while the quorum is available. Overloaded members respond late, which must not
+ * count as evidence that they are unreachable.
+ */
+test("members with overloaded processors never count as an unreachable quorum", () => {
   const cluster = createCluster();
   const rpc = pollAllMembers(cluster);
   const policy = new ExpiredLeasePolicy(
@@ -85,7 +89,11 @@
   expect(allowedCount).toBe(0);
 });
 
-test("under an overloaded leader a change that is acknowledged is in force in time wherever a lease holds, also when that leader is killed", () => {
+/**
+ * Guards against edges that serve by an old configuration although they hold a lease. The leader is overloaded while
+ * it accepts a change, and in every second round it is killed and restarted right after the acknowledgment.
+ */
+test("with an overloaded leader an acknowledged change is in force in time on every edge with a lease, also when that leader is killed", () => {
   const cluster = createCluster();
   const edges = cluster.machines.filter(({ disk }) => !disk);
   for (let base = 3, round = 0; round < 6; round += 1) {
@@ -102,7 +110,7 @@
       cluster.kill(leader);
       cluster.boot(leader, { bootstrap: false });
     }
-    cluster.wait(applyMs);
+    cluster.wait(applyTimeoutMs);
     for (const { daemon } of edges)
       if (daemon?.servingState.isGranted === true)
         expect(daemon.servingState.configSequence).toBeGreaterThanOrEqual(round + 2);
