--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -278,17 +278,17 @@
     services: ["issues"],
     routes: names,
   });
-  for (let at = 0; at < 400; at += 1)
+  for (let number = 0; number < 400; number += 1)
     apply({
       kind: "contract",
-      address: `10.0.0.1:${at}`,
+      address: `10.0.0.1:${number}`,
       service: "issues",
       zone: "red",
       warmth: 1,
     });
-  for (let at = 0; at < keys; at += 1) {
-    const scope = String(at).padStart(64, "f");
-    const job = `abcdef-ghijkl-mnopqr/${at}`;
+  for (let number = 0; number < keys; number += 1) {
+    const scope = String(number).padStart(64, "f");
+    const job = `abcdef-ghijkl-mnopqr/${number}`;
     apply({
       kind: "claim",
       scope,
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -152,7 +152,7 @@
   );
   const chunks: Buffer[] = [];
   child.stderr.on("data", (chunk: Buffer) => chunks.push(chunk));
-  const code = await new Promise((done) => child.once("close", done));
+  const code = await new Promise((resolve) => child.once("close", resolve));
   expect(code).toBe(2);
   for (const path of ["zone", "operators", "peers", "seeds"])
     expect(Buffer.concat(chunks).toString()).toContain(`daledoor: ${path}: `);
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -20,8 +20,12 @@
 export class LimitedCluster extends ControlFixture {
   private readonly processors = new Map<StageMachine, Processor>();
 
-  constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
-    super(machines, seeds, more);
+  constructor(
+    machines: readonly string[],
+    seeds: readonly number[],
+    extraSettings: Partial<Settings> = {},
+  ) {
+    super(machines, seeds, extraSettings);
     for (const machine of this.machines) {
       const { linkMbps } = this.limitsOf(machine);
       machine.settings = { ...machine.settings, limits: { linkMbps } };
--- a/test/load/machine-limits.ts
+++ b/test/load/machine-limits.ts
@@ -21,7 +21,7 @@
   readonly connectionMs: number;
 }
 
-/** Estimates that aren't calibrated against the real program, so no test may depend on their exact values alone. */
+/** Estimates that aren't calibrated against the real program, so no assertion may depend on them alone. */
 export const estimatedCpuCosts: CpuCosts = {
   wakeUpMs: 0.02,
   messageMs: 0.06,
