--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -54,7 +54,7 @@
 /** Starts a simulated cluster and waits until it has a leader and all edges hold a lease, for at most 20 s. */
 const startSimulation = (profile: Profile, seed: number, rate: number): Simulation => {
   const simulation = new Simulation(profile, seed, rate);
-  simulation.begin();
+  simulation.startAll();
   runUntil(
     simulation,
     () =>
@@ -130,7 +130,8 @@
       simulation.start(simulation.workload.putConfig());
       runUntil(
         simulation,
-        () => simulation.recorder.of("accepted").some(({ sequence }) => sequence === newSequence),
+        () =>
+          simulation.recorder.ofKind("accepted").some(({ sequence }) => sequence === newSequence),
         10_000,
       );
       const startMs = simulation.virtualClock.nowMs();
@@ -163,12 +164,12 @@
   const [before, fromMs, earlierRequests] = [
     readStatus(),
     simulation.virtualClock.nowMs(),
-    simulation.recorder.callers.length,
+    simulation.recorder.clientRecords.length,
   ];
   simulation.virtualClock.runUntil(fromMs + 10_000);
   const after = readStatus();
   if (!before || !after) return;
-  const writes = simulation.recorder.callers
+  const writes = simulation.recorder.clientRecords
     .slice(earlierRequests)
     .filter(({ key }) => key !== undefined).length;
   const entries = after.written - before.written;
--- a/src/benchmarks/retry-budget-benchmark.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -43,19 +43,19 @@
   durationMs: number,
 ): RetryDecisions => {
   const simulation = new Simulation(profile, seed, rate);
-  simulation.begin();
+  simulation.startAll();
   simulation.start(simulation.workload.putConfig());
   simulation.virtualClock.runUntil(20_000);
   const edges = simulation.machines.filter(
     (machine): machine is SimulatedMachine => machine.settings.callers !== undefined,
   );
   const [firstEdge] = edges;
-  const [service = ""] = Object.keys(profile.backEnds);
+  const [service = ""] = Object.keys(profile.backends);
   for (const testBackend of simulation.testBackends)
     if (testBackend.service === service)
-      testBackend.behave({
-        losesPart: lostFraction,
-        ...(scope === "one" && firstEdge ? { onlyFrom: firstEdge.daemon?.name ?? "" } : {}),
+      testBackend.setBehavior({
+        lossFraction: lostFraction,
+        ...(scope === "one" && firstEdge ? { onlyFromDaemon: firstEdge.daemon?.name ?? "" } : {}),
       });
   const decisions: RetryDecisions = {
     grantedRetries: 0,
@@ -84,9 +84,9 @@
     const nowMs = simulation.virtualClock.nowMs();
     for (; readRunCount < simulation.recorder.runs.length; readRunCount += 1) {
       const run = simulation.recorder.runs[readRunCount];
-      if (!run || run.meant !== service) continue;
-      if (attemptedRequests.has(run.caller)) retryTimesMs.push(run.atMs);
-      attemptedRequests.add(run.caller);
+      if (!run || run.intendedService !== service) continue;
+      if (attemptedRequests.has(run.requestId)) retryTimesMs.push(run.atMs);
+      attemptedRequests.add(run.requestId);
     }
     let isAllowed: boolean | undefined;
     for (const edge of edges) {
@@ -117,8 +117,8 @@
   nowMs: number,
 ): boolean => {
   const requestTimesMs: number[] = [];
-  for (let index = simulation.recorder.callers.length - 1; index >= 0; index -= 1) {
-    const record = simulation.recorder.callers[index];
+  for (let index = simulation.recorder.clientRecords.length - 1; index >= 0; index -= 1) {
+    const record = simulation.recorder.clientRecords[index];
     if (!record || record.endedMs < nowMs - RETRY_WINDOW_MS) break;
     if (record.service === service && record.sentMs > nowMs - RETRY_WINDOW_MS)
       requestTimesMs.push(record.sentMs);
@@ -141,7 +141,7 @@
   nowMs: number,
 ): void => {
   const trueCount = simulation.recorder.runs.filter(
-    (run) => run.meant === service && run.atMs > nowMs - RETRY_WINDOW_MS,
+    (run) => run.intendedService === service && run.atMs > nowMs - RETRY_WINDOW_MS,
   ).length;
   for (const { daemon } of edges) {
     const counts = daemon?.fleetRetryCounts(service);
--- a/src/fleet/fleet-client.ts
+++ b/src/fleet/fleet-client.ts
@@ -3,23 +3,23 @@
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
 import { type Task, fromPromise } from "../runtime/task.js";
-import type { ClientSide } from "../simulation/client-transport.js";
+import type { ClientOutcome } from "../simulation/client-transport.js";
 import { CLIENT_TIMEOUT_MS } from "../simulation/workload.js";
 
 const ADMIN_TIMEOUT_MS = 5000;
 const MAX_CONNECTIONS_PER_DAEMON = 200;
 
 /** What a client records when it received no response. */
-export const noResponse = (broke: ClientSide["broke"]): ClientSide => ({
+export const noResponse = (failure: ClientOutcome["failure"]): ClientOutcome => ({
   code: 0,
-  broke,
+  failure,
   body: Buffer.alloc(0),
-  statedBytes: undefined,
+  contentLength: undefined,
   retryAfterS: undefined,
 });
 
 /** How a failed request looks to the client, from the error and the client's timeout. */
-const classifyFailure = (error: unknown, timeoutMs: number): ClientSide["broke"] => {
+const classifyFailure = (error: unknown, timeoutMs: number): ClientOutcome["failure"] => {
   if (!(error instanceof Error)) return "broken";
   if (error.name === "TimeoutError") return timeoutMs < CLIENT_TIMEOUT_MS ? "hungUp" : "silent";
   return "code" in error && error.code === "ECONNREFUSED" ? "refused" : "broken";
@@ -41,7 +41,7 @@
   private readonly pools = new Map<string, Pool>();
 
   /** Sends one request, and closes the connection if no response has arrived by the timeout. */
-  *send(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
+  *send(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientOutcome> {
     const outcome = yield* fromPromise(
       this.getPool(address)
         .request({
@@ -61,9 +61,9 @@
     const { statusCode, headers, body } = outcome.value;
     return {
       code: statusCode,
-      broke: "",
+      failure: "",
       body,
-      statedBytes: parseNumber(headers["content-length"]),
+      contentLength: parseNumber(headers["content-length"]),
       retryAfterS: parseNumber(headers["retry-after"]),
     };
   }
--- a/src/fleet/fleet-layout.ts
+++ b/src/fleet/fleet-layout.ts
@@ -87,8 +87,8 @@
 /** Reserves ports for a fleet and writes its settings files to a new folder. */
 export const createFleetLayout = async (profile: Profile): Promise<FleetLayout> => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-fleet-"));
-  const machineCount = profile.diskMachines + profile.smallMachines;
-  const backendCount = Object.values(profile.backEnds).reduce((sum, count) => sum + count, 0);
+  const machineCount = profile.diskMachines + profile.disklessMachines;
+  const backendCount = Object.values(profile.backends).reduce((sum, count) => sum + count, 0);
   const ports = await findFreePorts(machineCount * PORTS_PER_MACHINE + backendCount);
   const addressAt = (portIndex: number): string => `127.0.0.1:${ports[portIndex] ?? 0}`;
   const machines: FleetMachine[] = [];
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -10,7 +10,7 @@
 import type { Settings } from "../daemon/settings.js";
 import { type Task, waitFor, fromPromise, runTask } from "../runtime/task.js";
 import { Workload } from "../simulation/workload.js";
-import type { ClientSide, ClientTransport } from "../simulation/client-transport.js";
+import type { ClientOutcome, ClientTransport } from "../simulation/client-transport.js";
 import { RandomDraw } from "../simulation/random-draw.js";
 import { EventRecorder } from "../simulation/event-recorder.js";
 import type { Profile } from "../simulation/profile.js";
@@ -67,7 +67,7 @@
       ]),
     );
     const ports = [...backendPorts];
-    this.testBackends = Object.entries(profile.backEnds).flatMap(([service, count]) =>
+    this.testBackends = Object.entries(profile.backends).flatMap(([service, count]) =>
       Array.from(
         { length: count },
         (_, index) =>
@@ -96,14 +96,14 @@
     for (const machine of this.machines) this.boot(machine);
     for (const machine of this.machines) this.start(this.pollReadiness(machine));
     for (const testBackend of this.testBackends)
-      this.start(this.workload.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
+      this.start(this.workload.sendHeartbeats(testBackend, HEARTBEAT_INTERVAL_MS));
   }
 
   /** Starts the requests of clients, probes and operators. */
   startRequests(): void {
-    for (const traffic of this.profile.traffic) this.start(this.workload.callers(traffic));
-    this.start(this.workload.probers(PROBES_PER_SECOND));
-    this.start(this.workload.operators.reading(CONFIG_READ_INTERVAL_MS));
+    for (const traffic of this.profile.traffic) this.start(this.workload.runClients(traffic));
+    this.start(this.workload.runProbes(PROBES_PER_SECOND));
+    this.start(this.workload.operators.readPeriodically(CONFIG_READ_INTERVAL_MS));
   }
 
   /** Starts a machine's daemon, whose error output is appended to a log file beside its settings file. */
@@ -138,7 +138,7 @@
   *kill(machine: FleetMachine): Task {
     const child = machine.process;
     if (!child) return;
-    this.recorder.world.push({
+    this.recorder.environmentRecords.push({
       kind: "killed",
       atMs: this.clock.nowMs(),
       daemon: machine.settings.machine,
@@ -166,7 +166,7 @@
       child.once("exit", () => resume(true));
       child.kill("SIGTERM");
     });
-    this.recorder.world.push({
+    this.recorder.environmentRecords.push({
       kind: "stopped",
       atMs,
       daemon: machine.settings.machine,
@@ -176,7 +176,7 @@
 
   /** Stops a backend abruptly: closes its port and breaks its connections. */
   *crash(testBackend: TestBackend): Task {
-    testBackend.end();
+    testBackend.stop();
     const server = this.servers.get(testBackend.address);
     this.servers.delete(testBackend.address);
     if (!server) return;
@@ -276,7 +276,7 @@
       clock: this.clock,
       random: this.random,
       start: (task) => this.start(task),
-      ready: () =>
+      readyDaemons: () =>
         this.machines
           .filter(({ settings, isReady }) => settings.callers !== undefined && isReady)
           .map(({ settings }) => settings),
@@ -284,9 +284,9 @@
         this.machines.some(
           (machine) => machine.settings.machine === daemon && machine.process !== undefined,
         ),
-      call: (daemon, clientRequest, timeoutMs) =>
+      sendRequest: (daemon, clientRequest, timeoutMs) =>
         this.sendRequest(daemon, clientRequest, timeoutMs),
-      desk: (daemon, clientRequest) => this.sendAdminRequest(daemon, clientRequest),
+      sendAdminRequest: (daemon, clientRequest) => this.sendAdminRequest(daemon, clientRequest),
     };
   }
 
@@ -298,7 +298,7 @@
     daemon: string,
     clientRequest: ProxyRequest,
     timeoutMs: number,
-  ): Task<ClientSide> {
+  ): Task<ClientOutcome> {
     const address = this.findSettings(daemon)?.callers;
     if (address === undefined) return noResponse("refused");
     return yield* this.client.send(address, clientRequest, timeoutMs);
--- a/src/fleet/main.ts
+++ b/src/fleet/main.ts
@@ -91,7 +91,7 @@
   }
   if (deregistering) {
     printLine(`${deregistering.address} of ${deregistering.service} deregisters`);
-    yield* fleet.workload.leave(deregistering);
+    yield* fleet.workload.deregister(deregistering);
     yield* sleep(clock, 3000);
     yield* fleet.crash(deregistering);
   }
@@ -102,7 +102,7 @@
     printLine(`${reused.address} of ${reused.service} is reused by ${otherService}`);
     yield* fleet.crash(reused);
     yield* sleep(clock, 1500);
-    fleet.recorder.world.push({
+    fleet.recorder.environmentRecords.push({
       kind: "reused",
       atMs: clock.nowMs(),
       address: reused.address,
@@ -114,21 +114,21 @@
     printLine(
       `${faulty.address} of ${faulty.service} drops responses, sends garbage and truncates bodies`,
     );
-    faulty.behave({ losesPart: 0.3, garbagePart: 0.3, cutPart: 0.3 });
+    faulty.setBehavior({ lossFraction: 0.3, garbageFraction: 0.3, truncatedFraction: 0.3 });
   }
   yield* waitUntilFraction(0.55, startedMs);
   if (edgeToFreeze) {
     printLine(`${edgeToFreeze.settings.machine}, an edge, is suspended for two lease durations`);
     yield* fleet.freeze(edgeToFreeze, 3200);
   }
-  faulty?.behave({});
+  faulty?.setBehavior({});
   yield* waitUntilFraction(0.6, startedMs);
-  const [service] = Object.keys(fleet.profile.backEnds);
+  const [service] = Object.keys(fleet.profile.backends);
   const failing = fleet.testBackends.filter((testBackend) => testBackend.service === service);
   printLine(`all ${failing.length} backends of ${service ?? ""} drop 7 of 10 responses`);
-  for (const testBackend of failing) testBackend.behave({ losesPart: 0.7 });
+  for (const testBackend of failing) testBackend.setBehavior({ lossFraction: 0.7 });
   yield* waitUntilFraction(0.7, startedMs);
-  for (const testBackend of failing) testBackend.behave({});
+  for (const testBackend of failing) testBackend.setBehavior({});
   yield* printRetryDecisions(fleet);
   if (edgeToStop) {
     printLine(`${edgeToStop.settings.machine}, an edge, is stopped and restarted`);
@@ -137,7 +137,7 @@
     fleet.boot(edgeToStop);
   }
   yield* waitUntilFraction(0.8, startedMs);
-  fleet.recorder.world.push({ kind: "recovered", atMs: clock.nowMs() });
+  fleet.recorder.environmentRecords.push({ kind: "recovered", atMs: clock.nowMs() });
 };
 
 const program = cac("fleet");
@@ -162,7 +162,7 @@
     for (const name of ["SIGINT", "SIGTERM"] as const)
       process.once(name, () => void fleet.shutDown(false).then(() => process.exit(130)));
     printLine(
-      `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.smallMachines} small ones, ${fleet.testBackends.length} backends; logs under ${fleet.folder}`,
+      `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.disklessMachines} small ones, ${fleet.testBackends.length} backends; logs under ${fleet.folder}`,
     );
     if (!(await startFleet(fleet))) process.exit(1);
     printLine("All machines are ready and a config is in force; clients start sending requests");
--- a/src/fleet/report.ts
+++ b/src/fleet/report.ts
@@ -3,7 +3,12 @@
 import type { Task } from "../runtime/task.js";
 import type { Fleet } from "./fleet.js";
 import type { ClientRecord } from "../simulation/event-recorder.js";
-import { checkRules, rules, servedPart, worstRepeats } from "../simulation/invariant-checker.js";
+import {
+  checkRules,
+  rules,
+  servedFraction,
+  findPeakRetries,
+} from "../simulation/invariant-checker.js";
 import { type Profile, shippedProfiles } from "../simulation/profile.js";
 
 /** Timeout for all machines to become ready, and for all backends to register. */
@@ -28,7 +33,7 @@
   const { recorder } = fleet;
   const formatCounts = (keyOf: (record: ClientRecord) => string): string => {
     const counts = new Map<string, number>();
-    for (const record of recorder.callers)
+    for (const record of recorder.clientRecords)
       counts.set(keyOf(record), (counts.get(keyOf(record)) ?? 0) + 1);
     return [...counts]
       .sort(([a], [b]) => a.localeCompare(b))
@@ -36,20 +41,20 @@
       .join(", ");
   };
   printLine(
-    `Requests: ${recorder.callers.length}, ${(servedPart(recorder, fromMs, Infinity) * 100).toFixed(2)}% served`,
+    `Requests: ${recorder.clientRecords.length}, ${(servedFraction(recorder, fromMs, Infinity) * 100).toFixed(2)}% served`,
   );
   printLine(
-    `  by response: ${formatCounts(({ code, broke }) => (code === 0 ? broke : String(code)))}`,
+    `  by response: ${formatCounts(({ code, failure }) => (code === 0 ? failure : String(code)))}`,
   );
   printLine(
-    `  by execution status: ${formatCounts(({ code, verdict }) => (code === 0 ? "no response" : verdict || "ran"))}`,
+    `  by execution status: ${formatCounts(({ code, executionStatus }) => (code === 0 ? "no response" : executionStatus || "ran"))}`,
   );
   for (const { route, method } of fleet.profile.traffic) {
     const firstSegment = fleet.profile.traffic
       .find((traffic) => traffic.route === route)
       ?.path(0)
       .split("/")[1];
-    const durationsMs = recorder.callers
+    const durationsMs = recorder.clientRecords
       .filter(
         (record) =>
           record.method === method &&
@@ -64,11 +69,11 @@
     );
   }
   printLine(
-    `Attempts that reached backends: ${recorder.runs.length}; configs accepted: ${recorder.of("accepted").length}`,
+    `Attempts that reached backends: ${recorder.runs.length}; configs accepted: ${recorder.ofKind("accepted").length}`,
   );
-  for (const [service, { further, requests, allowed }] of worstRepeats(recorder))
+  for (const [service, { retries, requests, allowed }] of findPeakRetries(recorder))
     printLine(
-      `  ${service}: worst 10 s window had ${further} retries for ${requests} requests, ${Math.floor(allowed)} allowed`,
+      `  ${service}: worst 10 s window had ${retries} retries for ${requests} requests, ${Math.floor(allowed)} allowed`,
     );
   const violations = checkRules(recorder);
   for (const rule of Object.keys(rules)) {
@@ -76,7 +81,7 @@
     printLine(
       `${ruleViolations.length === 0 ? "kept  " : "BROKEN"} ${rule}${ruleViolations.length > 0 ? ` (${ruleViolations.length} times)` : ""}`,
     );
-    for (const { what } of ruleViolations.slice(0, 5)) printLine(`         ${what}`);
+    for (const { detail } of ruleViolations.slice(0, 5)) printLine(`         ${detail}`);
   }
   if (fleet.harnessErrors.length > 0)
     printLine(
@@ -96,7 +101,7 @@
     await fleet.run(
       fleet.waitUntil(
         () =>
-          new Set(fleet.recorder.of("announced").map(({ address }) => address)).size >=
+          new Set(fleet.recorder.ofKind("announced").map(({ address }) => address)).size >=
           fleet.testBackends.length,
         readyTimeoutMs,
       ),
--- a/src/fleet/zone-drill.ts
+++ b/src/fleet/zone-drill.ts
@@ -3,7 +3,7 @@
 import { sleep } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import { Fleet } from "./fleet.js";
-import { servedPart } from "../simulation/invariant-checker.js";
+import { servedFraction } from "../simulation/invariant-checker.js";
 import {
   startFleet,
   applyConfigsPeriodically,
@@ -81,7 +81,7 @@
     await fleet.run(sleep(clock, options.seconds * 1000));
     const restoredAtMs = clock.nowMs();
     await fleet.run(restoreZone(fleet, zone));
-    recorder.world.push({ kind: "recovered", atMs: clock.nowMs() });
+    recorder.environmentRecords.push({ kind: "recovered", atMs: clock.nowMs() });
     const areReady = await fleet.run(
       fleet.waitUntil(() => fleet.machines.every(({ isReady }) => isReady), phases.recoveryMs),
     );
@@ -90,7 +90,7 @@
     const endMs = clock.nowMs();
     const violations = await stopFleet(fleet, startedMs);
     printLine(
-      `Served before ${formatPercent(servedPart(recorder, startedMs, failedAtMs))}, in the first 5 s without the zone ${formatPercent(servedPart(recorder, failedAtMs, failedAtMs + 5000))}, then ${formatPercent(servedPart(recorder, failedAtMs + 5000, restoredAtMs))}, after its restoration ${formatPercent(servedPart(recorder, restoredAtMs, endMs))}`,
+      `Served before ${formatPercent(servedFraction(recorder, startedMs, failedAtMs))}, in the first 5 s without the zone ${formatPercent(servedFraction(recorder, failedAtMs, failedAtMs + 5000))}, then ${formatPercent(servedFraction(recorder, failedAtMs + 5000, restoredAtMs))}, after its restoration ${formatPercent(servedFraction(recorder, restoredAtMs, endMs))}`,
     );
     printLine(
       areReady
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -10,8 +10,8 @@
   name: "small",
   zones: ["a", "b", "c"],
   diskMachines: 3,
-  smallMachines: 2,
-  backEnds: { issues: 3, triage: 2 },
+  disklessMachines: 2,
+  backends: { issues: 3, triage: 2 },
   traffic: [
     {
       route: "issues",
@@ -19,7 +19,7 @@
       method: "GET",
       path: (index) => `/issues/${index % 9}`,
       keyed: false,
-      perSecond: 30,
+      requestsPerSecond: 30,
       bodyBytes: 300_000,
     },
     {
@@ -28,7 +28,7 @@
       method: "POST",
       path: (index) => `/issues/${index % 9}/resolve`,
       keyed: true,
-      perSecond: 30,
+      requestsPerSecond: 30,
       bodyBytes: 80,
     },
   ],
@@ -55,13 +55,13 @@
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
     await fleet.run(
       fleet.waitUntil(
-        () => fleet.recorder.of("announced").length >= fleet.testBackends.length,
+        () => fleet.recorder.ofKind("announced").length >= fleet.testBackends.length,
         10_000,
       ),
     );
     fleet.startRequests();
     const countServed = (): number =>
-      fleet.recorder.callers.filter(({ code }) => code === 200 || code === 201).length;
+      fleet.recorder.clientRecords.filter(({ code }) => code === 200 || code === 201).length;
     expect(await fleet.run(fleet.waitUntil(() => countServed() > 60, 20_000))).toBe(true);
 
     const diskMachines = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
@@ -85,7 +85,7 @@
     expect(edge.exitCode).toBe(0);
     fleet.recorder.endMs = fleet.clock.nowMs();
     await fleet.run(fleet.workload.readBack());
-    expect(fleet.recorder.of("readBack")).toHaveLength(2);
+    expect(fleet.recorder.ofKind("readBack")).toHaveLength(2);
     expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.harnessErrors).toEqual([]);
     const statuses = [];
@@ -103,7 +103,7 @@
  * the daemon's files makes them fail, and the disk must be usable again once the limit is removed.
  */
 test("real processes: a leader with a full disk hands over, no accepted config is lost, and it accepts writes again", async () => {
-  const fleet = await Fleet.create({ ...smallProfile, smallMachines: 1 }, 2, 1);
+  const fleet = await Fleet.create({ ...smallProfile, disklessMachines: 1 }, 2, 1);
   const diskMachines = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
   const findLeader = async (): Promise<FleetMachine | undefined> => {
     for (const machine of diskMachines) {
@@ -135,7 +135,7 @@
     if (nextLeader) await fleet.run(fleet.kill(nextLeader));
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
     await fleet.run(fleet.workload.readBack());
-    expect(fleet.recorder.of("readBack")).toHaveLength(7);
+    expect(fleet.recorder.ofKind("readBack")).toHaveLength(7);
     expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.harnessErrors).toEqual([]);
   } finally {
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -6,7 +6,7 @@
 import { sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import { patchConfig, routeTo, type ConfigChangeBytes } from "../platform/command-stage.js";
-import type { StageMachine } from "../replication/fleet-stage.js";
+import type { FixtureMachine } from "../replication/fleet-stage.js";
 import { LimitedCluster } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
@@ -44,21 +44,21 @@
 /** Creates a forwarder to the leader on a separate machine without limits on its processor and link. */
 const createForwarder = (cluster: LimitedCluster): CommandForwarder => {
   const runtime = virtualRuntime({
-    clock: cluster.time.clock(),
-    network: cluster.network.wire("caller", new EventGate()),
+    clock: cluster.virtualClock.clock(),
+    network: cluster.network.createInterface("caller", new EventGate()),
     random: cluster.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.9:7000");
-  return new CommandForwarder(runtime, rpc, () => cluster.disks.map(({ peer }) => peer));
+  return new CommandForwarder(runtime, rpc, () => cluster.diskMachines.map(({ peer }) => peer));
 };
 
 /** Claims a new key every 20 ms while the cluster runs. Returns the duration of each claim, infinite for one that failed. */
 const startClaims = (cluster: LimitedCluster): number[] => {
   const durationsMs: number[] = [];
-  const clock = cluster.time.clock();
+  const clock = cluster.virtualClock.clock();
   const forwarder = createForwarder(cluster);
   const claim = function* (index: number): Task {
-    const sentMs = cluster.time.nowMs();
+    const sentMs = cluster.virtualClock.nowMs();
     const command = {
       kind: "claim",
       scope: `key-${index}`,
@@ -66,12 +66,14 @@
       job: `job-${index}`,
     } as const;
     const text = yield* forwarder.command(command, 5000);
-    durationsMs.push(text === '{"claimed":true}' ? cluster.time.nowMs() - sentMs : Infinity);
+    durationsMs.push(
+      text === '{"claimed":true}' ? cluster.virtualClock.nowMs() - sentMs : Infinity,
+    );
   };
-  cluster.start(
+  cluster.startTask(
     (function* (): Task {
       for (let index = 0; ; index += 1) {
-        cluster.start(claim(index));
+        cluster.startTask(claim(index));
         yield* sleep(clock, claimIntervalMs);
       }
     })(),
@@ -92,14 +94,14 @@
   const edges = cluster.machines.filter(({ disk }) => !disk);
   const claimDurationsMs = startClaims(cluster);
   for (let version = 1; version <= 10; version += 1) {
-    const edge = edges[version % edges.length] ?? cluster.at(0);
+    const edge = edges[version % edges.length] ?? cluster.machineAt(0);
     const change = patchConfig(version, version + 1, { name: `s${version}`, svc: "one" });
     const request = cluster.submit(edge, change);
-    cluster.until(() => request.code !== undefined, ackTimeoutMs);
+    cluster.waitUntil(() => request.code !== undefined, ackTimeoutMs);
     expect(request.code).toBe(200);
-    const isBehind = ({ daemon }: StageMachine): boolean =>
+    const isBehind = ({ daemon }: FixtureMachine): boolean =>
       daemon?.servingState.isGranted !== true || daemon.servingState.configSequence < version + 1;
-    cluster.until(() => !edges.some(isBehind), applyTimeoutMs);
+    cluster.waitUntil(() => !edges.some(isBehind), applyTimeoutMs);
   }
   expect(cluster.electionCount).toBe(electionsBefore);
   expect(claimDurationsMs.length).toBeGreaterThan(20);
--- a/test/load/keyed-load.test.ts
+++ b/test/load/keyed-load.test.ts
@@ -9,7 +9,7 @@
 import { type Clock, sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import type { ConfigChangeBytes } from "../platform/command-stage.js";
-import type { StageMachine } from "../replication/fleet-stage.js";
+import type { FixtureMachine } from "../replication/fleet-stage.js";
 import { LimitedCluster } from "./limited-stage.js";
 
 const zones = ["a", "b", "c"];
@@ -70,7 +70,7 @@
         seal: "seal",
         "content-length": String(responseBytes),
       },
-      *next() {
+      *nextChunk() {
         return chunks.shift() ?? "end";
       },
       cancel: () => undefined,
@@ -99,40 +99,40 @@
 
   protected override daemonOptions(): DaemonOptions {
     return {
-      backendClient: createBackendClient(this.time.clock()),
+      backendClient: createBackendClient(this.virtualClock.clock()),
       headerNames: LimitedCluster.headerNames,
     };
   }
 
-  get edges(): StageMachine[] {
+  get edges(): FixtureMachine[] {
     return this.machines.filter(({ disk }) => !disk);
   }
 
   /** Starts keyed writes at a fixed rate, each with its own key, distributed round-robin over all edges. */
   startWrites(ratePerSecond: number, durationMs: number): void {
-    const { time, edges } = this;
-    const startMs = time.nowMs();
+    const { virtualClock, edges } = this;
+    const startMs = virtualClock.nowMs();
     const count = (ratePerSecond * durationMs) / 1000;
     const writeAtRate = function* (cluster: KeyedWriteCluster): Task {
       while (cluster.writes.length < count) {
-        const due = Math.min(count, ((time.nowMs() - startMs) * ratePerSecond) / 1000);
+        const due = Math.min(count, ((virtualClock.nowMs() - startMs) * ratePerSecond) / 1000);
         for (let index = cluster.writes.length; index < due; index += 1)
           cluster.send(edges[index % edges.length], `key-${index}`);
-        yield* sleep(time.clock(), 1);
+        yield* sleep(virtualClock.clock(), 1);
       }
     };
-    this.start(writeAtRate(this));
+    this.startTask(writeAtRate(this));
   }
 
-  private send(edge: StageMachine | undefined, key: string): void {
-    const sentMs = this.time.nowMs();
+  private send(edge: FixtureMachine | undefined, key: string): void {
+    const sentMs = this.virtualClock.nowMs();
     const write: KeyedWrite = { code: undefined, durationMs: Infinity };
     this.writes.push(write);
     const client: ClientConnection = {
       isClosed: false,
       respond: ({ code }) => {
         write.code = code;
-        write.durationMs = this.time.nowMs() - sentMs;
+        write.durationMs = this.virtualClock.nowMs() - sentMs;
       },
       writeHead: () => undefined,
       *writeChunk() {
@@ -158,7 +158,7 @@
 
   /** Starts the heartbeats of backends, each to a different edge than the previous one, until the backend deregisters. */
   startHeartbeats(ids: readonly number[]): void {
-    const clock = this.time.clock();
+    const clock = this.virtualClock.clock();
     const sendHeartbeats = function* (cluster: KeyedWriteCluster, id: number): Task {
       for (let calls = 1; !cluster.deregisteringIds.has(id); calls += 1) {
         const edge = cluster.edges[(id + calls) % cluster.edges.length];
@@ -166,7 +166,7 @@
         yield* sleep(clock, heartbeatIntervalMs);
       }
     };
-    for (const id of ids) this.start(sendHeartbeats(this, id));
+    for (const id of ids) this.startTask(sendHeartbeats(this, id));
   }
 
   /**
@@ -176,7 +176,7 @@
    */
   deregister(ids: readonly number[]): number[] {
     const durationsMs = ids.map(() => Infinity);
-    const clock = this.time.clock();
+    const clock = this.virtualClock.clock();
     const deregisterBackend = function* (
       cluster: KeyedWriteCluster,
       id: number,
@@ -202,7 +202,7 @@
         yield* sleep(clock, 50);
       }
     };
-    for (const [index, id] of ids.entries()) this.start(deregisterBackend(this, id, index));
+    for (const [index, id] of ids.entries()) this.startTask(deregisterBackend(this, id, index));
     this.wait(ackTimeoutMs);
     return durationsMs;
   }
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -1,7 +1,7 @@
 /** A simulated cluster whose machines have limited processors and links. */
 import type { Settings } from "../../src/daemon/settings.js";
 import { ControlFixture } from "../platform/command-stage.js";
-import type { MachineLife, StageMachine } from "../replication/fleet-stage.js";
+import type { ProcessEnvironment, FixtureMachine } from "../replication/fleet-stage.js";
 import {
   LimitedGate,
   limitNetwork,
@@ -18,7 +18,7 @@
 
 /** A simulated cluster in which every machine has a share of a core and a link with a limited rate. */
 export class LimitedCluster extends ControlFixture {
-  private readonly processors = new Map<StageMachine, Processor>();
+  private readonly processors = new Map<FixtureMachine, Processor>();
 
   constructor(
     machines: readonly string[],
@@ -33,7 +33,7 @@
   }
 
   /** The processor of a machine's current process. */
-  processor(machine: StageMachine): Processor {
+  processor(machine: FixtureMachine): Processor {
     const processor = this.processors.get(machine);
     if (!processor) throw new Error(`${machine.settings.machine} was never started`);
     return processor;
@@ -41,17 +41,17 @@
 
   /** Number of times that a leader was elected. */
   get electionCount(): number {
-    return this.lines.filter((line) => line.includes("leader elected")).length;
+    return this.logLines.filter((line) => line.includes("leader elected")).length;
   }
 
-  protected override lifeOf(machine: StageMachine): MachineLife {
-    const ungatedClock = this.time.clock();
+  protected override createEnvironment(machine: FixtureMachine): ProcessEnvironment {
+    const ungatedClock = this.virtualClock.clock();
     const { cpuShare, linkMbps } = this.limitsOf(machine);
     const processor = new Processor(ungatedClock, cpuShare);
     this.processors.set(machine, processor);
     const gate = new LimitedGate(ungatedClock, processor, estimatedCpuCosts);
     const clock = gate.clock(ungatedClock);
-    const network = limitNetwork(this.network.wire(machine.settings.machine, gate), {
+    const network = limitNetwork(this.network.createInterface(machine.settings.machine, gate), {
       clock,
       processor,
       egress: new LinkQueue(clock, linkMbps),
@@ -61,7 +61,7 @@
     return { gate, clock, network };
   }
 
-  private limitsOf(machine: StageMachine): MachineLimits {
+  private limitsOf(machine: FixtureMachine): MachineLimits {
     return machine.disk ? memberLimits : edgeLimits;
   }
 }
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -7,7 +7,7 @@
 import { sleep } from "../../src/runtime/clock.js";
 import type { Task } from "../../src/runtime/task.js";
 import { patchConfig, putConfig } from "../platform/command-stage.js";
-import type { StageMachine } from "../replication/fleet-stage.js";
+import type { FixtureMachine } from "../replication/fleet-stage.js";
 import { LimitedCluster } from "./limited-stage.js";
 
 const machines = [
@@ -30,14 +30,14 @@
 /** Overloads the processors of some machines, so that incoming work waits for 200 ms and more. */
 const overloadProcessors = (
   cluster: LimitedCluster,
-  overloaded: readonly StageMachine[],
+  overloaded: readonly FixtureMachine[],
   durationMs: number,
 ): void => {
-  const untilMs = cluster.time.nowMs() + durationMs;
-  const clock = cluster.time.clock();
-  cluster.start(
+  const untilMs = cluster.virtualClock.nowMs() + durationMs;
+  const clock = cluster.virtualClock.clock();
+  cluster.startTask(
     (function* (): Task {
-      while (cluster.time.nowMs() < untilMs) {
+      while (cluster.virtualClock.nowMs() < untilMs) {
         for (const machine of overloaded) cluster.processor(machine).charge(180);
         yield* sleep(clock, 300);
       }
@@ -48,19 +48,19 @@
 /** Creates an endpoint that sends requests to the members in turn, as an edge does when its leader responds late. */
 const pollAllMembers = (cluster: LimitedCluster): RpcEndpoint => {
   const runtime = virtualRuntime({
-    clock: cluster.time.clock(),
-    network: cluster.network.wire("asking", new EventGate()),
+    clock: cluster.virtualClock.clock(),
+    network: cluster.network.createInterface("asking", new EventGate()),
     random: cluster.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.8:7000");
   const pollMembers = function* (): Task {
     for (;;)
-      for (const { peer } of cluster.disks) {
+      for (const { peer } of cluster.diskMachines) {
         yield* rpc.call(peer, rpcMethods.handOver, { term: 0 }, 200);
         yield* sleep(runtime.clock, 350);
       }
   };
-  cluster.start(pollMembers());
+  cluster.startTask(pollMembers());
   return rpc;
 };
 
@@ -72,17 +72,17 @@
   const cluster = createCluster();
   const rpc = pollAllMembers(cluster);
   const policy = new ExpiredLeasePolicy(
-    cluster.time.clock(),
+    cluster.virtualClock.clock(),
     {
-      replicas: cluster.disks.map(({ peer }) => peer),
+      replicas: cluster.diskMachines.map(({ peer }) => peer),
       isUnreachable: (member, sinceMs) => rpc.isUnreachable(member, sinceMs),
     },
     expiredLeaseBounds,
   );
-  overloadProcessors(cluster, cluster.disks, 12_000);
-  const untilMs = cluster.time.nowMs() + 12_000;
+  overloadProcessors(cluster, cluster.diskMachines, 12_000);
+  const untilMs = cluster.virtualClock.nowMs() + 12_000;
   let allowedCount = 0;
-  while (cluster.time.nowMs() < untilMs) {
+  while (cluster.virtualClock.nowMs() < untilMs) {
     cluster.wait(20);
     if (policy.allows(1)) allowedCount += 1;
   }
