--- a/src/fleet/fleet-client.ts
+++ b/src/fleet/fleet-client.ts
@@ -1,4 +1,4 @@
-/** The HTTP clients of a fleet of real processes: for requests to the proxy, and to the admin API. */
+/** HTTP clients for a fleet of real processes: one for requests to the proxy, one for the admin API. */
 import { Pool, request } from "undici";
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
@@ -9,15 +9,16 @@
 const ADMIN_TIMEOUT_MS = 5000;
 const MAX_CONNECTIONS_PER_DAEMON = 200;
 
-/** What a client records where no response came. */
-export const noResponse = (broke: ClientOutcome["failure"]): ClientOutcome => ({
+/** What a client records when it received no response. */
+export const noResponse = (failure: ClientOutcome["failure"]): ClientOutcome => ({
   code: 0,
-  failure: broke,
+  failure,
   body: Buffer.alloc(0),
   contentLength: undefined,
   retryAfterS: undefined,
 });
 
+/** How a failed request looks to the client, from the error and the client's timeout. */
 const classifyFailure = (error: unknown, timeoutMs: number): ClientOutcome["failure"] => {
   if (!(error instanceof Error)) return "broken";
   if (error.name === "TimeoutError") return timeoutMs < CLIENT_TIMEOUT_MS ? "hungUp" : "silent";
@@ -35,14 +36,14 @@
 const getRequestBody = (clientRequest: ProxyRequest): Uint8Array | null =>
   clientRequest.body.length > 0 ? clientRequest.body : null;
 
-/** Sends requests to the proxies of daemons, with a connection pool for each. */
+/** Sends requests to the proxies of daemons, with one connection pool per address. */
 export class FleetClient {
   private readonly pools = new Map<string, Pool>();
 
-  /** Sends one request; a client that has no response by its timeout hangs up. */
+  /** Sends one request, and closes the connection if no response has arrived by the timeout. */
   *send(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientOutcome> {
     const outcome = yield* fromPromise(
-      this.pool(address)
+      this.getPool(address)
         .request({
           method: clientRequest.method,
           path: clientRequest.target,
@@ -72,9 +73,9 @@
     await Promise.all([...this.pools.values()].map((pool) => pool.destroy()));
   }
 
-  private pool(address: string): Pool {
-    const known = this.pools.get(address);
-    if (known) return known;
+  private getPool(address: string): Pool {
+    const existing = this.pools.get(address);
+    if (existing) return existing;
     const pool = new Pool(`http://${address}`, {
       pipelining: 1,
       connections: MAX_CONNECTIONS_PER_DAEMON,
@@ -87,7 +88,7 @@
 const toAdminMethod = ({ method }: ProxyRequest): "GET" | "PUT" | "PATCH" | "POST" =>
   method === "PUT" || method === "PATCH" || method === "GET" ? method : "POST";
 
-/** Sends one request to the admin API at an address; undefined without a response. */
+/** Sends one request to the admin API at an address; returns undefined if no response arrives in time. */
 export const sendAdminRequest = function* (
   address: string,
   clientRequest: ProxyRequest,
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -17,7 +17,7 @@
       route: "issues",
       service: "issues",
       method: "GET",
-      path: (at) => `/issues/${at % 9}`,
+      path: (index) => `/issues/${index % 9}`,
       keyed: false,
       requestsPerSecond: 30,
       bodyBytes: 300_000,
@@ -26,7 +26,7 @@
       route: "resolves",
       service: "triage",
       method: "POST",
-      path: (at) => `/issues/${at % 9}/resolve`,
+      path: (index) => `/issues/${index % 9}/resolve`,
       keyed: true,
       requestsPerSecond: 30,
       bodyBytes: 80,
@@ -39,7 +39,11 @@
   record: type({ committed: number(), role: string(), state: string() }),
 });
 
-test("real processes: all recorders killed at once come back with every config, a stop drains, no rule is broken", async () => {
+/**
+ * Guards against the loss of acknowledged configs. All machines with a disk are killed and restarted, so that configs
+ * survive only on their disks. An edge is stopped while clients send requests, which it must complete before it exits.
+ */
+test("real processes: all configs survive when every member is killed, a stopped edge drains, and no invariant is violated", async () => {
   const fleet = await Fleet.create(smallProfile, 1, 1);
   try {
     await fleet.startProcesses();
@@ -56,25 +60,27 @@
       ),
     );
     fleet.startRequests();
-    const served = (): number =>
+    const countServed = (): number =>
       fleet.recorder.clientRecords.filter(({ code }) => code === 200 || code === 201).length;
-    expect(await fleet.run(fleet.waitUntil(() => served() > 60, 20_000))).toBe(true);
+    expect(await fleet.run(fleet.waitUntil(() => countServed() > 60, 20_000))).toBe(true);
 
-    const recorders = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
+    const diskMachines = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
     const edges = fleet.machines.filter(({ settings }) => settings.callers !== undefined);
-    for (const machine of recorders) await fleet.run(fleet.kill(machine));
-    for (const machine of recorders) fleet.boot(machine);
+    for (const machine of diskMachines) await fleet.run(fleet.kill(machine));
+    for (const machine of diskMachines) fleet.boot(machine);
     expect(
       await fleet.run(
         fleet.waitUntil(() => fleet.machines.every(({ isReady }) => isReady), 30_000),
       ),
     ).toBe(true);
-    const before = served();
+    const servedBefore = countServed();
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
-    expect(await fleet.run(fleet.waitUntil(() => served() > before + 60, 20_000))).toBe(true);
+    expect(await fleet.run(fleet.waitUntil(() => countServed() > servedBefore + 60, 20_000))).toBe(
+      true,
+    );
 
     const [edge] = edges;
-    if (!edge) throw new Error("There is no edge.");
+    if (!edge) throw new Error("the profile has no edge");
     await fleet.run(fleet.stop(edge));
     expect(edge.exitCode).toBe(0);
     fleet.recorder.endMs = fleet.clock.nowMs();
@@ -83,7 +89,7 @@
     expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.harnessErrors).toEqual([]);
     const statuses = [];
-    for (const machine of recorders)
+    for (const machine of diskMachines)
       statuses.push(create(await fleet.run(fleet.fetchStatus(machine)), replicationShape).record);
     expect(statuses.filter(({ role }) => role === "leader")).toHaveLength(1);
     expect(statuses.every(({ state }) => state === "formed")).toBe(true);
@@ -92,17 +98,21 @@
   }
 });
 
-test("real processes: a leader whose disk is full hands over, nothing accepted is lost, and it takes writes again", async () => {
+/**
+ * Guards against a leader that keeps leading, or a config that is lost, when writes to its disk fail. A limit on the size of
+ * the daemon's files makes them fail, and the disk must be usable again once the limit is removed.
+ */
+test("real processes: a leader with a full disk hands over, no accepted config is lost, and it accepts writes again", async () => {
   const fleet = await Fleet.create({ ...smallProfile, disklessMachines: 1 }, 2, 1);
-  const recorders = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
-  const leaderOf = async (): Promise<FleetMachine | undefined> => {
-    for (const machine of recorders) {
+  const diskMachines = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
+  const findLeader = async (): Promise<FleetMachine | undefined> => {
+    for (const machine of diskMachines) {
       const status = await fleet.run(fleet.fetchStatus(machine));
       if (is(status, replicationShape) && status.record.role === "leader") return machine;
     }
     return undefined;
   };
-  const diskOf = async (machine: FleetMachine): Promise<string> =>
+  const readDiskState = async (machine: FleetMachine): Promise<string> =>
     create(await fleet.run(fleet.fetchStatus(machine)), diskShape).record.disk;
   try {
     await fleet.startProcesses();
@@ -112,17 +122,17 @@
       ),
     ).toBe(true);
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
-    const leader = await leaderOf();
-    if (!leader) throw new Error("Nobody leads.");
+    const leader = await findLeader();
+    if (!leader) throw new Error("no member is the leader");
     await fleet.run(fleet.fillDisk(leader, true));
     for (let count = 0; count < 5; count += 1)
       expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
-    expect(await leaderOf()).not.toBe(leader);
-    await expect.poll(() => diskOf(leader), { timeout: 20_000 }).not.toBe("well");
+    expect(await findLeader()).not.toBe(leader);
+    await expect.poll(() => readDiskState(leader), { timeout: 20_000 }).not.toBe("well");
     await fleet.run(fleet.fillDisk(leader, false));
-    await expect.poll(() => diskOf(leader), { timeout: 20_000 }).toBe("well");
-    const other = await leaderOf();
-    if (other) await fleet.run(fleet.kill(other));
+    await expect.poll(() => readDiskState(leader), { timeout: 20_000 }).toBe("well");
+    const nextLeader = await findLeader();
+    if (nextLeader) await fleet.run(fleet.kill(nextLeader));
     expect(await fleet.run(fleet.workload.putConfig())).toBe(true);
     await fleet.run(fleet.workload.readBack());
     expect(fleet.recorder.ofKind("readBack")).toHaveLength(7);
@@ -133,16 +143,17 @@
   }
 });
 
-test("real processes: faults in the settings end with code 2, each named", async () => {
+/** Guards against a daemon that starts with invalid settings, or reports only the first invalid one. */
+test("real processes: invalid settings end the daemon with exit code 2 and an error for each", async () => {
   const child = spawn(
     process.execPath,
     [daemonProgram, "run", "--machine", "x", "--peers", "nowhere"],
     { stdio: ["ignore", "ignore", "pipe"] },
   );
-  const pieces: Buffer[] = [];
-  child.stderr.on("data", (piece: Buffer) => pieces.push(piece));
-  const code = await new Promise((done) => child.once("close", done));
+  const chunks: Buffer[] = [];
+  child.stderr.on("data", (chunk: Buffer) => chunks.push(chunk));
+  const code = await new Promise((resolve) => child.once("close", resolve));
   expect(code).toBe(2);
   for (const path of ["zone", "operators", "peers", "seeds"])
-    expect(Buffer.concat(pieces).toString()).toContain(`daledoor: ${path}: `);
+    expect(Buffer.concat(chunks).toString()).toContain(`daledoor: ${path}: `);
 });
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -12,101 +12,109 @@
 
 const machines = [
   ...["d:a", "d:b", "d:c", "d:a", "d:b"],
-  ...Array.from({ length: 15 }, (_, at) => `e:${["a", "b", "c"][at % 3]}`),
+  ...Array.from({ length: 15 }, (_, index) => `e:${["a", "b", "c"][index % 3]}`),
 ];
 const expiredLeaseBounds = { staleMs: 5000, contactMs: 3000 };
-/** A change is in force at all that serve within this time. */
-const applyMs = 2000;
+/** A change must be in force on all edges that serve requests within this time. */
+const applyTimeoutMs = 2000;
 
 const createCluster = (): LimitedCluster => {
-  const stage = new LimitedCluster(machines, [0, 1, 2], { tolerate: { machines: 2, zones: 0 } });
-  stage.bootAll();
-  stage.wait(5000);
-  expect(stage.submitUntilFinal(putConfig(0, 3, "first"), 6)).toBe(200);
-  stage.wait(1000);
-  return stage;
+  const cluster = new LimitedCluster(machines, [0, 1, 2], { tolerate: { machines: 2, zones: 0 } });
+  cluster.bootAll();
+  cluster.wait(5000);
+  expect(cluster.submitUntilFinal(putConfig(0, 3, "first"), 6)).toBe(200);
+  cluster.wait(1000);
+  return cluster;
 };
 
-/** Keeps the processors of some machines busy, so that what comes waits for a fifth of a second and more. */
+/** Overloads the processors of some machines, so that incoming work waits for 200 ms and more. */
 const overloadProcessors = (
-  stage: LimitedCluster,
-  busy: readonly FixtureMachine[],
-  forMs: number,
+  cluster: LimitedCluster,
+  overloaded: readonly FixtureMachine[],
+  durationMs: number,
 ): void => {
-  const untilMs = stage.virtualClock.nowMs() + forMs;
-  const clock = stage.virtualClock.clock();
-  stage.startTask(
+  const untilMs = cluster.virtualClock.nowMs() + durationMs;
+  const clock = cluster.virtualClock.clock();
+  cluster.startTask(
     (function* (): Task {
-      while (stage.virtualClock.nowMs() < untilMs) {
-        for (const machine of busy) stage.processor(machine).charge(180);
+      while (cluster.virtualClock.nowMs() < untilMs) {
+        for (const machine of overloaded) cluster.processor(machine).charge(180);
         yield* sleep(clock, 300);
       }
     })(),
   );
 };
 
-/** An edge's link to the members: it asks one after another, as one does whose leader answers late. */
-const pollAllMembers = (stage: LimitedCluster): RpcEndpoint => {
+/** Creates an endpoint that sends requests to the members in turn, as an edge does when its leader responds late. */
+const pollAllMembers = (cluster: LimitedCluster): RpcEndpoint => {
   const runtime = virtualRuntime({
-    clock: stage.virtualClock.clock(),
-    network: stage.network.createInterface("asking", new EventGate()),
-    random: stage.random,
+    clock: cluster.virtualClock.clock(),
+    network: cluster.network.createInterface("asking", new EventGate()),
+    random: cluster.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.8:7000");
-  const asking = function* (): Task {
+  const pollMembers = function* (): Task {
     for (;;)
-      for (const { peer } of stage.diskMachines) {
+      for (const { peer } of cluster.diskMachines) {
         yield* rpc.call(peer, rpcMethods.handOver, { term: 0 }, 200);
         yield* sleep(runtime.clock, 350);
       }
   };
-  stage.startTask(asking());
+  cluster.startTask(pollMembers());
   return rpc;
 };
 
-test("members whose processors are overloaded are never taken for a core that is out of reach", () => {
-  const stage = createCluster();
-  const rpc = pollAllMembers(stage);
-  const lease = new ExpiredLeasePolicy(
-    stage.virtualClock.clock(),
+/**
+ * Guards against serving by an expired lease while the quorum is available. Overloaded members respond late, which must not
+ * count as evidence that they are unreachable.
+ */
+test("members with overloaded processors never count as an unreachable quorum", () => {
+  const cluster = createCluster();
+  const rpc = pollAllMembers(cluster);
+  const policy = new ExpiredLeasePolicy(
+    cluster.virtualClock.clock(),
     {
-      replicas: stage.diskMachines.map(({ peer }) => peer),
+      replicas: cluster.diskMachines.map(({ peer }) => peer),
       isUnreachable: (member, sinceMs) => rpc.isUnreachable(member, sinceMs),
     },
     expiredLeaseBounds,
   );
-  overloadProcessors(stage, stage.diskMachines, 12_000);
-  const untilMs = stage.virtualClock.nowMs() + 12_000;
-  let allowed = 0;
-  while (stage.virtualClock.nowMs() < untilMs) {
-    stage.wait(20);
-    if (lease.allows(1)) allowed += 1;
+  overloadProcessors(cluster, cluster.diskMachines, 12_000);
+  const untilMs = cluster.virtualClock.nowMs() + 12_000;
+  let allowedCount = 0;
+  while (cluster.virtualClock.nowMs() < untilMs) {
+    cluster.wait(20);
+    if (policy.allows(1)) allowedCount += 1;
   }
-  expect(allowed).toBe(0);
+  expect(allowedCount).toBe(0);
 });
 
-test("under an overloaded leader a change that is acknowledged is in force in time wherever a lease holds, also when that leader is killed", () => {
-  const stage = createCluster();
-  const edges = stage.machines.filter(({ disk }) => !disk);
+/**
+ * Guards against edges that serve by an old configuration although they hold a lease. The leader is overloaded while
+ * it accepts a change, and in every second round it is killed and restarted right after the acknowledgment.
+ */
+test("with an overloaded leader an acknowledged change is in force in time on every edge with a lease, also when that leader is killed", () => {
+  const cluster = createCluster();
+  const edges = cluster.machines.filter(({ disk }) => !disk);
   for (let base = 3, round = 0; round < 6; round += 1) {
-    const { leader } = stage;
-    overloadProcessors(stage, [leader], 1500);
+    const { leader } = cluster;
+    overloadProcessors(cluster, [leader], 1500);
     expect(
-      stage.submitUntilFinal(
+      cluster.submitUntilFinal(
         patchConfig(base, base + 2, { name: `r${round}`, svc: "one" }),
         6 + round,
       ),
     ).toBe(200);
     base += 2;
     if (round % 2 === 1) {
-      stage.kill(leader);
-      stage.boot(leader, { bootstrap: false });
+      cluster.kill(leader);
+      cluster.boot(leader, { bootstrap: false });
     }
-    stage.wait(applyMs);
+    cluster.wait(applyTimeoutMs);
     for (const { daemon } of edges)
       if (daemon?.servingState.isGranted === true)
         expect(daemon.servingState.configSequence).toBeGreaterThanOrEqual(round + 2);
-    stage.wait(3000);
+    cluster.wait(3000);
     expect(edges.filter(({ daemon }) => daemon?.servingState.isGranted === true)).toHaveLength(15);
   }
 });
