--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -2,7 +2,7 @@
 import type { RuleOverride } from "./random-search.js";
 import { MemberGroup } from "./member-group.js";
 import type { Counterexample } from "./search-run.js";
-import { type GroupSettings, groupSettingsOf } from "./group-settings.js";
+import { type GroupSettings, createGroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
 /** What an exhaustive exploration saw. */
@@ -10,7 +10,7 @@
   /** How many steps were tried. */
   readonly steps: number;
   /** How many situations differ. */
-  readonly situations: number;
+  readonly states: number;
   /** Up to which number of steps all orders were tried. */
   readonly depth: number;
   readonly counterexample: Counterexample | undefined;
@@ -67,7 +67,7 @@
   mostSteps: number,
   alteration: RuleOverride = {},
 ): Coverage => {
-  const settings = groupSettingsOf(3, 0, 1, alteration);
+  const settings = createGroupSettings(3, 0, 1, alteration);
   const seen = new Set<string>();
   let frontier: Place[] = [settled(settings)];
   let steps = 0;
@@ -77,16 +77,16 @@
       for (const step of choicesAt(place)) {
         steps += 1;
         if (steps > mostSteps)
-          return { steps, situations: seen.size, depth: level, counterexample: undefined };
+          return { steps, states: seen.size, depth: level, counterexample: undefined };
         const group = place.group.clone();
         const taken = [...place.steps, step];
         try {
           group.take(step);
         } catch (error) {
           if (!(error instanceof InvariantViolation)) throw error;
-          const { promise, message: how } = error;
-          const counterexample = { settings, steps: taken, promise, how };
-          return { steps, situations: seen.size, depth: level, counterexample };
+          const { invariant, message } = error;
+          const counterexample = { settings, steps: taken, invariant, message };
+          return { steps, states: seen.size, depth: level, counterexample };
         }
         const { fingerprint } = group;
         if (seen.has(fingerprint)) continue;
@@ -96,5 +96,5 @@
       }
     frontier = next;
   }
-  return { steps, situations: seen.size, depth, counterexample: undefined };
+  return { steps, states: seen.size, depth, counterexample: undefined };
 };
--- a/src/model-checker/history/linearizability.ts
+++ b/src/model-checker/history/linearizability.ts
@@ -2,7 +2,7 @@
 
 /** The calls that no order explains, and why. */
 export interface Contradiction {
-  readonly why: string;
+  readonly reason: string;
   readonly operations: readonly Operation[];
 }
 
@@ -58,20 +58,20 @@
   const known = new Set(writes.map(({ value }) => value));
   const invented = reads.find(({ value }) => !known.has(value));
   if (invented !== undefined)
-    return { why: "a read gave what nobody wrote", operations: [invented] };
+    return { reason: "a read gave what nobody wrote", operations: [invented] };
   const clusters: Cluster[] = [];
   for (const write of writes) {
     const own = reads.filter(({ value }) => value === write.value);
     const early = own.find(({ endedAt = 0 }) => endedAt < write.beganAt);
     if (early !== undefined)
-      return { why: "a read gave what was written later", operations: [write, early] };
+      return { reason: "a read gave what was written later", operations: [write, early] };
     if (write.endedAt !== undefined || own.length > 0) clusters.push(clusterOf(write, own));
   }
   for (const one of clusters)
     for (const other of clusters)
       if (one !== other && collide(one, other))
         return {
-          why: `${one.value} and ${other.value} were both in force at one time`,
+          reason: `${one.value} and ${other.value} were both in force at one time`,
           operations: [...one.operations, ...other.operations],
         };
   return undefined;
--- a/src/model-checker/main.ts
+++ b/src/model-checker/main.ts
@@ -5,8 +5,8 @@
 import { mutants } from "./mutants.js";
 import { replay, type Counterexample } from "./search-run.js";
 import { shrink } from "./shrink.js";
-import { stepsFromText } from "./step.js";
-import { traceFile, traceText } from "./trace.js";
+import { parseSteps } from "./step.js";
+import { formatTraceFile, formatTrace } from "./trace.js";
 
 interface Options {
   readonly steps: number;
@@ -24,16 +24,16 @@
 
 const report = (found: Counterexample, out: string | undefined): void => {
   const shrunk = shrink(found);
-  say(traceText(shrunk));
-  if (out !== undefined) writeFileSync(out, traceFile(shrunk));
+  say(formatTrace(shrunk));
+  if (out !== undefined) writeFileSync(out, formatTraceFile(shrunk));
   process.exitCode = 1;
 };
 
 const exploreProduction = ({ steps, run, seed, depth, out }: Options): void => {
   const all = exploreAll(depth, steps);
-  say(`all orders: depth ${all.depth}, ${all.steps} steps, ${all.situations} situations`);
+  say(`all orders: depth ${all.depth}, ${all.steps} steps, ${all.states} situations`);
   if (all.counterexample !== undefined) return report(all.counterexample, out);
-  const random = exploreRandomly({ firstSeed: seed, mostSteps: steps, stepsPerRun: run });
+  const random = exploreRandomly({ firstSeed: seed, maxSteps: steps, stepsPerRun: run });
   say(`at random: ${random.runs} runs, ${random.steps} steps`);
   if (random.counterexample !== undefined) {
     say(`seed ${random.seed ?? 0}`);
@@ -42,17 +42,17 @@
 };
 
 const exploreMutants = ({ steps, run, seed }: Options): void => {
-  for (const { name, alteration } of mutants) {
-    const extent = { firstSeed: seed, mostSteps: steps, stepsPerRun: run };
+  for (const { name, ruleOverride: alteration } of mutants) {
+    const extent = { firstSeed: seed, maxSteps: steps, stepsPerRun: run };
     const found = exploreRandomly(extent, alteration);
-    const promise = found.counterexample?.promise ?? "not found";
+    const promise = found.counterexample?.invariant ?? "not found";
     say(`| ${name} | ${promise} | ${found.steps} | ${found.seed ?? "-"} |`);
   }
 };
 
 const playAgain = (file: string, seed: number): void => {
-  const found = replay(settingsFor(seed, {}), stepsFromText(readFileSync(file, "utf8")));
-  say(found === undefined ? "no promise was broken" : traceText(found));
+  const found = replay(settingsFor(seed, {}), parseSteps(readFileSync(file, "utf8")));
+  say(found === undefined ? "no promise was broken" : formatTrace(found));
   if (found !== undefined) process.exitCode = 1;
 };
 
--- a/src/model-checker/member-group.ts
+++ b/src/model-checker/member-group.ts
@@ -70,7 +70,7 @@
       if (!this.counts.has(name)) copy.counts.delete(name);
     });
     for (const [entry, call] of this.calls) copy.calls.set(entry, call);
-    copy.history.takeOver(this.history);
+    copy.history.copyFrom(this.history);
     return copy;
   }
 
@@ -93,7 +93,7 @@
   take(step: Step): void {
     this.perform(step);
     this.countLosses();
-    this.checks.look(this.members.values());
+    this.checks.checkMembers(this.members.values());
   }
 
   private perform(step: Step): void {
@@ -186,7 +186,7 @@
     if (!twice) this.messages.delete(id);
     const receiver = this.member(message.to);
     const { body, from, requestId } = message;
-    if (body.way === "request") receiver.receive(from, requestId, body.request);
+    if (body.direction === "request") receiver.receive(from, requestId, body.request);
     else receiver.receiveReply(requestId, body.reply);
   }
 
@@ -229,13 +229,13 @@
 
   send(from: string, to: string, request: ModelRequest): string {
     const id = this.nameFor(from, to, request.kind);
-    this.put({ id, from, to, requestId: id, body: { way: "request", request } });
+    this.put({ id, from, to, requestId: id, body: { direction: "request", request } });
     return id;
   }
 
   reply(from: string, to: string, requestId: string, reply: ModelReply): void {
     const id = this.nameFor(from, to, `${reply.kind}-reply`);
-    this.put({ id, from, to, requestId, body: { way: "reply", reply } });
+    this.put({ id, from, to, requestId, body: { direction: "reply", reply } });
   }
 
   draw(member: string): number {
@@ -249,7 +249,7 @@
   }
 
   applied(member: ModelMember, index: number, term: number, text: string): void {
-    this.checks.applied(member, index, term, text);
+    this.checks.onApplied(member, index, term, text);
     const key = `${member.name} ${term} ${index}`;
     const call = this.calls.get(key);
     if (call === undefined || member.state.role !== "leader" || member.state.term !== term) return;
@@ -258,7 +258,7 @@
   }
 
   elected(member: ModelMember): void {
-    this.checks.elected(member);
+    this.checks.onElected(member);
   }
 
   knownMembers(): Members | undefined {
--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -32,9 +32,9 @@
             matchedIndex: matched.get(member) ?? 0,
           },
     timeouts: {
-      responsiveWithinMs: settings.waits.electionMaxMs,
+      responsiveWithinMs: settings.timeouts.electionMaxMs,
       replaceAfterMs: settings.replaceAfterMs,
-      responsiveAfterMs: settings.provenAfterMs,
+      responsiveAfterMs: settings.responsiveAfterMs,
       forgetAfterMs: settings.forgetAfterMs,
     },
   });
--- a/src/model-checker/model-disk.ts
+++ b/src/model-checker/model-disk.ts
@@ -7,9 +7,10 @@
 }
 
 /** A write under way, and what its member does once it is on disk. */
-export interface PendingWrite<Then> {
-  readonly content: { readonly records: readonly LogRecord[] } | { readonly whole: DiskContent };
-  readonly then: Then;
+export interface PendingWrite<Effect> {
+  readonly content:
+    { readonly records: readonly LogRecord[] } | { readonly fullContent: DiskContent };
+  readonly effect: Effect;
 }
 
 /** Adds one record to what the disk holds, as the store replays its log. */
@@ -30,21 +31,21 @@
 };
 
 /** A disk on which writes last only once they are synced, in order. */
-export class ModelDisk<Then> {
+export class ModelDisk<Effect> {
   content: DiskContent | undefined;
-  pending: Array<PendingWrite<Then>> = [];
+  pending: Array<PendingWrite<Effect>> = [];
 
   /** The oldest write reaches the disk; tells what its member does now. */
-  sync(): Then | undefined {
+  sync(): Effect | undefined {
     const write = this.pending.shift();
     if (write === undefined) return undefined;
-    this.put(write);
-    return write.then;
+    this.applyWrite(write);
+    return write.effect;
   }
 
   /** The machine stops: some of the oldest writes are on disk though nobody was told, the others are lost. */
   crash(keptWrites: number): void {
-    for (const write of this.pending.slice(0, keptWrites)) this.put(write);
+    for (const write of this.pending.slice(0, keptWrites)) this.applyWrite(write);
     this.pending = [];
   }
 
@@ -53,15 +54,15 @@
     this.content = undefined;
   }
 
-  clone(): ModelDisk<Then> {
-    const copy = new ModelDisk<Then>();
+  clone(): ModelDisk<Effect> {
+    const copy = new ModelDisk<Effect>();
     copy.content = this.content;
     copy.pending = [...this.pending];
     return copy;
   }
 
-  private put({ content }: PendingWrite<Then>): void {
-    if ("whole" in content) this.content = content.whole;
+  private applyWrite({ content }: PendingWrite<Effect>): void {
+    if ("fullContent" in content) this.content = content.fullContent;
     else if (this.content !== undefined)
       this.content = content.records.reduce(withRecord, this.content);
   }
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -53,7 +53,7 @@
 import type { ModelDisk } from "./model-disk.js";
 import { emptyContent, snapshotContent } from "./disk-contents.js";
 import type { GroupSettings } from "./group-settings.js";
-import { fingerprintOf } from "./member-fingerprint.js";
+import { computeFingerprint } from "./member-fingerprint.js";
 import { reviewMembership } from "./membership-review.js";
 import { PeerReplications } from "./peer-replications.js";
 import { PendingRequests } from "./pending-requests.js";
@@ -149,14 +149,14 @@
   /** A text that is equal for equal states, with times relative to now. */
   get fingerprint(): string {
     const { isUp, state, electionDeadlineMs, replications, disk } = this;
-    return fingerprintOf({ isUp, state, electionDeadlineMs, replications, disk }, this.nowMs);
+    return computeFingerprint({ isUp, state, electionDeadlineMs, replications, disk }, this.nowMs);
   }
 
   get context(): DecisionContext {
     const { settings } = this.group;
     return {
       nowMs: this.nowMs,
-      timeouts: settings.waits,
+      timeouts: settings.timeouts,
       rules: settings.rules,
       stage: this.hasStorage ? "formed" : "empty",
       isRetired: false,
@@ -300,7 +300,7 @@
   }
 
   private get waits() {
-    return this.group.settings.waits;
+    return this.group.settings.timeouts;
   }
 
   private send(peer: string, request: ModelRequest, timeoutMs: number): string {
@@ -370,7 +370,7 @@
           this.electionDeadlineMs = this.nowMs + this.electionWaitMs();
           this.disk.pending.push({
             content: { records },
-            then: { kind: "requestVotes", request },
+            effect: { kind: "requestVotes", request },
           });
           break;
         }
@@ -400,7 +400,7 @@
     const { state, records } = appendAsLeader(this.state, texts);
     this.state = state;
     const then: WriteEffect = { kind: "ownEntries", term: state.term, index: state.log.lastIndex };
-    this.disk.pending.push({ content: { records }, then });
+    this.disk.pending.push({ content: { records }, effect: then });
     this.replications.expedite(this.nowMs);
   }
 
@@ -411,7 +411,11 @@
     for (const peer of peers) {
       if (peer === this.name) continue;
       const initial = (): Progress => initialProgress(this.state);
-      const { progress, requestId, dueMs } = this.replications.open(peer, initial, this.nowMs);
+      const { progress, requestId, dueMs } = this.replications.getOrCreate(
+        peer,
+        initial,
+        this.nowMs,
+      );
       if (requestId === undefined && this.nowMs >= dueMs) this.replicate(peer, progress);
     }
   }
@@ -430,7 +434,7 @@
       const snapshot: ModelRequest = { kind: "snapshot", request };
       this.replications.begin(peer, this.send(peer, snapshot, SNAPSHOT_TIMEOUT_MS));
     } else {
-      const limit = { entries: this.group.settings.batchEntries, bytes: MAX_BATCH_BYTES };
+      const limit = { entries: this.group.settings.maxBatchEntries, bytes: MAX_BATCH_BYTES };
       const request = appendRequestFor(state, progress, limit);
       const append: ModelRequest = { kind: "append", request };
       this.replications.begin(peer, this.send(peer, append, this.waits.electionMinMs));
@@ -449,12 +453,12 @@
     const { reply, records } = decision;
     if (decision.replyAfterSync) {
       const then: WriteEffect = { kind: "replyVote", to: from, requestId, reply };
-      if (records.length > 0) this.disk.pending.push({ content: { records }, then });
+      if (records.length > 0) this.disk.pending.push({ content: { records }, effect: then });
       else this.completeWrite(then);
       return;
     }
     if (records.length > 0)
-      this.disk.pending.push({ content: { records }, then: { kind: "none" } });
+      this.disk.pending.push({ content: { records }, effect: { kind: "none" } });
     this.group.reply(this.name, from, requestId, { kind: "vote", reply });
   }
 
@@ -469,7 +473,7 @@
     const then: WriteEffect = { kind: "acknowledgeAppend", to: from, requestId, pending };
     const waits = this.group.settings.rules.syncEntriesBeforeReply;
     if (mustSync)
-      this.disk.pending.push({ content: { records }, then: waits ? then : { kind: "none" } });
+      this.disk.pending.push({ content: { records }, effect: waits ? then : { kind: "none" } });
     if (!mustSync || !waits) this.completeWrite(then);
     this.apply();
   }
@@ -489,9 +493,9 @@
     const { term, votedFor, rejoinNonce, truncations } = this.state;
     this.disk.pending.push({
       content: {
-        whole: { term, votedFor, rejoinNonce, lastIndex, lastTerm, members, entries, value },
+        fullContent: { term, votedFor, rejoinNonce, lastIndex, lastTerm, members, entries, value },
       },
-      then: {
+      effect: {
         kind: "acknowledgeSnapshot",
         to: from,
         requestId,
@@ -602,8 +606,8 @@
     if (members === undefined) return;
     const content = emptyContent(members, this.group.nonce());
     this.disk.pending.push({
-      content: { whole: content },
-      then: { kind: "beginRejoin", content },
+      content: { fullContent: content },
+      effect: { kind: "beginRejoin", content },
     });
   }
 
@@ -642,6 +646,6 @@
     const lastIndex = this.appliedIndex;
     const content = snapshotContent(this.state, lastIndex, this.value, rejoinNonce);
     this.state = compactLog(this.state, lastIndex);
-    this.disk.pending.push({ content: { whole: content }, then });
+    this.disk.pending.push({ content: { fullContent: content }, effect: then });
   }
 }
--- a/src/model-checker/search-run.ts
+++ b/src/model-checker/search-run.ts
@@ -10,8 +10,8 @@
 export interface Counterexample {
   readonly settings: GroupSettings;
   readonly steps: readonly Step[];
-  readonly promise: string;
-  readonly how: string;
+  readonly invariant: string;
+  readonly message: string;
 }
 
 const checkHistory = (group: MemberGroup): void => {
@@ -19,7 +19,7 @@
   if (contradiction !== undefined)
     throw new InvariantViolation(
       "linearizable",
-      `${contradiction.why}: ${JSON.stringify(contradiction.operations)}`,
+      `${contradiction.reason}: ${JSON.stringify(contradiction.operations)}`,
     );
 };
 
@@ -38,7 +38,7 @@
     return undefined;
   } catch (error) {
     if (!(error instanceof InvariantViolation)) throw error;
-    return { settings, steps, promise: error.promise, how: error.message };
+    return { settings, steps, invariant: error.invariant, message: error.message };
   }
 };
 
--- a/src/model-checker/shrink.ts
+++ b/src/model-checker/shrink.ts
@@ -18,7 +18,7 @@
         replays += 1;
         if (replays >= mostReplays) break;
         const shorter = replay(found.settings, without(smallest.steps, from, size));
-        if (shorter === undefined || shorter.promise !== found.promise) continue;
+        if (shorter === undefined || shorter.invariant !== found.invariant) continue;
         smallest = shorter;
         hasShrunk = true;
       }
--- a/src/model-checker/trace.ts
+++ b/src/model-checker/trace.ts
@@ -2,10 +2,11 @@
 import { InvariantViolation } from "./invariant-checks.js";
 import type { Message } from "./message.js";
 import type { Counterexample } from "./search-run.js";
-import { stepsToText, type Step } from "./step.js";
+import { formatSteps, type Step } from "./step.js";
 
 const contentOf = ({ body }: Message): string => {
-  if (body.way === "reply") return `${body.reply.kind} reply ${JSON.stringify(body.reply.reply)}`;
+  if (body.direction === "reply")
+    return `${body.reply.kind} reply ${JSON.stringify(body.reply.reply)}`;
   const { request } = body;
   switch (request.kind) {
     case "vote":
@@ -70,7 +71,7 @@
     .join("  ");
 
 /** A counterexample for a person: what happened, step by step, and how each member stood then. */
-export const traceText = ({ settings, steps, how }: Counterexample): string => {
+export const formatTrace = ({ settings, steps, message: how }: Counterexample): string => {
   const group = new MemberGroup(settings);
   const lines: string[] = [];
   for (const [at, step] of steps.entries()) {
@@ -86,11 +87,11 @@
 };
 
 /** A counterexample as a file that can be played again: what a person reads as comments, then the steps. */
-export const traceFile = (found: Counterexample): string =>
+export const formatTraceFile = (found: Counterexample): string =>
   [
-    ...traceText(found)
+    ...formatTrace(found)
       .split("\n")
       .map((line) => `# ${line}`),
-    stepsToText(found.steps),
+    formatSteps(found.steps),
     "",
   ].join("\n");
--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -14,7 +14,7 @@
 const REQUEST_ID_LIMIT = 2 ** 32;
 
 /** The message that an encoding of requests or responses carries. */
-export type DecodedMessage<C> = r.Held<C>;
+export type DecodedMessage<C> = r.Decoded<C>;
 
 /** How a response after its timeout is taken, and for how long it is waited for. */
 export interface LateResponse<R> {
--- a/test/model-checker/linearizability.test.ts
+++ b/test/model-checker/linearizability.test.ts
@@ -46,7 +46,7 @@
     "a read gave what was written later",
   ],
 ])("not linearizable: %s", (_, operations, why) => {
-  expect(findContradiction(operations, 0)?.why).toBe(why);
+  expect(findContradiction(operations, 0)?.reason).toBe(why);
 });
 
 /** Whether some order of the calls explains them, by trying all orders. */
--- a/test/model-checker/mutants.test.ts
+++ b/test/model-checker/mutants.test.ts
@@ -6,8 +6,8 @@
 const oldRead = "no read older than an acknowledged change";
 
 test("twenty thousand random steps on production's rules break no promise", () => {
-  const found = exploreRandomly({ firstSeed: 1, mostSteps: 20_000, stepsPerRun });
-  expect(found.counterexample?.how).toBeUndefined();
+  const found = exploreRandomly({ firstSeed: 1, maxSteps: 20_000, stepsPerRun });
+  expect(found.counterexample?.message).toBeUndefined();
   expect(found.steps).toBe(20_000);
 });
 
@@ -30,8 +30,8 @@
 
 test.each(firstMet)("found: %s (seed %i)", (name, seed, promise) => {
   const mutant = mutants.find((one) => one.name === name);
-  const extent = { firstSeed: seed, mostSteps: stepsPerRun, stepsPerRun };
-  const found = exploreRandomly(extent, mutant?.alteration);
-  expect(found.counterexample?.promise).toBe(promise);
-  expect(exploreRandomly(extent).counterexample?.how).toBeUndefined();
+  const extent = { firstSeed: seed, maxSteps: stepsPerRun, stepsPerRun };
+  const found = exploreRandomly(extent, mutant?.ruleOverride);
+  expect(found.counterexample?.invariant).toBe(promise);
+  expect(exploreRandomly(extent).counterexample?.message).toBeUndefined();
 });
--- a/test/model-checker/scenarios.test.ts
+++ b/test/model-checker/scenarios.test.ts
@@ -2,7 +2,7 @@
 import { InvariantViolation } from "../../src/model-checker/invariant-checks.js";
 import { MemberGroup } from "../../src/model-checker/member-group.js";
 import type { ModelMember } from "../../src/model-checker/model-member.js";
-import { groupSettingsOf } from "../../src/model-checker/group-settings.js";
+import { createGroupSettings } from "../../src/model-checker/group-settings.js";
 import type { SafetyRules } from "../../src/consensus/safety-rules.js";
 
 const mostRounds = 400;
@@ -12,11 +12,11 @@
   readonly group: MemberGroup;
 
   constructor(voters: number, spares: number, rules: Partial<SafetyRules>) {
-    const settings = groupSettingsOf(voters, spares, 1, { rules });
+    const settings = createGroupSettings(voters, spares, 1, { rules });
     this.group = new MemberGroup({
       ...settings,
       clockRates: settings.names.map(() => 1),
-      batchEntries: 1,
+      maxBatchEntries: 1,
     });
   }
 
@@ -194,7 +194,7 @@
     play();
     return "kept";
   } catch (error) {
-    if (error instanceof InvariantViolation) return error.promise;
+    if (error instanceof InvariantViolation) return error.invariant;
     throw error;
   }
 };
