--- a/src/model-checker/disk-contents.ts
+++ b/src/model-checker/disk-contents.ts
@@ -1,4 +1,4 @@
-/** The contents that members write to their disks as a whole. */
+/** Creates the full contents that members write to their disks. */
 import type { Members } from "../consensus/members.js";
 import { membersAt, type ConsensusState } from "../consensus/state.js";
 import type { DiskContent } from "./model-disk.js";
@@ -15,7 +15,7 @@
   value: 0,
 });
 
-/** A snapshot of what was applied up to an index, with the entries after it. */
+/** A snapshot of the state up to an index, with the log entries after it. */
 export const snapshotContent = (
   state: ConsensusState,
   lastIndex: number,
--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -1,3 +1,4 @@
+/** Exhaustive search: tries all orders of steps up to a depth. */
 import { InvariantViolation } from "./invariant-checks.js";
 import type { RuleOverride } from "./random-search.js";
 import { MemberGroup } from "./member-group.js";
@@ -5,96 +6,103 @@
 import { type GroupSettings, createGroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
-/** What an exhaustive exploration saw. */
+/** The result of an exhaustive search. */
 export interface Coverage {
-  /** How many steps were tried. */
+  /** The number of steps that were tried. */
   readonly steps: number;
-  /** How many situations differ. */
+  /** The number of distinct states of the group that were reached. */
   readonly states: number;
-  /** Up to which number of steps all orders were tried. */
+  /** The number of steps up to which all orders were tried. */
   readonly depth: number;
   readonly counterexample: Counterexample | undefined;
 }
 
-interface Place {
+/** A state of the group, with the steps that led to it. */
+interface SearchNode {
   readonly group: MemberGroup;
   readonly steps: readonly Step[];
-  /** How many members have stopped on the way here. */
-  readonly stops: number;
+  /** The number of crashes and lost disks among the steps. */
+  readonly failures: number;
 }
 
-const quantumMs = 100;
-const mostStops = 2;
+const tickMs = 100;
+const maxFailures = 2;
 
-/** Everything that may happen next: each message, each write, time, a client's write, a stop with or without the disk. */
-const choicesAt = ({ group, stops }: Place): Step[] => {
-  const choices: Step[] = [{ kind: "advance", ms: quantumMs, paused: [] }];
+/**
+ * All steps that are possible next: time advances, a message is delivered, a write reaches the disk, a client writes, or a
+ * member crashes, loses its disk or starts.
+ */
+const possibleSteps = ({ group, failures: stops }: SearchNode): Step[] => {
+  const steps: Step[] = [{ kind: "advance", ms: tickMs, paused: [] }];
   for (const { id, from, to } of group.messages.values())
     if (!group.cuts.has(`${from}>${to}`))
-      choices.push({ kind: "deliver", message: id, twice: false });
+      steps.push({ kind: "deliver", message: id, twice: false });
   for (const { name, isUp, disk, state } of group.members.values()) {
-    if (!isUp) choices.push({ kind: "start", member: name });
-    else if (stops < mostStops) choices.push({ kind: "crash", member: name, keptWrites: 0 });
-    if (isUp && stops < mostStops && group.mayWipe(name))
-      choices.push({ kind: "wipe", member: name });
-    if (disk.pending.length > 0) choices.push({ kind: "sync", member: name });
-    if (isUp && state.role === "leader") choices.push({ kind: "write", member: name });
+    if (!isUp) steps.push({ kind: "start", member: name });
+    else if (stops < maxFailures) steps.push({ kind: "crash", member: name, keptWrites: 0 });
+    if (isUp && stops < maxFailures && group.mayWipe(name))
+      steps.push({ kind: "wipe", member: name });
+    if (disk.pending.length > 0) steps.push({ kind: "sync", member: name });
+    if (isUp && state.role === "leader") steps.push({ kind: "write", member: name });
   }
-  return choices;
+  return steps;
 };
 
-/** A group that has a leader and one committed entry, with nothing under way. */
-const settled = (settings: GroupSettings): Place => {
+/** Creates a group with a leader and one acknowledged entry. */
+const createInitialNode = (settings: GroupSettings): SearchNode => {
   const group = new MemberGroup(settings);
   const steps: Step[] = [];
-  const take = (step: Step): void => {
+  const execute = (step: Step): void => {
     steps.push(step);
     group.take(step);
   };
   while (group.checks.acknowledgedIndex === 0) {
-    take({ kind: "advance", ms: 20, paused: [] });
+    execute({ kind: "advance", ms: 20, paused: [] });
     for (const { name, disk } of group.members.values())
-      while (disk.pending.length > 0) take({ kind: "sync", member: name });
+      while (disk.pending.length > 0) execute({ kind: "sync", member: name });
     for (const id of [...group.messages.keys()])
-      take({ kind: "deliver", message: id, twice: false });
+      execute({ kind: "deliver", message: id, twice: false });
   }
-  return { group, steps, stops: 0 };
+  return { group, steps, failures: 0 };
 };
 
-/** Tries all orders of steps up to a depth, once from each situation, from a settled group of three on. */
+/**
+ * Tries all orders of steps up to a depth, from a group of three members with a leader. Each distinct state is expanded once.
+ * Stops after `maxSteps` steps or at the first violation.
+ */
 export const exploreAll = (
   depth: number,
-  mostSteps: number,
-  alteration: RuleOverride = {},
+  maxSteps: number,
+  ruleOverride: RuleOverride = {},
 ): Coverage => {
-  const settings = createGroupSettings(3, 0, 1, alteration);
-  const seen = new Set<string>();
-  let frontier: Place[] = [settled(settings)];
+  const settings = createGroupSettings(3, 0, 1, ruleOverride);
+  const visited = new Set<string>();
+  let frontier: SearchNode[] = [createInitialNode(settings)];
   let steps = 0;
   for (let level = 0; level < depth; level += 1) {
-    const next: Place[] = [];
-    for (const place of frontier)
-      for (const step of choicesAt(place)) {
+    const next: SearchNode[] = [];
+    for (const node of frontier)
+      for (const step of possibleSteps(node)) {
         steps += 1;
-        if (steps > mostSteps)
-          return { steps, states: seen.size, depth: level, counterexample: undefined };
-        const group = place.group.clone();
-        const taken = [...place.steps, step];
+        if (steps > maxSteps)
+          return { steps, states: visited.size, depth: level, counterexample: undefined };
+        const group = node.group.clone();
+        const path = [...node.steps, step];
         try {
           group.take(step);
         } catch (error) {
           if (!(error instanceof InvariantViolation)) throw error;
           const { invariant, message } = error;
-          const counterexample = { settings, steps: taken, invariant, message };
-          return { steps, states: seen.size, depth: level, counterexample };
+          const counterexample = { settings, steps: path, invariant, message };
+          return { steps, states: visited.size, depth: level, counterexample };
         }
         const { fingerprint } = group;
-        if (seen.has(fingerprint)) continue;
-        seen.add(fingerprint);
-        const isStop = step.kind === "crash" || step.kind === "wipe";
-        next.push({ group, steps: taken, stops: place.stops + (isStop ? 1 : 0) });
+        if (visited.has(fingerprint)) continue;
+        visited.add(fingerprint);
+        const isFailure = step.kind === "crash" || step.kind === "wipe";
+        next.push({ group, steps: path, failures: node.failures + (isFailure ? 1 : 0) });
       }
     frontier = next;
   }
-  return { steps, states: seen.size, depth, counterexample: undefined };
+  return { steps, states: visited.size, depth, counterexample: undefined };
 };
--- a/src/model-checker/group-settings.ts
+++ b/src/model-checker/group-settings.ts
@@ -1,36 +1,39 @@
+/** The settings of a model-checked group: its members, clocks, timeouts and safety rules. */
 import { safetyRules, type SafetyRules } from "../consensus/safety-rules.js";
 import type { ElectionTimeouts } from "../consensus/state.js";
 import { defaultReplicationTimeouts } from "../replication/replication-timeouts.js";
 
-/** What an explored group is made of. */
+/** The settings of a model-checked group. */
 export interface GroupSettings {
   readonly names: readonly string[];
-  /** How many of the names vote at first; the others are spares that learn. */
+  /** The number of voters at the start and the target afterwards; the other names start as learners. */
   readonly wantedVoters: number;
   readonly clockRates: readonly number[];
-  /** Varies the election waits. */
+  /** The seed of the random election timeouts. */
   readonly seed: number;
   readonly timeouts: ElectionTimeouts;
   readonly replaceAfterMs: number;
   readonly responsiveAfterMs: number;
   readonly forgetAfterMs: number;
-  /** How many entries one request carries at most. */
+  /** The maximum number of entries in one append request. */
   readonly maxBatchEntries: number;
   readonly rules: SafetyRules;
 }
 
-/** How far clocks may differ: the lease and the election wait leave room for 11% each way. */
-const clockSpread = 0.08;
+/** The deviation of clock rates from 1; the lease and the election timeout tolerate 11% in each direction. */
+const clockRateSpread = 0.08;
 
-/** A group with production's waits and rules. */
+/** Creates the settings of a group with production's timeouts and rules, except for the given overrides. */
 export function createGroupSettings(
   voters: number,
   spares: number,
   seed: number,
   override: { rules?: Partial<SafetyRules>; timeouts?: Partial<ElectionTimeouts> } = {},
 ): GroupSettings {
-  const names = Array.from({ length: voters + spares }, (_, at) => `m${at + 1}`);
-  const clockRates = names.map((_, at) => 1 + clockSpread * (((seed + at * 2) % 3) - 1));
+  const names = Array.from({ length: voters + spares }, (_, position) => `m${position + 1}`);
+  const clockRates = names.map(
+    (_, position) => 1 + clockRateSpread * (((seed + position * 2) % 3) - 1),
+  );
   return {
     names,
     wantedVoters: voters,
--- a/src/model-checker/history/linearizability.ts
+++ b/src/model-checker/history/linearizability.ts
@@ -1,22 +1,23 @@
+/** Checks whether the history of a register is linearizable. */
 import type { Operation } from "./operation.js";
 
-/** The calls that no order explains, and why. */
+/** Operations that no order explains, and the reason. */
 export interface Contradiction {
   readonly reason: string;
   readonly operations: readonly Operation[];
 }
 
-/** A write and the reads that gave its value. */
+/** A write and the reads that returned its value. */
 interface Cluster {
   readonly value: number;
   readonly operations: readonly Operation[];
-  /** When the first of its calls had ended: from then on at the latest the value was in force. */
+  /** The earliest end of an operation in the cluster: the value became current no later. */
   readonly firstEnd: number;
-  /** When the last of its calls began: until then at least the value was in force. */
+  /** The latest begin of an operation in the cluster: the value stayed current at least until then. */
   readonly lastBegin: number;
 }
 
-/** The write that is taken to have set the initial value, before all calls. */
+/** A write of the initial value, before all operations. */
 const initialWrite = (value: number): Operation => ({
   kind: "write",
   value,
@@ -24,7 +25,7 @@
   endedAt: -1e15,
 });
 
-const clusterOf = (write: Operation, reads: readonly Operation[]): Cluster => {
+const createCluster = (write: Operation, reads: readonly Operation[]): Cluster => {
   const operations = [write, ...reads];
   return {
     value: write.value,
@@ -35,18 +36,20 @@
 };
 
 /**
- * Whether two values can't each have been in force for as long as their calls ask for: the one over a whole span, the
- * other at some moment or over a span that can't be put before or after it.
+ * Whether the operations of two clusters can't all be ordered. The first value must have been current throughout an interval,
+ * and the second can have been current neither only before nor only after that interval.
  */
-const collide = (one: Cluster, other: Cluster): boolean =>
-  one.firstEnd < one.lastBegin && one.firstEnd < other.lastBegin && other.firstEnd < one.lastBegin;
+const contradict = (first: Cluster, second: Cluster): boolean =>
+  first.firstEnd < first.lastBegin &&
+  first.firstEnd < second.lastBegin &&
+  second.firstEnd < first.lastBegin;
 
 /**
- * Whether a register's history is linearizable: some order of its calls has each take effect between its beginning and
- * its end, and each read give what was written last. The values that are written differ, so that each read tells its
- * write; then it is enough to compare the spans over which two values were in force (Gibbons and Korach, "Testing
- * shared memories", 1997). A write without a known outcome may have taken effect at any time, or never where nobody
- * read it. Undefined where the history is linearizable.
+ * Finds operations that violate linearizability; returns undefined if the history is linearizable. It is linearizable if in
+ * some order of the operations each takes effect between its begin and its end, and each read returns the latest write. All
+ * written values must differ, so that a read's value identifies its write. It is then sufficient to compare each two values'
+ * intervals (Gibbons and Korach, "Testing shared memories", 1997). A write without a known outcome may have taken effect at
+ * any time after its begin, or never if no read returned its value.
  */
 export const findContradiction = (
   operations: readonly Operation[],
@@ -55,24 +58,31 @@
   const ended = operations.filter(({ endedAt }) => endedAt !== undefined);
   const reads = ended.filter(({ kind }) => kind === "read");
   const writes = [initialWrite(initial), ...operations.filter(({ kind }) => kind === "write")];
-  const known = new Set(writes.map(({ value }) => value));
-  const invented = reads.find(({ value }) => !known.has(value));
-  if (invented !== undefined)
-    return { reason: "a read gave what nobody wrote", operations: [invented] };
+  const writtenValues = new Set(writes.map(({ value }) => value));
+  const unwrittenRead = reads.find(({ value }) => !writtenValues.has(value));
+  if (unwrittenRead !== undefined)
+    return {
+      reason: "a read returned a value that was never written",
+      operations: [unwrittenRead],
+    };
   const clusters: Cluster[] = [];
   for (const write of writes) {
-    const own = reads.filter(({ value }) => value === write.value);
-    const early = own.find(({ endedAt = 0 }) => endedAt < write.beganAt);
-    if (early !== undefined)
-      return { reason: "a read gave what was written later", operations: [write, early] };
-    if (write.endedAt !== undefined || own.length > 0) clusters.push(clusterOf(write, own));
+    const ownReads = reads.filter(({ value }) => value === write.value);
+    const earlyRead = ownReads.find(({ endedAt = 0 }) => endedAt < write.beganAt);
+    if (earlyRead !== undefined)
+      return {
+        reason: "a read returned a value that was written later",
+        operations: [write, earlyRead],
+      };
+    if (write.endedAt !== undefined || ownReads.length > 0)
+      clusters.push(createCluster(write, ownReads));
   }
-  for (const one of clusters)
-    for (const other of clusters)
-      if (one !== other && collide(one, other))
+  for (const first of clusters)
+    for (const second of clusters)
+      if (first !== second && contradict(first, second))
         return {
-          reason: `${one.value} and ${other.value} were both in force at one time`,
-          operations: [...one.operations, ...other.operations],
+          reason: `values ${first.value} and ${second.value} were current at the same time`,
+          operations: [...first.operations, ...second.operations],
         };
   return undefined;
 };
--- a/src/model-checker/history/operation-history.ts
+++ b/src/model-checker/history/operation-history.ts
@@ -1,31 +1,36 @@
+/** Records the operations of a run as a history. */
 import type { Operation } from "./operation.js";
 
-/** Calls as they began and ended, recorded while a run goes on. */
+/** The begins and ends of operations in a run, ordered by a logical clock. */
 export class OperationHistory {
-  private readonly recorded: Operation[] = [];
-  private moment = 0;
+  private readonly operationList: Operation[] = [];
+  private logicalTime = 0;
 
   get operations(): readonly Operation[] {
-    return this.recorded;
+    return this.operationList;
   }
 
-  /** A call begins; its number. */
+  /** Records the begin of an operation; returns its index. */
   begin(kind: "read" | "write", value = 0): number {
-    this.moment += 1;
-    this.recorded.push({ kind, value, beganAt: this.moment, endedAt: undefined });
-    return this.recorded.length - 1;
+    this.logicalTime += 1;
+    this.operationList.push({ kind, value, beganAt: this.logicalTime, endedAt: undefined });
+    return this.operationList.length - 1;
   }
 
-  /** A call has ended well; a read tells its value. One that never ends may or may not have taken effect. */
-  end(call: number, value?: number): void {
-    const operation = this.recorded[call];
+  /** Records the successful end of an operation, for a read with its value. A write that never ends may have taken effect. */
+  end(index: number, value?: number): void {
+    const operation = this.operationList[index];
     if (operation === undefined) return;
-    this.moment += 1;
-    this.recorded[call] = { ...operation, value: value ?? operation.value, endedAt: this.moment };
+    this.logicalTime += 1;
+    this.operationList[index] = {
+      ...operation,
+      value: value ?? operation.value,
+      endedAt: this.logicalTime,
+    };
   }
 
   copyFrom(other: OperationHistory): void {
-    this.recorded.splice(0, this.recorded.length, ...other.recorded);
-    this.moment = other.moment;
+    this.operationList.splice(0, this.operationList.length, ...other.operationList);
+    this.logicalTime = other.logicalTime;
   }
 }
--- a/src/model-checker/history/operation.ts
+++ b/src/model-checker/history/operation.ts
@@ -1,10 +1,10 @@
-/** One call on a register, as its client saw it. Values of writes differ from one another. */
+/** One operation on a register as seen by its client. All written values differ. */
 export interface Operation {
   readonly kind: "read" | "write";
-  /** What was written, or what a read gave. */
+  /** The written value, or the value that a read returned. */
   readonly value: number;
-  /** When the call was sent, on one clock for all calls. */
+  /** When the request was sent, on one clock for all operations. */
   readonly beganAt: number;
-  /** When its answer came; undefined where its outcome isn't known, so that it may take effect at any time or never. */
+  /** When the response arrived; undefined if the outcome is unknown: a write may then take effect at any later time or never. */
   readonly endedAt: number | undefined;
 }
--- a/src/model-checker/main.ts
+++ b/src/model-checker/main.ts
@@ -1,3 +1,4 @@
+/** The command `explore`: searches the consensus algorithm for violations of its invariants. */
 import { readFileSync, writeFileSync } from "node:fs";
 import { cac } from "cac";
 import { exploreAll } from "./exhaustive-search.js";
@@ -18,56 +19,63 @@
   readonly out?: string;
 }
 
-const say = (line: string): void => {
+const print = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-const report = (found: Counterexample, out: string | undefined): void => {
-  const shrunk = shrink(found);
-  say(formatTrace(shrunk));
+const reportCounterexample = (counterexample: Counterexample, out: string | undefined): void => {
+  const shrunk = shrink(counterexample);
+  print(formatTrace(shrunk));
   if (out !== undefined) writeFileSync(out, formatTraceFile(shrunk));
   process.exitCode = 1;
 };
 
 const exploreProduction = ({ steps, run, seed, depth, out }: Options): void => {
-  const all = exploreAll(depth, steps);
-  say(`all orders: depth ${all.depth}, ${all.steps} steps, ${all.states} situations`);
-  if (all.counterexample !== undefined) return report(all.counterexample, out);
+  const exhaustive = exploreAll(depth, steps);
+  print(
+    `exhaustive search: depth ${exhaustive.depth}, ${exhaustive.steps} steps, ${exhaustive.states} states`,
+  );
+  if (exhaustive.counterexample !== undefined)
+    return reportCounterexample(exhaustive.counterexample, out);
   const random = exploreRandomly({ firstSeed: seed, maxSteps: steps, stepsPerRun: run });
-  say(`at random: ${random.runs} runs, ${random.steps} steps`);
+  print(`random search: ${random.runs} runs, ${random.steps} steps`);
   if (random.counterexample !== undefined) {
-    say(`seed ${random.seed ?? 0}`);
-    report(random.counterexample, out);
-  } else say("no promise was broken");
+    print(`seed ${random.seed ?? 0}`);
+    reportCounterexample(random.counterexample, out);
+  } else print("no invariant was violated");
 };
 
 const exploreMutants = ({ steps, run, seed }: Options): void => {
-  for (const { name, ruleOverride: alteration } of mutants) {
-    const extent = { firstSeed: seed, maxSteps: steps, stepsPerRun: run };
-    const found = exploreRandomly(extent, alteration);
-    const promise = found.counterexample?.invariant ?? "not found";
-    say(`| ${name} | ${promise} | ${found.steps} | ${found.seed ?? "-"} |`);
+  for (const { name, ruleOverride } of mutants) {
+    const limits = { firstSeed: seed, maxSteps: steps, stepsPerRun: run };
+    const result = exploreRandomly(limits, ruleOverride);
+    const invariant = result.counterexample?.invariant ?? "not found";
+    print(`| ${name} | ${invariant} | ${result.steps} | ${result.seed ?? "-"} |`);
   }
 };
 
-const playAgain = (file: string, seed: number): void => {
-  const found = replay(settingsFor(seed, {}), parseSteps(readFileSync(file, "utf8")));
-  say(found === undefined ? "no promise was broken" : formatTrace(found));
-  if (found !== undefined) process.exitCode = 1;
+const replayFile = (file: string, seed: number): void => {
+  const counterexample = replay(settingsFor(seed, {}), parseSteps(readFileSync(file, "utf8")));
+  print(counterexample === undefined ? "no invariant was violated" : formatTrace(counterexample));
+  if (counterexample !== undefined) process.exitCode = 1;
 };
 
 const cli = cac("explore");
 cli
-  .command("", "Searches the decisions of the agreement for a broken promise")
-  .option("--steps <count>", "How many steps at most", { default: 1_000_000 })
-  .option("--run <count>", "How many steps a random run has", { default: 1000 })
-  .option("--seed <number>", "The first seed, or the seed of the group of a trace", { default: 1 })
-  .option("--depth <count>", "Up to how many steps all orders are tried", { default: 6 })
-  .option("--mutants", "Searches with each safety rule taken out instead")
-  .option("--replay <file>", "Plays a trace again instead")
-  .option("--out <file>", "Where the trace of a counterexample goes")
+  .command("", "Searches the consensus algorithm for violated invariants")
+  .option("--steps <count>", "The maximum number of steps of each search", { default: 1_000_000 })
+  .option("--run <count>", "The number of steps in a random run", { default: 1000 })
+  .option(
+    "--seed <number>",
+    "The seed of the first random run, or of the group of a replayed trace",
+    { default: 1 },
+  )
+  .option("--depth <count>", "The depth of the exhaustive search, in steps", { default: 6 })
+  .option("--mutants", "Searches with each safety rule disabled in turn instead")
+  .option("--replay <file>", "Replays a trace file instead")
+  .option("--out <file>", "The file to which the trace of a counterexample is written")
   .action((options: Options) => {
-    if (options.replay !== undefined) playAgain(options.replay, options.seed);
+    if (options.replay !== undefined) replayFile(options.replay, options.seed);
     else if (options.mutants === true) exploreMutants(options);
     else exploreProduction(options);
   });
--- a/src/model-checker/member-fingerprint.ts
+++ b/src/model-checker/member-fingerprint.ts
@@ -1,13 +1,13 @@
-/** The fingerprint of a member's state, by which the search recognizes states that it has seen. */
+/** The fingerprint of a member's state, by which the search recognizes visited states. */
 import type { ConsensusState } from "../consensus/state.js";
 import type { ModelDisk } from "./model-disk.js";
 import type { PeerReplications } from "./peer-replications.js";
 import type { WriteEffect } from "./write-effect.js";
 
-/** Ages beyond this are not told apart. */
+/** Greater ages are equal in a fingerprint. */
 const MAX_AGE_MS = 5000;
 
-/** The parts of a member that a fingerprint is taken of. */
+/** The parts of a member from which its fingerprint is computed. */
 export interface FingerprintedMember {
   readonly isUp: boolean;
   readonly state: ConsensusState;
@@ -16,7 +16,7 @@
   readonly disk: ModelDisk<WriteEffect>;
 }
 
-/** A text that is equal for equal states, with times relative to now. */
+/** Computes a text that is equal for equal states, with times relative to now. */
 export const computeFingerprint = (member: FingerprintedMember, nowMs: number): string => {
   const {
     log,
@@ -26,12 +26,12 @@
     votes,
     lastLeaderContactMs,
     lastAppendMs,
-    ...rest
+    ...otherState
   } = member.state;
   const age = (atMs: number): number => Math.min(MAX_AGE_MS, Math.round(nowMs - atMs));
   return JSON.stringify([
     member.isUp,
-    rest,
+    otherState,
     log.baseIndex,
     log.baseTerm,
     log.entriesFrom(log.baseIndex + 1),
--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -1,10 +1,10 @@
-/** The leader's decision on the group's membership, by the production policy. */
+/** The leader's decision on membership changes, made by the production policy. */
 import type { Members } from "../consensus/members.js";
 import type { ConsensusState } from "../consensus/state.js";
 import { MembershipPolicy } from "../replication/membership/membership-policy.js";
 import type { GroupSettings } from "./group-settings.js";
 
-/** The members after the next change that a leader makes now; undefined where it makes none. */
+/** The members after the change that the leader makes now; undefined if it makes none. */
 export const reviewMembership = (
   self: string,
   state: ConsensusState,
--- a/src/model-checker/message.ts
+++ b/src/model-checker/message.ts
@@ -1,15 +1,16 @@
+/** The messages between members of a model-checked group. */
 import type { AppendReply, AppendRequest } from "../consensus/append.js";
 import type { SnapshotOffer, SnapshotReply } from "../consensus/snapshot.js";
 import type { VoteReply, VoteRequest } from "../consensus/vote.js";
 import type { Members } from "../consensus/members.js";
 
-/** A snapshot on its way: which one, the members in it, and the register's value. */
+/** A snapshot in transfer: its identity, the members in it, and the register's value. */
 export interface SnapshotRequest extends SnapshotOffer {
   readonly members: Members;
   readonly value: number;
 }
 
-/** What a member asks of another. */
+/** A request from one member to another. */
 export type ModelRequest =
   | { readonly kind: "vote"; readonly request: VoteRequest }
   | { readonly kind: "append"; readonly request: AppendRequest }
@@ -17,15 +18,15 @@
   | { readonly kind: "handOver"; readonly term: number }
   | { readonly kind: "rejoin"; readonly machine: string; readonly nonce: string };
 
-/** What comes back. */
+/** The reply to a request; requests of the other kinds have none. */
 export type ModelReply =
   | { readonly kind: "vote"; readonly reply: VoteReply }
   | { readonly kind: "append"; readonly reply: AppendReply }
   | { readonly kind: "snapshot"; readonly reply: SnapshotReply };
 
-/** A request or a reply between two members; replies name the request that they answer. */
+/** A request or a reply between two members; a reply has the id of its request. */
 export interface Message {
-  /** Names the message in a trace: from, to, kind, and its number among those. */
+  /** Identifies the message in a trace: sender, receiver, kind, and a sequence number among these. */
   readonly id: string;
   readonly from: string;
   readonly to: string;
--- a/src/model-checker/model-disk.ts
+++ b/src/model-checker/model-disk.ts
@@ -1,20 +1,21 @@
+/** The disk of a model-checked member, whose writes become durable only when they are synced. */
 import type { PersistedConsensusState } from "../consensus/state.js";
 import type { LogRecord } from "../consensus/log-record.js";
 
-/** What a member's disk holds: the agreement's state, and the register's value as of its snapshot. */
+/** The durable content of a disk: the consensus state, and the register's value as of its snapshot. */
 export interface DiskContent extends PersistedConsensusState {
   readonly value: number;
 }
 
-/** A write under way, and what its member does once it is on disk. */
+/** A pending write, and the effect that its member executes once it is on disk. */
 export interface PendingWrite<Effect> {
   readonly content:
     { readonly records: readonly LogRecord[] } | { readonly fullContent: DiskContent };
   readonly effect: Effect;
 }
 
-/** Adds one record to what the disk holds, as the store replays its log. */
-const withRecord = (content: DiskContent, record: LogRecord): DiskContent => {
+/** Applies one log record to the content, as the log store does when it replays its log. */
+const applyRecord = (content: DiskContent, record: LogRecord): DiskContent => {
   switch (record.kind) {
     case "vote":
       return { ...content, term: record.term, votedFor: record.text };
@@ -23,19 +24,23 @@
     case "entry": {
       const term = Math.max(content.term, record.term);
       if (record.index <= content.lastIndex) return { ...content, term };
-      const before = content.entries.slice(0, record.index - content.lastIndex - 1);
+      const precedingEntries = content.entries.slice(0, record.index - content.lastIndex - 1);
       const { index, text } = record;
-      return { ...content, term, entries: [...before, { index, term: record.term, text }] };
+      return {
+        ...content,
+        term,
+        entries: [...precedingEntries, { index, term: record.term, text }],
+      };
     }
   }
 };
 
-/** A disk on which writes last only once they are synced, in order. */
+/** A disk on which writes become durable only when they are synced, in order. */
 export class ModelDisk<Effect> {
   content: DiskContent | undefined;
   pending: Array<PendingWrite<Effect>> = [];
 
-  /** The oldest write reaches the disk; tells what its member does now. */
+  /** Makes the oldest pending write durable; returns its effect. */
   sync(): Effect | undefined {
     const write = this.pending.shift();
     if (write === undefined) return undefined;
@@ -43,7 +48,7 @@
     return write.effect;
   }
 
-  /** The machine stops: some of the oldest writes are on disk though nobody was told, the others are lost. */
+  /** Stops the machine: the oldest `keptWrites` pending writes are durable without their effects, the others are lost. */
   crash(keptWrites: number): void {
     for (const write of this.pending.slice(0, keptWrites)) this.applyWrite(write);
     this.pending = [];
@@ -64,6 +69,6 @@
   private applyWrite({ content }: PendingWrite<Effect>): void {
     if ("fullContent" in content) this.content = content.fullContent;
     else if (this.content !== undefined)
-      this.content = content.records.reduce(withRecord, this.content);
+      this.content = content.records.reduce(applyRecord, this.content);
   }
 }
--- a/src/model-checker/peer-replications.ts
+++ b/src/model-checker/peer-replications.ts
@@ -19,21 +19,21 @@
     return this.replications;
   }
 
-  /** The replication to a peer; one that is new is due at once. */
+  /** Returns the replication to a peer; a new one is due immediately. */
   getOrCreate(peer: string, initial: () => Progress, nowMs: number): PeerReplication {
-    const known = this.replications.get(peer);
-    if (known !== undefined) return known;
+    const existing = this.replications.get(peer);
+    if (existing !== undefined) return existing;
     const replication = { progress: initial(), requestId: undefined, dueMs: nowMs };
     this.replications.set(peer, replication);
     return replication;
   }
 
-  /** Notes the request in flight to a peer. */
+  /** Records the request in flight to a peer. */
   begin(peer: string, requestId: string): void {
     this.update(peer, { requestId });
   }
 
-  /** The request in flight has ended; false where it was another one. */
+  /** Ends the request in flight; has no effect if another request is in flight. */
   end(peer: string, requestId: string, nextDueMs: number): void {
     if (this.isInFlight(peer, requestId))
       this.update(peer, { requestId: undefined, dueMs: nextDueMs });
@@ -43,14 +43,14 @@
     return this.replications.get(peer)?.requestId === requestId;
   }
 
-  /** Advances the progress by the reply to the request in flight. */
+  /** Updates the progress by the reply to the request in flight. */
   advance(peer: string, requestId: string, reply: AppendReply): void {
     const replication = this.replications.get(peer);
     if (replication !== undefined && replication.requestId === requestId)
       this.update(peer, { progress: progressAfter(replication.progress, reply) });
   }
 
-  /** Continues after the snapshot that a peer installed. */
+  /** Continues with the entry after the snapshot that a peer has installed. */
   continueAfter(peer: string, requestId: string, index: number): void {
     const replication = this.replications.get(peer);
     if (replication !== undefined && replication.requestId === requestId)
@@ -62,7 +62,7 @@
     for (const peer of [...this.replications.keys()]) this.update(peer, { dueMs: nowMs });
   }
 
-  /** Removes the replications to all others. */
+  /** Removes the replications to peers that are not in the list. */
   retain(peers: readonly string[]): void {
     for (const peer of [...this.replications.keys()])
       if (!peers.includes(peer)) this.replications.delete(peer);
--- a/src/model-checker/pending-requests.ts
+++ b/src/model-checker/pending-requests.ts
@@ -9,7 +9,7 @@
   readonly deadlineMs: number;
 }
 
-/** Requests in flight by their ids. */
+/** The requests in flight, by id. */
 export class PendingRequests {
   private readonly requests = new Map<string, PendingRequest>();
 
@@ -17,7 +17,7 @@
     this.requests.set(id, request);
   }
 
-  /** Removes and returns a request; undefined where there is none or its deadline is over. */
+  /** Removes and returns a request; returns undefined if the id is unknown or its deadline has passed. */
   complete(id: string, nowMs: number): PendingRequest | undefined {
     const request = this.requests.get(id);
     if (request === undefined || nowMs >= request.deadlineMs) return undefined;
@@ -25,7 +25,7 @@
     return request;
   }
 
-  /** Removes and returns the requests whose deadlines are over. */
+  /** Removes and returns the requests whose deadlines have passed. */
   expire(nowMs: number): Array<[id: string, request: PendingRequest]> {
     const expired = [...this.requests].filter(([, { deadlineMs }]) => nowMs >= deadlineMs);
     for (const [id] of expired) this.requests.delete(id);
--- a/src/model-checker/random-search.ts
+++ b/src/model-checker/random-search.ts
@@ -1,46 +1,47 @@
+/** Random search: runs of random steps on groups of different sizes. */
 import type { SafetyRules } from "../consensus/safety-rules.js";
 import type { ElectionTimeouts } from "../consensus/state.js";
 import { runRandomly, type Counterexample } from "./search-run.js";
 import { type GroupSettings, createGroupSettings } from "./group-settings.js";
 
-/** What is changed of production's rules and waits; nothing for production itself. */
+/** The deviations from production's rules and timeouts; empty for production itself. */
 export interface RuleOverride {
   readonly rules?: Partial<SafetyRules>;
   readonly timeouts?: Partial<ElectionTimeouts>;
 }
 
-/** How far to explore at random. */
+/** The limits of a random search. */
 export interface SearchLimits {
   readonly firstSeed: number;
   readonly maxSteps: number;
   readonly stepsPerRun: number;
 }
 
-/** What an exploration found. */
+/** The result of a random search. */
 export interface SearchResult {
   readonly steps: number;
   readonly runs: number;
-  /** The seed of the run that broke a promise. */
+  /** The seed of the run that violated an invariant. */
   readonly seed: number | undefined;
   readonly counterexample: Counterexample | undefined;
 }
 
-/** The group of a seed: three to five members, one or two spares. */
-export const settingsFor = (seed: number, alteration: RuleOverride): GroupSettings =>
-  createGroupSettings(seed % 3 === 2 ? 5 : 3, 1 + (seed % 2), seed, alteration);
+/** The settings of the group for a seed: three or five voters, one or two learners. */
+export const settingsFor = (seed: number, ruleOverride: RuleOverride): GroupSettings =>
+  createGroupSettings(seed % 3 === 2 ? 5 : 3, 1 + (seed % 2), seed, ruleOverride);
 
-/** Runs of fixed length, seed after seed, until one breaks a promise or the steps are used up. */
+/** Executes runs of fixed length with consecutive seeds until one violates an invariant or `maxSteps` is reached. */
 export const exploreRandomly = (
-  extent: SearchLimits,
-  alteration: RuleOverride = {},
+  limits: SearchLimits,
+  ruleOverride: RuleOverride = {},
 ): SearchResult => {
   let steps = 0;
-  let seed = extent.firstSeed;
-  for (; steps < extent.maxSteps; seed += 1) {
-    const counterexample = runRandomly(settingsFor(seed, alteration), seed, extent.stepsPerRun);
-    steps += counterexample?.steps.length ?? extent.stepsPerRun;
+  let seed = limits.firstSeed;
+  for (; steps < limits.maxSteps; seed += 1) {
+    const counterexample = runRandomly(settingsFor(seed, ruleOverride), seed, limits.stepsPerRun);
+    steps += counterexample?.steps.length ?? limits.stepsPerRun;
     if (counterexample !== undefined)
-      return { steps, runs: seed - extent.firstSeed + 1, seed, counterexample };
+      return { steps, runs: seed - limits.firstSeed + 1, seed, counterexample };
   }
-  return { steps, runs: seed - extent.firstSeed, seed: undefined, counterexample: undefined };
+  return { steps, runs: seed - limits.firstSeed, seed: undefined, counterexample: undefined };
 };
--- a/src/model-checker/random-source.ts
+++ b/src/model-checker/random-source.ts
@@ -1,4 +1,4 @@
-/** A seeded source of choices: the same seed gives the same ones. */
+/** A seeded random number generator; the same seed gives the same sequence. */
 export class RandomSource {
   private state: number;
 
@@ -6,7 +6,7 @@
     this.state = (Math.imul(seed, 0x9e3779b1) ^ 0x85ebca6b) >>> 0;
   }
 
-  /** A number from 0 up to 1. */
+  /** A random number in [0, 1). */
   next(): number {
     this.state = (this.state + 0x6d2b79f5) >>> 0;
     let mixed = this.state;
@@ -15,17 +15,17 @@
     return ((mixed ^ (mixed >>> 14)) >>> 0) / 2 ** 32;
   }
 
-  /** A whole number from 0 up to a limit, without it. */
+  /** A random integer in [0, limit). */
   below(limit: number): number {
     return Math.floor(this.next() * limit);
   }
 
-  /** One of some items, or undefined where there is none. */
+  /** A random item, or undefined if there are none. */
   oneOf<T>(items: readonly T[]): T | undefined {
     return items[this.below(items.length)];
   }
 
-  /** Whether something with a probability happens. */
+  /** True with the given probability. */
   chance(probability: number): boolean {
     return this.next() < probability;
   }
--- a/src/model-checker/random-walk.ts
+++ b/src/model-checker/random-walk.ts
@@ -1,54 +1,55 @@
+/** Random walks: draws the steps of a run by a failure profile, or in phases. */
 import type { MemberGroup } from "./member-group.js";
 import { PhaseWalk } from "./phase-walk.js";
 import { RandomSource } from "./random-source.js";
 import type { Step } from "./step.js";
 
-/** How often each kind of trouble comes, by the run: some are nearly calm, so that much is committed between failures. */
-interface Climate {
+/** The probability of each kind of failure per step, for one run. */
+interface FailureProfile {
   readonly loss: number;
   readonly crash: number;
   readonly wipe: number;
-  readonly cut: number;
+  readonly linkBlock: number;
   readonly isolation: number;
   readonly pause: number;
   readonly membership: number;
-  readonly handOver: number;
-  /** How often a message is delivered out of turn. */
-  readonly disorder: number;
+  readonly leadershipTransfer: number;
+  /** The probability that a message is delivered out of order. */
+  readonly reordering: number;
   readonly slowDisk: number;
-  /** How much time passes at once while somebody leads. */
-  readonly paces: readonly number[];
+  /** The durations by which time advances in one step while a member leads. */
+  readonly timeStepsMs: readonly number[];
 }
 
-const calm: Climate = {
+const noFailures: FailureProfile = {
   loss: 0,
   crash: 0,
   wipe: 0,
-  cut: 0,
+  linkBlock: 0,
   isolation: 0,
   pause: 0,
   membership: 0,
-  handOver: 0,
-  disorder: 0,
+  leadershipTransfer: 0,
+  reordering: 0,
   slowDisk: 0,
-  paces: [2, 5, 10],
+  timeStepsMs: [2, 5, 10],
 };
 
-/** All troubles at once, each more or less. */
-const mixed = (random: RandomSource): Climate => {
-  const upTo = (most: number): number => (random.chance(0.4) ? 0 : most * random.next() ** 2);
+/** A profile with all kinds of failures, each with a random probability that is often 0. */
+const drawMixedProfile = (random: RandomSource): FailureProfile => {
+  const upTo = (max: number): number => (random.chance(0.4) ? 0 : max * random.next() ** 2);
   return {
     loss: upTo(0.15),
     crash: upTo(0.04),
     wipe: upTo(0.03),
-    cut: upTo(0.04),
+    linkBlock: upTo(0.04),
     isolation: upTo(0.05),
     pause: upTo(0.4),
     membership: upTo(0.06),
-    handOver: upTo(0.02),
-    disorder: upTo(0.8),
+    leadershipTransfer: upTo(0.02),
+    reordering: upTo(0.8),
     slowDisk: upTo(0.8),
-    paces: random.oneOf([
+    timeStepsMs: random.oneOf([
       [2, 5, 10],
       [5, 20, 60],
       [20, 60, 150],
@@ -56,122 +57,142 @@
   };
 };
 
-/** Some runs have all troubles, others few that work together, so that much is committed between failures. */
-const climateOf = (random: RandomSource): Climate => {
-  const some = (most: number): number => most * (0.2 + 0.8 * random.next());
+/**
+ * Draws the failure profile of a run. A third of the runs have all kinds of failures. The others have few kinds, chosen to
+ * interact, so that many entries are committed between failures.
+ */
+const drawProfile = (random: RandomSource): FailureProfile => {
+  const nonZero = (max: number): number => max * (0.2 + 0.8 * random.next());
   switch (random.below(6)) {
     case 0:
-      return { ...calm, isolation: some(0.02), pause: some(0.2) };
+      return { ...noFailures, isolation: nonZero(0.02), pause: nonZero(0.2) };
     case 1:
-      return { ...calm, isolation: some(0.015), crash: some(0.03), slowDisk: some(0.8) };
+      return {
+        ...noFailures,
+        isolation: nonZero(0.015),
+        crash: nonZero(0.03),
+        slowDisk: nonZero(0.8),
+      };
     case 2:
-      return { ...calm, isolation: some(0.015), wipe: some(0.02) };
+      return { ...noFailures, isolation: nonZero(0.015), wipe: nonZero(0.02) };
     case 3:
-      return { ...calm, isolation: some(0.015), crash: some(0.01), membership: some(0.05) };
+      return {
+        ...noFailures,
+        isolation: nonZero(0.015),
+        crash: nonZero(0.01),
+        membership: nonZero(0.05),
+      };
     default:
-      return mixed(random);
+      return drawMixedProfile(random);
   }
 };
 
-/** How much time passes at once while nobody leads, so that elections come soon. */
-const leaderlessPaces = [20, 60, 150];
+/** The durations by which time advances in one step while no member leads: longer, so that elections start soon. */
+const leaderlessTimeStepsMs = [20, 60, 150];
 
 const isLeader = ({ isUp, state }: { isUp: boolean; state: { role: string } }): boolean =>
   isUp && state.role === "leader";
 
-/** Draws steps for a group, the same ones for the same seed. */
+/** Draws steps for a group; the same seed gives the same steps. */
 export class RandomWalk {
   private readonly random: RandomSource;
-  private readonly climate: Climate;
-  private readonly phases: PhaseWalk | undefined;
-  /** Steps that belong together and come one after the other. */
-  private planned: Step[] = [];
+  private readonly profile: FailureProfile;
+  private readonly phaseWalk: PhaseWalk | undefined;
+  /** Steps that are executed one after the other, before another is drawn. */
+  private plannedSteps: Step[] = [];
 
   constructor(seed: number) {
     this.random = new RandomSource(seed);
-    this.climate = climateOf(this.random);
-    this.phases = this.random.chance(0.5) ? new PhaseWalk(this.random) : undefined;
+    this.profile = drawProfile(this.random);
+    this.phaseWalk = this.random.chance(0.5) ? new PhaseWalk(this.random) : undefined;
   }
 
   next(group: MemberGroup): Step {
-    if (this.phases !== undefined) return this.phases.next(group);
-    const planned = this.planned.shift();
-    return planned ?? this.failure(group) ?? this.call(group) ?? this.progress(group);
+    if (this.phaseWalk !== undefined) return this.phaseWalk.next(group);
+    const plannedStep = this.plannedSteps.shift();
+    return (
+      plannedStep ??
+      this.nextFailure(group) ??
+      this.nextOperation(group) ??
+      this.nextProgress(group)
+    );
   }
 
-  private name(group: MemberGroup): string {
+  private drawMember(group: MemberGroup): string {
     return this.random.oneOf(group.settings.names) ?? "";
   }
 
-  private leader(group: MemberGroup): string {
+  private drawLeader(group: MemberGroup): string {
     const leaders = [...group.members.values()].filter(isLeader);
-    return this.random.oneOf(leaders)?.name ?? this.name(group);
+    return this.random.oneOf(leaders)?.name ?? this.drawMember(group);
   }
 
-  /** A voter more often than another member, since voters decide. */
-  private voter(group: MemberGroup): string {
+  /** Draws a member, mostly a voter, since only voters elect and commit. */
+  private drawVoter(group: MemberGroup): string {
     const voter = this.random.oneOf(group.checks.latestMembers.voters);
-    return voter === undefined || this.random.chance(0.2) ? this.name(group) : voter;
+    return voter === undefined || this.random.chance(0.2) ? this.drawMember(group) : voter;
   }
 
-  private failure(group: MemberGroup): Step | undefined {
-    const { random, climate } = this;
-    const down = [...group.members.values()].find(({ isUp }) => !isUp);
-    if (down !== undefined && random.chance(0.06)) return { kind: "start", member: down.name };
-    if (random.chance(climate.crash)) return this.crash(group);
-    if (random.chance(climate.wipe)) return this.wipe(group);
-    if (group.cuts.size > 0 && random.chance(0.03)) return this.mend(group);
-    if (random.chance(climate.isolation)) return this.isolate(group);
-    if (random.chance(climate.cut))
-      return { kind: "cut", from: this.leader(group), to: this.voter(group) };
-    if (random.chance(climate.cut / 2))
-      return { kind: "cut", from: this.voter(group), to: this.leader(group) };
-    if (random.chance(climate.handOver)) return { kind: "handOver", member: this.leader(group) };
-    return random.chance(climate.membership) ? this.membershipChange(group) : undefined;
+  private nextFailure(group: MemberGroup): Step | undefined {
+    const { random, profile } = this;
+    const stopped = [...group.members.values()].find(({ isUp }) => !isUp);
+    if (stopped !== undefined && random.chance(0.06))
+      return { kind: "start", member: stopped.name };
+    if (random.chance(profile.crash)) return this.crash(group);
+    if (random.chance(profile.wipe)) return this.wipe(group);
+    if (group.cuts.size > 0 && random.chance(0.03)) return this.healLinks(group);
+    if (random.chance(profile.isolation)) return this.isolateMember(group);
+    if (random.chance(profile.linkBlock))
+      return { kind: "cut", from: this.drawLeader(group), to: this.drawVoter(group) };
+    if (random.chance(profile.linkBlock / 2))
+      return { kind: "cut", from: this.drawVoter(group), to: this.drawLeader(group) };
+    if (random.chance(profile.leadershipTransfer))
+      return { kind: "handOver", member: this.drawLeader(group) };
+    return random.chance(profile.membership) ? this.membershipChange(group) : undefined;
   }
 
   private crash(group: MemberGroup): Step {
-    const member = this.voter(group);
-    if (this.random.chance(0.5)) this.planned.push({ kind: "start", member });
+    const member = this.drawVoter(group);
+    if (this.random.chance(0.5)) this.plannedSteps.push({ kind: "start", member });
     return { kind: "crash", member, keptWrites: this.random.below(3) };
   }
 
   private wipe(group: MemberGroup): Step {
-    const member = this.voter(group);
-    if (this.random.chance(0.7)) this.planned.push({ kind: "start", member });
+    const member = this.drawVoter(group);
+    if (this.random.chance(0.7)) this.plannedSteps.push({ kind: "start", member });
     return { kind: "wipe", member };
   }
 
-  /** One cut ends, or all of them. */
-  private mend(group: MemberGroup): Step {
-    const steps = [...group.cuts].map((cut): Step => {
-      const [from = "", to = ""] = cut.split(">");
+  /** Unblocks the oldest blocked link, or all of them. */
+  private healLinks(group: MemberGroup): Step {
+    const steps = [...group.cuts].map((link): Step => {
+      const [from = "", to = ""] = link.split(">");
       return { kind: "mend", from, to };
     });
-    const [first = { kind: "advance", ms: 5, paused: [] }, ...others] = steps;
-    if (this.random.chance(0.5)) this.planned.push(...others);
+    const [first = { kind: "advance", ms: 5, paused: [] }, ...remaining] = steps;
+    if (this.random.chance(0.5)) this.plannedSteps.push(...remaining);
     return first;
   }
 
-  /** A member is cut off, both ways or one way, often in place of the one that was. */
-  private isolate(group: MemberGroup): Step {
-    const member = this.random.chance(0.5) ? this.leader(group) : this.voter(group);
-    const ways = this.random.oneOf(["both", "out", "in"]);
-    const former = this.random.chance(0.5) ? [...group.cuts] : [];
-    for (const cut of former) {
-      const [from = "", to = ""] = cut.split(">");
-      this.planned.push({ kind: "mend", from, to });
+  /** Isolates a member in one or both directions; half of the time, all links that were blocked before are opened first. */
+  private isolateMember(group: MemberGroup): Step {
+    const member = this.random.chance(0.5) ? this.drawLeader(group) : this.drawVoter(group);
+    const direction = this.random.oneOf(["both", "out", "in"]);
+    const previousLinks = this.random.chance(0.5) ? [...group.cuts] : [];
+    for (const link of previousLinks) {
+      const [from = "", to = ""] = link.split(">");
+      this.plannedSteps.push({ kind: "mend", from, to });
     }
     for (const other of group.settings.names) {
       if (other === member) continue;
-      if (ways !== "in") this.planned.push({ kind: "cut", from: member, to: other });
-      if (ways !== "out") this.planned.push({ kind: "cut", from: other, to: member });
+      if (direction !== "in") this.plannedSteps.push({ kind: "cut", from: member, to: other });
+      if (direction !== "out") this.plannedSteps.push({ kind: "cut", from: other, to: member });
     }
-    return this.planned.shift() ?? { kind: "advance", ms: 5, paused: [] };
+    return this.plannedSteps.shift() ?? { kind: "advance", ms: 5, paused: [] };
   }
 
   private membershipChange(group: MemberGroup): Step | undefined {
-    const leader = this.leader(group);
+    const leader = this.drawLeader(group);
     const { voters, learners } = group.member(leader).state.members;
     const learner = this.random.oneOf(learners);
     const voter = this.random.oneOf(voters);
@@ -180,32 +201,36 @@
     return voter === undefined ? undefined : { kind: "demote", member: leader, voter };
   }
 
-  private call(group: MemberGroup): Step | undefined {
-    if (this.random.chance(0.05)) return { kind: "write", member: this.leader(group) };
-    if (this.random.chance(0.03)) return { kind: "read", member: this.leader(group) };
-    if (this.random.chance(0.005)) return { kind: "compact", member: this.name(group) };
+  private nextOperation(group: MemberGroup): Step | undefined {
+    if (this.random.chance(0.05)) return { kind: "write", member: this.drawLeader(group) };
+    if (this.random.chance(0.03)) return { kind: "read", member: this.drawLeader(group) };
+    if (this.random.chance(0.005)) return { kind: "compact", member: this.drawMember(group) };
     return undefined;
   }
 
-  private progress(group: MemberGroup): Step {
-    const { random, climate } = this;
-    const writing = [...group.members.values()].filter(({ disk }) => disk.pending.length > 0);
-    const writer = random.oneOf(writing);
-    if (writer !== undefined && !random.chance(0.4 + climate.slowDisk / 2))
+  private nextProgress(group: MemberGroup): Step {
+    const { random, profile } = this;
+    const writers = [...group.members.values()].filter(({ disk }) => disk.pending.length > 0);
+    const writer = random.oneOf(writers);
+    if (writer !== undefined && !random.chance(0.4 + profile.slowDisk / 2))
       return { kind: "sync", member: writer.name };
-    const open = [...group.messages.values()].filter(
+    const deliverable = [...group.messages.values()].filter(
       ({ from, to }) => !group.cuts.has(`${from}>${to}`),
     );
     const { voters } = group.checks.latestMembers;
-    const between = open.filter(({ from, to }) => voters.includes(from) && voters.includes(to));
-    const eligible = between.length > 0 && random.chance(0.7) ? between : open;
-    const message = random.chance(climate.disorder) ? random.oneOf(eligible) : eligible[0];
+    const betweenVoters = deliverable.filter(
+      ({ from, to }) => voters.includes(from) && voters.includes(to),
+    );
+    const eligible = betweenVoters.length > 0 && random.chance(0.7) ? betweenVoters : deliverable;
+    const message = random.chance(profile.reordering) ? random.oneOf(eligible) : eligible[0];
     if (message !== undefined && random.chance(0.85)) {
-      if (random.chance(climate.loss)) return { kind: "lose", message: message.id };
-      return { kind: "deliver", message: message.id, twice: random.chance(climate.loss / 2) };
+      if (random.chance(profile.loss)) return { kind: "lose", message: message.id };
+      return { kind: "deliver", message: message.id, twice: random.chance(profile.loss / 2) };
     }
-    const paused = group.settings.names.filter(() => random.chance(climate.pause / 2));
-    const paces = [...group.members.values()].some(isLeader) ? climate.paces : leaderlessPaces;
-    return { kind: "advance", ms: random.oneOf(paces) ?? 20, paused };
+    const paused = group.settings.names.filter(() => random.chance(profile.pause / 2));
+    const timeStepsMs = [...group.members.values()].some(isLeader)
+      ? profile.timeStepsMs
+      : leaderlessTimeStepsMs;
+    return { kind: "advance", ms: random.oneOf(timeStepsMs) ?? 20, paused };
   }
 }
--- a/src/model-checker/recovery.ts
+++ b/src/model-checker/recovery.ts
@@ -1,15 +1,16 @@
+/** Checks that a group recovers after all failures have ended. */
 import { InvariantViolation } from "./invariant-checks.js";
 import type { MemberGroup } from "./member-group.js";
 import type { Step } from "./step.js";
 
-const quantumMs = 20;
-/** How long a group whose failures are over may take until all members hold the same. */
-const healedWithinMs = 12_000;
+const tickMs = 20;
+/** The maximum time from the end of all failures until all voters have applied all committed entries, in ms. */
+const recoveryTimeoutMs = 12_000;
 
-const advance: Step = { kind: "advance", ms: quantumMs, paused: [] };
+const advance: Step = { kind: "advance", ms: tickMs, paused: [] };
 
-/** Does all that is waiting, in order, as a network and disks without failures would. */
-const settle = (group: MemberGroup): void => {
+/** Syncs all pending writes and delivers all messages in order, without failures. */
+const completePending = (group: MemberGroup): void => {
   for (const name of group.members.keys())
     while (group.member(name).isUp && group.member(name).disk.pending.length > 0)
       group.take({ kind: "sync", member: name });
@@ -17,7 +18,7 @@
     group.take({ kind: "deliver", message, twice: false });
 };
 
-const isHealed = (group: MemberGroup): boolean => {
+const hasRecovered = (group: MemberGroup): boolean => {
   const { voters } = group.checks.latestMembers;
   const members = [...group.members.values()];
   return (
@@ -30,22 +31,25 @@
   );
 };
 
-/** Ends all failures and waits: a leader has to answer again, and all voters have to hold all that is committed. */
+/**
+ * Ends all failures and advances time until a leader serves reads and all voters have applied all committed entries. A group
+ * whose failures exceeded the fault tolerance may stay unavailable.
+ */
 export const recover = (group: MemberGroup): void => {
   group.cuts.clear();
   for (const name of group.members.keys()) group.take({ kind: "start", member: name });
-  const untilMs = group.nowMs + healedWithinMs;
-  while (!isHealed(group)) {
-    if (group.nowMs > untilMs && !group.isWithinTolerance) return;
-    if (group.nowMs > untilMs) {
+  const deadlineMs = group.nowMs + recoveryTimeoutMs;
+  while (!hasRecovered(group)) {
+    if (group.nowMs > deadlineMs && !group.isWithinTolerance) return;
+    if (group.nowMs > deadlineMs) {
       const members = [...group.members.values()].map(
         ({ name, state, isWhole }) =>
           `${name} ${state.role} term ${state.term}, log ${state.log.lastIndex}, committed ${state.committedIndex}, ` +
-          `voters ${state.members.voters.join("+")}${isWhole ? "" : ", not whole"}`,
+          `voters ${state.members.voters.join("+")}${isWhole ? "" : ", disk incomplete"}`,
       );
-      throw new InvariantViolation("the group heals", members.join("; "));
+      throw new InvariantViolation("the group recovers", members.join("; "));
     }
-    settle(group);
+    completePending(group);
     group.take(advance);
   }
 };
--- a/src/model-checker/search-run.ts
+++ b/src/model-checker/search-run.ts
@@ -1,3 +1,4 @@
+/** Executes one run of a search, a random one or a replayed trace. */
 import { InvariantViolation } from "./invariant-checks.js";
 import { MemberGroup } from "./member-group.js";
 import { recover } from "./recovery.js";
@@ -6,7 +7,7 @@
 import type { GroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
-/** A run that broke a promise: the group, the steps up to the breach, and which promise. */
+/** A run that violated an invariant: the settings of the group, the steps up to the violation, and the invariant. */
 export interface Counterexample {
   readonly settings: GroupSettings;
   readonly steps: readonly Step[];
@@ -23,18 +24,18 @@
     );
 };
 
-const finish = (group: MemberGroup): void => {
+const checkEnd = (group: MemberGroup): void => {
   checkHistory(group);
   recover(group);
 };
 
-const attempt = (
+const catchViolation = (
   settings: GroupSettings,
   steps: readonly Step[],
-  work: () => void,
+  run: () => void,
 ): Counterexample | undefined => {
   try {
-    work();
+    run();
     return undefined;
   } catch (error) {
     if (!(error instanceof InvariantViolation)) throw error;
@@ -42,37 +43,37 @@
   }
 };
 
-/** Plays a trace, then ends all failures. */
+/** Replays a trace, then ends all failures and checks the history and the recovery. */
 export const replay = (
   settings: GroupSettings,
   steps: readonly Step[],
 ): Counterexample | undefined => {
   const group = new MemberGroup(settings);
-  const played: Step[] = [];
-  return attempt(settings, played, () => {
+  const executed: Step[] = [];
+  return catchViolation(settings, executed, () => {
     for (const step of steps) {
-      played.push(step);
+      executed.push(step);
       group.take(step);
     }
-    finish(group);
+    checkEnd(group);
   });
 };
 
-/** One random run of some steps. */
+/** Executes one run of random steps, then ends all failures and checks the history and the recovery. */
 export const runRandomly = (
   settings: GroupSettings,
   seed: number,
-  length: number,
+  stepCount: number,
 ): Counterexample | undefined => {
   const group = new MemberGroup(settings);
   const walk = new RandomWalk(seed);
   const steps: Step[] = [];
-  return attempt(settings, steps, () => {
-    while (steps.length < length) {
+  return catchViolation(settings, steps, () => {
+    while (steps.length < stepCount) {
       const step = walk.next(group);
       steps.push(step);
       group.take(step);
     }
-    finish(group);
+    checkEnd(group);
   });
 };
--- a/src/model-checker/step.ts
+++ b/src/model-checker/step.ts
@@ -1,3 +1,4 @@
+/** The steps of a run, and their format in trace files. */
 import {
   array,
   boolean,
@@ -29,16 +30,16 @@
 ]);
 
 /**
- * One thing that happens to a group: time that goes on, a message that arrives or is lost, a write that reaches the
- * disk, a failure, a call. A list of steps is a trace; played again to the same group, it gives the same run.
+ * One event in a group: time advances, a message is delivered or lost, a write reaches the disk, a failure occurs, or a client
+ * or operator sends a request. A list of steps is a trace; the same trace on the same group gives the same run.
  */
 export type Step = Infer<typeof stepShape>;
 
-/** A trace as a file: one step a line. */
+/** Formats a trace for a file: one step per line. */
 export const formatSteps = (steps: readonly Step[]): string =>
   steps.map((step) => JSON.stringify(step)).join("\n");
 
-/** The steps of such a file; lines that begin with # are comments. */
+/** Parses the steps of a trace file; lines that begin with # are comments. */
 export const parseSteps = (text: string): Step[] =>
   text
     .split("\n")
--- a/src/model-checker/trace.ts
+++ b/src/model-checker/trace.ts
@@ -1,10 +1,11 @@
+/** Formats counterexamples as traces. */
 import { MemberGroup } from "./member-group.js";
 import { InvariantViolation } from "./invariant-checks.js";
 import type { Message } from "./message.js";
 import type { Counterexample } from "./search-run.js";
 import { formatSteps, type Step } from "./step.js";
 
-const contentOf = ({ body }: Message): string => {
+const describeMessage = ({ body }: Message): string => {
   if (body.direction === "reply")
     return `${body.reply.kind} reply ${JSON.stringify(body.reply.reply)}`;
   const { request } = body;
@@ -19,7 +20,7 @@
   }
 };
 
-const describe = (group: MemberGroup, step: Step): string => {
+const describeStep = (group: MemberGroup, step: Step): string => {
   switch (step.kind) {
     case "advance": {
       const paused = step.paused.length > 0 ? `, ${step.paused.join(" and ")} paused` : "";
@@ -28,13 +29,13 @@
     case "deliver":
     case "lose": {
       const message = group.messages.get(step.message);
-      if (message === undefined) return `${step.message} is gone already`;
-      const what =
-        step.kind === "lose" ? "is lost" : step.twice ? "arrives, a copy stays" : "arrives";
-      return `${message.from} to ${message.to}: ${contentOf(message)} ${what}`;
+      if (message === undefined) return `${step.message} is not in flight`;
+      const outcome =
+        step.kind === "lose" ? "is lost" : step.twice ? "arrives and stays in flight" : "arrives";
+      return `${message.from} to ${message.to}: ${describeMessage(message)} ${outcome}`;
     }
     case "sync":
-      return `${step.member}: its oldest write is on disk`;
+      return `${step.member} syncs its oldest write`;
     case "crash":
       return `${step.member} stops; ${step.keptWrites} of its unsynced writes are on disk`;
     case "wipe":
@@ -42,25 +43,25 @@
     case "start":
       return `${step.member} starts`;
     case "cut":
-      return `nothing gets from ${step.from} to ${step.to} any more`;
+      return `the link from ${step.from} to ${step.to} is blocked`;
     case "mend":
-      return `messages get from ${step.from} to ${step.to} again`;
+      return `the link from ${step.from} to ${step.to} is open again`;
     case "write":
-      return `${step.member} is told to write`;
+      return `${step.member} receives a write`;
     case "read":
-      return `${step.member} is asked to read`;
+      return `${step.member} receives a read`;
     case "handOver":
-      return `${step.member} is told to hand over`;
+      return `${step.member} is told to transfer its leadership`;
     case "compact":
       return `${step.member} writes a snapshot`;
     case "demote":
-      return `${step.member} is to demote ${step.voter}`;
+      return `${step.member} is told to demote ${step.voter}`;
     case "promote":
-      return `${step.member} is to promote ${step.learner}`;
+      return `${step.member} is told to promote ${step.learner}`;
   }
 };
 
-const stateOf = (group: MemberGroup): string =>
+const describeStates = (group: MemberGroup): string =>
   [...group.members.values()]
     .map(({ name, isUp, state }) => {
       const { role, term, log, committedIndex } = state;
@@ -70,28 +71,28 @@
     })
     .join("  ");
 
-/** A counterexample for a person: what happened, step by step, and how each member stood then. */
-export const formatTrace = ({ settings, steps, message: how }: Counterexample): string => {
+/** Formats a counterexample for a reader: each step, the state of each member after it, and the violation. */
+export const formatTrace = ({ settings, steps, message: violation }: Counterexample): string => {
   const group = new MemberGroup(settings);
   const lines: string[] = [];
-  for (const [at, step] of steps.entries()) {
-    lines.push(`${at + 1}. ${describe(group, step)}`);
+  for (const [index, step] of steps.entries()) {
+    lines.push(`${index + 1}. ${describeStep(group, step)}`);
     try {
       group.take(step);
     } catch (error) {
       if (!(error instanceof InvariantViolation)) throw error;
     }
-    lines.push(`     ${stateOf(group)}`);
+    lines.push(`     ${describeStates(group)}`);
   }
-  return [...lines, how].join("\n");
+  return [...lines, violation].join("\n");
 };
 
-/** A counterexample as a file that can be played again: what a person reads as comments, then the steps. */
-export const formatTraceFile = (found: Counterexample): string =>
+/** Formats a counterexample as a file that can be replayed: the formatted trace as comments, then the steps. */
+export const formatTraceFile = (counterexample: Counterexample): string =>
   [
-    ...formatTrace(found)
+    ...formatTrace(counterexample)
       .split("\n")
       .map((line) => `# ${line}`),
-    formatSteps(found.steps),
+    formatSteps(counterexample.steps),
     "",
   ].join("\n");
--- a/src/model-checker/write-effect.ts
+++ b/src/model-checker/write-effect.ts
@@ -1,4 +1,4 @@
-/** What a member does once one of its writes is on disk. */
+/** The effects that a member executes once a write is on disk. */
 import type { PendingAcknowledgment } from "../consensus/append.js";
 import type { VoteReply, VoteRequest } from "../consensus/vote.js";
 import type { DiskContent } from "./model-disk.js";
@@ -22,7 +22,7 @@
       readonly to: string;
       readonly requestId: string;
       readonly pending: PendingAcknowledgment;
-      /** The last index that the member has, beyond the snapshot. */
+      /** The last index in the member's log, which may be after the snapshot's. */
       readonly lastIndex: number;
     }
   | { readonly kind: "ownEntries"; readonly term: number; readonly index: number }
--- a/test/model-checker/scenarios.test.ts
+++ b/test/model-checker/scenarios.test.ts
@@ -169,24 +169,12 @@
     spares: number,
   ]
 > = [
-  ["commitOnlyOwnTerm", "what is committed stays", olderTermCounted, 3, 0],
-  [
-    "waitBeforeVotingAfterRestart",
-    "no read older than an acknowledged change",
-    restartedVoter,
-    3,
-    0,
-  ],
-  ["syncVoteBeforeReply", "one leader a term", forgottenVote, 3, 0],
-  ["changeMembersOnlyInCommittedTerm", "what is committed stays", changesOfTwoTerms, 4, 1],
-  [
-    "countOnlyWhenRejoined",
-    "no read older than an acknowledged change",
-    emptiedVoterJoinsOldLeader,
-    3,
-    0,
-  ],
-  ["rejoinOnlyByOwnNonce", "no read older than an acknowledged change", emptiedTwice, 3, 0],
+  ["commitOnlyOwnTerm", "committed entries are kept", olderTermCounted, 3, 0],
+  ["waitBeforeVotingAfterRestart", "no stale reads", restartedVoter, 3, 0],
+  ["syncVoteBeforeReply", "one leader per term", forgottenVote, 3, 0],
+  ["changeMembersOnlyInCommittedTerm", "committed entries are kept", changesOfTwoTerms, 4, 1],
+  ["countOnlyWhenRejoined", "no stale reads", emptiedVoterJoinsOldLeader, 3, 0],
+  ["rejoinOnlyByOwnNonce", "no stale reads", emptiedTwice, 3, 0],
 ];
 
 const outcome = (play: () => void): string => {
