--- a/.ci/closing-line.js
+++ b/.ci/closing-line.js
@@ -1,6 +1,6 @@
 import { knownRed } from "../tools/known-red.mjs";
 
-/** Ends vitest's report with one plain line that says how many tests passed and failed. */
+/** A vitest reporter whose last line is the number of passed and failed tests, after the known red tests. */
 export default class ClosingLine {
   onTestRunEnd(modules) {
     let passed = 0;
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -1,3 +1,4 @@
+/** Samples of all messages between daemons, and a virtual cluster that records what its daemons send. */
 import { inflateRawSync } from "node:zlib";
 import { enums, object, string, type Infer } from "superstruct";
 import {
@@ -35,18 +36,19 @@
 import { FleetStage, type MachineLife, type StageMachine } from "../replication/fleet-stage.js";
 import { encodeHistoryPiece, recordTexts, runTaskOn } from "./stored-data.js";
 
-/** One sample of a message: how it is encoded now, and how a recorded frame is decoded and encoded again. */
+/** A sample of a message: its present encoding, and a check of a recorded frame. */
 export interface Sample {
   readonly name: string;
+  /** The frame as the present code encodes it, in hexadecimal digits. */
   readonly hex: string;
-  /** Whether a recorded frame says what the sample does, and is encoded again to the same bytes. */
+  /** Whether a recorded frame decodes to the sample's value and encodes to the same bytes again. */
   decodesFrom(hex: string): boolean;
 }
 
-/** A value as text, by which two of them are compared. */
+/** Converts a value to text, so that two values can be compared. */
 const toComparableText = (value: unknown): string =>
-  JSON.stringify(value, (_, one: unknown) =>
-    one instanceof Uint8Array ? Buffer.from(one).toString("hex") : one,
+  JSON.stringify(value, (_, nested: unknown) =>
+    nested instanceof Uint8Array ? Buffer.from(nested).toString("hex") : nested,
   );
 
 const createSample = <T>(
@@ -56,7 +58,7 @@
   coder: RpcMethod<T, unknown>["request"],
   value: T,
 ): Sample => {
-  const frameOf = (body: T): string =>
+  const encodeToHex = (body: T): string =>
     Buffer.from(
       encodeFrame({
         version: FRAME_VERSION,
@@ -68,7 +70,7 @@
     ).toString("hex");
   return {
     name,
-    hex: frameOf(value),
+    hex: encodeToHex(value),
     decodesFrom(hex) {
       const [frame] = new FrameReader().read(Buffer.from(hex, "hex"));
       if (!frame || frame.methodId !== methodId || frame.isResponse !== isResponse) return false;
@@ -76,21 +78,21 @@
       return (
         frame.requestId === 0x01020304 &&
         toComparableText(body) === toComparableText(value) &&
-        frameOf(body) === hex
+        encodeToHex(body) === hex
       );
     },
   };
 };
 
-/** A request and its response of one kind, each with a value in which no two fields are equal. */
+/** The samples of a method: a request and a response whose fields all differ. */
 const createSamples = <A, R>(
   name: string,
-  kind: RpcMethod<A, R>,
+  method: RpcMethod<A, R>,
   request: A,
   response: R,
 ): Sample[] => [
-  createSample(`${name} request`, kind.id, false, kind.request, request),
-  createSample(`${name} response`, kind.id, true, kind.response, response),
+  createSample(`${name} request`, method.id, false, method.request, request),
+  createSample(`${name} response`, method.id, true, method.response, response),
 ];
 
 const bytes = Buffer.from("bytes, é");
@@ -100,7 +102,7 @@
   { index: 12, term: 6, text: "two" },
 ];
 
-/** Every kind of message between daemons, once as a request and once as a response. */
+/** Samples of every method between daemons, as a request and as a response. */
 export const samples: readonly Sample[] = [
   ...createSamples(
     "vote",
@@ -225,7 +227,7 @@
   }),
 ];
 
-/** What became of a request with a key, in every way that there is, as it travels. */
+/** The messages of all kinds of outcomes of a request with an idempotency key, by kind, in hexadecimal digits. */
 export const encodedOutcomes = (): Record<string, string> => {
   const response = { code: 201, headers: { "content-type": "text/plain" }, body: bytes };
   const outcomes: Array<Outcome | undefined> = [
@@ -246,7 +248,7 @@
   );
 };
 
-/** The outcome that a recorded message tells, encoded again. */
+/** Decodes the outcome in a recorded message and encodes it again. */
 export const reencodeOutcome = (hex: string): string => {
   const outcome = decodeKeyedOutcome(
     decodeExactly(rpcMethods.keyedOutcome.response, Buffer.from(hex, "hex")),
@@ -255,7 +257,7 @@
   return Buffer.from(rpcMethods.keyedOutcome.response.toBuffer(message)).toString("hex");
 };
 
-/** How sketches were encoded: tries of two services and requests of two routes at fixed moments. */
+/** Encodes a sketch of attempts on two services and requests on two routes at fixed times, as Base64. */
 export const encodeSketch = (withRoutes: boolean): string => {
   const counts = new RequestCounts(defaultRequestCountsFormat);
   for (let at = 0; at < 40; at += 1) {
@@ -266,7 +268,7 @@
   return Buffer.from(counts.encode(5000, withRoutes)).toString("base64");
 };
 
-/** A recorded sketch, decoded and encoded again. */
+/** Decodes a recorded sketch and encodes it again. */
 export const reencodeSketch = (base64: string): string =>
   Buffer.from(
     RequestCounts.decode(Buffer.from(base64, "base64"), defaultRequestCountsFormat, 5000, 0).encode(
@@ -274,7 +276,7 @@
     ),
   ).toString("base64");
 
-/** What a recorded sketch says of two services and of the heaviest routes. */
+/** The estimates of a recorded sketch for one service and for the heaviest routes. */
 export const estimatesFromSketch = (base64: string) => {
   const counts = RequestCounts.decode(
     Buffer.from(base64, "base64"),
@@ -282,16 +284,16 @@
     5000,
     0,
   );
-  const { firstAttempts: first, retries: further } = counts.ofService(1, 5000, 10_000);
+  const { firstAttempts, retries } = counts.ofService(1, 5000, 10_000);
   const routes = counts.heavyRoutes(0.1, 5000, 10_000);
   return {
-    firstTries: first,
-    furtherTries: further,
+    firstTries: firstAttempts,
+    furtherTries: retries,
     routes: routes.map(({ item, estimate }) => [item, estimate]),
   };
 };
 
-/** Reads a JSON body by the present code, and gives what the receiver holds then as JSON. */
+/** The readers of JSON bodies by name; each returns as JSON what the receiver gets. */
 export const readers: Readonly<Record<string, (text: string) => string>> = {
   command: (text) => JSON.stringify(readCommand(text)),
   poll: (text) => JSON.stringify(readWatchRequest(text)),
@@ -301,13 +303,13 @@
   breakdown: (text) => JSON.stringify(isFailureResponse(text)),
 };
 
-/** The text of a packed answer. */
+/** Unpacks the text of a compressed response. */
 export const unpackText = (packedText: string): string => readCompressedText({ packedText });
 
-/** The JSON texts of a piece of the history. */
+/** The JSON texts in an encoded piece of the history. */
 export const historyRecordTexts = (): string[] => recordTexts(encodeHistoryPiece());
 
-/** Words whose values are compared too, since receivers decide by them. */
+/** Fields whose values are compared too, since receivers branch on them. */
 const comparedFields = new Set([
   ...["kind", "state", "verdict", "breakdown", "tier", "roles", "configDigest"],
 ]);
@@ -317,7 +319,7 @@
   return value;
 };
 
-/** A text that holds JSON, deflated; undefined where it is no such text. */
+/** Parses deflated JSON in Base64; returns undefined if the text is something else. */
 const tryUnpackJson = (text: string): unknown => {
   try {
     return parseJson(inflateRawSync(Buffer.from(text, "base64")).toString("utf8"));
@@ -326,16 +328,16 @@
   }
 };
 
-/** Sections whose keys are names that operators chose. */
+/** Sections whose keys are names chosen by operators; the path shows `*` for them. */
 const operatorNamedSections = new Set(["services", "routes", "goals", "numbers"]);
 
-/** The path of a key under another one. */
+/** Appends a key to the path of its parent. */
 const joinPath = (path: string, parent: string, key: string): string => {
-  const shownKey = operatorNamedSections.has(parent) ? "*" : key;
-  return path === "" ? shownKey : `${path}.${shownKey}`;
+  const displayedKey = operatorNamedSections.has(parent) ? "*" : key;
+  return path === "" ? displayedKey : `${path}.${displayedKey}`;
 };
 
-/** The paths of all keys in a JSON value, with the types of the leaves; packed parts are unpacked. */
+/** The paths of all keys in a JSON value, with the types of the leaves. Packed parts are unpacked. */
 export const keyPaths = (value: unknown, path = ""): string[] => {
   const name = path.replace(/\[\]$/, "").split(/[.>]/).at(-1) ?? "";
   if (Array.isArray(value)) {
@@ -347,34 +349,34 @@
   if (typeof value === "object" && value !== null)
     return [
       ...new Set(
-        Object.entries(value).flatMap(([key, one]: [string, unknown]) =>
-          keyPaths(one, joinPath(path, name, key)),
+        Object.entries(value).flatMap(([key, nested]: [string, unknown]) =>
+          keyPaths(nested, joinPath(path, name, key)),
         ),
       ),
     ].sort();
   if (typeof value !== "string") return [`${path}: ${value === null ? "null" : typeof value}`];
   if (comparedFields.has(name)) return [`${path} = ${value}`];
-  const inner = name.startsWith("packed") ? tryUnpackJson(value) : undefined;
-  return inner === undefined
+  const unpacked = name.startsWith("packed") ? tryUnpackJson(value) : undefined;
+  return unpacked === undefined
     ? [`${path}: string`]
-    : [`${path}: string`, ...keyPaths(inner, `${path}>`)];
+    : [`${path}: string`, ...keyPaths(unpacked, `${path}>`)];
 };
 
-/** The union of the key paths of some JSON texts, by a name for each text. */
+/** The union of the key paths of JSON texts, by the name under which a text was added. */
 export class KeyPathTable {
-  private readonly table = new Map<string, Set<string>>();
+  private readonly pathsByName = new Map<string, Set<string>>();
 
-  /** Notes the keys of one text under a name. */
+  /** Adds the key paths of a JSON text under a name. */
   add(name: string, text: string): void {
-    const known = this.table.get(name) ?? new Set();
-    for (const path of keyPaths(parseJson(text))) known.add(path);
-    this.table.set(name, known);
+    const paths = this.pathsByName.get(name) ?? new Set();
+    for (const path of keyPaths(parseJson(text))) paths.add(path);
+    this.pathsByName.set(name, paths);
   }
 
   /** All names and their key paths, sorted. */
   get all(): Record<string, string[]> {
     return Object.fromEntries(
-      [...this.table]
+      [...this.pathsByName]
         .sort(([a], [b]) => (a < b ? -1 : 1))
         .map(([name, paths]) => [name, [...paths].sort()]),
     );
@@ -383,7 +385,7 @@
 
 const commandKind = (text: string): string => /^\{"kind":"(\w+)"/.exec(text)?.[1] ?? "none";
 
-/** A peer that isn't a daemon: it sends what it is told, as bytes recorded before, and hears the answers. */
+/** A peer that is not a daemon: sends recorded requests and returns the responses. */
 class RawPeer {
   private readonly rpc: RpcEndpoint;
 
@@ -398,44 +400,44 @@
 
   private runCall<T>(task: Task<T | undefined>): T {
     const value = runTaskOn(this.stage.time, task);
-    if (value === undefined) throw new Error("The daemon gave no answer.");
+    if (value === undefined) throw new Error("no response from the daemon, timeout 5000 ms");
     return value;
   }
 
-  /** Sends a command to a daemon and gives the text of its answer. */
+  /** Sends a command to a daemon and returns the text of its response. */
   command(to: StageMachine, text: string): string {
     return this.runCall(this.rpc.call(to.peer, rpcMethods.command, { forwarded: true, text }, 5000))
       .text;
   }
 
-  /** Sends a poll to a daemon and gives the text of its answer. */
+  /** Sends a watch request to a daemon and returns the text of its response. */
   poll(to: StageMachine, text: string): string {
     return this.runCall(this.rpc.call(to.peer, rpcMethods.watch, { forwarded: true, text }, 5000))
       .text;
   }
 
-  /** Sends a sketch to a daemon and gives the text of its answer. */
+  /** Sends a sketch to a daemon and returns the text of its response. */
   push(to: StageMachine, text: string, base64: string): string {
-    const ask = { text, sketches: Buffer.from(base64, "base64") };
-    return this.runCall(this.rpc.call(to.peer, rpcMethods.pushCounts, ask, 5000)).text;
+    const request = { text, sketches: Buffer.from(base64, "base64") };
+    return this.runCall(this.rpc.call(to.peer, rpcMethods.pushCounts, request, 5000)).text;
   }
 
-  /** How a daemon says that it stands, when it is met. */
+  /** The bootstrap state in the response of a daemon to a discovery request. */
   bootstrapState(to: StageMachine): string {
-    const ask = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
-    return this.runCall(this.rpc.call(to.peer, rpcMethods.discover, ask, 5000)).state;
+    const request = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
+    return this.runCall(this.rpc.call(to.peer, rpcMethods.discover, request, 5000)).state;
   }
 }
 
-/** A virtual fleet whose requests and log entries are noted by the keys of their JSON. */
+/** A virtual cluster that records the key paths of all requests and log entries that its daemons send. */
 export class RecordingFleet extends FleetStage {
-  /** What daemons sent one another of themselves: requests, and log entries by their kinds. */
+  /** The key paths of requests and log entries that the daemons sent to each other, by kind. */
   readonly sentKeyPaths = new KeyPathTable();
-  /** How members said they stood, when they met. */
+  /** The bootstrap states that members sent in discovery responses. */
   readonly bootstrapStates = new Set<string>();
   readonly peer: RawPeer;
 
-  /** Three voters, a learner and two edges, with a fixed seed. */
+  /** Creates three voters, a learner and two edge daemons, with a fixed seed. */
   constructor() {
     super(["d:a", "d:b", "d:c", "d:a", "e:a", "e:b"], [0, 1, 2]);
     this.peer = new RawPeer(this);
@@ -447,14 +449,14 @@
   }
 
   private recordingNetwork(network: Network): Network {
-    const tap = (connection: Connection): Connection => this.recordingConnection(connection);
+    const wrap = (connection: Connection): Connection => this.recordingConnection(connection);
     return {
       *connect(address) {
         const connection = yield* network.connect(address);
-        return connection && tap(connection);
+        return connection && wrap(connection);
       },
       *listen(address, accept) {
-        yield* network.listen(address, (connection) => accept(tap(connection)));
+        yield* network.listen(address, (connection) => accept(wrap(connection)));
       },
     };
   }
@@ -463,9 +465,9 @@
     const reader = new FrameReader();
     return {
       incoming: connection.incoming,
-      send: (piece) => {
-        for (const frame of reader.read(piece)) this.recordFrame(frame);
-        connection.send(piece);
+      send: (chunk) => {
+        for (const frame of reader.read(chunk)) this.recordFrame(frame);
+        connection.send(chunk);
       },
       close: () => connection.close(),
     };
@@ -497,16 +499,19 @@
     this.sentKeyPaths.add(`command ${commandKind(text)}`, text);
   }
 
-  /** Ends a run: a voter comes back with an empty disk, a learner that was forgotten comes back, and the leader stops. */
+  /**
+   * Causes the messages of failures: a voter restarts with an empty disk, a learner restarts after its removal from the members,
+   * and the leader drains.
+   */
   runRecoveryAndLeaderDrain(): void {
-    const follower = this.disks.find((one) => one !== this.leader);
-    if (!follower) throw new Error("Nobody follows.");
+    const follower = this.disks.find((member) => member !== this.leader);
+    if (!follower) throw new Error("no follower is running");
     this.kill(follower, true);
     this.wait(3000);
     this.boot(follower, { bootstrap: false });
     this.wait(8000);
     const learner = this.disks.find(({ peer }) => this.leader.record?.learners.includes(peer));
-    if (!learner) throw new Error("Nobody learns.");
+    if (!learner) throw new Error("the leader has no learner");
     this.kill(learner);
     this.wait(130_000);
     this.boot(learner, { bootstrap: false });
@@ -515,16 +520,16 @@
     this.wait(2000);
   }
 
-  /** Tells a daemon to stop, and waits until it has. */
+  /** Drains a daemon, then stops its process. */
   drain(machine: StageMachine): void {
     const { daemon } = machine;
-    if (!daemon) throw new Error("The daemon doesn't run.");
+    if (!daemon) throw new Error(`daemon ${machine.peer} is not running`);
     runTaskOn(this.time, daemon.drain());
     this.kill(machine);
   }
 }
 
-/** One request of the raw peer, as its text was recorded; a name in capitals between braces stands for what only a run knows. */
+/** A recorded request of the raw peer. A name in capitals between braces is a placeholder for a value that differs by run. */
 export const stepShape = object({
   name: string(),
   kind: enums(["command", "poll", "sketch"]),
@@ -532,9 +537,10 @@
   text: string(),
 });
 
+/** A recorded request of the raw peer. */
 export type Step = Infer<typeof stepShape>;
 
-/** Fields of answers that later requests name again. */
+/** Fields of responses whose values later requests contain. */
 const rememberedFields = [
   "contract",
   "configSequence",
@@ -542,38 +548,38 @@
   "grantNumber",
 ] as const;
 
-/** Sends recorded requests to a fleet, one after another, and notes the keys of the answers. */
+/** Sends recorded requests to a cluster in order, and records the key paths of the responses. */
 export class RequestScript {
   readonly responseKeyPaths = new KeyPathTable();
   private readonly rememberedValues = new Map<string, string>();
 
   constructor(
     private readonly fleet: RecordingFleet,
-    private readonly encodeSketch: string,
+    private readonly sketchBase64: string,
   ) {}
 
-  /** Sends one request. */
+  /** Sends one request and records its response. */
   send(step: Step): void {
     const to = this.selectMachine(step.to);
     const text = this.fillPlaceholders(step.text);
     this.fleet.wait(20);
     const { peer } = this.fleet;
-    const answer =
+    const response =
       step.kind === "command"
         ? peer.command(to, text)
         : step.kind === "poll"
           ? peer.poll(to, text)
-          : peer.push(to, text, this.encodeSketch);
-    this.responseKeyPaths.add(step.name, answer);
-    this.rememberFields(answer);
+          : peer.push(to, text, this.sketchBase64);
+    this.responseKeyPaths.add(step.name, response);
+    this.rememberFields(response);
   }
 
   private selectMachine(to: Step["to"]): StageMachine {
     const { leader, disks } = this.fleet;
-    const follower = disks.find((one) => one !== leader);
-    const found = to === "leader" ? leader : to === "edge" ? this.fleet.at(4) : follower;
-    if (!found) throw new Error("There is no such machine.");
-    return found;
+    const follower = disks.find((member) => member !== leader);
+    const machine = to === "leader" ? leader : to === "edge" ? this.fleet.at(4) : follower;
+    if (!machine) throw new Error(`no machine for the target "${to}"`);
+    return machine;
   }
 
   private fillPlaceholders(text: string): string {
@@ -584,10 +590,10 @@
     return text.replace(/\{([A-Z]+)\}/g, (_, name: string) => values.get(name) ?? "0");
   }
 
-  private rememberFields(answer: string): void {
+  private rememberFields(response: string): void {
     for (const field of rememberedFields) {
-      const found = new RegExp(`"${field}":"?([^",}]+)`).exec(answer)?.[1];
-      if (found !== undefined) this.rememberedValues.set(field.toUpperCase(), found);
+      const value = new RegExp(`"${field}":"?([^",}]+)`).exec(response)?.[1];
+      if (value !== undefined) this.rememberedValues.set(field.toUpperCase(), value);
     }
   }
 }
--- a/test/compatibility/stored-data.test.ts
+++ b/test/compatibility/stored-data.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against a change that makes stored data unreadable: a member of the present build opens data folders of earlier builds
+ * and must read the same state from them.
+ */
 import { readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 import { create, record, string, unknown } from "superstruct";
@@ -18,7 +22,7 @@
 
 const testFolder = import.meta.dirname;
 
-/** The files of a stored data folder; the member works on a copy in memory. */
+/** Reads the files of a stored data folder; the member works on this copy in memory. */
 const readFolder = (folder: string): Files => {
   const path = join(testFolder, "data-1dcfb69", folder);
   return new Map(readdirSync(path).map((name) => [name, readFileSync(join(path, name))]));
@@ -30,23 +34,23 @@
 const changeIds = ["c1", "c2", "c3", "c4", "c5", "c5b", "c6", "c7", "nobody's"];
 const expected = readJson("expected-state.json");
 
-describe("a data folder that a member wrote before", () => {
+describe("a data folder of an earlier build", () => {
   const files = readFolder("member");
 
-  test("gives the same state: snapshot, log entries, history and partial snapshot", () => {
+  test("is read to the expected state: snapshot, log entries, history and partial snapshot", () => {
     expect(readStored(files, changeIds)).toEqual(expected["member"]);
   });
 
-  test("holds a log entry of every kind after its snapshot", () => {
+  test("has a log entry of every kind after its snapshot", () => {
     expect(entryKinds(files)).toEqual(expected["entryKinds"]);
   });
 
-  test("has a snapshot that is written again byte for byte", () => {
+  test("has a snapshot that is read and written byte for byte", () => {
     const { stored, rewritten } = reencodeSnapshot(files);
     expect(rewritten).toBe(stored);
   });
 
-  test("has log entries that are written again byte for byte", () => {
+  test("has log entries that are read and written byte for byte", () => {
     for (const { stored, rewritten } of reencodeEntries(files)) expect(rewritten).toBe(stored);
   });
 
@@ -56,7 +60,7 @@
     expect(readConfiguration(text)).toEqual(JSON.parse(text));
   });
 
-  test("is gone on from: a new command is taken, and a second restart finds it", () => {
+  test("accepts a new command, which a second restart reads", () => {
     const member = new SingleMemberCluster(files);
     expect(member.receivedSnapshotBytes).toBe(512 * 1024);
     const before = readStored(member.files).state.version;
@@ -79,18 +83,18 @@
 describe("the storage of a member", () => {
   const files = readFolder("storage");
 
-  test("reads every form of slot, log record, history file and partial snapshot", () => {
+  test("reads every kind of slot, log record, history file and partial snapshot", () => {
     expect(readStored(files)).toEqual(expected["storage"]);
   });
 
-  test("writes slots and log records byte for byte as before", () => {
+  test("writes slots and log records byte for byte as stored", () => {
     const written = writeSampleStorage();
     expect([...written.keys()].sort()).toEqual([...files.keys()].sort());
     for (const name of ["slot-a", "slot-b", "log-2"])
       expect(written.get(name)?.toString("hex")).toBe(files.get(name)?.toString("hex"));
   });
 
-  test("writes the records of history files as before", () => {
+  test("writes the records of history files as stored", () => {
     const written = writeSampleStorage();
     for (const name of ["history-0", "configs-3"])
       expect(recordTexts(written.get(name) ?? Buffer.alloc(0))).toEqual(
@@ -98,11 +102,11 @@
       );
   });
 
-  test("seals a record by its length and checksum as before", () => {
+  test("writes the expected length and checksum before a record", () => {
     expect(Buffer.from(encodeRecord("a record")).toString("hex")).toBe(expected["sealed"]);
   });
 
-  test("takes a folder whose clearing was interrupted for damaged, by the mark's name", () => {
+  test("reports a folder whose clearing was interrupted as damaged, by the marker file", () => {
     expect(loadAfterInterruptedClear()).toEqual({
       found: "damaged",
       names: ["clearing", "snapshot-part"],
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -1,3 +1,4 @@
+/** Reads stored data folders by the present code, and writes samples of all stored data. */
 import { createHash } from "node:crypto";
 import { inflateRawSync } from "node:zlib";
 import { ConfigReader } from "../../src/configuration/config-validation.js";
@@ -24,11 +25,11 @@
 /** The files of a data folder, by name. */
 export type Files = ReadonlyMap<string, Buffer>;
 
-/** A text as it is compared: a long one by its digest. */
+/** Abbreviates a text of over 200 characters to its SHA-256 digest. */
 const abbreviate = (text: string): string =>
   text.length <= 200 ? text : `sha256 ${createHash("sha256").update(text).digest("hex")}`;
 
-/** A virtual disk and a clock that moves only as far as its tasks need. */
+/** A virtual disk with a clock that advances only while a task runs. */
 class DiskFixture {
   readonly time = new VirtualClock();
   readonly disk = new VirtualDisk(this.time.clock(), () => 0.5);
@@ -37,18 +38,18 @@
     for (const [name, bytes] of files) this.disk.poke(name, bytes);
   }
 
-  /** Runs a task to its end and gives its value. */
+  /** Runs a task to completion and returns its value. */
   run<T>(task: Task<T>): T {
     return runTaskOn(this.time, task);
   }
 
-  /** The files that the disk holds now. */
+  /** The files on the disk now. */
   get files(): Files {
     return new Map(this.run(this.disk.list()).map((name) => [name, this.disk.peek(name)]));
   }
 }
 
-/** Runs a task on a virtual clock to its end, within 30 virtual seconds, and gives its value. */
+/** Runs a task on a virtual clock to completion and returns its value; throws after 30 virtual seconds. */
 export const runTaskOn = <T>(time: VirtualClock, task: Task<T>): T => {
   const values: T[] = [];
   runTask(
@@ -61,10 +62,10 @@
   for (let rounds = 0; values.length === 0 && rounds < 6000; rounds += 1)
     time.runUntil(time.nowMs() + 5);
   for (const value of values) return value;
-  throw new Error("The task has not ended.");
+  throw new Error("the task has not completed within 30 virtual seconds");
 };
 
-/** What a stored configuration says, in the words of the expectations. */
+/** A stored configuration in the form of the expected state. */
 const describeConfiguration = (config: AcceptedConfig) => {
   const { sequence, version, index, changeId, acceptedAt, text } = storedConfig(config);
   return {
@@ -77,7 +78,7 @@
   };
 };
 
-/** Everything that a replica's state machine holds, in the words of the expectations. */
+/** The whole state of a state machine in the form of the expected state. */
 const describeState = (stateMachine: StateMachine, changeIds: readonly string[]) => ({
   version: stateMachine.version,
   configurations: stateMachine.configs.map(describeConfiguration),
@@ -89,19 +90,19 @@
   })),
   versionsByChange: changeIds.map((id) => [id, stateMachine.changeVersion(id) ?? null]),
   registrations: [...stateMachine.registrations.values()]
-    .map((one) => ({
-      address: one.address,
-      service: one.service,
-      zone: one.zone,
-      warmth: one.warmth,
-      number: one.number,
-      isLeaving: one.leaving,
-      leftAt: one.leftAt,
-      isDrained: one.drained,
-      instance: one.instance,
-      capacity: one.capacity,
-      warmUpMs: one.warmMs,
-      announcement: one.order,
+    .map((registration) => ({
+      address: registration.address,
+      service: registration.service,
+      zone: registration.zone,
+      warmth: registration.warmth,
+      number: registration.number,
+      isLeaving: registration.leaving,
+      leftAt: registration.leftAt,
+      isDrained: registration.drained,
+      instance: registration.instance,
+      capacity: registration.capacity,
+      warmUpMs: registration.warmMs,
+      announcement: registration.order,
     }))
     .sort((a, b) => (a.address < b.address ? -1 : 1)),
   registrationsIndex: stateMachine.endpointSequence,
@@ -122,15 +123,16 @@
   quotaHolders: [...stateMachine.retryCapacityHolders],
 });
 
-/** Loads a data folder the way a restarted member does. */
+/** Loads a data folder as a restarted member does. */
 const loadFolder = (stage: DiskFixture): { store: LogStore; state: DurableState } => {
   const store = new LogStore(stage.disk);
   const loaded = stage.run(store.load());
-  if (loaded.kind !== "loaded") throw new Error(`The data folder is ${loaded.kind}.`);
+  if (loaded.kind !== "loaded")
+    throw new Error(`the data folder is ${loaded.kind}, expected a loaded one`);
   return { store, state: loaded.state };
 };
 
-/** All configurations that the history files hold, up to the newest. */
+/** All configurations in the history files. */
 const readHistory = (stage: DiskFixture, store: LogStore) => {
   const configurations = [];
   for (let sequence = 1; sequence <= store.history.newest; sequence += 1) {
@@ -140,7 +142,7 @@
   return configurations;
 };
 
-/** What a data folder says to a member that opens it, snapshot and log entries together. */
+/** Reads a data folder as a restarted member does: the snapshot, and the state after applying the log entries to it. */
 export const readStored = (files: Files, changeIds: readonly string[] = []) => {
   const stage = new DiskFixture(files);
   const { store, state: sampleDurableState } = loadFolder(stage);
@@ -182,29 +184,29 @@
 };
 
 /**
- * The snapshot's text as it is stored, and as the present code writes it after reading it. A snapshot names its members as
- * the log entry that set them does, so that this entry is read again too.
+ * The stored text of the snapshot, and the text that the present code writes after reading it. A snapshot contains its members
+ * in the same form as a membership entry, so a membership entry is encoded and read too.
  */
 export const reencodeSnapshot = (files: Files): { stored: string; rewritten: string } => {
   const { state: sampleDurableState } = loadFolder(new DiskFixture(files));
   const stateMachine = new StateMachine();
   const { voters, learners } = stateMachine.restore(sampleDurableState.snapshot);
   const members = membersIn(encodeLogCommand({ kind: "members", voters, learners }));
-  if (!members) throw new Error("A membership entry isn't read as one.");
+  if (!members) throw new Error("a membership entry was not parsed as one");
   return { stored: sampleDurableState.snapshot, rewritten: stateMachine.snapshot(members) };
 };
 
-/** What the present code takes a stored configuration for. */
+/** Reads the text of a stored configuration by the present code. */
 export const readConfiguration = (text: string): unknown => new ConfigReader().read(text);
 
-/** The texts of the stored log entries, each with the text that the present code writes for what it read. */
+/** The stored texts of the log entries, each with the text that the present code writes after reading it. */
 export const reencodeEntries = (files: Files): Array<{ stored: string; rewritten: string }> =>
   loadFolder(new DiskFixture(files)).state.entries.map(({ text }) => ({
     stored: text,
     rewritten: encodeLogCommand(readLogCommand(text)),
   }));
 
-/** The kinds of the log entries of a data folder, by their stored texts. */
+/** The kinds of log entries in a data folder, read from the stored texts. */
 export const entryKinds = (files: Files): string[] => {
   const kinds = loadFolder(new DiskFixture(files)).state.entries.map(
     ({ text }) => /^\{"kind":"(\w+)"/.exec(text)?.[1] ?? "none",
@@ -212,7 +214,7 @@
   return [...new Set(kinds)].sort();
 };
 
-/** The JSON texts of a file of deflated, sealed records. */
+/** The JSON texts in a file of deflated records with checksums. */
 export const recordTexts = (bytes: Uint8Array): string[] => {
   const buffer = Buffer.from(bytes);
   const texts: string[] = [];
@@ -249,8 +251,8 @@
 };
 
 /**
- * Writes one of everything that a member stores, by the storage alone: slots, a log with entries, a vote and a cut, history
- * files of both layouts and two pieces of a snapshot.
+ * Writes a sample of each kind of file through the storage alone: slots, a log with entries, a truncation and a vote, history
+ * files of both layouts, and two pieces of a snapshot.
  */
 export const writeSampleStorage = (): Files => {
   const stage = new DiskFixture();
@@ -279,20 +281,20 @@
   return stage.files;
 };
 
-/** Adds two of three pieces of a snapshot that ends at an index. */
+/** Adds two of the three pieces of a snapshot up to an index. */
 const addSnapshotPieces = (stage: DiskFixture, store: LogStore, lastIndex: number): void => {
   const snapshot = new SharedSnapshot(lastIndex, 3, "x".repeat(600_000));
   for (const offset of [0, 256 * 1024]) stage.run(store.snapshotPart.add(snapshot.piece(offset)));
 };
 
-/** The file of a partial snapshot that ends at an index. */
+/** The file of a partial snapshot up to an index. */
 export const partialSnapshot = (lastIndex: number): Buffer => {
   const stage = new DiskFixture();
   addSnapshotPieces(stage, new LogStore(stage.disk), lastIndex);
   return stage.disk.peek("snapshot-part");
 };
 
-/** What a member finds in a folder whose clearing began but didn't end, and the files there. */
+/** Loads a folder whose clearing was interrupted; returns the result and the names of the files left. */
 export const loadAfterInterruptedClear = (): { found: string; names: string[] } => {
   const stage = new DiskFixture(writeSampleStorage());
   stage.run(new LogStore(stage.disk).clear());
@@ -300,20 +302,20 @@
   return { found, names: [...stage.files.keys()].sort() };
 };
 
-/** A record behind its length and checksum, as the log holds it. */
+/** A log record with its length and checksum. */
 export const encodeRecord = (text: string): Uint8Array => withChecksum(Buffer.from(text, "utf8"));
 
-/** A configuration of the history, as a piece of it travels. */
+/** The encoded piece of the history that daemons send, with two configurations. */
 export const encodeHistoryPiece = (): Uint8Array =>
   ConfigHistory.pack([2, 3].map(createConfiguration));
 
-/** The configurations of a piece of the history that begins with the second. */
+/** Decodes a piece of the history whose first configuration has sequence 2. */
 export const readHistoryPiece = (bytes: Uint8Array) =>
   ConfigHistory.unpack(bytes, 2).map(describeConfiguration);
 
-/** A fleet of one member, which leads alone. */
+/** A cluster with a single member, which is the leader. */
 export class SingleMemberCluster extends FleetStage {
-  /** Begins on a data folder, or on an empty disk; `snapshotBytes` is after how many bytes it writes a snapshot. */
+  /** Starts on a data folder, or on an empty disk; writes a snapshot after `snapshotBytes` bytes of log. */
   constructor(
     files: Files,
     private readonly snapshotBytes?: number,
@@ -333,37 +335,37 @@
     return { ...super.daemonOptions(), replicationTimeouts };
   }
 
-  /** Kills the process and starts it again; ends once it leads. */
+  /** Kills the process, starts it again, and waits until it leads. */
   restart(): void {
     if (this.member.daemon) this.kill(this.member);
     this.boot(this.member);
     this.until(() => this.member.daemon?.replicationNode?.holdsLease === true, 20_000);
   }
 
-  /** Has an entry committed and gives its outcome. */
+  /** Commits a log entry and returns its outcome. */
   commitEntry(text: string): string {
     const { replicationNode } = this.member.daemon ?? {};
-    if (!replicationNode) throw new Error("The member doesn't run.");
+    if (!replicationNode) throw new Error("the member is not running");
     const proposed = runTaskOn(this.time, replicationNode.propose(text));
     if (proposed.kind !== "committed")
-      throw new Error(`The entry was not taken: ${proposed.kind}.`);
+      throw new Error(`the entry was not committed: ${proposed.kind}`);
     return proposed.outcome;
   }
 
-  /** How much of another leader's snapshot it holds. */
+  /** The bytes received of another leader's snapshot. */
   get receivedSnapshotBytes(): number {
     return this.member.daemon?.replicationNode?.receivedSnapshotBytes ?? 0;
   }
 
-  /** The text of an accepted configuration, as the member finds it. */
+  /** The text of an accepted configuration, as the member reads it. */
   configurationText(sequence: number): string | undefined {
     return this.config(this.member, sequence);
   }
 
-  /** What its disk holds now. */
+  /** The files on the member's disk now. */
   get files(): Files {
     const { disk } = this.member;
-    if (!disk) throw new Error("The member has no disk.");
+    if (!disk) throw new Error("the member has no disk");
     const names = runTaskOn(this.time, disk.list());
     return new Map(names.map((name) => [name, disk.peek(name)]));
   }
--- a/test/tools/check-words.test.ts
+++ b/test/tools/check-words.test.ts
@@ -1,3 +1,4 @@
+/** Guards against a word check that misses withdrawn words, or that rejects ordinary ones. */
 import { spawnSync } from "node:child_process";
 import { cpSync, mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -5,39 +6,41 @@
 import { array, create, string, type } from "superstruct";
 import { expect, test } from "vitest";
 
-/** Runs the check over a folder of its own that holds one source file. */
-const checked = (source: string): { code: number | null; said: string } => {
+/** Runs the check in a temporary folder that contains one source file. */
+const runCheck = (source: string): { code: number | null; output: string } => {
   const root = mkdtempSync(join(tmpdir(), "words-"));
   try {
     cpSync("tools", join(root, "tools"), { recursive: true });
-    for (const folder of foldersDone()) mkdirSync(join(root, folder), { recursive: true });
-    const [first] = foldersDone();
-    writeFileSync(join(root, first ?? "", "planted.ts"), source);
-    const ran = spawnSync(process.execPath, ["tools/check-words.mjs"], {
+    for (const folder of checkedFolders()) mkdirSync(join(root, folder), { recursive: true });
+    const [firstFolder] = checkedFolders();
+    writeFileSync(join(root, firstFolder ?? "", "planted.ts"), source);
+    const child = spawnSync(process.execPath, ["tools/check-words.mjs"], {
       cwd: root,
       encoding: "utf8",
     });
-    return { code: ran.status, said: ran.stderr };
+    return { code: child.status, output: child.stderr };
   } finally {
     rmSync(root, { recursive: true });
   }
 };
 
-const foldersDone = (): string[] => {
+const checkedFolders = (): string[] => {
   const list: unknown = JSON.parse(readFileSync("tools/withdrawn-words.json", "utf8"));
   return create(list, type({ folders: array(string()) })).folders;
 };
 
-test("a withdrawn word in a folder that is done fails the check, in comments and inside names", () => {
-  expect(checked("/** Hands it to the ferry. */\n").code).toBe(1);
-  expect(checked("const newContract = 1;\n").said).toContain('1: "Contract", better: registration');
-  expect(checked("const checkpointBytes = 1;\n").code).toBe(1);
+test("a withdrawn word in a checked folder fails the check, in comments and inside identifiers", () => {
+  expect(runCheck("/** Hands it to the ferry. */\n").code).toBe(1);
+  expect(runCheck("const newContract = 1;\n").output).toContain(
+    '1: "Contract", better: registration',
+  );
+  expect(runCheck("const checkpointBytes = 1;\n").code).toBe(1);
 });
 
-test("ordinary words pass, and so do names imported from folders that aren't done", () => {
-  expect(checked("/** A contractual matter; indoors. */\nconst backend = 1;\n").code).toBe(0);
+test("ordinary words and names imported from other folders pass", () => {
+  expect(runCheck("/** A contractual matter; indoors. */\nconst backend = 1;\n").code).toBe(0);
   expect(
-    checked(
+    runCheck(
       'import type { Contract } from "../record/book.js";\nconst of = (one: Contract) => one;\n',
     ).code,
   ).toBe(0);
--- a/test/tools/lint.test.ts
+++ b/test/tools/lint.test.ts
@@ -1,3 +1,4 @@
+/** Guards against a change of the lint configuration that disables a rule of the project without notice. */
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -7,8 +8,8 @@
 
 const PLANTED_FOLDER = "src/sketch";
 
-/** The rules that a planted source file breaks, as errors; the file isn't written anywhere. */
-const brokenRules = async (source: string, fileName = "planted.ts"): Promise<string[]> => {
+/** The rules that a source file violates with severity error; the file is not written to disk. */
+const violatedRules = async (source: string, fileName = "planted.ts"): Promise<string[]> => {
   const eslint = new ESLint({
     overrideConfig: {
       languageOptions: {
@@ -23,7 +24,7 @@
     .map(({ ruleId }) => ruleId ?? "parser error");
 };
 
-/** How prettier's check of one file with this content ends. */
+/** The exit code of prettier's check of a file with this content. */
 const prettierExitCode = (source: string): number | null => {
   const folder = mkdtempSync(join(tmpdir(), "prettier-"));
   try {
@@ -39,57 +40,57 @@
 const DOCUMENTED =
   "/** Adds one. */\nexport const increment = (value: number): number => value + 1;\n";
 
-describe("eslint in a finished folder", () => {
+describe("eslint in a source folder", () => {
   test("accepts a short documented function in a file with a kebab-case name", async () => {
-    expect(await brokenRules(DOCUMENTED)).toEqual([]);
+    expect(await violatedRules(DOCUMENTED)).toEqual([]);
   });
 
-  test("refuses an exported function without a doc comment", async () => {
+  test("rejects an exported function without a doc comment", async () => {
     const source = "export const increment = (value: number): number => value + 1;\n";
-    expect(await brokenRules(source)).toEqual(["jsdoc/require-jsdoc"]);
+    expect(await violatedRules(source)).toEqual(["jsdoc/require-jsdoc"]);
   });
 
-  test("refuses a file name in camel case", async () => {
-    expect(await brokenRules(DOCUMENTED, "plantedFile.ts")).toEqual([
+  test("rejects a file name in camel case", async () => {
+    expect(await violatedRules(DOCUMENTED, "plantedFile.ts")).toEqual([
       "check-file/filename-naming-convention",
     ]);
   });
 
-  test("refuses a function of over 60 lines, and a file of over 350", async () => {
+  test("rejects a function of over 60 lines and a file of over 350 lines", async () => {
     const lines = (count: number): string => "  total += 1;\n".repeat(count);
     const source = (count: number): string =>
       `/** Counts. */\nexport const count = (): number => {\n  let total = 0;\n${lines(count)}  return total;\n};\n`;
-    expect(await brokenRules(source(50))).toEqual([]);
-    expect(await brokenRules(source(70))).toEqual(["max-lines-per-function"]);
-    expect(await brokenRules(source(400))).toEqual(["max-lines-per-function", "max-lines"]);
+    expect(await violatedRules(source(50))).toEqual([]);
+    expect(await violatedRules(source(70))).toEqual(["max-lines-per-function"]);
+    expect(await violatedRules(source(400))).toEqual(["max-lines-per-function", "max-lines"]);
   });
 
-  test("refuses a function with more than 12 paths", async () => {
+  test("rejects a function with a cyclomatic complexity over 12", async () => {
     const branches = Array.from(
       { length: 13 },
       (_, index) => `  if (value === ${index}) return ${index};\n`,
     );
     const source = `/** Chooses. */\nexport const choose = (value: number): number => {\n${branches.join("")}  return -1;\n};\n`;
-    expect(await brokenRules(source)).toEqual(["complexity"]);
+    expect(await violatedRules(source)).toEqual(["complexity"]);
   });
 
-  test("refuses any, casts and non-null assertions", async () => {
+  test("rejects any, type assertions and non-null assertions", async () => {
     const source = (expression: string): string =>
       `/** A value. */\nexport const value = (given: number | undefined): number => ${expression};\n`;
-    expect(await brokenRules(source("given!"))).toContain(
+    expect(await violatedRules(source("given!"))).toContain(
       "@typescript-eslint/no-non-null-assertion",
     );
-    expect(await brokenRules(source("given as number"))).toContain(
+    expect(await violatedRules(source("given as number"))).toContain(
       "@typescript-eslint/consistent-type-assertions",
     );
-    expect(await brokenRules(source("[].length as any"))).toContain(
+    expect(await violatedRules(source("[].length as any"))).toContain(
       "@typescript-eslint/no-explicit-any",
     );
   });
 });
 
 describe("prettier", () => {
-  test("accepts its own format and refuses another", () => {
+  test("accepts formatted source and rejects unformatted source", () => {
     expect(prettierExitCode(DOCUMENTED)).toBe(0);
     expect(prettierExitCode("export const  value=1\n")).toBe(1);
   });
--- a/tools/check-words.mjs
+++ b/tools/check-words.mjs
@@ -1,9 +1,9 @@
 /**
- * Fails where a finished folder uses a withdrawn word, in code or in comments.
+ * Fails if a checked folder uses a withdrawn word in code or in comments.
  *
- * `withdrawn-words.json` lists the words with what to write instead, the folders that are finished, and the words that
- * single files may use since they are the spelling of stored or transmitted data ("stored"). Words are found inside
- * identifiers too (`newContract`). Import paths, and names imported from folders that aren't finished, are passed over.
+ * `withdrawn-words.json` lists the words with their replacements ("words"), the checked folders ("folders"), and the words that
+ * single files may use because stored or transmitted data is spelled so ("stored"). Words inside identifiers are found too
+ * (`newContract`). Import paths and names imported from other folders are ignored.
  */
 import { readdirSync, readFileSync, statSync } from "node:fs";
 import { join } from "node:path";
@@ -13,7 +13,7 @@
 );
 const importPath = /from "[^"]*"/g;
 
-/** Names imported from other folders, which are the business of those folders. */
+/** Names imported from other folders; they are checked where they are declared. */
 const importedNames = (text) =>
   [...text.matchAll(/import (?:type )?\{([^}]*)\} from "\.\.\/[^"]*"/g)]
     .flatMap(([, names]) => names.split(","))
@@ -26,35 +26,37 @@
     return statSync(path).isDirectory() ? filesIn(path) : [path];
   });
 
-/** Matches a word by itself or as a part of an identifier in camel case. */
-const patternOf = (word) => {
+/** A pattern that matches a word by itself or as a part of an identifier in camel case. */
+const wordPattern = (word) => {
   const capital = word.replace(/(^|\|)([a-z])/g, (_, bar, letter) => bar + letter.toUpperCase());
   return new RegExp(`(?<![A-Za-z])(?:${word})(?![a-z])|(?<![A-Z])(?:${capital})(?![a-z])`, "g");
 };
 
-/** All uses of withdrawn words in a text, as `line: "word", better: …`; `allowed` lists the keys of words to pass over. */
-export const withdrawnIn = (text, allowed = []) => {
-  let plain = text.replace(importPath, "");
+/** All uses of withdrawn words in a text, as `line: "word", better: …`; the words whose keys are in `allowed` are ignored. */
+export const findWithdrawnWords = (text, allowed = []) => {
+  let checkedText = text.replace(importPath, "");
   for (const name of importedNames(text))
-    plain = plain.replace(new RegExp(`\\b${name}\\b`, "g"), "");
+    checkedText = checkedText.replace(new RegExp(`\\b${name}\\b`, "g"), "");
   const checked = Object.entries(words).filter(([word]) => !allowed.includes(word));
-  return plain
+  return checkedText
     .split("\n")
     .flatMap((line, index) =>
-      checked.flatMap(([word, better]) =>
-        [...line.matchAll(patternOf(word))].map(
-          ([use]) => `${index + 1}: "${use}", better: ${better}`,
+      checked.flatMap(([word, replacement]) =>
+        [...line.matchAll(wordPattern(word))].map(
+          ([use]) => `${index + 1}: "${use}", better: ${replacement}`,
         ),
       ),
     );
 };
 
 if (process.argv[1]?.endsWith("check-words.mjs")) {
-  const faults = folders
+  const violations = folders
     .flatMap(filesIn)
     .flatMap((path) =>
-      withdrawnIn(readFileSync(path, "utf8"), stored[path]).map((fault) => `${path}:${fault}`),
+      findWithdrawnWords(readFileSync(path, "utf8"), stored[path]).map(
+        (violation) => `${path}:${violation}`,
+      ),
     );
-  for (const fault of faults) console.error(fault);
-  process.exitCode = faults.length > 0 ? 1 : 0;
+  for (const violation of violations) console.error(violation);
+  process.exitCode = violations.length > 0 ? 1 : 0;
 }
--- a/types/restructure.d.ts
+++ b/types/restructure.d.ts
@@ -1,9 +1,12 @@
+/** Type declarations for the parts of restructure that this project uses. */
 declare module "restructure" {
+  /** Encodes values of a type to bytes and decodes them. */
   export interface Coder<T> {
     size(value: T): number;
     toBuffer(value: T): Uint8Array;
     fromBuffer(bytes: Uint8Array): T;
   }
+  /** The type of the values that a coder decodes. */
   export type Decoded<C> = C extends Coder<infer T> ? T : never;
   export const uint8: Coder<number>;
   export const uint16: Coder<number>;
@@ -17,7 +20,7 @@
   export class Boolean extends Base<boolean> {
     constructor(type: Coder<number>);
   }
-  /** What values are written into: the next byte goes to `pos`. */
+  /** The target of an encoder; the next byte is written at `pos`. */
   export interface EncodeStream {
     readonly buffer: Uint8Array;
     pos: number;
