--- a/deploy/bundle.mjs
+++ b/deploy/bundle.mjs
@@ -1,7 +1,8 @@
+/** Bundles the daemon into the single file target/daledoor.mjs; `--sizes` prints the size of each input. */
 import { build } from "esbuild";
 
-/** Packages that only other commands need, or that their users do without where they are missing. */
-const left = [
+/** Packages that are not bundled: only other commands need them, or they are optional dependencies of bundled packages. */
+const externalPackages = [
   "isomorphic-git",
   "dtrace-provider",
   "mv",
@@ -10,7 +11,7 @@
   "source-map-support",
 ];
 
-/** Of undici only the client is wanted: all the rest would cost half the time that a start takes. */
+/** Bundles only the client of undici, since loading all of undici takes half of the start-up time. */
 const clientOnly = {
   name: "client-only",
   setup(bundle) {
@@ -34,7 +35,7 @@
   minifyWhitespace: true,
   minifyIdentifiers: false,
   legalComments: "none",
-  external: left,
+  external: externalPackages,
   plugins: [clientOnly],
   banner: {
     js: 'import { createRequire as requireFor } from "node:module"; const require = requireFor(import.meta.url);',
--- a/test/tools/lint.test.ts
+++ b/test/tools/lint.test.ts
@@ -40,7 +40,7 @@
 const DOCUMENTED =
   "/** Adds one. */\nexport const increment = (value: number): number => value + 1;\n";
 
-describe("eslint in a source folder", () => {
+describe("eslint in a folder listed as finished", () => {
   test("accepts a short documented function in a file with a kebab-case name", async () => {
     expect(await violatedRules(DOCUMENTED)).toEqual([]);
   });
