--- a/src/model-checker/mutants.ts
+++ b/src/model-checker/mutants.ts
@@ -1,7 +1,7 @@
 /** The mutants: variants of the consensus algorithm by which the model checker itself is tested. */
 import type { RuleOverride } from "./random-search.js";
 
-/** The consensus algorithm without one of its safety rules; a search should find the violation. */
+/** The consensus algorithm with one safety rule disabled or one timeout changed; a search should find the violation. */
 export interface Mutant {
   readonly name: string;
   readonly ruleOverride: RuleOverride;
--- a/src/model-checker/trace.ts
+++ b/src/model-checker/trace.ts
@@ -51,13 +51,13 @@
     case "read":
       return `${step.member} receives a read`;
     case "handOver":
-      return `${step.member} is told to transfer its leadership`;
+      return `${step.member} is requested to transfer its leadership`;
     case "compact":
       return `${step.member} writes a snapshot`;
     case "demote":
-      return `${step.member} is told to demote ${step.voter}`;
+      return `${step.member} is requested to demote ${step.voter}`;
     case "promote":
-      return `${step.member} is told to promote ${step.learner}`;
+      return `${step.member} is requested to promote ${step.learner}`;
   }
 };
 
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -389,17 +389,17 @@
 class RawPeer {
   private readonly rpc: RpcEndpoint;
 
-  constructor(private readonly stage: RecordingFleet) {
+  constructor(private readonly fleet: RecordingFleet) {
     const runtime = virtualRuntime({
-      clock: stage.time.clock(),
-      network: stage.network.wire("raw-peer", new EventGate()),
-      random: stage.random,
+      clock: fleet.time.clock(),
+      network: fleet.network.wire("raw-peer", new EventGate()),
+      random: fleet.random,
     });
     this.rpc = new RpcEndpoint(runtime, "10.0.0.99:7000");
   }
 
   private runCall<T>(task: Task<T | undefined>): T {
-    const value = runTaskOn(this.stage.time, task);
+    const value = runTaskOn(this.fleet.time, task);
     if (value === undefined) throw new Error("no response from the daemon, timeout 5000 ms");
     return value;
   }
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -124,19 +124,19 @@
 });
 
 /** Loads a data folder as a restarted member does. */
-const loadFolder = (stage: DiskFixture): { store: LogStore; state: DurableState } => {
-  const store = new LogStore(stage.disk);
-  const loaded = stage.run(store.load());
+const loadFolder = (fixture: DiskFixture): { store: LogStore; state: DurableState } => {
+  const store = new LogStore(fixture.disk);
+  const loaded = fixture.run(store.load());
   if (loaded.kind !== "loaded")
     throw new Error(`the data folder is ${loaded.kind}, expected a loaded one`);
   return { store, state: loaded.state };
 };
 
 /** All configurations in the history files. */
-const readHistory = (stage: DiskFixture, store: LogStore) => {
+const readHistory = (fixture: DiskFixture, store: LogStore) => {
   const configurations = [];
   for (let sequence = 1; sequence <= store.history.newest; sequence += 1) {
-    const config = stage.run(store.history.read(sequence));
+    const config = fixture.run(store.history.read(sequence));
     if (config) configurations.push(describeConfiguration(config));
   }
   return configurations;
@@ -144,8 +144,8 @@
 
 /** Reads a data folder as a restarted member does: the snapshot, and the state after applying the log entries to it. */
 export const readStored = (files: Files, changeIds: readonly string[] = []) => {
-  const stage = new DiskFixture(files);
-  const { store, state: sampleDurableState } = loadFolder(stage);
+  const fixture = new DiskFixture(files);
+  const { store, state: durableState } = loadFolder(fixture);
   const partial = store.snapshotPart.takeLoaded().map((piece) => ({
     lastIndex: piece.lastIndex,
     lastTerm: piece.lastTerm,
@@ -155,30 +155,30 @@
     text: abbreviate(inflateRawSync(piece.bytes).toString("utf8")),
   }));
   const stateMachine = new StateMachine();
-  const hasSnapshot = sampleDurableState.snapshot !== "{}";
+  const hasSnapshot = durableState.snapshot !== "{}";
   const { voters, learners } = hasSnapshot
-    ? stateMachine.restore(sampleDurableState.snapshot)
+    ? stateMachine.restore(durableState.snapshot)
     : { voters: [], learners: [] };
   const outcomes = hasSnapshot
-    ? sampleDurableState.entries.map(
+    ? durableState.entries.map(
         ({ index, text }) => `${index} ${abbreviate(stateMachine.apply(index, text))}`,
       )
     : [];
   return {
-    cluster: sampleDurableState.fleet,
-    rejoinMark: sampleDurableState.rejoinNonce,
-    term: sampleDurableState.term,
-    votedFor: sampleDurableState.votedFor,
-    snapshotIndex: sampleDurableState.lastIndex,
-    snapshotTerm: sampleDurableState.lastTerm,
+    cluster: durableState.fleet,
+    rejoinMark: durableState.rejoinNonce,
+    term: durableState.term,
+    votedFor: durableState.votedFor,
+    snapshotIndex: durableState.lastIndex,
+    snapshotTerm: durableState.lastTerm,
     snapshotVoters: voters,
     snapshotLearners: learners,
-    entries: sampleDurableState.entries.map(
+    entries: durableState.entries.map(
       ({ index, term, text }) => `${index} ${term} ${abbreviate(text)}`,
     ),
     outcomes,
     state: describeState(stateMachine, changeIds),
-    history: readHistory(stage, store),
+    history: readHistory(fixture, store),
     partialSnapshot: partial,
   };
 };
@@ -188,12 +188,12 @@
  * in the same form as a membership entry, so a membership entry is encoded and read too.
  */
 export const reencodeSnapshot = (files: Files): { stored: string; rewritten: string } => {
-  const { state: sampleDurableState } = loadFolder(new DiskFixture(files));
+  const { state: durableState } = loadFolder(new DiskFixture(files));
   const stateMachine = new StateMachine();
-  const { voters, learners } = stateMachine.restore(sampleDurableState.snapshot);
+  const { voters, learners } = stateMachine.restore(durableState.snapshot);
   const members = membersIn(encodeLogCommand({ kind: "members", voters, learners }));
   if (!members) throw new Error("a membership entry was not parsed as one");
-  return { stored: sampleDurableState.snapshot, rewritten: stateMachine.snapshot(members) };
+  return { stored: durableState.snapshot, rewritten: stateMachine.snapshot(members) };
 };
 
 /** Reads the text of a stored configuration by the present code. */
@@ -255,18 +255,18 @@
  * files of both layouts, and two pieces of a snapshot.
  */
 export const writeSampleStorage = (): Files => {
-  const stage = new DiskFixture();
+  const fixture = new DiskFixture();
   const completeConfigs = [1, 2].map((sequence) =>
     encodeCompleteConfig(createConfiguration(sequence)),
   );
-  stage.disk.poke("history-0", Buffer.concat(completeConfigs));
-  const store = new LogStore(stage.disk);
-  stage.run(store.load());
-  stage.run(store.writeSnapshot(sampleDurableState));
-  stage.run(
+  fixture.disk.poke("history-0", Buffer.concat(completeConfigs));
+  const store = new LogStore(fixture.disk);
+  fixture.run(store.load());
+  fixture.run(store.writeSnapshot(sampleDurableState));
+  fixture.run(
     store.writeSnapshot({ ...sampleDurableState, lastIndex: 21, lastTerm: 4, entries: [] }),
   );
-  stage.run(
+  fixture.run(
     store.append([
       { kind: "entry", index: 22, term: 4, text: "entry 22, é" },
       { kind: "entry", index: 23, term: 4, text: "entry 23" },
@@ -274,32 +274,32 @@
       { kind: "vote", term: 5, text: "10.0.0.3:7000" },
     ]),
   );
-  const history = new ConfigHistory(stage.disk);
-  stage.run(history.load(stage.run(stage.disk.list())));
-  stage.run(history.add([3, 4, 5].map(createConfiguration)));
-  addSnapshotPieces(stage, store, 19);
-  return stage.files;
+  const history = new ConfigHistory(fixture.disk);
+  fixture.run(history.load(fixture.run(fixture.disk.list())));
+  fixture.run(history.add([3, 4, 5].map(createConfiguration)));
+  addSnapshotPieces(fixture, store, 19);
+  return fixture.files;
 };
 
 /** Adds two of the three pieces of a snapshot up to an index. */
-const addSnapshotPieces = (stage: DiskFixture, store: LogStore, lastIndex: number): void => {
+const addSnapshotPieces = (fixture: DiskFixture, store: LogStore, lastIndex: number): void => {
   const snapshot = new SharedSnapshot(lastIndex, 3, "x".repeat(600_000));
-  for (const offset of [0, 256 * 1024]) stage.run(store.snapshotPart.add(snapshot.piece(offset)));
+  for (const offset of [0, 256 * 1024]) fixture.run(store.snapshotPart.add(snapshot.piece(offset)));
 };
 
 /** The file of a partial snapshot up to an index. */
 export const partialSnapshot = (lastIndex: number): Buffer => {
-  const stage = new DiskFixture();
-  addSnapshotPieces(stage, new LogStore(stage.disk), lastIndex);
-  return stage.disk.peek("snapshot-part");
+  const fixture = new DiskFixture();
+  addSnapshotPieces(fixture, new LogStore(fixture.disk), lastIndex);
+  return fixture.disk.peek("snapshot-part");
 };
 
 /** Loads a folder whose clearing was interrupted; returns the result and the names of the files left. */
 export const loadAfterInterruptedClear = (): { found: string; names: string[] } => {
-  const stage = new DiskFixture(writeSampleStorage());
-  stage.run(new LogStore(stage.disk).clear());
-  const found = stage.run(new LogStore(stage.disk).load()).kind;
-  return { found, names: [...stage.files.keys()].sort() };
+  const fixture = new DiskFixture(writeSampleStorage());
+  fixture.run(new LogStore(fixture.disk).clear());
+  const found = fixture.run(new LogStore(fixture.disk).load()).kind;
+  return { found, names: [...fixture.files.keys()].sort() };
 };
 
 /** A log record with its length and checksum. */
