--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -10,13 +10,13 @@
 import type { Settings } from "../daemon/settings.js";
 import { type Task, waitFor, fromPromise, runTask } from "../runtime/task.js";
 import { Workload } from "../simulation/workload.js";
-import type { ClientSide, ClientTransport } from "../simulation/client-transport.js";
+import type { ClientOutcome, ClientTransport } from "../simulation/client-transport.js";
 import { RandomDraw } from "../simulation/random-draw.js";
 import { EventRecorder } from "../simulation/event-recorder.js";
 import type { Profile } from "../simulation/profile.js";
 import { TestBackend } from "../simulation/test-backend.js";
 import { FleetClient, noResponse, sendAdminRequest } from "./fleet-client.js";
-import { layOutFleet, type FleetMachine } from "./fleet-layout.js";
+import { createFleetLayout, type FleetMachine } from "./fleet-layout.js";
 import { openTestBackendServer } from "./test-backend-server.js";
 
 /** The compiled command line, also where this module runs uncompiled. */
@@ -45,7 +45,7 @@
   private readonly servers = new Map<string, Server>();
   private readonly client = new FleetClient();
   /** Errors of the harness itself: with any of these, the results of a run are void. */
-  readonly failures: unknown[] = [];
+  readonly harnessErrors: unknown[] = [];
   private isOver = false;
 
   private constructor(
@@ -67,7 +67,7 @@
       ]),
     );
     const ports = [...backendPorts];
-    this.testBackends = Object.entries(profile.backEnds).flatMap(([service, many]) =>
+    this.testBackends = Object.entries(profile.backends).flatMap(([service, many]) =>
       Array.from(
         { length: many },
         (_, at) =>
@@ -85,25 +85,25 @@
   }
 
   /** Lays a fleet out: free ports, settings files and data folders. */
-  static async lay(profile: Profile, seed: number, rateFactor: number): Promise<Fleet> {
-    const { folder, machines, backendPorts } = await layOutFleet(profile);
+  static async create(profile: Profile, seed: number, rateFactor: number): Promise<Fleet> {
+    const { folder, machines, backendPorts } = await createFleetLayout(profile);
     return new Fleet(profile, seed, rateFactor, folder, machines, backendPorts);
   }
 
   /** Starts daemons, backends, heartbeats and readiness checks. */
-  async begin(): Promise<void> {
+  async startProcesses(): Promise<void> {
     await Promise.all(this.testBackends.map((testBackend) => this.openBackend(testBackend)));
     for (const machine of this.machines) this.boot(machine);
     for (const machine of this.machines) this.start(this.watchReadiness(machine));
     for (const testBackend of this.testBackends)
-      this.start(this.workload.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
+      this.start(this.workload.sendHeartbeats(testBackend, HEARTBEAT_INTERVAL_MS));
   }
 
   /** Starts the clients' requests. */
-  beginCalls(): void {
-    for (const traffic of this.profile.traffic) this.start(this.workload.callers(traffic));
-    this.start(this.workload.probers(PROBES_PER_SECOND));
-    this.start(this.workload.operators.reading(CONFIG_READ_INTERVAL_MS));
+  startRequests(): void {
+    for (const traffic of this.profile.traffic) this.start(this.workload.runClients(traffic));
+    this.start(this.workload.runProbes(PROBES_PER_SECOND));
+    this.start(this.workload.operators.readPeriodically(CONFIG_READ_INTERVAL_MS));
   }
 
   boot(machine: FleetMachine): void {
@@ -137,7 +137,7 @@
   *kill(machine: FleetMachine): Task {
     const child = machine.process;
     if (!child) return;
-    this.recorder.world.push({
+    this.recorder.environmentRecords.push({
       kind: "killed",
       atMs: this.clock.nowMs(),
       daemon: machine.settings.machine,
@@ -165,7 +165,7 @@
       child.once("exit", () => done(true));
       child.kill("SIGTERM");
     });
-    this.recorder.world.push({
+    this.recorder.environmentRecords.push({
       kind: "stopped",
       atMs,
       daemon: machine.settings.machine,
@@ -175,7 +175,7 @@
 
   /** Ends a backend: its port closes and its connections break. */
   *crash(testBackend: TestBackend): Task {
-    testBackend.end();
+    testBackend.stop();
     const server = this.servers.get(testBackend.address);
     this.servers.delete(testBackend.address);
     if (!server) return;
@@ -192,7 +192,7 @@
   }
 
   /** Waits until a condition holds; false after the timeout. */
-  *until(holds: () => boolean, waitMs: number): Task<boolean> {
+  *waitUntil(holds: () => boolean, waitMs: number): Task<boolean> {
     const untilMs = this.clock.nowMs() + waitMs;
     while (!holds()) {
       if (this.clock.nowMs() > untilMs) return false;
@@ -202,7 +202,7 @@
   }
 
   /** The status that a daemon reports. */
-  *status(machine: FleetMachine): Task<unknown> {
+  *fetchStatus(machine: FleetMachine): Task<unknown> {
     const response = yield* this.desk(machine.settings.machine, {
       method: "GET",
       target: "/status",
@@ -214,7 +214,7 @@
 
   start(task: Task<unknown>): void {
     runTask(task, (error) => {
-      this.failures.push(error);
+      this.harnessErrors.push(error);
       process.stderr.write(
         `fleet: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}\n`,
       );
@@ -222,12 +222,12 @@
   }
 
   /** Runs a task of the fleet to its end. */
-  perform<T>(task: Task<T>): Promise<T> {
+  run<T>(task: Task<T>): Promise<T> {
     return new Promise((done, fail) => runTask(task, fail, done));
   }
 
   /** Ends everything that was started here, and removes the folder unless `keep` is set. */
-  async end(keep: boolean): Promise<void> {
+  async shutDown(keep: boolean): Promise<void> {
     this.isOver = true;
     this.workload.isOver = true;
     await Promise.all(
@@ -274,14 +274,15 @@
       clock: this.clock,
       random: this.random,
       start: (task) => this.start(task),
-      ready: () =>
+      readyDaemons: () =>
         this.machines
           .filter((one) => one.settings.callers !== undefined && one.isReady)
           .map(({ settings }) => settings),
       isUp: (daemon) =>
         this.machines.some((one) => one.settings.machine === daemon && one.process !== undefined),
-      call: (daemon, clientRequest, timeoutMs) => this.call(daemon, clientRequest, timeoutMs),
-      desk: (daemon, clientRequest) => this.desk(daemon, clientRequest),
+      sendRequest: (daemon, clientRequest, timeoutMs) =>
+        this.call(daemon, clientRequest, timeoutMs),
+      sendAdminRequest: (daemon, clientRequest) => this.desk(daemon, clientRequest),
     };
   }
 
@@ -289,10 +290,14 @@
     return this.machines.find(({ settings }) => settings.machine === name)?.settings;
   }
 
-  private *call(daemon: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
+  private *call(
+    daemon: string,
+    clientRequest: ProxyRequest,
+    timeoutMs: number,
+  ): Task<ClientOutcome> {
     const address = this.settingsOf(daemon)?.callers;
     if (address === undefined) return noResponse("refused");
-    return yield* this.client.call(address, clientRequest, timeoutMs);
+    return yield* this.client.send(address, clientRequest, timeoutMs);
   }
 
   private *desk(
--- a/src/fleet/test-backend-server.ts
+++ b/src/fleet/test-backend-server.ts
@@ -5,7 +5,7 @@
 import { Address } from "../runtime/network.js";
 import type { TestBackend } from "../simulation/test-backend.js";
 
-const headersOf = (request: IncomingMessage): Record<string, string> => {
+const flattenHeaders = (request: IncomingMessage): Record<string, string> => {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(request.headers))
     headers[name] = (Array.isArray(value) ? value[0] : value) ?? "";
@@ -28,21 +28,21 @@
       const request = {
         method: incoming.method ?? "",
         path: incoming.url ?? "",
-        headers: headersOf(incoming),
+        headers: flattenHeaders(incoming),
         body: Buffer.concat(chunks),
       };
-      const reply = testBackend.run(request, clock.nowMs());
-      clock.after(reply.waitMs, () => {
+      const reply = testBackend.handleRequest(request, clock.nowMs());
+      clock.after(reply.delayMs, () => {
         if (reply.isLost) return outgoing.destroy();
         outgoing.writeHead(reply.code, reply.headers);
-        if (reply.cutAt === undefined) return outgoing.end(reply.body);
-        outgoing.write(reply.body.subarray(0, reply.cutAt), () => outgoing.destroy());
+        if (reply.truncateAt === undefined) return outgoing.end(reply.body);
+        outgoing.write(reply.body.subarray(0, reply.truncateAt), () => outgoing.destroy());
       });
     });
   });
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
-    server.listen(Address.parts(testBackend.address), resolve);
+    server.listen(Address.parse(testBackend.address), resolve);
   });
   return server;
 };
--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -35,7 +35,7 @@
 const possibleSteps = ({ group, failures: stops }: SearchNode): Step[] => {
   const steps: Step[] = [{ kind: "advance", ms: tickMs, paused: [] }];
   for (const { id, from, to } of group.messages.values())
-    if (!group.cuts.has(`${from}>${to}`))
+    if (!group.blockedLinks.has(`${from}>${to}`))
       steps.push({ kind: "deliver", message: id, twice: false });
   for (const { name, isUp, disk, state } of group.members.values()) {
     if (!isUp) steps.push({ kind: "start", member: name });
@@ -54,7 +54,7 @@
   const steps: Step[] = [];
   const execute = (step: Step): void => {
     steps.push(step);
-    group.take(step);
+    group.execute(step);
   };
   while (group.checks.acknowledgedIndex === 0) {
     execute({ kind: "advance", ms: 20, paused: [] });
@@ -89,7 +89,7 @@
         const group = node.group.clone();
         const path = [...node.steps, step];
         try {
-          group.take(step);
+          group.execute(step);
         } catch (error) {
           if (!(error instanceof InvariantViolation)) throw error;
           const { invariant, message } = error;
--- a/src/model-checker/invariant-checks.ts
+++ b/src/model-checker/invariant-checks.ts
@@ -1,6 +1,6 @@
 /** Checks the invariants of the consensus algorithm after each step. */
 import { majoritiesOverlap } from "../consensus/membership-change.js";
-import { type Members, membersIn } from "../consensus/members.js";
+import { type Members, parseMembersEntry } from "../consensus/members.js";
 import type { ModelMember } from "./model-member.js";
 
 /** A violation of an invariant of the consensus algorithm; the message describes the violating state. */
@@ -72,7 +72,7 @@
     if (committedEntry === undefined) {
       this.committedEntries.set(index, { term, text, committedInTerm: state.term });
       this.lastCommittedIndex = Math.max(this.lastCommittedIndex, index);
-      const members = membersIn(text);
+      const members = parseMembersEntry(text);
       if (members !== undefined && index > this.latestMembersIndex) {
         if (!majoritiesOverlap(this.latestMembers, members))
           throw new InvariantViolation(
@@ -94,7 +94,7 @@
   /** Checks which state each member would serve now, and by which voters each leader counts majorities. */
   checkMembers(members: Iterable<ModelMember>): void {
     for (const member of members) {
-      if (member.answers && member.appliedIndex < this.acknowledgedIndex)
+      if (member.canServeReads && member.appliedIndex < this.acknowledgedIndex)
         throw new InvariantViolation(
           "no stale reads",
           `${member.name} serves reads at index ${member.appliedIndex}, but index ${this.acknowledgedIndex} was acknowledged`,
--- a/src/model-checker/member-fingerprint.ts
+++ b/src/model-checker/member-fingerprint.ts
@@ -20,7 +20,7 @@
 export const computeFingerprint = (member: FingerprintedMember, nowMs: number): string => {
   const {
     log,
-    matched,
+    matchIndexes,
     acknowledgedSentMs,
     responsiveSinceMs,
     votes,
@@ -35,7 +35,7 @@
     log.baseIndex,
     log.baseTerm,
     log.entriesFrom(log.baseIndex + 1),
-    [...matched],
+    [...matchIndexes],
     [...acknowledgedSentMs].map(([peer, atMs]) => [peer, age(atMs)]),
     [...responsiveSinceMs].map(([peer, atMs]) => [peer, age(atMs)]),
     [...votes].sort(),
--- a/src/model-checker/phase-walk.ts
+++ b/src/model-checker/phase-walk.ts
@@ -69,7 +69,7 @@
     for (const from of names)
       for (const to of names) {
         if (from === to) continue;
-        const isBlocked = group.cuts.has(`${from}>${to}`);
+        const isBlocked = group.blockedLinks.has(`${from}>${to}`);
         const isConnected = connected.has(from) && connected.has(to);
         if (isBlocked && isConnected) this.plannedSteps.push({ kind: "mend", from, to });
         if (!isBlocked && !isConnected) this.plannedSteps.push({ kind: "cut", from, to });
@@ -82,7 +82,7 @@
     const writer = random.oneOf(writers);
     if (writer !== undefined && random.chance(0.5)) return { kind: "sync", member: writer.name };
     const deliverable = [...group.messages.values()].filter(
-      ({ from, to }) => !group.cuts.has(`${from}>${to}`),
+      ({ from, to }) => !group.blockedLinks.has(`${from}>${to}`),
     );
     const message = random.chance(0.15) ? random.oneOf(deliverable) : deliverable[0];
     if (message !== undefined && random.chance(0.9))
--- a/src/model-checker/random-walk.ts
+++ b/src/model-checker/random-walk.ts
@@ -140,7 +140,7 @@
       return { kind: "start", member: stopped.name };
     if (random.chance(profile.crash)) return this.crash(group);
     if (random.chance(profile.wipe)) return this.wipe(group);
-    if (group.cuts.size > 0 && random.chance(0.03)) return this.healLinks(group);
+    if (group.blockedLinks.size > 0 && random.chance(0.03)) return this.healLinks(group);
     if (random.chance(profile.isolation)) return this.isolateMember(group);
     if (random.chance(profile.linkBlock))
       return { kind: "cut", from: this.drawLeader(group), to: this.drawVoter(group) };
@@ -165,7 +165,7 @@
 
   /** Unblocks the oldest blocked link, or all of them. */
   private healLinks(group: MemberGroup): Step {
-    const steps = [...group.cuts].map((link): Step => {
+    const steps = [...group.blockedLinks].map((link): Step => {
       const [from = "", to = ""] = link.split(">");
       return { kind: "mend", from, to };
     });
@@ -178,7 +178,7 @@
   private isolateMember(group: MemberGroup): Step {
     const member = this.random.chance(0.5) ? this.drawLeader(group) : this.drawVoter(group);
     const direction = this.random.oneOf(["both", "out", "in"]);
-    const previousLinks = this.random.chance(0.5) ? [...group.cuts] : [];
+    const previousLinks = this.random.chance(0.5) ? [...group.blockedLinks] : [];
     for (const link of previousLinks) {
       const [from = "", to = ""] = link.split(">");
       this.plannedSteps.push({ kind: "mend", from, to });
@@ -215,7 +215,7 @@
     if (writer !== undefined && !random.chance(0.4 + profile.slowDisk / 2))
       return { kind: "sync", member: writer.name };
     const deliverable = [...group.messages.values()].filter(
-      ({ from, to }) => !group.cuts.has(`${from}>${to}`),
+      ({ from, to }) => !group.blockedLinks.has(`${from}>${to}`),
     );
     const { voters } = group.checks.latestMembers;
     const betweenVoters = deliverable.filter(
--- a/src/model-checker/recovery.ts
+++ b/src/model-checker/recovery.ts
@@ -13,19 +13,19 @@
 const completePending = (group: MemberGroup): void => {
   for (const name of group.members.keys())
     while (group.member(name).isUp && group.member(name).disk.pending.length > 0)
-      group.take({ kind: "sync", member: name });
+      group.execute({ kind: "sync", member: name });
   for (const message of [...group.messages.keys()])
-    group.take({ kind: "deliver", message, twice: false });
+    group.execute({ kind: "deliver", message, twice: false });
 };
 
 const hasRecovered = (group: MemberGroup): boolean => {
   const { voters } = group.checks.latestMembers;
   const members = [...group.members.values()];
   return (
-    members.some((member) => member.answers) &&
+    members.some((member) => member.canServeReads) &&
     voters.every(
       (voter) =>
-        group.member(voter).isWhole &&
+        group.member(voter).hasCompleteDisk &&
         group.member(voter).appliedIndex === group.checks.lastCommittedIndex,
     )
   );
@@ -36,20 +36,20 @@
  * whose failures exceeded the fault tolerance may stay unavailable.
  */
 export const recover = (group: MemberGroup): void => {
-  group.cuts.clear();
-  for (const name of group.members.keys()) group.take({ kind: "start", member: name });
+  group.blockedLinks.clear();
+  for (const name of group.members.keys()) group.execute({ kind: "start", member: name });
   const deadlineMs = group.nowMs + recoveryTimeoutMs;
   while (!hasRecovered(group)) {
     if (group.nowMs > deadlineMs && !group.isWithinTolerance) return;
     if (group.nowMs > deadlineMs) {
       const members = [...group.members.values()].map(
-        ({ name, state, isWhole }) =>
+        ({ name, state, hasCompleteDisk }) =>
           `${name} ${state.role} term ${state.term}, log ${state.log.lastIndex}, committed ${state.committedIndex}, ` +
-          `voters ${state.members.voters.join("+")}${isWhole ? "" : ", disk incomplete"}`,
+          `voters ${state.members.voters.join("+")}${hasCompleteDisk ? "" : ", disk incomplete"}`,
       );
       throw new InvariantViolation("the group recovers", members.join("; "));
     }
     completePending(group);
-    group.take(advance);
+    group.execute(advance);
   }
 };
--- a/src/model-checker/search-run.ts
+++ b/src/model-checker/search-run.ts
@@ -53,7 +53,7 @@
   return catchViolation(settings, executed, () => {
     for (const step of steps) {
       executed.push(step);
-      group.take(step);
+      group.execute(step);
     }
     checkEnd(group);
   });
@@ -72,7 +72,7 @@
     while (steps.length < stepCount) {
       const step = walk.next(group);
       steps.push(step);
-      group.take(step);
+      group.execute(step);
     }
     checkEnd(group);
   });
--- a/src/model-checker/trace.ts
+++ b/src/model-checker/trace.ts
@@ -78,7 +78,7 @@
   for (const [index, step] of steps.entries()) {
     lines.push(`${index + 1}. ${describeStep(group, step)}`);
     try {
-      group.take(step);
+      group.execute(step);
     } catch (error) {
       if (!(error instanceof InvariantViolation)) throw error;
     }
--- a/src/simulation/config-history-check.ts
+++ b/src/simulation/config-history-check.ts
@@ -1,30 +1,35 @@
 import type { ConfigCommandRecord, ConfigReadRecord } from "./event-recorder.js";
 
 /** What an operator's call shows of the configuration register: a version that stood at some moment of the call. */
-interface Sighting {
+interface Observation {
   readonly startMs: number;
   readonly endMs: number;
   /** The lowest version that may stand when the call takes effect. */
   readonly version: number;
   /** The version that stands once it has taken effect. */
-  readonly leaves: number;
-  readonly what: string;
+  readonly versionAfter: number;
+  readonly description: string;
 }
 
-const sightingOf = (command: ConfigCommandRecord): Sighting | undefined => {
+const observationOfCommand = (command: ConfigCommandRecord): Observation | undefined => {
   const { startMs, endMs, base, probe, outcome, version } = command;
   const own = { startMs, endMs, leaves: version };
   if (outcome === "accepted")
-    return { ...own, version: base, what: `order ${probe} was accepted as ${version} on ${base}` };
-  if (outcome === "lost") return { ...own, version, what: `order ${probe} was told of ${version}` };
+    return {
+      ...own,
+      version: base,
+      description: `order ${probe} was accepted as ${version} on ${base}`,
+    };
+  if (outcome === "lost")
+    return { ...own, version, description: `order ${probe} was told of ${version}` };
   return undefined;
 };
 
-const sightingsOf = (
+const collectObservations = (
   commands: readonly ConfigCommandRecord[],
   reads: readonly ConfigReadRecord[],
-): Sighting[] => [
-  ...commands.flatMap((command) => sightingOf(command) ?? []),
+): Observation[] => [
+  ...commands.flatMap((command) => observationOfCommand(command) ?? []),
   ...reads.map(({ startMs, endMs, version }) => ({
     startMs,
     endMs,
@@ -35,14 +40,14 @@
 ];
 
 /** Calls that show a version older than one that an earlier call had already shown. */
-const staleSightings = function* (sightings: readonly Sighting[]): Iterable<string> {
+const findStaleObservations = function* (sightings: readonly Observation[]): Iterable<string> {
   const ended = [...sightings].sort((a, b) => a.endMs - b.endMs);
   const started = [...sightings].sort((a, b) => a.startMs - b.startMs);
   let at = 0;
   let newest = 0;
-  for (const { startMs, version, what } of started) {
+  for (const { startMs, version, description: what } of started) {
     for (let one = ended[at]; one && one.endMs < startMs; one = ended[at]) {
-      newest = Math.max(newest, one.leaves);
+      newest = Math.max(newest, one.versionAfter);
       at += 1;
     }
     if (version < newest) yield `${what}, begun after ${newest} had been shown`;
@@ -50,7 +55,7 @@
 };
 
 /** Accepted orders that do not form one chain, each built on the one before. */
-const brokenChain = function* (accepted: readonly ConfigCommandRecord[]): Iterable<string> {
+const findChainViolations = function* (accepted: readonly ConfigCommandRecord[]): Iterable<string> {
   const chain = [...accepted].sort((a, b) => a.version - b.version);
   for (const [at, { base, version, probe }] of chain.entries()) {
     const before = chain[at - 1];
@@ -62,15 +67,15 @@
 };
 
 /** Versions that were shown before any order that could have made them was sent. */
-const unmadeVersions = function* (
+const findUnsentVersions = function* (
   commands: readonly ConfigCommandRecord[],
-  sightings: readonly Sighting[],
+  sightings: readonly Observation[],
 ): Iterable<string> {
   const accepted = new Map(
     commands.filter(({ outcome }) => outcome === "accepted").map((one) => [one.version, one]),
   );
   const unknown = commands.filter(({ outcome }) => outcome === "unknown");
-  for (const { endMs, version, what } of sightings) {
+  for (const { endMs, version, description: what } of sightings) {
     const maker = accepted.get(version);
     const mayBe = [...(maker ? [maker] : []), ...unknown].some(
       ({ startMs, base }) => startMs <= endMs && base < version,
@@ -84,16 +89,16 @@
  * compare-and-set on its base and versions only rise, so a history is linearizable exactly if the
  * accepted orders form a chain and no call shows less than a call that ended before it began.
  */
-export const configHistoryFaults = function* (
+export const configHistoryViolations = function* (
   commands: readonly ConfigCommandRecord[],
   reads: readonly ConfigReadRecord[],
 ): Iterable<string> {
   for (const { outcome, probe } of commands)
     if (outcome === "refused") yield `order ${probe} was refused for good, though it was proper`;
-  const sightings = sightingsOf(commands, reads);
-  yield* brokenChain(commands.filter(({ outcome }) => outcome === "accepted"));
-  yield* staleSightings(sightings);
-  yield* unmadeVersions(commands, sightings);
+  const sightings = collectObservations(commands, reads);
+  yield* findChainViolations(commands.filter(({ outcome }) => outcome === "accepted"));
+  yield* findStaleObservations(sightings);
+  yield* findUnsentVersions(commands, sightings);
   for (const { outcome, version, base, probe } of commands)
     if (outcome === "lost" && version === base)
       yield `order ${probe} lost to ${version}, the very version that it builds on`;
--- a/src/simulation/fault-selection.ts
+++ b/src/simulation/fault-selection.ts
@@ -2,7 +2,7 @@
 import { replacementFaults } from "./faults/replacement-faults.js";
 
 /** Failures that leave the members of the replicated log and their network alone. */
-const sparesMembers: ReadonlySet<string> = new Set([
+const memberSafeFaults: ReadonlySet<string> = new Set([
   "killEdge",
   "cutFromBackEnds",
   "cutFromCallers",
@@ -25,7 +25,7 @@
 ]);
 
 /** Failures that lose members for good, as many at once as may be lost: another lost besides would be one too many. */
-const losesMembers = (name: string): boolean => name in replacementFaults;
+const replacesMembers = (name: string): boolean => name in replacementFaults;
 
 /** Draws the failures of a day, and keeps those apart that together would lose more than may be lost. */
 export class FaultSelection {
@@ -51,7 +51,7 @@
   }
 
   private mayJoin(name: string): boolean {
-    if (losesMembers(name)) return this.underWay.every((other) => sparesMembers.has(other));
-    return sparesMembers.has(name) || !this.underWay.some(losesMembers);
+    if (replacesMembers(name)) return this.underWay.every((other) => memberSafeFaults.has(other));
+    return memberSafeFaults.has(name) || !this.underWay.some(replacesMembers);
   }
 }
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -1,71 +1,72 @@
-import { boundsOf } from "../../daemon/bounds.js";
+import { deriveBounds } from "../../daemon/bounds.js";
 import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { SimulatedMachine } from "../simulated-machine.js";
 import type { Simulation } from "../simulation.js";
 import type { FaultScenario } from "./fault.js";
-import { allFormed, diskMachines, leaders, rest } from "./targets.js";
+import { allFormed, diskMachines, leaders, sleepBetween } from "./targets.js";
 import { timedCommand } from "./timed-command.js";
 
 /** A planned successor starts so long before the old one is told to stop, a sudden one so long after it is gone. */
-const successorMs = 1000;
-const downMs = 3000;
+const REPLACEMENT_DELAY_MS = 1000;
+const DOWN_MS = 3000;
 /** An operator's order comes so long after a loss. */
-const orderAfterMs = 300;
-const watchMs = 50;
+const COMMAND_DELAY_MS = 300;
+const POLL_INTERVAL_MS = 50;
 
 /** One way to lose a member; it tells from when on the member no longer counts as lost. */
 type Loss = (simulation: Simulation, member: SimulatedMachine) => Task<number>;
 
-const syncMs = (simulation: Simulation): number => boundsOf(simulation.profile).values.catchUpMs;
+const catchUpMs = (simulation: Simulation): number =>
+  deriveBounds(simulation.profile).values.catchUpMs;
 
-const replacedSuddenly: Loss = function* (simulation, member) {
+const replaceAfterLoss: Loss = function* (simulation, member) {
   simulation.remove(member);
-  yield* sleep(simulation.clock, successorMs);
-  simulation.addSpare(member.settings.zone);
-  return simulation.virtualClock.nowMs() + syncMs(simulation);
+  yield* sleep(simulation.clock, REPLACEMENT_DELAY_MS);
+  simulation.addReplacement(member.settings.zone);
+  return simulation.virtualClock.nowMs() + catchUpMs(simulation);
 };
 
-const replacedInOrder: Loss = function* (simulation, member) {
-  simulation.addSpare(member.settings.zone);
-  const wholeMs = simulation.virtualClock.nowMs() + syncMs(simulation);
-  yield* sleep(simulation.clock, successorMs);
+const replaceBeforeStop: Loss = function* (simulation, member) {
+  simulation.addReplacement(member.settings.zone);
+  const wholeMs = simulation.virtualClock.nowMs() + catchUpMs(simulation);
+  yield* sleep(simulation.clock, REPLACEMENT_DELAY_MS);
   yield* simulation.stop(member);
   simulation.remove(member);
   return wholeMs;
 };
 
-const emptied: Loss = function* (simulation, member) {
+const loseDisk: Loss = function* (simulation, member) {
   simulation.kill(member, true);
   member.disk?.wipe();
-  member.isEmptied = true;
-  yield* sleep(simulation.clock, successorMs);
+  member.hasLostDisk = true;
+  yield* sleep(simulation.clock, REPLACEMENT_DELAY_MS);
   simulation.boot(member);
-  return simulation.virtualClock.nowMs() + syncMs(simulation);
+  return simulation.virtualClock.nowMs() + catchUpMs(simulation);
 };
 
-const unpowered: Loss = function* (simulation, member) {
+const losePower: Loss = function* (simulation, member) {
   simulation.kill(member, true);
-  yield* sleep(simulation.clock, downMs);
+  yield* sleep(simulation.clock, DOWN_MS);
   simulation.boot(member);
-  return simulation.virtualClock.nowMs() + syncMs(simulation);
+  return simulation.virtualClock.nowMs() + catchUpMs(simulation);
 };
 
 /** The members to lose next: the leader first, then those that have been there longest. */
-const nextLost = (simulation: Simulation, count: number): SimulatedMachine[] => {
+const chooseMembersToLose = (simulation: Simulation, count: number): SimulatedMachine[] => {
   const led = leaders(simulation);
   const others = diskMachines(simulation).filter((one) => !led.includes(one));
   return [...led, ...others].slice(0, count);
 };
 
 /** Loses as many members at once as may be lost; ends when none of them counts as lost any more. */
-const loseAtOnce = function* (simulation: Simulation, lose: Loss, name: string): Task {
-  const members = nextLost(simulation, simulation.profile.tolerate?.machines ?? 1);
+const loseConcurrently = function* (simulation: Simulation, lose: Loss, name: string): Task {
+  const members = chooseMembersToLose(simulation, simulation.profile.tolerate?.machines ?? 1);
   const wholeMs: number[] = [];
-  simulation.recorder.world.push({
+  simulation.recorder.environmentRecords.push({
     kind: "membersLost",
     atMs: simulation.virtualClock.nowMs(),
-    how: name,
+    cause: name,
     machines: members.map(({ settings }) => settings.machine),
   });
   for (const member of members)
@@ -74,51 +75,51 @@
         wholeMs.push(yield* lose(simulation, member));
       })(),
     );
-  yield* sleep(simulation.clock, orderAfterMs);
+  yield* sleep(simulation.clock, COMMAND_DELAY_MS);
   simulation.start(timedCommand(simulation, name));
-  while (wholeMs.length < members.length) yield* sleep(simulation.clock, watchMs);
+  while (wholeMs.length < members.length) yield* sleep(simulation.clock, POLL_INTERVAL_MS);
   const untilMs = Math.max(...wholeMs);
   yield* sleep(simulation.clock, Math.max(0, untilMs - simulation.virtualClock.nowMs()));
 };
 
 /** Loses members again and again, each time at the first moment that the bounds allow. */
-const loseInTurn = function* (
+const loseRepeatedly = function* (
   simulation: Simulation,
   losses: ReadonlyArray<readonly [name: string, lose: Loss]>,
 ): Task {
   // Whoever was lost before counts as lost for so long.
-  yield* sleep(simulation.clock, syncMs(simulation));
+  yield* sleep(simulation.clock, catchUpMs(simulation));
   if (!allFormed(simulation)) return;
   simulation.isLosingDisk = true;
-  for (const [name, lose] of losses) yield* loseAtOnce(simulation, lose, name);
+  for (const [name, lose] of losses) yield* loseConcurrently(simulation, lose, name);
   simulation.isLosingDisk = false;
-  yield* rest(simulation, 500, 1000);
+  yield* sleepBetween(simulation, 500, 1000);
 };
 
 /** Members are replaced by empty machines, and the next are lost as soon as that is allowed. */
 export const replacementFaults: Record<string, FaultScenario> = {
   *replaceMembersSuddenly(simulation) {
-    yield* loseInTurn(simulation, [
-      ["replaced", replacedSuddenly],
-      ["replaced", replacedSuddenly],
-      ["emptied", emptied],
-      ["unpowered", unpowered],
+    yield* loseRepeatedly(simulation, [
+      ["replaced", replaceAfterLoss],
+      ["replaced", replaceAfterLoss],
+      ["emptied", loseDisk],
+      ["unpowered", losePower],
     ]);
   },
   *replaceMembersInOrder(simulation) {
-    yield* loseInTurn(simulation, [
-      ["replaced in order", replacedInOrder],
-      ["replaced in order", replacedInOrder],
-      ["unpowered", unpowered],
-      ["emptied", emptied],
+    yield* loseRepeatedly(simulation, [
+      ["replaced in order", replaceBeforeStop],
+      ["replaced in order", replaceBeforeStop],
+      ["unpowered", losePower],
+      ["emptied", loseDisk],
     ]);
   },
   *replaceMembersAfterLosses(simulation) {
-    yield* loseInTurn(simulation, [
-      ["emptied", emptied],
-      ["replaced", replacedSuddenly],
-      ["unpowered", unpowered],
-      ["replaced in order", replacedInOrder],
+    yield* loseRepeatedly(simulation, [
+      ["emptied", loseDisk],
+      ["replaced", replaceAfterLoss],
+      ["unpowered", losePower],
+      ["replaced in order", replaceBeforeStop],
     ]);
   },
 };
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -1,25 +1,25 @@
 import { parseConfig } from "../configuration/config-validation.js";
 import { safeMethods } from "../configuration/config-shape.js";
 import { RouteTable } from "../cluster-view/route-table.js";
-import { configHistoryFaults } from "./config-history-check.js";
+import { configHistoryViolations } from "./config-history-check.js";
 import { EventRecorder, type ClientRecord, type RunRecord } from "./event-recorder.js";
 
 /** A rule that was broken, and by what. */
 export interface RuleViolation {
   rule: string;
-  what: string;
+  detail: string;
 }
 
 type Rule = (recorder: EventRecorder) => Iterable<string>;
 
-const keyMs = 60_000;
-const leftMs = 2000;
-const staleMs = 2000;
-const slipMs = 250;
-const windowMs = 10_000;
-const drainMs = 6000;
-const recoverMs = 15_000;
-const probe = /^\/probe\/(\d+)$/;
+const KEY_WINDOW_MS = 60_000;
+const DEREGISTRATION_MS = 2000;
+const MAX_CONFIG_AGE_MS = 2000;
+const CONFIG_SWITCH_MS = 250;
+const RETRY_WINDOW_MS = 10_000;
+const DRAIN_MS = 6000;
+const RECOVERY_MS = 15_000;
+const PROBE_PATH = /^\/probe\/(\d+)$/;
 
 const groupBy = <T>(
   items: Iterable<T>,
@@ -36,7 +36,7 @@
   return groups;
 };
 
-const succeeded = (record: ClientRecord): boolean => record.code >= 200 && record.code < 300;
+const isSuccess = (record: ClientRecord): boolean => record.code >= 200 && record.code < 300;
 
 const keyRanOnce: Rule = function* (recorder) {
   const byKey = groupBy(recorder.runs, (run) =>
@@ -46,96 +46,96 @@
     const times = runs.map(({ atMs }) => atMs).sort((a, b) => a - b);
     for (let at = 1; at < times.length; at += 1) {
       const gapMs = (times[at] ?? 0) - (times[at - 1] ?? 0);
-      if (gapMs < keyMs) yield `${key} ran twice within ${Math.round(gapMs)} ms`;
+      if (gapMs < KEY_WINDOW_MS) yield `${key} ran twice within ${Math.round(gapMs)} ms`;
     }
   }
 };
 
-const returnsAreTrue: Rule = function* (recorder) {
-  const keys = new Map(recorder.callers.map(({ id, key }) => [id, key]));
-  for (const record of recorder.callers.filter(succeeded)) {
+const responsesAreCorrect: Rule = function* (recorder) {
+  const keys = new Map(recorder.clientRecords.map(({ id, key }) => [id, key]));
+  for (const record of recorder.clientRecords.filter(isSuccess)) {
     if (record.isGarbage) yield `${record.id} got garbage as a success`;
-    else if (!record.isWhole) yield `${record.id} got a body that is cut short as a success`;
+    else if (!record.isComplete) yield `${record.id} got a body that is cut short as a success`;
     else {
-      const sameKey = record.key !== undefined && keys.get(record.bodyOf) === record.key;
-      if (record.bodyOf !== record.id && !sameKey && record.method !== "HEAD")
-        yield `${record.id} got the return of ${record.bodyOf || "nobody"}`;
+      const sameKey = record.key !== undefined && keys.get(record.echoedId) === record.key;
+      if (record.echoedId !== record.id && !sameKey && record.method !== "HEAD")
+        yield `${record.id} got the return of ${record.echoedId || "nobody"}`;
     }
   }
 };
 
-const droppedNeverRan: Rule = function* (recorder) {
-  const ran = new Set(recorder.runs.map(({ caller }) => caller));
-  for (const record of recorder.callers)
+const rejectedNeverRan: Rule = function* (recorder) {
+  const ran = new Set(recorder.runs.map(({ requestId: caller }) => caller));
+  for (const record of recorder.clientRecords)
     if (record.code === 503 && ran.has(record.id))
       yield `${record.id} was told to try later, but ran`;
 };
 
-const unrepeatableRanOnce: Rule = function* (recorder) {
+const unsafeRanOnce: Rule = function* (recorder) {
   for (const [caller, runs] of groupBy(recorder.runs, (run) =>
-    safeMethods.has(run.method) ? undefined : run.caller,
+    safeMethods.has(run.method) ? undefined : run.requestId,
   ))
     if (runs.length > 1) yield `${caller} ran ${runs.length} times`;
 };
 
 /** The most further tries that any window held, against what it might. */
-export const worstRepeats = (
+export const findPeakRetries = (
   recorder: EventRecorder,
-): Map<string, { further: number; requests: number; allowed: number }> => {
-  const worst = new Map<string, { further: number; requests: number; allowed: number }>();
+): Map<string, { retries: number; requests: number; allowed: number }> => {
+  const worst = new Map<string, { retries: number; requests: number; allowed: number }>();
   const seen = new Set<string>();
-  const further: RunRecord[] = [];
+  const retries: RunRecord[] = [];
   for (const run of [...recorder.runs].sort((a, b) => a.atMs - b.atMs)) {
-    if (seen.has(run.caller)) further.push(run);
-    seen.add(run.caller);
+    if (seen.has(run.requestId)) retries.push(run);
+    seen.add(run.requestId);
   }
-  const requests = groupBy(recorder.callers, ({ service }) => service);
-  for (const [service, runs] of groupBy(further, ({ meant }) => meant)) {
+  const requests = groupBy(recorder.clientRecords, ({ service }) => service);
+  for (const [service, runs] of groupBy(retries, ({ intendedService: meant }) => meant)) {
     const sent = (requests.get(service) ?? []).map(({ sentMs }) => sentMs).sort((a, b) => a - b);
     for (const { atMs } of runs) {
-      const inWindow = (time: number): boolean => time >= atMs && time < atMs + windowMs;
+      const inWindow = (time: number): boolean => time >= atMs && time < atMs + RETRY_WINDOW_MS;
       const count = runs.filter((run) => inWindow(run.atMs)).length;
       const base = sent.filter(inWindow).length;
       const allowed = base / 5 + 70;
       const known = worst.get(service);
-      if (!known || count / allowed > known.further / known.allowed)
-        worst.set(service, { further: count, requests: base, allowed });
+      if (!known || count / allowed > known.retries / known.allowed)
+        worst.set(service, { retries: count, requests: base, allowed });
     }
   }
   return worst;
 };
 
-const repeatsAreBounded: Rule = function* (recorder) {
-  for (const [service, { further, requests, allowed }] of worstRepeats(recorder))
+const retriesAreBounded: Rule = function* (recorder) {
+  for (const [service, { retries: further, requests, allowed }] of findPeakRetries(recorder))
     if (further > allowed)
       yield `${service} got ${further} repeats in ten seconds with ${requests} requests; ${Math.floor(allowed)} were allowed`;
 };
 
-const leaversGetNothing: Rule = function* (recorder) {
-  for (const left of recorder.of("left"))
+const deregisteredGetNoRequests: Rule = function* (recorder) {
+  for (const left of recorder.ofKind("left"))
     for (const run of recorder.runs)
       if (
         run.address === left.address &&
         run.incarnation === left.incarnation &&
-        run.atMs - run.heldMs > left.atMs + leftMs
+        run.atMs - run.delayedMs > left.atMs + DEREGISTRATION_MS
       )
         yield `${left.address} got work ${Math.round(run.atMs - left.atMs)} ms after its leave was heard`;
 };
 
-const probed = (record: ClientRecord): number | undefined => {
-  const number = probe.exec(record.path)?.[1];
+const probeNumber = (record: ClientRecord): number | undefined => {
+  const number = PROBE_PATH.exec(record.path)?.[1];
   return number === undefined ? undefined : Number(number);
 };
 
 const configsAreFresh: Rule = function* (recorder) {
-  const accepted = recorder.of("accepted");
-  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
-  const sent = recorder.of("sent").filter((record) => !rejected.has(record.probe));
-  for (const record of recorder.callers) {
-    const number = probed(record);
+  const accepted = recorder.ofKind("accepted");
+  const rejected = new Set(recorder.ofKind("rejected").map((record) => record.probe));
+  const sent = recorder.ofKind("sent").filter((record) => !rejected.has(record.probe));
+  for (const record of recorder.clientRecords) {
+    const number = probeNumber(record);
     if (number === undefined) continue;
     const newest = accepted
-      .filter(({ atMs }) => atMs <= record.sentMs - staleMs)
+      .filter(({ atMs }) => atMs <= record.sentMs - MAX_CONFIG_AGE_MS)
       .reduce((most, one) => Math.max(most, one.probe), 0);
     if (record.code === 200 && newest > number)
       yield `${record.daemon} handled a request by config ${number} though ${newest} was accepted 2 s before it was sent`;
@@ -145,9 +145,9 @@
   }
 };
 
-const configsNeverSlipBack: Rule = function* (recorder) {
-  for (const [daemon, records] of groupBy(recorder.callers, (record) =>
-    probed(record) !== undefined && record.code === 200 ? record.daemon : undefined,
+const configsNeverGoBack: Rule = function* (recorder) {
+  for (const [daemon, records] of groupBy(recorder.clientRecords, (record) =>
+    probeNumber(record) !== undefined && record.code === 200 ? record.daemon : undefined,
   )) {
     const ended = [...records].sort((a, b) => a.endedMs - b.endedMs);
     const sent = [...records].sort((a, b) => a.sentMs - b.sentMs);
@@ -156,22 +156,22 @@
     for (const record of sent) {
       for (
         let earlier = ended[at];
-        earlier && earlier.endedMs <= record.sentMs - slipMs;
+        earlier && earlier.endedMs <= record.sentMs - CONFIG_SWITCH_MS;
         earlier = ended[at]
       ) {
-        newest = Math.max(newest, probed(earlier) ?? 0);
+        newest = Math.max(newest, probeNumber(earlier) ?? 0);
         at += 1;
       }
-      const number = probed(record) ?? 0;
+      const number = probeNumber(record) ?? 0;
       if (number < newest) yield `${daemon} slipped back from config ${newest} to ${number}`;
     }
   }
 };
 
 const servicesWereAllowed: Rule = function* (recorder) {
-  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
+  const rejected = new Set(recorder.ofKind("rejected").map((record) => record.probe));
   const configs = recorder
-    .of("sent")
+    .ofKind("sent")
     .filter((record) => !rejected.has(record.probe))
     .map(({ text }) => new RouteTable(parseConfig(text)));
   const known = new Map<string, Set<string>>();
@@ -186,19 +186,19 @@
       );
       known.set(name, allowed);
     }
-    if (!allowed.has(run.service)) yield `${run.caller} (${name}) reached ${run.service}`;
+    if (!allowed.has(run.service)) yield `${run.requestId} (${name}) reached ${run.service}`;
   }
 };
 
-const configsAreKept: Rule = function* (recorder) {
-  const accepted = recorder.of("accepted");
-  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
+const acceptedConfigsAreKept: Rule = function* (recorder) {
+  const accepted = recorder.ofKind("accepted");
+  const rejected = new Set(recorder.ofKind("rejected").map((record) => record.probe));
   for (const [sequence, records] of groupBy(accepted, ({ sequence }) => String(sequence)))
     if (new Set(records.map(({ text }) => text)).size > 1)
       yield `two configs were accepted as ${sequence}`;
-  for (const { text } of recorder.of("tookMalformed"))
+  for (const { text } of recorder.ofKind("tookMalformed"))
     yield `a malformed config was accepted: ${text.slice(0, 80)}`;
-  for (const read of recorder.of("readBack")) {
+  for (const read of recorder.ofKind("readBack")) {
     const own = accepted.find(({ sequence }) => sequence === read.sequence);
     if (own && read.text !== own.text)
       yield `config ${read.sequence} reads back ${read.text === undefined ? "as missing" : "changed"}`;
@@ -206,7 +206,7 @@
       .filter(({ atMs }) => atMs <= read.atMs)
       .reduce((most, { sequence }) => Math.max(most, sequence), 0);
     const mayBeNewer = recorder
-      .of("sent")
+      .ofKind("sent")
       .some(
         ({ probe: number, atMs }) =>
           atMs <= read.atMs &&
@@ -216,65 +216,69 @@
     if (read.text !== undefined && read.sequence > newest && !mayBeNewer)
       yield `config ${read.sequence} is in force though none accepted it`;
   }
-  for (const record of recorder.callers) {
-    const number = probed(record);
+  for (const record of recorder.clientRecords) {
+    const number = probeNumber(record);
     if (number !== undefined && record.code === 200 && rejected.has(number))
       yield `${record.daemon} serves by the rejected config ${number}`;
   }
 };
 
-const stopsFinishWork: Rule = function* (recorder) {
-  for (const { daemon, atMs, endedMs } of recorder.of("stopped")) {
-    for (const record of recorder.callers)
+const stopsFinishRequests: Rule = function* (recorder) {
+  for (const { daemon, atMs, endedMs } of recorder.ofKind("stopped")) {
+    for (const record of recorder.clientRecords)
       if (
         record.daemon === daemon &&
         record.sentMs < atMs &&
         record.endedMs >= atMs &&
-        record.broke === "broken"
+        record.failure === "broken"
       )
         yield `${daemon} dropped ${record.id} in hand when it was stopped`;
-    if (endedMs > atMs + drainMs + 1500)
+    if (endedMs > atMs + DRAIN_MS + 1500)
       yield `${daemon} took ${Math.round(endedMs - atMs)} ms to stop`;
   }
 };
 
 /** The part of requests sent in a time that were served. */
-export const servedPart = (recorder: EventRecorder, fromMs: number, untilMs: number): number => {
-  const sent = recorder.callers.filter(
-    ({ sentMs, path }) => sentMs >= fromMs && sentMs < untilMs && !probe.test(path),
+export const servedFraction = (
+  recorder: EventRecorder,
+  fromMs: number,
+  untilMs: number,
+): number => {
+  const sent = recorder.clientRecords.filter(
+    ({ sentMs, path }) => sentMs >= fromMs && sentMs < untilMs && !PROBE_PATH.test(path),
   );
-  return sent.length === 0 ? 0 : sent.filter(succeeded).length / sent.length;
+  return sent.length === 0 ? 0 : sent.filter(isSuccess).length / sent.length;
 };
 
 const recoversInTime: Rule = function* (recorder) {
-  for (const { atMs } of recorder.of("recovered")) {
-    if (recorder.endMs < atMs + recoverMs + 2000) {
+  for (const { atMs } of recorder.ofKind("recovered")) {
+    if (recorder.endMs < atMs + RECOVERY_MS + 2000) {
       yield "the run ended too soon after the fault to tell";
       continue;
     }
-    const part = servedPart(recorder, atMs + recoverMs, recorder.endMs - 1000);
+    const part = servedFraction(recorder, atMs + RECOVERY_MS, recorder.endMs - 1000);
     if (part < 0.9)
       yield `${Math.round(part * 100)}% of requests were served 15 s after the fault's end`;
   }
 };
 
-const operatorsSeeOneRegister: Rule = (recorder) =>
-  configHistoryFaults(recorder.configOrders, recorder.configReads);
+const configAccessIsLinearizable: Rule = (recorder) =>
+  configHistoryViolations(recorder.configCommands, recorder.configReads);
 
 /** The brief's rules, each judged by what callers, back ends and operators recorded. */
 export const rules: Record<string, Rule> = {
   "a key runs once in a minute": keyRanOnce,
-  "a return is the caller's own, whole and stamped": returnsAreTrue,
-  "what is told to try later never runs": droppedNeverRan,
-  "what may not be repeated runs once": unrepeatableRanOnce,
-  "repeats stay under a fifth plus seventy in ten seconds": repeatsAreBounded,
-  "a leaving back end gets no work two seconds on": leaversGetNothing,
+  "a return is the caller's own, whole and stamped": responsesAreCorrect,
+  "what is told to try later never runs": rejectedNeverRan,
+  "what may not be repeated runs once": unsafeRanOnce,
+  "repeats stay under a fifth plus seventy in ten seconds": retriesAreBounded,
+  "a leaving back end gets no work two seconds on": deregisteredGetNoRequests,
   "no request meets a config older than two seconds": configsAreFresh,
-  "a daemon never slips back to an older config": configsNeverSlipBack,
+  "a daemon never slips back to an older config": configsNeverGoBack,
   "no request reaches a service that was never allowed": servicesWereAllowed,
-  "only accepted configs are in force, and none is lost": configsAreKept,
-  "operators see one register of configs": operatorsSeeOneRegister,
-  "a stop finishes the work in hand": stopsFinishWork,
+  "only accepted configs are in force, and none is lost": acceptedConfigsAreKept,
+  "operators see one register of configs": configAccessIsLinearizable,
+  "a stop finishes the work in hand": stopsFinishRequests,
   "most requests are served 15 s after a fault": recoversInTime,
 };
 
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -9,61 +9,61 @@
 import type { Clock } from "../runtime/clock.js";
 import { type Task, waitFor } from "../runtime/task.js";
 import { EventGate } from "./event-gate.js";
-import type { Reply, TestBackend } from "./test-backend.js";
+import type { TestBackendResponse, TestBackend } from "./test-backend.js";
 import type { VirtualNetwork } from "./virtual-network.js";
 
 /** One connection of a daemon to the process that a stand-in was when it opened. */
-interface Line {
-  readonly standIn: TestBackend;
+interface BackendConnection {
+  readonly testBackend: TestBackend;
   readonly incarnation: number;
   /** Whether the daemon has heard that it broke. */
-  isOver: boolean;
+  isBroken: boolean;
   /** What hears the next answer that comes on it; nobody while it rests. */
-  hear: ((reply: Reply) => void) | undefined;
+  onResponse: ((reply: TestBackendResponse) => void) | undefined;
 }
 
 /** What the virtual back ends of one machine are made of. */
 export interface VirtualBackendOptions {
-  readonly place: string;
+  readonly location: string;
   readonly gate: EventGate;
   /** The machine's clock, by which a try's time is over. */
-  readonly own: Clock;
+  readonly machineClock: Clock;
   readonly clock: Clock;
   readonly network: VirtualNetwork;
   readonly random: () => number;
-  readonly standInAt: (address: string) => TestBackend | undefined;
+  readonly findTestBackend: (address: string) => TestBackend | undefined;
 }
 
-const outside = new EventGate();
+const outsideGate = new EventGate();
 
 /** The back ends as one machine of a simulated fleet reaches them: over connections that are slow, cut and broken like real ones. */
 export const virtualBackends = ({
-  place,
+  location: place,
   gate,
-  own,
+  machineClock: own,
   clock,
   network,
   random,
-  standInAt,
+  findTestBackend: standInAt,
 }: VirtualBackendOptions): BackendClient => {
-  const idle = new Map<string, Line[]>();
+  const idle = new Map<string, BackendConnection[]>();
 
-  const isWhole = ({ standIn: testBackend, incarnation }: Line): boolean =>
+  const isWhole = ({ testBackend, incarnation }: BackendConnection): boolean =>
     testBackend.isUp && testBackend.incarnation === incarnation;
-  const lineTo = (testBackend: TestBackend): Line => {
-    const line: Line = {
-      standIn: testBackend,
+  const lineTo = (testBackend: TestBackend): BackendConnection => {
+    const line: BackendConnection = {
+      testBackend,
       incarnation: testBackend.incarnation,
-      isOver: false,
-      hear: undefined,
+      isBroken: false,
+      onResponse: undefined,
     };
-    testBackend.onEnd(() =>
+    testBackend.onStop(() =>
       network.deliver(
         testBackend.address,
         place,
         gate,
         () => {
-          line.isOver = true;
+          line.isBroken = true;
         },
         () => undefined,
       ),
@@ -74,17 +74,17 @@
   const proven = function* ({
     address,
     service,
-  }: BackendAttempt): Task<Line | "refused" | "foreign" | "unreached"> {
-    return yield* waitFor<Line | "refused" | "foreign" | "unreached">((done) => {
+  }: BackendAttempt): Task<BackendConnection | "refused" | "foreign" | "unreached"> {
+    return yield* waitFor<BackendConnection | "refused" | "foreign" | "unreached">((done) => {
       let isOver = false;
-      const give = (outcome: Line | "refused" | "foreign" | "unreached"): void => {
+      const give = (outcome: BackendConnection | "refused" | "foreign" | "unreached"): void => {
         if (isOver) return;
         isOver = true;
         cancel();
         gate.pass(() => done(outcome));
       };
       const cancel = clock.after(CONNECT_TIMEOUT_MS, () => give("unreached"));
-      const back = (outcome: Line | "refused" | "foreign" | "unreached"): void =>
+      const back = (outcome: BackendConnection | "refused" | "foreign" | "unreached"): void =>
         network.deliver(
           address,
           place,
@@ -104,21 +104,21 @@
           address,
           place,
           gate,
-          () => network.deliver(place, address, outside, prove, () => undefined),
+          () => network.deliver(place, address, outsideGate, prove, () => undefined),
           () => undefined,
         );
       };
-      clock.after(network.connectMs(), () =>
-        network.deliver(place, address, outside, arrive, () => undefined),
+      clock.after(network.drawConnectDelayMs(), () =>
+        network.deliver(place, address, outsideGate, arrive, () => undefined),
       );
     });
   };
 
   const sent = function* (
-    line: Line,
+    line: BackendConnection,
     { request: job, deadlineMs: untilMs, pool }: BackendAttempt,
   ): Task<OpenResult> {
-    const { standIn: testBackend } = line;
+    const { testBackend } = line;
     const { address } = testBackend;
     return yield* waitFor<OpenResult>((done) => {
       let isOver = false;
@@ -138,20 +138,20 @@
           () => give(openFailure("lost")),
         );
       const sentMs = clock.nowMs();
-      const tripMs = network.tripMs();
+      const tripMs = network.drawLatencyMs();
       network.deliver(
         place,
         address,
-        outside,
+        outsideGate,
         () => {
           if (!isWhole(line)) return back(openFailure("lost"));
-          const reply = testBackend.run(
+          const reply = testBackend.handleRequest(
             job,
             clock.nowMs(),
             Math.max(0, clock.nowMs() - sentMs - tripMs),
           );
-          line.hear = (first) => back(replied(line, first, pool));
-          clock.after(reply.waitMs, () => answer(line, reply, () => back(openFailure("lost"))));
+          line.onResponse = (first) => back(replied(line, first, pool));
+          clock.after(reply.delayMs, () => answer(line, reply, () => back(openFailure("lost"))));
         },
         () => give(openFailure("lost")),
         tripMs,
@@ -160,27 +160,33 @@
   };
 
   /** An answer goes out on its connection, to whatever request is waiting there, and perhaps once more. */
-  const answer = (line: Line, reply: Reply, lost: () => void): void => {
+  const answer = (line: BackendConnection, reply: TestBackendResponse, lost: () => void): void => {
     if (reply.isLost || !isWhole(line)) return lost();
-    const { hear } = line;
-    line.hear = undefined;
+    const { onResponse: hear } = line;
+    line.onResponse = undefined;
     if (hear) hear(reply);
-    else line.isOver = true;
-    const { againMs } = reply;
+    else line.isBroken = true;
+    const { repeatAfterMs: againMs } = reply;
     if (againMs !== undefined)
-      clock.after(againMs, () => answer(line, { ...reply, againMs: undefined }, () => undefined));
+      clock.after(againMs, () =>
+        answer(line, { ...reply, repeatAfterMs: undefined }, () => undefined),
+      );
   };
 
-  const replied = (line: Line, reply: Reply, pool: string): OpenResult => {
-    const { address } = line.standIn;
-    const body = reply.body.subarray(0, reply.cutAt ?? reply.body.length);
+  const replied = (
+    line: BackendConnection,
+    reply: TestBackendResponse,
+    pool: string,
+  ): OpenResult => {
+    const { address } = line.testBackend;
+    const body = reply.body.subarray(0, reply.truncateAt ?? reply.body.length);
     let at = 0;
     return openedResponse({
       code: reply.code,
       headers: reply.headers,
-      *next() {
+      *nextChunk() {
         if (at >= body.length) {
-          if (reply.cutAt !== undefined) return "cut";
+          if (reply.truncateAt !== undefined) return "cut";
           rest(line, pool);
           return "end";
         }
@@ -191,7 +197,7 @@
             gate,
             () => done(isWhole(line)),
             () => gate.pass(() => done(false)),
-            network.tripMs() / 10,
+            network.drawLatencyMs() / 10,
           ),
         );
         if (!came) return "cut";
@@ -203,8 +209,8 @@
     });
   };
 
-  const rest = (line: Line, pool: string): void => {
-    if (line.isOver || random() < 0.02) return;
+  const rest = (line: BackendConnection, pool: string): void => {
+    if (line.isBroken || random() < 0.02) return;
     const known = idle.get(pool);
     if (known) known.push(line);
     else idle.set(pool, [line]);
@@ -214,7 +220,7 @@
     *send(one) {
       const resting = idle.get(one.pool) ?? [];
       let line = resting.pop();
-      while (line?.isOver) line = resting.pop();
+      while (line?.isBroken) line = resting.pop();
       const ready = line ?? (yield* proven(one));
       if (typeof ready === "string") return openFailure(ready);
       if (!one.maySend()) {
--- a/src/simulation/virtual-clock.ts
+++ b/src/simulation/virtual-clock.ts
@@ -1,19 +1,19 @@
 import { newScheduler, newTimeline } from "@most/scheduler";
 import type { Scheduler } from "@most/types";
-import { type Clock, clockOf } from "../runtime/clock.js";
+import { type Clock, createClock } from "../runtime/clock.js";
 
 /** Time that moves only when told to; the streams' scheduler runs on it. */
 export class VirtualClock {
   readonly scheduler: Scheduler;
-  private atMs = 0;
-  private due: { atMs: number; run: () => unknown } | undefined;
+  private currentMs = 0;
+  private due: { currentMs: number; run: () => unknown } | undefined;
 
   constructor() {
     this.scheduler = newScheduler(
       {
-        now: () => this.atMs,
+        now: () => this.currentMs,
         setTimer: (run, waitMs) => {
-          const timer = { atMs: this.atMs + Math.max(0, waitMs), run };
+          const timer = { currentMs: this.currentMs + Math.max(0, waitMs), run };
           this.due = timer;
           return timer;
         },
@@ -26,15 +26,15 @@
   }
 
   nowMs(): number {
-    return this.atMs;
+    return this.currentMs;
   }
 
   /** A machine's clock: skewed by an offset and running at a rate of its own; silent once `alive` says no. */
   clock(offsetMs = 0, rate = 1, alive: () => boolean = () => true): Clock {
-    const base = clockOf(this.scheduler);
+    const base = createClock(this.scheduler);
     return {
       scheduler: this.scheduler,
-      nowMs: () => offsetMs + this.atMs * rate,
+      nowMs: () => offsetMs + this.currentMs * rate,
       after: (waitMs, run) =>
         base.after(waitMs / rate, () => {
           if (alive()) run();
@@ -44,11 +44,15 @@
 
   /** Moves time on, running all that falls due. */
   runUntil(untilMs: number): void {
-    for (let timer = this.due; timer !== undefined && timer.atMs <= untilMs; timer = this.due) {
+    for (
+      let timer = this.due;
+      timer !== undefined && timer.currentMs <= untilMs;
+      timer = this.due
+    ) {
       this.due = undefined;
-      this.atMs = Math.max(this.atMs, timer.atMs);
+      this.currentMs = Math.max(this.currentMs, timer.currentMs);
       timer.run();
     }
-    this.atMs = Math.max(this.atMs, untilMs);
+    this.currentMs = Math.max(this.currentMs, untilMs);
   }
 }
--- a/src/simulation/virtual-runtime.ts
+++ b/src/simulation/virtual-runtime.ts
@@ -1,7 +1,7 @@
 import type { Network } from "../runtime/network.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Disk } from "../runtime/disk.js";
-import { lineLoggers } from "../runtime/logger.js";
+import { createLineLoggers } from "../runtime/logger.js";
 import type { Runtime } from "../runtime/runtime.js";
 
 /** What a virtual world is made of; what isn't named is absent or silent. */
@@ -10,7 +10,7 @@
   readonly network: Network;
   readonly random: () => number;
   readonly disk?: Disk | undefined;
-  readonly lines?: (line: string) => void;
+  readonly writeLine?: (line: string) => void;
   readonly wallTime?: () => Date;
 }
 
@@ -20,13 +20,13 @@
   network,
   random,
   disk,
-  lines = () => undefined,
+  writeLine: lines = () => undefined,
   wallTime = () => new Date(0),
 }: VirtualRuntimeOptions): Runtime => ({
   clock,
   network,
   disk,
-  loggers: lineLoggers(lines),
+  loggers: createLineLoggers(lines),
   onTaskFailure: (_part, error) => {
     throw error;
   },
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -33,7 +33,11 @@
   RequestCounts,
   defaultRequestCountsFormat,
 } from "../../src/retry-budget/request-counts.js";
-import { FleetStage, type MachineLife, type StageMachine } from "../replication/fleet-stage.js";
+import {
+  ClusterFixture,
+  type ProcessEnvironment,
+  type FixtureMachine,
+} from "../replication/fleet-stage.js";
 import { encodeHistoryPiece, recordTexts, runTaskOn } from "./stored-data.js";
 
 /** A sample of a message: its present encoding, and a check of a recorded frame. */
@@ -285,7 +289,7 @@
     0,
   );
   const { firstAttempts, retries } = counts.ofService(1, 5000, 10_000);
-  const routes = counts.heavyRoutes(0.1, 5000, 10_000);
+  const routes = counts.findHeavyRoutes(0.1, 5000, 10_000);
   return {
     firstTries: firstAttempts,
     furtherTries: retries,
@@ -391,46 +395,46 @@
 
   constructor(private readonly fleet: RecordingFleet) {
     const runtime = virtualRuntime({
-      clock: fleet.time.clock(),
-      network: fleet.network.wire("raw-peer", new EventGate()),
+      clock: fleet.virtualClock.clock(),
+      network: fleet.network.createInterface("raw-peer", new EventGate()),
       random: fleet.random,
     });
     this.rpc = new RpcEndpoint(runtime, "10.0.0.99:7000");
   }
 
   private runCall<T>(task: Task<T | undefined>): T {
-    const value = runTaskOn(this.fleet.time, task);
+    const value = runTaskOn(this.fleet.virtualClock, task);
     if (value === undefined) throw new Error("no response from the daemon, timeout 5000 ms");
     return value;
   }
 
   /** Sends a command to a daemon and returns the text of its response. */
-  command(to: StageMachine, text: string): string {
+  command(to: FixtureMachine, text: string): string {
     return this.runCall(this.rpc.call(to.peer, rpcMethods.command, { forwarded: true, text }, 5000))
       .text;
   }
 
   /** Sends a watch request to a daemon and returns the text of its response. */
-  poll(to: StageMachine, text: string): string {
+  poll(to: FixtureMachine, text: string): string {
     return this.runCall(this.rpc.call(to.peer, rpcMethods.watch, { forwarded: true, text }, 5000))
       .text;
   }
 
   /** Sends a sketch to a daemon and returns the text of its response. */
-  push(to: StageMachine, text: string, base64: string): string {
+  push(to: FixtureMachine, text: string, base64: string): string {
     const request = { text, sketches: Buffer.from(base64, "base64") };
     return this.runCall(this.rpc.call(to.peer, rpcMethods.pushCounts, request, 5000)).text;
   }
 
   /** The bootstrap state in the response of a daemon to a discovery request. */
-  bootstrapState(to: StageMachine): string {
+  bootstrapState(to: FixtureMachine): string {
     const request = { peer: "", fleet: "", incarnation: "", voters: [], learners: [], open: false };
     return this.runCall(this.rpc.call(to.peer, rpcMethods.discover, request, 5000)).state;
   }
 }
 
 /** A virtual cluster that records the key paths of all requests and log entries that its daemons send. */
-export class RecordingFleet extends FleetStage {
+export class RecordingFleet extends ClusterFixture {
   /** The key paths of requests and log entries that the daemons sent to each other, by kind. */
   readonly sentKeyPaths = new KeyPathTable();
   /** The bootstrap states that members sent in discovery responses. */
@@ -443,9 +447,9 @@
     this.peer = new RawPeer(this);
   }
 
-  protected override lifeOf(machine: StageMachine): MachineLife {
-    const life = super.lifeOf(machine);
-    return { ...life, network: this.recordingNetwork(life.network) };
+  protected override createEnvironment(machine: FixtureMachine): ProcessEnvironment {
+    const environment = super.createEnvironment(machine);
+    return { ...environment, network: this.recordingNetwork(environment.network) };
   }
 
   private recordingNetwork(network: Network): Network {
@@ -504,13 +508,15 @@
    * and the leader drains.
    */
   runRecoveryAndLeaderDrain(): void {
-    const follower = this.disks.find((member) => member !== this.leader);
+    const follower = this.diskMachines.find((member) => member !== this.leader);
     if (!follower) throw new Error("no follower is running");
     this.kill(follower, true);
     this.wait(3000);
     this.boot(follower, { bootstrap: false });
     this.wait(8000);
-    const learner = this.disks.find(({ peer }) => this.leader.record?.learners.includes(peer));
+    const learner = this.diskMachines.find(({ peer }) =>
+      this.leader.status?.learners.includes(peer),
+    );
     if (!learner) throw new Error("the leader has no learner");
     this.kill(learner);
     this.wait(130_000);
@@ -521,10 +527,10 @@
   }
 
   /** Drains a daemon, then stops its process. */
-  drain(machine: StageMachine): void {
+  drain(machine: FixtureMachine): void {
     const { daemon } = machine;
     if (!daemon) throw new Error(`daemon ${machine.peer} is not running`);
-    runTaskOn(this.time, daemon.drain());
+    runTaskOn(this.virtualClock, daemon.drain());
     this.kill(machine);
   }
 }
@@ -574,10 +580,10 @@
     this.rememberFields(response);
   }
 
-  private selectMachine(to: Step["to"]): StageMachine {
-    const { leader, disks } = this.fleet;
-    const follower = disks.find((member) => member !== leader);
-    const machine = to === "leader" ? leader : to === "edge" ? this.fleet.at(4) : follower;
+  private selectMachine(to: Step["to"]): FixtureMachine {
+    const { leader, diskMachines } = this.fleet;
+    const follower = diskMachines.find((member) => member !== leader);
+    const machine = to === "leader" ? leader : to === "edge" ? this.fleet.machineAt(4) : follower;
     if (!machine) throw new Error(`no machine for the target "${to}"`);
     return machine;
   }
@@ -585,7 +591,7 @@
   private fillPlaceholders(text: string): string {
     const { fleet } = this;
     const values = new Map(this.rememberedValues)
-      .set("FLEET", fleet.fleetOf(fleet.leader))
+      .set("FLEET", fleet.fleetIdOf(fleet.leader))
       .set("FOLLOWER", this.selectMachine("follower").peer);
     return text.replace(/\{([A-Z]+)\}/g, (_, name: string) => values.get(name) ?? "0");
   }
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -8,7 +8,7 @@
 import { storedConfig, type AcceptedConfig } from "../../src/state/accepted-config.js";
 import { ConfigHistory } from "../../src/replication/history/config-history.js";
 import { encodeCompleteConfig } from "../../src/replication/history/history-format.js";
-import { membersIn } from "../../src/consensus/members.js";
+import { parseMembersEntry } from "../../src/consensus/members.js";
 import {
   withChecksum,
   CHECKSUM_HEADER_BYTES,
@@ -20,7 +20,7 @@
 import { VirtualClock } from "../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../src/simulation/virtual-disk.js";
 import { type Task, runTask } from "../../src/runtime/task.js";
-import { FleetStage, type StageMachine } from "../replication/fleet-stage.js";
+import { ClusterFixture, type FixtureMachine } from "../replication/fleet-stage.js";
 
 /** The files of a data folder, by name. */
 export type Files = ReadonlyMap<string, Buffer>;
@@ -88,7 +88,7 @@
     changeId,
     acceptedAt,
   })),
-  versionsByChange: changeIds.map((id) => [id, stateMachine.changeVersion(id) ?? null]),
+  versionsByChange: changeIds.map((id) => [id, stateMachine.findVersionOfChange(id) ?? null]),
   registrations: [...stateMachine.registrations.values()]
     .map((registration) => ({
       address: registration.address,
@@ -135,7 +135,7 @@
 /** All configurations in the history files. */
 const readHistory = (fixture: DiskFixture, store: LogStore) => {
   const configurations = [];
-  for (let sequence = 1; sequence <= store.history.newest; sequence += 1) {
+  for (let sequence = 1; sequence <= store.history.newestSequence; sequence += 1) {
     const config = fixture.run(store.history.read(sequence));
     if (config) configurations.push(describeConfiguration(config));
   }
@@ -191,7 +191,7 @@
   const { state: durableState } = loadFolder(new DiskFixture(files));
   const stateMachine = new StateMachine();
   const { voters, learners } = stateMachine.restore(durableState.snapshot);
-  const members = membersIn(encodeLogCommand({ kind: "members", voters, learners }));
+  const members = parseMembersEntry(encodeLogCommand({ kind: "members", voters, learners }));
   if (!members) throw new Error("a membership entry was not parsed as one");
   return { stored: durableState.snapshot, rewritten: stateMachine.snapshot(members) };
 };
@@ -307,14 +307,14 @@
 
 /** The encoded piece of the history that daemons send, with two configurations. */
 export const encodeHistoryPiece = (): Uint8Array =>
-  ConfigHistory.pack([2, 3].map(createConfiguration));
+  ConfigHistory.packPiece([2, 3].map(createConfiguration));
 
 /** Decodes a piece of the history whose first configuration has sequence 2. */
 export const readHistoryPiece = (bytes: Uint8Array) =>
-  ConfigHistory.unpack(bytes, 2).map(describeConfiguration);
+  ConfigHistory.unpackPiece(bytes, 2).map(describeConfiguration);
 
 /** A cluster with a single member, which is the leader. */
-export class SingleMemberCluster extends FleetStage {
+export class SingleMemberCluster extends ClusterFixture {
   /** Starts on a data folder, or on an empty disk; writes a snapshot after `snapshotBytes` bytes of log. */
   constructor(
     files: Files,
@@ -325,8 +325,8 @@
     this.restart();
   }
 
-  private get member(): StageMachine {
-    return this.at(0);
+  private get member(): FixtureMachine {
+    return this.machineAt(0);
   }
 
   protected override daemonOptions(): DaemonOptions {
@@ -339,14 +339,14 @@
   restart(): void {
     if (this.member.daemon) this.kill(this.member);
     this.boot(this.member);
-    this.until(() => this.member.daemon?.replicationNode?.holdsLease === true, 20_000);
+    this.waitUntil(() => this.member.daemon?.replicationNode?.holdsLease === true, 20_000);
   }
 
   /** Commits a log entry and returns its outcome. */
   commitEntry(text: string): string {
     const { replicationNode } = this.member.daemon ?? {};
     if (!replicationNode) throw new Error("the member is not running");
-    const proposed = runTaskOn(this.time, replicationNode.propose(text));
+    const proposed = runTaskOn(this.virtualClock, replicationNode.propose(text));
     if (proposed.kind !== "committed")
       throw new Error(`the entry was not committed: ${proposed.kind}`);
     return proposed.outcome;
@@ -359,14 +359,14 @@
 
   /** The text of an accepted configuration, as the member reads it. */
   configurationText(sequence: number): string | undefined {
-    return this.config(this.member, sequence);
+    return this.readConfig(this.member, sequence);
   }
 
   /** The files on the member's disk now. */
   get files(): Files {
     const { disk } = this.member;
     if (!disk) throw new Error("the member has no disk");
-    const names = runTaskOn(this.time, disk.list());
+    const names = runTaskOn(this.virtualClock, disk.list());
     return new Map(names.map((name) => [name, disk.peek(name)]));
   }
 }
--- a/test/model-checker/mutants.test.ts
+++ b/test/model-checker/mutants.test.ts
@@ -3,7 +3,7 @@
 import { mutants } from "../../src/model-checker/mutants.js";
 
 const stepsPerRun = 1000;
-const oldRead = "no stale reads";
+const staleRead = "no stale reads";
 
 test("twenty thousand random steps on production's rules break no promise", () => {
   const found = exploreRandomly({ firstSeed: 1, maxSteps: 20_000, stepsPerRun });
@@ -12,11 +12,11 @@
 });
 
 /** Where the search by `npm run explore -- --mutants` meets each mutant first: the seed, and the promise it breaks. */
-const firstMet: ReadonlyArray<readonly [name: string, seed: number, promise: string]> = [
+const detections: ReadonlyArray<readonly [name: string, seed: number, promise: string]> = [
   ["more than one vote per term", 4, "one leader per term"],
   ["a vote for a candidate whose log is not up to date", 10, "committed entries are kept"],
-  ["a vote while a leader is active", 460, oldRead],
-  ["the lease starts at the reply instead of at the request", 1284, oldRead],
+  ["a vote while a leader is active", 460, staleRead],
+  ["the lease starts at the reply instead of at the request", 1284, staleRead],
   ["a vote while rejoining", 3, "committed entries are kept"],
   ["requests of older terms are accepted", 34, "committed entries are kept"],
   ["entries are accepted without a check of the previous term", 3, "committed entries are kept"],
@@ -24,11 +24,11 @@
   ["entries are acknowledged before they are on disk", 288, "committed entries are kept"],
   ["learners count for a majority", 12, "committed entries are kept"],
   ["members change while a change is uncommitted", 1, "majorities overlap"],
-  ["a new leader serves reads before an entry of its term is committed", 3, oldRead],
-  ["a lease longer than the election timeout", 30, oldRead],
+  ["a new leader serves reads before an entry of its term is committed", 3, staleRead],
+  ["a lease longer than the election timeout", 30, staleRead],
 ];
 
-test.each(firstMet)("found: %s (seed %i)", (name, seed, promise) => {
+test.each(detections)("found: %s (seed %i)", (name, seed, promise) => {
   const mutant = mutants.find((one) => one.name === name);
   const extent = { firstSeed: seed, maxSteps: stepsPerRun, stepsPerRun };
   const found = exploreRandomly(extent, mutant?.ruleOverride);
--- a/test/proxy/idempotency/idempotency-claims.test.ts
+++ b/test/proxy/idempotency/idempotency-claims.test.ts
@@ -1,10 +1,10 @@
 import { beforeEach, describe, expect, test } from "vitest";
-import { firstTwo, simulatedFleet } from "../simulated-fleet.js";
+import { firstTwoEdges, createSimulatedFleet } from "../simulated-fleet.js";
 
 /** A fleet of its own for each test, and its first two edges. */
 const fleetWithEdges = () => {
-  const fleet = simulatedFleet();
-  const [first, second] = firstTwo(fleet.edges);
+  const fleet = createSimulatedFleet();
+  const [first, second] = firstTwoEdges(fleet.edges);
   return { ...fleet, first, second };
 };
 let fleet: ReturnType<typeof fleetWithEdges>;
@@ -27,7 +27,7 @@
 
   test("between the send and the response: a duplicate elsewhere doesn't run", () => {
     const { simulation, wait, first, second, send, runs } = fleet;
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 60 });
     send(first, "k");
     while (runs("k").length === 0) wait(1);
     simulation.kill(first);
