--- a/src/model-checker/random-walk.ts
+++ b/src/model-checker/random-walk.ts
@@ -58,7 +58,7 @@
 };
 
 /**
- * Draws the failure profile of a run. A third of the runs have all kinds of failures. The others have few kinds, chosen to
+ * Draws the failure profile of a run. A third of the profiles have all kinds of failures. The others have few kinds, chosen to
  * interact, so that many entries are committed between failures.
  */
 const drawProfile = (random: RandomSource): FailureProfile => {
