--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -1,10 +1,10 @@
-/** The leader's decision on the group's membership, by the production policy. */
+/** The leader's decision on membership changes, made by the production policy. */
 import type { Members } from "../consensus/members.js";
 import type { ConsensusState } from "../consensus/state.js";
 import { MembershipPolicy } from "../replication/membership/membership-policy.js";
 import type { GroupSettings } from "./group-settings.js";
 
-/** The members after the next change that a leader makes now; undefined where it makes none. */
+/** The members after the change that the leader makes now; undefined if it makes none. */
 export const reviewMembership = (
   self: string,
   state: ConsensusState,
@@ -16,7 +16,7 @@
     members,
     acknowledgedSentMs,
     responsiveSinceMs,
-    matchIndexes: matched,
+    matchIndexes,
     committedIndex,
     syncedIndex,
   } = state;
@@ -35,7 +35,7 @@
               nowMs - Math.max(leadingSinceMs, acknowledgedSentMs.get(member) ?? leadingSinceMs),
             hasAcknowledged: acknowledgedSentMs.has(member),
             responsiveMs: nowMs - (responsiveSinceMs.get(member) ?? nowMs),
-            matchIndex: matched.get(member) ?? 0,
+            matchIndex: matchIndexes.get(member) ?? 0,
           },
     timeouts: {
       responsiveWithinMs: settings.timeouts.electionMaxMs,
--- a/src/model-checker/recovery.ts
+++ b/src/model-checker/recovery.ts
@@ -1,14 +1,15 @@
+/** Checks that a group recovers after all failures have ended. */
 import { InvariantViolation } from "./invariant-checks.js";
 import type { MemberGroup } from "./member-group.js";
 import type { Step } from "./step.js";
 
 const tickMs = 20;
-/** How long a group whose failures are over may take until all members hold the same. */
+/** The maximum time from the end of all failures until all voters have applied all committed entries, in ms. */
 const recoveryTimeoutMs = 12_000;
 
 const advance: Step = { kind: "advance", ms: tickMs, paused: [] };
 
-/** Does all that is waiting, in order, as a network and disks without failures would. */
+/** Syncs all pending writes and delivers all messages in order, without failures. */
 const completePending = (group: MemberGroup): void => {
   for (const name of group.members.keys())
     while (group.member(name).isUp && group.member(name).disk.pending.length > 0)
@@ -30,20 +31,23 @@
   );
 };
 
-/** Ends all failures and waits: a leader has to answer again, and all voters have to hold all that is committed. */
+/**
+ * Ends all failures and advances time until a leader serves reads and all voters have applied all committed entries. A group
+ * whose failures exceeded the fault tolerance may stay unavailable.
+ */
 export const recover = (group: MemberGroup): void => {
   group.blockedLinks.clear();
   for (const name of group.members.keys()) group.execute({ kind: "start", member: name });
-  const untilMs = group.nowMs + recoveryTimeoutMs;
+  const deadlineMs = group.nowMs + recoveryTimeoutMs;
   while (!hasRecovered(group)) {
-    if (group.nowMs > untilMs && !group.isWithinTolerance) return;
-    if (group.nowMs > untilMs) {
+    if (group.nowMs > deadlineMs && !group.isWithinTolerance) return;
+    if (group.nowMs > deadlineMs) {
       const members = [...group.members.values()].map(
-        ({ name, state, hasCompleteDisk: isWhole }) =>
+        ({ name, state, hasCompleteDisk }) =>
           `${name} ${state.role} term ${state.term}, log ${state.log.lastIndex}, committed ${state.committedIndex}, ` +
-          `voters ${state.members.voters.join("+")}${isWhole ? "" : ", not whole"}`,
+          `voters ${state.members.voters.join("+")}${hasCompleteDisk ? "" : ", disk incomplete"}`,
       );
-      throw new InvariantViolation("the group heals", members.join("; "));
+      throw new InvariantViolation("the group recovers", members.join("; "));
     }
     completePending(group);
     group.execute(advance);
--- a/src/model-checker/search-run.ts
+++ b/src/model-checker/search-run.ts
@@ -1,3 +1,4 @@
+/** Executes one run of a search, a random one or a replayed trace. */
 import { InvariantViolation } from "./invariant-checks.js";
 import { MemberGroup } from "./member-group.js";
 import { recover } from "./recovery.js";
@@ -6,7 +7,7 @@
 import type { GroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
-/** A run that broke a promise: the group, the steps up to the breach, and which promise. */
+/** A run that violated an invariant: the settings of the group, the steps up to the violation, and the invariant. */
 export interface Counterexample {
   readonly settings: GroupSettings;
   readonly steps: readonly Step[];
@@ -31,10 +32,10 @@
 const catchViolation = (
   settings: GroupSettings,
   steps: readonly Step[],
-  work: () => void,
+  run: () => void,
 ): Counterexample | undefined => {
   try {
-    work();
+    run();
     return undefined;
   } catch (error) {
     if (!(error instanceof InvariantViolation)) throw error;
@@ -42,33 +43,33 @@
   }
 };
 
-/** Plays a trace, then ends all failures. */
+/** Replays a trace, then ends all failures and checks the history and the recovery. */
 export const replay = (
   settings: GroupSettings,
   steps: readonly Step[],
 ): Counterexample | undefined => {
   const group = new MemberGroup(settings);
-  const played: Step[] = [];
-  return catchViolation(settings, played, () => {
+  const executed: Step[] = [];
+  return catchViolation(settings, executed, () => {
     for (const step of steps) {
-      played.push(step);
+      executed.push(step);
       group.execute(step);
     }
     checkEnd(group);
   });
 };
 
-/** One random run of some steps. */
+/** Executes one run of random steps, then ends all failures and checks the history and the recovery. */
 export const runRandomly = (
   settings: GroupSettings,
   seed: number,
-  length: number,
+  stepCount: number,
 ): Counterexample | undefined => {
   const group = new MemberGroup(settings);
   const walk = new RandomWalk(seed);
   const steps: Step[] = [];
   return catchViolation(settings, steps, () => {
-    while (steps.length < length) {
+    while (steps.length < stepCount) {
       const step = walk.next(group);
       steps.push(step);
       group.execute(step);
--- a/test/compatibility/stored-data.ts
+++ b/test/compatibility/stored-data.ts
@@ -1,3 +1,4 @@
+/** Reads stored data folders by the present code, and writes samples of all stored data. */
 import { createHash } from "node:crypto";
 import { inflateRawSync } from "node:zlib";
 import { ConfigReader } from "../../src/configuration/config-validation.js";
@@ -24,11 +25,11 @@
 /** The files of a data folder, by name. */
 export type Files = ReadonlyMap<string, Buffer>;
 
-/** A text as it is compared: a long one by its digest. */
+/** Abbreviates a text of over 200 characters to its SHA-256 digest. */
 const abbreviate = (text: string): string =>
   text.length <= 200 ? text : `sha256 ${createHash("sha256").update(text).digest("hex")}`;
 
-/** A virtual disk and a clock that moves only as far as its tasks need. */
+/** A virtual disk with a clock that advances only while a task runs. */
 class DiskFixture {
   readonly time = new VirtualClock();
   readonly disk = new VirtualDisk(this.time.clock(), () => 0.5);
@@ -37,18 +38,18 @@
     for (const [name, bytes] of files) this.disk.poke(name, bytes);
   }
 
-  /** Runs a task to its end and gives its value. */
+  /** Runs a task to completion and returns its value. */
   run<T>(task: Task<T>): T {
     return runTaskOn(this.time, task);
   }
 
-  /** The files that the disk holds now. */
+  /** The files on the disk now. */
   get files(): Files {
     return new Map(this.run(this.disk.list()).map((name) => [name, this.disk.peek(name)]));
   }
 }
 
-/** Runs a task on a virtual clock to its end, within 30 virtual seconds, and gives its value. */
+/** Runs a task on a virtual clock to completion and returns its value; throws after 30 virtual seconds. */
 export const runTaskOn = <T>(time: VirtualClock, task: Task<T>): T => {
   const values: T[] = [];
   runTask(
@@ -61,10 +62,10 @@
   for (let rounds = 0; values.length === 0 && rounds < 6000; rounds += 1)
     time.runUntil(time.nowMs() + 5);
   for (const value of values) return value;
-  throw new Error("The task has not ended.");
+  throw new Error("the task has not completed within 30 virtual seconds");
 };
 
-/** What a stored configuration says, in the words of the expectations. */
+/** A stored configuration in the form of the expected state. */
 const describeConfiguration = (config: AcceptedConfig) => {
   const { sequence, version, index, changeId, acceptedAt, text } = storedConfig(config);
   return {
@@ -77,7 +78,7 @@
   };
 };
 
-/** Everything that a replica's state machine holds, in the words of the expectations. */
+/** The whole state of a state machine in the form of the expected state. */
 const describeState = (stateMachine: StateMachine, changeIds: readonly string[]) => ({
   version: stateMachine.version,
   configurations: stateMachine.configs.map(describeConfiguration),
@@ -89,19 +90,19 @@
   })),
   versionsByChange: changeIds.map((id) => [id, stateMachine.findVersionOfChange(id) ?? null]),
   registrations: [...stateMachine.registrations.values()]
-    .map((one) => ({
-      address: one.address,
-      service: one.service,
-      zone: one.zone,
-      warmth: one.warmth,
-      number: one.number,
-      isLeaving: one.leaving,
-      leftAt: one.leftAt,
-      isDrained: one.drained,
-      instance: one.instance,
-      capacity: one.capacity,
-      warmUpMs: one.warmMs,
-      announcement: one.order,
+    .map((registration) => ({
+      address: registration.address,
+      service: registration.service,
+      zone: registration.zone,
+      warmth: registration.warmth,
+      number: registration.number,
+      isLeaving: registration.leaving,
+      leftAt: registration.leftAt,
+      isDrained: registration.drained,
+      instance: registration.instance,
+      capacity: registration.capacity,
+      warmUpMs: registration.warmMs,
+      announcement: registration.order,
     }))
     .sort((a, b) => (a.address < b.address ? -1 : 1)),
   registrationsIndex: stateMachine.endpointSequence,
@@ -122,28 +123,29 @@
   quotaHolders: [...stateMachine.retryCapacityHolders],
 });
 
-/** Loads a data folder the way a restarted member does. */
-const loadFolder = (stage: DiskFixture): { store: LogStore; state: DurableState } => {
-  const store = new LogStore(stage.disk);
-  const loaded = stage.run(store.load());
-  if (loaded.kind !== "loaded") throw new Error(`The data folder is ${loaded.kind}.`);
+/** Loads a data folder as a restarted member does. */
+const loadFolder = (fixture: DiskFixture): { store: LogStore; state: DurableState } => {
+  const store = new LogStore(fixture.disk);
+  const loaded = fixture.run(store.load());
+  if (loaded.kind !== "loaded")
+    throw new Error(`the data folder is ${loaded.kind}, expected a loaded one`);
   return { store, state: loaded.state };
 };
 
-/** All configurations that the history files hold, up to the newest. */
-const readHistory = (stage: DiskFixture, store: LogStore) => {
-  const kept = [];
+/** All configurations in the history files. */
+const readHistory = (fixture: DiskFixture, store: LogStore) => {
+  const configurations = [];
   for (let sequence = 1; sequence <= store.history.newestSequence; sequence += 1) {
-    const config = stage.run(store.history.read(sequence));
-    if (config) kept.push(describeConfiguration(config));
+    const config = fixture.run(store.history.read(sequence));
+    if (config) configurations.push(describeConfiguration(config));
   }
-  return kept;
+  return configurations;
 };
 
-/** What a data folder says to a member that opens it, snapshot and log entries together. */
+/** Reads a data folder as a restarted member does: the snapshot, and the state after applying the log entries to it. */
 export const readStored = (files: Files, changeIds: readonly string[] = []) => {
-  const stage = new DiskFixture(files);
-  const { store, state: sampleDurableState } = loadFolder(stage);
+  const fixture = new DiskFixture(files);
+  const { store, state: durableState } = loadFolder(fixture);
   const partial = store.snapshotPart.takeLoaded().map((piece) => ({
     lastIndex: piece.lastIndex,
     lastTerm: piece.lastTerm,
@@ -153,58 +155,58 @@
     text: abbreviate(inflateRawSync(piece.bytes).toString("utf8")),
   }));
   const stateMachine = new StateMachine();
-  const hasSnapshot = sampleDurableState.snapshot !== "{}";
+  const hasSnapshot = durableState.snapshot !== "{}";
   const { voters, learners } = hasSnapshot
-    ? stateMachine.restore(sampleDurableState.snapshot)
+    ? stateMachine.restore(durableState.snapshot)
     : { voters: [], learners: [] };
   const outcomes = hasSnapshot
-    ? sampleDurableState.entries.map(
+    ? durableState.entries.map(
         ({ index, text }) => `${index} ${abbreviate(stateMachine.apply(index, text))}`,
       )
     : [];
   return {
-    cluster: sampleDurableState.fleet,
-    rejoinMark: sampleDurableState.rejoinNonce,
-    term: sampleDurableState.term,
-    votedFor: sampleDurableState.votedFor,
-    snapshotIndex: sampleDurableState.lastIndex,
-    snapshotTerm: sampleDurableState.lastTerm,
+    cluster: durableState.fleet,
+    rejoinMark: durableState.rejoinNonce,
+    term: durableState.term,
+    votedFor: durableState.votedFor,
+    snapshotIndex: durableState.lastIndex,
+    snapshotTerm: durableState.lastTerm,
     snapshotVoters: voters,
     snapshotLearners: learners,
-    entries: sampleDurableState.entries.map(
+    entries: durableState.entries.map(
       ({ index, term, text }) => `${index} ${term} ${abbreviate(text)}`,
     ),
     outcomes,
     state: describeState(stateMachine, changeIds),
-    history: readHistory(stage, store),
+    history: readHistory(fixture, store),
     partialSnapshot: partial,
   };
 };
 
 /**
- * The snapshot's text as it is stored, and as the present code writes it after reading it. A snapshot names its members as
- * the log entry that set them does, so that this entry is read again too.
+ * The stored text of the snapshot, and the text that the present code writes after reading it. A snapshot contains its members
+ * in the same form as a membership entry, so a membership entry is encoded and read too.
  */
 export const reencodeSnapshot = (files: Files): { stored: string; rewritten: string } => {
-  const { state: sampleDurableState } = loadFolder(new DiskFixture(files));
+  const { state: durableState } = loadFolder(new DiskFixture(files));
   const stateMachine = new StateMachine();
-  const { voters, learners } = stateMachine.restore(sampleDurableState.snapshot);
+  const { voters, learners } = stateMachine.restore(durableState.snapshot);
   const members = parseMembersEntry(encodeLogCommand({ kind: "members", voters, learners }));
-  if (!members) throw new Error("A membership entry isn't read as one.");
-  return { stored: sampleDurableState.snapshot, rewritten: stateMachine.snapshot(members) };
+  if (!members) throw new Error("a membership entry was not parsed as one");
+  return { stored: durableState.snapshot, rewritten: stateMachine.snapshot(members) };
 };
 
-/** What the present code takes a stored configuration for. */
+/** Reads the text of a stored configuration by the present code. */
 export const readConfiguration = (text: string): unknown => new ConfigReader().read(text);
 
-/** The texts of the stored log entries, each with the text that the present code writes for what it read. */
+/** The stored texts of the log entries, each with the text that the present code writes after reading it. */
 export const reencodeEntries = (files: Files): Array<{ stored: string; rewritten: string }> =>
   loadFolder(new DiskFixture(files)).state.entries.map(({ text }) => ({
     stored: text,
     rewritten: encodeLogCommand(readLogCommand(text)),
   }));
 
-/** The kinds of the log entries of a data folder, by their stored texts. */
+/** The kinds of log entries in a data folder, read from the stored texts. */
 export const entryKinds = (files: Files): string[] => {
   const kinds = loadFolder(new DiskFixture(files)).state.entries.map(
     ({ text }) => /^\{"kind":"(\w+)"/.exec(text)?.[1] ?? "none",
@@ -212,18 +214,18 @@
   return [...new Set(kinds)].sort();
 };
 
-/** The JSON texts of a file of deflated, sealed records. */
+/** The JSON texts in a file of deflated records with checksums. */
 export const recordTexts = (bytes: Uint8Array): string[] => {
   const buffer = Buffer.from(bytes);
   const texts: string[] = [];
-  let at = 0;
+  let offset = 0;
   for (
-    let body = readChecksummed(buffer, at);
+    let body = readChecksummed(buffer, offset);
     body !== undefined;
-    body = readChecksummed(buffer, at)
+    body = readChecksummed(buffer, offset)
   ) {
     texts.push(inflateRawSync(body).toString("utf8"));
-    at += CHECKSUM_HEADER_BYTES + body.length;
+    offset += CHECKSUM_HEADER_BYTES + body.length;
   }
   return texts;
 };
@@ -249,20 +251,22 @@
 };
 
 /**
- * Writes one of everything that a member stores, by the storage alone: slots, a log with entries, a vote and a cut, history
- * files of both layouts and two pieces of a snapshot.
+ * Writes a sample of each kind of file through the storage alone: slots, a log with entries, a truncation and a vote, history
+ * files of both layouts, and two pieces of a snapshot.
  */
 export const writeSampleStorage = (): Files => {
-  const stage = new DiskFixture();
-  const wholes = [1, 2].map((sequence) => encodeCompleteConfig(createConfiguration(sequence)));
-  stage.disk.poke("history-0", Buffer.concat(wholes));
-  const store = new LogStore(stage.disk);
-  stage.run(store.load());
-  stage.run(store.writeSnapshot(sampleDurableState));
-  stage.run(
+  const fixture = new DiskFixture();
+  const completeConfigs = [1, 2].map((sequence) =>
+    encodeCompleteConfig(createConfiguration(sequence)),
+  );
+  fixture.disk.poke("history-0", Buffer.concat(completeConfigs));
+  const store = new LogStore(fixture.disk);
+  fixture.run(store.load());
+  fixture.run(store.writeSnapshot(sampleDurableState));
+  fixture.run(
     store.writeSnapshot({ ...sampleDurableState, lastIndex: 21, lastTerm: 4, entries: [] }),
   );
-  stage.run(
+  fixture.run(
     store.append([
       { kind: "entry", index: 22, term: 4, text: "entry 22, é" },
       { kind: "entry", index: 23, term: 4, text: "entry 23" },
@@ -270,48 +274,48 @@
       { kind: "vote", term: 5, text: "10.0.0.3:7000" },
     ]),
   );
-  const history = new ConfigHistory(stage.disk);
-  stage.run(history.load(stage.run(stage.disk.list())));
-  stage.run(history.add([3, 4, 5].map(createConfiguration)));
-  addSnapshotPieces(stage, store, 19);
-  return stage.files;
+  const history = new ConfigHistory(fixture.disk);
+  fixture.run(history.load(fixture.run(fixture.disk.list())));
+  fixture.run(history.add([3, 4, 5].map(createConfiguration)));
+  addSnapshotPieces(fixture, store, 19);
+  return fixture.files;
 };
 
-/** Adds two of three pieces of a snapshot that ends at an index. */
-const addSnapshotPieces = (stage: DiskFixture, store: LogStore, lastIndex: number): void => {
+/** Adds two of the three pieces of a snapshot up to an index. */
+const addSnapshotPieces = (fixture: DiskFixture, store: LogStore, lastIndex: number): void => {
   const snapshot = new SharedSnapshot(lastIndex, 3, "x".repeat(600_000));
-  for (const offset of [0, 256 * 1024]) stage.run(store.snapshotPart.add(snapshot.piece(offset)));
+  for (const offset of [0, 256 * 1024]) fixture.run(store.snapshotPart.add(snapshot.piece(offset)));
 };
 
-/** The file of a partial snapshot that ends at an index. */
+/** The file of a partial snapshot up to an index. */
 export const partialSnapshot = (lastIndex: number): Buffer => {
-  const stage = new DiskFixture();
-  addSnapshotPieces(stage, new LogStore(stage.disk), lastIndex);
-  return stage.disk.peek("snapshot-part");
+  const fixture = new DiskFixture();
+  addSnapshotPieces(fixture, new LogStore(fixture.disk), lastIndex);
+  return fixture.disk.peek("snapshot-part");
 };
 
-/** What a member finds in a folder whose clearing began but didn't end, and the files there. */
+/** Loads a folder whose clearing was interrupted; returns the result and the names of the files left. */
 export const loadAfterInterruptedClear = (): { found: string; names: string[] } => {
-  const stage = new DiskFixture(writeSampleStorage());
-  stage.run(new LogStore(stage.disk).clear());
-  const found = stage.run(new LogStore(stage.disk).load()).kind;
-  return { found, names: [...stage.files.keys()].sort() };
+  const fixture = new DiskFixture(writeSampleStorage());
+  fixture.run(new LogStore(fixture.disk).clear());
+  const found = fixture.run(new LogStore(fixture.disk).load()).kind;
+  return { found, names: [...fixture.files.keys()].sort() };
 };
 
-/** A record behind its length and checksum, as the log holds it. */
+/** A log record with its length and checksum. */
 export const encodeRecord = (text: string): Uint8Array => withChecksum(Buffer.from(text, "utf8"));
 
-/** A configuration of the history, as a piece of it travels. */
+/** The encoded piece of the history that daemons send, with two configurations. */
 export const encodeHistoryPiece = (): Uint8Array =>
   ConfigHistory.packPiece([2, 3].map(createConfiguration));
 
-/** The configurations of a piece of the history that begins with the second. */
+/** Decodes a piece of the history whose first configuration has sequence 2. */
 export const readHistoryPiece = (bytes: Uint8Array) =>
   ConfigHistory.unpackPiece(bytes, 2).map(describeConfiguration);
 
-/** A fleet of one member, which leads alone. */
+/** A cluster with a single member, which is the leader. */
 export class SingleMemberCluster extends ClusterFixture {
-  /** Begins on a data folder, or on an empty disk; `snapshotBytes` is after how many bytes it writes a snapshot. */
+  /** Starts on a data folder, or on an empty disk; writes a snapshot after `snapshotBytes` bytes of log. */
   constructor(
     files: Files,
     private readonly snapshotBytes?: number,
@@ -327,41 +331,41 @@
 
   protected override daemonOptions(): DaemonOptions {
     const { snapshotBytes } = this;
-    const waits = snapshotBytes === undefined ? {} : { snapshotBytes };
-    return { ...super.daemonOptions(), replicationTimeouts: waits };
+    const replicationTimeouts = snapshotBytes === undefined ? {} : { snapshotBytes };
+    return { ...super.daemonOptions(), replicationTimeouts };
   }
 
-  /** Kills the process and starts it again; ends once it leads. */
+  /** Kills the process, starts it again, and waits until it leads. */
   restart(): void {
     if (this.member.daemon) this.kill(this.member);
     this.boot(this.member);
     this.waitUntil(() => this.member.daemon?.replicationNode?.holdsLease === true, 20_000);
   }
 
-  /** Has an entry committed and gives its outcome. */
+  /** Commits a log entry and returns its outcome. */
   commitEntry(text: string): string {
     const { replicationNode } = this.member.daemon ?? {};
-    if (!replicationNode) throw new Error("The member doesn't run.");
+    if (!replicationNode) throw new Error("the member is not running");
     const proposed = runTaskOn(this.virtualClock, replicationNode.propose(text));
     if (proposed.kind !== "committed")
-      throw new Error(`The entry was not taken: ${proposed.kind}.`);
+      throw new Error(`the entry was not committed: ${proposed.kind}`);
     return proposed.outcome;
   }
 
-  /** How much of another leader's snapshot it holds. */
+  /** The bytes received of another leader's snapshot. */
   get receivedSnapshotBytes(): number {
     return this.member.daemon?.replicationNode?.receivedSnapshotBytes ?? 0;
   }
 
-  /** The text of an accepted configuration, as the member finds it. */
+  /** The text of an accepted configuration, as the member reads it. */
   configurationText(sequence: number): string | undefined {
     return this.readConfig(this.member, sequence);
   }
 
-  /** What its disk holds now. */
+  /** The files on the member's disk now. */
   get files(): Files {
     const { disk } = this.member;
-    if (!disk) throw new Error("The member has no disk.");
+    if (!disk) throw new Error("the member has no disk");
     const names = runTaskOn(this.virtualClock, disk.list());
     return new Map(names.map((name) => [name, disk.peek(name)]));
   }
--- a/test/tools/check-words.test.ts
+++ b/test/tools/check-words.test.ts
@@ -1,3 +1,4 @@
+/** Guards against a word check that misses withdrawn words, or that rejects ordinary ones. */
 import { spawnSync } from "node:child_process";
 import { cpSync, mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -5,19 +6,19 @@
 import { array, create, string, type } from "superstruct";
 import { expect, test } from "vitest";
 
-/** Runs the check over a folder of its own that holds one source file. */
+/** Runs the check in a temporary folder that contains one source file. */
 const runCheck = (source: string): { code: number | null; output: string } => {
   const root = mkdtempSync(join(tmpdir(), "words-"));
   try {
     cpSync("tools", join(root, "tools"), { recursive: true });
     for (const folder of checkedFolders()) mkdirSync(join(root, folder), { recursive: true });
-    const [first] = checkedFolders();
-    writeFileSync(join(root, first ?? "", "planted.ts"), source);
-    const ran = spawnSync(process.execPath, ["tools/check-words.mjs"], {
+    const [firstFolder] = checkedFolders();
+    writeFileSync(join(root, firstFolder ?? "", "planted.ts"), source);
+    const child = spawnSync(process.execPath, ["tools/check-words.mjs"], {
       cwd: root,
       encoding: "utf8",
     });
-    return { code: ran.status, output: ran.stderr };
+    return { code: child.status, output: child.stderr };
   } finally {
     rmSync(root, { recursive: true });
   }
@@ -28,7 +29,7 @@
   return create(list, type({ folders: array(string()) })).folders;
 };
 
-test("a withdrawn word in a folder that is done fails the check, in comments and inside names", () => {
+test("a withdrawn word in a checked folder fails the check, in comments and inside identifiers", () => {
   expect(runCheck("/** Hands it to the ferry. */\n").code).toBe(1);
   expect(runCheck("const newContract = 1;\n").output).toContain(
     '1: "Contract", better: registration',
@@ -36,7 +37,7 @@
   expect(runCheck("const checkpointBytes = 1;\n").code).toBe(1);
 });
 
-test("ordinary words pass, and so do names imported from folders that aren't done", () => {
+test("ordinary words and names imported from other folders pass", () => {
   expect(runCheck("/** A contractual matter; indoors. */\nconst backend = 1;\n").code).toBe(0);
   expect(
     runCheck(
--- a/test/tools/lint.test.ts
+++ b/test/tools/lint.test.ts
@@ -1,3 +1,4 @@
+/** Guards against a change of the lint configuration that disables a rule of the project without notice. */
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -7,7 +8,7 @@
 
 const PLANTED_FOLDER = "src/sketch";
 
-/** The rules that a planted source file breaks, as errors; the file isn't written anywhere. */
+/** The rules that a source file violates with severity error; the file is not written to disk. */
 const violatedRules = async (source: string, fileName = "planted.ts"): Promise<string[]> => {
   const eslint = new ESLint({
     overrideConfig: {
@@ -23,7 +24,7 @@
     .map(({ ruleId }) => ruleId ?? "parser error");
 };
 
-/** How prettier's check of one file with this content ends. */
+/** The exit code of prettier's check of a file with this content. */
 const prettierExitCode = (source: string): number | null => {
   const folder = mkdtempSync(join(tmpdir(), "prettier-"));
   try {
@@ -39,23 +40,23 @@
 const DOCUMENTED =
   "/** Adds one. */\nexport const increment = (value: number): number => value + 1;\n";
 
-describe("eslint in a finished folder", () => {
+describe("eslint in a folder listed as finished", () => {
   test("accepts a short documented function in a file with a kebab-case name", async () => {
     expect(await violatedRules(DOCUMENTED)).toEqual([]);
   });
 
-  test("refuses an exported function without a doc comment", async () => {
+  test("rejects an exported function without a doc comment", async () => {
     const source = "export const increment = (value: number): number => value + 1;\n";
     expect(await violatedRules(source)).toEqual(["jsdoc/require-jsdoc"]);
   });
 
-  test("refuses a file name in camel case", async () => {
+  test("rejects a file name in camel case", async () => {
     expect(await violatedRules(DOCUMENTED, "plantedFile.ts")).toEqual([
       "check-file/filename-naming-convention",
     ]);
   });
 
-  test("refuses a function of over 60 lines, and a file of over 350", async () => {
+  test("rejects a function of over 60 lines and a file of over 350 lines", async () => {
     const lines = (count: number): string => "  total += 1;\n".repeat(count);
     const source = (count: number): string =>
       `/** Counts. */\nexport const count = (): number => {\n  let total = 0;\n${lines(count)}  return total;\n};\n`;
@@ -64,7 +65,7 @@
     expect(await violatedRules(source(400))).toEqual(["max-lines-per-function", "max-lines"]);
   });
 
-  test("refuses a function with more than 12 paths", async () => {
+  test("rejects a function with a cyclomatic complexity over 12", async () => {
     const branches = Array.from(
       { length: 13 },
       (_, index) => `  if (value === ${index}) return ${index};\n`,
@@ -73,7 +74,7 @@
     expect(await violatedRules(source)).toEqual(["complexity"]);
   });
 
-  test("refuses any, casts and non-null assertions", async () => {
+  test("rejects any, type assertions and non-null assertions", async () => {
     const source = (expression: string): string =>
       `/** A value. */\nexport const value = (given: number | undefined): number => ${expression};\n`;
     expect(await violatedRules(source("given!"))).toContain(
@@ -89,7 +90,7 @@
 });
 
 describe("prettier", () => {
-  test("accepts its own format and refuses another", () => {
+  test("accepts formatted source and rejects unformatted source", () => {
     expect(prettierExitCode(DOCUMENTED)).toBe(0);
     expect(prettierExitCode("export const  value=1\n")).toBe(1);
   });
