--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -46,7 +46,7 @@
 
 const fleetUp = (profile: Profile, seed: number, rate: number): Simulation => {
   const simulation = new Simulation(profile, seed, rate);
-  simulation.begin();
+  simulation.startAll();
   until(
     simulation,
     () =>
@@ -119,7 +119,7 @@
       simulation.start(simulation.workload.putConfig());
       until(
         simulation,
-        () => simulation.recorder.of("accepted").some(({ sequence }) => sequence === wanted),
+        () => simulation.recorder.ofKind("accepted").some(({ sequence }) => sequence === wanted),
         10_000,
       );
       const startMs = simulation.virtualClock.nowMs();
@@ -151,12 +151,12 @@
   const [before, fromMs, keyed] = [
     status(),
     simulation.virtualClock.nowMs(),
-    simulation.recorder.callers.length,
+    simulation.recorder.clientRecords.length,
   ];
   simulation.virtualClock.runUntil(fromMs + 10_000);
   const after = status();
   if (!before || !after) return;
-  const writes = simulation.recorder.callers
+  const writes = simulation.recorder.clientRecords
     .slice(keyed)
     .filter(({ key }) => key !== undefined).length;
   const entries = after.written - before.written;
--- a/src/benchmarks/retry-budget-benchmark.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -33,19 +33,19 @@
   forMs: number,
 ): Decided => {
   const simulation = new Simulation(profile, seed, rate);
-  simulation.begin();
+  simulation.startAll();
   simulation.start(simulation.workload.putConfig());
   simulation.virtualClock.runUntil(20_000);
   const edges = simulation.machines.filter(
     (machine): machine is SimulatedMachine => machine.settings.callers !== undefined,
   );
   const [only] = edges;
-  const [service = ""] = Object.keys(profile.backEnds);
+  const [service = ""] = Object.keys(profile.backends);
   for (const testBackend of simulation.testBackends)
     if (testBackend.service === service)
-      testBackend.behave({
-        losesPart,
-        ...(where === "one" && only ? { onlyFrom: only.daemon?.name ?? "" } : {}),
+      testBackend.setBehavior({
+        lossFraction: losesPart,
+        ...(where === "one" && only ? { onlyFromDaemon: only.daemon?.name ?? "" } : {}),
       });
   const decided: Decided = {
     granted: 0,
@@ -74,9 +74,9 @@
     const nowMs = simulation.virtualClock.nowMs();
     for (; readRuns < simulation.recorder.runs.length; readRuns += 1) {
       const run = simulation.recorder.runs[readRuns];
-      if (!run || run.meant !== service) continue;
-      if (tried.has(run.caller)) further.push(run.atMs);
-      tried.add(run.caller);
+      if (!run || run.intendedService !== service) continue;
+      if (tried.has(run.requestId)) further.push(run.atMs);
+      tried.add(run.requestId);
     }
     let hasRoom: boolean | undefined;
     for (const edge of edges) {
@@ -107,8 +107,8 @@
   nowMs: number,
 ): boolean => {
   const requests: number[] = [];
-  for (let at = simulation.recorder.callers.length - 1; at >= 0; at -= 1) {
-    const record = simulation.recorder.callers[at];
+  for (let at = simulation.recorder.clientRecords.length - 1; at >= 0; at -= 1) {
+    const record = simulation.recorder.clientRecords[at];
     if (!record || record.endedMs < nowMs - RETRY_WINDOW_MS) break;
     if (record.service === service && record.sentMs > nowMs - RETRY_WINDOW_MS)
       requests.push(record.sentMs);
@@ -130,7 +130,7 @@
   nowMs: number,
 ): void => {
   const truth = simulation.recorder.runs.filter(
-    (run) => run.meant === service && run.atMs > nowMs - RETRY_WINDOW_MS,
+    (run) => run.intendedService === service && run.atMs > nowMs - RETRY_WINDOW_MS,
   ).length;
   for (const { daemon } of edges) {
     const told = daemon?.fleetRetryCounts(service);
--- a/src/fleet/fleet-client.ts
+++ b/src/fleet/fleet-client.ts
@@ -3,22 +3,22 @@
 import type { ProxyRequest } from "../proxy/proxy-request.js";
 import type { ClientResponse } from "../proxy/request-outcome.js";
 import { type Task, fromPromise } from "../runtime/task.js";
-import type { ClientSide } from "../simulation/client-transport.js";
+import type { ClientOutcome } from "../simulation/client-transport.js";
 import { CLIENT_TIMEOUT_MS } from "../simulation/workload.js";
 
 const ADMIN_TIMEOUT_MS = 5000;
 const MAX_CONNECTIONS_PER_DAEMON = 200;
 
 /** What a client records where no response came. */
-export const noResponse = (broke: ClientSide["broke"]): ClientSide => ({
+export const noResponse = (broke: ClientOutcome["failure"]): ClientOutcome => ({
   code: 0,
-  broke,
+  failure: broke,
   body: Buffer.alloc(0),
-  statedBytes: undefined,
+  contentLength: undefined,
   retryAfterS: undefined,
 });
 
-const failureOf = (error: unknown, timeoutMs: number): ClientSide["broke"] => {
+const failureOf = (error: unknown, timeoutMs: number): ClientOutcome["failure"] => {
   if (!(error instanceof Error)) return "broken";
   if (error.name === "TimeoutError") return timeoutMs < CLIENT_TIMEOUT_MS ? "hungUp" : "silent";
   return "code" in error && error.code === "ECONNREFUSED" ? "refused" : "broken";
@@ -40,7 +40,7 @@
   private readonly pools = new Map<string, Pool>();
 
   /** Sends one request; a client that has no response by its timeout hangs up. */
-  *call(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
+  *call(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientOutcome> {
     const outcome = yield* fromPromise(
       this.pool(address)
         .request({
@@ -60,9 +60,9 @@
     const { statusCode, headers, body } = outcome.value;
     return {
       code: statusCode,
-      broke: "",
+      failure: "",
       body,
-      statedBytes: numberOf(headers["content-length"]),
+      contentLength: numberOf(headers["content-length"]),
       retryAfterS: numberOf(headers["retry-after"]),
     };
   }
--- a/src/fleet/fleet-layout.ts
+++ b/src/fleet/fleet-layout.ts
@@ -80,8 +80,8 @@
 /** Lays a fleet out in a new folder. */
 export const layOutFleet = async (profile: Profile): Promise<FleetLayout> => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-fleet-"));
-  const count = profile.diskMachines + profile.smallMachines;
-  const backendCount = Object.values(profile.backEnds).reduce((sum, many) => sum + many, 0);
+  const count = profile.diskMachines + profile.disklessMachines;
+  const backendCount = Object.values(profile.backends).reduce((sum, many) => sum + many, 0);
   const ports = await freePorts(count * PORTS_PER_MACHINE + backendCount);
   const address = (portIndex: number): string => `127.0.0.1:${ports[portIndex] ?? 0}`;
   const machines: FleetMachine[] = [];
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -10,7 +10,7 @@
 import type { Settings } from "../daemon/settings.js";
 import { type Task, waitFor, fromPromise, runTask } from "../runtime/task.js";
 import { Workload } from "../simulation/workload.js";
-import type { ClientSide, ClientTransport } from "../simulation/client-transport.js";
+import type { ClientOutcome, ClientTransport } from "../simulation/client-transport.js";
 import { RandomDraw } from "../simulation/random-draw.js";
 import { EventRecorder } from "../simulation/event-recorder.js";
 import type { Profile } from "../simulation/profile.js";
@@ -67,7 +67,7 @@
       ]),
     );
     const ports = [...backendPorts];
-    this.testBackends = Object.entries(profile.backEnds).flatMap(([service, many]) =>
+    this.testBackends = Object.entries(profile.backends).flatMap(([service, many]) =>
       Array.from(
         { length: many },
         (_, at) =>
@@ -96,14 +96,14 @@
     for (const machine of this.machines) this.boot(machine);
     for (const machine of this.machines) this.start(this.watchReadiness(machine));
     for (const testBackend of this.testBackends)
-      this.start(this.workload.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
+      this.start(this.workload.sendHeartbeats(testBackend, HEARTBEAT_INTERVAL_MS));
   }
 
   /** Starts the clients' requests. */
   beginCalls(): void {
-    for (const traffic of this.profile.traffic) this.start(this.workload.callers(traffic));
-    this.start(this.workload.probers(PROBES_PER_SECOND));
-    this.start(this.workload.operators.reading(CONFIG_READ_INTERVAL_MS));
+    for (const traffic of this.profile.traffic) this.start(this.workload.runClients(traffic));
+    this.start(this.workload.runProbes(PROBES_PER_SECOND));
+    this.start(this.workload.operators.readPeriodically(CONFIG_READ_INTERVAL_MS));
   }
 
   boot(machine: FleetMachine): void {
@@ -137,7 +137,7 @@
   *kill(machine: FleetMachine): Task {
     const child = machine.process;
     if (!child) return;
-    this.recorder.world.push({
+    this.recorder.environmentRecords.push({
       kind: "killed",
       atMs: this.clock.nowMs(),
       daemon: machine.settings.machine,
@@ -165,7 +165,7 @@
       child.once("exit", () => done(true));
       child.kill("SIGTERM");
     });
-    this.recorder.world.push({
+    this.recorder.environmentRecords.push({
       kind: "stopped",
       atMs,
       daemon: machine.settings.machine,
@@ -175,7 +175,7 @@
 
   /** Ends a backend: its port closes and its connections break. */
   *crash(testBackend: TestBackend): Task {
-    testBackend.end();
+    testBackend.stop();
     const server = this.servers.get(testBackend.address);
     this.servers.delete(testBackend.address);
     if (!server) return;
@@ -274,14 +274,15 @@
       clock: this.clock,
       random: this.random,
       start: (task) => this.start(task),
-      ready: () =>
+      readyDaemons: () =>
         this.machines
           .filter((one) => one.settings.callers !== undefined && one.isReady)
           .map(({ settings }) => settings),
       isUp: (daemon) =>
         this.machines.some((one) => one.settings.machine === daemon && one.process !== undefined),
-      call: (daemon, clientRequest, timeoutMs) => this.call(daemon, clientRequest, timeoutMs),
-      desk: (daemon, clientRequest) => this.desk(daemon, clientRequest),
+      sendRequest: (daemon, clientRequest, timeoutMs) =>
+        this.call(daemon, clientRequest, timeoutMs),
+      sendAdminRequest: (daemon, clientRequest) => this.desk(daemon, clientRequest),
     };
   }
 
@@ -289,7 +290,11 @@
     return this.machines.find(({ settings }) => settings.machine === name)?.settings;
   }
 
-  private *call(daemon: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
+  private *call(
+    daemon: string,
+    clientRequest: ProxyRequest,
+    timeoutMs: number,
+  ): Task<ClientOutcome> {
     const address = this.settingsOf(daemon)?.callers;
     if (address === undefined) return noResponse("refused");
     return yield* this.client.call(address, clientRequest, timeoutMs);
--- a/src/fleet/main.ts
+++ b/src/fleet/main.ts
@@ -81,7 +81,7 @@
   }
   if (leaver) {
     say(`${leaver.address} of ${leaver.service} leaves`);
-    yield* fleet.workload.leave(leaver);
+    yield* fleet.workload.deregister(leaver);
     yield* sleep(clock, 3000);
     yield* fleet.crash(leaver);
   }
@@ -92,7 +92,7 @@
     say(`${reused.address} of ${reused.service} is reused by ${other}`);
     yield* fleet.crash(reused);
     yield* sleep(clock, 1500);
-    fleet.recorder.world.push({
+    fleet.recorder.environmentRecords.push({
       kind: "reused",
       atMs: clock.nowMs(),
       address: reused.address,
@@ -102,21 +102,21 @@
   }
   if (liar) {
     say(`${liar.address} of ${liar.service} loses answers, sends garbage and cuts bodies short`);
-    liar.behave({ losesPart: 0.3, garbagePart: 0.3, cutPart: 0.3 });
+    liar.setBehavior({ lossFraction: 0.3, garbageFraction: 0.3, truncatedFraction: 0.3 });
   }
   yield* after(0.55, startedMs);
   if (edgeToFreeze) {
     say(`${edgeToFreeze.settings.machine}, an edge, is frozen for twice a grant`);
     yield* fleet.freeze(edgeToFreeze, 3200);
   }
-  liar?.behave({});
+  liar?.setBehavior({});
   yield* after(0.6, startedMs);
-  const [service] = Object.keys(fleet.profile.backEnds);
+  const [service] = Object.keys(fleet.profile.backends);
   const broken = fleet.testBackends.filter((testBackend) => testBackend.service === service);
   say(`all ${broken.length} back ends of ${service ?? ""} lose 7 of 10 answers`);
-  for (const testBackend of broken) testBackend.behave({ losesPart: 0.7 });
+  for (const testBackend of broken) testBackend.setBehavior({ lossFraction: 0.7 });
   yield* after(0.7, startedMs);
-  for (const testBackend of broken) testBackend.behave({});
+  for (const testBackend of broken) testBackend.setBehavior({});
   yield* decisions(fleet);
   if (edgeToStop) {
     say(`${edgeToStop.settings.machine}, an edge, is told to stop and started again`);
@@ -125,7 +125,7 @@
     fleet.boot(edgeToStop);
   }
   yield* after(0.8, startedMs);
-  fleet.recorder.world.push({ kind: "recovered", atMs: clock.nowMs() });
+  fleet.recorder.environmentRecords.push({ kind: "recovered", atMs: clock.nowMs() });
 };
 
 const program = cac("fleet");
@@ -150,7 +150,7 @@
     for (const name of ["SIGINT", "SIGTERM"] as const)
       process.once(name, () => void fleet.end(false).then(() => process.exit(130)));
     say(
-      `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.smallMachines} small ones, ${fleet.testBackends.length} back ends; logs under ${fleet.folder}`,
+      `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.disklessMachines} small ones, ${fleet.testBackends.length} back ends; logs under ${fleet.folder}`,
     );
     if (!(await startFleet(fleet))) process.exit(1);
     say("All machines are ready and a config is in force; callers come");
--- a/src/fleet/report.ts
+++ b/src/fleet/report.ts
@@ -2,7 +2,12 @@
 import type { Task } from "../runtime/task.js";
 import type { Fleet } from "./fleet.js";
 import type { ClientRecord } from "../simulation/event-recorder.js";
-import { checkRules, rules, servedPart, worstRepeats } from "../simulation/invariant-checker.js";
+import {
+  checkRules,
+  rules,
+  servedFraction,
+  findPeakRetries,
+} from "../simulation/invariant-checker.js";
 import { type Profile, shippedProfiles } from "../simulation/profile.js";
 
 const upMs = 30_000;
@@ -21,7 +26,7 @@
   const { recorder } = fleet;
   const tallied = (nameOf: (record: ClientRecord) => string): string => {
     const counts = new Map<string, number>();
-    for (const record of recorder.callers)
+    for (const record of recorder.clientRecords)
       counts.set(nameOf(record), (counts.get(nameOf(record)) ?? 0) + 1);
     return [...counts]
       .sort(([a], [b]) => a.localeCompare(b))
@@ -29,18 +34,18 @@
       .join(", ");
   };
   say(
-    `Requests: ${recorder.callers.length}, ${(servedPart(recorder, fromMs, Infinity) * 100).toFixed(2)}% served`,
+    `Requests: ${recorder.clientRecords.length}, ${(servedFraction(recorder, fromMs, Infinity) * 100).toFixed(2)}% served`,
   );
-  say(`  by return: ${tallied(({ code, broke }) => (code === 0 ? broke : String(code)))}`);
+  say(`  by return: ${tallied(({ code, failure: broke }) => (code === 0 ? broke : String(code)))}`);
   say(
-    `  by verdict: ${tallied(({ code, verdict }) => (code === 0 ? "none heard" : verdict || "ran"))}`,
+    `  by verdict: ${tallied(({ code, executionStatus: verdict }) => (code === 0 ? "none heard" : verdict || "ran"))}`,
   );
   for (const { route, method } of fleet.profile.traffic) {
     const sample = fleet.profile.traffic
       .find((one) => one.route === route)
       ?.path(0)
       .split("/")[1];
-    const took = recorder.callers
+    const took = recorder.clientRecords
       .filter(
         (one) =>
           one.method === method &&
@@ -55,9 +60,9 @@
     );
   }
   say(
-    `Tries that reached back ends: ${recorder.runs.length}; configs accepted: ${recorder.of("accepted").length}`,
+    `Tries that reached back ends: ${recorder.runs.length}; configs accepted: ${recorder.ofKind("accepted").length}`,
   );
-  for (const [service, { further, requests, allowed }] of worstRepeats(recorder))
+  for (const [service, { retries: further, requests, allowed }] of findPeakRetries(recorder))
     say(
       `  ${service}: worst ten seconds had ${further} repeats with ${requests} requests, ${Math.floor(allowed)} allowed`,
     );
@@ -67,7 +72,7 @@
     say(
       `${own.length === 0 ? "kept  " : "BROKEN"} ${rule}${own.length > 0 ? ` (${own.length} times)` : ""}`,
     );
-    for (const { what } of own.slice(0, 5)) say(`         ${what}`);
+    for (const { detail: what } of own.slice(0, 5)) say(`         ${what}`);
   }
   if (fleet.failures.length > 0)
     say(`BROKEN the rehearsal itself broke down ${fleet.failures.length} times; it proves nothing`);
@@ -85,7 +90,7 @@
     await fleet.perform(
       fleet.until(
         () =>
-          new Set(fleet.recorder.of("announced").map(({ address }) => address)).size >=
+          new Set(fleet.recorder.ofKind("announced").map(({ address }) => address)).size >=
           fleet.testBackends.length,
         upMs,
       ),
--- a/src/fleet/test-backend-server.ts
+++ b/src/fleet/test-backend-server.ts
@@ -31,12 +31,12 @@
         headers: headersOf(incoming),
         body: Buffer.concat(chunks),
       };
-      const reply = testBackend.run(request, clock.nowMs());
-      clock.after(reply.waitMs, () => {
+      const reply = testBackend.handleRequest(request, clock.nowMs());
+      clock.after(reply.delayMs, () => {
         if (reply.isLost) return outgoing.destroy();
         outgoing.writeHead(reply.code, reply.headers);
-        if (reply.cutAt === undefined) return outgoing.end(reply.body);
-        outgoing.write(reply.body.subarray(0, reply.cutAt), () => outgoing.destroy());
+        if (reply.truncateAt === undefined) return outgoing.end(reply.body);
+        outgoing.write(reply.body.subarray(0, reply.truncateAt), () => outgoing.destroy());
       });
     });
   });
--- a/src/fleet/zone-drill.ts
+++ b/src/fleet/zone-drill.ts
@@ -2,7 +2,7 @@
 import { sleep } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import { Fleet } from "./fleet.js";
-import { servedPart } from "../simulation/invariant-checker.js";
+import { servedFraction } from "../simulation/invariant-checker.js";
 import { startFleet, applyConfigurations, profileNamed, say, stopFleet } from "./report.js";
 
 interface Options {
@@ -75,7 +75,7 @@
     await fleet.perform(sleep(clock, options.seconds * 1000));
     const backMs = clock.nowMs();
     await fleet.perform(bringBack(fleet, zone));
-    recorder.world.push({ kind: "recovered", atMs: clock.nowMs() });
+    recorder.environmentRecords.push({ kind: "recovered", atMs: clock.nowMs() });
     const ready = await fleet.perform(
       fleet.until(() => fleet.machines.every(({ isReady }) => isReady), hours.recoverMs),
     );
@@ -84,7 +84,7 @@
     const endMs = clock.nowMs();
     const breaches = await stopFleet(fleet, fromMs);
     say(
-      `Served before ${percent(servedPart(recorder, fromMs, outMs))}, in the first 5 s without the zone ${percent(servedPart(recorder, outMs, outMs + 5000))}, then ${percent(servedPart(recorder, outMs + 5000, backMs))}, after its return ${percent(servedPart(recorder, backMs, endMs))}`,
+      `Served before ${percent(servedFraction(recorder, fromMs, outMs))}, in the first 5 s without the zone ${percent(servedFraction(recorder, outMs, outMs + 5000))}, then ${percent(servedFraction(recorder, outMs + 5000, backMs))}, after its return ${percent(servedFraction(recorder, backMs, endMs))}`,
     );
     say(
       ready
--- a/src/simulation/client-call.ts
+++ b/src/simulation/client-call.ts
@@ -2,7 +2,7 @@
 import type { ClientConnection, ProxyRequest } from "../proxy/proxy-request.js";
 import { type Clock, withTimeout } from "../runtime/clock.js";
 import { type Task, waitFor } from "../runtime/task.js";
-import type { ClientSide } from "./client-transport.js";
+import type { ClientOutcome } from "./client-transport.js";
 import { EventGate } from "./event-gate.js";
 import type { SimulatedMachine } from "./simulated-machine.js";
 import type { VirtualNetwork } from "./virtual-network.js";
@@ -18,19 +18,19 @@
 /** The gate of everything outside the fleet, which never dies. */
 const outsideGate = new EventGate();
 
-const noResponse = (broke: ClientSide["broke"]): ClientSide => ({
+const noResponse = (broke: ClientOutcome["failure"]): ClientOutcome => ({
   code: 0,
-  broke,
+  failure: broke,
   body: Buffer.alloc(0),
-  statedBytes: undefined,
+  contentLength: undefined,
   retryAfterS: undefined,
 });
 
-const completed = (code: number, headers: Record<string, string>, body: Buffer): ClientSide => ({
+const completed = (code: number, headers: Record<string, string>, body: Buffer): ClientOutcome => ({
   code,
-  broke: "",
+  failure: "",
   body,
-  statedBytes: Number(headers["content-length"] ?? body.length),
+  contentLength: Number(headers["content-length"] ?? body.length),
   retryAfterS: headers["retry-after"] === undefined ? undefined : Number(headers["retry-after"]),
 });
 
@@ -62,11 +62,11 @@
   }
 
   /** Sends the request; a client that has no response by its timeout hangs up. */
-  *run(timeoutMs: number): Task<ClientSide> {
+  *run(timeoutMs: number): Task<ClientOutcome> {
     const { clock, network } = this.environment;
-    const end = yield* withTimeout<ClientSide>(clock, timeoutMs, (done) => {
+    const end = yield* withTimeout<ClientOutcome>(clock, timeoutMs, (done) => {
       const arrive = (): void => this.arrive(done);
-      clock.after(network.connectMs(), () =>
+      clock.after(network.drawConnectDelayMs(), () =>
         network.deliver(CLIENTS_LOCATION, this.name, outsideGate, arrive, () =>
           done(noResponse("silent")),
         ),
@@ -78,7 +78,7 @@
   }
 
   /** Delivers what the client receives, over the network. */
-  private deliverBack(outcome: ClientSide, done: (outcome: ClientSide) => void): void {
+  private deliverBack(outcome: ClientOutcome, done: (outcome: ClientOutcome) => void): void {
     this.environment.network.deliver(
       this.name,
       CLIENTS_LOCATION,
@@ -89,7 +89,7 @@
   }
 
   /** The request arrives at the machine. */
-  private arrive(done: (outcome: ClientSide) => void): void {
+  private arrive(done: (outcome: ClientOutcome) => void): void {
     const { machine, clientRequest } = this;
     if (!machine?.daemon || !machine.gate.isAlive)
       return this.deliverBack(noResponse("refused"), done);
@@ -102,7 +102,7 @@
   private connect(
     machine: SimulatedMachine,
     gate: EventGate,
-    deliver: (outcome: ClientSide) => void,
+    deliver: (outcome: ClientOutcome) => void,
   ): ClientConnection {
     const { clock, network, random } = this.environment;
     let isClosed = false;
@@ -111,7 +111,7 @@
       isClosed = true;
       machine.exitListeners.delete(onExit);
     };
-    const finish = (outcome: ClientSide): void => {
+    const finish = (outcome: ClientOutcome): void => {
       close();
       deliver(outcome);
     };
--- a/src/simulation/client-transport.ts
+++ b/src/simulation/client-transport.ts
@@ -6,11 +6,11 @@
 import type { ClientRecord } from "./event-recorder.js";
 
 /** How a caller's request ended, as the caller saw it. */
-export interface ClientSide {
+export interface ClientOutcome {
   readonly code: number;
-  readonly broke: ClientRecord["broke"];
+  readonly failure: ClientRecord["failure"];
   readonly body: Buffer;
-  readonly statedBytes: number | undefined;
+  readonly contentLength: number | undefined;
   readonly retryAfterS: number | undefined;
 }
 
@@ -19,12 +19,12 @@
   readonly clock: Clock;
   random(): number;
   /** The edges that the platform sends new connections to. */
-  ready(): Array<Pick<Settings, "machine" | "zone">>;
+  readyDaemons(): Array<Pick<Settings, "machine" | "zone">>;
   /** Whether a daemon's process runs, so that a kept connection to it may be used though it takes no new ones. */
   isUp(daemon: string): boolean;
-  call(daemon: string, clientRequest: ProxyRequest, patienceMs: number): Task<ClientSide>;
+  sendRequest(daemon: string, clientRequest: ProxyRequest, patienceMs: number): Task<ClientOutcome>;
   /** Asks the operators' port of a daemon, any daemon where none is named, from a back end's place or the operators'. */
-  desk(
+  sendAdminRequest(
     daemon: string | undefined,
     clientRequest: ProxyRequest,
     from?: string,
--- a/src/simulation/config-history-check.ts
+++ b/src/simulation/config-history-check.ts
@@ -84,7 +84,7 @@
  * compare-and-set on its base and versions only rise, so a history is linearizable exactly if the
  * accepted orders form a chain and no call shows less than a call that ended before it began.
  */
-export const configHistoryFaults = function* (
+export const configHistoryViolations = function* (
   commands: readonly ConfigCommandRecord[],
   reads: readonly ConfigReadRecord[],
 ): Iterable<string> {
--- a/src/simulation/config-workload.ts
+++ b/src/simulation/config-workload.ts
@@ -21,11 +21,11 @@
 }
 
 /** How an order is sent. */
-export interface CommandSender {
+export interface CommandSendOptions {
   /** The daemon that the next attempt is sent to; any daemon where it names none. */
-  readonly via?: () => string | undefined;
+  readonly chooseDaemon?: () => string | undefined;
   /** How long one attempt may stay without an answer. */
-  readonly patienceMs?: number;
+  readonly timeoutMs?: number;
 }
 
 const sequenced = type({ sequence: number() });
@@ -104,26 +104,34 @@
   }
 
   /** Draws up a change upon the newest version known, sends it, and tells whether it was acknowledged. */
-  *put(sending: CommandSender = {}): Task<boolean> {
+  *put(sending: CommandSendOptions = {}): Task<boolean> {
     return yield* this.submit(this.prepare(), sending);
   }
 
   /** Sends a change, and the same again after each attempt without a clear answer. */
-  *submit(change: ConfigChange, { via, patienceMs }: CommandSender = {}): Task<boolean> {
+  *submit(
+    change: ConfigChange,
+    { chooseDaemon: via, timeoutMs: patienceMs }: CommandSendOptions = {},
+  ): Task<boolean> {
     const { base, probe, text } = change;
     const { clock } = this.outside;
-    const record = this.recorder.order({ base, probe, startMs: clock.nowMs() });
-    this.recorder.world.push({ kind: "sent", atMs: clock.nowMs(), probe, text });
+    const record = this.recorder.addCommand({ base, probe, startMs: clock.nowMs() });
+    this.recorder.environmentRecords.push({ kind: "sent", atMs: clock.nowMs(), probe, text });
     for (let attempt = 0; attempt < attemptsOfOrder && !this.isOver(); attempt += 1) {
       const [daemon, sentMs] = [via?.(), clock.nowMs()];
-      const response = yield* this.outside.desk(daemon, orderJob(change), undefined, patienceMs);
+      const response = yield* this.outside.sendAdminRequest(
+        daemon,
+        orderJob(change),
+        undefined,
+        patienceMs,
+      );
       const atMs = clock.nowMs();
       record.attempts.push({ daemon, startMs: sentMs, endMs: atMs, code: response?.code ?? 0 });
       if (response?.code === 200) {
         const { sequence } = create(jsonIn(response.body), sequenced);
         this.sequence = Math.max(this.sequence, sequence);
         Object.assign(record, { outcome: "accepted", version: sequence, endMs: atMs });
-        this.recorder.world.push({ kind: "accepted", atMs, sequence, probe, text });
+        this.recorder.environmentRecords.push({ kind: "accepted", atMs, sequence, probe, text });
         return true;
       }
       if (response && response.code >= 400 && response.code < 500) {
@@ -132,7 +140,7 @@
         this.sequence = Math.max(this.sequence, current);
         const outcome = response.code === 412 ? "lost" : "refused";
         Object.assign(record, { outcome, version: current, endMs: atMs });
-        this.recorder.world.push({ kind: "rejected", atMs, probe });
+        this.recorder.environmentRecords.push({ kind: "rejected", atMs, probe });
         return false;
       }
       yield* sleep(clock, pauseMs);
@@ -144,14 +152,14 @@
   *read(via: string | undefined): Task {
     const { clock } = this.outside;
     const startMs = clock.nowMs();
-    const response = yield* this.outside.desk(via, readJob("/config"));
+    const response = yield* this.outside.sendAdminRequest(via, readJob("/config"));
     if (response?.code !== 200) return;
     const { sequence } = create(jsonIn(response.body), sequenced);
     this.recorder.configReads.push({ startMs, endMs: clock.nowMs(), version: sequence });
   }
 
   /** An operator who reads the newest configuration now and then, from any daemon. */
-  *reading(everyMs: number): Task {
+  *readPeriodically(everyMs: number): Task {
     while (!this.isOver()) {
       yield* sleep(this.outside.clock, everyMs * (0.5 + this.outside.random()));
       this.outside.start(this.read(undefined));
@@ -164,23 +172,26 @@
     const probe = (this.sequence + 1) * 1000 + (this.changes % 1000);
     const bad = malformedConfigs(profileConfig(this.profile, probe), this.profile, probe);
     const body = Buffer.from(bad[Math.floor(this.outside.random() * bad.length)] ?? "");
-    const response = yield* this.outside.desk(undefined, {
+    const response = yield* this.outside.sendAdminRequest(undefined, {
       method: "PUT",
       target: "/config",
       headers: { "if-match": `"${this.sequence}"` },
       body,
     });
     const atMs = this.outside.clock.nowMs();
-    if (response?.code === 400) this.recorder.world.push({ kind: "rejected", atMs, probe });
+    if (response?.code === 400)
+      this.recorder.environmentRecords.push({ kind: "rejected", atMs, probe });
     if (response && response.code < 300)
-      this.recorder.world.push({ kind: "tookMalformed", atMs, text: body.toString() });
+      this.recorder.environmentRecords.push({ kind: "tookMalformed", atMs, text: body.toString() });
   }
 
   /** Reads back every configuration that was accepted, at the end of a day; one that nobody returns reads as missing. */
   *readBack(): Task {
-    for (const sequence of new Set(this.recorder.of("accepted").map((record) => record.sequence))) {
+    for (const sequence of new Set(
+      this.recorder.ofKind("accepted").map((record) => record.sequence),
+    )) {
       const text = yield* this.textOf(sequence);
-      this.recorder.world.push({
+      this.recorder.environmentRecords.push({
         kind: "readBack",
         atMs: this.outside.clock.nowMs(),
         sequence,
@@ -191,7 +202,10 @@
 
   private *textOf(sequence: number): Task<string | undefined> {
     for (let attempt = 0; attempt < attemptsOfRead; attempt += 1) {
-      const response = yield* this.outside.desk(undefined, readJob(`/config/${sequence}`));
+      const response = yield* this.outside.sendAdminRequest(
+        undefined,
+        readJob(`/config/${sequence}`),
+      );
       if (response?.code === 200)
         return JSON.stringify(create(jsonIn(response.body), foundConfig).config);
       if (response && response.code !== 503) return undefined;
--- a/src/simulation/event-recorder.ts
+++ b/src/simulation/event-recorder.ts
@@ -11,31 +11,31 @@
   /** The return's code; 0 when the connection broke or was refused. */
   code: number;
   /** How the connection ended, for code 0. */
-  broke: "" | "refused" | "broken" | "silent" | "hungUp";
+  failure: "" | "refused" | "broken" | "silent" | "hungUp";
   /** Whose request the return speaks of, read from its body. */
-  bodyOf: string;
+  echoedId: string;
   /** Whether the body was as long as stated, and looked whole to the caller. */
-  isWhole: boolean;
+  isComplete: boolean;
   isGarbage: boolean;
   retryAfterS: number | undefined;
   /** What a daemon said of whether it ran; empty where it said nothing. */
-  verdict: string;
+  executionStatus: string;
 }
 
 /** What a back end recorded of one request that reached it. */
 export interface RunRecord {
   readonly atMs: number;
   /** How long a cut or lossy network kept it back after it was sent. */
-  readonly heldMs: number;
+  readonly delayedMs: number;
   readonly address: string;
   readonly service: string;
   readonly incarnation: number;
-  readonly caller: string;
+  readonly requestId: string;
   readonly path: string;
   readonly method: string;
   readonly key: string | undefined;
   /** The service that the daemon meant. */
-  readonly meant: string;
+  readonly intendedService: string;
 }
 
 /** One attempt at an order, at one daemon. */
@@ -82,7 +82,7 @@
   | { kind: "killed"; atMs: number; daemon: string }
   | { kind: "stopped"; atMs: number; daemon: string; endedMs: number }
   | { kind: "memberCut"; atMs: number; endMs: number; daemon: string }
-  | { kind: "membersLost"; atMs: number; how: string; machines: readonly string[] }
+  | { kind: "membersLost"; atMs: number; cause: string; machines: readonly string[] }
   | {
       kind: "orderedDuring";
       atMs: number;
@@ -90,20 +90,20 @@
       outcome: ConfigCommandRecord["outcome"];
       waitedMs: number;
     }
-  | { kind: "fault"; atMs: number; what: string }
+  | { kind: "fault"; atMs: number; name: string }
   | { kind: "recovered"; atMs: number };
 
 /** All that callers, back ends and operators recorded of one run, on one clock. */
 export class EventRecorder {
-  readonly callers: ClientRecord[] = [];
+  readonly clientRecords: ClientRecord[] = [];
   readonly runs: RunRecord[] = [];
-  readonly world: EnvironmentRecord[] = [];
-  readonly configOrders: ConfigCommandRecord[] = [];
+  readonly environmentRecords: EnvironmentRecord[] = [];
+  readonly configCommands: ConfigCommandRecord[] = [];
   readonly configReads: ConfigReadRecord[] = [];
   endMs = 0;
 
   /** Begins the record of an order, whose outcome is unknown until it is told. */
-  order(begun: Pick<ConfigCommandRecord, "startMs" | "base" | "probe">): ConfigCommandRecord {
+  addCommand(begun: Pick<ConfigCommandRecord, "startMs" | "base" | "probe">): ConfigCommandRecord {
     const record: ConfigCommandRecord = {
       ...begun,
       endMs: Infinity,
@@ -111,14 +111,16 @@
       version: 0,
       attempts: [],
     };
-    this.configOrders.push(record);
+    this.configCommands.push(record);
     return record;
   }
 
   /** The records of one kind. */
-  of<K extends EnvironmentRecord["kind"]>(kind: K): Array<Extract<EnvironmentRecord, { kind: K }>> {
+  ofKind<K extends EnvironmentRecord["kind"]>(
+    kind: K,
+  ): Array<Extract<EnvironmentRecord, { kind: K }>> {
     const isKind = (record: EnvironmentRecord): record is Extract<EnvironmentRecord, { kind: K }> =>
       record.kind === kind;
-    return this.world.filter(isKind);
+    return this.environmentRecords.filter(isKind);
   }
 }
--- a/src/simulation/faults/addresses.ts
+++ b/src/simulation/faults/addresses.ts
@@ -1,13 +1,13 @@
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
 import type { TestBackend } from "../test-backend.js";
-import { pick, rest, workingBackends } from "./targets.js";
+import { pick, sleepBetween, workingBackends } from "./targets.js";
 
 /** A back end ends without a word. */
 export const crashBackend = function* (simulation: Simulation): Task<TestBackend | undefined> {
   const one = pick(simulation, workingBackends(simulation));
-  one?.end();
-  yield* rest(simulation, 500, 6000);
+  one?.stop();
+  yield* sleepBetween(simulation, 500, 6000);
   return one;
 };
 
@@ -17,9 +17,9 @@
   one: TestBackend,
   services: readonly string[],
 ): Task {
-  yield* rest(simulation, 0, 3000);
+  yield* sleepBetween(simulation, 0, 3000);
   one.replace(pick(simulation, services) ?? one.service);
-  simulation.recorder.world.push({
+  simulation.recorder.environmentRecords.push({
     kind: "reused",
     atMs: simulation.virtualClock.nowMs(),
     address: one.address,
--- a/src/simulation/faults/backend-faults.ts
+++ b/src/simulation/faults/backend-faults.ts
@@ -1,11 +1,11 @@
 import { crashBackend, reassignAddress } from "./addresses.js";
-import { partition, oneWayOf, routesBetween } from "./partitions.js";
+import { partition, pickDirections, linksBetween } from "./partitions.js";
 import { reboot } from "./restarts.js";
 import {
   leaders,
   pick,
   machineNameOf,
-  rest,
+  sleepBetween,
   disklessMachines,
   workingBackends,
 } from "./targets.js";
@@ -19,27 +19,27 @@
   },
   *loseAnswers(simulation) {
     const some = workingBackends(simulation).filter(() => simulation.random() < 0.5);
-    for (const one of some) one.behave({ losesPart: 0.5 });
-    yield* rest(simulation, 2000, 8000);
-    for (const one of some) one.behave({});
+    for (const one of some) one.setBehavior({ lossFraction: 0.5 });
+    yield* sleepBetween(simulation, 2000, 8000);
+    for (const one of some) one.setBehavior({});
   },
   *sendGarbage(simulation) {
     const some = workingBackends(simulation).filter(() => simulation.random() < 0.3);
-    for (const one of some) one.behave({ garbagePart: 0.4, cutPart: 0.4 });
-    yield* rest(simulation, 2000, 6000);
-    for (const one of some) one.behave({});
+    for (const one of some) one.setBehavior({ garbageFraction: 0.4, truncatedFraction: 0.4 });
+    yield* sleepBetween(simulation, 2000, 6000);
+    for (const one of some) one.setBehavior({});
   },
   *slowBackEnds(simulation) {
     const some = workingBackends(simulation).filter(() => simulation.random() < 0.3);
-    for (const one of some) one.behave({ slowFactor: 30 + simulation.random() * 300 });
-    yield* rest(simulation, 2000, 8000);
-    for (const one of some) one.behave({});
+    for (const one of some) one.setBehavior({ slowFactor: 30 + simulation.random() * 300 });
+    yield* sleepBetween(simulation, 2000, 8000);
+    for (const one of some) one.setBehavior({});
   },
   *replaceBackEnds(simulation) {
     for (const one of workingBackends(simulation).filter(() => simulation.random() < 0.2)) {
-      if (yield* simulation.workload.leave(one)) yield* rest(simulation, 2600, 3200);
-      one.end();
-      yield* rest(simulation, 200, 900);
+      if (yield* simulation.workload.deregister(one)) yield* sleepBetween(simulation, 2600, 3200);
+      one.stop();
+      yield* sleepBetween(simulation, 200, 900);
       one.replace(one.service);
     }
   },
@@ -48,21 +48,21 @@
     const [leader] = leaders(simulation);
     if (!one || !leader) return;
     simulation.start(reboot(simulation, [leader]));
-    yield* simulation.workload.leave(one);
-    yield* rest(simulation, 4000, 5000);
+    yield* simulation.workload.deregister(one);
+    yield* sleepBetween(simulation, 4000, 5000);
     one.replace(one.service);
   },
   *reuseAddress(simulation) {
     const one = yield* crashBackend(simulation);
     if (!one) return;
-    const services = Object.keys(simulation.profile.backEnds).filter(
+    const services = Object.keys(simulation.profile.backends).filter(
       (service) => service !== one.service,
     );
     const few =
       workingBackends(simulation).filter(({ service }) => service === one.service).length < 5;
     const service = few ? one.service : (pick(simulation, services) ?? one.service);
     one.replace(service);
-    simulation.recorder.world.push({
+    simulation.recorder.environmentRecords.push({
       kind: "reused",
       atMs: simulation.virtualClock.nowMs(),
       address: one.address,
@@ -70,16 +70,16 @@
     });
   },
   *reuseManyAddresses(simulation) {
-    const services = Object.keys(simulation.profile.backEnds);
+    const services = Object.keys(simulation.profile.backends);
     const some = workingBackends(simulation).filter(() => simulation.random() < 0.35);
     if (simulation.random() < 0.5) simulation.start(reboot(simulation, leaders(simulation)));
     else
       simulation.start(
         partition(
           simulation,
-          oneWayOf(
+          pickDirections(
             simulation,
-            routesBetween(
+            linksBetween(
               disklessMachines(simulation).slice(0, 3).map(machineNameOf),
               some.map(({ address }) => address),
             ),
@@ -90,7 +90,7 @@
       );
     const former = some.map(({ service }) => service);
     for (const one of some) {
-      one.end();
+      one.stop();
       simulation.start(
         reassignAddress(
           simulation,
@@ -99,66 +99,66 @@
         ),
       );
     }
-    yield* rest(simulation, 6000, 8000);
+    yield* sleepBetween(simulation, 6000, 8000);
     for (const [at, one] of some.entries()) one.replace(former[at] ?? one.service);
   },
   *emptyService(simulation) {
-    const service = pick(simulation, Object.keys(simulation.profile.backEnds));
+    const service = pick(simulation, Object.keys(simulation.profile.backends));
     const all = workingBackends(simulation).filter((one) => one.service === service);
     const leaves = simulation.random() < 0.5;
     if (leaves) {
-      for (const one of all) simulation.start(simulation.workload.leave(one));
-      yield* rest(simulation, 2600, 3200);
+      for (const one of all) simulation.start(simulation.workload.deregister(one));
+      yield* sleepBetween(simulation, 2600, 3200);
     }
-    for (const one of all) one.end();
-    yield* rest(simulation, 500, 6000);
+    for (const one of all) one.stop();
+    yield* sleepBetween(simulation, 500, 6000);
     for (const one of all) one.replace(one.service);
   },
   *crashMostBackEnds(simulation) {
     const some = workingBackends(simulation).filter(() => simulation.random() < 0.75);
-    for (const one of some) one.end();
-    yield* rest(simulation, 500, 5000);
+    for (const one of some) one.stop();
+    yield* sleepBetween(simulation, 500, 5000);
     for (const one of some) one.replace(one.service);
   },
   *breakDownService(simulation) {
-    const service = pick(simulation, Object.keys(simulation.profile.backEnds));
+    const service = pick(simulation, Object.keys(simulation.profile.backends));
     const all = workingBackends(simulation).filter((one) => one.service === service);
-    const manners =
+    const behavior =
       pick(simulation, [
-        { losesPart: 1 },
-        { garbagePart: 1 },
-        { cutPart: 1 },
-        { losesPart: 0.7, garbagePart: 0.5 },
+        { lossFraction: 1 },
+        { garbageFraction: 1 },
+        { truncatedFraction: 1 },
+        { lossFraction: 0.7, garbageFraction: 0.5 },
       ]) ?? {};
-    for (const one of all) one.behave(manners);
+    for (const one of all) one.setBehavior(behavior);
     if (simulation.random() < 0.5) {
-      yield* rest(simulation, 300, 2000);
+      yield* sleepBetween(simulation, 300, 2000);
       yield* reboot(simulation, leaders(simulation));
     }
-    yield* rest(simulation, 2000, 8000);
-    for (const one of all) one.behave({});
+    yield* sleepBetween(simulation, 2000, 8000);
+    for (const one of all) one.setBehavior({});
   },
   *restartEdgesInBreakdown(simulation) {
     const all = workingBackends(simulation);
-    for (const one of all) one.behave({ losesPart: 0.6 });
+    for (const one of all) one.setBehavior({ lossFraction: 0.6 });
     const some = disklessMachines(simulation).slice(0, 3);
     for (let round = 0; round < 4; round += 1) {
       for (const machine of some) simulation.kill(machine);
-      yield* rest(simulation, 50, 400);
+      yield* sleepBetween(simulation, 50, 400);
       for (const machine of some) simulation.boot(machine);
-      yield* rest(simulation, 600, 2500);
+      yield* sleepBetween(simulation, 600, 2500);
     }
-    for (const one of all) one.behave({});
+    for (const one of all) one.setBehavior({});
   },
   *stopCallersAfterPeak(simulation) {
-    simulation.workload.crowd = 3;
-    yield* rest(simulation, 2000, 3000);
+    simulation.workload.clientFactor = 3;
+    yield* sleepBetween(simulation, 2000, 3000);
     const all = workingBackends(simulation);
-    for (const one of all) one.behave({ losesPart: 0.9, slowFactor: 20 });
-    yield* rest(simulation, 100, 1500);
-    simulation.workload.crowd = 0;
-    yield* rest(simulation, 3000, 6000);
-    for (const one of all) one.behave({});
-    simulation.workload.crowd = 1;
+    for (const one of all) one.setBehavior({ lossFraction: 0.9, slowFactor: 20 });
+    yield* sleepBetween(simulation, 100, 1500);
+    simulation.workload.clientFactor = 0;
+    yield* sleepBetween(simulation, 3000, 6000);
+    for (const one of all) one.setBehavior({});
+    simulation.workload.clientFactor = 1;
   },
 };
--- a/src/simulation/faults/catch-up-faults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -3,7 +3,7 @@
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
 import type { FaultScenario } from "./fault.js";
-import { diskMachines, pick, rest } from "./targets.js";
+import { diskMachines, pick, sleepBetween } from "./targets.js";
 import { timedCommand } from "./timed-command.js";
 
 const changesMeanwhile = 300;
@@ -40,7 +40,7 @@
       simulation.boot(other);
       yield* sleep(simulation.clock, catchUpMs);
     }
-    yield* rest(simulation, 200, 500);
+    yield* sleepBetween(simulation, 200, 500);
   },
   *restartAllWithMemberBehind(simulation) {
     const away = pick(simulation, diskMachines(simulation));
@@ -50,9 +50,9 @@
     const others = diskMachines(simulation);
     for (const other of others) simulation.kill(other);
     simulation.boot(away);
-    yield* rest(simulation, 300, mostRestartMs);
+    yield* sleepBetween(simulation, 300, mostRestartMs);
     for (const other of others) simulation.boot(other);
     simulation.start(timedCommand(simulation, "all restarted, one of them behind"));
-    yield* rest(simulation, 3000, 4000);
+    yield* sleepBetween(simulation, 3000, 4000);
   },
 };
--- a/src/simulation/faults/command-faults.ts
+++ b/src/simulation/faults/command-faults.ts
@@ -1,4 +1,4 @@
-import { rest } from "./targets.js";
+import { sleepBetween } from "./targets.js";
 import type { FaultScenario } from "./fault.js";
 
 /** Failures of operators' orders, each of which ends by itself. */
@@ -6,14 +6,14 @@
   *stormConfigs(simulation) {
     for (let count = 0; count < 12; count += 1) {
       simulation.start(simulation.workload.putConfig());
-      yield* rest(simulation, 5, 250);
+      yield* sleepBetween(simulation, 5, 250);
     }
   },
   *raceOperators(simulation) {
     for (let count = 0; count < 4; count += 1) {
       for (let racer = 0; racer < 3; racer += 1) simulation.start(simulation.workload.putConfig());
       yield* simulation.workload.putMalformed();
-      yield* rest(simulation, 400, 1200);
+      yield* sleepBetween(simulation, 400, 1200);
     }
   },
   *growRoutes(simulation) {
@@ -24,9 +24,9 @@
     simulation.workload.growRoutes(1500);
     for (let count = 0; count < 6; count += 1) {
       simulation.start(simulation.workload.putConfig());
-      yield* rest(simulation, 50, 300);
+      yield* sleepBetween(simulation, 50, 300);
     }
-    yield* rest(simulation, 1000, 2000);
+    yield* sleepBetween(simulation, 1000, 2000);
     simulation.workload.growRoutes(-1500);
   },
 };
--- a/src/simulation/faults/disk-faults.ts
+++ b/src/simulation/faults/disk-faults.ts
@@ -1,6 +1,6 @@
-import { isolate, routesBetween } from "./partitions.js";
+import { isolate, linksBetween } from "./partitions.js";
 import { emptyDisk, reboot } from "./restarts.js";
-import { allFormed, diskMachines, leaders, pick, machineNameOf, rest } from "./targets.js";
+import { allFormed, diskMachines, leaders, pick, machineNameOf, sleepBetween } from "./targets.js";
 import type { FaultScenario } from "./fault.js";
 
 /** Failures of disks, each of which ends by itself. */
@@ -9,7 +9,7 @@
     const core = diskMachines(simulation);
     for (const { disk } of core) disk?.stall(1500);
     simulation.start(simulation.workload.putConfig());
-    yield* rest(simulation, 100, 600);
+    yield* sleepBetween(simulation, 100, 600);
     yield* reboot(simulation, core, true);
   },
   *loseDisk(simulation) {
@@ -19,14 +19,14 @@
   *fillDisk(simulation) {
     const { disk } = pick(simulation, [...leaders(simulation), ...diskMachines(simulation)]) ?? {};
     if (!disk) return;
-    disk.full = true;
-    yield* rest(simulation, 1000, 6000);
-    disk.full = false;
+    disk.isFull = true;
+    yield* sleepBetween(simulation, 1000, 6000);
+    disk.isFull = false;
   },
   *stallDisk(simulation) {
     const one = pick(simulation, [...leaders(simulation), ...diskMachines(simulation)]);
     one?.disk?.stall(500 + simulation.random() * 5000);
-    yield* rest(simulation, 3000, 6000);
+    yield* sleepBetween(simulation, 3000, 6000);
   },
   *loseDiskWhileAnotherLags(simulation) {
     const [leader] = leaders(simulation);
@@ -38,11 +38,11 @@
       ({ daemon }) => daemon?.replicationNode?.status.state === "formed",
     );
     if (!leader || !lagging || !emptied || more || !whole) return;
-    const ways = routesBetween(
+    const ways = linksBetween(
       [machineNameOf(lagging)],
       diskMachines(simulation).map(machineNameOf),
     );
-    for (const [from, to] of ways) simulation.network.cut(from, to);
+    for (const [from, to] of ways) simulation.network.partition(from, to);
     yield* simulation.workload.putConfig();
     const still =
       diskMachines(simulation).every(
@@ -55,12 +55,12 @@
       emptied.disk?.wipe();
       simulation.kill(leader);
     }
-    for (const [from, to] of ways) simulation.network.mend(from, to);
+    for (const [from, to] of ways) simulation.network.heal(from, to);
     if (!still) return;
     simulation.boot(emptied);
-    yield* rest(simulation, 2000, 4000);
+    yield* sleepBetween(simulation, 2000, 4000);
     simulation.boot(leader);
-    yield* rest(simulation, 4000, 6000);
+    yield* sleepBetween(simulation, 4000, 6000);
   },
   *loseDiskAfterYes(simulation) {
     if (!allFormed(simulation)) return;
@@ -71,12 +71,12 @@
   *fillAndStallDisk(simulation) {
     const one = pick(simulation, [...leaders(simulation), ...diskMachines(simulation)]);
     if (!one?.disk) return;
-    one.disk.full = true;
+    one.disk.isFull = true;
     one.disk.stall(500 + simulation.random() * 4000);
-    yield* rest(simulation, 1000, 3000);
+    yield* sleepBetween(simulation, 1000, 3000);
     simulation.start(isolate(simulation, [one], simulation.random() < 0.5));
-    yield* rest(simulation, 1000, 3000);
-    one.disk.full = false;
+    yield* sleepBetween(simulation, 1000, 3000);
+    one.disk.isFull = false;
   },
   *killWhileRejoining(simulation) {
     const one = allFormed(simulation) ? pick(simulation, diskMachines(simulation)) : undefined;
@@ -84,12 +84,12 @@
     simulation.kill(one, true);
     one.disk?.wipe();
     for (let round = 0; round < 3; round += 1) {
-      yield* rest(simulation, 50, 400);
+      yield* sleepBetween(simulation, 50, 400);
       simulation.boot(one);
-      yield* rest(simulation, 20, 500);
+      yield* sleepBetween(simulation, 20, 500);
       simulation.kill(one, simulation.random() < 0.5);
     }
     simulation.boot(one);
-    yield* rest(simulation, 6000, 8000);
+    yield* sleepBetween(simulation, 6000, 8000);
   },
 };
--- a/src/simulation/faults/lost-response-faults.ts
+++ b/src/simulation/faults/lost-response-faults.ts
@@ -3,8 +3,8 @@
 import type { Simulation } from "../simulation.js";
 import type { FaultScenario } from "./fault.js";
 import { reboot } from "./restarts.js";
-import { diskMachines, pick, rest } from "./targets.js";
-import { OPERATOR_PATIENCE_MS } from "./timed-command.js";
+import { diskMachines, pick, sleepBetween } from "./targets.js";
+import { OPERATOR_TIMEOUT_MS } from "./timed-command.js";
 
 const lostPart = 0.7;
 const rounds = 3;
@@ -15,7 +15,7 @@
 const mostStrikeMs = 4;
 
 const strike = function* (simulation: Simulation, machine: SimulatedMachine): Task {
-  yield* rest(simulation, 0, mostStrikeMs);
+  yield* sleepBetween(simulation, 0, mostStrikeMs);
   yield* reboot(simulation, [machine], true);
 };
 
@@ -33,19 +33,22 @@
     pick(simulation, diskMachines(simulation))?.settings.machine;
   for (let order = 0; order < ordersAtOnce; order += 1)
     simulation.start(
-      operators.submit(operators.prepare(version), { via, patienceMs: OPERATOR_PATIENCE_MS }),
+      operators.submit(operators.prepare(version), {
+        chooseDaemon: via,
+        timeoutMs: OPERATOR_TIMEOUT_MS,
+      }),
     );
 };
 
 /** Answers to operators are lost, and with them the member that gave one. */
 export const lostResponseFaults: Record<string, FaultScenario> = {
   *loseOperatorAnswers(simulation) {
-    simulation.lostAnswerPart = lostPart;
+    simulation.lostResponseFraction = lostPart;
     for (let round = 0; round < rounds; round += 1) {
       raceAndStrike(simulation);
-      yield* rest(simulation, 2500, 4500);
+      yield* sleepBetween(simulation, 2500, 4500);
     }
     simulation.onAcknowledged = () => undefined;
-    simulation.lostAnswerPart = 0;
+    simulation.lostResponseFraction = 0;
   },
 };
--- a/src/simulation/faults/member-partition-faults.ts
+++ b/src/simulation/faults/member-partition-faults.ts
@@ -2,11 +2,18 @@
 import type { Task } from "../../runtime/task.js";
 import type { SimulatedMachine } from "../simulated-machine.js";
 import type { Simulation } from "../simulation.js";
-import { routesBetween, type PartitionedRoutes } from "./partitions.js";
+import { linksBetween, type NetworkLinks } from "./partitions.js";
 import type { FaultScenario } from "./fault.js";
 import { reboot } from "./restarts.js";
-import { diskMachines, leaders, pick, machineNameOf, rest, workingBackends } from "./targets.js";
-import { OPERATOR_PATIENCE_MS } from "./timed-command.js";
+import {
+  diskMachines,
+  leaders,
+  pick,
+  machineNameOf,
+  sleepBetween,
+  workingBackends,
+} from "./targets.js";
+import { OPERATOR_TIMEOUT_MS } from "./timed-command.js";
 
 /** How long a member stays cut off from the others. */
 const cutMs = 20_000;
@@ -23,11 +30,11 @@
   member: SimulatedMachine,
   others: readonly SimulatedMachine[],
   direction: Direction,
-): PartitionedRoutes => {
+): NetworkLinks => {
   const own = [machineNameOf(member)];
   const rest = others.map(machineNameOf);
-  if (direction === "both") return routesBetween(own, rest);
-  return direction === "outward" ? routesBetween(own, rest, true) : routesBetween(rest, own, true);
+  if (direction === "both") return linksBetween(own, rest);
+  return direction === "outward" ? linksBetween(own, rest, true) : linksBetween(rest, own, true);
 };
 
 /** Two operators change the same version under one number, one of them by way of the cut member. */
@@ -46,7 +53,10 @@
   };
   for (const via of [inside, outside])
     simulation.start(
-      operators.submit(operators.prepare(version), { via, patienceMs: OPERATOR_PATIENCE_MS }),
+      operators.submit(operators.prepare(version), {
+        chooseDaemon: via,
+        timeoutMs: OPERATOR_TIMEOUT_MS,
+      }),
     );
   simulation.start(operators.read(member.settings.machine));
 };
@@ -55,9 +65,9 @@
 const leaveMeanwhile = function* (simulation: Simulation): Task {
   const one = pick(simulation, workingBackends(simulation));
   if (!one) return;
-  if (yield* simulation.workload.leave(one)) yield* rest(simulation, 2600, 3200);
-  one.end();
-  yield* rest(simulation, 200, 900);
+  if (yield* simulation.workload.deregister(one)) yield* sleepBetween(simulation, 2600, 3200);
+  one.stop();
+  yield* sleepBetween(simulation, 200, 900);
   one.replace(one.service);
 };
 
@@ -67,10 +77,10 @@
   if (!member) return;
   const others = diskMachines(simulation).filter((other) => other !== member);
   const ways = cutWays(member, others, direction);
-  for (const [from, to] of ways) simulation.network.cut(from, to);
+  for (const [from, to] of ways) simulation.network.partition(from, to);
   const atMs = simulation.virtualClock.nowMs();
   const untilMs = atMs + cutMs;
-  simulation.recorder.world.push({
+  simulation.recorder.environmentRecords.push({
     kind: "memberCut",
     atMs,
     endMs: untilMs,
@@ -82,9 +92,9 @@
     yield* sleep(simulation.clock, raceEveryMs);
   }
   simulation.kill(member, simulation.random() < 0.5);
-  for (const [from, to] of ways) simulation.network.mend(from, to);
+  for (const [from, to] of ways) simulation.network.heal(from, to);
   simulation.boot(member);
-  yield* rest(simulation, 200, 1500);
+  yield* sleepBetween(simulation, 200, 1500);
   yield* reboot(
     simulation,
     others.filter(({ gate }) => gate.isAlive),
--- a/src/simulation/faults/network-faults.ts
+++ b/src/simulation/faults/network-faults.ts
@@ -1,12 +1,12 @@
 import { CLIENTS_LOCATION } from "../client-call.js";
-import { degrade, partition, isolate, oneWayOf, routesBetween } from "./partitions.js";
+import { degrade, partition, isolate, pickDirections, linksBetween } from "./partitions.js";
 import {
   runningMachines,
   diskMachines,
   leaders,
   pick,
   machineNameOf,
-  rest,
+  sleepBetween,
   disklessMachines,
   workingBackends,
 } from "./targets.js";
@@ -30,18 +30,18 @@
     simulation.start(
       partition(
         simulation,
-        routesBetween([machineNameOf(leader)], diskMachines(simulation).map(machineNameOf)),
+        linksBetween([machineNameOf(leader)], diskMachines(simulation).map(machineNameOf)),
         4000,
         6000,
       ),
     );
-    yield* rest(simulation, 700, 1200);
+    yield* sleepBetween(simulation, 700, 1200);
     simulation.start(simulation.workload.putConfig());
-    yield* rest(simulation, 3300, 5300);
+    yield* sleepBetween(simulation, 3300, 5300);
   },
   *splitCore(simulation) {
     const core = diskMachines(simulation).map(machineNameOf);
-    yield* partition(simulation, routesBetween(core, core, true), 500, 6000);
+    yield* partition(simulation, linksBetween(core, core, true), 500, 6000);
   },
   *loseZone(simulation) {
     const zone = pick(simulation, simulation.profile.zones);
@@ -59,7 +59,7 @@
       .map(({ address }) => address);
     yield* partition(
       simulation,
-      oneWayOf(simulation, routesBetween(some.map(machineNameOf), addresses)),
+      pickDirections(simulation, linksBetween(some.map(machineNameOf), addresses)),
       300,
       5000,
     );
@@ -68,7 +68,7 @@
     const some = disklessMachines(simulation).filter(() => simulation.random() < 0.3);
     yield* partition(
       simulation,
-      oneWayOf(simulation, routesBetween(some.map(machineNameOf), [CLIENTS_LOCATION])),
+      pickDirections(simulation, linksBetween(some.map(machineNameOf), [CLIENTS_LOCATION])),
       300,
       5000,
     );
@@ -77,9 +77,9 @@
     const some = workingBackends(simulation).filter(() => simulation.random() < 0.3);
     yield* partition(
       simulation,
-      oneWayOf(
+      pickDirections(
         simulation,
-        routesBetween(
+        linksBetween(
           simulation.machines.map(machineNameOf),
           some.map(({ address }) => address),
         ),
@@ -89,12 +89,12 @@
     );
   },
   *slowNetwork(simulation) {
-    yield* degrade(simulation, { slowMs: 10 + simulation.random() * 120 });
+    yield* degrade(simulation, { maxExtraLatencyMs: 10 + simulation.random() * 120 });
   },
   *slowConnects(simulation) {
-    yield* degrade(simulation, { slowConnectMs: 300 + simulation.random() * 1500 });
+    yield* degrade(simulation, { maxExtraConnectMs: 300 + simulation.random() * 1500 });
   },
   *lossySeconds(simulation) {
-    yield* degrade(simulation, { lossPart: 0.02 + simulation.random() * 0.25 });
+    yield* degrade(simulation, { lossFraction: 0.02 + simulation.random() * 0.25 });
   },
 };
--- a/src/simulation/faults/process-faults.ts
+++ b/src/simulation/faults/process-faults.ts
@@ -4,7 +4,7 @@
   diskMachines,
   leaders,
   pick,
-  rest,
+  sleepBetween,
   disklessMachines,
   workingBackends,
 } from "./targets.js";
@@ -39,28 +39,28 @@
     if (!one) return;
     const { gate } = one;
     gate.freeze();
-    yield* rest(simulation, 500, 5000);
+    yield* sleepBetween(simulation, 500, 5000);
     gate.thaw();
   },
   *rollMachines(simulation) {
     for (const machine of runningMachines(simulation).filter(() => simulation.random() < 0.4)) {
       yield* simulation.stop(machine);
-      yield* rest(simulation, 100, 500);
+      yield* sleepBetween(simulation, 100, 500);
       simulation.boot(machine);
-      yield* rest(simulation, 800, 1500);
+      yield* sleepBetween(simulation, 800, 1500);
     }
   },
   *rollFleet(simulation) {
     for (const machine of [...disklessMachines(simulation), ...diskMachines(simulation)]) {
       yield* simulation.stop(machine);
-      yield* rest(simulation, 50, 200);
+      yield* sleepBetween(simulation, 50, 200);
       simulation.boot(machine);
-      yield* rest(simulation, 500, 900);
+      yield* sleepBetween(simulation, 500, 900);
     }
   },
   *acceptAsLeaderDies(simulation) {
     simulation.start(simulation.workload.putConfig());
-    yield* rest(simulation, 0, 12);
+    yield* sleepBetween(simulation, 0, 12);
     yield* reboot(simulation, leaders(simulation), true);
   },
   *killAll(simulation) {
@@ -69,7 +69,7 @@
   *loseZoneWithLeader(simulation) {
     const zone = leaders(simulation)[0]?.settings.zone;
     const some = workingBackends(simulation).filter((one) => one.zone === zone);
-    for (const one of some) one.end();
+    for (const one of some) one.stop();
     yield* reboot(
       simulation,
       runningMachines(simulation).filter(({ settings }) => settings.zone === zone),
@@ -79,9 +79,9 @@
   },
   *jumpWallClocks(simulation) {
     for (const machine of simulation.machines)
-      machine.wallJumpMs = (simulation.random() - 0.5) * 2e9;
+      machine.wallClockJumpMs = (simulation.random() - 0.5) * 2e9;
     yield* simulation.workload.putConfig();
-    yield* rest(simulation, 500, 2000);
-    for (const machine of simulation.machines) machine.wallJumpMs = 0;
+    yield* sleepBetween(simulation, 500, 2000);
+    for (const machine of simulation.machines) machine.wallClockJumpMs = 0;
   },
 };
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -4,7 +4,7 @@
 import type { SimulatedMachine } from "../simulated-machine.js";
 import type { Simulation } from "../simulation.js";
 import type { FaultScenario } from "./fault.js";
-import { allFormed, diskMachines, leaders, rest } from "./targets.js";
+import { allFormed, diskMachines, leaders, sleepBetween } from "./targets.js";
 import { timedCommand } from "./timed-command.js";
 
 /** A planned successor starts so long before the old one is told to stop, a sudden one so long after it is gone. */
@@ -22,12 +22,12 @@
 const replacedSuddenly: Loss = function* (simulation, member) {
   simulation.remove(member);
   yield* sleep(simulation.clock, successorMs);
-  simulation.addSpare(member.settings.zone);
+  simulation.addReplacement(member.settings.zone);
   return simulation.virtualClock.nowMs() + syncMs(simulation);
 };
 
 const replacedInOrder: Loss = function* (simulation, member) {
-  simulation.addSpare(member.settings.zone);
+  simulation.addReplacement(member.settings.zone);
   const wholeMs = simulation.virtualClock.nowMs() + syncMs(simulation);
   yield* sleep(simulation.clock, successorMs);
   yield* simulation.stop(member);
@@ -38,7 +38,7 @@
 const emptied: Loss = function* (simulation, member) {
   simulation.kill(member, true);
   member.disk?.wipe();
-  member.isEmptied = true;
+  member.hasLostDisk = true;
   yield* sleep(simulation.clock, successorMs);
   simulation.boot(member);
   return simulation.virtualClock.nowMs() + syncMs(simulation);
@@ -62,10 +62,10 @@
 const loseAtOnce = function* (simulation: Simulation, lose: Loss, name: string): Task {
   const members = nextLost(simulation, simulation.profile.tolerate?.machines ?? 1);
   const wholeMs: number[] = [];
-  simulation.recorder.world.push({
+  simulation.recorder.environmentRecords.push({
     kind: "membersLost",
     atMs: simulation.virtualClock.nowMs(),
-    how: name,
+    cause: name,
     machines: members.map(({ settings }) => settings.machine),
   });
   for (const member of members)
@@ -92,7 +92,7 @@
   simulation.isLosingDisk = true;
   for (const [name, lose] of losses) yield* loseAtOnce(simulation, lose, name);
   simulation.isLosingDisk = false;
-  yield* rest(simulation, 500, 1000);
+  yield* sleepBetween(simulation, 500, 1000);
 };
 
 /** Members are replaced by empty machines, and the next are lost as soon as that is allowed. */
--- a/src/simulation/faults/restarts.ts
+++ b/src/simulation/faults/restarts.ts
@@ -1,7 +1,7 @@
 import type { Task } from "../../runtime/task.js";
 import type { SimulatedMachine } from "../simulated-machine.js";
 import type { Simulation } from "../simulation.js";
-import { rest } from "./targets.js";
+import { sleepBetween } from "./targets.js";
 
 /** Ends the processes of some machines at once, with their power where told, and starts them again together. */
 export const reboot = function* (
@@ -10,7 +10,7 @@
   power = false,
 ): Task {
   for (const machine of machines) simulation.kill(machine, power);
-  yield* rest(simulation, 300, 4000);
+  yield* sleepBetween(simulation, 300, 4000);
   for (const machine of machines) simulation.boot(machine);
 };
 
@@ -18,7 +18,7 @@
 export const emptyDisk = function* (simulation: Simulation, one: SimulatedMachine): Task {
   simulation.kill(one, true);
   one.disk?.wipe();
-  yield* rest(simulation, 300, 3000);
+  yield* sleepBetween(simulation, 300, 3000);
   simulation.boot(one);
-  yield* rest(simulation, 6000, 8000);
+  yield* sleepBetween(simulation, 6000, 8000);
 };
--- a/src/simulation/faults/targets.ts
+++ b/src/simulation/faults/targets.ts
@@ -9,7 +9,7 @@
   items[Math.floor(simulation.random() * items.length)];
 
 /** Waits for a drawn time between two bounds. */
-export const rest = (simulation: Simulation, leastMs: number, mostMs: number): Task =>
+export const sleepBetween = (simulation: Simulation, leastMs: number, mostMs: number): Task =>
   sleep(simulation.clock, leastMs + simulation.random() * (mostMs - leastMs));
 
 /** The machines whose process runs and was not told to stop. */
@@ -40,7 +40,7 @@
 /** Whether any way between two members of the replicated log is cut. */
 const areMembersCut = (simulation: Simulation): boolean => {
   const places = diskMachines(simulation).map(machineNameOf);
-  return places.some((from) => places.some((to) => simulation.network.isCut(from, to)));
+  return places.some((from) => places.some((to) => simulation.network.isPartitioned(from, to)));
 };
 
 /** Whether all machines with a disk are whole members of the log, none is cut off, replaced or emptied, and one leads. */
--- a/src/simulation/faults/timed-command.ts
+++ b/src/simulation/faults/timed-command.ts
@@ -6,9 +6,9 @@
   const { recorder, virtualClock: time, workload: day } = simulation;
   const atMs = time.nowMs();
   const change = day.operators.prepare();
-  yield* day.operators.submit(change, { patienceMs: OPERATOR_PATIENCE_MS });
-  const command = recorder.configOrders.find(({ probe }) => probe === change.probe);
-  recorder.world.push({
+  yield* day.operators.submit(change, { timeoutMs: OPERATOR_TIMEOUT_MS });
+  const command = recorder.configCommands.find(({ probe }) => probe === change.probe);
+  recorder.environmentRecords.push({
     kind: "orderedDuring",
     atMs,
     during,
@@ -18,4 +18,4 @@
 };
 
 /** After so long without an answer an operator turns to another daemon. */
-export const OPERATOR_PATIENCE_MS = 1000;
+export const OPERATOR_TIMEOUT_MS = 1000;
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -1,13 +1,13 @@
 import { parseConfig } from "../configuration/config-validation.js";
 import { safeMethods } from "../configuration/config-shape.js";
 import { RouteTable } from "../cluster-view/route-table.js";
-import { configHistoryFaults } from "./config-history-check.js";
+import { configHistoryViolations } from "./config-history-check.js";
 import { EventRecorder, type ClientRecord, type RunRecord } from "./event-recorder.js";
 
 /** A rule that was broken, and by what. */
 export interface RuleViolation {
   rule: string;
-  what: string;
+  detail: string;
 }
 
 type Rule = (recorder: EventRecorder) => Iterable<string>;
@@ -52,45 +52,45 @@
 };
 
 const returnsAreTrue: Rule = function* (recorder) {
-  const keys = new Map(recorder.callers.map(({ id, key }) => [id, key]));
-  for (const record of recorder.callers.filter(succeeded)) {
+  const keys = new Map(recorder.clientRecords.map(({ id, key }) => [id, key]));
+  for (const record of recorder.clientRecords.filter(succeeded)) {
     if (record.isGarbage) yield `${record.id} got garbage as a success`;
-    else if (!record.isWhole) yield `${record.id} got a body that is cut short as a success`;
+    else if (!record.isComplete) yield `${record.id} got a body that is cut short as a success`;
     else {
-      const sameKey = record.key !== undefined && keys.get(record.bodyOf) === record.key;
-      if (record.bodyOf !== record.id && !sameKey && record.method !== "HEAD")
-        yield `${record.id} got the return of ${record.bodyOf || "nobody"}`;
+      const sameKey = record.key !== undefined && keys.get(record.echoedId) === record.key;
+      if (record.echoedId !== record.id && !sameKey && record.method !== "HEAD")
+        yield `${record.id} got the return of ${record.echoedId || "nobody"}`;
     }
   }
 };
 
 const droppedNeverRan: Rule = function* (recorder) {
-  const ran = new Set(recorder.runs.map(({ caller }) => caller));
-  for (const record of recorder.callers)
+  const ran = new Set(recorder.runs.map(({ requestId: caller }) => caller));
+  for (const record of recorder.clientRecords)
     if (record.code === 503 && ran.has(record.id))
       yield `${record.id} was told to try later, but ran`;
 };
 
 const unrepeatableRanOnce: Rule = function* (recorder) {
   for (const [caller, runs] of groupBy(recorder.runs, (run) =>
-    safeMethods.has(run.method) ? undefined : run.caller,
+    safeMethods.has(run.method) ? undefined : run.requestId,
   ))
     if (runs.length > 1) yield `${caller} ran ${runs.length} times`;
 };
 
 /** The most further tries that any window held, against what it might. */
-export const worstRepeats = (
+export const findPeakRetries = (
   recorder: EventRecorder,
-): Map<string, { further: number; requests: number; allowed: number }> => {
-  const worst = new Map<string, { further: number; requests: number; allowed: number }>();
+): Map<string, { retries: number; requests: number; allowed: number }> => {
+  const worst = new Map<string, { retries: number; requests: number; allowed: number }>();
   const seen = new Set<string>();
-  const further: RunRecord[] = [];
+  const retries: RunRecord[] = [];
   for (const run of [...recorder.runs].sort((a, b) => a.atMs - b.atMs)) {
-    if (seen.has(run.caller)) further.push(run);
-    seen.add(run.caller);
+    if (seen.has(run.requestId)) retries.push(run);
+    seen.add(run.requestId);
   }
-  const requests = groupBy(recorder.callers, ({ service }) => service);
-  for (const [service, runs] of groupBy(further, ({ meant }) => meant)) {
+  const requests = groupBy(recorder.clientRecords, ({ service }) => service);
+  for (const [service, runs] of groupBy(retries, ({ intendedService: meant }) => meant)) {
     const sent = (requests.get(service) ?? []).map(({ sentMs }) => sentMs).sort((a, b) => a - b);
     for (const { atMs } of runs) {
       const inWindow = (time: number): boolean => time >= atMs && time < atMs + windowMs;
@@ -98,26 +98,26 @@
       const base = sent.filter(inWindow).length;
       const allowed = base / 5 + 70;
       const known = worst.get(service);
-      if (!known || count / allowed > known.further / known.allowed)
-        worst.set(service, { further: count, requests: base, allowed });
+      if (!known || count / allowed > known.retries / known.allowed)
+        worst.set(service, { retries: count, requests: base, allowed });
     }
   }
   return worst;
 };
 
 const repeatsAreBounded: Rule = function* (recorder) {
-  for (const [service, { further, requests, allowed }] of worstRepeats(recorder))
+  for (const [service, { retries: further, requests, allowed }] of findPeakRetries(recorder))
     if (further > allowed)
       yield `${service} got ${further} repeats in ten seconds with ${requests} requests; ${Math.floor(allowed)} were allowed`;
 };
 
 const leaversGetNothing: Rule = function* (recorder) {
-  for (const left of recorder.of("left"))
+  for (const left of recorder.ofKind("left"))
     for (const run of recorder.runs)
       if (
         run.address === left.address &&
         run.incarnation === left.incarnation &&
-        run.atMs - run.heldMs > left.atMs + leftMs
+        run.atMs - run.delayedMs > left.atMs + leftMs
       )
         yield `${left.address} got work ${Math.round(run.atMs - left.atMs)} ms after its leave was heard`;
 };
@@ -128,10 +128,10 @@
 };
 
 const configsAreFresh: Rule = function* (recorder) {
-  const accepted = recorder.of("accepted");
-  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
-  const sent = recorder.of("sent").filter((record) => !rejected.has(record.probe));
-  for (const record of recorder.callers) {
+  const accepted = recorder.ofKind("accepted");
+  const rejected = new Set(recorder.ofKind("rejected").map((record) => record.probe));
+  const sent = recorder.ofKind("sent").filter((record) => !rejected.has(record.probe));
+  for (const record of recorder.clientRecords) {
     const number = probed(record);
     if (number === undefined) continue;
     const newest = accepted
@@ -146,7 +146,7 @@
 };
 
 const configsNeverSlipBack: Rule = function* (recorder) {
-  for (const [daemon, records] of groupBy(recorder.callers, (record) =>
+  for (const [daemon, records] of groupBy(recorder.clientRecords, (record) =>
     probed(record) !== undefined && record.code === 200 ? record.daemon : undefined,
   )) {
     const ended = [...records].sort((a, b) => a.endedMs - b.endedMs);
@@ -169,9 +169,9 @@
 };
 
 const servicesWereAllowed: Rule = function* (recorder) {
-  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
+  const rejected = new Set(recorder.ofKind("rejected").map((record) => record.probe));
   const configs = recorder
-    .of("sent")
+    .ofKind("sent")
     .filter((record) => !rejected.has(record.probe))
     .map(({ text }) => new RouteTable(parseConfig(text)));
   const known = new Map<string, Set<string>>();
@@ -186,19 +186,19 @@
       );
       known.set(name, allowed);
     }
-    if (!allowed.has(run.service)) yield `${run.caller} (${name}) reached ${run.service}`;
+    if (!allowed.has(run.service)) yield `${run.requestId} (${name}) reached ${run.service}`;
   }
 };
 
 const configsAreKept: Rule = function* (recorder) {
-  const accepted = recorder.of("accepted");
-  const rejected = new Set(recorder.of("rejected").map((record) => record.probe));
+  const accepted = recorder.ofKind("accepted");
+  const rejected = new Set(recorder.ofKind("rejected").map((record) => record.probe));
   for (const [sequence, records] of groupBy(accepted, ({ sequence }) => String(sequence)))
     if (new Set(records.map(({ text }) => text)).size > 1)
       yield `two configs were accepted as ${sequence}`;
-  for (const { text } of recorder.of("tookMalformed"))
+  for (const { text } of recorder.ofKind("tookMalformed"))
     yield `a malformed config was accepted: ${text.slice(0, 80)}`;
-  for (const read of recorder.of("readBack")) {
+  for (const read of recorder.ofKind("readBack")) {
     const own = accepted.find(({ sequence }) => sequence === read.sequence);
     if (own && read.text !== own.text)
       yield `config ${read.sequence} reads back ${read.text === undefined ? "as missing" : "changed"}`;
@@ -206,7 +206,7 @@
       .filter(({ atMs }) => atMs <= read.atMs)
       .reduce((most, { sequence }) => Math.max(most, sequence), 0);
     const mayBeNewer = recorder
-      .of("sent")
+      .ofKind("sent")
       .some(
         ({ probe: number, atMs }) =>
           atMs <= read.atMs &&
@@ -216,7 +216,7 @@
     if (read.text !== undefined && read.sequence > newest && !mayBeNewer)
       yield `config ${read.sequence} is in force though none accepted it`;
   }
-  for (const record of recorder.callers) {
+  for (const record of recorder.clientRecords) {
     const number = probed(record);
     if (number !== undefined && record.code === 200 && rejected.has(number))
       yield `${record.daemon} serves by the rejected config ${number}`;
@@ -224,13 +224,13 @@
 };
 
 const stopsFinishWork: Rule = function* (recorder) {
-  for (const { daemon, atMs, endedMs } of recorder.of("stopped")) {
-    for (const record of recorder.callers)
+  for (const { daemon, atMs, endedMs } of recorder.ofKind("stopped")) {
+    for (const record of recorder.clientRecords)
       if (
         record.daemon === daemon &&
         record.sentMs < atMs &&
         record.endedMs >= atMs &&
-        record.broke === "broken"
+        record.failure === "broken"
       )
         yield `${daemon} dropped ${record.id} in hand when it was stopped`;
     if (endedMs > atMs + drainMs + 1500)
@@ -239,27 +239,31 @@
 };
 
 /** The part of requests sent in a time that were served. */
-export const servedPart = (recorder: EventRecorder, fromMs: number, untilMs: number): number => {
-  const sent = recorder.callers.filter(
+export const servedFraction = (
+  recorder: EventRecorder,
+  fromMs: number,
+  untilMs: number,
+): number => {
+  const sent = recorder.clientRecords.filter(
     ({ sentMs, path }) => sentMs >= fromMs && sentMs < untilMs && !probe.test(path),
   );
   return sent.length === 0 ? 0 : sent.filter(succeeded).length / sent.length;
 };
 
 const recoversInTime: Rule = function* (recorder) {
-  for (const { atMs } of recorder.of("recovered")) {
+  for (const { atMs } of recorder.ofKind("recovered")) {
     if (recorder.endMs < atMs + recoverMs + 2000) {
       yield "the run ended too soon after the fault to tell";
       continue;
     }
-    const part = servedPart(recorder, atMs + recoverMs, recorder.endMs - 1000);
+    const part = servedFraction(recorder, atMs + recoverMs, recorder.endMs - 1000);
     if (part < 0.9)
       yield `${Math.round(part * 100)}% of requests were served 15 s after the fault's end`;
   }
 };
 
 const operatorsSeeOneRegister: Rule = (recorder) =>
-  configHistoryFaults(recorder.configOrders, recorder.configReads);
+  configHistoryViolations(recorder.configCommands, recorder.configReads);
 
 /** The brief's rules, each judged by what callers, back ends and operators recorded. */
 export const rules: Record<string, Rule> = {
@@ -281,5 +285,5 @@
 /** Judges a run by all rules. */
 export const checkRules = (recorder: EventRecorder): RuleViolation[] =>
   Object.entries(rules).flatMap(([rule, find]) =>
-    [...find(recorder)].map((what) => ({ rule, what })),
+    [...find(recorder)].map((detail) => ({ rule, detail })),
   );
--- a/src/simulation/main.ts
+++ b/src/simulation/main.ts
@@ -2,7 +2,7 @@
 import { writeFileSync } from "node:fs";
 import { faults } from "./faults.js";
 import { shippedProfiles, fiveMemberProfile } from "./profile.js";
-import { simulateDay } from "./simulated-day.js";
+import { runSimulation } from "./simulated-day.js";
 
 interface Options {
   profile: string;
@@ -37,27 +37,27 @@
     const startedMs = performance.now();
     for (const profile of profiles) {
       for (let seed = from; seed <= to; seed += 1) {
-        const day = simulateDay({
+        const day = runSimulation({
           profile,
           seed,
-          dayMs: options.seconds * 1000,
+          faultPeriodMs: options.seconds * 1000,
           rateFactor: options.rate,
-          ...(options.only === undefined ? {} : { only: options.only.split(",") }),
+          ...(options.only === undefined ? {} : { faultNames: options.only.split(",") }),
         });
         days += 1;
-        if (day.breaches.length > 0) broken += 1;
-        const line = `${profile.name} ${seed}: ${day.requests} requests, ${Math.round(day.served * 100)}% served, ${day.configs} configs, ${day.elections} elections, ${day.faults.length} faults, repeats at ${Math.round(day.worstRepeats * 100)}% of what is allowed, ${day.breaches.length} breaches`;
+        if (day.violations.length > 0) broken += 1;
+        const line = `${profile.name} ${seed}: ${day.requests} requests, ${Math.round(day.servedFraction * 100)}% served, ${day.configs} configs, ${day.elections} elections, ${day.injectedFaults.length} faults, repeats at ${Math.round(day.peakRetryUse * 100)}% of what is allowed, ${day.violations.length} breaches`;
         process.stdout.write(`${line}\n`);
-        if (day.breaches.length > 0) process.stdout.write(`  ${day.faults.join(" ")}\n`);
-        for (const { rule, what } of day.breaches.slice(0, 8))
+        if (day.violations.length > 0) process.stdout.write(`  ${day.injectedFaults.join(" ")}\n`);
+        for (const { rule, detail: what } of day.violations.slice(0, 8))
           process.stdout.write(`  BROKEN ${rule}: ${what}\n`);
         if (options.trace !== undefined) {
           const marks = day.simulation.recorder
-            .of("fault")
-            .map(({ atMs, what }) => `${(atMs / 1000).toFixed(3)} FAULT ${what}`);
+            .ofKind("fault")
+            .map(({ atMs, name: what }) => `${(atMs / 1000).toFixed(3)} FAULT ${what}`);
           writeFileSync(
             options.trace,
-            [...day.simulation.lines, ...marks]
+            [...day.simulation.logLines, ...marks]
               .sort((a, b) => parseFloat(a) - parseFloat(b))
               .join("\n"),
           );
--- a/src/simulation/malformed-configs.ts
+++ b/src/simulation/malformed-configs.ts
@@ -3,7 +3,7 @@
 
 /** Texts that are no configuration, each wrong in one field; made from a good one. */
 export const malformedConfigs = (good: Config, profile: Profile, probe: number): string[] => {
-  const route = { match: { path: "/astray" }, service: Object.keys(profile.backEnds)[0] };
+  const route = { match: { path: "/astray" }, service: Object.keys(profile.backends)[0] };
   const routeWith = (more: Record<string, unknown>): unknown => ({
     ...good,
     routes: { ...good.routes, astray: { ...route, ...more } },
--- a/src/simulation/profile.ts
+++ b/src/simulation/profile.ts
@@ -8,7 +8,7 @@
   readonly method: "GET" | "POST";
   readonly path: (at: number) => string;
   readonly keyed: boolean;
-  readonly perSecond: number;
+  readonly requestsPerSecond: number;
   readonly bodyBytes: number;
 }
 
@@ -17,8 +17,8 @@
   readonly name: string;
   readonly zones: readonly string[];
   readonly diskMachines: number;
-  readonly smallMachines: number;
-  readonly backEnds: Readonly<Record<string, number>>;
+  readonly disklessMachines: number;
+  readonly backends: Readonly<Record<string, number>>;
   readonly traffic: readonly Traffic[];
   /** What may be lost at once; what the product takes for usual where it isn't set. */
   readonly tolerate?: { readonly machines: number; readonly zones: number };
@@ -32,8 +32,8 @@
   name: "kovacic",
   zones: ["north", "east", "south", "west"],
   diskMachines: 4,
-  smallMachines: 10,
-  backEnds: { checklists: 17, sightings: 12, archives: 6 },
+  disklessMachines: 10,
+  backends: { checklists: 17, sightings: 12, archives: 6 },
   traffic: [
     {
       route: "checklists",
@@ -41,7 +41,7 @@
       method: "GET",
       path: (at) => `/checklists/${at % 400}`,
       keyed: false,
-      perSecond: 134,
+      requestsPerSecond: 134,
       bodyBytes: 600,
     },
     {
@@ -50,7 +50,7 @@
       method: "POST",
       path: () => "/sightings",
       keyed: true,
-      perSecond: 38,
+      requestsPerSecond: 38,
       bodyBytes: 150,
     },
     {
@@ -59,7 +59,7 @@
       method: "GET",
       path: (at) => `/archives/${at % 40}`,
       keyed: false,
-      perSecond: 6,
+      requestsPerSecond: 6,
       bodyBytes: 400_000,
     },
     {
@@ -68,7 +68,7 @@
       method: "POST",
       path: (at) => `/maps/${at % 20}/refresh`,
       keyed: false,
-      perSecond: 2,
+      requestsPerSecond: 2,
       bodyBytes: 100,
     },
   ],
@@ -79,8 +79,8 @@
   name: "rastro",
   zones: ["red", "green", "blue"],
   diskMachines: 3,
-  smallMachines: 12,
-  backEnds: { issues: 18, triage: 12, crashes: 6 },
+  disklessMachines: 12,
+  backends: { issues: 18, triage: 12, crashes: 6 },
   traffic: [
     {
       route: "issues",
@@ -88,7 +88,7 @@
       method: "GET",
       path: (at) => `/issues/${at % 900}`,
       keyed: false,
-      perSecond: 405,
+      requestsPerSecond: 405,
       bodyBytes: 900,
     },
     {
@@ -97,7 +97,7 @@
       method: "POST",
       path: (at) => `/issues/${at % 900}/resolve`,
       keyed: true,
-      perSecond: 120,
+      requestsPerSecond: 120,
       bodyBytes: 80,
     },
     {
@@ -106,7 +106,7 @@
       method: "GET",
       path: (at) => `/crashes/${at % 60}`,
       keyed: false,
-      perSecond: 15,
+      requestsPerSecond: 15,
       bodyBytes: 350_000,
     },
     {
@@ -115,7 +115,7 @@
       method: "POST",
       path: (at) => `/syncs/${at % 30}`,
       keyed: false,
-      perSecond: 10,
+      requestsPerSecond: 10,
       bodyBytes: 100,
     },
   ],
@@ -127,7 +127,7 @@
   ...rastro,
   name: "five",
   diskMachines: 5,
-  smallMachines: 6,
+  disklessMachines: 6,
   tolerate: { machines: 2, zones: 0 },
 };
 
@@ -154,8 +154,8 @@
   extraRoutes = 0,
 ): Config {
   const config: Config = { services: {}, routes: {}, goals: {} };
-  const [first] = Object.keys(profile.backEnds);
-  for (const service of Object.keys(profile.backEnds)) config.services[service] = {};
+  const [first] = Object.keys(profile.backends);
+  for (const service of Object.keys(profile.backends)) config.services[service] = {};
   for (const { route, service, method, keyed } of profile.traffic) {
     config.routes[route] = {
       match: { path: routePaths[route] ?? `/${route}/*`, methods: [method] },
--- a/src/simulation/simulated-day.ts
+++ b/src/simulation/simulated-day.ts
@@ -4,20 +4,25 @@
 import { RandomDraw } from "./random-draw.js";
 import { FaultSelection } from "./fault-selection.js";
 import { faults } from "./faults.js";
-import { checkRules, servedPart, worstRepeats, type RuleViolation } from "./invariant-checker.js";
+import {
+  checkRules,
+  servedFraction,
+  findPeakRetries,
+  type RuleViolation,
+} from "./invariant-checker.js";
 import type { Profile } from "./profile.js";
 import { Simulation } from "./simulation.js";
 
 /** What one rehearsed day came to. */
-export interface SimulatedDay {
+export interface SimulationResult {
   readonly simulation: Simulation;
-  readonly faults: string[];
-  readonly breaches: RuleViolation[];
-  readonly served: number;
+  readonly injectedFaults: string[];
+  readonly violations: RuleViolation[];
+  readonly servedFraction: number;
   readonly requests: number;
   readonly configs: number;
   readonly elections: number;
-  readonly worstRepeats: number;
+  readonly peakRetryUse: number;
 }
 
 /** How a day is rehearsed. */
@@ -25,15 +30,15 @@
   readonly profile: Profile;
   readonly seed: number;
   /** How long failures go on. */
-  readonly dayMs: number;
+  readonly faultPeriodMs: number;
   /** The part of the profile's requests that are sent. */
   readonly rateFactor: number;
   /** Names of the failures to draw from; all where none are named. */
-  readonly only?: readonly string[];
+  readonly faultNames?: readonly string[];
   /** How many failures may strike at once; two where it isn't set. */
-  readonly atOnce?: number;
+  readonly concurrentFaults?: number;
   /** Waits of the replicated log that differ from what the bounds make of them. */
-  readonly waits?: Partial<ReplicationTimeouts>;
+  readonly replicationTimeouts?: Partial<ReplicationTimeouts>;
 }
 
 const settleMs = 8000;
@@ -41,15 +46,15 @@
 const nothingDrawnMs = 1000;
 
 /** Rehearses one day: a fleet comes up, failures strike by seed, one last fault, then recovery; and judges it. */
-export const simulateDay = ({
+export const runSimulation = ({
   profile,
   seed,
-  dayMs,
+  faultPeriodMs: dayMs,
   rateFactor,
-  only,
-  atOnce = 2,
-  waits = {},
-}: SimulationOptions): SimulatedDay => {
+  faultNames: only,
+  concurrentFaults: atOnce = 2,
+  replicationTimeouts: waits = {},
+}: SimulationOptions): SimulationResult => {
   const simulation = new Simulation(profile, seed, rateFactor, waits);
   const random = RandomDraw.of(seed + 7919);
   const struck: string[] = [];
@@ -59,10 +64,10 @@
     const name = draw.begin();
     if (name === undefined) return yield* sleep(simulation.clock, nothingDrawnMs);
     struck.push(name);
-    simulation.recorder.world.push({
+    simulation.recorder.environmentRecords.push({
       kind: "fault",
       atMs: simulation.virtualClock.nowMs(),
-      what: name,
+      name,
     });
     yield* faults[name]?.(simulation) ?? sleep(simulation.clock, 1);
     draw.end(name);
@@ -73,17 +78,20 @@
       if (simulation.virtualClock.nowMs() < settleMs + dayMs) yield* strike();
     }
     yield* strike();
-    simulation.network.heal();
-    simulation.workload.crowd = 1;
-    simulation.lostAnswerPart = 0;
+    simulation.network.healAll();
+    simulation.workload.clientFactor = 1;
+    simulation.lostResponseFraction = 0;
     for (const machine of simulation.machines) {
       machine.gate.thaw();
       simulation.boot(machine);
-      if (machine.disk) machine.disk.full = false;
+      if (machine.disk) machine.disk.isFull = false;
     }
     for (const testBackend of simulation.testBackends)
       if (!testBackend.isUp || !testBackend.isAnnouncing) testBackend.replace(testBackend.service);
-    simulation.recorder.world.push({ kind: "recovered", atMs: simulation.virtualClock.nowMs() });
+    simulation.recorder.environmentRecords.push({
+      kind: "recovered",
+      atMs: simulation.virtualClock.nowMs(),
+    });
   };
   const configuring = function* (): Task {
     while (!simulation.workload.isOver) {
@@ -92,20 +100,23 @@
     }
   };
 
-  simulation.begin();
+  simulation.startAll();
   simulation.start(configuring());
   simulation.virtualClock.runUntil(settleMs);
   for (let strikers = 0; strikers < atOnce; strikers += 1) simulation.start(striking());
   while (
-    simulation.recorder.of("recovered").length < atOnce &&
+    simulation.recorder.ofKind("recovered").length < atOnce &&
     simulation.virtualClock.nowMs() < settleMs + dayMs + 120_000
   )
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 500);
-  const recoveredMs = Math.max(0, ...simulation.recorder.of("recovered").map(({ atMs }) => atMs));
-  const marks = simulation.recorder.world.filter(
+  const recoveredMs = Math.max(
+    0,
+    ...simulation.recorder.ofKind("recovered").map(({ atMs }) => atMs),
+  );
+  const marks = simulation.recorder.environmentRecords.filter(
     (record) => record.kind !== "recovered" || record.atMs === recoveredMs,
   );
-  simulation.recorder.world.splice(0, Infinity, ...marks);
+  simulation.recorder.environmentRecords.splice(0, Infinity, ...marks);
   simulation.virtualClock.runUntil(recoveredMs + tailMs);
   simulation.recorder.endMs = simulation.virtualClock.nowMs();
   let readBack = false;
@@ -121,15 +132,17 @@
   const { recorder } = simulation;
   return {
     simulation,
-    faults: struck,
-    breaches: checkRules(recorder),
-    served: servedPart(recorder, settleMs, recorder.endMs),
-    requests: recorder.callers.length,
-    configs: recorder.of("accepted").length,
-    elections: simulation.lines.filter((line) => line.includes("leader elected")).length,
-    worstRepeats: Math.max(
+    injectedFaults: struck,
+    violations: checkRules(recorder),
+    servedFraction: servedFraction(recorder, settleMs, recorder.endMs),
+    requests: recorder.clientRecords.length,
+    configs: recorder.ofKind("accepted").length,
+    elections: simulation.logLines.filter((line) => line.includes("leader elected")).length,
+    peakRetryUse: Math.max(
       0,
-      ...[...worstRepeats(recorder).values()].map(({ further, allowed }) => further / allowed),
+      ...[...findPeakRetries(recorder).values()].map(
+        ({ retries: further, allowed }) => further / allowed,
+      ),
     ),
   };
 };
--- a/src/simulation/simulated-machine.ts
+++ b/src/simulation/simulated-machine.ts
@@ -9,11 +9,11 @@
   readonly settings: Settings;
   readonly disk: VirtualDisk | undefined;
   /** The offset of its clock from the simulation's. */
-  readonly offsetMs: number;
+  readonly clockOffsetMs: number;
   /** The rate of its clock. */
-  readonly rate: number;
+  readonly clockRate: number;
   /** How far its wall clock has jumped. */
-  wallJumpMs: number;
+  wallClockJumpMs: number;
   /** Passes the events of the running process; it is closed when the process ends. */
   gate: EventGate;
   daemon: Daemon | undefined;
@@ -21,7 +21,7 @@
   /** Whether it was removed for good and never starts again. */
   isRemoved: boolean;
   /** Whether its disk was lost once, after which it never forms a log. */
-  isEmptied: boolean;
+  hasLostDisk: boolean;
   /** Listeners for the end of the process, which breaks every connection to it. */
   readonly exitListeners: Set<() => void>;
 }
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -8,7 +8,7 @@
 import type { ReplicationTimeouts } from "../replication/replication-timeouts.js";
 import { type Task, runTask, waitFor } from "../runtime/task.js";
 import { Workload } from "./workload.js";
-import type { ClientSide, ClientTransport } from "./client-transport.js";
+import type { ClientOutcome, ClientTransport } from "./client-transport.js";
 import { RandomDraw } from "./random-draw.js";
 import { ClientCall } from "./client-call.js";
 import { EventGate } from "./event-gate.js";
@@ -57,9 +57,9 @@
   readonly testBackends: TestBackend[] = [];
   readonly workload: Workload;
   readonly profile: Profile;
-  readonly lines: string[] = [];
+  readonly logLines: string[] = [];
   /** The part of responses to operators that the network loses. */
-  lostAnswerPart = 0;
+  lostResponseFraction = 0;
   /** Called with the machine that has just acknowledged an operator's change. */
   onAcknowledged: (machine: SimulatedMachine) => void = () => undefined;
   /** Whether a fault that loses a member's disk is in progress; there is one at a time. */
@@ -77,7 +77,7 @@
     this.clock = this.virtualClock.clock();
     this.random = RandomDraw.of(seed);
     this.network = new VirtualNetwork(this.clock, this.random);
-    const count = profile.diskMachines + profile.smallMachines;
+    const count = profile.diskMachines + profile.disklessMachines;
     this.machines = Array.from({ length: count }, (_, index) => {
       const zone = profile.zones[index % profile.zones.length] ?? "";
       return this.createMachine({ index, zone, hasDisk: index < profile.diskMachines });
@@ -89,7 +89,7 @@
       ]),
     );
     let port = 9000;
-    for (const [service, many] of Object.entries(profile.backEnds))
+    for (const [service, many] of Object.entries(profile.backends))
       for (let at = 0; at < many; at += 1)
         this.testBackends.push(
           new TestBackend(
@@ -133,14 +133,14 @@
     return {
       settings,
       disk,
-      offsetMs,
-      rate,
-      wallJumpMs: 0,
+      clockOffsetMs: offsetMs,
+      clockRate: rate,
+      wallClockJumpMs: 0,
       gate,
       daemon: undefined,
       isStopping: false,
       isRemoved: false,
-      isEmptied: false,
+      hasLostDisk: false,
       exitListeners: new Set(),
     };
   }
@@ -154,7 +154,7 @@
   }
 
   /** Starts a new machine in a zone, with an empty disk and an unused address. */
-  addSpare(zone: string): SimulatedMachine {
+  addReplacement(zone: string): SimulatedMachine {
     const machine = this.createMachine({
       index: this.machines.length,
       zone,
@@ -174,13 +174,13 @@
   }
 
   /** Starts all machines, backends and clients. */
-  begin(): void {
+  startAll(): void {
     for (const machine of this.machines) this.boot(machine);
     for (const testBackend of this.testBackends)
-      this.start(this.workload.announcing(testBackend, HEARTBEAT_INTERVAL_MS));
-    for (const traffic of this.profile.traffic) this.start(this.workload.callers(traffic));
-    this.start(this.workload.probers(PROBES_PER_SECOND));
-    this.start(this.workload.operators.reading(CONFIG_READ_INTERVAL_MS));
+      this.start(this.workload.sendHeartbeats(testBackend, HEARTBEAT_INTERVAL_MS));
+    for (const traffic of this.profile.traffic) this.start(this.workload.runClients(traffic));
+    this.start(this.workload.runProbes(PROBES_PER_SECOND));
+    this.start(this.workload.operators.readPeriodically(CONFIG_READ_INTERVAL_MS));
   }
 
   start(task: Task<unknown>): void {
@@ -195,24 +195,26 @@
     const gate = new EventGate();
     machine.gate = gate;
     machine.isStopping = false;
-    const clock = this.machineClock(gate, machine.offsetMs, machine.rate);
+    const clock = this.machineClock(gate, machine.clockOffsetMs, machine.clockRate);
     machine.disk?.restart(clock);
     const runtime = virtualRuntime({
       clock,
-      network: this.network.wire(machine.settings.machine, gate),
+      network: this.network.createInterface(machine.settings.machine, gate),
       disk: machine.disk,
-      lines: (line) =>
-        this.lines.push(
+      writeLine: (line) =>
+        this.logLines.push(
           `${(this.virtualClock.nowMs() / 1000).toFixed(3)} ${machine.settings.machine} ${line}`,
         ),
       random: this.random,
       wallTime: () =>
-        new Date(1.8e12 + this.virtualClock.nowMs() + machine.offsetMs + machine.wallJumpMs),
+        new Date(
+          1.8e12 + this.virtualClock.nowMs() + machine.clockOffsetMs + machine.wallClockJumpMs,
+        ),
     });
     const settings = {
       ...machine.settings,
       seeds: this.seeds(),
-      ...(machine.isEmptied ? { bootstrap: false } : {}),
+      ...(machine.hasLostDisk ? { bootstrap: false } : {}),
     };
     const daemon = new Daemon(runtime, settings, {
       backendClient: this.backEnds(machine, gate, clock),
@@ -229,10 +231,10 @@
     machine.daemon = undefined;
     if (power) machine.disk?.losePower();
     else machine.disk?.finishWrites();
-    this.network.drop(machine.settings.machine);
+    this.network.disconnect(machine.settings.machine);
     for (const listener of [...machine.exitListeners]) listener();
     machine.exitListeners.clear();
-    this.recorder.world.push({
+    this.recorder.environmentRecords.push({
       kind: "killed",
       atMs: this.virtualClock.nowMs(),
       daemon: machine.settings.machine,
@@ -251,7 +253,7 @@
     });
     if (!gate.isAlive) return;
     yield* sleep(this.clock, 50);
-    this.recorder.world.push({
+    this.recorder.environmentRecords.push({
       kind: "stopped",
       atMs,
       daemon: machine.settings.machine,
@@ -277,7 +279,7 @@
       clock: this.clock,
       random: this.random,
       start: (task) => this.start(task),
-      ready: () =>
+      readyDaemons: () =>
         this.machines
           .filter(
             (one) =>
@@ -285,14 +287,15 @@
           )
           .map(({ settings }) => settings),
       isUp: (daemon) => this.machine(daemon)?.daemon !== undefined,
-      call: (daemon, clientRequest, timeoutMs) => this.call(daemon, clientRequest, timeoutMs),
-      desk: (daemon, clientRequest, from, timeoutMs) =>
+      sendRequest: (daemon, clientRequest, timeoutMs) =>
+        this.sendRequest(daemon, clientRequest, timeoutMs),
+      sendAdminRequest: (daemon, clientRequest, from, timeoutMs) =>
         this.desk(daemon, clientRequest, from, timeoutMs),
     };
   }
 
   /** Sends one request to a daemon's proxy as a client does; the client hangs up after a timeout. */
-  call(name: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientSide> {
+  sendRequest(name: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientOutcome> {
     return new ClientCall(this, name, this.machine(name), clientRequest).run(timeoutMs);
   }
 
@@ -311,7 +314,8 @@
     const location = machine.settings.machine;
     return yield* withTimeout<ClientResponse | undefined>(this.clock, timeoutMs, (done) => {
       const back = (response: ClientResponse | undefined): void => {
-        if (from === OPERATORS_LOCATION && response && this.random() < this.lostAnswerPart) return;
+        if (from === OPERATORS_LOCATION && response && this.random() < this.lostResponseFraction)
+          return;
         network.deliver(
           location,
           from,
@@ -336,13 +340,13 @@
 
   private backEnds(machine: SimulatedMachine, gate: EventGate, own: Clock): BackendClient {
     return virtualBackends({
-      place: machine.settings.machine,
+      location: machine.settings.machine,
       gate,
-      own,
+      machineClock: own,
       clock: this.clock,
       network: this.network,
       random: this.random,
-      standInAt: (address) => this.testBackends.find((one) => one.address === address),
+      findTestBackend: (address) => this.testBackends.find((one) => one.address === address),
     });
   }
 }
--- a/src/simulation/test-backend.ts
+++ b/src/simulation/test-backend.ts
@@ -2,38 +2,38 @@
 import type { EventRecorder } from "./event-recorder.js";
 
 /** What a stand-in back end sends back, and when. */
-export interface Reply {
-  readonly waitMs: number;
+export interface TestBackendResponse {
+  readonly delayMs: number;
   /** Nothing at all is sent, and the connection breaks. */
   readonly isLost: boolean;
   readonly code: number;
   readonly headers: Record<string, string>;
   readonly body: Buffer;
   /** The body is broken off after this many bytes. */
-  readonly cutAt: number | undefined;
+  readonly truncateAt: number | undefined;
   /** How long after it the same answer comes once more on its connection; not at all where undefined. */
-  readonly againMs: number | undefined;
+  readonly repeatAfterMs: number | undefined;
 }
 
 /** How a stand-in misbehaves, each a part of its requests. */
 export interface InjectedBehavior {
   slowFactor: number;
-  losesPart: number;
-  garbagePart: number;
-  cutPart: number;
+  lossFraction: number;
+  garbageFraction: number;
+  truncatedFraction: number;
   /** Sends its answer a second time, some of them late. */
-  doubledPart: number;
+  duplicatedFraction: number;
   /** Misbehaves only toward the process with this name. */
-  onlyFrom: string;
+  onlyFromDaemon: string;
 }
 
 const honest: InjectedBehavior = {
   slowFactor: 1,
-  losesPart: 0,
-  garbagePart: 0,
-  cutPart: 0,
-  doubledPart: 0,
-  onlyFrom: "",
+  lossFraction: 0,
+  garbageFraction: 0,
+  truncatedFraction: 0,
+  duplicatedFraction: 0,
+  onlyFromDaemon: "",
 };
 /** A second answer comes so long after the first at most. */
 const mostAgainMs = 60;
@@ -44,7 +44,7 @@
   readonly zone: string;
   service: string;
   incarnation = 1;
-  manners: InjectedBehavior = { ...honest };
+  behavior: InjectedBehavior = { ...honest };
   isAnnouncing = true;
   private up = true;
   private readonly ends = new Set<() => void>();
@@ -73,52 +73,56 @@
   }
 
   /** The process ends, and with it every connection to it. */
-  end(): void {
+  stop(): void {
     this.up = false;
     for (const hear of this.ends) hear();
     this.ends.clear();
   }
 
   /** Hears once that this process has ended. */
-  onEnd(hear: () => void): void {
+  onStop(hear: () => void): void {
     this.ends.add(hear);
   }
 
   /** A new process takes the place of the old one, perhaps of another service. */
   replace(service: string): void {
-    this.end();
+    this.stop();
     this.service = service;
     this.incarnation += 1;
-    this.manners = { ...honest };
+    this.behavior = { ...honest };
     this.up = true;
     this.isAnnouncing = true;
   }
 
-  behave(manners: Partial<InjectedBehavior>): void {
-    this.manners = { ...honest, ...manners };
+  setBehavior(behavior: Partial<InjectedBehavior>): void {
+    this.behavior = { ...honest, ...behavior };
   }
 
   /** Runs one request, which the network may have kept back for a while. */
-  run(job: BackendRequest, nowMs: number, heldMs = 0): Reply {
+  handleRequest(job: BackendRequest, nowMs: number, heldMs = 0): TestBackendResponse {
     const caller = job.headers["x-caller"] ?? "";
     const path = job.path.split("?")[0] ?? "";
     const meant = job.headers["x-daledoor-service"] ?? "";
     this.recorder.runs.push({
       atMs: nowMs,
-      heldMs,
+      delayedMs: heldMs,
       address: this.address,
       service: this.service,
       incarnation: this.incarnation,
-      caller,
+      requestId: caller,
       path,
       method: job.method,
       key: job.headers["idempotency-key"],
-      meant,
+      intendedService: meant,
     });
-    const { slowFactor, losesPart, garbagePart, cutPart, doubledPart } = (
-      job.headers["x-daledoor-job"] ?? ""
-    ).includes(this.manners.onlyFrom)
-      ? this.manners
+    const {
+      slowFactor,
+      lossFraction: losesPart,
+      garbageFraction: garbagePart,
+      truncatedFraction: cutPart,
+      duplicatedFraction: doubledPart,
+    } = (job.headers["x-daledoor-job"] ?? "").includes(this.behavior.onlyFromDaemon)
+      ? this.behavior
       : honest;
     const waitMs = (3 + this.random() * 12 + (this.random() < 0.02 ? 60 : 0)) * slowFactor;
     const stamp = job.headers["x-daledoor-job"] ?? "";
@@ -136,13 +140,13 @@
         ? stamp
         : `${this.service}/?`;
     return {
-      waitMs,
+      delayMs: waitMs,
       isLost: this.random() < losesPart,
       code: job.method === "POST" ? 201 : 200,
       headers,
       body,
-      cutAt: this.random() < cutPart ? Math.floor(body.length * this.random()) : undefined,
-      againMs: this.random() < doubledPart ? this.random() * mostAgainMs : undefined,
+      truncateAt: this.random() < cutPart ? Math.floor(body.length * this.random()) : undefined,
+      repeatAfterMs: this.random() < doubledPart ? this.random() * mostAgainMs : undefined,
     };
   }
 }
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -9,7 +9,7 @@
 import type { Clock } from "../runtime/clock.js";
 import { type Task, waitFor } from "../runtime/task.js";
 import { EventGate } from "./event-gate.js";
-import type { Reply, TestBackend } from "./test-backend.js";
+import type { TestBackendResponse, TestBackend } from "./test-backend.js";
 import type { VirtualNetwork } from "./virtual-network.js";
 
 /** One connection of a daemon to the process that a stand-in was when it opened. */
@@ -19,32 +19,32 @@
   /** Whether the daemon has heard that it broke. */
   isOver: boolean;
   /** What hears the next answer that comes on it; nobody while it rests. */
-  hear: ((reply: Reply) => void) | undefined;
+  hear: ((reply: TestBackendResponse) => void) | undefined;
 }
 
 /** What the virtual back ends of one machine are made of. */
 export interface VirtualBackendOptions {
-  readonly place: string;
+  readonly location: string;
   readonly gate: EventGate;
   /** The machine's clock, by which a try's time is over. */
-  readonly own: Clock;
+  readonly machineClock: Clock;
   readonly clock: Clock;
   readonly network: VirtualNetwork;
   readonly random: () => number;
-  readonly standInAt: (address: string) => TestBackend | undefined;
+  readonly findTestBackend: (address: string) => TestBackend | undefined;
 }
 
 const outside = new EventGate();
 
 /** The back ends as one machine of a simulated fleet reaches them: over connections that are slow, cut and broken like real ones. */
 export const virtualBackends = ({
-  place,
+  location: place,
   gate,
-  own,
+  machineClock: own,
   clock,
   network,
   random,
-  standInAt,
+  findTestBackend: standInAt,
 }: VirtualBackendOptions): BackendClient => {
   const idle = new Map<string, Line[]>();
 
@@ -57,7 +57,7 @@
       isOver: false,
       hear: undefined,
     };
-    testBackend.onEnd(() =>
+    testBackend.onStop(() =>
       network.deliver(
         testBackend.address,
         place,
@@ -108,7 +108,7 @@
           () => undefined,
         );
       };
-      clock.after(network.connectMs(), () =>
+      clock.after(network.drawConnectDelayMs(), () =>
         network.deliver(place, address, outside, arrive, () => undefined),
       );
     });
@@ -138,20 +138,20 @@
           () => give(openFailure("lost")),
         );
       const sentMs = clock.nowMs();
-      const tripMs = network.tripMs();
+      const tripMs = network.drawLatencyMs();
       network.deliver(
         place,
         address,
         outside,
         () => {
           if (!isWhole(line)) return back(openFailure("lost"));
-          const reply = testBackend.run(
+          const reply = testBackend.handleRequest(
             job,
             clock.nowMs(),
             Math.max(0, clock.nowMs() - sentMs - tripMs),
           );
           line.hear = (first) => back(replied(line, first, pool));
-          clock.after(reply.waitMs, () => answer(line, reply, () => back(openFailure("lost"))));
+          clock.after(reply.delayMs, () => answer(line, reply, () => back(openFailure("lost"))));
         },
         () => give(openFailure("lost")),
         tripMs,
@@ -160,27 +160,29 @@
   };
 
   /** An answer goes out on its connection, to whatever request is waiting there, and perhaps once more. */
-  const answer = (line: Line, reply: Reply, lost: () => void): void => {
+  const answer = (line: Line, reply: TestBackendResponse, lost: () => void): void => {
     if (reply.isLost || !isWhole(line)) return lost();
     const { hear } = line;
     line.hear = undefined;
     if (hear) hear(reply);
     else line.isOver = true;
-    const { againMs } = reply;
+    const { repeatAfterMs: againMs } = reply;
     if (againMs !== undefined)
-      clock.after(againMs, () => answer(line, { ...reply, againMs: undefined }, () => undefined));
+      clock.after(againMs, () =>
+        answer(line, { ...reply, repeatAfterMs: undefined }, () => undefined),
+      );
   };
 
-  const replied = (line: Line, reply: Reply, pool: string): OpenResult => {
+  const replied = (line: Line, reply: TestBackendResponse, pool: string): OpenResult => {
     const { address } = line.standIn;
-    const body = reply.body.subarray(0, reply.cutAt ?? reply.body.length);
+    const body = reply.body.subarray(0, reply.truncateAt ?? reply.body.length);
     let at = 0;
     return openedResponse({
       code: reply.code,
       headers: reply.headers,
       *next() {
         if (at >= body.length) {
-          if (reply.cutAt !== undefined) return "cut";
+          if (reply.truncateAt !== undefined) return "cut";
           rest(line, pool);
           return "end";
         }
@@ -191,7 +193,7 @@
             gate,
             () => done(isWhole(line)),
             () => gate.pass(() => done(false)),
-            network.tripMs() / 10,
+            network.drawLatencyMs() / 10,
           ),
         );
         if (!came) return "cut";
--- a/src/simulation/virtual-disk.ts
+++ b/src/simulation/virtual-disk.ts
@@ -8,7 +8,7 @@
   private clock: Clock;
   private readonly random: () => number;
   private writing: { name: string; bytes: Buffer; keptBytes: number } | undefined;
-  full = false;
+  isFull = false;
   /** How many bytes all files together may take. */
   capacityBytes = Infinity;
   private stalledUntilMs = 0;
@@ -54,7 +54,7 @@
   }
 
   /** How many bytes all files take. */
-  get heldBytes(): number {
+  get usedBytes(): number {
     let bytes = 0;
     for (const file of this.files.values()) bytes += file.length;
     return bytes;
@@ -98,7 +98,7 @@
 
   private *lasting(name: string, bytes: Buffer, keptBytes: number): Task {
     const addedBytes = bytes.length - this.peek(name).length;
-    if (addedBytes > 0 && (this.full || this.heldBytes + addedBytes > this.capacityBytes))
+    if (addedBytes > 0 && (this.isFull || this.usedBytes + addedBytes > this.capacityBytes))
       throw new DiskError("The disk is full.");
     this.writing = { name, bytes, keptBytes };
     yield* this.rest();
--- a/src/simulation/virtual-network.ts
+++ b/src/simulation/virtual-network.ts
@@ -29,7 +29,7 @@
   /** How many bytes a connection carries in a millisecond; without end unless a test makes links thin. */
   bytesPerMs = Infinity;
   /** How much longer a way takes at most, how much longer a connection does, and which part of pieces must be sent again. */
-  weather = { slowMs: 0, slowConnectMs: 0, lossPart: 0 };
+  conditions = { maxExtraLatencyMs: 0, maxExtraConnectMs: 0, lossFraction: 0 };
 
   constructor(clock: Clock, random: () => number) {
     this.clock = clock;
@@ -37,12 +37,12 @@
   }
 
   /** Cuts the way from one place to another, one way. */
-  cut(from: string, to: string): void {
+  partition(from: string, to: string): void {
     this.cuts.set(`${from}>${to}`, (this.cuts.get(`${from}>${to}`) ?? 0) + 1);
   }
 
   /** Ends one cut; a way that was cut twice is cut until both have ended. */
-  mend(from: string, to: string): void {
+  heal(from: string, to: string): void {
     const way = `${from}>${to}`;
     const left = (this.cuts.get(way) ?? 0) - 1;
     if (left > 0) this.cuts.set(way, left);
@@ -50,18 +50,18 @@
   }
 
   /** Ends all cuts and bad weather. */
-  heal(): void {
+  healAll(): void {
     this.cuts.clear();
-    this.weather = { slowMs: 0, slowConnectMs: 0, lossPart: 0 };
+    this.conditions = { maxExtraLatencyMs: 0, maxExtraConnectMs: 0, lossFraction: 0 };
   }
 
-  isCut(from: string, to: string): boolean {
+  isPartitioned(from: string, to: string): boolean {
     return this.cuts.has(`${from}>${to}`);
   }
 
   /** How long one way takes now. */
-  tripMs(): number {
-    const { slowMs, lossPart } = this.weather;
+  drawLatencyMs(): number {
+    const { maxExtraLatencyMs: slowMs, lossFraction: lossPart } = this.conditions;
     let againMs = 0;
     while (lossPart > 0 && againMs < giveUpMs && this.random() < lossPart) againMs += resendMs;
     return (
@@ -74,12 +74,14 @@
   }
 
   /** How much longer a new connection takes now than a way there and back. */
-  connectMs(): number {
-    return this.weather.slowConnectMs > 0 ? this.random() * this.weather.slowConnectMs : 0;
+  drawConnectDelayMs(): number {
+    return this.conditions.maxExtraConnectMs > 0
+      ? this.random() * this.conditions.maxExtraConnectMs
+      : 0;
   }
 
   /** All that a place held open breaks; its listeners are gone. */
-  drop(place: string): void {
+  disconnect(place: string): void {
     for (const [address, listener] of this.listeners)
       if (listener.place === place) this.listeners.delete(address);
     for (const end of this.ends) if (end.place === place) end.isOpen = false;
@@ -92,18 +94,18 @@
     gate: EventGate,
     run: () => void,
     failed: () => void,
-    waitMs = this.tripMs(),
+    waitMs = this.drawLatencyMs(),
     sinceMs = this.clock.nowMs(),
   ): void {
     this.clock.after(waitMs, () => {
-      if (!this.isCut(from, to)) return gate.pass(run);
+      if (!this.isPartitioned(from, to)) return gate.pass(run);
       if (this.clock.nowMs() - sinceMs > giveUpMs) return failed();
       this.deliver(from, to, gate, run, failed, resendMs, sinceMs);
     });
   }
 
   /** The wire of one machine. */
-  wire(place: string, gate: EventGate): Network {
+  createInterface(place: string, gate: EventGate): Network {
     const listen = (address: string, accept: (connection: Connection) => void): unknown =>
       this.listeners.set(address, { place, gate, accept });
     const connect = (address: string, done: (connection: Connection | undefined) => void): void =>
@@ -127,8 +129,8 @@
     const give = (connection: Connection | undefined, waitMs: number): unknown =>
       this.clock.after(waitMs, () => gate.pass(() => done(connection)));
     const listener = this.listeners.get(address);
-    if (!listener?.gate.isAlive) return void give(undefined, 2 * this.tripMs());
-    if (this.isCut(place, listener.place) || this.isCut(listener.place, place))
+    if (!listener?.gate.isAlive) return void give(undefined, 2 * this.drawLatencyMs());
+    if (this.isPartitioned(place, listener.place) || this.isPartitioned(listener.place, place))
       return void give(undefined, 1000);
     const near: End = { place, gate, incoming: new Queue(), isOpen: true, lastMs: 0 };
     const far: End = {
@@ -146,7 +148,7 @@
       () => listener.accept(this.channel(far, near)),
       () => this.close(near, far),
     );
-    give(this.channel(near, far), 2 * this.tripMs() + 0.5 + this.connectMs());
+    give(this.channel(near, far), 2 * this.drawLatencyMs() + 0.5 + this.drawConnectDelayMs());
   }
 
   private channel(own: End, other: End): Connection {
@@ -155,7 +157,7 @@
       send: (bytes) => {
         if (!own.isOpen || !other.isOpen) return this.close(own, other);
         const nowMs = this.clock.nowMs();
-        const firstMs = Math.max(other.lastMs + 0.001, nowMs + this.tripMs());
+        const firstMs = Math.max(other.lastMs + 0.001, nowMs + this.drawLatencyMs());
         const arriveMs = firstMs + bytes.length / this.bytesPerMs;
         other.lastMs = arriveMs;
         this.travel(own, other, bytes, arriveMs - nowMs, nowMs);
@@ -167,7 +169,7 @@
   private travel(own: End, other: End, bytes: Uint8Array, waitMs: number, sentMs: number): void {
     this.clock.after(waitMs, () => {
       if (!own.isOpen || !other.isOpen) return this.close(own, other);
-      if (!this.isCut(own.place, other.place))
+      if (!this.isPartitioned(own.place, other.place))
         return other.gate.pass(() => other.incoming.put(bytes));
       const nowMs = this.clock.nowMs();
       if (nowMs - sentMs > giveUpMs) return this.close(own, other);
@@ -179,7 +181,7 @@
     for (const end of ends) {
       if (!this.ends.delete(end)) continue;
       end.isOpen = false;
-      this.clock.after(this.tripMs(), () => end.gate.pass(() => end.incoming.put("closed")));
+      this.clock.after(this.drawLatencyMs(), () => end.gate.pass(() => end.incoming.put("closed")));
     }
   }
 }
--- a/src/simulation/virtual-runtime.ts
+++ b/src/simulation/virtual-runtime.ts
@@ -10,7 +10,7 @@
   readonly network: Network;
   readonly random: () => number;
   readonly disk?: Disk | undefined;
-  readonly lines?: (line: string) => void;
+  readonly writeLine?: (line: string) => void;
   readonly wallTime?: () => Date;
 }
 
@@ -20,7 +20,7 @@
   network,
   random,
   disk,
-  lines = () => undefined,
+  writeLine: lines = () => undefined,
   wallTime = () => new Date(0),
 }: VirtualRuntimeOptions): Runtime => ({
   clock,
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -4,7 +4,7 @@
 import { sleep } from "../runtime/clock.js";
 import type { Task } from "../runtime/task.js";
 import { ConfigWorkload } from "./config-workload.js";
-import type { ClientSide, ClientTransport } from "./client-transport.js";
+import type { ClientOutcome, ClientTransport } from "./client-transport.js";
 import type { ClientRecord, EventRecorder } from "./event-recorder.js";
 import type { Profile, Traffic } from "./profile.js";
 import type { TestBackend } from "./test-backend.js";
@@ -39,15 +39,15 @@
 };
 
 /** Adds to a client's record what it received. */
-const recordResponse = (record: ClientRecord, end: ClientSide): void => {
+const recordResponse = (record: ClientRecord, end: ClientOutcome): void => {
   record.code = end.code;
-  record.broke = end.broke;
+  record.failure = end.failure;
   record.retryAfterS = end.retryAfterS;
-  record.isWhole = end.statedBytes === end.body.length;
+  record.isComplete = end.contentLength === end.body.length;
   record.isGarbage = end.body.subarray(0, 7).toString() === "garbage";
-  if (record.isWhole && !record.isGarbage && end.code < 300)
-    record.bodyOf = fieldIn(end.body, ownBody);
-  if (record.isWhole && end.code >= 400) record.verdict = fieldIn(end.body, verdictBody);
+  if (record.isComplete && !record.isGarbage && end.code < 300)
+    record.echoedId = fieldIn(end.body, ownBody);
+  if (record.isComplete && end.code >= 400) record.executionStatus = fieldIn(end.body, verdictBody);
 };
 
 /** The traffic around a fleet: requests of clients, heartbeats of backends, changes by operators. */
@@ -63,7 +63,7 @@
   readonly operators: ConfigWorkload;
   isOver = false;
   /** The factor on the number of clients. */
-  crowd = 1;
+  clientFactor = 1;
 
   constructor(
     outside: ClientTransport,
@@ -79,29 +79,29 @@
   }
 
   /** Starts the clients of one kind, at random intervals. */
-  *callers(traffic: Traffic): Task {
+  *runClients(traffic: Traffic): Task {
     const { clock } = this.outside;
     for (let nextMs = clock.nowMs(); !this.isOver;) {
-      if (this.crowd === 0) {
+      if (this.clientFactor === 0) {
         yield* sleep(clock, 50);
         nextMs = clock.nowMs();
         continue;
       }
       nextMs +=
         (-Math.log(1 - this.outside.random()) * 1000) /
-        (traffic.perSecond * this.rateFactor * this.crowd);
+        (traffic.requestsPerSecond * this.rateFactor * this.clientFactor);
       if (nextMs > clock.nowMs()) yield* sleep(clock, nextMs - clock.nowMs());
       this.outside.start(this.client(traffic));
     }
   }
 
   /** Requests for routes that only one config has. */
-  *probers(perSecond: number): Task {
+  *runProbes(perSecond: number): Task {
     while (!this.isOver) {
       yield* sleep(this.outside.clock, 1000 / perSecond);
-      const accepted = this.recorder.of("accepted").slice(-3);
+      const accepted = this.recorder.ofKind("accepted").slice(-3);
       const probe = accepted[Math.floor(this.outside.random() * accepted.length)]?.probe;
-      const [service] = Object.keys(this.profile.backEnds);
+      const [service] = Object.keys(this.profile.backends);
       if (probe !== undefined && service !== undefined)
         this.outside.start(
           this.oneCall(service, "GET", `/probe/${probe}`, undefined, Buffer.alloc(0)),
@@ -110,11 +110,11 @@
   }
 
   /** Sends a backend's heartbeats for as long as it is registered. */
-  *announcing(testBackend: TestBackend, everyMs: number): Task {
+  *sendHeartbeats(testBackend: TestBackend, everyMs: number): Task {
     while (!this.isOver) {
       if (testBackend.isAnnouncing && testBackend.isUp) {
         const { service, address, zone, incarnation } = testBackend;
-        const response = yield* this.outside.desk(
+        const response = yield* this.outside.sendAdminRequest(
           undefined,
           this.adminRequest("POST", "/backends/announce", {
             service,
@@ -125,7 +125,7 @@
           address,
         );
         if (response?.code === 200)
-          this.recorder.world.push({
+          this.recorder.environmentRecords.push({
             kind: "announced",
             atMs: this.outside.clock.nowMs(),
             address,
@@ -137,17 +137,17 @@
   }
 
   /** Deregisters a backend, with retries until that is acknowledged. */
-  *leave(testBackend: TestBackend): Task<boolean> {
+  *deregister(testBackend: TestBackend): Task<boolean> {
     testBackend.isAnnouncing = false;
     const { service, address, incarnation } = testBackend;
     for (let round = 0; round < 40 && !this.isOver; round += 1) {
-      const response = yield* this.outside.desk(
+      const response = yield* this.outside.sendAdminRequest(
         undefined,
         this.adminRequest("POST", "/backends/leave", { service, address }),
         address,
       );
       if (response?.code === 200) {
-        this.recorder.world.push({
+        this.recorder.environmentRecords.push({
           kind: "left",
           atMs: this.outside.clock.nowMs(),
           address,
@@ -201,7 +201,7 @@
     for (let attempt = 0; attempt < maxAttempts && !this.isOver; attempt += 1) {
       const record = yield* this.oneCall(traffic.service, traffic.method, path, key, body);
       if (record.code > 0 && record.code < 500) return;
-      if (record.broke === "hungUp") continue;
+      if (record.failure === "hungUp") continue;
       yield* sleep(this.outside.clock, this.retryDelayMs(record));
     }
   }
@@ -217,7 +217,7 @@
     const { random } = this.outside;
     const { zones } = this.profile;
     const zone = zones[Math.floor(random() * zones.length)] ?? "";
-    const ready = this.outside.ready();
+    const ready = this.outside.readyDaemons();
     const near = ready.filter((one) => one.zone === zone);
     const candidates = near.length > 0 ? near : ready;
     const reused =
@@ -255,12 +255,12 @@
       sentMs,
       endedMs: sentMs,
       code: 0,
-      broke: "refused",
-      bodyOf: "",
-      isWhole: false,
+      failure: "refused",
+      echoedId: "",
+      isComplete: false,
       isGarbage: false,
       retryAfterS: undefined,
-      verdict: "",
+      executionStatus: "",
     };
     if (daemon === "") yield* sleep(clock, 20);
     else {
@@ -270,12 +270,12 @@
         ...(key === undefined ? {} : { "idempotency-key": key }),
       };
       const clientRequest = { method, target: path, headers, body };
-      const end = yield* this.outside.call(daemon, clientRequest, timeoutMs);
+      const end = yield* this.outside.sendRequest(daemon, clientRequest, timeoutMs);
       if (end.code > 0) this.connectedDaemons = [...this.connectedDaemons.slice(-20), daemon];
       recordResponse(record, end);
     }
     record.endedMs = clock.nowMs();
-    this.recorder.callers.push(record);
+    this.recorder.clientRecords.push(record);
     return record;
   }
 
--- a/test/compatibility/frames.ts
+++ b/test/compatibility/frames.ts
@@ -383,7 +383,7 @@
   constructor(private readonly stage: TappedFleet) {
     const runtime = virtualRuntime({
       clock: stage.time.clock(),
-      network: stage.network.wire("raw-peer", new EventGate()),
+      network: stage.network.createInterface("raw-peer", new EventGate()),
       random: stage.random,
     });
     this.rpc = new RpcEndpoint(runtime, "10.0.0.99:7000");
--- a/test/control-plane/control-plane-stage.ts
+++ b/test/control-plane/control-plane-stage.ts
@@ -36,11 +36,11 @@
   Object.assign(defaultControlPlaneTimeouts, defaults, timeouts);
   const simulation = new Simulation(shippedProfiles.rastro, seed, 0.0001);
   for (const testBackend of simulation.testBackends) testBackend.isAnnouncing = false;
-  simulation.begin();
+  simulation.startAll();
   simulation.virtualClock.runUntil(5000);
   const runtime = virtualRuntime({
     clock: simulation.clock,
-    network: simulation.network.wire("stranger", new EventGate()),
+    network: simulation.network.createInterface("stranger", new EventGate()),
     random: simulation.random,
   });
   const rpc = new RpcEndpoint(runtime, "stranger");
--- a/test/control-plane/control-plane.test.ts
+++ b/test/control-plane/control-plane.test.ts
@@ -11,14 +11,14 @@
 describe("ControlPlane", () => {
   test("a heartbeat that is older than the backend's deregistration, or than another service at its address, changes nothing", () => {
     const simulation = new Simulation(shippedProfiles.rastro, 1, 0.01);
-    simulation.begin();
+    simulation.startAll();
     simulation.virtualClock.runUntil(5000);
     const fail = (error: unknown): void => {
       throw error;
     };
     const runtime = virtualRuntime({
       clock: simulation.clock,
-      network: simulation.network.wire("late", new EventGate()),
+      network: simulation.network.createInterface("late", new EventGate()),
       random: simulation.random,
     });
     const rpc = new RpcEndpoint(runtime, "late");
--- a/test/control-plane/control-traffic.test.ts
+++ b/test/control-plane/control-traffic.test.ts
@@ -25,7 +25,7 @@
     const gate = new EventGate();
     const clock = gate.clock(stage.time.clock());
     const name = `daemon-${at}`;
-    const wire = new DelayedNetwork(stage.network.wire(name, gate), clock, () =>
+    const wire = new DelayedNetwork(stage.network.createInterface(name, gate), clock, () =>
       oneWayMs(zone, "zone-1", spread),
     );
     const runtime = virtualRuntime({ clock, network: wire, random: stage.random });
--- a/test/control-plane/delayed-network.test.ts
+++ b/test/control-plane/delayed-network.test.ts
@@ -14,8 +14,8 @@
     const stage = new FleetStage([], []);
     const clock = stage.time.clock();
     const gate = new EventGate();
-    const far = new DelayedNetwork(stage.network.wire("far", gate), clock, () => 0);
-    const near = new DelayedNetwork(stage.network.wire("near", gate), clock, () => 30);
+    const far = new DelayedNetwork(stage.network.createInterface("far", gate), clock, () => 0);
+    const near = new DelayedNetwork(stage.network.createInterface("near", gate), clock, () => 30);
     const got: string[] = [];
     run(
       far.listen("10.0.0.9:1", (connection) => {
--- a/test/control-plane/endpoint-registry.test.ts
+++ b/test/control-plane/endpoint-registry.test.ts
@@ -133,10 +133,11 @@
     wait(1700);
     const name = one?.settings.machine ?? "";
     post(one, "/backends/announce", heartbeatBody, 0);
-    for (const { settings } of simulation.machines) simulation.network.cut(name, settings.machine);
+    for (const { settings } of simulation.machines)
+      simulation.network.partition(name, settings.machine);
     wait(700);
-    simulation.network.drop(name);
-    simulation.network.heal();
+    simulation.network.disconnect(name);
+    simulation.network.healAll();
     wait(1700);
     expect(registration()?.leaving).toBe(false);
   });
@@ -189,8 +190,8 @@
       50,
     );
     for (const { settings } of simulation.machines) {
-      simulation.network.cut(name, settings.machine);
-      simulation.network.cut(settings.machine, name);
+      simulation.network.partition(name, settings.machine);
+      simulation.network.partition(settings.machine, name);
     }
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 1200);
     expect(returns[0]?.text).toContain('"breakdown"');
--- a/test/control-plane/large-view-limiter.test.ts
+++ b/test/control-plane/large-view-limiter.test.ts
@@ -75,7 +75,7 @@
     fleet.wait(4000);
     const gate = new EventGate();
     const clock = gate.clock(fleet.time.clock());
-    const wire = new DelayedNetwork(fleet.network.wire("far", gate), clock, () => 350);
+    const wire = new DelayedNetwork(fleet.network.createInterface("far", gate), clock, () => 350);
     const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
     const bounds = boundsOf({});
     const daemon = new PollingDaemon(
--- a/test/control-plane/watch-traffic.test.ts
+++ b/test/control-plane/watch-traffic.test.ts
@@ -18,7 +18,7 @@
     fleet.wait(4000);
     const gate = new EventGate();
     const clock = gate.clock(fleet.time.clock());
-    const wire = new DelayedNetwork(fleet.network.wire("one", gate), clock, () => 1);
+    const wire = new DelayedNetwork(fleet.network.createInterface("one", gate), clock, () => 1);
     const runtime = virtualRuntime({ clock, network: wire, random: fleet.random });
     const daemon = new PollingDaemon(
       runtime,
--- a/test/control-protocol/edge-placement.test.ts
+++ b/test/control-protocol/edge-placement.test.ts
@@ -42,7 +42,7 @@
     const peer = "10.0.9.7:7000";
     const runtime = virtualRuntime({
       clock: stage.time.clock(),
-      network: stage.network.wire(`poll-${stage.time.nowMs()}`, new EventGate()),
+      network: stage.network.createInterface(`poll-${stage.time.nowMs()}`, new EventGate()),
       random: stage.random,
     });
     const rpc = new RpcEndpoint(runtime, peer);
--- a/test/daemon/daemon.test.ts
+++ b/test/daemon/daemon.test.ts
@@ -10,7 +10,7 @@
   };
   const wait = (forMs: number): void =>
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
-  simulation.begin();
+  simulation.startAll();
   simulation.start(simulation.workload.putConfig());
   wait(6000);
   const patch = Buffer.from(
@@ -24,17 +24,17 @@
   const edge = simulation.machines.find(({ settings }) => settings.callers !== undefined);
   if (!edge) throw new Error("There is no edge.");
   for (const testBackend of simulation.testBackends)
-    testBackend.behave({ slowFactor: testBackend.service === "issues" ? 4000 : 150 });
+    testBackend.setBehavior({ slowFactor: testBackend.service === "issues" ? 4000 : 150 });
   const codes: string[] = [];
   const call = (path: string): void =>
     runTask(
-      simulation.call(
+      simulation.sendRequest(
         edge.settings.machine,
         { method: "GET", target: path, headers: { "x-caller": path }, body: Buffer.alloc(0) },
         20_000,
       ),
       fail,
-      ({ code, broke }) => codes.push(`${path} ${code} ${broke}`),
+      ({ code, failure: broke }) => codes.push(`${path} ${code} ${broke}`),
     );
   call("/issues/1");
   call("/crashes/1");
@@ -43,6 +43,6 @@
   wait(9000);
   expect(codes).toEqual(["/crashes/1 200 ", "/issues/1 504 "]);
   expect(
-    simulation.recorder.of("stopped").map(({ atMs, endedMs }) => endedMs - atMs < 7000),
+    simulation.recorder.ofKind("stopped").map(({ atMs, endedMs }) => endedMs - atMs < 7000),
   ).toEqual([true]);
 });
--- a/test/fleet/fleet.test.ts
+++ b/test/fleet/fleet.test.ts
@@ -10,8 +10,8 @@
   name: "small",
   zones: ["a", "b", "c"],
   diskMachines: 3,
-  smallMachines: 2,
-  backEnds: { issues: 3, triage: 2 },
+  disklessMachines: 2,
+  backends: { issues: 3, triage: 2 },
   traffic: [
     {
       route: "issues",
@@ -19,7 +19,7 @@
       method: "GET",
       path: (at) => `/issues/${at % 9}`,
       keyed: false,
-      perSecond: 30,
+      requestsPerSecond: 30,
       bodyBytes: 300_000,
     },
     {
@@ -28,7 +28,7 @@
       method: "POST",
       path: (at) => `/issues/${at % 9}/resolve`,
       keyed: true,
-      perSecond: 30,
+      requestsPerSecond: 30,
       bodyBytes: 80,
     },
   ],
@@ -50,11 +50,14 @@
     ).toBe(true);
     expect(await fleet.perform(fleet.workload.putConfig())).toBe(true);
     await fleet.perform(
-      fleet.until(() => fleet.recorder.of("announced").length >= fleet.testBackends.length, 10_000),
+      fleet.until(
+        () => fleet.recorder.ofKind("announced").length >= fleet.testBackends.length,
+        10_000,
+      ),
     );
     fleet.beginCalls();
     const served = (): number =>
-      fleet.recorder.callers.filter(({ code }) => code === 200 || code === 201).length;
+      fleet.recorder.clientRecords.filter(({ code }) => code === 200 || code === 201).length;
     expect(await fleet.perform(fleet.until(() => served() > 60, 20_000))).toBe(true);
 
     const recorders = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
@@ -76,7 +79,7 @@
     expect(edge.exitCode).toBe(0);
     fleet.recorder.endMs = fleet.clock.nowMs();
     await fleet.perform(fleet.workload.readBack());
-    expect(fleet.recorder.of("readBack")).toHaveLength(2);
+    expect(fleet.recorder.ofKind("readBack")).toHaveLength(2);
     expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.failures).toEqual([]);
     const statuses = [];
@@ -90,7 +93,7 @@
 });
 
 test("real processes: a leader whose disk is full hands over, nothing accepted is lost, and it takes writes again", async () => {
-  const fleet = await Fleet.lay({ ...small, smallMachines: 1 }, 2, 1);
+  const fleet = await Fleet.lay({ ...small, disklessMachines: 1 }, 2, 1);
   const recorders = fleet.machines.filter(({ settings }) => settings.dataFolder !== undefined);
   const leaderOf = async (): Promise<FleetMachine | undefined> => {
     for (const machine of recorders) {
@@ -122,7 +125,7 @@
     if (other) await fleet.perform(fleet.kill(other));
     expect(await fleet.perform(fleet.workload.putConfig())).toBe(true);
     await fleet.perform(fleet.workload.readBack());
-    expect(fleet.recorder.of("readBack")).toHaveLength(7);
+    expect(fleet.recorder.ofKind("readBack")).toHaveLength(7);
     expect(checkRules(fleet.recorder)).toEqual([]);
     expect(fleet.failures).toEqual([]);
   } finally {
--- a/test/load/config-storm.test.ts
+++ b/test/load/config-storm.test.ts
@@ -43,7 +43,7 @@
 const forwarderOf = (stage: LimitedStage): CommandForwarder => {
   const runtime = virtualRuntime({
     clock: stage.time.clock(),
-    network: stage.network.wire("caller", new EventGate()),
+    network: stage.network.createInterface("caller", new EventGate()),
     random: stage.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.9:7000");
--- a/test/load/limited-stage.ts
+++ b/test/load/limited-stage.ts
@@ -45,7 +45,7 @@
     this.processors.set(machine, processor);
     const gate = new LimitedGate(time, processor, usualCharges);
     const clock = gate.clock(time);
-    const network = limitedWire(this.network.wire(machine.settings.machine, gate), {
+    const network = limitedWire(this.network.createInterface(machine.settings.machine, gate), {
       clock,
       processor,
       egress: new LinkQueue(clock, linkMbps),
--- a/test/load/overload.test.ts
+++ b/test/load/overload.test.ts
@@ -45,7 +45,7 @@
 const askingAll = (stage: LimitedStage): RpcEndpoint => {
   const runtime = virtualRuntime({
     clock: stage.time.clock(),
-    network: stage.network.wire("asking", new EventGate()),
+    network: stage.network.createInterface("asking", new EventGate()),
     random: stage.random,
   });
   const rpc = new RpcEndpoint(runtime, "10.0.9.8:7000");
--- a/test/platform/command-stage.ts
+++ b/test/platform/command-stage.ts
@@ -179,6 +179,6 @@
   /** Cuts all ways from some machines to others, one way only. */
   cutLinks(from: readonly StageMachine[], to: readonly StageMachine[]): void {
     for (const one of from)
-      for (const other of to) this.network.cut(one.settings.machine, other.settings.machine);
+      for (const other of to) this.network.partition(one.settings.machine, other.settings.machine);
   }
 }
--- a/test/platform/commands.test.ts
+++ b/test/platform/commands.test.ts
@@ -86,7 +86,7 @@
     "the leader's disk is full",
     (fixture) => {
       const { disk } = fixture.leader;
-      if (disk) disk.full = true;
+      if (disk) disk.isFull = true;
     },
   ],
 ];
--- a/test/platform/cut-off-daemons.test.ts
+++ b/test/platform/cut-off-daemons.test.ts
@@ -109,7 +109,7 @@
           fixture.wait(1000);
           expect(command.code).toBe(200);
         }
-        fixture.network.heal();
+        fixture.network.healAll();
         fixture.wait(6000);
 
         for (const { kind, call } of sent) {
@@ -143,7 +143,7 @@
       cutOff(fixture, [edge], "both ways");
       fixture.wait(20_000);
       expect(stands(fixture, "10.1.0.1:90")).toBe(false);
-      fixture.network.heal();
+      fixture.network.healAll();
       fixture.wait(restMs);
       const call = heartbeat(fixture, edge, "1", 50);
       fixture.until(() => call.code !== undefined, 1000);
--- a/test/platform/proxy-fixture.ts
+++ b/test/platform/proxy-fixture.ts
@@ -181,10 +181,10 @@
     };
     const runtime = virtualRuntime({
       clock: this.clock,
-      network: network.wire("disk-1", new EventGate()),
+      network: network.createInterface("disk-1", new EventGate()),
       disk: this.disk,
       random,
-      lines: (line) => this.logLines.push(`${this.time.nowMs().toFixed(0)} ${line}`),
+      writeLine: (line) => this.logLines.push(`${this.time.nowMs().toFixed(0)} ${line}`),
     });
     this.daemon = new Daemon(runtime, settings, {
       headerNames,
--- a/test/proxy/idempotency/claims-of-lost-daemons.test.ts
+++ b/test/proxy/idempotency/claims-of-lost-daemons.test.ts
@@ -27,13 +27,13 @@
   test("a client that disconnects while its keyed request runs, and retries at another edge, gets 409, then the first response", () => {
     const { simulation, edges, wait, send, runs, until } = simulatedFleet();
     const [first, second] = firstTwo(edges);
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 60 });
     send(first, "k", { timeoutMs: 250 });
     until(() => runs("k").length === 1);
     wait(300);
     const early = send(second, "k", { timeoutMs: 2000 });
     wait(2000);
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 1 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 1 });
     until(() => {
       const late = send(second, "k");
       wait(1000);
@@ -46,19 +46,19 @@
   test("an edge is partitioned from the quorum while its keyed request runs: no repeat elsewhere runs, and once the partition heals they get the first response", () => {
     const { simulation, edges, core, wait, send, runs, until } = simulatedFleet();
     const [first, second] = firstTwo(edges);
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 60 });
     const one = send(first, "k");
     until(() => runs("k").length === 1);
     for (const other of [...core, ...edges.slice(1)]) {
-      simulation.network.cut(first.settings.machine, other.settings.machine);
-      simulation.network.cut(other.settings.machine, first.settings.machine);
+      simulation.network.partition(first.settings.machine, other.settings.machine);
+      simulation.network.partition(other.settings.machine, first.settings.machine);
     }
     until(() => one.code !== undefined);
     expect(one.code).toBe(201);
     const meanwhile = send(second, "k");
     wait(2500);
     expect(meanwhile.code).toBe(502);
-    simulation.network.heal();
+    simulation.network.healAll();
     wait(5000);
     const after = send(second, "k");
     wait(3000);
@@ -80,7 +80,7 @@
         const first = pick(edges);
         if (!first) throw new Error("There are no edges.");
         for (const testBackend of simulation.testBackends)
-          testBackend.behave({ slowFactor: draw() < 0.5 ? 30 : 1 });
+          testBackend.setBehavior({ slowFactor: draw() < 0.5 ? 30 : 1 });
         mine.push(send(first, key, { timeoutMs: draw() < 0.3 ? 100 : 9000 }));
         wait(Math.floor(draw() * (draw() < 0.5 ? 12 : 250)));
         const hurt = [draw() < 0.7 ? first : undefined, draw() < 0.4 ? leader() : undefined];
--- a/test/proxy/idempotency/idempotency-claims.test.ts
+++ b/test/proxy/idempotency/idempotency-claims.test.ts
@@ -27,7 +27,7 @@
 
   test("between the send and the response: a duplicate elsewhere doesn't run", () => {
     const { simulation, wait, first, second, send, runs } = fleet;
-    for (const testBackend of simulation.testBackends) testBackend.behave({ slowFactor: 60 });
+    for (const testBackend of simulation.testBackends) testBackend.setBehavior({ slowFactor: 60 });
     send(first, "k");
     while (runs("k").length === 0) wait(1);
     simulation.kill(first);
--- a/test/proxy/idempotency/keyed-outcomes.test.ts
+++ b/test/proxy/idempotency/keyed-outcomes.test.ts
@@ -63,7 +63,7 @@
     const [first, second] = firstTwo(edges);
     // The first edge is heard by the members, and hears nothing: its claim is taken, and it never learns that.
     for (const other of core)
-      simulation.network.cut(other.settings.machine, first.settings.machine);
+      simulation.network.partition(other.settings.machine, first.settings.machine);
     const one = send(first, "k");
     wait(3000);
     expect(one.code).toBe(503);
--- a/test/proxy/simulated-fleet.ts
+++ b/test/proxy/simulated-fleet.ts
@@ -19,7 +19,7 @@
 /** A simulated fleet without faults, with functions to send keyed requests and to observe their runs. */
 export const simulatedFleet = (seed = 7) => {
   const simulation = new Simulation(shippedProfiles.rastro, seed, 0.0001);
-  simulation.begin();
+  simulation.startAll();
   simulation.start(simulation.workload.putConfig());
   const wait = (forMs: number): void =>
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
@@ -39,7 +39,7 @@
       body: Buffer.from(body),
     };
     runTask(
-      simulation.call(through.settings.machine, clientRequest, timeoutMs),
+      simulation.sendRequest(through.settings.machine, clientRequest, timeoutMs),
       (error) => {
         throw error;
       },
--- a/test/replication/bootstrap/restore-as-only-voter.test.ts
+++ b/test/replication/bootstrap/restore-as-only-voter.test.ts
@@ -14,7 +14,7 @@
   };
   const wait = (forMs: number): void =>
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
-  simulation.begin();
+  simulation.startAll();
   simulation.start(simulation.workload.putConfig());
   wait(4000);
   const core = simulation.machines.filter(({ disk }) => disk);
@@ -47,7 +47,7 @@
   expect(lost.some(({ daemon }) => daemon?.replicationNode?.holdsLease)).toBe(true);
   simulation.start(simulation.workload.readBack());
   wait(3000);
-  expect(simulation.recorder.of("readBack").map(({ text }) => text)).toEqual(
-    simulation.recorder.of("accepted").map(({ text }) => text),
+  expect(simulation.recorder.ofKind("readBack").map(({ text }) => text)).toEqual(
+    simulation.recorder.ofKind("accepted").map(({ text }) => text),
   );
 });
--- a/test/replication/config-entries.test.ts
+++ b/test/replication/config-entries.test.ts
@@ -21,7 +21,7 @@
 });
 
 const logBytes = (stage: ControlFixture): number[] =>
-  stage.disks.map(({ disk }) => disk?.heldBytes ?? 0);
+  stage.disks.map(({ disk }) => disk?.usedBytes ?? 0);
 
 const begun = (): ControlFixture => {
   const stage = new ControlFixture(machines, [0, 1, 2]);
--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -115,7 +115,7 @@
   for (const sequence of [1, 2, 64, 65, 700, 999, 1000])
     expect(readAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
   expect(stage.lines.filter((line) => line.includes("disk full"))).toEqual([]);
-  expect(machine.disk?.heldBytes ?? Infinity).toBeLessThan(diskMb * 1_000_000);
+  expect(machine.disk?.usedBytes ?? Infinity).toBeLessThan(diskMb * 1_000_000);
 }, 300_000);
 
 test("the history removes its oldest configs once its quota is used up, and reports them as removed", () => {
@@ -161,15 +161,15 @@
   const [first, second] = stage.disks;
   for (const machine of [first, second]) {
     if (!machine?.disk) throw new Error("A disk is missing.");
-    machine.disk.full = true;
+    machine.disk.isFull = true;
     stage.wait(4000);
-    machine.disk.full = false;
+    machine.disk.isFull = false;
     stage.wait(2000);
     acceptUntil(changes.texts.length + 150);
   }
-  for (const { disk } of stage.disks) if (disk) disk.full = true;
+  for (const { disk } of stage.disks) if (disk) disk.isFull = true;
   stage.wait(3000);
-  for (const { disk } of stage.disks) if (disk) disk.full = false;
+  for (const { disk } of stage.disks) if (disk) disk.isFull = false;
   stage.until(isLed(stage), 6000);
   acceptUntil(700);
   for (const machine of stage.disks) stage.kill(machine);
@@ -178,7 +178,7 @@
   for (const machine of stage.disks)
     for (const sequence of [690, 700])
       expect(readAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
-  for (const { disk } of stage.disks) expect(disk?.heldBytes).toBeLessThan(diskMb * 1_000_000);
+  for (const { disk } of stage.disks) expect(disk?.usedBytes).toBeLessThan(diskMb * 1_000_000);
 }, 300_000);
 
 /** A member's disk as a former build left it: full of whole configs, 64 a file. */
@@ -244,8 +244,8 @@
     const config = new LargeConfig(2500);
     const newest = fillAsFormerBuild(stage, machine, config);
     if (!machine.disk) throw new Error("The disk is missing.");
-    expect(machine.disk.heldBytes).toBeGreaterThan(50_000_000);
-    machine.disk.capacityBytes = machine.disk.heldBytes + 400_000;
+    expect(machine.disk.usedBytes).toBeGreaterThan(50_000_000);
+    machine.disk.capacityBytes = machine.disk.usedBytes + 400_000;
     stage.bootAll();
     stage.until(isLed(stage), 5000);
     const changes = new Changes(stage, config, newest + 1);
--- a/test/replication/far-behind-members.test.ts
+++ b/test/replication/far-behind-members.test.ts
@@ -93,7 +93,7 @@
   const { stage, others, behind, totalBytes } = staged;
   expect(totalBytes).toBeGreaterThan(18_000_000);
   stage.network.bytesPerMs = 1250;
-  stage.network.weather = { slowMs: 30, slowConnectMs: 0, lossPart: 0.02 };
+  stage.network.conditions = { maxExtraLatencyMs: 30, maxExtraConnectMs: 0, lossFraction: 0.02 };
   stage.bootAll();
   stage.until(isLed(stage), 8000);
   let largest = 0;
@@ -106,7 +106,7 @@
     for (const other of others) stage.cut(other, behind, true);
   }
   stage.until(() => holdsAll(staged), 60_000);
-  stage.network.heal();
+  stage.network.healAll();
   leadsInTurn(staged, 1);
 }, 120_000);
 
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -112,7 +112,7 @@
       network,
       disk: machine.disk,
       random: this.random,
-      lines: (line) => this.lines.push(`${this.time.nowMs().toFixed(0)} ${name} ${line}`),
+      writeLine: (line) => this.lines.push(`${this.time.nowMs().toFixed(0)} ${name} ${line}`),
     });
     machine.daemon = new Daemon(runtime, machine.settings, this.daemonOptions());
     this.start(machine.daemon.start());
@@ -127,7 +127,7 @@
   protected lifeOf({ settings }: StageMachine): MachineLife {
     const gate = new EventGate();
     const clock = gate.clock(this.time.clock());
-    return { gate, clock, network: this.network.wire(settings.machine, gate) };
+    return { gate, clock, network: this.network.createInterface(settings.machine, gate) };
   }
 
   bootAll(): void {
@@ -140,7 +140,7 @@
     machine.daemon = undefined;
     machine.disk?.finishWrites();
     if (wipes) machine.disk?.wipe();
-    this.network.drop(machine.settings.machine);
+    this.network.disconnect(machine.settings.machine);
   }
 
   /** Cuts two machines from each other, or joins them again. */
@@ -149,8 +149,8 @@
       [one, other],
       [other, one],
     ] as const) {
-      if (mends) this.network.mend(from.settings.machine, to.settings.machine);
-      else this.network.cut(from.settings.machine, to.settings.machine);
+      if (mends) this.network.heal(from.settings.machine, to.settings.machine);
+      else this.network.partition(from.settings.machine, to.settings.machine);
     }
   }
 
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -38,10 +38,10 @@
   run(history.load([]));
   run(history.add([config(1), config(2, 9)]));
   const whole = Buffer.from(disk.peek("configs-1"));
-  disk.full = true;
+  disk.isFull = true;
   run(history.add([config(3, 12)]));
   expect(errors).toHaveLength(1);
-  disk.full = false;
+  disk.isFull = false;
   disk.poke("configs-1", Buffer.concat([whole, whole.subarray(0, 20)]));
   run(history.add([config(3, 12), config(4, 13)]));
   const again = new ConfigHistory(disk);
@@ -81,9 +81,9 @@
   const simulation = new Simulation(shippedProfiles.rastro, 3, 0.01);
   const wait = (forMs: number): void =>
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
-  simulation.begin();
+  simulation.startAll();
   wait(3000);
-  while (simulation.recorder.of("accepted").length < 230) {
+  while (simulation.recorder.ofKind("accepted").length < 230) {
     simulation.start(simulation.workload.putConfig());
     wait(40);
   }
@@ -102,13 +102,15 @@
     "formed",
     "formed",
   ]);
-  expect(simulation.lines.filter((line) => line.includes("history file repaired"))).toHaveLength(1);
+  expect(simulation.logLines.filter((line) => line.includes("history file repaired"))).toHaveLength(
+    1,
+  );
   simulation.kill(three, true);
   three.disk.wipe();
   wait(4000);
   simulation.start(simulation.workload.readBack());
   wait(60_000);
-  expect(simulation.recorder.of("readBack")).toHaveLength(230);
+  expect(simulation.recorder.ofKind("readBack")).toHaveLength(230);
   expect(checkRules(simulation.recorder).filter(({ rule }) => rule.includes("accepted"))).toEqual(
     [],
   );
@@ -204,7 +206,7 @@
   expect(history.removedUpTo).toBe(removed?.to);
   expect(filled).toBeGreaterThan(1_000_000);
   expect(history.bytes).toBeLessThanOrEqual(1_000_000);
-  expect(disk.heldBytes).toBe(history.bytes);
+  expect(disk.usedBytes).toBe(history.bytes);
   expect(run(history.read(removed?.to ?? 0))).toBeUndefined();
   expect(run(history.read((removed?.to ?? 0) + 1))?.sequence).toBe((removed?.to ?? 0) + 1);
   for (let round = 0; round < 40; round += 1) run(history.reclaim());
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -38,7 +38,7 @@
   const worldOf = (place: string): Runtime =>
     virtualRuntime({
       clock: time.clock(),
-      network: network.wire(place, new EventGate()),
+      network: network.createInterface(place, new EventGate()),
       disk,
       random: RandomDraw.of(2),
     });
--- a/test/retry-budget/count-aggregator.test.ts
+++ b/test/retry-budget/count-aggregator.test.ts
@@ -26,7 +26,7 @@
     gates.set(address, gate);
     const runtime = virtualRuntime({
       clock: gate.clock(time.clock()),
-      network: network.wire(address, gate),
+      network: network.createInterface(address, gate),
       random: RandomDraw.of(4),
     });
     const rpc = new RpcEndpoint(runtime, address);
@@ -62,7 +62,7 @@
     if (atMs === 20_000 || atMs === 34_000) {
       if (atMs === 34_000) {
         gates.get(right.address)?.kill();
-        network.drop(right.address);
+        network.disconnect(right.address);
       }
       parent = parent === left.address ? right.address : left.address;
       parentSequence += 1;
--- a/test/rpc/rpc-endpoint.test.ts
+++ b/test/rpc/rpc-endpoint.test.ts
@@ -20,7 +20,7 @@
     const rpc = new RpcEndpoint(
       virtualRuntime({
         clock: time.clock(),
-        network: network.wire(address, new EventGate()),
+        network: network.createInterface(address, new EventGate()),
         random: RandomDraw.of(2),
       }),
       address,
@@ -68,7 +68,9 @@
   const received: string[] = [];
   runTask(
     (function* () {
-      const connection = yield* network.wire("stranger", new EventGate()).connect(one.self);
+      const connection = yield* network
+        .createInterface("stranger", new EventGate())
+        .connect(one.self);
       connection?.send(Buffer.from("GET / HTTP/1.1\r\n\r\n"));
       const piece = yield* (connection?.incoming ?? new Queue<Uint8Array | "closed">()).take();
       received.push(piece === "closed" ? "closed" : "bytes");
@@ -126,10 +128,10 @@
     [endpoint.self, peer.self],
     [peer.self, endpoint.self],
   ] as const;
-  for (const [from, to] of directions) network.cut(from, to);
+  for (const [from, to] of directions) network.partition(from, to);
   while (time.nowMs() < sinceMs + 2500) call(endpoint, peer, 200);
   expect(endpoint.isUnreachable(peer.self, sinceMs)).toBe(true);
-  for (const [from, to] of directions) network.mend(from, to);
+  for (const [from, to] of directions) network.heal(from, to);
   while (call(endpoint, peer, 200) === undefined && time.nowMs() < sinceMs + 9000);
   expect(endpoint.isUnreachable(peer.self, sinceMs)).toBe(false);
 });
--- a/test/simulation/config-history-check.test.ts
+++ b/test/simulation/config-history-check.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { configHistoryFaults } from "../../src/simulation/config-history-check.js";
+import { configHistoryViolations } from "../../src/simulation/config-history-check.js";
 import type { ConfigCommandRecord, ConfigReadRecord } from "../../src/simulation/event-recorder.js";
 
 const command = (
@@ -23,7 +23,7 @@
   endMs,
 });
 const faultsOf = (commands: ConfigCommandRecord[], reads: ConfigReadRecord[] = []): string[] => [
-  ...configHistoryFaults(commands, reads),
+  ...configHistoryViolations(commands, reads),
 ];
 const first = command(0, "accepted", 5, 0, 100);
 
--- a/test/simulation/invariant-checker.test.ts
+++ b/test/simulation/invariant-checker.test.ts
@@ -16,25 +16,25 @@
   sentMs: 5000,
   endedMs: 5050,
   code: 200,
-  broke: "",
-  bodyOf: record.id ?? "c1",
-  isWhole: true,
+  failure: "",
+  echoedId: record.id ?? "c1",
+  isComplete: true,
   isGarbage: false,
   retryAfterS: undefined,
-  verdict: "",
+  executionStatus: "",
   ...record,
 });
 const ran = (record: Partial<RunRecord>): RunRecord => ({
   atMs: 5020,
-  heldMs: 0,
+  delayedMs: 0,
   address: "b1",
   service: "s",
   incarnation: 1,
-  caller: "c1",
+  requestId: "c1",
   path: "/x/1",
   method: "GET",
   key: undefined,
-  meant: "s",
+  intendedService: "s",
   ...record,
 });
 const configText = (number: number): string =>
@@ -49,18 +49,18 @@
   const recorder = new EventRecorder();
   for (const number of [1, 2]) {
     const [atMs, text] = [(number - 1) * 1000, configText(number)];
-    recorder.world.push(
+    recorder.environmentRecords.push(
       { kind: "sent", atMs, probe: number, text },
       { kind: "accepted", atMs, sequence: number, probe: number, text },
     );
   }
   for (const base of [0, 1])
-    Object.assign(recorder.order({ startMs: base * 1000, base, probe: base + 1 }), {
+    Object.assign(recorder.addCommand({ startMs: base * 1000, base, probe: base + 1 }), {
       outcome: "accepted",
       version: base + 1,
       endMs: base * 1000 + 50,
     });
-  recorder.callers.push(call({}));
+  recorder.clientRecords.push(call({}));
   recorder.runs.push(ran({}));
   recorder.endMs = 60_000;
   return recorder;
@@ -68,42 +68,54 @@
 const planted: Record<string, (recorder: EventRecorder) => void> = {
   "a key runs once in a minute": (recorder) =>
     recorder.runs.push(
-      ran({ caller: "a", method: "POST", key: "k" }),
-      ran({ caller: "b", method: "POST", key: "k", atMs: 60_000 }),
+      ran({ requestId: "a", method: "POST", key: "k" }),
+      ran({ requestId: "b", method: "POST", key: "k", atMs: 60_000 }),
     ),
   "a return is the caller's own, whole and stamped": (recorder) =>
-    recorder.callers.push(call({ id: "c2", bodyOf: "c1" })),
-  "what is told to try later never runs": (recorder) => recorder.callers.push(call({ code: 503 })),
+    recorder.clientRecords.push(call({ id: "c2", echoedId: "c1" })),
+  "what is told to try later never runs": (recorder) =>
+    recorder.clientRecords.push(call({ code: 503 })),
   "what may not be repeated runs once": (recorder) =>
     recorder.runs.push(
-      ran({ caller: "c3", method: "POST" }),
-      ran({ caller: "c3", method: "POST", atMs: 9000 }),
+      ran({ requestId: "c3", method: "POST" }),
+      ran({ requestId: "c3", method: "POST", atMs: 9000 }),
     ),
   "repeats stay under a fifth plus seventy in ten seconds": (recorder) => {
     for (let at = 0; at < 72; at += 1) recorder.runs.push(ran({ atMs: 5021 + at }));
   },
   "a leaving back end gets no work two seconds on": (recorder) =>
-    recorder.world.push({ kind: "left", atMs: 3000, address: "b1", service: "s", incarnation: 1 }),
+    recorder.environmentRecords.push({
+      kind: "left",
+      atMs: 3000,
+      address: "b1",
+      service: "s",
+      incarnation: 1,
+    }),
   "no request meets a config older than two seconds": (recorder) =>
-    recorder.callers.push(call({ path: "/probe/1" })),
+    recorder.clientRecords.push(call({ path: "/probe/1" })),
   "a daemon never slips back to an older config": (recorder) =>
-    recorder.callers.push(
+    recorder.clientRecords.push(
       call({ path: "/probe/2", sentMs: 1500, endedMs: 1600 }),
       call({ path: "/probe/1", sentMs: 1900 }),
     ),
   "no request reaches a service that was never allowed": (recorder) =>
     recorder.runs.push(ran({ service: "other" })),
   "only accepted configs are in force, and none is lost": (recorder) =>
-    recorder.world.push({ kind: "readBack", atMs: 9000, sequence: 2, text: undefined }),
+    recorder.environmentRecords.push({
+      kind: "readBack",
+      atMs: 9000,
+      sequence: 2,
+      text: undefined,
+    }),
   "operators see one register of configs": (recorder) =>
     recorder.configReads.push({ startMs: 2000, endMs: 2010, version: 1 }),
   "a stop finishes the work in hand": (recorder) => {
-    recorder.world.push({ kind: "stopped", atMs: 5010, daemon: "e1", endedMs: 5200 });
-    recorder.callers.push(call({ code: 0, broke: "broken" }));
+    recorder.environmentRecords.push({ kind: "stopped", atMs: 5010, daemon: "e1", endedMs: 5200 });
+    recorder.clientRecords.push(call({ code: 0, failure: "broken" }));
   },
   "most requests are served 15 s after a fault": (recorder) => {
-    recorder.world.push({ kind: "recovered", atMs: 10_000 });
-    recorder.callers.push(call({ sentMs: 30_000, code: 503, id: "c9" }));
+    recorder.environmentRecords.push({ kind: "recovered", atMs: 10_000 });
+    recorder.clientRecords.push(call({ sentMs: 30_000, code: 503, id: "c9" }));
   },
 };
 test.each(Object.keys(rules))(
--- a/test/simulation/simulated-day.test.ts
+++ b/test/simulation/simulated-day.test.ts
@@ -1,18 +1,18 @@
 import { expect, test } from "vitest";
 import { shippedProfiles } from "../../src/simulation/profile.js";
-import { simulateDay } from "../../src/simulation/simulated-day.js";
+import { runSimulation } from "../../src/simulation/simulated-day.js";
 
 const days = Object.values(shippedProfiles).flatMap((profile) =>
   [1, 2, 3].map((seed) => ({ profile, seed, name: `${profile.name}, seed ${seed}` })),
 );
 test.each(days)("a day of all kinds of failures breaks no rule: $name", ({ profile, seed }) => {
-  const day = simulateDay({
+  const day = runSimulation({
     profile,
     seed,
-    dayMs: 12_000,
+    faultPeriodMs: 12_000,
     rateFactor: profile.name === "rastro" ? 0.08 : 0.2,
   });
-  expect(day.breaches).toEqual([]);
+  expect(day.violations).toEqual([]);
   expect(day.requests).toBeGreaterThan(500);
   expect(day.elections).toBeGreaterThan(0);
 });
@@ -46,44 +46,46 @@
   ],
 };
 test.each(Object.keys(points))("a day of one point breaks no rule: %s", (point) => {
-  const day = simulateDay({
+  const day = runSimulation({
     profile: shippedProfiles.rastro,
     seed: 11,
-    dayMs: 9000,
+    faultPeriodMs: 9000,
     rateFactor: 0.08,
-    ...(points[point] ? { only: points[point] } : {}),
+    ...(points[point] ? { faultNames: points[point] } : {}),
   });
-  expect(day.breaches).toEqual([]);
-  expect(day.faults.length).toBeGreaterThan(1);
+  expect(day.violations).toEqual([]);
+  expect(day.injectedFaults.length).toBeGreaterThan(1);
 });
 test("edges leave a leader that is cut from its core, and go on serving", () => {
-  const day = simulateDay({
+  const day = runSimulation({
     profile: shippedProfiles.kovacic,
     seed: 1,
-    dayMs: 10_000,
+    faultPeriodMs: 10_000,
     rateFactor: 0.03,
-    only: ["cutLeaderFromCore"],
-    atOnce: 1,
+    faultNames: ["cutLeaderFromCore"],
+    concurrentFaults: 1,
   });
-  expect(day.breaches).toEqual([]);
-  const asked = day.simulation.recorder.callers.filter(
-    ({ sentMs, path, broke }) =>
+  expect(day.violations).toEqual([]);
+  const asked = day.simulation.recorder.clientRecords.filter(
+    ({ sentMs, path, failure: broke }) =>
       sentMs >= 8000 &&
       sentMs < day.simulation.recorder.endMs &&
       !path.startsWith("/probe/") &&
       broke !== "hungUp",
   );
   expect(asked.length).toBeGreaterThan(150);
-  expect(asked.filter(({ code, isWhole }) => code < 200 || code > 299 || !isWhole)).toEqual([]);
+  expect(
+    asked.filter(({ code, isComplete: isWhole }) => code < 200 || code > 299 || !isWhole),
+  ).toEqual([]);
 });
 test("the same seed makes the same day", () => {
   const lines = (): string[] =>
-    simulateDay({
+    runSimulation({
       profile: shippedProfiles.kovacic,
       seed: 5,
-      dayMs: 3000,
+      faultPeriodMs: 3000,
       rateFactor: 0.1,
-      only: ["killLeader", "cutOffLeader"],
-    }).simulation.lines;
+      faultNames: ["killLeader", "cutOffLeader"],
+    }).simulation.logLines;
   expect(lines()).toEqual(lines());
 });
--- a/test/simulation/virtual-backends.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -17,23 +17,23 @@
     const simulation = new Simulation(shippedProfiles.rastro, seed, 0.001);
     const wait = (forMs: number): void =>
       simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + forMs);
-    simulation.begin();
+    simulation.startAll();
     simulation.start(simulation.workload.putConfig());
     wait(6000);
     const edge =
       simulation.machines.find(({ settings }) => settings.callers !== undefined)?.settings
         .machine ?? "";
     const leavers = simulation.testBackends.filter(({ service }) => service === "issues");
-    for (const leaver of leavers) simulation.start(simulation.workload.leave(leaver));
+    for (const leaver of leavers) simulation.start(simulation.workload.deregister(leaver));
     for (const { settings } of simulation.machines) {
-      simulation.network.cut(settings.machine, edge);
-      simulation.network.cut(edge, settings.machine);
+      simulation.network.partition(settings.machine, edge);
+      simulation.network.partition(edge, settings.machine);
     }
-    simulation.network.weather = { ...simulation.network.weather, slowConnectMs: 1000 };
+    simulation.network.conditions = { ...simulation.network.conditions, maxExtraConnectMs: 1000 };
     for (let count = 0; count < 200; count += 1) {
       for (const half of ["a", "b"])
         simulation.start(
-          simulation.call(
+          simulation.sendRequest(
             edge,
             {
               method: "GET",
@@ -47,9 +47,9 @@
       wait(10);
     }
     wait(4000);
-    expect(simulation.recorder.of("left")).toHaveLength(leavers.length);
+    expect(simulation.recorder.ofKind("left")).toHaveLength(leavers.length);
     expect(
-      simulation.recorder.runs.filter(({ caller }) => caller.startsWith("late-")).length,
+      simulation.recorder.runs.filter(({ requestId: caller }) => caller.startsWith("late-")).length,
     ).toBeGreaterThan(50);
     expect(checkRules(simulation.recorder)).toEqual([]);
     withdrawn +=
@@ -66,13 +66,13 @@
   const recorder = new EventRecorder();
   const testBackend = new TestBackend("b:1", "a", "s", recorder, RandomDraw.of(2), new Map());
   const backendClient = virtualBackends({
-    place: "edge",
+    location: "edge",
     gate: new EventGate(),
-    own: clock,
+    machineClock: clock,
     clock,
     network,
     random: RandomDraw.of(3),
-    standInAt: () => testBackend,
+    findTestBackend: () => testBackend,
   });
   const ends: string[] = [];
   const send = (untilMs: number): void =>
@@ -97,19 +97,19 @@
     );
   send(1000);
   time.runUntil(500);
-  network.cut("b:1", "edge");
+  network.partition("b:1", "edge");
   send(1500);
   time.runUntil(2000);
   expect([ends, recorder.runs.length]).toEqual([["returned", "late"], 2]);
-  network.heal();
+  network.healAll();
   send(2600);
   time.runUntil(2500);
-  network.cut("edge", "b:1");
+  network.partition("edge", "b:1");
   send(3000);
   time.runUntil(4000);
   expect([ends.at(-1), recorder.runs.length]).toEqual(["late", 3]);
-  network.heal();
+  network.healAll();
   time.runUntil(6000);
-  expect(recorder.runs.at(-1)?.heldMs).toBeGreaterThan(1000);
+  expect(recorder.runs.at(-1)?.delayedMs).toBeGreaterThan(1000);
   expect(recorder.runs.length).toBe(4);
 });
