--- a/src/simulation/faults/backend-faults.ts
+++ b/src/simulation/faults/backend-faults.ts
@@ -46,6 +46,7 @@
       backend.replace(backend.service);
     }
   },
+  /** A backend deregisters while the leader restarts. */
   *leaveDuringLeaderChange(simulation) {
     const backend = pick(simulation, workingBackends(simulation));
     const [leader] = leaders(simulation);
@@ -108,6 +109,7 @@
     for (const [index, backend] of backends.entries())
       backend.replace(previousServices[index] ?? backend.service);
   },
+  /** All backends of a service stop, with or without deregistration. */
   *emptyService(simulation) {
     const service = pick(simulation, Object.keys(simulation.profile.backends));
     const backends = workingBackends(simulation).filter((backend) => backend.service === service);
@@ -144,6 +146,7 @@
     yield* sleepBetween(simulation, 2000, 8000);
     for (const backend of backends) backend.setBehavior({});
   },
+  /** Edges restart repeatedly while 60% of the backends' responses are lost. */
   *restartEdgesInBreakdown(simulation) {
     const backends = workingBackends(simulation);
     for (const backend of backends) backend.setBehavior({ lossFraction: 0.6 });
@@ -156,6 +159,7 @@
     }
     for (const backend of backends) backend.setBehavior({});
   },
+  /** Client traffic triples, the backends fail, and then all clients stop. */
   *stopCallersAfterPeak(simulation) {
     simulation.workload.clientFactor = 3;
     yield* sleepBetween(simulation, 2000, 3000);
--- a/src/simulation/faults/disk-faults.ts
+++ b/src/simulation/faults/disk-faults.ts
@@ -5,6 +5,7 @@
 
 /** Faults of disks; each ends by itself. */
 export const diskFaults: Record<string, FaultScenario> = {
+  /** All members lose power while the write of a config change is not synced yet. */
   *losePowerBeforeSync(simulation) {
     const members = diskMachines(simulation);
     for (const { disk } of members) disk?.stall(1500);
@@ -28,6 +29,10 @@
     member?.disk?.stall(500 + simulation.random() * 5000);
     yield* sleepBetween(simulation, 3000, 6000);
   },
+  /**
+   * With three voters: one lags behind a partition, the other follower loses its disk and the leader is killed, so that the
+   * lagging voter and the emptied one are left alone until the leader restarts.
+   */
   *loseDiskWhileAnotherLags(simulation) {
     const [leader] = leaders(simulation);
     const voters = leader?.daemon?.replicationNode?.currentMembers.voters ?? [];
@@ -62,6 +67,7 @@
     simulation.boot(leader);
     yield* sleepBetween(simulation, 4000, 6000);
   },
+  /** The leader loses its disk right after it has acknowledged a config change. */
   *loseDiskAfterYes(simulation) {
     if (!allFormed(simulation)) return;
     yield* simulation.workload.putConfig();
@@ -78,6 +84,7 @@
     yield* sleepBetween(simulation, 1000, 3000);
     member.disk.isFull = false;
   },
+  /** A member with an empty disk is killed repeatedly while it rejoins. */
   *killWhileRejoining(simulation) {
     const member = allFormed(simulation) ? pick(simulation, diskMachines(simulation)) : undefined;
     if (!member) return;
--- a/src/simulation/faults/network-faults.ts
+++ b/src/simulation/faults/network-faults.ts
@@ -24,6 +24,7 @@
     const machine = pick(simulation, runningMachines(simulation));
     if (machine) yield* isolate(simulation, [machine], simulation.random() < 0.4);
   },
+  /** The leader is partitioned from the other members, while edges can still reach it. */
   *cutLeaderFromCore(simulation) {
     const [leader] = leaders(simulation);
     if (!leader) return;
@@ -39,6 +40,7 @@
     simulation.start(simulation.workload.putConfig());
     yield* sleepBetween(simulation, 3300, 5300);
   },
+  /** Partitions every link between members. */
   *splitCore(simulation) {
     const members = diskMachines(simulation).map(machineNameOf);
     yield* partition(simulation, linksBetween(members, members, true), 500, 6000);
--- a/src/simulation/faults/process-faults.ts
+++ b/src/simulation/faults/process-faults.ts
@@ -24,6 +24,7 @@
       runningMachines(simulation).filter(() => simulation.random() < 0.4),
     );
   },
+  /** Restarts a member of the replicated log. */
   *killRecorder(simulation) {
     const member = pick(simulation, diskMachines(simulation));
     if (member) yield* reboot(simulation, [member], simulation.random() < 0.5);
@@ -42,6 +43,7 @@
     yield* sleepBetween(simulation, 500, 5000);
     gate.thaw();
   },
+  /** Rolling restart of about 40% of the machines. */
   *rollMachines(simulation) {
     for (const machine of runningMachines(simulation).filter(() => simulation.random() < 0.4)) {
       yield* simulation.stop(machine);
@@ -50,6 +52,7 @@
       yield* sleepBetween(simulation, 800, 1500);
     }
   },
+  /** Rolling restart of the whole fleet. */
   *rollFleet(simulation) {
     for (const machine of [...disklessMachines(simulation), ...diskMachines(simulation)]) {
       yield* simulation.stop(machine);
@@ -58,6 +61,7 @@
       yield* sleepBetween(simulation, 500, 900);
     }
   },
+  /** The leader loses power within 12 ms after a config change was submitted. */
   *acceptAsLeaderDies(simulation) {
     simulation.start(simulation.workload.putConfig());
     yield* sleepBetween(simulation, 0, 12);
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -62,13 +62,13 @@
 };
 
 /** Loses as many members at once as the profile tolerates, and waits until none of them counts as lost. */
-const loseConcurrently = function* (simulation: Simulation, lose: Loss, name: string): Task {
+const loseConcurrently = function* (simulation: Simulation, lose: Loss, cause: string): Task {
   const members = chooseMembersToLose(simulation, simulation.profile.tolerate?.machines ?? 1);
   const recoveredMs: number[] = [];
   simulation.recorder.environmentRecords.push({
     kind: "membersLost",
     atMs: simulation.virtualClock.nowMs(),
-    cause: name,
+    cause,
     machines: members.map(({ settings }) => settings.machine),
   });
   for (const member of members)
@@ -78,7 +78,7 @@
       })(),
     );
   yield* sleep(simulation.clock, COMMAND_DELAY_MS);
-  simulation.start(timedCommand(simulation, name));
+  simulation.start(timedCommand(simulation, cause));
   while (recoveredMs.length < members.length) yield* sleep(simulation.clock, POLL_INTERVAL_MS);
   const untilMs = Math.max(...recoveredMs);
   yield* sleep(simulation.clock, Math.max(0, untilMs - simulation.virtualClock.nowMs()));
@@ -87,7 +87,7 @@
 /** Loses members repeatedly, each time as soon as the profile's bounds allow. */
 const loseRepeatedly = function* (
   simulation: Simulation,
-  losses: ReadonlyArray<readonly [name: string, lose: Loss]>,
+  losses: ReadonlyArray<readonly [cause: string, lose: Loss]>,
 ): Task {
   // A member lost by an earlier fault counts as lost until it has caught up.
   yield* sleep(simulation.clock, catchUpMs(simulation));
