--- a/src/admin/admin-api.ts
+++ b/src/admin/admin-api.ts
@@ -70,7 +70,7 @@
   }
 
   private *readiness(): Task<ClientResponse> {
-    const why = this.daemon.notReady();
+    const why = this.daemon.notReadyReason();
     return why === ""
       ? jsonResponse(200, create({ ready: true }, readyShape))
       : jsonResponse(503, { ready: false, why });
--- a/src/admin/admin-dependencies.ts
+++ b/src/admin/admin-dependencies.ts
@@ -17,7 +17,7 @@
   /** The body of `GET /status`. */
   status(): Record<string, unknown>;
   /** Why the daemon is not ready; empty when it is. */
-  notReady(): string;
+  notReadyReason(): string;
   /** The latest request counts of the fleet, their age and how many edges they cover. */
   counts():
     | { counts: RequestCounts; ageMs: number; coverage: { edges: number; oldestMs: number } }
--- a/src/admin/config-endpoints.ts
+++ b/src/admin/config-endpoints.ts
@@ -180,7 +180,7 @@
   /** Another member to read a text from that this daemon's own link would take too long for: members' machines are the stronger ones. */
   private redirectAddress(text: string): string | undefined {
     const { egress, clusterView, ownAddress } = this.dependencies;
-    if (egress.waitMs(text.length) <= REDIRECT_AFTER_MS) return undefined;
+    if (egress.estimateWaitMs(text.length) <= REDIRECT_AFTER_MS) return undefined;
     const others = clusterView.memberAdminAddresses.filter((address) => address !== ownAddress);
     return others[Math.floor(this.runtime.random() * others.length)];
   }
--- a/src/admin/routing-explanations.ts
+++ b/src/admin/routing-explanations.ts
@@ -77,7 +77,7 @@
     const latest = daemon.counts();
     if (!latest) return errorResponse(503, "The fleet's counts have not come yet.");
     const { windowMs } = retryRules;
-    const heavy = latest.counts.heavyRoutes(HEAVY_ROUTE_FRACTION, this.clock.nowMs(), windowMs);
+    const heavy = latest.counts.findHeavyRoutes(HEAVY_ROUTE_FRACTION, this.clock.nowMs(), windowMs);
     const routes = heavy.map(({ item, estimate }) => ({
       route: clusterView.nameOf(item)?.replace(/^route /, "") ?? `number ${item}`,
       requests: Math.round(estimate),
--- a/src/benchmarks/main.ts
+++ b/src/benchmarks/main.ts
@@ -11,17 +11,17 @@
 } from "../retry-budget/request-counts.js";
 import { EcmSketch } from "../sketch/ecm-sketch.js";
 import { stampOf } from "../sketch/exponential-histogram.js";
-import { measureBudget } from "./retry-budget-benchmark.js";
+import { measureRetryBudget } from "./retry-budget-benchmark.js";
 import { RandomDraw } from "../simulation/random-draw.js";
 import { type Profile, shippedProfiles } from "../simulation/profile.js";
 import { Simulation } from "../simulation/simulation.js";
 import type { SimulatedMachine } from "../simulation/simulated-machine.js";
 
-const say = (line: string): void => {
+const printLine = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-const spread = (values: number[], digits = 2): string => {
+const formatDistribution = (values: number[], digits = 2): string => {
   const sorted = [...values].sort((a, b) => a - b);
   const at = (part: number): string =>
     (sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? 0).toFixed(digits);
@@ -30,28 +30,28 @@
 
 const stepMs = 2;
 
-const until = (simulation: Simulation, holds: () => boolean, limitMs: number): number => {
+const runUntil = (simulation: Simulation, holds: () => boolean, limitMs: number): number => {
   const startMs = simulation.virtualClock.nowMs();
   while (!holds() && simulation.virtualClock.nowMs() < startMs + limitMs)
     simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + stepMs);
   return simulation.virtualClock.nowMs() - startMs;
 };
 
-const leading = (simulation: Simulation): SimulatedMachine | undefined =>
+const findLeader = (simulation: Simulation): SimulatedMachine | undefined =>
   simulation.machines.find(({ daemon }) => daemon?.replicationNode?.holdsLease);
-const edgesOf = (simulation: Simulation): SimulatedMachine[] =>
+const findRunningEdges = (simulation: Simulation): SimulatedMachine[] =>
   simulation.machines.filter(
     ({ settings, daemon }) => settings.callers !== undefined && daemon !== undefined,
   );
 
-const fleetUp = (profile: Profile, seed: number, rate: number): Simulation => {
+const startSimulation = (profile: Profile, seed: number, rate: number): Simulation => {
   const simulation = new Simulation(profile, seed, rate);
   simulation.startAll();
-  until(
+  runUntil(
     simulation,
     () =>
-      leading(simulation) !== undefined &&
-      edgesOf(simulation).every(({ daemon }) => daemon?.servingState.isGranted),
+      findLeader(simulation) !== undefined &&
+      findRunningEdges(simulation).every(({ daemon }) => daemon?.servingState.isGranted),
     20_000,
   );
   return simulation;
@@ -62,24 +62,25 @@
   const shortest: number[] = [];
   let stopped = 0;
   for (let seed = 1; seed <= seeds; seed += 1) {
-    const simulation = fleetUp(profile, seed, 0.05);
+    const simulation = startSimulation(profile, seed, 0.05);
     simulation.virtualClock.runUntil(
       simulation.virtualClock.nowMs() + 1000 + simulation.random() * 500,
     );
-    const old = leading(simulation);
+    const old = findLeader(simulation);
     if (!old) continue;
     simulation.kill(old, true);
     let lapsed = 0;
     elected.push(
-      until(simulation, () => leading(simulation) !== undefined, 10_000) /
+      runUntil(simulation, () => findLeader(simulation) !== undefined, 10_000) /
         defaultReplicationTimeouts.electionMinMs,
     );
-    until(
+    runUntil(
       simulation,
       () => {
         lapsed = Math.max(
           lapsed,
-          edgesOf(simulation).filter(({ daemon }) => !daemon?.servingState.isGranted).length,
+          findRunningEdges(simulation).filter(({ daemon }) => !daemon?.servingState.isGranted)
+            .length,
         );
         return false;
       },
@@ -88,23 +89,23 @@
     if (lapsed > 0) stopped += 1;
     simulation.boot(old);
     shortest.push(
-      until(
+      runUntil(
         simulation,
         () =>
           old.daemon?.replicationNode?.status.role === "follower" &&
           (old.daemon?.replicationNode?.status.applied ?? -1) >=
-            (leading(simulation)?.daemon?.replicationNode?.status.committed ?? Infinity),
+            (findLeader(simulation)?.daemon?.replicationNode?.status.committed ?? Infinity),
         10_000,
       ) / defaultReplicationTimeouts.electionMinMs,
     );
   }
-  say(
-    `${profile.name}: a leader's death to the next leader's first answer, in shortest election waits: ${spread(elected)}`,
+  printLine(
+    `${profile.name}: a leader's death to the next leader's first answer, in shortest election waits: ${formatDistribution(elected)}`,
   );
-  say(
-    `${profile.name}: a restarted recorder has caught up, in shortest election waits: ${spread(shortest)}`,
+  printLine(
+    `${profile.name}: a restarted recorder has caught up, in shortest election waits: ${formatDistribution(shortest)}`,
   );
-  say(
+  printLine(
     `${profile.name}: leaders' deaths after which some edge lost its grant: ${stopped} of ${seeds}`,
   );
 };
@@ -112,19 +113,19 @@
 const measureRollOut = (profile: Profile, seeds: number, extraRoutes: number): void => {
   const delays: number[] = [];
   for (let seed = 1; seed <= seeds; seed += 1) {
-    const simulation = fleetUp(profile, seed, 0.05);
+    const simulation = startSimulation(profile, seed, 0.05);
     simulation.workload.growRoutes(extraRoutes);
     for (let round = 0; round < 3; round += 1) {
       const wanted = simulation.workload.sequence + 1;
       simulation.start(simulation.workload.putConfig());
-      until(
+      runUntil(
         simulation,
         () => simulation.recorder.ofKind("accepted").some(({ sequence }) => sequence === wanted),
         10_000,
       );
       const startMs = simulation.virtualClock.nowMs();
-      const waiting = new Set(edgesOf(simulation));
-      until(
+      const waiting = new Set(findRunningEdges(simulation));
+      runUntil(
         simulation,
         () => {
           for (const edge of waiting) {
@@ -138,16 +139,16 @@
       );
     }
   }
-  say(
-    `${profile.name}: an acceptance to an edge serving by it, in grants, with ${extraRoutes} more routes: ${spread(delays)}`,
+  printLine(
+    `${profile.name}: an acceptance to an edge serving by it, in grants, with ${extraRoutes} more routes: ${formatDistribution(delays)}`,
   );
 };
 
-const measureRecord = (profile: Profile, rate: number): void => {
-  const simulation = fleetUp(profile, 1, rate);
+const measureReplicatedLog = (profile: Profile, rate: number): void => {
+  const simulation = startSimulation(profile, 1, rate);
   simulation.start(simulation.workload.putConfig());
   simulation.virtualClock.runUntil(simulation.virtualClock.nowMs() + 3000);
-  const status = () => leading(simulation)?.daemon?.replicationNode?.status;
+  const status = () => findLeader(simulation)?.daemon?.replicationNode?.status;
   const [before, fromMs, keyed] = [
     status(),
     simulation.virtualClock.nowMs(),
@@ -160,7 +161,7 @@
     .slice(keyed)
     .filter(({ key }) => key !== undefined).length;
   const entries = after.written - before.written;
-  say(
+  printLine(
     `${profile.name} at ${rate} of its rate: ${(writes / 10).toFixed(0)} keyed writes a second, ${(entries / 10).toFixed(0)} entries a second, ${(entries / (after.syncs - before.syncs)).toFixed(2)} entries in a sync`,
   );
 };
@@ -215,27 +216,27 @@
     );
     const cell = root.cellEpsilon;
     const merged = 2 * cell * (1 + cell) + cell;
-    say(
+    printLine(
       `eps ${epsilon}: an edge's push has ${bytes.toFixed(1)} KiB; merging 1, 4, 16 costs ${cost.map((one) => one.toFixed(1)).join(", ")}; error over two levels ${(worst * 100).toFixed(2)}% of all arrivals, bound ${((merged + cell + merged * cell) * 100).toFixed(1)}%`,
     );
   }
 };
 
-const measureDecisions = (profile: Profile, seeds: number, rate: number): void => {
+const measureRetryBudgets = (profile: Profile, seeds: number, rate: number): void => {
   for (const where of ["even", "one"] as const) {
     for (const losesPart of [0.05, 0.3, 1]) {
       const all = Array.from({ length: seeds }, (_, at) =>
-        measureBudget(profile, at + 1, rate, where, losesPart, 20_000),
+        measureRetryBudget(profile, at + 1, rate, where, losesPart, 20_000),
       );
       const sum = (of: (one: (typeof all)[number]) => number): number =>
         all.reduce((total, one) => total + of(one), 0);
       const [sketch, guard] = [sum((one) => one.sketch), sum((one) => one.guard)];
-      say(
-        `${profile.name} at ${rate} of its rate, ${where === "even" ? "all edges" : "one edge"} losing ${losesPart * 100}% of answers: ${sum((one) => one.granted)} further tries granted, ${sketch} refused by the sketch and ${guard} by the guard; ${sum((one) => one.needless.sketch)} and ${sum((one) => one.needless.guard)} of them though there was room; the sketch's error ${spread(all.flatMap((one) => one.errors))}; own part ${spread(
-          all.flatMap((one) => one.agesMs),
+      printLine(
+        `${profile.name} at ${rate} of its rate, ${where === "even" ? "all edges" : "one edge"} losing ${losesPart * 100}% of answers: ${sum((one) => one.grantedRetries)} further tries granted, ${sketch} refused by the sketch and ${guard} by the guard; ${sum((one) => one.needlessRefusals.sketch)} and ${sum((one) => one.needlessRefusals.guard)} of them though there was room; the sketch's error ${formatDistribution(all.flatMap((one) => one.relativeErrors))}; own part ${formatDistribution(
+          all.flatMap((one) => one.sketchAgesMs),
           0,
-        )} ms old; edges covered ${spread(
-          all.flatMap((one) => one.coverage),
+        )} ms old; edges covered ${formatDistribution(
+          all.flatMap((one) => one.coveredEdges),
           0,
         )}`,
       );
@@ -244,7 +245,7 @@
 };
 
 /** A book at its fullest: keys with their returns, routes, back ends. */
-const fullBook = (keys: number, bodyBytes: number): StateMachine => {
+const createFullState = (keys: number, bodyBytes: number): StateMachine => {
   const stateMachine = new StateMachine();
   let index = 0;
   const apply = (command: LogCommand): void =>
@@ -284,7 +285,7 @@
   return stateMachine;
 };
 
-const measureBounds = (): void => {
+const measureSnapshots = (): void => {
   const members = { voters: ["a"], learners: [] };
   const inGrants = (run: () => unknown): number => {
     const startMs = performance.now();
@@ -296,7 +297,7 @@
     [14_400, 21_844],
     [MAX_IDEMPOTENCY_CLAIMS, 120],
   ] as const) {
-    const stateMachine = fullBook(keys, bodyBytes);
+    const stateMachine = createFullState(keys, bodyBytes);
     let text = "";
     const made = Array.from({ length: 5 }, () =>
       inGrants(() => withChecksum(Buffer.from((text = stateMachine.snapshot(members)), "utf8"))),
@@ -304,8 +305,8 @@
     const restored = Array.from({ length: 5 }, () =>
       inGrants(() => new StateMachine().restore(text)),
     );
-    say(
-      `${keys} keys, returns of ${bodyBytes} bytes, 5,000 routes, 400 back ends: a checkpoint of ${(text.length / 2 ** 20).toFixed(1)} MiB, made in ${spread(made)} and restored in ${spread(restored)} of a leader's grant`,
+    printLine(
+      `${keys} keys, returns of ${bodyBytes} bytes, 5,000 routes, 400 back ends: a checkpoint of ${(text.length / 2 ** 20).toFixed(1)} MiB, made in ${formatDistribution(made)} and restored in ${formatDistribution(restored)} of a leader's grant`,
     );
   }
 };
@@ -324,11 +325,11 @@
       if (wants("elections")) measureElections(profile, seeds);
       if (wants("rollout"))
         for (const routes of [0, 2000]) measureRollOut(profile, Math.ceil(seeds / 4), routes);
-      if (wants("record")) for (const rate of [0.25, 1]) measureRecord(profile, rate);
-      if (wants("budget")) measureDecisions(profile, Math.ceil(seeds / 10), 1);
+      if (wants("record")) for (const rate of [0.25, 1]) measureReplicatedLog(profile, rate);
+      if (wants("budget")) measureRetryBudgets(profile, Math.ceil(seeds / 10), 1);
     }
     if (wants("sketches")) measureSketches();
-    if (wants("bounds")) measureBounds();
+    if (wants("bounds")) measureSnapshots();
   });
 program.help();
 program.parse();
--- a/src/benchmarks/retry-budget-benchmark.ts
+++ b/src/benchmarks/retry-budget-benchmark.ts
@@ -5,33 +5,33 @@
 import type { SimulatedMachine } from "../simulation/simulated-machine.js";
 
 /** Where back ends break down: for all edges alike, or for one edge alone. */
-export type Where = "even" | "one";
+export type FaultScope = "even" | "one";
 
 /** How a measured stretch of breakdowns was decided. */
-export interface Decided {
-  granted: number;
+export interface RetryDecisions {
+  grantedRetries: number;
   sketch: number;
   guard: number;
   /** Refused though true counts had room under the sketch's rule. */
-  needless: { sketch: number; guard: number };
+  needlessRefusals: { sketch: number; guard: number };
   /** How far the sketch's counts were from what was sent, relative, at worst and on the average, and how old they were. */
-  errors: number[];
-  agesMs: number[];
-  coverage: number[];
+  relativeErrors: number[];
+  sketchAgesMs: number[];
+  coveredEdges: number[];
   worst: number;
 }
 
 const stepMs = 10;
 
 /** Runs a fleet at some part of its rate while back ends lose a part of their answers, and tells who decided on further tries. */
-export const measureBudget = (
+export const measureRetryBudget = (
   profile: Profile,
   seed: number,
   rate: number,
-  where: Where,
-  losesPart: number,
+  where: FaultScope,
+  lostFraction: number,
   forMs: number,
-): Decided => {
+): RetryDecisions => {
   const simulation = new Simulation(profile, seed, rate);
   simulation.startAll();
   simulation.start(simulation.workload.putConfig());
@@ -44,17 +44,17 @@
   for (const testBackend of simulation.testBackends)
     if (testBackend.service === service)
       testBackend.setBehavior({
-        lossFraction: losesPart,
+        lossFraction: lostFraction,
         ...(where === "one" && only ? { onlyFromDaemon: only.daemon?.name ?? "" } : {}),
       });
-  const decided: Decided = {
-    granted: 0,
+  const decided: RetryDecisions = {
+    grantedRetries: 0,
     sketch: 0,
     guard: 0,
-    needless: { sketch: 0, guard: 0 },
-    errors: [],
-    agesMs: [],
-    coverage: [],
+    needlessRefusals: { sketch: 0, guard: 0 },
+    relativeErrors: [],
+    sketchAgesMs: [],
+    coveredEdges: [],
     worst: 0,
   };
   const seen = new Map<SimulatedMachine, { sketch: number; guard: number }>();
@@ -85,22 +85,22 @@
       for (const who of ["sketch", "guard"] as const) {
         const refused = now[who] - before[who];
         if (refused === 0) continue;
-        hasRoom ??= room(simulation, service, further, nowMs);
+        hasRoom ??= allowsRetry(simulation, service, further, nowMs);
         decided[who] += refused;
-        if (hasRoom) decided.needless[who] += refused;
+        if (hasRoom) decided.needlessRefusals[who] += refused;
       }
       seen.set(edge, { ...now });
     }
-    if (nowMs % 500 < stepMs) sample(simulation, edges, service, decided, nowMs);
+    if (nowMs % 500 < stepMs) sampleCounts(simulation, edges, service, decided, nowMs);
   }
-  decided.granted =
+  decided.grantedRetries =
     edges.reduce((sum, { daemon }) => sum + (daemon?.proxy.counters.furtherTries ?? 0), 0) -
     grantedBefore;
   return decided;
 };
 
 /** Whether one more further try now would keep the sketch's rule, on true counts, in every stretch of the window. */
-const room = (
+const allowsRetry = (
   simulation: Simulation,
   service: string,
   further: readonly number[],
@@ -122,11 +122,11 @@
   );
 };
 
-const sample = (
+const sampleCounts = (
   simulation: Simulation,
   edges: readonly SimulatedMachine[],
   service: string,
-  decided: Decided,
+  decided: RetryDecisions,
   nowMs: number,
 ): void => {
   const truth = simulation.recorder.runs.filter(
@@ -135,8 +135,8 @@
   for (const { daemon } of edges) {
     const told = daemon?.fleetRetryCounts(service);
     if (!told || truth === 0) continue;
-    decided.errors.push(Math.abs(told.firstAttempts + told.retries - truth) / truth);
-    decided.agesMs.push(told.ageMs);
-    decided.coverage.push(told.edges);
+    decided.relativeErrors.push(Math.abs(told.firstAttempts + told.retries - truth) / truth);
+    decided.sketchAgesMs.push(told.ageMs);
+    decided.coveredEdges.push(told.edges);
   }
 };
--- a/src/cli/admin-request.ts
+++ b/src/cli/admin-request.ts
@@ -1,7 +1,7 @@
 /** Requests of the command line to the admin API of a daemon. */
 import { request } from "undici";
 import { ExitCode } from "./exit-code.js";
-import { messageOf, printError } from "./output.js";
+import { errorMessage, printError } from "./output.js";
 
 const RESPONSE_TIMEOUT_MS = 10_000;
 
@@ -55,7 +55,7 @@
     (isSuccess ? process.stdout : process.stderr).write(shown);
     return exitCodeOf(response.statusCode);
   } catch (error) {
-    printError(`${address} can't be reached: ${messageOf(error)}`);
+    printError(`${address} can't be reached: ${errorMessage(error)}`);
     return ExitCode.unreachable;
   }
 };
--- a/src/cli/json-file.ts
+++ b/src/cli/json-file.ts
@@ -1,6 +1,6 @@
 /** Reading of the JSON files that commands are given. */
 import { readFile } from "node:fs/promises";
-import { messageOf, printError } from "./output.js";
+import { errorMessage, printError } from "./output.js";
 
 /** Reads and parses a file; undefined, with the reason on the error stream, where that fails. */
 export const readJsonFile = async (
@@ -11,7 +11,7 @@
     const value: unknown = JSON.parse(text);
     return { text, value };
   } catch (error) {
-    printError(`${file}: ${messageOf(error)}`);
+    printError(`${file}: ${errorMessage(error)}`);
     return undefined;
   }
 };
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -8,7 +8,7 @@
 import { addRunCommand } from "./commands/run.js";
 import { addStatusCommand } from "./commands/status.js";
 import { ExitCode } from "./exit-code.js";
-import { messageOf, printError } from "./output.js";
+import { errorMessage, printError } from "./output.js";
 
 const VERSION = "0.1.0";
 const HELP_OPTIONS = ["-h", "--help", "-v", "--version"];
@@ -44,6 +44,6 @@
     if (running) process.exit(await running);
   }
 } catch (error) {
-  printError(messageOf(error));
+  printError(errorMessage(error));
   process.exitCode = ExitCode.usage;
 }
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -12,5 +12,5 @@
 };
 
 /** The message of anything thrown. */
-export const messageOf = (error: unknown): string =>
+export const errorMessage = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
--- a/src/cluster-view/active-route.ts
+++ b/src/cluster-view/active-route.ts
@@ -37,7 +37,7 @@
   /** How many requests a daemon may have in flight at one backend. */
   readonly maxInFlight: number;
   /** Chooses a service by weight; `draw` is a random number from 0 up to, but not including, 1. */
-  choose(draw: number): string;
+  chooseService(draw: number): string;
   /** Whether the route sends requests to a service. */
-  servesWith(service: string): boolean;
+  routesTo(service: string): boolean;
 }
--- a/src/cluster-view/cluster-view.ts
+++ b/src/cluster-view/cluster-view.ts
@@ -86,7 +86,7 @@
       prepareWatch: (sentMs) => this.prepareWatch(sentMs),
       onWatchEnded: () => this.checkExpiry(),
     });
-    budget.onShort = () => this.watchLoop.expedite();
+    budget.onNearlyExhausted = () => this.watchLoop.expedite();
   }
 
   /** Whether this daemon may serve now: its view is proven recent. */
@@ -120,7 +120,7 @@
 
   /** The registered backends of a service that aren't leaving. */
   backendsOf(service: string): readonly Registration[] {
-    return this.index.ofService(service);
+    return this.index.backendsOf(service);
   }
 
   /** Whether a registration is still in force, as far as is known here. */
@@ -130,7 +130,7 @@
 
   /** The registration of an instance, which may be leaving. */
   registrationOf(instance: string): Registration | undefined {
-    return this.index.ofInstance(instance);
+    return this.index.findByInstance(instance);
   }
 
   /** Names of the services that have registered backends. */
@@ -140,7 +140,7 @@
 
   /** The response to a heartbeat that changes nothing, which the next watch request reports; `undefined` where the leader has to decide. */
   acceptHeartbeat(heartbeat: BackendHeartbeat): KnownRegistration | undefined {
-    const registration = this.index.atAddress(heartbeat.address);
+    const registration = this.index.findByAddress(heartbeat.address);
     return this.heartbeats.accept(heartbeat, {
       registration,
       mayAccept: this.holdsLease && registration !== undefined && this.isRegistered(registration),
@@ -150,7 +150,7 @@
 
   /** The number that the replicated log assigned to a service or a route. */
   idOf(kind: "service" | "route", name: string): number | undefined {
-    return this.config.numbers.get(`${kind} ${name}`);
+    return this.config.ids.get(`${kind} ${name}`);
   }
 
   /** The name behind a number, also for a while after it went out of force. */
@@ -159,8 +159,8 @@
   }
 
   /** Notes that a registration's address refused a connection; the next watch request reports it. */
-  noteRefused(registration: Registration): void {
-    if (this.index.addRefused(registration)) this.rebuildIndex();
+  markRefused(registration: Registration): void {
+    if (this.index.markRefused(registration)) this.rebuildIndex();
   }
 
   /** Sends watch requests for as long as the daemon runs; one without a response within `waitMs` is sent again. */
@@ -227,7 +227,7 @@
     if (view.members) this.takeMembers(view.members);
     if (view.place) this.takePlacement(view.place);
     // The leader takes a later request as proof that the capacities in responses to earlier ones weren't taken.
-    if (sentMs === this.lastSentMs) this.retryCapacities.take(view, this.clock.nowMs());
+    if (sentMs === this.lastSentMs) this.retryCapacities.apply(view, this.clock.nowMs());
     this.lease.extend(sentMs + view.grantMs);
     if (!this.holdsLease) return;
     if (!couldServe && this.canServe) this.onLease();
@@ -238,8 +238,8 @@
 
   /** Brings the replicas up to a view; returns whether they are what the leader has. */
   private takeReplicas(view: LeasedView): boolean {
-    const directory = this.steps.run("copyDirectory", () => this.endpoints.take(view));
-    const config = this.steps.run("copyConfig", () => this.config.take(view));
+    const directory = this.steps.run("copyDirectory", () => this.endpoints.apply(view));
+    const config = this.steps.run("copyConfig", () => this.config.apply(view));
     if (directory === "changed") this.steps.run("takeDirectory", () => this.takeEndpoints());
     if (config === "changed") this.steps.run("takeConfig", () => this.takeConfig());
     if (directory !== "differs" && config !== "differs")
@@ -267,7 +267,7 @@
 
   private takeConfig(): void {
     this.routeTable = new RouteTable(this.config.config, this.routeTable);
-    for (const [name, number] of this.config.numbers) this.names.set(number, name);
+    for (const [name, number] of this.config.ids) this.names.set(number, name);
     this.onConfig(this.routeTable);
   }
 
@@ -283,7 +283,7 @@
     this.index.rebuild(registrations);
     this.heartbeats.limitOrders(
       registrations.length,
-      (instance) => this.index.ofInstance(instance) !== undefined,
+      (instance) => this.index.findByInstance(instance) !== undefined,
     );
   }
 }
--- a/src/cluster-view/command-forwarder.ts
+++ b/src/cluster-view/command-forwarder.ts
@@ -242,10 +242,10 @@
   private lateFrom(peer: string, late: LateResponse<string>): LateResponse<LeaderResponse> {
     return {
       waitMs: late.waitMs,
-      take: ({ leader, text }) => {
+      onResponse: ({ leader, text }) => {
         this.unresponsiveUntilMs.delete(peer);
         if (this.leader === "") this.leader = leader;
-        if (!isFailureResponse(text)) late.take(text);
+        if (!isFailureResponse(text)) late.onResponse(text);
       },
     };
   }
--- a/src/cluster-view/config-replica.ts
+++ b/src/cluster-view/config-replica.ts
@@ -2,7 +2,7 @@
 import { TextCompression } from "../runtime/text-compression.js";
 import { type Config, EMPTY_CONFIG } from "../configuration/config.js";
 import { ConfigReader } from "../configuration/config-validation.js";
-import { changesEffect, type ReplicaUpdate } from "./replica-update.js";
+import { classifyUpdate, type ReplicaUpdate } from "./replica-update.js";
 import {
   ConfigItems,
   type ConfigSection,
@@ -21,7 +21,7 @@
 const namesIn = (section: ConfigSection, keys: readonly string[]): ReadonlySet<string> =>
   new Set(
     keys
-      .map((key) => ConfigItems.named(key))
+      .map((key) => ConfigItems.parseItemKey(key))
       .filter((item) => item?.section === section)
       .map((item) => item?.name ?? ""),
   );
@@ -45,7 +45,7 @@
 /** A daemon's replica of the configuration in force: replaced in full or updated by items, and compared with the leader's digest. */
 export class ConfigReplica {
   private readonly reader = new ConfigReader();
-  private current: NumberedConfig = { config: EMPTY_CONFIG, numbers: new Map() };
+  private current: NumberedConfig = { config: EMPTY_CONFIG, ids: new Map() };
   private hashes = new Map<string, bigint>();
   private setDigest = new SetDigest();
   /** Whether the replica is what the leader had at its sequence, as far as is known. */
@@ -64,12 +64,12 @@
   }
 
   /** The numbers of services and routes. */
-  get numbers(): ReadonlyMap<string, number> {
-    return this.current.numbers;
+  get ids(): ReadonlyMap<string, number> {
+    return this.current.ids;
   }
 
   /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
-  take(view: LeasedView): ReplicaUpdate {
+  apply(view: LeasedView): ReplicaUpdate {
     const text = fullText(view);
     if (text !== undefined) {
       this.replaceAll(this.reader.read(text), view.numbers ?? {});
@@ -78,7 +78,7 @@
       return "changed";
     }
     const update = view.configSequence === this.sequence ? undefined : configUpdateIn(view);
-    const effect = changesEffect(this, view.configSequence, update?.base);
+    const effect = classifyUpdate(this, view.configSequence, update?.base);
     if (effect === "outdated" || effect === "same") return effect;
     if (effect === "differs") return this.markInconsistent();
     if (update) this.applyUpdate(update);
@@ -94,31 +94,31 @@
     return "differs";
   }
 
-  private replaceAll(config: Config, numbers: Record<string, number>): void {
-    this.current = { config, numbers: new Map(Object.entries(numbers)) };
+  private replaceAll(config: Config, ids: Record<string, number>): void {
+    this.current = { config, ids: new Map(Object.entries(ids)) };
     this.hashes = new Map();
     this.setDigest = new SetDigest();
     for (const item of ConfigItems.all(this.current)) this.put(item.key, ConfigItems.hash(item));
   }
 
   private applyUpdate(update: ConfigUpdate): void {
-    const { put, removed, numbers } = update;
+    const { put, removed, numbers: ids } = update;
     for (const key of new Set(removed)) this.drop(key);
-    for (const item of ConfigItems.all({ config: put, numbers: new Map(Object.entries(numbers)) }))
+    for (const item of ConfigItems.all({ config: put, ids: new Map(Object.entries(ids)) }))
       this.put(item.key, ConfigItems.hash(item));
     this.current = {
       config: updatedConfig(this.config, update),
-      numbers: this.updatedNumbers(removed, numbers),
+      ids: this.updatedNumbers(removed, ids),
     };
   }
 
   private updatedNumbers(
     removedKeys: readonly string[],
-    numbers: Record<string, number>,
+    ids: Record<string, number>,
   ): ReadonlyMap<string, number> {
-    const updated = new Map(this.current.numbers);
-    for (const key of removedKeys) updated.delete(ConfigItems.nameOfIdKey(key) ?? "");
-    for (const [name, number] of Object.entries(numbers)) updated.set(name, number);
+    const updated = new Map(this.current.ids);
+    for (const key of removedKeys) updated.delete(ConfigItems.parseIdKey(key) ?? "");
+    for (const [name, number] of Object.entries(ids)) updated.set(name, number);
     return updated;
   }
 
--- a/src/cluster-view/endpoint-index.ts
+++ b/src/cluster-view/endpoint-index.ts
@@ -21,17 +21,17 @@
   }
 
   /** The active registrations of a service. */
-  ofService(service: string): readonly Registration[] {
+  backendsOf(service: string): readonly Registration[] {
     return this.byService.get(service) ?? [];
   }
 
   /** The registration at an address. */
-  atAddress(address: string): Registration | undefined {
+  findByAddress(address: string): Registration | undefined {
     return this.byAddress.get(address);
   }
 
   /** The registration of an instance, which may be leaving. */
-  ofInstance(instance: string): Registration | undefined {
+  findByInstance(instance: string): Registration | undefined {
     return this.byInstance.get(instance);
   }
 
@@ -41,7 +41,7 @@
   }
 
   /** Notes that an address refused a connection; false if that was known. The index has to be rebuilt afterwards. */
-  addRefused(registration: Registration): boolean {
+  markRefused(registration: Registration): boolean {
     if (this.refusedRegistrations.some(({ number }) => number === registration.number))
       return false;
     this.refusedRegistrations.push(registration);
--- a/src/cluster-view/endpoint-replica.ts
+++ b/src/cluster-view/endpoint-replica.ts
@@ -1,6 +1,6 @@
 /** A daemon's replica of all registrations, and the digest by which it is compared with the leader's. */
 import type { Registration } from "../state/registration.js";
-import { changesEffect, type ReplicaUpdate } from "./replica-update.js";
+import { classifyUpdate, type ReplicaUpdate } from "./replica-update.js";
 import type { LeasedView } from "../control-protocol/leased-view.js";
 import { itemHash, SetDigest } from "../configuration/set-digest.js";
 
@@ -48,7 +48,7 @@
   }
 
   /** Applies a view. Unless the outcome is `same` or `changed`, the view must not be served by. */
-  take(view: EndpointsOfView): ReplicaUpdate {
+  apply(view: EndpointsOfView): ReplicaUpdate {
     if (view.directory) {
       this.replaceAll(view.directory);
       this.sequence = view.directorySequence;
@@ -56,12 +56,12 @@
       return "changed";
     }
     const changes = view.directoryChanges;
-    const effect = changesEffect(this, view.directorySequence, changes?.base);
+    const effect = classifyUpdate(this, view.directorySequence, changes?.base);
     if (effect === "outdated") return effect;
     if (effect === "differs") return this.markInconsistent();
     if (effect === "changed" && changes) this.applyChanges(changes.put, changes.removed);
     this.sequence = view.directorySequence;
-    if (view.directoryDigest !== undefined && view.directoryDigest !== this.setDigest.text)
+    if (view.directoryDigest !== undefined && view.directoryDigest !== this.setDigest.hex)
       return this.markInconsistent();
     return effect;
   }
--- a/src/cluster-view/replica-update.ts
+++ b/src/cluster-view/replica-update.ts
@@ -14,7 +14,7 @@
 }
 
 /** What a view of some sequence does to a replica, where its changes follow upon the sequence `base` or it carries none. */
-export const changesEffect = (
+export const classifyUpdate = (
   { sequence, isConsistent }: ReplicaState,
   viewSequence: number,
   base: number | undefined,
--- a/src/cluster-view/retry-capacities.ts
+++ b/src/cluster-view/retry-capacities.ts
@@ -5,7 +5,7 @@
   readonly rules: { readonly windowMs: number };
   readonly capacities: ReadonlyMap<string, number>;
   /** Called when a capacity is nearly used up. */
-  onShort: () => void;
+  onNearlyExhausted: () => void;
   /** How many retries of a service were requested in the last window. */
   requested(service: string, nowMs: number): number;
   /** Replaces the capacities by those that the leader allotted; a service that isn't named has none. */
--- a/src/cluster-view/retry-capacity-replica.ts
+++ b/src/cluster-view/retry-capacity-replica.ts
@@ -38,7 +38,7 @@
   }
 
   /** Takes the allotment of a view; one without capacities repeats those that its number names. */
-  take({ capacities, grantNumber }: LeasedView, nowMs: number): void {
+  apply({ capacities, grantNumber }: LeasedView, nowMs: number): void {
     if (capacities)
       this.allotted = new Map(capacities.map(({ service, capacity }) => [service, capacity]));
     this.budget.setCapacities(this.allotted, nowMs);
--- a/src/cluster-view/route-table.ts
+++ b/src/cluster-view/route-table.ts
@@ -21,7 +21,7 @@
 };
 
 /** A host's name as hosts are compared: in lower case, without a port. */
-export const normalizedHost = (host: string): string => host.toLowerCase().replace(/:\d*$/, "");
+export const normalizeHost = (host: string): string => host.toLowerCase().replace(/:\d*$/, "");
 
 const chooseFrom = (splits: ActiveRoute["splits"], draw: number): string => {
   const served = splits.filter(({ weight }) => weight > 0);
@@ -39,7 +39,7 @@
 }: Route): Pick<ActiveRoute, "host" | "methods" | "path" | "isPrefix"> => {
   const isPrefix = path.endsWith("*");
   return {
-    host: host === undefined ? undefined : normalizedHost(host),
+    host: host === undefined ? undefined : normalizeHost(host),
     methods: methods ? new Set<string>(methods) : undefined,
     path: isPrefix ? path.slice(0, -1) : path,
     isPrefix,
@@ -98,8 +98,8 @@
     service,
     stampHeader: settings?.stampHeader ?? DEFAULTS.stampHeader,
     maxInFlight: settings?.inHand ?? DEFAULTS.inHandLimit,
-    choose: (draw) => (splits.length > 1 ? chooseFrom(splits, draw) : service),
-    servesWith: (wanted) => splits.some((split) => split.service === wanted && split.weight > 0),
+    chooseService: (draw) => (splits.length > 1 ? chooseFrom(splits, draw) : service),
+    routesTo: (wanted) => splits.some((split) => split.service === wanted && split.weight > 0),
   };
 };
 
@@ -131,12 +131,12 @@
   /** The route of a request: one for its host before one for any, then the most specific path. */
   find(method: string, path: string, host = ""): ActiveRoute | undefined {
     const index =
-      this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(normalizedHost(host));
+      this.hosts.size === 0 || host === "" ? undefined : this.hosts.get(normalizeHost(host));
     return index?.find(method, path) ?? this.anyHost.find(method, path);
   }
 
   /** The route of a name. */
-  named(name: string): ActiveRoute | undefined {
+  findByName(name: string): ActiveRoute | undefined {
     return this.byName.get(name);
   }
 
--- a/src/cluster-view/watch-loop.ts
+++ b/src/cluster-view/watch-loop.ts
@@ -43,7 +43,7 @@
 
   /** Has the next request sent as soon as the pause allows. */
   expedite(): void {
-    this.expedited.putOnce(true);
+    this.expedited.putIfEmpty(true);
   }
 
   /** Runs for as long as the daemon does; a request without a response within `timeoutMs` is sent again. */
@@ -54,7 +54,7 @@
       const { text, receive } = this.target.prepareWatch(sentMs);
       const response = yield* this.forwarder.forward(rpcMethods.watch, text, timeoutMs, {
         waitMs: rpcMethods.watch.waitMs,
-        take: receive,
+        onResponse: receive,
       });
       if (response !== undefined) receive(response);
       this.target.onWatchEnded();
--- a/src/configuration/config-changes.ts
+++ b/src/configuration/config-changes.ts
@@ -36,7 +36,7 @@
   return merged;
 };
 
-const changedSection = (
+const changeSection = (
   section: unknown,
   put: Record<string, unknown> = {},
   remove: Iterable<string> = [],
@@ -55,11 +55,11 @@
   remove: Infer<typeof namesShape>,
 ): Record<string, unknown> => {
   const current = isObject(target) ? target : {};
-  const goals = changedSection(current["goals"], put.goals, [...remove.goals, ...remove.routes]);
+  const goals = changeSection(current["goals"], put.goals, [...remove.goals, ...remove.routes]);
   const changed: Record<string, unknown> = {
     ...current,
-    services: changedSection(current["services"], put.services, remove.services),
-    routes: changedSection(current["routes"], put.routes, remove.routes),
+    services: changeSection(current["services"], put.services, remove.services),
+    routes: changeSection(current["routes"], put.routes, remove.routes),
     goals: Object.fromEntries(Object.entries(goals).filter(([, goal]) => goal !== null)),
     ...(put.limits === undefined ? {} : { limits: put.limits }),
     ...(put.origin === undefined ? {} : { origin: put.origin }),
--- a/src/configuration/config-items.ts
+++ b/src/configuration/config-items.ts
@@ -17,18 +17,18 @@
   readonly value: object | number;
 }
 
-const sectionOf = (config: Config, section: ConfigSection): Record<string, object> =>
+const getSection = (config: Config, section: ConfigSection): Record<string, object> =>
   config[section] ?? {};
 
-const itemsForEdges = <T extends object>(section: Record<string, T>): Record<string, T> =>
+const itemsWithoutOrigin = <T extends object>(section: Record<string, T>): Record<string, T> =>
   Object.fromEntries(
-    Object.entries(section).map(([name, item]) => [name, ConfigItems.forEdges(item)]),
+    Object.entries(section).map(([name, item]) => [name, ConfigItems.withoutOrigin(item)]),
   );
 
 /** A configuration with the ids of its services and routes, as edges have them. */
 export interface NumberedConfig {
   readonly config: Config;
-  readonly numbers: ReadonlyMap<string, number>;
+  readonly ids: ReadonlyMap<string, number>;
 }
 
 /** Operations on the items of configurations. Edges get items without the data that adapters store with them. */
@@ -45,44 +45,44 @@
   idKey: (name: string): string => `${ID_KEY_PREFIX}${name}`,
 
   /** The section and the name of a key; `undefined` for limits and ids. */
-  named(key: string): { section: ConfigSection; name: string } | undefined {
+  parseItemKey(key: string): { section: ConfigSection; name: string } | undefined {
     const section = SECTIONS.find((name) => key.startsWith(`${name} `));
     return section && { section, name: key.slice(section.length + 1) };
   },
 
   /** The service's or route's name of the key of an id. */
-  nameOfIdKey: (key: string): string | undefined =>
+  parseIdKey: (key: string): string | undefined =>
     key.startsWith(ID_KEY_PREFIX) ? key.slice(ID_KEY_PREFIX.length) : undefined,
 
   /** All items of a configuration, with its ids. */
-  *all({ config, numbers }: NumberedConfig): Iterable<ConfigItem> {
+  *all({ config, ids: numbers }: NumberedConfig): Iterable<ConfigItem> {
     for (const section of SECTIONS)
-      for (const [name, value] of Object.entries(sectionOf(config, section)))
+      for (const [name, value] of Object.entries(getSection(config, section)))
         yield { key: ConfigItems.key(section, name), value };
     if (config.limits) yield { key: LIMITS_KEY, value: config.limits };
     for (const [name, value] of numbers) yield { key: ConfigItems.idKey(name), value };
   },
 
   /** An item without the data that an adapter stores with it. */
-  forEdges: <T extends object>(item: T): T => ({ ...item, origin: undefined }),
+  withoutOrigin: <T extends object>(item: T): T => ({ ...item, origin: undefined }),
 
   /** A configuration without the data that adapters store with it. */
-  wholeForEdges: ({ services, routes, goals, limits }: Config): Config => ({
-    services: itemsForEdges(services),
-    routes: itemsForEdges(routes),
+  configWithoutOrigins: ({ services, routes, goals, limits }: Config): Config => ({
+    services: itemsWithoutOrigin(services),
+    routes: itemsWithoutOrigin(routes),
     ...(goals ? { goals } : {}),
-    ...(limits ? { limits: ConfigItems.forEdges(limits) } : {}),
+    ...(limits ? { limits: ConfigItems.withoutOrigin(limits) } : {}),
   }),
 
   /** The hash of an item, over all that edges get of it. */
   hash: ({ key, value }: ConfigItem): bigint =>
     itemHash(
-      `${key} ${typeof value === "number" ? value : JSON.stringify(ConfigItems.forEdges(value))}`,
+      `${key} ${typeof value === "number" ? value : JSON.stringify(ConfigItems.withoutOrigin(value))}`,
     ),
 
   /** The digest of a configuration: of its items and of the order of its routes, since the first of several matches is used. */
   digest(items: SetDigest, config: Config): string {
     const order = itemHash(Object.keys(config.routes).join(" "));
-    return `${items.text}-${order.toString(16)}`;
+    return `${items.hex}-${order.toString(16)}`;
   },
 };
--- a/src/configuration/config-shape.ts
+++ b/src/configuration/config-shape.ts
@@ -3,38 +3,50 @@
 import { Validated } from "./validated.js";
 
 /** The name of a service or a route. */
-export const nameShape = Validated.text(
+export const nameShape = Validated.pattern(
   "name",
   /^(?!__proto__$)[A-Za-z0-9._-]{1,100}$/,
   "a name of letters, digits, dashes, underscores and dots, 100 at most",
 );
-const header = Validated.text("header", /^[a-z][a-z0-9-]{0,59}$/, "a header's name in lower case");
-const pathPattern = Validated.text(
+const header = Validated.pattern(
+  "header",
+  /^[a-z][a-z0-9-]{0,59}$/,
+  "a header's name in lower case",
+);
+const pathPattern = Validated.pattern(
   "path",
   /^\/[^\s?#*]{0,500}\*?$/,
   "a path that begins with / and may end with *",
 );
-const host = Validated.text(
+const host = Validated.pattern(
   "host",
   /^(?:[A-Za-z0-9._-]{1,253}|\[[0-9A-Fa-f:.]{2,45}\])$/,
   "a host's name without a port",
 );
-const healthPath = Validated.text("path", /^\/[^\s#]{0,999}$/, "a path that begins with /");
-const word = Validated.text("word", /^[\w./-]{1,40}$/, "a word");
-const weight = Validated.leaf<number>(
+const healthPath = Validated.pattern("path", /^\/[^\s#]{0,999}$/, "a path that begins with /");
+const word = Validated.pattern("word", /^[\w./-]{1,40}$/, "a word");
+const weight = Validated.custom<number>(
   "weight",
   (value) => typeof value === "number" && value >= 0 && value <= 1e12,
   "a weight of 0 or more",
 );
 /** Any JSON; it is stored and returned as it was sent. */
-export const opaqueShape = Validated.leaf<NonNullable<unknown> | null>(
+export const opaqueShape = Validated.custom<NonNullable<unknown> | null>(
   "JSON",
   (value) => value !== undefined,
   "JSON",
 );
 /** The HTTP methods that a route can match. */
 export const METHODS = ["GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"] as const;
-const { flag, many, maybe, one, section, whole, within } = Validated;
+const {
+  boolean: flag,
+  nonEmptyArray: many,
+  optional: maybe,
+  oneOf: one,
+  recordOf: section,
+  objectOf: whole,
+  integerBetween: within,
+} = Validated;
 
 /** Which requests of a route may be retried: safe ones and downloads always, unsafe ones never, idempotent ones run once for each key. */
 const ROUTE_KINDS = ["safe", "unsafe", "idempotent", "download"] as const;
--- a/src/configuration/config-validation.ts
+++ b/src/configuration/config-validation.ts
@@ -83,7 +83,7 @@
 
 /** Checks a configuration as it was sent: its shape, and that it is consistent. */
 export const checkConfig = (value: unknown): ConfigCheck => {
-  if (!Validated.passes(configShape, value)) return { faults: shapeFaults(value) };
+  if (!Validated.accepts(configShape, value)) return { faults: shapeFaults(value) };
   const faults: ValidationFault[] = [];
   for (const [name, route] of Object.entries(value.routes))
     faults.push(...routeFaults(value, `routes.${name}`, route));
@@ -106,7 +106,7 @@
   /** The configuration of a text; throws an `InvalidConfigError` where its shape is wrong. */
   read(text: string): Config {
     const value: unknown = JSON.parse(text);
-    if (Validated.passes(configShape, value)) return value;
+    if (Validated.accepts(configShape, value)) return value;
     throw new InvalidConfigError(shapeFaults(value));
   }
 }
--- a/src/configuration/set-digest.ts
+++ b/src/configuration/set-digest.ts
@@ -24,7 +24,7 @@
   }
 
   /** The digest as it travels, in hexadecimal. */
-  get text(): string {
+  get hex(): string {
     return this.sum.toString(16);
   }
 }
--- a/src/configuration/validated.ts
+++ b/src/configuration/validated.ts
@@ -31,68 +31,68 @@
 };
 
 const guards = new WeakMap<object, Guard>();
-const guardOf = (struct: object): Guard => guards.get(struct) ?? (() => false);
-const guarded = <T extends object>(struct: T, guard: Guard): T => {
+const findGuard = (struct: object): Guard => guards.get(struct) ?? (() => false);
+const withGuard = <T extends object>(struct: T, guard: Guard): T => {
   guards.set(struct, guard);
   return struct;
 };
 
-const fieldsOf = <T>({ schema }: Struct<T, Record<string, object>>): Map<string, Guard> =>
-  new Map(Object.entries(schema).map(([name, struct]) => [name, guardOf(struct)]));
+const findFieldGuards = <T>({ schema }: Struct<T, Record<string, object>>): Map<string, Guard> =>
+  new Map(Object.entries(schema).map(([name, struct]) => [name, findGuard(struct)]));
 
 /** Builders of shapes with a guard each: a value that passes the guard is valid; the shape itself says why another isn't. */
 export const Validated = {
   /** A value that a guard decides. */
-  leaf: <T>(type: string, guard: Guard, expected: string): Struct<T, null> =>
-    guarded(
+  custom: <T>(type: string, guard: Guard, expected: string): Struct<T, null> =>
+    withGuard(
       define<T>(type, (value) => guard(value) || `Expected ${expected}`),
       guard,
     ),
 
   /** A text that matches a pattern. */
-  text: (type: string, pattern: RegExp, expected: string): Struct<string, null> =>
-    Validated.leaf<string>(
+  pattern: (type: string, pattern: RegExp, expected: string): Struct<string, null> =>
+    Validated.custom<string>(
       type,
       (value) => typeof value === "string" && pattern.test(value),
       expected,
     ),
 
   /** An integer within limits, inclusive. */
-  within: (low: number, high: number) =>
-    guarded(
+  integerBetween: (low: number, high: number) =>
+    withGuard(
       max(min(integer(), low), high),
       (value) =>
         typeof value === "number" && Number.isInteger(value) && value >= low && value <= high,
     ),
 
   /** A boolean. */
-  flag: () =>
-    Validated.leaf<boolean>("boolean", (value) => typeof value === "boolean", "true or false"),
+  boolean: () =>
+    Validated.custom<boolean>("boolean", (value) => typeof value === "boolean", "true or false"),
 
   /** One of some words. */
-  one: <const T extends readonly [string, ...string[]]>(words: T) =>
-    guarded(enums(words), (value) => words.some((word) => word === value)),
+  oneOf: <const T extends readonly [string, ...string[]]>(words: T) =>
+    withGuard(enums(words), (value) => words.some((word) => word === value)),
 
   /** An optional value. */
-  maybe: <T, S>(struct: Struct<T, S>): Struct<T | undefined, S> => {
-    const guard = guardOf(struct);
-    return guarded(optional(struct), (value) => value === undefined || guard(value));
+  optional: <T, S>(struct: Struct<T, S>): Struct<T | undefined, S> => {
+    const guard = findGuard(struct);
+    return withGuard(optional(struct), (value) => value === undefined || guard(value));
   },
 
   /** A list that isn't empty. */
-  many: <T, S>(struct: Struct<T, S>) => {
-    const guard = guardOf(struct);
-    return guarded(
+  nonEmptyArray: <T, S>(struct: Struct<T, S>) => {
+    const guard = findGuard(struct);
+    return withGuard(
       nonempty(array(struct)),
       (value) => Array.isArray(value) && value.length > 0 && value.every(guard),
     );
   },
 
   /** An object, guarded by the guards of its fields. */
-  whole: <T, S extends Record<string, object>>(struct: Struct<T, S>): Struct<T, S> => {
-    const fields = fieldsOf(struct);
+  objectOf: <T, S extends Record<string, object>>(struct: Struct<T, S>): Struct<T, S> => {
+    const fields = findFieldGuards(struct);
     const required = [...fields].filter(([, guard]) => !guard(undefined)).map(([name]) => name);
-    return guarded(
+    return withGuard(
       struct,
       (value) =>
         isObject(value) &&
@@ -102,13 +102,13 @@
   },
 
   /** A record of named items. */
-  section: <T>(
+  recordOf: <T>(
     name: Struct<string, null>,
     item: Struct<T, unknown>,
   ): Struct<Record<string, T>, null> => {
-    const isName = guardOf(name);
-    const isItem = memoized(guardOf(item));
-    return guarded(
+    const isName = findGuard(name);
+    const isItem = memoized(findGuard(item));
+    return withGuard(
       record(name, item),
       (value) =>
         isObject(value) && Object.keys(value).every((key) => isName(key) && isItem(value[key])),
@@ -116,5 +116,5 @@
   },
 
   /** Whether a value passes the guard of a shape. */
-  passes: <T>(struct: Struct<T, unknown>, value: unknown): value is T => guardOf(struct)(value),
+  accepts: <T>(struct: Struct<T, unknown>, value: unknown): value is T => findGuard(struct)(value),
 };
--- a/src/consensus/append.ts
+++ b/src/consensus/append.ts
@@ -4,10 +4,10 @@
 import type { LogRecord } from "./log-record.js";
 import { commitUpTo } from "./commit.js";
 import { becomeFollower } from "./follow.js";
-import { memberRightsOf } from "./rights.js";
+import { currentMemberRights } from "./rights.js";
 import {
-  withMembersIn,
-  withMembersOfLog,
+  withMembersFromEntries,
+  withMembersFromLog,
   type ConsensusState,
   type DecisionContext,
 } from "./state.js";
@@ -38,7 +38,12 @@
       readonly pending: PendingAcknowledgment;
     };
 
-const refusal = (term: number): AppendReply => ({ term, fits: false, counts: false, matched: 0 });
+const createRefusal = (term: number): AppendReply => ({
+  term,
+  fits: false,
+  counts: false,
+  matched: 0,
+});
 
 /** Adds a leader's entries to the log; conflicting entries are truncated first. */
 const mergeEntries = (
@@ -54,8 +59,8 @@
     if (known === entry.term) continue;
     if (known !== undefined) {
       if (!rules.truncateConflicts) continue;
-      const log = state.log.before(entry.index);
-      state = withMembersOfLog({
+      const log = state.log.truncatedFrom(entry.index);
+      state = withMembersFromLog({
         ...state,
         log,
         syncedIndex: Math.min(state.syncedIndex, log.lastIndex),
@@ -63,7 +68,7 @@
       });
       records.push({ kind: "truncate", index: entry.index });
     }
-    state = withMembersIn({ ...state, log: state.log.plus([entry]) }, [entry]);
+    state = withMembersFromEntries({ ...state, log: state.log.withEntries([entry]) }, [entry]);
     records.push({ kind: "entry", ...entry });
   }
   return { state, records };
@@ -77,7 +82,7 @@
 ): AppendDecision => {
   const { rules } = context;
   if (request.term < former.term && rules.refuseOldTerms)
-    return { kind: "refuse", state: former, reply: refusal(former.term) };
+    return { kind: "refuse", state: former, reply: createRefusal(former.term) };
   const newTerm: LogRecord[] =
     request.term > former.term ? [{ kind: "vote", term: request.term, text: "" }] : [];
   const following = becomeFollower(former, request.term, request.leader, context.nowMs);
@@ -89,7 +94,7 @@
       : request.previousIndex <= log.lastIndex);
   if (!isKnown) {
     const matched = Math.min(log.lastIndex, request.previousIndex - 1);
-    return { kind: "refuse", state: following, reply: { ...refusal(term), matched } };
+    return { kind: "refuse", state: following, reply: { ...createRefusal(term), matched } };
   }
   const { state, records } = mergeEntries(following, request.entries, context);
   const matched = Math.max(
@@ -106,14 +111,14 @@
     pending: {
       term,
       truncations: state.truncations,
-      counts: memberRightsOf(following, context).countForCommit,
+      counts: currentMemberRights(following, context).countForCommit,
       matched,
     },
   };
 };
 
 /** Whether what was written under a term and a log is still valid under the present ones. */
-export const isStillAcknowledgeable = (
+export const canStillAcknowledge = (
   state: ConsensusState,
   pending: PendingAcknowledgment,
   { rules }: Pick<DecisionContext, "rules">,
@@ -128,8 +133,8 @@
   context: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: AppendReply } => {
   const { term, counts, matched } = pending;
-  if (!isStillAcknowledgeable(state, pending, context))
-    return { state, reply: refusal(state.term) };
+  if (!canStillAcknowledge(state, pending, context))
+    return { state, reply: createRefusal(state.term) };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, matched) },
     reply: { term, fits: true, counts, matched },
--- a/src/consensus/commit.ts
+++ b/src/consensus/commit.ts
@@ -10,7 +10,7 @@
 
 /** The index up to which a member has the leader's log on disk, as far as the leader knows. */
 const syncedIndexOf = (state: ConsensusState, member: string): number =>
-  member === state.self ? state.syncedIndex : (state.matched.get(member) ?? 0);
+  member === state.self ? state.syncedIndex : (state.matchIndexes.get(member) ?? 0);
 
 /**
  * What a leader commits: entries that a majority of the voters has on disk, and only by an entry of its own term. An
@@ -46,7 +46,7 @@
   readonly term: number;
   /** When the acknowledged request was sent, on the leader's clock. */
   readonly sentMs: number;
-  readonly matched: number;
+  readonly matchIndex: number;
   /** Whether the member counts, which it doesn't while it rejoins. */
   readonly counts: boolean;
 }
@@ -57,7 +57,7 @@
   acknowledgment: Acknowledgment,
   { rules, nowMs }: Pick<DecisionContext, "rules" | "nowMs">,
 ): ConsensusState => {
-  const { peer, term, matched, counts } = acknowledgment;
+  const { peer, term, matchIndex: matched, counts } = acknowledgment;
   if (state.role !== "leader" || state.term !== term) return state;
   const responsiveSinceMs = new Map(state.responsiveSinceMs);
   if (!counts) {
@@ -66,13 +66,13 @@
   }
   if (!responsiveSinceMs.has(peer)) responsiveSinceMs.set(peer, nowMs);
   const sentMs = rules.leaseFromSending ? acknowledgment.sentMs : nowMs;
-  const matchedSoFar = state.matched.get(peer) ?? 0;
+  const matchedSoFar = state.matchIndexes.get(peer) ?? 0;
   const sentSoFar = state.acknowledgedSentMs.get(peer) ?? Number.NEGATIVE_INFINITY;
   return advanceCommit(
     {
       ...state,
       responsiveSinceMs,
-      matched: new Map(state.matched).set(peer, Math.max(matchedSoFar, matched)),
+      matchIndexes: new Map(state.matchIndexes).set(peer, Math.max(matchedSoFar, matched)),
       acknowledgedSentMs: new Map(state.acknowledgedSentMs).set(peer, Math.max(sentSoFar, sentMs)),
     },
     { rules },
--- a/src/consensus/election.ts
+++ b/src/consensus/election.ts
@@ -1,6 +1,6 @@
 /** How a member campaigns: pre-votes, elections and transfers of the leadership. */
 import type { LogRecord } from "./log-record.js";
-import { memberRightsOf } from "./rights.js";
+import { currentMemberRights } from "./rights.js";
 import type { ConsensusState, DecisionContext } from "./state.js";
 import type { VoteRequest } from "./vote.js";
 
@@ -11,10 +11,10 @@
 ): ConsensusState => ({
   ...state,
   knownLeader: "",
-  role: memberRightsOf(state, context).campaign ? "preCandidate" : state.role,
+  role: currentMemberRights(state, context).campaign ? "preCandidate" : state.role,
 });
 
-const voteRequestOf = (
+const createVoteRequest = (
   state: ConsensusState,
   term: number,
   isPreVote: boolean,
@@ -33,7 +33,7 @@
   state: ConsensusState,
 ): { readonly state: ConsensusState; readonly request: VoteRequest } => ({
   state: { ...state, votes: new Set(), isLeadershipTransfer: false },
-  request: voteRequestOf(state, state.term + 1, true, false),
+  request: createVoteRequest(state, state.term + 1, true, false),
 });
 
 /** A candidate's new term and vote for itself; the request is sent once the records are on disk. */
@@ -57,7 +57,7 @@
   return {
     state,
     records: [{ kind: "vote", term, text: state.self }],
-    request: voteRequestOf(state, term, false, former.isLeadershipTransfer),
+    request: createVoteRequest(state, term, false, former.isLeadershipTransfer),
   };
 };
 
@@ -81,6 +81,6 @@
   term: number,
   context: DecisionContext,
 ): ConsensusState | undefined =>
-  term === state.term && state.role === "follower" && memberRightsOf(state, context).campaign
+  term === state.term && state.role === "follower" && currentMemberRights(state, context).campaign
     ? { ...state, role: "candidate", isLeadershipTransfer: true }
     : undefined;
--- a/src/consensus/leadership.ts
+++ b/src/consensus/leadership.ts
@@ -1,7 +1,7 @@
 import type { Entry } from "../rpc/rpc-method.js";
 import type { LogRecord } from "./log-record.js";
 import { leaseUntilMs } from "./lease.js";
-import { withMembersIn, type ConsensusState, type DecisionContext } from "./state.js";
+import { withMembersFromEntries, type ConsensusState, type DecisionContext } from "./state.js";
 
 /** Whether this member leads in a term. */
 export const isLeading = (state: ConsensusState, term: number): boolean =>
@@ -11,7 +11,7 @@
 export const becomeLeader = (state: ConsensusState): ConsensusState => ({
   ...state,
   knownLeader: state.self,
-  matched: new Map(),
+  matchIndexes: new Map(),
   acknowledgedSentMs: new Map(),
   responsiveSinceMs: new Map(),
   leadingSinceIndex: state.log.lastIndex + 1,
@@ -33,7 +33,7 @@
   const { term, log } = former;
   const first = log.lastIndex + 1;
   const entries = texts.map((text, at) => ({ index: first + at, term, text }));
-  const state = withMembersIn({ ...former, log: log.plus(entries) }, entries);
+  const state = withMembersFromEntries({ ...former, log: log.withEntries(entries) }, entries);
   return { state, entries, records: entries.map((entry) => ({ kind: "entry", ...entry })) };
 };
 
@@ -53,12 +53,12 @@
  * To whom a leader hands over: of the voters that have acknowledged anything, one that stays before one that is about to stop,
  * then the one whose log is the furthest.
  */
-export const transferTargetOf = (
+export const selectTransferTarget = (
   state: ConsensusState,
   leaving: ReadonlySet<string> = new Set(),
 ): string | undefined => {
   const lag = (voter: string): number =>
-    leaving.has(voter) ? Infinity : state.log.lastIndex - (state.matched.get(voter) ?? 0);
+    leaving.has(voter) ? Infinity : state.log.lastIndex - (state.matchIndexes.get(voter) ?? 0);
   return state.members.voters
     .filter((voter) => voter !== state.self && state.acknowledgedSentMs.has(voter))
     .sort((a, b) => (lag(a) < lag(b) ? -1 : 1))[0];
--- a/src/consensus/member-rights.ts
+++ b/src/consensus/member-rights.ts
@@ -22,7 +22,7 @@
   /** It lost its disk and its marker has not been committed since. */
   readonly isRejoining: boolean;
   /** The newest membership that it knows names it as a voter. */
-  readonly isNamedVoter: boolean;
+  readonly isVoter: boolean;
   /** It was elected in the current term. */
   readonly isLeader: boolean;
   /** Its process is about to end for good, as far as it knows. */
@@ -40,13 +40,13 @@
   /** Take part in forming a new log. */
   readonly form: boolean;
   /** Take part in elections and replication at all; without it requests are refused. */
-  readonly takePart: boolean;
+  readonly participate: boolean;
   /** Vote for a candidate in a pre-vote. */
   readonly preVote: boolean;
   /** Vote for a candidate. */
   readonly vote: boolean;
   /** Vote for a candidate to which the leader itself transfers the leadership. */
-  readonly voteOnHandOver: boolean;
+  readonly voteOnLeadershipTransfer: boolean;
   /** Become a candidate. */
   readonly campaign: boolean;
   /** Have its copy of an entry, and its acknowledgment of a heartbeat, counted in a majority. */
@@ -68,11 +68,11 @@
   const canWrite = hasCompleteState && member.isDiskHealthy;
   return {
     form: member.stage === "empty",
-    takePart,
+    participate: takePart,
     preVote: vote,
     vote,
-    voteOnHandOver: hasCompleteState,
-    campaign: canWrite && member.isNamedVoter && !member.isLeader && !member.isRetired,
+    voteOnLeadershipTransfer: hasCompleteState,
+    campaign: canWrite && member.isVoter && !member.isLeader && !member.isRetired,
     countForCommit: hasCompleteState && !member.isRetired,
     // A leader that is no longer a voter leads on until its removal is committed.
     lead: canWrite && member.isLeader,
--- a/src/consensus/members.ts
+++ b/src/consensus/members.ts
@@ -11,5 +11,5 @@
 export type Members = Omit<Infer<typeof membersShape>, "kind">;
 
 /** The members that an entry of the log sets, or undefined where it sets none. */
-export const membersIn = (text: string): Members | undefined =>
+export const parseMembersEntry = (text: string): Members | undefined =>
   text.startsWith('{"kind":"members"') ? create(JSON.parse(text), membersShape) : undefined;
--- a/src/consensus/rejoin.ts
+++ b/src/consensus/rejoin.ts
@@ -8,7 +8,7 @@
 export type RejoinMarker = Infer<typeof markerShape>;
 
 /** The marker in an entry's text, if it is one. */
-export const rejoinMarkerIn = (text: string): RejoinMarker | undefined =>
+export const parseRejoinMarker = (text: string): RejoinMarker | undefined =>
   text.startsWith('{"kind":"rejoined"') ? create(JSON.parse(text), markerShape) : undefined;
 
 /** The text of the entry that marks a member's rejoin under a nonce. */
@@ -29,7 +29,7 @@
   (marker.nonce === state.rejoinNonce || !rules.rejoinOnlyByOwnNonce);
 
 /** The state of a member that counts again; the cleared nonce must be on disk. */
-export const afterRejoin = (state: ConsensusState): ConsensusState => ({
+export const stateAfterRejoin = (state: ConsensusState): ConsensusState => ({
   ...state,
   rejoinNonce: "",
 });
--- a/src/consensus/replicated-log.ts
+++ b/src/consensus/replicated-log.ts
@@ -48,7 +48,7 @@
   }
 
   /** The log with entries added at its end. */
-  plus(entries: readonly Entry[]): ReplicatedLog {
+  withEntries(entries: readonly Entry[]): ReplicatedLog {
     if (entries.length === 0) return this;
     const isTip = this.shared.length === this.length;
     const shared = isTip ? this.shared : this.shared.slice(0, this.length);
@@ -57,7 +57,7 @@
   }
 
   /** The log up to an index, without that one. */
-  before(index: number): ReplicatedLog {
+  truncatedFrom(index: number): ReplicatedLog {
     const length = Math.min(this.length, Math.max(0, index - this.baseIndex - 1));
     return new ReplicatedLog(this.baseIndex, this.baseTerm, this.shared, length);
   }
--- a/src/consensus/replication.ts
+++ b/src/consensus/replication.ts
@@ -8,13 +8,13 @@
   /** The next entry to send. */
   readonly next: number;
   /** Whether the member is known to have all before it. */
-  readonly isSure: boolean;
+  readonly isConfirmed: boolean;
 }
 
 /** Where a leader begins with a member it knows nothing about. */
 export const initialProgress = ({ log }: ConsensusState): Progress => ({
   next: log.lastIndex,
-  isSure: false,
+  isConfirmed: false,
 });
 
 /** Whether a member is so far behind that the log doesn't reach back to it. */
@@ -42,7 +42,7 @@
 /** The next request to a member: entries once their logs are known to match, else a heartbeat that finds out whether they do. */
 export const appendRequestFor = (
   state: ConsensusState,
-  { next, isSure }: Progress,
+  { next, isConfirmed: isSure }: Progress,
   limit: BatchLimit,
 ): AppendRequest => {
   const following = isSure ? state.log.entriesFrom(next, limit.entries) : [];
@@ -73,6 +73,6 @@
 
 /** What a leader knows after a reply of its own term. */
 export const progressAfter = ({ next }: Progress, { fits, matched }: AppendReply): Progress => ({
-  isSure: fits,
+  isConfirmed: fits,
   next: fits ? Math.max(next, matched + 1) : Math.max(0, Math.min(next - 1, matched + 1)),
 });
--- a/src/consensus/rights.ts
+++ b/src/consensus/rights.ts
@@ -12,12 +12,15 @@
   (state.role === "leader" || nowMs - state.lastLeaderContactMs < timeouts.electionMinMs);
 
 /** What this member may do now. */
-export const memberRightsOf = (state: ConsensusState, context: DecisionContext): MemberRights => {
+export const currentMemberRights = (
+  state: ConsensusState,
+  context: DecisionContext,
+): MemberRights => {
   const { rules } = context;
   const member: MemberState = {
     stage: context.stage,
     isRejoining: state.rejoinNonce !== "",
-    isNamedVoter: state.members.voters.includes(state.self),
+    isVoter: state.members.voters.includes(state.self),
     isLeader: state.role === "leader",
     isRetired: context.isRetired,
     isDiskHealthy: context.isDiskHealthy,
--- a/src/consensus/snapshot.ts
+++ b/src/consensus/snapshot.ts
@@ -1,11 +1,16 @@
 /** How a member accepts a leader's snapshot, and compacts its log behind one. */
 import type { Entry } from "../rpc/rpc-method.js";
 import type { Members } from "./members.js";
-import { isStillAcknowledgeable, type PendingAcknowledgment } from "./append.js";
+import { canStillAcknowledge, type PendingAcknowledgment } from "./append.js";
 import { becomeFollower } from "./follow.js";
 import { ReplicatedLog } from "./replicated-log.js";
-import { memberRightsOf } from "./rights.js";
-import { membersAt, withMembersOfLog, type ConsensusState, type DecisionContext } from "./state.js";
+import { currentMemberRights } from "./rights.js";
+import {
+  membersAt,
+  withMembersFromLog,
+  type ConsensusState,
+  type DecisionContext,
+} from "./state.js";
 
 /** Which snapshot a leader offers. */
 export interface SnapshotOffer {
@@ -45,7 +50,7 @@
     return { kind: "reply", state: former, reply };
   }
   const state = becomeFollower(former, offer.term, offer.leader, context.nowMs);
-  const counts = memberRightsOf(state, context).countForCommit;
+  const counts = currentMemberRights(state, context).countForCommit;
   if (offer.lastIndex <= state.committedIndex) {
     const reply = { term: state.term, counts, matched: state.committedIndex };
     return { kind: "reply", state, reply };
@@ -62,7 +67,7 @@
   members: Members,
   entries: readonly Entry[],
 ): ConsensusState =>
-  withMembersOfLog({
+  withMembersFromLog({
     ...state,
     log: ReplicatedLog.of(lastIndex, lastTerm, entries),
     baseMembers: members,
@@ -79,7 +84,7 @@
   context: Pick<DecisionContext, "rules">,
 ): { readonly state: ConsensusState; readonly reply: SnapshotReply } => {
   const { term, counts, matched } = pending;
-  if (!isStillAcknowledgeable(state, pending, context))
+  if (!canStillAcknowledge(state, pending, context))
     return { state, reply: { term: state.term, counts: false, matched: 0 } };
   return {
     state: { ...state, syncedIndex: Math.max(state.syncedIndex, syncedIndex) },
--- a/src/consensus/state.ts
+++ b/src/consensus/state.ts
@@ -1,7 +1,7 @@
 /** The consensus state of one member, and what its decisions read. */
 import type { Entry } from "../rpc/rpc-method.js";
 import type { MemberStage } from "./member-rights.js";
-import { type Members, membersIn } from "./members.js";
+import { type Members, parseMembersEntry } from "./members.js";
 import { ReplicatedLog } from "./replicated-log.js";
 import type { SafetyRules } from "./safety-rules.js";
 
@@ -40,7 +40,7 @@
   /** The first entry of this leader's own term. */
   readonly leadingSinceIndex: number;
   /** Up to where each other member has acknowledged this leader's log. */
-  readonly matched: ReadonlyMap<string, number>;
+  readonly matchIndexes: ReadonlyMap<string, number>;
   /** When the newest heartbeat that each other member acknowledged was sent. */
   readonly acknowledgedSentMs: ReadonlyMap<string, number>;
   /** Since when each other member has acknowledged this leader's requests, without having lost its disk meanwhile. */
@@ -83,19 +83,22 @@
 const NO_MEMBERS: Members = { voters: [], learners: [] };
 
 /** The state with the members that its log sets. */
-export const withMembersOfLog = (state: ConsensusState): ConsensusState => {
+export const withMembersFromLog = (state: ConsensusState): ConsensusState => {
   const { log, baseMembers } = state;
-  return withMembersIn(
+  return withMembersFromEntries(
     { ...state, members: baseMembers, membersIndex: log.baseIndex },
     log.entriesFrom(log.baseIndex + 1),
   );
 };
 
 /** The state with the members that entries added at the log's end set. */
-export const withMembersIn = (state: ConsensusState, entries: readonly Entry[]): ConsensusState => {
+export const withMembersFromEntries = (
+  state: ConsensusState,
+  entries: readonly Entry[],
+): ConsensusState => {
   let { members, membersIndex } = state;
   for (const entry of entries) {
-    const set = membersIn(entry.text);
+    const set = parseMembersEntry(entry.text);
     if (set === undefined) continue;
     members = set;
     membersIndex = entry.index;
@@ -107,7 +110,7 @@
 export const membersAt = ({ log, baseMembers }: ConsensusState, index: number): Members => {
   let members = baseMembers;
   for (const entry of log.entriesFrom(log.baseIndex + 1, index - log.baseIndex))
-    members = membersIn(entry.text) ?? members;
+    members = parseMembersEntry(entry.text) ?? members;
   return members;
 };
 
@@ -131,7 +134,7 @@
   votes: new Set(),
   isLeadershipTransfer: false,
   leadingSinceIndex: 0,
-  matched: new Map(),
+  matchIndexes: new Map(),
   acknowledgedSentMs: new Map(),
   responsiveSinceMs: new Map(),
 });
@@ -142,7 +145,7 @@
   persisted: PersistedConsensusState,
 ): ConsensusState => {
   const log = ReplicatedLog.of(persisted.lastIndex, persisted.lastTerm, persisted.entries);
-  return withMembersOfLog({
+  return withMembersFromLog({
     ...state,
     term: persisted.term,
     votedFor: persisted.votedFor,
--- a/src/consensus/vote.ts
+++ b/src/consensus/vote.ts
@@ -4,7 +4,7 @@
 import type { LogRecord } from "./log-record.js";
 import { becomeFollower } from "./follow.js";
 import { isMajority } from "./quorum.js";
-import { memberRightsOf } from "./rights.js";
+import { currentMemberRights } from "./rights.js";
 import type { ConsensusState, DecisionContext } from "./state.js";
 
 /** A candidate's request for a vote or a pre-vote. */
@@ -47,9 +47,9 @@
     reply: { term: state.term, granted },
   });
   const upToDate = isUpToDate(state, request, context);
-  const rights = memberRightsOf(state, context);
+  const rights = currentMemberRights(state, context);
   const voluntary = request.isPreVote ? rights.preVote : rights.vote;
-  const mayVote = request.handOver ? rights.voteOnHandOver : voluntary;
+  const mayVote = request.handOver ? rights.voteOnLeadershipTransfer : voluntary;
   if (!mayVote || request.term < state.term) return replyAtOnce(false);
   if (request.isPreVote) return replyAtOnce(upToDate && request.term > state.term);
   const voter =
--- a/src/control-plane/change-buffer.ts
+++ b/src/control-plane/change-buffer.ts
@@ -27,7 +27,7 @@
   }
 
   /** Adds the keys of the items that changed when the table came to `sequence`; drops the oldest changes beyond the limit. */
-  note(sequence: number, keys: readonly string[]): void {
+  record(sequence: number, keys: readonly string[]): void {
     const sizeBytes = keys.reduce((sum, key) => sum + key.length, CHANGE_OVERHEAD_BYTES);
     this.changes.push({ sequence, keys, sizeBytes });
     this.sizeBytes += sizeBytes;
@@ -42,7 +42,7 @@
   }
 
   /** The keys of the items that may differ from the table under `sequence`; `undefined` where that is no longer known. */
-  since(sequence: number): ReadonlySet<string> | undefined {
+  keysChangedSince(sequence: number): ReadonlySet<string> | undefined {
     const keys = new Set<string>();
     for (let index = this.changes.length - 1; index >= 0; index -= 1) {
       const change = this.changes[index];
--- a/src/control-plane/command-metrics.ts
+++ b/src/control-plane/command-metrics.ts
@@ -25,7 +25,7 @@
   }
 
   /** Takes in a command that began at `startedMs` of the clock and is responded to now. */
-  note(kind: string, startedMs: number): void {
+  record(kind: string, startedMs: number): void {
     const nowMs = this.clock.nowMs();
     const durationMs = nowMs - startedMs;
     const { count, sumMs, maxMs } = this.byKind.get(kind) ?? { count: 0, sumMs: 0, maxMs: 0 };
--- a/src/control-plane/command-router.ts
+++ b/src/control-plane/command-router.ts
@@ -36,7 +36,7 @@
     const startedMs = clock.nowMs();
     const command = steps.run("decodeCommand", () => readCommand(text));
     const result = yield* this.dispatch(command);
-    metrics.note(command.kind, startedMs);
+    metrics.record(command.kind, startedMs);
     return encodeCommandResult(result);
   }
 
--- a/src/control-plane/config-change-log.ts
+++ b/src/control-plane/config-change-log.ts
@@ -16,7 +16,7 @@
 const REMOVED_PREFIX = "-";
 
 /** The key of the part with the whole configuration. */
-const WHOLE = -1;
+const COMPLETE = -1;
 
 /** An item that was observed, with its hash. */
 interface ObservedItem {
@@ -24,7 +24,7 @@
   readonly hash: bigint;
 }
 
-const NO_ITEMS: NumberedConfig = { config: EMPTY_CONFIG, numbers: new Map() };
+const NO_ITEMS: NumberedConfig = { config: EMPTY_CONFIG, ids: new Map() };
 
 /** Whether the order of routes is the one that a daemon has after it removed some of the former ones and added others at the end. */
 const isOrderPreserved = (
@@ -89,7 +89,7 @@
     this.observe();
     const cached = this.viewParts.get(fromSequence);
     if (cached !== undefined) return cached;
-    const touched = this.changes.since(fromSequence);
+    const touched = this.changes.keysChangedSince(fromSequence);
     const content =
       touched && touched.size < this.items.size / 2
         ? this.changesPart(fromSequence, touched)
@@ -109,8 +109,8 @@
     this.putTouched(update, touched);
     for (const key of touched) {
       if (key.startsWith(REMOVED_PREFIX)) update.removed.push(key.slice(REMOVED_PREFIX.length));
-      const name = ConfigItems.nameOfIdKey(key) ?? "";
-      const number = this.current.numbers.get(name);
+      const name = ConfigItems.parseIdKey(key) ?? "";
+      const number = this.current.ids.get(name);
       if (number !== undefined) update.numbers[name] = number;
     }
     const text = JSON.stringify(update);
@@ -124,26 +124,26 @@
     const isTouched = (key: string): boolean => touched.has(key);
     for (const [name, service] of Object.entries(services))
       if (isTouched(ConfigItems.key("services", name)))
-        put.services[name] = ConfigItems.forEdges(service);
+        put.services[name] = ConfigItems.withoutOrigin(service);
     for (const [name, route] of Object.entries(routes))
       if (isTouched(ConfigItems.key("routes", name)))
-        put.routes[name] = ConfigItems.forEdges(route);
+        put.routes[name] = ConfigItems.withoutOrigin(route);
     put.goals = Object.fromEntries(
       Object.entries(goals ?? {}).filter(([name]) => isTouched(ConfigItems.key("goals", name))),
     );
-    if (limits && isTouched(ConfigItems.limitsKey)) put.limits = ConfigItems.forEdges(limits);
+    if (limits && isTouched(ConfigItems.limitsKey)) put.limits = ConfigItems.withoutOrigin(limits);
   }
 
   private wholePart(): string {
-    const cached = this.viewParts.get(WHOLE);
+    const cached = this.viewParts.get(COMPLETE);
     if (cached !== undefined) return cached;
-    const text = JSON.stringify(ConfigItems.wholeForEdges(this.current.config));
+    const text = JSON.stringify(ConfigItems.configWithoutOrigins(this.current.config));
     const config =
       text.length > COMPRESSION_THRESHOLD_CHARS
         ? `"packedConfig":"${TextCompression.compress(text)}"`
         : `"config":${JSON.stringify(text)}`;
-    const part = `${config},"numbers":${JSON.stringify(Object.fromEntries(this.current.numbers))}`;
-    this.viewParts.set(WHOLE, part);
+    const part = `${config},"numbers":${JSON.stringify(Object.fromEntries(this.current.ids))}`;
+    this.viewParts.set(COMPLETE, part);
     return part;
   }
 
@@ -169,7 +169,7 @@
     this.digestText = ConfigItems.digest(this.setDigest, next.config);
     this.serviceNames = Object.keys(next.config.services);
     if (isFirst || !isInOrder) this.changes = new ChangeBuffer(sequence, DEFAULT_MAX_CHANGE_BYTES);
-    else this.changes.note(sequence, touched);
+    else this.changes.record(sequence, touched);
   }
 
   /** Takes over all items; returns the keys of those that changed or were removed. */
--- a/src/control-plane/config-service.ts
+++ b/src/control-plane/config-service.ts
@@ -6,7 +6,7 @@
 import { configText } from "../configuration/config-serializer.js";
 import type { ConfigCommand } from "../control-protocol/command.js";
 import { completed, failed, type CommandResult } from "../control-protocol/command-response.js";
-import { type CompressedText, compressedTextOf } from "../control-protocol/compressed-text.js";
+import { type CompressedText, encodeCompressedText } from "../control-protocol/compressed-text.js";
 import { sleep } from "../runtime/clock.js";
 import { Queue } from "../runtime/queue.js";
 import type { Runtime } from "../runtime/runtime.js";
@@ -18,7 +18,7 @@
 import type { StateMachine } from "../state/state-machine.js";
 import { ConfigVersionLookup, type ConfigLookup } from "./config-version-lookup.js";
 import { NO_LEASE, type LeaderLog, type LeaderReplica } from "./leader-log.js";
-import { RestingIds } from "./resting-ids.js";
+import { IdQuarantine } from "./resting-ids.js";
 
 /** How often a change without a base is applied anew where another change was accepted meanwhile. */
 const MAX_ATTEMPTS = 5;
@@ -28,7 +28,7 @@
 
 interface PendingChange {
   readonly command: ConfigCommand;
-  readonly done: (result: CommandResult) => void;
+  readonly onResult: (result: CommandResult) => void;
 }
 
 /** What the configuration service needs. */
@@ -39,7 +39,7 @@
   readonly stateMachine: StateMachine;
   readonly steps: StepTimer;
   /** How long an id rests before another name may take it, in milliseconds. */
-  readonly idRestMs: number;
+  readonly idQuarantineMs: number;
 }
 
 /** Checks, versions and proposes configurations, and reads accepted ones back. */
@@ -48,7 +48,7 @@
   private readonly log: LeaderLog;
   private readonly stateMachine: StateMachine;
   private readonly steps: StepTimer;
-  private readonly restingIds: RestingIds;
+  private readonly restingIds: IdQuarantine;
   private readonly versions: ConfigVersionLookup;
   private readonly pending = new Queue<PendingChange>();
   /** The configuration that was parsed last, with its text. */
@@ -56,12 +56,19 @@
   /** The text of the configuration that was read back last, as it travels. */
   private encoded: { sequence: number; text: CompressedText } = { sequence: -1, text: {} };
 
-  constructor({ runtime, log, replica, stateMachine, steps, idRestMs }: ConfigServiceOptions) {
+  constructor({
+    runtime,
+    log,
+    replica,
+    stateMachine,
+    steps,
+    idQuarantineMs: idRestMs,
+  }: ConfigServiceOptions) {
     this.runtime = runtime;
     this.log = log;
     this.stateMachine = stateMachine;
     this.steps = steps;
-    this.restingIds = new RestingIds(stateMachine, idRestMs);
+    this.restingIds = new IdQuarantine(stateMachine, idRestMs);
     this.versions = new ConfigVersionLookup(stateMachine, replica);
   }
 
@@ -81,14 +88,14 @@
   /** Processes queued changes, one after another, for ever. */
   *run(): Task {
     for (;;) {
-      const { command, done } = yield* this.pending.take();
+      const { command, onResult: done } = yield* this.pending.take();
       done(yield* this.apply(command));
     }
   }
 
   /** Queues a change and waits for its result. */
   *change(command: ConfigCommand): Task<CommandResult> {
-    return yield* waitFor<CommandResult>((done) => this.pending.put({ command, done }));
+    return yield* waitFor<CommandResult>((done) => this.pending.put({ command, onResult: done }));
   }
 
   /** Reads an accepted configuration back: the one of a version, or the active one. */
@@ -142,7 +149,7 @@
     version,
   }: ConfigCommand): CommandResult | undefined {
     if (!this.log.holdsLease) return NO_LEASE;
-    const accepted = this.stateMachine.changeVersion(changeId);
+    const accepted = this.stateMachine.findVersionOfChange(changeId);
     if (accepted !== undefined) return completed({ accepted });
     const { version: activeVersion, changesForgottenUpTo: forgottenUpTo } = this.stateMachine;
     const wanted = version ?? (base === undefined ? Infinity : base + 1);
@@ -177,7 +184,7 @@
       acceptedAt: this.runtime.wallTime().toISOString(),
       ...payload,
       names: this.nameChanges(config),
-      rested: this.restingIds.rested(this.runtime.clock.nowMs()),
+      rested: this.restingIds.findReusableIds(this.runtime.clock.nowMs()),
     });
     if (result.kind === "failed") return result;
     const [error, outcome] = configOutcomeShape.validate(JSON.parse(result.json));
@@ -229,7 +236,7 @@
   /** The text of a configuration as it travels, compressed once for all readers where it is long. */
   private encodedText({ sequence, text }: AcceptedConfig): CompressedText {
     if (this.encoded.sequence !== sequence)
-      this.encoded = { sequence, text: compressedTextOf(text) };
+      this.encoded = { sequence, text: encodeCompressedText(text) };
     return this.encoded.text;
   }
 }
--- a/src/control-plane/control-plane-timeouts.ts
+++ b/src/control-plane/control-plane-timeouts.ts
@@ -9,17 +9,17 @@
   /** The time without a heartbeat after which a registration ends. */
   expiryMs: number;
   /** How long a registration without an instance stays ended after its backend left, whatever heartbeats arrive late. */
-  leaveHoldMs: number;
+  holdDownMs: number;
   /** How long the registration of a backend that left is retained. */
   purgeMs: number;
   /** How long an idempotency claim is retained. */
   keyMs: number;
   /** The time without a watch request after which a daemon counts as unresponsive. */
-  silentMs: number;
+  unresponsiveAfterMs: number;
   /** How long an id rests before another name may take it: three windows of the sketches that count by it. */
-  idRestMs: number;
+  idQuarantineMs: number;
   /** How long a watch request is buffered at most while there is no update for it; well below the lease. */
-  holdMs: number;
+  maxWatchWaitMs: number;
   /** How long the tombstone of an instance is retained at least. */
   tombstoneMs: number;
 }
@@ -29,12 +29,12 @@
   leaseMs: 1600,
   heartbeatMs: 1000,
   expiryMs: 4300,
-  leaveHoldMs: 2500,
+  holdDownMs: 2500,
   purgeMs: 30_000,
   keyMs: 120_000,
-  silentMs: 2500,
-  idRestMs: 60_000,
-  holdMs: 320,
+  unresponsiveAfterMs: 2500,
+  idQuarantineMs: 60_000,
+  maxWatchWaitMs: 320,
   tombstoneMs: 600_000,
 };
 
--- a/src/control-plane/control-plane.ts
+++ b/src/control-plane/control-plane.ts
@@ -51,11 +51,14 @@
     const shared = { runtime, clock, logger, steps, log, replica, stateMachine, timeouts };
     this.runtime = runtime;
     this.log = log;
-    this.configs = new ConfigService({ ...shared, idRestMs: timeouts.idRestMs });
-    this.endpoints = new EndpointRegistry({ ...shared, endpoints: endpointChanges });
+    this.configs = new ConfigService({ ...shared, idQuarantineMs: timeouts.idQuarantineMs });
+    this.endpoints = new EndpointRegistry({ ...shared, endpointChanges });
     this.claims = new ClaimService({ ...shared, claimTtlMs: timeouts.keyMs });
     this.quotas = new QuotaService({ ...shared, allocator });
-    this.daemons = new DaemonRegistry({ ...shared, unresponsiveMs: timeouts.silentMs });
+    this.daemons = new DaemonRegistry({
+      ...shared,
+      unresponsiveAfterMs: timeouts.unresponsiveAfterMs,
+    });
     const { configs, endpoints, claims, quotas, daemons } = this;
     this.leases = new LeaseManager({
       ...shared,
--- a/src/control-plane/daemon-registry.ts
+++ b/src/control-plane/daemon-registry.ts
@@ -1,7 +1,7 @@
 /** The daemons of the cluster as the leader observes them by their watch requests. */
 import type { ControlPlanePeers } from "../control-protocol/leased-view.js";
 import type { DaemonInfo } from "../control-protocol/watch-request.js";
-import { edgePlacementsOf, type EdgePlacement } from "../control-protocol/edge-placement.js";
+import { computeEdgePlacements, type EdgePlacement } from "../control-protocol/edge-placement.js";
 import { itemHash } from "../configuration/set-digest.js";
 import type { Logger } from "../runtime/logger.js";
 import type { LeaderLog, LeaderReplica } from "./leader-log.js";
@@ -20,7 +20,7 @@
   readonly replica: Pick<LeaderReplica, "self" | "currentMembers">;
   readonly logger: Logger;
   /** The time without a watch request after which a daemon counts as unresponsive, in milliseconds. */
-  readonly unresponsiveMs: number;
+  readonly unresponsiveAfterMs: number;
 }
 
 /** Knows when each daemon was last seen, and from that the control plane's peers and the placement of edges. */
@@ -33,7 +33,12 @@
   /** The placements of all edges, until an edge appears or disappears. */
   private placements: ReadonlyMap<string, EdgePlacement> | undefined;
 
-  constructor({ log, replica, logger, unresponsiveMs }: DaemonRegistryOptions) {
+  constructor({
+    log,
+    replica,
+    logger,
+    unresponsiveAfterMs: unresponsiveMs,
+  }: DaemonRegistryOptions) {
     this.log = log;
     this.replica = replica;
     this.logger = logger;
@@ -52,7 +57,7 @@
   }
 
   /** Takes in that a daemon sent a watch request. */
-  note(info: DaemonInfo, nowMs: number): void {
+  recordWatchRequest(info: DaemonInfo, nowMs: number): void {
     const former = this.daemons.get(info.name);
     const isAppearing = !former || former.isUnresponsive;
     if (isAppearing || former.info.draining !== info.draining) this.placements = undefined;
@@ -89,8 +94,8 @@
   }
 
   /** The placement of an edge among all that are responsive. */
-  placementOf(name: string): EdgePlacement | undefined {
-    this.placements ??= edgePlacementsOf(this.responsive);
+  findPlacement(name: string): EdgePlacement | undefined {
+    this.placements ??= computeEdgePlacements(this.responsive);
     return this.placements.get(name);
   }
 
--- a/src/control-plane/endpoint-change-log.ts
+++ b/src/control-plane/endpoint-change-log.ts
@@ -8,7 +8,7 @@
 import { SetDigest } from "../configuration/set-digest.js";
 
 /** The key of the part with all registrations: the sequence of a daemon that has none yet. */
-const WHOLE = -1;
+const COMPLETE = -1;
 
 /**
  * What views contain of the registrations: those that changed since the sequence that a daemon has, or all of them. It follows
@@ -42,11 +42,11 @@
   /** The digest that a daemon's replica must have under this sequence. */
   get digest(): string {
     this.observe();
-    return this.setDigest.text;
+    return this.setDigest.hex;
   }
 
   /** The registration under a number. */
-  registration(number: number): Registration | undefined {
+  findRegistration(number: number): Registration | undefined {
     this.observe();
     return this.byNumber.get(number);
   }
@@ -56,7 +56,7 @@
     this.observe();
     const cached = this.viewParts.get(fromSequence);
     if (cached !== undefined) return cached;
-    const touched = this.changes.since(fromSequence);
+    const touched = this.changes.keysChangedSince(fromSequence);
     const part =
       touched && touched.size < this.registrations.size
         ? this.changesPart(fromSequence, touched)
@@ -69,22 +69,22 @@
     const put: Registration[] = [];
     const removed: string[] = [];
     for (const address of touched) {
-      const registration = this.registrations.get(address);
-      if (registration) put.push(registration);
+      const findRegistration = this.registrations.get(address);
+      if (findRegistration) put.push(findRegistration);
       else removed.push(address);
     }
     return `"directoryChanges":${JSON.stringify({ base, put, removed })}`;
   }
 
   private wholePart(): string {
-    const cached = this.viewParts.get(WHOLE);
+    const cached = this.viewParts.get(COMPLETE);
     if (cached !== undefined) return cached;
     const text = JSON.stringify([...this.registrations.values()]);
     const part =
       text.length > COMPRESSION_THRESHOLD_CHARS
         ? `"packedDirectory":"${TextCompression.compress(text)}"`
         : `"directory":${text}`;
-    this.viewParts.set(WHOLE, part);
+    this.viewParts.set(COMPLETE, part);
     return part;
   }
 
@@ -93,12 +93,12 @@
     const { registrations, endpointSequence } = this.stateMachine;
     if (registrations === this.registrations && endpointSequence === this.observedSequence) return;
     const touched: string[] = [];
-    for (const [address, registration] of registrations) {
+    for (const [address, findRegistration] of registrations) {
       const former = this.registrations.get(address);
-      if (former === registration) continue;
+      if (former === findRegistration) continue;
       touched.push(address);
       this.remove(former);
-      this.add(registration);
+      this.add(findRegistration);
     }
     for (const [address, former] of this.registrations) {
       if (registrations.has(address)) continue;
@@ -108,21 +108,21 @@
     this.registrations = registrations;
     this.observedSequence = endpointSequence;
     this.viewParts.clear();
-    this.changes.note(endpointSequence, touched);
+    this.changes.record(endpointSequence, touched);
   }
 
-  private add(registration: Registration): void {
-    const hash = registrationHash(registration);
-    this.hashes.set(registration.address, hash);
+  private add(findRegistration: Registration): void {
+    const hash = registrationHash(findRegistration);
+    this.hashes.set(findRegistration.address, hash);
     this.setDigest.add(hash);
-    this.byNumber.set(registration.number, registration);
+    this.byNumber.set(findRegistration.number, findRegistration);
   }
 
-  private remove(registration: Registration | undefined): void {
-    if (!registration) return;
-    this.setDigest.remove(this.hashes.get(registration.address) ?? 0n);
-    this.hashes.delete(registration.address);
-    if (this.byNumber.get(registration.number) === registration)
-      this.byNumber.delete(registration.number);
+  private remove(findRegistration: Registration | undefined): void {
+    if (!findRegistration) return;
+    this.setDigest.remove(this.hashes.get(findRegistration.address) ?? 0n);
+    this.hashes.delete(findRegistration.address);
+    if (this.byNumber.get(findRegistration.number) === findRegistration)
+      this.byNumber.delete(findRegistration.number);
   }
 }
--- a/src/control-plane/endpoint-registry.ts
+++ b/src/control-plane/endpoint-registry.ts
@@ -38,7 +38,7 @@
   readonly warmMs: number;
 };
 
-const heartbeatOf = (command: AnnounceCommand): Heartbeat => ({
+const withDefaults = (command: AnnounceCommand): Heartbeat => ({
   ...command,
   instance: command.instance ?? "",
   capacity: command.capacity ?? 0,
@@ -56,7 +56,7 @@
   readonly clock: Clock;
   readonly log: LeaderLog;
   readonly stateMachine: StateMachine;
-  readonly endpoints: EndpointChangeLog;
+  readonly endpointChanges: EndpointChangeLog;
   readonly timeouts: Pick<
     ControlPlaneTimeouts,
     "heartbeatMs" | "expiryMs" | "leaveHoldMs" | "purgeMs" | "tombstoneMs"
@@ -75,7 +75,13 @@
   /** The numbers of registrations whose end is proposed since a connection was refused. */
   private readonly ending = new Set<number>();
 
-  constructor({ clock, log, stateMachine, endpoints, timeouts }: EndpointRegistryOptions) {
+  constructor({
+    clock,
+    log,
+    stateMachine,
+    endpointChanges: endpoints,
+    timeouts,
+  }: EndpointRegistryOptions) {
     this.clock = clock;
     this.log = log;
     this.stateMachine = stateMachine;
@@ -101,13 +107,13 @@
 
   /** The time of the last heartbeat of the backend at an address, by the leader's clock. */
   lastHeartbeatMs(address: string): number | undefined {
-    return this.heartbeats.times(address)?.heartbeatMs;
+    return this.heartbeats.findTimes(address)?.heartbeatMs;
   }
 
   /** Processes a backend's heartbeat: registers it, or renews its registration. */
   *heartbeat(command: AnnounceCommand): Task<CommandResult> {
     if (!this.log.holdsLease) return NO_LEASE;
-    const heartbeat = heartbeatOf(command);
+    const heartbeat = withDefaults(command);
     const current = this.stateMachine.registrations.get(heartbeat.address);
     if (heartbeat.draining) return yield* this.drainingHeartbeat(heartbeat, current);
     const nowMs = this.clock.nowMs();
@@ -135,8 +141,8 @@
       instance,
     });
     const nowMs = this.clock.nowMs();
-    for (const registration of this.stateMachine.registrationsOf(instance))
-      this.heartbeats.noteLeft(registration.address, nowMs);
+    for (const registration of this.stateMachine.findRegistrations(instance))
+      this.heartbeats.recordDeparture(registration.address, nowMs);
     return result;
   }
 
@@ -149,15 +155,15 @@
   }
 
   /** Takes from a watch request which backends sent heartbeats to its daemon, and which refused connections. */
-  observe({ machine, heard = [], refused }: WatchRequest, nowMs: number): void {
+  observeWatchRequest({ machine, heard = [], refused }: WatchRequest, nowMs: number): void {
     for (const { number, order } of heard) {
-      const registration = this.endpoints.registration(number);
+      const registration = this.endpoints.findRegistration(number);
       if (!registration || registration.leaving) continue;
-      this.heartbeats.noteHeartbeat(registration.address, nowMs);
-      this.heartbeats.noteSequence(registration.instance, order);
+      this.heartbeats.recordHeartbeat(registration.address, nowMs);
+      this.heartbeats.recordSequence(registration.instance, order);
     }
     for (const { address, number } of refused) {
-      const registration = this.endpoints.registration(number);
+      const registration = this.endpoints.findRegistration(number);
       if (registration?.address !== address || registration.leaving || this.ending.has(number))
         continue;
       this.ending.add(number);
@@ -172,9 +178,9 @@
   expireRegistrations(nowMs: number): void {
     for (const registration of this.stateMachine.registrations.values()) {
       const { address, number, leaving } = registration;
-      const times = this.heartbeats.times(address);
+      const times = this.heartbeats.findTimes(address);
       if (!times) {
-        this.heartbeats.adopt(registration, nowMs);
+        this.heartbeats.startTracking(registration, nowMs);
         continue;
       }
       const { heartbeatMs, leftMs } = times;
@@ -184,7 +190,7 @@
         this.heartbeats.delete(address);
       } else if (nowMs - heartbeatMs > this.timeouts.expiryMs) {
         this.log.submit({ kind: "end", address, number, why: "no announcement came" });
-        this.heartbeats.noteHeartbeat(address, nowMs);
+        this.heartbeats.recordHeartbeat(address, nowMs);
       }
     }
   }
@@ -239,10 +245,10 @@
   ): HeartbeatStatus | undefined {
     const { number, leaving, drained } = registration;
     const { address, instance, zone, capacity, order } = heartbeat;
-    const hasJustLeft = instance === "" && nowMs - leftMs < this.timeouts.leaveHoldMs;
+    const hasJustLeft = instance === "" && nowMs - leftMs < this.timeouts.holdDownMs;
     if (leaving && !drained && hasJustLeft) return { number, state: "leaving" };
-    this.heartbeats.noteHeartbeat(address, nowMs);
-    this.heartbeats.noteSequence(instance, order ?? 0);
+    this.heartbeats.recordHeartbeat(address, nowMs);
+    this.heartbeats.recordSequence(instance, order ?? 0);
     if (drained) return { number, state: "drained" };
     const isUnchanged = registration.zone === zone && registration.capacity === capacity;
     return !leaving && isUnchanged ? { number, state: "known" } : undefined;
@@ -250,22 +256,22 @@
 
   /** When the backend at an address left; a new leader doesn't know, so that it may have been just now. */
   private leftMs(address: string, current: Registration | undefined, nowMs: number): number {
-    const times = this.heartbeats.times(address);
+    const times = this.heartbeats.findTimes(address);
     if (times) return times.leftMs;
     return current?.leaving === true
-      ? this.heartbeats.noteLeft(current.address, nowMs).leftMs
+      ? this.heartbeats.recordDeparture(current.address, nowMs).leftMs
       : -Infinity;
   }
 
   private newestSequence(instance: string): number {
-    return this.heartbeats.newestSequence(instance, this.stateMachine.registrationsOf(instance));
+    return this.heartbeats.newestSequence(instance, this.stateMachine.findRegistrations(instance));
   }
 
   private *register(heartbeat: Heartbeat, nowMs: number): Task<CommandResult> {
     const { address, service, zone, warmth, instance, capacity, warmMs } = heartbeat;
     const order = heartbeat.order ?? 0;
-    this.heartbeats.noteHeartbeat(address, nowMs);
-    this.heartbeats.noteSequence(instance, order);
+    this.heartbeats.recordHeartbeat(address, nowMs);
+    this.heartbeats.recordSequence(instance, order);
     const result = yield* this.log.propose({
       kind: "contract",
       address,
@@ -293,11 +299,11 @@
     const current = this.stateMachine.registrations.get(address);
     const isDone = current?.service === service && current.leaving && (current.drained || !drained);
     if (isDone) {
-      this.heartbeats.noteLeft(address, this.clock.nowMs());
+      this.heartbeats.recordDeparture(address, this.clock.nowMs());
       return completed({ known: true });
     }
     const result = yield* this.log.propose({ kind: "leave", address, service, drained });
-    this.heartbeats.noteLeft(address, this.clock.nowMs());
+    this.heartbeats.recordDeparture(address, this.clock.nowMs());
     return result;
   }
 
--- a/src/control-plane/heartbeat-table.ts
+++ b/src/control-plane/heartbeat-table.ts
@@ -22,12 +22,12 @@
   }
 
   /** What is known of the backend at an address. */
-  times(address: string): BackendTimes | undefined {
+  findTimes(address: string): BackendTimes | undefined {
     return this.byAddress.get(address);
   }
 
   /** Takes in a heartbeat. */
-  noteHeartbeat(address: string, nowMs: number): void {
+  recordHeartbeat(address: string, nowMs: number): void {
     this.byAddress.set(address, {
       heartbeatMs: nowMs,
       leftMs: this.byAddress.get(address)?.leftMs ?? -Infinity,
@@ -35,14 +35,14 @@
   }
 
   /** Takes in that a backend left. */
-  noteLeft(address: string, nowMs: number): BackendTimes {
-    const times = { heartbeatMs: nowMs, leftMs: nowMs };
-    this.byAddress.set(address, times);
-    return times;
+  recordDeparture(address: string, nowMs: number): BackendTimes {
+    const findTimes = { heartbeatMs: nowMs, leftMs: nowMs };
+    this.byAddress.set(address, findTimes);
+    return findTimes;
   }
 
   /** Begins to observe a registration that a new leader takes over. */
-  adopt({ address, leaving }: Registration, nowMs: number): void {
+  startTracking({ address, leaving }: Registration, nowMs: number): void {
     this.byAddress.set(address, { heartbeatMs: nowMs, leftMs: leaving ? nowMs : -Infinity });
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Takes in the heartbeat sequence of an instance; backends without an instance count none. */
-  noteSequence(instance: string, sequence: number): void {
+  recordSequence(instance: string, sequence: number): void {
     if (instance !== "")
       this.sequences.set(instance, Math.max(sequence, this.sequences.get(instance) ?? 0));
   }
--- a/src/control-plane/large-view-limiter.ts
+++ b/src/control-plane/large-view-limiter.ts
@@ -12,7 +12,7 @@
 /** How often the transit time of a view that didn't arrive is doubled. */
 const MAX_DOUBLINGS = 4;
 
-const daemonStateOf = ({ machine, configSequence, directorySequence }: WatchRequest): string =>
+const formatDaemonState = ({ machine, configSequence, directorySequence }: WatchRequest): string =>
   `${machine.incarnation} ${configSequence} ${directorySequence}`;
 
 /**
@@ -31,12 +31,12 @@
   /** Whether a view for this state of the daemon was sent a short while ago. */
   isInTransit(request: WatchRequest, nowMs: number): boolean {
     const sent = this.sent.get(request.machine.name);
-    return sent?.daemonState === daemonStateOf(request) && nowMs - sent.sentMs < sent.transitMs;
+    return sent?.daemonState === formatDaemonState(request) && nowMs - sent.sentMs < sent.transitMs;
   }
 
   /** Notes that a large view is sent now. */
-  note(request: WatchRequest, nowMs: number): void {
-    const daemonState = daemonStateOf(request);
+  recordSent(request: WatchRequest, nowMs: number): void {
+    const daemonState = formatDaemonState(request);
     const former = this.sent.get(request.machine.name);
     const transitMs =
       former?.daemonState === daemonState
--- a/src/control-plane/lease-manager.ts
+++ b/src/control-plane/lease-manager.ts
@@ -53,7 +53,7 @@
 
   constructor(options: LeaseManagerOptions) {
     this.options = options;
-    this.hub = new WatchHub(options.runtime.clock, options.timeouts.holdMs);
+    this.hub = new WatchHub(options.runtime.clock, options.timeouts.maxWatchWaitMs);
     this.largeViews = new LargeViewLimiter(options.timeouts.leaseMs);
   }
 
@@ -80,9 +80,9 @@
     const request = readWatchRequest(text);
     if (!log.holdsLease) return encodeCommandResult(NO_LEASE);
     const nowMs = runtime.clock.nowMs();
-    quotas.beginAllocations(nowMs);
-    daemons.note(request.machine, nowMs);
-    endpoints.observe(request, nowMs);
+    quotas.startAllocations(nowMs);
+    daemons.recordWatchRequest(request.machine, nowMs);
+    endpoints.observeWatchRequest(request, nowMs);
     const allocation = quotas.allocate(request, this.services(), nowMs);
     if (this.mustWait(request, allocation)) {
       yield* this.hub.nextUpdate();
@@ -149,8 +149,8 @@
   private placementFor(name: string): Pick<LeasedView, "place"> {
     const { runtime, timeouts, daemons } = this.options;
     if (runtime.clock.nowMs() - this.leadsSinceMs < timeouts.leaseMs) return {};
-    const place = daemons.placementOf(name);
-    return place === undefined ? {} : { place };
+    const placement = daemons.findPlacement(name);
+    return placement === undefined ? {} : { place: placement };
   }
 
   /** The view's text, or a refusal where it is large and the same was sent a short while ago. */
@@ -158,7 +158,7 @@
     if (viewText.length <= COMPRESSION_THRESHOLD_CHARS) return viewText;
     const nowMs = this.options.runtime.clock.nowMs();
     if (this.largeViews.isInTransit(request, nowMs)) return VIEW_IN_TRANSIT;
-    this.largeViews.note(request, nowMs);
+    this.largeViews.recordSent(request, nowMs);
     return viewText;
   }
 }
--- a/src/control-plane/quota-service.ts
+++ b/src/control-plane/quota-service.ts
@@ -49,7 +49,7 @@
   }
 
   /** Begins the term's allocations, if none was made yet. */
-  beginAllocations(nowMs: number): void {
+  startAllocations(nowMs: number): void {
     if (this.hasBegun) return;
     this.hasBegun = true;
     this.allocator.beginTerm(
--- a/src/control-plane/resting-ids.ts
+++ b/src/control-plane/resting-ids.ts
@@ -2,7 +2,7 @@
 import type { StateMachine } from "../state/state-machine.js";
 
 /** Observes since when ids have been out of use, so that they can be given to other names after a time. */
-export class RestingIds {
+export class IdQuarantine {
   private readonly stateMachine: StateMachine;
   private readonly restMs: number;
   /** Since when this leader has observed an id to rest. */
@@ -20,8 +20,8 @@
   }
 
   /** The ids that have rested for long enough; also observes which ids rest now. */
-  rested(nowMs: number): number[] {
-    const { resting } = this.stateMachine.idAllocator;
+  findReusableIds(nowMs: number): number[] {
+    const { quarantinedIds: resting } = this.stateMachine.idAllocator;
     for (const id of this.sinceMs.keys()) if (!resting.has(id)) this.sinceMs.delete(id);
     for (const id of resting) if (!this.sinceMs.has(id)) this.sinceMs.set(id, nowMs);
     return [...this.sinceMs]
--- a/src/control-plane/watch-hub.ts
+++ b/src/control-plane/watch-hub.ts
@@ -3,7 +3,7 @@
 import type { Task } from "../runtime/task.js";
 
 /** How long updates are gathered at least before buffered watch requests are released. */
-const MIN_GATHER_MS = 5;
+const MIN_RELEASE_DELAY_MS = 5;
 /** The pause after a release for each request that it released, so that successive updates take only a part of the leader's time. */
 const PAUSE_PER_REQUEST_MS = 0.75;
 
@@ -45,7 +45,7 @@
     if (this.waiting.size === 0 || this.isReleasePlanned) return;
     this.isReleasePlanned = true;
     const pauseMs = this.nextReleaseMs - this.clock.nowMs();
-    this.clock.after(Math.max(MIN_GATHER_MS, pauseMs), () => this.releaseAll());
+    this.clock.after(Math.max(MIN_RELEASE_DELAY_MS, pauseMs), () => this.releaseAll());
   }
 
   private releaseAll(): void {
--- a/src/control-protocol/command.ts
+++ b/src/control-protocol/command.ts
@@ -18,7 +18,11 @@
 import { COMPRESSION_THRESHOLD_CHARS } from "./compressed-text.js";
 
 /** The fields of every configuration change: its id, the version that it builds on and the version that it is to get. */
-const changeFields = { changeId: string(), base: optional(number()), version: optional(number()) };
+const configChangeFields = {
+  changeId: string(),
+  base: optional(number()),
+  version: optional(number()),
+};
 
 /** The shapes of the commands; kinds and field names travel. */
 const commandShapes = {
@@ -46,11 +50,16 @@
     instance: optional(string()),
   }),
   /** Replaces the configuration. */
-  put: object({ kind: literal("put"), ...changeFields, value: unknown() }),
+  put: object({ kind: literal("put"), ...configChangeFields, value: unknown() }),
   /** Applies a merge patch to the configuration. */
-  patch: object({ kind: literal("patch"), ...changeFields, value: unknown() }),
+  patch: object({ kind: literal("patch"), ...configChangeFields, value: unknown() }),
   /** Replaces and removes items of the configuration. */
-  amend: object({ kind: literal("amend"), ...changeFields, put: itemsShape, remove: namesShape }),
+  amend: object({
+    kind: literal("amend"),
+    ...configChangeFields,
+    put: itemsShape,
+    remove: namesShape,
+  }),
   /** Reads an accepted configuration back. */
   get: object({ kind: literal("get"), version: optional(number()) }),
   /** Lists the recent configurations and the journal. */
@@ -97,7 +106,7 @@
   "packed" in value &&
   typeof value.packed === "string";
 
-const decompressed = (packed: string): unknown => {
+const decompressCommand = (packed: string): unknown => {
   try {
     const value: unknown = JSON.parse(TextCompression.decompress(packed));
     return value;
@@ -109,7 +118,7 @@
 /** Reads the text of a command; throws a `FrameError` where it is of an unknown kind or can't be decompressed. */
 export function readCommand(text: string): Command {
   const received: unknown = JSON.parse(text);
-  const value = isCompressed(received) ? decompressed(received.packed) : received;
+  const value = isCompressed(received) ? decompressCommand(received.packed) : received;
   const kind = kindField(value);
   if (!isCommandKind(kind)) throw new FrameError(`No command is of the kind "${kind}".`);
   return isCommand(kind, value) ? value : commandShapes[kind].create(value);
--- a/src/control-protocol/compressed-text.ts
+++ b/src/control-protocol/compressed-text.ts
@@ -12,7 +12,7 @@
 }
 
 /** The form in which a text travels. */
-export const compressedTextOf = (text: string): CompressedText =>
+export const encodeCompressedText = (text: string): CompressedText =>
   text.length > COMPRESSION_THRESHOLD_CHARS
     ? { packedText: TextCompression.compress(text) }
     : { text };
--- a/src/control-protocol/edge-placement.ts
+++ b/src/control-protocol/edge-placement.ts
@@ -15,18 +15,19 @@
 export type EdgePlacement = Infer<typeof edgePlacementShape>;
 
 /** A daemon that may be an edge. */
-export interface PlacedDaemon {
+export interface PlacementCandidate {
   readonly name: string;
   readonly zone: string;
   readonly roles: readonly string[];
   readonly draining: boolean;
 }
 
-const isEdge = ({ roles, draining }: PlacedDaemon): boolean => roles.includes("edge") && !draining;
+const isEdge = ({ roles, draining }: PlacementCandidate): boolean =>
+  roles.includes("edge") && !draining;
 
 /** The placements of all edges, in the order of their names: a restart changes none, and one that leaves changes few. */
-export const edgePlacementsOf = (
-  daemons: Iterable<PlacedDaemon>,
+export const computeEdgePlacements = (
+  daemons: Iterable<PlacementCandidate>,
 ): ReadonlyMap<string, EdgePlacement> => {
   const edges = [...daemons].filter(isEdge).sort((a, b) => (a.name < b.name ? -1 : 1));
   const zoneCounts = new Map<string, number>();
--- a/src/control-protocol/leased-view.ts
+++ b/src/control-protocol/leased-view.ts
@@ -33,7 +33,7 @@
   /** The sequence of the configuration that the update applies to. */
   base: number(),
   /** Items that are replaced or new. */
-  put: define<Config>("items of a config", (value) => Validated.passes(configShape, value)),
+  put: define<Config>("items of a config", (value) => Validated.accepts(configShape, value)),
   /** The keys of items that were removed; they are removed before the others are put. */
   removed: array(string()),
   /** The ids of services and routes that are new or have changed. */
@@ -128,7 +128,7 @@
 };
 
 /** The update of the configuration in a view, if there is one. */
-export const configUpdateOf = ({
+export const readConfigUpdate = ({
   configChanges,
   packedConfigChanges,
 }: LeasedView): ConfigUpdate | undefined =>
--- a/src/control-protocol/watch-request.ts
+++ b/src/control-protocol/watch-request.ts
@@ -1,7 +1,7 @@
 /** Watch requests: what daemons send to the leader to renew their leases and to get updates. */
 import { array, boolean, number, object, optional, string, type Infer } from "superstruct";
 import { fastValidator } from "../runtime/fast-validator.js";
-import { configUpdateOf, readWatchResponse } from "./leased-view.js";
+import { readConfigUpdate, readWatchResponse } from "./leased-view.js";
 
 const daemonInfoShape = object({
   name: string(),
@@ -48,7 +48,7 @@
 export const readWatchRequest = (text: string): WatchRequest => validateRequest(JSON.parse(text));
 
 /** The update of the configuration in a view, if there is one. */
-export const configUpdateIn = configUpdateOf;
+export const configUpdateIn = readConfigUpdate;
 
 /** Reads the text of the response to a watch request. */
 export const readLeasedView = readWatchResponse;
--- a/src/daemon/adapter.ts
+++ b/src/daemon/adapter.ts
@@ -15,5 +15,7 @@
   /** The headers exchanged with clients and backends. */
   readonly headerNames: HeaderNames;
   /** Translates admin requests and readiness checks; a response where a request can't be translated. */
-  readonly control: { into(clientRequest: ProxyRequest): TranslatedRequest | ClientResponse };
+  readonly control: {
+    translateRequest(clientRequest: ProxyRequest): TranslatedRequest | ClientResponse;
+  };
 }
--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -8,10 +8,10 @@
   type ReplicationTimeouts,
   defaultReplicationTimeouts,
 } from "../replication/replication-timeouts.js";
-import { type RetryRules, retryRulesOf } from "../retry-budget/retry-rules.js";
+import { type RetryRules, createRetryRules } from "../retry-budget/retry-rules.js";
 import {
   type RequestCountsFormat,
-  requestCountsFormatFor,
+  createRequestCountsFormat,
 } from "../retry-budget/request-counts.js";
 import type { TimeoutSettings } from "./bound-settings.js";
 
@@ -139,7 +139,7 @@
 }
 
 /** The timeouts that meet the bounds in the settings. */
-export function boundsOf(settings: TimeoutSettings): Bounds {
+export function deriveBounds(settings: TimeoutSettings): Bounds {
   const values = boundValuesOf(settings);
   const {
     applyMs,
@@ -170,11 +170,11 @@
       heartbeatMs,
       // A heartbeat reaches the leader with the next poll of the daemon that received it.
       expiryMs: 3.5 * heartbeatMs + 2 * watchIntervalMs,
-      holdMs,
-      leaveHoldMs: drainMs + 500,
+      maxWatchWaitMs: holdMs,
+      holdDownMs: drainMs + 500,
       keyMs: keyWindowMs + 10_000,
-      silentMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
-      idRestMs: Math.max(60_000, 6 * retryWindowMs),
+      unresponsiveAfterMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
+      idQuarantineMs: Math.max(60_000, 6 * retryWindowMs),
     },
     replicationTimeouts: {
       ...defaultReplicationTimeouts,
@@ -190,8 +190,8 @@
       responsiveAfterMs: catchUpMs,
       forgetAfterMs: FORGET_FACTOR * catchUpMs,
     },
-    retryRules: retryRulesOf(retryRatio, retryExtra, retryWindowMs),
-    requestCountsFormat: requestCountsFormatFor(retryWindowMs),
+    retryRules: createRetryRules(retryRatio, retryExtra, retryWindowMs),
+    requestCountsFormat: createRequestCountsFormat(retryWindowMs),
     changeTimeoutMs: 0.8 * ackMs,
     acceptRequestsMs: Math.min(2600, (graceMs * 13) / 30),
     abandonMs: graceMs - EXIT_MS,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -5,7 +5,7 @@
 import { ControlPlane } from "../control-plane/control-plane.js";
 import { connectionPoolKey, ClusterView } from "../cluster-view/cluster-view.js";
 import type { BackendClient } from "../proxy/upstream/backend-client.js";
-import { ownHeaderNames } from "../proxy/header-names.js";
+import { defaultHeaderNames } from "../proxy/header-names.js";
 import { HttpProxy } from "../proxy/http-proxy.js";
 import { ExpiredLeasePolicy } from "../proxy/expired-lease-policy.js";
 import { OutcomeReplicator } from "../proxy/idempotency/outcome-replicator.js";
@@ -25,10 +25,10 @@
 import { CountAggregator } from "../retry-budget/count-aggregator.js";
 import { EdgeCounts } from "../retry-budget/edge-counts.js";
 import { LoadBalancer } from "../load-balancing/load-balancer.js";
-import { type Bounds, boundsOf } from "./bounds.js";
+import { type Bounds, deriveBounds } from "./bounds.js";
 import type { DaemonOptions, IncomingAdminRequest, IncomingRequest } from "./daemon-options.js";
 import { sleep } from "../runtime/clock.js";
-import { linkPacersOf, type LinkPacer } from "../runtime/link-pacer.js";
+import { createLinkPacers, type LinkPacer } from "../runtime/link-pacer.js";
 import type { Logger } from "../runtime/logger.js";
 import { type Settings, rolesOf, type Role } from "./settings.js";
 import { EventStream } from "../runtime/event-stream.js";
@@ -72,14 +72,14 @@
   onRequestLimits: (limits: RouteTable["limits"]) => void = () => undefined;
 
   constructor(runtime: Runtime, settings: Settings, options: DaemonOptions) {
-    const bounds = boundsOf(settings);
+    const bounds = deriveBounds(settings);
     this.runtime = runtime;
     this.settings = settings;
     this.archive = options.archive;
     this.bounds = bounds;
     this.budget = new RetryBudget(bounds.retryRules);
     this.incarnation = randomNonce(runtime);
-    const pacers = options.pacers ?? linkPacersOf(runtime.clock, settings.limits?.linkMbps);
+    const pacers = options.pacers ?? createLinkPacers(runtime.clock, settings.limits?.linkMbps);
     this.rpc = new RpcEndpoint(runtime, settings.peers, undefined, pacers);
     this.seeds = settings.seeds;
     this.forwarder = this.createForwarder();
@@ -103,7 +103,7 @@
       counts: this.edgeCounts,
       loadBalancer: this.loadBalancer,
       incarnation: this.incarnation,
-      headerNames: options.headerNames ?? ownHeaderNames,
+      headerNames: options.headerNames ?? defaultHeaderNames,
       expiredLeasePolicy: this.lapsedLease(),
       outcomes: this.outcomes,
       egress: pacers.egress,
@@ -181,7 +181,7 @@
   *drain(closeToClients: () => void = () => undefined): Task {
     const startedMs = this.runtime.clock.nowMs();
     this.isDraining = true;
-    this.log.info("drain started", { unfinishedRequests: this.proxy.unfinished });
+    this.log.info("drain started", { unfinishedRequests: this.proxy.pendingWorkCount });
     const { acceptRequestsMs: serveOnMs, abandonMs, retireMs } = this.bounds;
     const { replicationNode } = this;
     if (replicationNode) {
@@ -191,15 +191,15 @@
     yield* sleep(this.runtime.clock, startedMs + serveOnMs - this.runtime.clock.nowMs());
     this.proxy.close();
     closeToClients();
-    while (this.proxy.unfinished > 0 && this.runtime.clock.nowMs() - startedMs < abandonMs)
+    while (this.proxy.pendingWorkCount > 0 && this.runtime.clock.nowMs() - startedMs < abandonMs)
       yield* sleep(this.runtime.clock, DRAIN_CHECK_INTERVAL_MS);
-    if (this.proxy.unfinished > 0)
+    if (this.proxy.pendingWorkCount > 0)
       this.log.warn("drain timeout exceeded", {
-        unfinishedRequests: this.proxy.unfinished,
+        unfinishedRequests: this.proxy.pendingWorkCount,
       });
     this.proxy.abandon();
     if (replicationNode) yield* replicationNode.retire(startedMs + retireMs);
-    if (this.proxy.unfinished > 0) return;
+    if (this.proxy.pendingWorkCount > 0) return;
     this.log.info("drain completed");
   }
 
@@ -320,7 +320,7 @@
       ownAddress: this.settings.operators,
       daemon: {
         status: () => this.status(),
-        notReady: () => this.notReady(),
+        notReadyReason: () => this.notReady(),
         counts: () => this.countAggregator?.latest ?? this.edgeCounts.latest,
       },
       changeTimeoutMs: this.bounds.changeTimeoutMs,
@@ -377,7 +377,7 @@
         : null,
       collector: this.countAggregator
         ? {
-            refused: this.countAggregator.refused,
+            refused: this.countAggregator.refusedPushes,
             coverage: this.countAggregator.latest?.coverage ?? null,
           }
         : null,
--- a/src/daemon/http-client-connection.ts
+++ b/src/daemon/http-client-connection.ts
@@ -19,7 +19,7 @@
 }
 
 /** The state of a connection that was just opened. */
-export const newHttpConnectionState = (): HttpConnectionState => ({
+export const createHttpConnectionState = (): HttpConnectionState => ({
   isClosed: false,
   closeListeners: new Set(),
   pending: [],
@@ -35,7 +35,7 @@
   readonly egress: LinkPacer;
   readonly transferClass: TransferClass;
   /** How many buffered responses are being written. */
-  unfinished: number;
+  unfinishedResponses: number;
 }
 
 /** The approximate size of a response's head. */
@@ -99,7 +99,7 @@
       isBodiless ? headers : { ...headers, "content-length": String(body.length) },
     );
     if (isBodiless || body.length <= context.egress.smallBytes) {
-      context.egress.note(RESPONSE_HEAD_BYTES + (isBodiless ? 0 : body.length));
+      context.egress.recordBytes(RESPONSE_HEAD_BYTES + (isBodiless ? 0 : body.length));
       response.end(isBodiless ? undefined : body);
       return;
     }
@@ -116,7 +116,7 @@
     const transfer = this.transfer ?? this.beginTransfer(bytes.length);
     for (let offset = 0; offset < bytes.length; offset += turnBytes) {
       const part = bytes.subarray(offset, offset + turnBytes);
-      yield* transfer.turn(part.length);
+      yield* transfer.awaitTurn(part.length);
       if (!(yield* this.writePart(part))) {
         transfer.end();
         return false;
@@ -136,12 +136,12 @@
   }
 
   private *writeBody(body: Uint8Array): Task {
-    this.context.unfinished += 1;
+    this.context.unfinishedResponses += 1;
     try {
       this.beginTransfer(body.length);
       if (yield* this.writeChunk(body)) this.end();
     } finally {
-      this.context.unfinished -= 1;
+      this.context.unfinishedResponses -= 1;
     }
   }
 
--- a/src/daemon/http-server.ts
+++ b/src/daemon/http-server.ts
@@ -9,7 +9,7 @@
 import { type Task, waitFor } from "../runtime/task.js";
 import {
   HttpClientConnection,
-  newHttpConnectionState,
+  createHttpConnectionState,
   type HttpConnectionState,
   type ResponseContext,
 } from "./http-client-connection.js";
@@ -90,7 +90,12 @@
   ) {
     this.handle = handle;
     this.wholeOnly = wholeOnly;
-    this.responses = { isClosing: () => this.isClosing, egress, transferClass, unfinished: 0 };
+    this.responses = {
+      isClosing: () => this.isClosing,
+      egress,
+      transferClass,
+      unfinishedResponses: 0,
+    };
     this.server = createServer(
       {
         maxHeaderSize: MAX_PARSED_HEADER_BYTES,
@@ -126,7 +131,7 @@
     const { server } = this;
     const outcome = yield* waitFor<Error | "listening">((done) => {
       server.once("error", done);
-      server.listen({ ...Address.parts(address), backlog: 1024 }, () => done("listening"));
+      server.listen({ ...Address.parse(address), backlog: 1024 }, () => done("listening"));
     });
     if (outcome !== "listening")
       throw new ListenError(`Can't listen for HTTP on ${address}.`, { cause: outcome });
@@ -145,17 +150,17 @@
   }
 
   /** How many buffered responses are still being written. */
-  get unfinished(): number {
-    return this.responses.unfinished;
+  get unfinishedResponses(): number {
+    return this.responses.unfinishedResponses;
   }
 
   /** Closes all remaining connections. */
-  end(): void {
+  closeConnections(): void {
     this.server.closeAllConnections();
   }
 
   private onConnection(socket: Socket): void {
-    const connection = newHttpConnectionState();
+    const connection = createHttpConnectionState();
     this.connections.set(socket, connection);
     socket.once("close", () => {
       connection.isClosed = true;
@@ -164,7 +169,7 @@
   }
 
   private onRequest(request: IncomingMessage, response: ServerResponse): void {
-    const connection = this.connections.get(request.socket) ?? newHttpConnectionState();
+    const connection = this.connections.get(request.socket) ?? createHttpConnectionState();
     const client = new HttpClientConnection(request, response, connection, this.responses);
     const { headerBytes, bodyBytes } = this.limits;
     request.on("error", () => undefined);
@@ -193,7 +198,7 @@
       headers: headersOf(request),
       body,
     };
-    this.handle(rest ? { ...clientRequest, rest } : clientRequest, client);
+    this.handle(rest ? { ...clientRequest, bodyRemainder: rest } : clientRequest, client);
   }
 
   /** Buffers a body up to its end, or up to the size from which on the rest is streamed. */
--- a/src/daemon/http-servers.ts
+++ b/src/daemon/http-servers.ts
@@ -28,7 +28,7 @@
   const server = new HttpServer(
     (clientRequest, client) => {
       const translated = adapter
-        ? adapter.control.into(clientRequest)
+        ? adapter.control.translateRequest(clientRequest)
         : withoutTranslation(clientRequest);
       if ("code" in translated) client.respond(translated);
       else if (isServed(translated.clientRequest))
@@ -73,7 +73,7 @@
 
   /** Whether responses to clients are still being written. */
   get hasUnfinishedResponses(): boolean {
-    return this.clients.unfinished > 0;
+    return this.clients.unfinishedResponses > 0;
   }
 
   /** Has every response close its client's connection from now on. */
@@ -88,10 +88,10 @@
 
   /** Closes all servers and their connections. */
   close(): void {
-    this.clients.end();
+    this.clients.closeConnections();
     for (const server of [this.admin, this.readiness]) {
       server.close();
-      server.end();
+      server.closeConnections();
     }
   }
 
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -4,13 +4,13 @@
 import { type Clock, systemClock, sleep } from "../runtime/clock.js";
 import { openDisk } from "../runtime/disk.js";
 import { EventStream } from "../runtime/event-stream.js";
-import { type LinkPacers, linkPacersOf } from "../runtime/link-pacer.js";
+import { type LinkPacers, createLinkPacers } from "../runtime/link-pacer.js";
 import { createLoggers, type Logger } from "../runtime/logger.js";
 import { tcpNetwork } from "../runtime/network.js";
 import type { Runtime } from "../runtime/runtime.js";
 import { type Task, runTask, waitFor } from "../runtime/task.js";
 import type { Adapter } from "./adapter.js";
-import { boundsOf } from "./bounds.js";
+import { deriveBounds } from "./bounds.js";
 import { Daemon } from "./daemon.js";
 import { HttpServers } from "./http-servers.js";
 import { monitorProcess } from "./process-monitor.js";
@@ -63,7 +63,7 @@
     this.log = this.loggers.component("machine");
     this.clock = systemClock();
     this.network = tcpNetwork();
-    this.pacers = linkPacersOf(this.clock, limits?.linkMbps);
+    this.pacers = createLinkPacers(this.clock, limits?.linkMbps);
     this.backendClient = new HttpBackendClient(this.clock, {
       proof: options.adapter?.headerNames.proof,
       pacers: this.pacers,
@@ -116,7 +116,7 @@
 
   private *drain(daemon: Daemon, servers: HttpServers): Task {
     const { clock } = this;
-    const deadlineMs = clock.nowMs() + boundsOf(this.settings).abandonMs;
+    const deadlineMs = clock.nowMs() + deriveBounds(this.settings).abandonMs;
     servers.closeClientConnections();
     yield* daemon.drain(() => servers.stopAcceptingClients());
     while (servers.hasUnfinishedResponses && clock.nowMs() < deadlineMs)
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -31,7 +31,7 @@
 );
 const addressShape = define<string>("address", (value) => {
   if (typeof value !== "string") return "Expected an address of the form IP:port";
-  const { host, port } = Address.parts(value);
+  const { host, port } = Address.parse(value);
   return (
     (isIP(host) !== 0 && Number.isInteger(port) && port > 0 && port <= MAX_PORT) ||
     "Expected an address of the form IP:port"
--- a/src/fleet/fleet-client.ts
+++ b/src/fleet/fleet-client.ts
@@ -18,21 +18,21 @@
   retryAfterS: undefined,
 });
 
-const failureOf = (error: unknown, timeoutMs: number): ClientOutcome["failure"] => {
+const classifyFailure = (error: unknown, timeoutMs: number): ClientOutcome["failure"] => {
   if (!(error instanceof Error)) return "broken";
   if (error.name === "TimeoutError") return timeoutMs < CLIENT_TIMEOUT_MS ? "hungUp" : "silent";
   return "code" in error && error.code === "ECONNREFUSED" ? "refused" : "broken";
 };
 
-const firstOf = (value: string | string[] | undefined): string | undefined =>
+const firstValue = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
-const numberOf = (value: string | string[] | undefined): number | undefined => {
-  const text = firstOf(value);
+const parseNumber = (value: string | string[] | undefined): number | undefined => {
+  const text = firstValue(value);
   return text === undefined ? undefined : Number(text);
 };
 
-const bodyOf = (clientRequest: ProxyRequest): Uint8Array | null =>
+const getRequestBody = (clientRequest: ProxyRequest): Uint8Array | null =>
   clientRequest.body.length > 0 ? clientRequest.body : null;
 
 /** Sends requests to the proxies of daemons, with a connection pool for each. */
@@ -40,14 +40,14 @@
   private readonly pools = new Map<string, Pool>();
 
   /** Sends one request; a client that has no response by its timeout hangs up. */
-  *call(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientOutcome> {
+  *send(address: string, clientRequest: ProxyRequest, timeoutMs: number): Task<ClientOutcome> {
     const outcome = yield* fromPromise(
       this.pool(address)
         .request({
           method: clientRequest.method,
           path: clientRequest.target,
           headers: clientRequest.headers,
-          body: bodyOf(clientRequest),
+          body: getRequestBody(clientRequest),
           signal: AbortSignal.timeout(Math.ceil(timeoutMs)),
         })
         .then(async ({ statusCode, headers, body }) => ({
@@ -56,14 +56,14 @@
           body: Buffer.from(await body.arrayBuffer()),
         })),
     );
-    if ("error" in outcome) return noResponse(failureOf(outcome.error, timeoutMs));
+    if ("error" in outcome) return noResponse(classifyFailure(outcome.error, timeoutMs));
     const { statusCode, headers, body } = outcome.value;
     return {
       code: statusCode,
       failure: "",
       body,
-      contentLength: numberOf(headers["content-length"]),
-      retryAfterS: numberOf(headers["retry-after"]),
+      contentLength: parseNumber(headers["content-length"]),
+      retryAfterS: parseNumber(headers["retry-after"]),
     };
   }
 
@@ -84,7 +84,7 @@
   }
 }
 
-const adminMethodOf = ({ method }: ProxyRequest): "GET" | "PUT" | "PATCH" | "POST" =>
+const toAdminMethod = ({ method }: ProxyRequest): "GET" | "PUT" | "PATCH" | "POST" =>
   method === "PUT" || method === "PATCH" || method === "GET" ? method : "POST";
 
 /** Sends one request to the admin API at an address; undefined without a response. */
@@ -94,9 +94,9 @@
 ): Task<ClientResponse | undefined> {
   const outcome = yield* fromPromise(
     request(`http://${address}${clientRequest.target}`, {
-      method: adminMethodOf(clientRequest),
+      method: toAdminMethod(clientRequest),
       headers: clientRequest.headers,
-      body: bodyOf(clientRequest),
+      body: getRequestBody(clientRequest),
       signal: AbortSignal.timeout(ADMIN_TIMEOUT_MS),
     }).then(async ({ statusCode, body }) => ({
       code: statusCode,
--- a/src/fleet/fleet-layout.ts
+++ b/src/fleet/fleet-layout.ts
@@ -28,7 +28,7 @@
 }
 
 /** Ports that are free now. */
-const freePorts = async (count: number): Promise<number[]> => {
+const findFreePorts = async (count: number): Promise<number[]> => {
   const servers = await Promise.all(
     Array.from(
       { length: count },
@@ -48,7 +48,7 @@
   return servers.map(({ port }) => port);
 };
 
-const settingsFor = (
+const createSettings = (
   profile: Profile,
   folder: string,
   index: number,
@@ -78,15 +78,15 @@
 };
 
 /** Lays a fleet out in a new folder. */
-export const layOutFleet = async (profile: Profile): Promise<FleetLayout> => {
+export const createFleetLayout = async (profile: Profile): Promise<FleetLayout> => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-fleet-"));
   const count = profile.diskMachines + profile.disklessMachines;
   const backendCount = Object.values(profile.backends).reduce((sum, many) => sum + many, 0);
-  const ports = await freePorts(count * PORTS_PER_MACHINE + backendCount);
+  const ports = await findFreePorts(count * PORTS_PER_MACHINE + backendCount);
   const address = (portIndex: number): string => `127.0.0.1:${ports[portIndex] ?? 0}`;
   const machines: FleetMachine[] = [];
   for (let index = 0; index < count; index += 1) {
-    const settings = settingsFor(profile, folder, index, address);
+    const settings = createSettings(profile, folder, index, address);
     const settingsFile = await writeSettings(folder, settings);
     machines.push({
       settings,
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -16,7 +16,7 @@
 import type { Profile } from "../simulation/profile.js";
 import { TestBackend } from "../simulation/test-backend.js";
 import { FleetClient, noResponse, sendAdminRequest } from "./fleet-client.js";
-import { layOutFleet, type FleetMachine } from "./fleet-layout.js";
+import { createFleetLayout, type FleetMachine } from "./fleet-layout.js";
 import { openTestBackendServer } from "./test-backend-server.js";
 
 /** The compiled command line, also where this module runs uncompiled. */
@@ -45,7 +45,7 @@
   private readonly servers = new Map<string, Server>();
   private readonly client = new FleetClient();
   /** Errors of the harness itself: with any of these, the results of a run are void. */
-  readonly failures: unknown[] = [];
+  readonly harnessErrors: unknown[] = [];
   private isOver = false;
 
   private constructor(
@@ -85,13 +85,13 @@
   }
 
   /** Lays a fleet out: free ports, settings files and data folders. */
-  static async lay(profile: Profile, seed: number, rateFactor: number): Promise<Fleet> {
-    const { folder, machines, backendPorts } = await layOutFleet(profile);
+  static async create(profile: Profile, seed: number, rateFactor: number): Promise<Fleet> {
+    const { folder, machines, backendPorts } = await createFleetLayout(profile);
     return new Fleet(profile, seed, rateFactor, folder, machines, backendPorts);
   }
 
   /** Starts daemons, backends, heartbeats and readiness checks. */
-  async begin(): Promise<void> {
+  async startProcesses(): Promise<void> {
     await Promise.all(this.testBackends.map((testBackend) => this.openBackend(testBackend)));
     for (const machine of this.machines) this.boot(machine);
     for (const machine of this.machines) this.start(this.watchReadiness(machine));
@@ -100,7 +100,7 @@
   }
 
   /** Starts the clients' requests. */
-  beginCalls(): void {
+  startRequests(): void {
     for (const traffic of this.profile.traffic) this.start(this.workload.runClients(traffic));
     this.start(this.workload.runProbes(PROBES_PER_SECOND));
     this.start(this.workload.operators.readPeriodically(CONFIG_READ_INTERVAL_MS));
@@ -192,7 +192,7 @@
   }
 
   /** Waits until a condition holds; false after the timeout. */
-  *until(holds: () => boolean, waitMs: number): Task<boolean> {
+  *waitUntil(holds: () => boolean, waitMs: number): Task<boolean> {
     const untilMs = this.clock.nowMs() + waitMs;
     while (!holds()) {
       if (this.clock.nowMs() > untilMs) return false;
@@ -202,7 +202,7 @@
   }
 
   /** The status that a daemon reports. */
-  *status(machine: FleetMachine): Task<unknown> {
+  *fetchStatus(machine: FleetMachine): Task<unknown> {
     const response = yield* this.desk(machine.settings.machine, {
       method: "GET",
       target: "/status",
@@ -214,7 +214,7 @@
 
   start(task: Task<unknown>): void {
     runTask(task, (error) => {
-      this.failures.push(error);
+      this.harnessErrors.push(error);
       process.stderr.write(
         `fleet: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}\n`,
       );
@@ -222,12 +222,12 @@
   }
 
   /** Runs a task of the fleet to its end. */
-  perform<T>(task: Task<T>): Promise<T> {
+  run<T>(task: Task<T>): Promise<T> {
     return new Promise((done, fail) => runTask(task, fail, done));
   }
 
   /** Ends everything that was started here, and removes the folder unless `keep` is set. */
-  async end(keep: boolean): Promise<void> {
+  async shutDown(keep: boolean): Promise<void> {
     this.isOver = true;
     this.workload.isOver = true;
     await Promise.all(
@@ -297,7 +297,7 @@
   ): Task<ClientOutcome> {
     const address = this.settingsOf(daemon)?.callers;
     if (address === undefined) return noResponse("refused");
-    return yield* this.client.call(address, clientRequest, timeoutMs);
+    return yield* this.client.send(address, clientRequest, timeoutMs);
   }
 
   private *desk(
--- a/src/fleet/main.ts
+++ b/src/fleet/main.ts
@@ -4,7 +4,13 @@
 import type { Task } from "../runtime/task.js";
 import { Fleet } from "./fleet.js";
 import type { FleetMachine } from "./fleet-layout.js";
-import { startFleet, applyConfigurations, profileNamed, say, stopFleet } from "./report.js";
+import {
+  startFleet,
+  applyConfigsPeriodically,
+  findProfile,
+  printLine,
+  stopFleet,
+} from "./report.js";
 
 interface Options {
   profile: string;
@@ -15,40 +21,40 @@
   keep?: boolean;
 }
 
-const decided = type({
+const retryCountersShape = type({
   door: type({
     furtherTries: number(),
     furtherRefused: type({ sketch: number(), guard: number() }),
   }),
 });
-const leads = type({ record: type({ role: string() }) });
+const roleShape = type({ record: type({ role: string() }) });
 /** How long callers come after the last fault: the time to recover, and then some. */
-const settleMs = 18_000;
+const recoveryMs = 18_000;
 
-const leaderOf = function* (fleet: Fleet): Task<FleetMachine | undefined> {
+const findLeader = function* (fleet: Fleet): Task<FleetMachine | undefined> {
   for (const machine of fleet.machines) {
-    const status = yield* fleet.status(machine);
-    if (is(status, leads) && status.record.role === "leader") return machine;
+    const status = yield* fleet.fetchStatus(machine);
+    if (is(status, roleShape) && status.record.role === "leader") return machine;
   }
   return undefined;
 };
 
 /** Says who decided on the further tries of the daemons that run. */
-const decisions = function* (fleet: Fleet): Task {
+const printRetryDecisions = function* (fleet: Fleet): Task {
   const sum = { granted: 0, sketch: 0, guard: 0 };
   for (const machine of fleet.machines) {
-    const status = yield* fleet.status(machine);
-    if (!is(status, decided)) continue;
+    const status = yield* fleet.fetchStatus(machine);
+    if (!is(status, retryCountersShape)) continue;
     sum.granted += status.door.furtherTries;
     sum.sketch += status.door.furtherRefused.sketch;
     sum.guard += status.door.furtherRefused.guard;
   }
-  say(
+  printLine(
     `  ${sum.granted} further tries were granted, ${sum.sketch} refused by the sketch, ${sum.guard} by the guard`,
   );
 };
 
-const trouble = function* (fleet: Fleet, secondsMs: number): Task {
+const injectFaults = function* (fleet: Fleet, secondsMs: number): Task {
   const { clock } = fleet;
   const after = function* (part: number, startedMs: number): Task {
     yield* sleep(clock, startedMs + secondsMs * part - clock.nowMs());
@@ -57,16 +63,16 @@
   const edges = fleet.machines.filter(({ settings }) => settings.callers !== undefined);
   const [edgeToKill, edgeToStop, edgeToFreeze] = edges;
   yield* after(0.15, startedMs);
-  const leader = yield* leaderOf(fleet);
+  const leader = yield* findLeader(fleet);
   if (leader) {
-    say(`${leader.settings.machine}, which leads the record, is killed`);
+    printLine(`${leader.settings.machine}, which leads the record, is killed`);
     yield* fleet.kill(leader);
     yield* sleep(clock, 3000);
     fleet.boot(leader);
   }
   yield* after(0.3, startedMs);
   if (edgeToKill) {
-    say(`${edgeToKill.settings.machine}, an edge, is killed`);
+    printLine(`${edgeToKill.settings.machine}, an edge, is killed`);
     yield* fleet.kill(edgeToKill);
     yield* sleep(clock, 2000);
     fleet.boot(edgeToKill);
@@ -74,13 +80,13 @@
   yield* after(0.4, startedMs);
   const [crashed, leaver, reused, liar] = fleet.testBackends.filter((_, at) => at % 7 === 3);
   if (crashed) {
-    say(`${crashed.address} of ${crashed.service} crashes and is replaced`);
+    printLine(`${crashed.address} of ${crashed.service} crashes and is replaced`);
     yield* fleet.crash(crashed);
     yield* sleep(clock, 2500);
     yield* fleet.replace(crashed, crashed.service);
   }
   if (leaver) {
-    say(`${leaver.address} of ${leaver.service} leaves`);
+    printLine(`${leaver.address} of ${leaver.service} leaves`);
     yield* fleet.workload.deregister(leaver);
     yield* sleep(clock, 3000);
     yield* fleet.crash(leaver);
@@ -89,7 +95,7 @@
     const other =
       fleet.testBackends.find(({ service }) => service !== reused.service)?.service ??
       reused.service;
-    say(`${reused.address} of ${reused.service} is reused by ${other}`);
+    printLine(`${reused.address} of ${reused.service} is reused by ${other}`);
     yield* fleet.crash(reused);
     yield* sleep(clock, 1500);
     fleet.recorder.environmentRecords.push({
@@ -101,27 +107,29 @@
     yield* fleet.replace(reused, other);
   }
   if (liar) {
-    say(`${liar.address} of ${liar.service} loses answers, sends garbage and cuts bodies short`);
+    printLine(
+      `${liar.address} of ${liar.service} loses answers, sends garbage and cuts bodies short`,
+    );
     liar.setBehavior({ lossFraction: 0.3, garbageFraction: 0.3, truncatedFraction: 0.3 });
   }
   yield* after(0.55, startedMs);
   if (edgeToFreeze) {
-    say(`${edgeToFreeze.settings.machine}, an edge, is frozen for twice a grant`);
+    printLine(`${edgeToFreeze.settings.machine}, an edge, is frozen for twice a grant`);
     yield* fleet.freeze(edgeToFreeze, 3200);
   }
   liar?.setBehavior({});
   yield* after(0.6, startedMs);
   const [service] = Object.keys(fleet.profile.backends);
   const broken = fleet.testBackends.filter((testBackend) => testBackend.service === service);
-  say(`all ${broken.length} back ends of ${service ?? ""} lose 7 of 10 answers`);
+  printLine(`all ${broken.length} back ends of ${service ?? ""} lose 7 of 10 answers`);
   for (const testBackend of broken) testBackend.setBehavior({ lossFraction: 0.7 });
   yield* after(0.7, startedMs);
   for (const testBackend of broken) testBackend.setBehavior({});
-  yield* decisions(fleet);
+  yield* printRetryDecisions(fleet);
   if (edgeToStop) {
-    say(`${edgeToStop.settings.machine}, an edge, is told to stop and started again`);
+    printLine(`${edgeToStop.settings.machine}, an edge, is told to stop and started again`);
     yield* fleet.stop(edgeToStop);
-    if (edgeToStop.exitCode !== 0) say(`  it ended with code ${String(edgeToStop.exitCode)}`);
+    if (edgeToStop.exitCode !== 0) printLine(`  it ended with code ${String(edgeToStop.exitCode)}`);
     fleet.boot(edgeToStop);
   }
   yield* after(0.8, startedMs);
@@ -141,30 +149,30 @@
   .option("--calm", "Kill and break nothing")
   .option("--keep", "Keep the folder with settings, data and logs")
   .action(async (options: Options) => {
-    const profile = profileNamed(options.profile);
+    const profile = findProfile(options.profile);
     if (!profile) {
       process.exitCode = 2;
       return;
     }
-    const fleet = await Fleet.lay(profile, options.seed, options.rate);
+    const fleet = await Fleet.create(profile, options.seed, options.rate);
     for (const name of ["SIGINT", "SIGTERM"] as const)
-      process.once(name, () => void fleet.end(false).then(() => process.exit(130)));
-    say(
+      process.once(name, () => void fleet.shutDown(false).then(() => process.exit(130)));
+    printLine(
       `${profile.name}: ${profile.diskMachines} machines with disks, ${profile.disklessMachines} small ones, ${fleet.testBackends.length} back ends; logs under ${fleet.folder}`,
     );
     if (!(await startFleet(fleet))) process.exit(1);
-    say("All machines are ready and a config is in force; callers come");
+    printLine("All machines are ready and a config is in force; callers come");
     const fromMs = fleet.clock.nowMs();
-    fleet.beginCalls();
-    fleet.start(applyConfigurations(fleet));
-    await fleet.perform(
+    fleet.startRequests();
+    fleet.start(applyConfigsPeriodically(fleet));
+    await fleet.run(
       options.calm
         ? sleep(fleet.clock, options.seconds * 1000)
-        : trouble(fleet, options.seconds * 1000),
+        : injectFaults(fleet, options.seconds * 1000),
     );
-    if (!options.calm) await fleet.perform(sleep(fleet.clock, settleMs));
+    if (!options.calm) await fleet.run(sleep(fleet.clock, recoveryMs));
     const breaches = await stopFleet(fleet, fromMs);
-    await fleet.end(options.keep ?? false);
+    await fleet.shutDown(options.keep ?? false);
     process.exit(breaches > 0 ? 1 : 0);
   });
 program.help();
--- a/src/fleet/report.ts
+++ b/src/fleet/report.ts
@@ -10,11 +10,11 @@
 } from "../simulation/invariant-checker.js";
 import { type Profile, shippedProfiles } from "../simulation/profile.js";
 
-const upMs = 30_000;
-const lastCallsMs = 3500;
+const readyTimeoutMs = 30_000;
+const drainMs = 3500;
 
 /** Prints one line for a person to read. */
-export const say = (line: string): void => {
+export const printLine = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
@@ -22,7 +22,7 @@
   Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? 0);
 
 /** Prints what callers, back ends and operators recorded, rule by rule; tells how often a rule was broken. */
-export const report = (fleet: Fleet, fromMs: number): number => {
+export const printReport = (fleet: Fleet, fromMs: number): number => {
   const { recorder } = fleet;
   const tallied = (nameOf: (record: ClientRecord) => string): string => {
     const counts = new Map<string, number>();
@@ -33,11 +33,13 @@
       .map(([name, count]) => `${name}: ${count}`)
       .join(", ");
   };
-  say(
+  printLine(
     `Requests: ${recorder.clientRecords.length}, ${(servedFraction(recorder, fromMs, Infinity) * 100).toFixed(2)}% served`,
   );
-  say(`  by return: ${tallied(({ code, failure: broke }) => (code === 0 ? broke : String(code)))}`);
-  say(
+  printLine(
+    `  by return: ${tallied(({ code, failure: broke }) => (code === 0 ? broke : String(code)))}`,
+  );
+  printLine(
     `  by verdict: ${tallied(({ code, executionStatus: verdict }) => (code === 0 ? "none heard" : verdict || "ran"))}`,
   );
   for (const { route, method } of fleet.profile.traffic) {
@@ -55,44 +57,46 @@
       )
       .map((one) => one.endedMs - one.sentMs)
       .sort((a, b) => a - b);
-    say(
+    printLine(
       `  ${route}: ${took.length} served, half within ${quantile(took, 0.5)} ms, 99 of 100 within ${quantile(took, 0.99)} ms`,
     );
   }
-  say(
+  printLine(
     `Tries that reached back ends: ${recorder.runs.length}; configs accepted: ${recorder.ofKind("accepted").length}`,
   );
   for (const [service, { retries: further, requests, allowed }] of findPeakRetries(recorder))
-    say(
+    printLine(
       `  ${service}: worst ten seconds had ${further} repeats with ${requests} requests, ${Math.floor(allowed)} allowed`,
     );
   const breaches = checkRules(recorder);
   for (const rule of Object.keys(rules)) {
     const own = breaches.filter((breach) => breach.rule === rule);
-    say(
+    printLine(
       `${own.length === 0 ? "kept  " : "BROKEN"} ${rule}${own.length > 0 ? ` (${own.length} times)` : ""}`,
     );
-    for (const { detail: what } of own.slice(0, 5)) say(`         ${what}`);
+    for (const { detail: what } of own.slice(0, 5)) printLine(`         ${what}`);
   }
-  if (fleet.failures.length > 0)
-    say(`BROKEN the rehearsal itself broke down ${fleet.failures.length} times; it proves nothing`);
-  return breaches.length + fleet.failures.length;
+  if (fleet.harnessErrors.length > 0)
+    printLine(
+      `BROKEN the rehearsal itself broke down ${fleet.harnessErrors.length} times; it proves nothing`,
+    );
+  return breaches.length + fleet.harnessErrors.length;
 };
 
 /** Starts a fleet and puts a first config in force; false, and why on the error stream, when that fails. */
 export const startFleet = async (fleet: Fleet): Promise<boolean> => {
-  await fleet.begin();
-  const up = await fleet.perform(
-    fleet.until(() => fleet.machines.every(({ isReady }) => isReady), upMs),
+  await fleet.startProcesses();
+  const up = await fleet.run(
+    fleet.waitUntil(() => fleet.machines.every(({ isReady }) => isReady), readyTimeoutMs),
   );
-  const configured = up && (await fleet.perform(fleet.workload.putConfig()));
+  const configured = up && (await fleet.run(fleet.workload.putConfig()));
   if (configured) {
-    await fleet.perform(
-      fleet.until(
+    await fleet.run(
+      fleet.waitUntil(
         () =>
           new Set(fleet.recorder.ofKind("announced").map(({ address }) => address)).size >=
           fleet.testBackends.length,
-        upMs,
+        readyTimeoutMs,
       ),
     );
     return true;
@@ -103,7 +107,7 @@
   process.stderr.write(
     `${up ? "The first config was not accepted" : `Not ready: ${late.join(", ")}`}; logs under ${fleet.folder}\n`,
   );
-  await fleet.end(true);
+  await fleet.shutDown(true);
   return false;
 };
 
@@ -111,14 +115,14 @@
 export const stopFleet = async (fleet: Fleet, fromMs: number): Promise<number> => {
   fleet.recorder.endMs = fleet.clock.nowMs();
   fleet.workload.isOver = true;
-  await fleet.perform(sleep(fleet.clock, lastCallsMs));
+  await fleet.run(sleep(fleet.clock, drainMs));
   fleet.workload.isOver = false;
-  await fleet.perform(fleet.workload.readBack());
-  return report(fleet, fromMs);
+  await fleet.run(fleet.workload.readBack());
+  return printReport(fleet, fromMs);
 };
 
 /** Puts a new config in force every few seconds. */
-export const applyConfigurations = function* (fleet: Fleet): Task {
+export const applyConfigsPeriodically = function* (fleet: Fleet): Task {
   while (!fleet.workload.isOver) {
     yield* fleet.workload.putConfig();
     yield* sleep(fleet.clock, 3000);
@@ -126,7 +130,7 @@
 };
 
 /** The profile of a name; undefined, and the names there are on the error stream, when there is none. */
-export const profileNamed = (name: string): Profile | undefined => {
+export const findProfile = (name: string): Profile | undefined => {
   const profile = Object.values(shippedProfiles).find((one) => one.name === name);
   if (!profile)
     process.stderr.write(
--- a/src/fleet/test-backend-server.ts
+++ b/src/fleet/test-backend-server.ts
@@ -5,7 +5,7 @@
 import { Address } from "../runtime/network.js";
 import type { TestBackend } from "../simulation/test-backend.js";
 
-const headersOf = (request: IncomingMessage): Record<string, string> => {
+const flattenHeaders = (request: IncomingMessage): Record<string, string> => {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(request.headers))
     headers[name] = (Array.isArray(value) ? value[0] : value) ?? "";
@@ -28,7 +28,7 @@
       const request = {
         method: incoming.method ?? "",
         path: incoming.url ?? "",
-        headers: headersOf(incoming),
+        headers: flattenHeaders(incoming),
         body: Buffer.concat(chunks),
       };
       const reply = testBackend.handleRequest(request, clock.nowMs());
@@ -42,7 +42,7 @@
   });
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
-    server.listen(Address.parts(testBackend.address), resolve);
+    server.listen(Address.parse(testBackend.address), resolve);
   });
   return server;
 };
--- a/src/fleet/zone-drill.ts
+++ b/src/fleet/zone-drill.ts
@@ -3,7 +3,13 @@
 import type { Task } from "../runtime/task.js";
 import { Fleet } from "./fleet.js";
 import { servedFraction } from "../simulation/invariant-checker.js";
-import { startFleet, applyConfigurations, profileNamed, say, stopFleet } from "./report.js";
+import {
+  startFleet,
+  applyConfigsPeriodically,
+  findProfile,
+  printLine,
+  stopFleet,
+} from "./report.js";
 
 interface Options {
   profile: string;
@@ -14,29 +20,29 @@
   keep?: boolean;
 }
 
-const hours = { quietMs: 10_000, recoverMs: 15_000, afterMs: 6000 };
+const phases = { beforeMs: 10_000, recoveryMs: 15_000, afterMs: 6000 };
 
 /** Takes every machine and back end of a zone away at once. */
-const takeOut = function* (fleet: Fleet, zone: string): Task {
+const failZone = function* (fleet: Fleet, zone: string): Task {
   const machines = fleet.machines.filter(({ settings }) => settings.zone === zone);
   const testBackends = fleet.testBackends.filter((testBackend) => testBackend.zone === zone);
   for (const machine of machines) fleet.start(fleet.kill(machine));
   for (const testBackend of testBackends) fleet.start(fleet.crash(testBackend));
-  yield* fleet.until(() => machines.every((machine) => machine.process === undefined), 5000);
-  say(
+  yield* fleet.waitUntil(() => machines.every((machine) => machine.process === undefined), 5000);
+  printLine(
     `zone ${zone} is out: ${machines.map(({ settings }) => settings.machine).join(", ")} and ${testBackends.length} back ends`,
   );
 };
 
 /** Brings a zone's machines and back ends back. */
-const bringBack = function* (fleet: Fleet, zone: string): Task {
+const restoreZone = function* (fleet: Fleet, zone: string): Task {
   for (const machine of fleet.machines) if (machine.settings.zone === zone) fleet.boot(machine);
   for (const testBackend of fleet.testBackends)
     if (testBackend.zone === zone) yield* fleet.replace(testBackend, testBackend.service);
-  say(`zone ${zone} is back`);
+  printLine(`zone ${zone} is back`);
 };
 
-const percent = (part: number): string => `${(part * 100).toFixed(2)}%`;
+const formatPercent = (part: number): string => `${(part * 100).toFixed(2)}%`;
 
 const program = cac("drill");
 program
@@ -48,7 +54,7 @@
   .option("--seed <number>", "Seed of callers and back ends", { default: 1 })
   .option("--keep", "Keep the folder with settings, data and logs")
   .action(async (options: Options) => {
-    const profile = profileNamed(options.profile);
+    const profile = findProfile(options.profile);
     const zone = options.zone ?? profile?.zones[0] ?? "";
     if (!profile?.zones.includes(zone)) {
       if (profile)
@@ -58,42 +64,42 @@
       process.exitCode = 2;
       return;
     }
-    const fleet = await Fleet.lay(profile, options.seed, options.rate);
+    const fleet = await Fleet.create(profile, options.seed, options.rate);
     for (const name of ["SIGINT", "SIGTERM"] as const)
-      process.once(name, () => void fleet.end(false).then(() => process.exit(130)));
-    say(
+      process.once(name, () => void fleet.shutDown(false).then(() => process.exit(130)));
+    printLine(
       `Drill on ${profile.name}: zone ${zone} of ${profile.zones.join(", ")} goes out for ${options.seconds} s; logs under ${fleet.folder}`,
     );
     if (!(await startFleet(fleet))) process.exit(1);
     const { clock, recorder } = fleet;
     const fromMs = clock.nowMs();
-    fleet.beginCalls();
-    fleet.start(applyConfigurations(fleet));
-    await fleet.perform(sleep(clock, hours.quietMs));
+    fleet.startRequests();
+    fleet.start(applyConfigsPeriodically(fleet));
+    await fleet.run(sleep(clock, phases.beforeMs));
     const outMs = clock.nowMs();
-    await fleet.perform(takeOut(fleet, zone));
-    await fleet.perform(sleep(clock, options.seconds * 1000));
+    await fleet.run(failZone(fleet, zone));
+    await fleet.run(sleep(clock, options.seconds * 1000));
     const backMs = clock.nowMs();
-    await fleet.perform(bringBack(fleet, zone));
+    await fleet.run(restoreZone(fleet, zone));
     recorder.environmentRecords.push({ kind: "recovered", atMs: clock.nowMs() });
-    const ready = await fleet.perform(
-      fleet.until(() => fleet.machines.every(({ isReady }) => isReady), hours.recoverMs),
+    const ready = await fleet.run(
+      fleet.waitUntil(() => fleet.machines.every(({ isReady }) => isReady), phases.recoveryMs),
     );
     const readyMs = clock.nowMs() - backMs;
-    await fleet.perform(sleep(clock, Math.max(0, hours.recoverMs - readyMs) + hours.afterMs));
+    await fleet.run(sleep(clock, Math.max(0, phases.recoveryMs - readyMs) + phases.afterMs));
     const endMs = clock.nowMs();
     const breaches = await stopFleet(fleet, fromMs);
-    say(
-      `Served before ${percent(servedFraction(recorder, fromMs, outMs))}, in the first 5 s without the zone ${percent(servedFraction(recorder, outMs, outMs + 5000))}, then ${percent(servedFraction(recorder, outMs + 5000, backMs))}, after its return ${percent(servedFraction(recorder, backMs, endMs))}`,
+    printLine(
+      `Served before ${formatPercent(servedFraction(recorder, fromMs, outMs))}, in the first 5 s without the zone ${formatPercent(servedFraction(recorder, outMs, outMs + 5000))}, then ${formatPercent(servedFraction(recorder, outMs + 5000, backMs))}, after its return ${formatPercent(servedFraction(recorder, backMs, endMs))}`,
     );
-    say(
+    printLine(
       ready
         ? `All machines were ready ${(readyMs / 1000).toFixed(1)} s after the zone's return`
         : "NOT all machines became ready again",
     );
     const kept = breaches === 0 && ready;
-    say(kept ? "The drill is passed: every promise was kept." : "The drill is FAILED.");
-    await fleet.end(options.keep ?? false);
+    printLine(kept ? "The drill is passed: every promise was kept." : "The drill is FAILED.");
+    await fleet.shutDown(options.keep ?? false);
     process.exit(kept ? 0 : 1);
   });
 program.help();
--- a/src/load-balancing/attempt-sample.ts
+++ b/src/load-balancing/attempt-sample.ts
@@ -2,12 +2,12 @@
 
 /** An attempt that has ended. */
 export interface AttemptSample {
-  readonly tookMs: number;
+  readonly latencyMs: number;
   /** Whether a complete response came. */
   readonly isComplete: boolean;
   /** The latency target of its route. */
   readonly latencyTargetMs: number;
   readonly route?: string;
   /** Size of the response, where it was complete. */
-  readonly bytes?: number | undefined;
+  readonly responseBytes?: number | undefined;
 }
--- a/src/load-balancing/backend-ring.ts
+++ b/src/load-balancing/backend-ring.ts
@@ -9,7 +9,7 @@
 /** How many backends a daemon uses even where all daemons together open too many connections. */
 const MIN_SUBSET_SIZE = 2;
 /** Which part of a backend's connections is divided among the daemons. */
-const USABLE_CONNECTIONS = 0.8;
+const USABLE_CONNECTION_FRACTION = 0.8;
 
 const FNV_OFFSET = 2166136261;
 const FNV_PRIME = 16777619;
@@ -31,7 +31,11 @@
 }
 
 /** The indexes of the ring's backends from the start of one of `count` daemons; starts are spaced evenly. */
-const ringFrom = (points: readonly RingPoint[], daemonIndex: number, count: number): number[] => {
+const computeRing = (
+  points: readonly RingPoint[],
+  daemonIndex: number,
+  count: number,
+): number[] => {
   const ring = [...points]
     .sort((a, b) => a.hash - b.hash || (a.address < b.address ? -1 : 1))
     .map(({ index }) => index);
@@ -45,7 +49,7 @@
  * of each cover every backend about equally often. A daemon or a backend that is added or removed moves starts by no more than
  * the number of backends per daemon. Among the first, those of the own zone are three to one.
  */
-export const ringOrder = (
+export const computeRingOrder = (
   backends: readonly Backend[],
   ownZone: string,
   { zoneIndex, zoneCount }: EdgePlacement,
@@ -57,7 +61,7 @@
     isLocal: zone === ownZone,
   }));
   const ring = (isLocal: boolean): number[] =>
-    ringFrom(
+    computeRing(
       points.filter((point) => point.isLocal === isLocal),
       zoneIndex,
       zoneCount,
@@ -81,14 +85,14 @@
 }
 
 /** How many backends of a service a daemon uses: fewer where all daemons together would open too many connections. */
-export const subsetSizeFor = ({
+export const computeSubsetSize = ({
   maxConnections,
   backendCount,
   daemonCount,
 }: ConnectionSharing): number => {
   if (maxConnections === undefined) return DEFAULT_SUBSET_SIZE;
   const affordable =
-    (maxConnections * USABLE_CONNECTIONS * backendCount) / Math.max(1, daemonCount);
+    (maxConnections * USABLE_CONNECTION_FRACTION * backendCount) / Math.max(1, daemonCount);
   return Math.max(MIN_SUBSET_SIZE, Math.min(DEFAULT_SUBSET_SIZE, Math.floor(affordable)));
 };
 
@@ -96,10 +100,10 @@
  * How many connections one daemon may open to one backend, so that all daemons together stay below what the backend accepts:
  * the daemons that use it share most of its connections.
  */
-export const connectionLimit = (sharing: ConnectionSharing): number => {
+export const computeConnectionLimit = (sharing: ConnectionSharing): number => {
   const { maxConnections, backendCount, daemonCount } = sharing;
   if (maxConnections === undefined) return Infinity;
-  const size = Math.min(subsetSizeFor(sharing), backendCount);
+  const size = Math.min(computeSubsetSize(sharing), backendCount);
   const users = Math.max(1, (daemonCount * size) / Math.max(1, backendCount));
-  return Math.max(1, Math.floor((maxConnections * USABLE_CONNECTIONS) / users));
+  return Math.max(1, Math.floor((maxConnections * USABLE_CONNECTION_FRACTION) / users));
 };
--- a/src/load-balancing/backend-stats.ts
+++ b/src/load-balancing/backend-stats.ts
@@ -2,8 +2,8 @@
 import type { AttemptSample } from "./attempt-sample.js";
 
 /** How much the newest sample counts in the moving means. */
-const LATENCY_RATE = 0.2;
-const FAILURE_RATE = 0.1;
+const LATENCY_SMOOTHING = 0.2;
+const FAILURE_SMOOTHING = 0.1;
 const INITIAL_LATENCY_MS = 20;
 const MIN_WEIGHT = 0.1;
 const WEIGHT_STEP = { down: 0.85, up: 1.05 };
@@ -11,9 +11,9 @@
 /** A backend misses its latency target also where more than this part of its attempts fail. */
 const MAX_FAILURE_RATE = 0.2;
 /** From how many failures in a row on a backend is avoided. */
-const MIN_FAILURES_IN_A_ROW = 2;
+const MIN_CONSECUTIVE_FAILURES = 2;
 /** How long a backend is avoided after failures in a row: doubled with each, up to a limit, and spread at random. */
-const AVOIDANCE = { initialMs: 250, maxDoublings: 6, maxMs: 5000, spread: 0.5 };
+const AVOIDANCE = { initialMs: 250, maxDoublings: 6, maxMs: 5000, jitter: 0.5 };
 
 /** Moving statistics of one backend. */
 export class BackendStats {
@@ -26,13 +26,13 @@
   /** Part of its fair share of requests that it gets, 0.1 to 1. */
   weight = 1;
   /** Why its weight was last changed; empty where it never was. */
-  reason = "";
+  weightReason = "";
   inFlight = 0;
   attempts = 0;
-  failuresInARow = 0;
+  consecutiveFailures = 0;
   avoidUntilMs = 0;
   /** When this daemon learned of it. */
-  readonly sinceMs: number;
+  readonly knownSinceMs: number;
   /** Since when no attempt has ended though some are in flight. */
   private noProgressSinceMs = 0;
   /** How long it may go without progress and still count as responsive. */
@@ -40,7 +40,7 @@
   private weightChangedMs: number;
 
   constructor(nowMs: number) {
-    this.sinceMs = nowMs;
+    this.knownSinceMs = nowMs;
     this.weightChangedMs = nowMs;
   }
 
@@ -70,21 +70,21 @@
   }
 
   /** Learns from an attempt; `expectedMs` is what its route usually takes, `random` gives 0 up to 1. */
-  learn(
-    { tookMs, isComplete: isWhole }: AttemptSample,
+  recordSample(
+    { latencyMs: tookMs, isComplete: isWhole }: AttemptSample,
     expectedMs: number,
     nowMs: number,
     random: () => number,
   ): void {
     this.relativeLatency +=
-      (tookMs / Math.max(1, expectedMs) - this.relativeLatency) * LATENCY_RATE;
-    this.latencyMs += (tookMs - this.latencyMs) * LATENCY_RATE;
-    this.failureRate += ((isWhole ? 0 : 1) - this.failureRate) * FAILURE_RATE;
-    this.failuresInARow = isWhole ? 0 : this.failuresInARow + 1;
-    if (this.failuresInARow < MIN_FAILURES_IN_A_ROW) return;
-    const doublings = Math.min(this.failuresInARow, AVOIDANCE.maxDoublings);
+      (tookMs / Math.max(1, expectedMs) - this.relativeLatency) * LATENCY_SMOOTHING;
+    this.latencyMs += (tookMs - this.latencyMs) * LATENCY_SMOOTHING;
+    this.failureRate += ((isWhole ? 0 : 1) - this.failureRate) * FAILURE_SMOOTHING;
+    this.consecutiveFailures = isWhole ? 0 : this.consecutiveFailures + 1;
+    if (this.consecutiveFailures < MIN_CONSECUTIVE_FAILURES) return;
+    const doublings = Math.min(this.consecutiveFailures, AVOIDANCE.maxDoublings);
     const avoidMs = Math.min(AVOIDANCE.maxMs, AVOIDANCE.initialMs * 2 ** doublings);
-    this.avoidUntilMs = nowMs + avoidMs * (1 - AVOIDANCE.spread / 2 + random() * AVOIDANCE.spread);
+    this.avoidUntilMs = nowMs + avoidMs * (1 - AVOIDANCE.jitter / 2 + random() * AVOIDANCE.jitter);
   }
 
   /** Adjusts the weight by the latency target, at most twice a second. */
@@ -97,9 +97,9 @@
     const weight = Math.min(1, Math.max(MIN_WEIGHT, this.weight * step));
     if (weight === this.weight) return;
     this.weight = weight;
-    if (!misses) this.reason = "meets its goal again";
+    if (!misses) this.weightReason = "meets its goal again";
     else if (isSlow)
-      this.reason = `slower (${Math.round(this.latencyMs)} ms) than the goal of ${latencyTargetMs} ms`;
-    else this.reason = `${Math.round(this.failureRate * 100)}% of its tries fail`;
+      this.weightReason = `slower (${Math.round(this.latencyMs)} ms) than the goal of ${latencyTargetMs} ms`;
+    else this.weightReason = `${Math.round(this.failureRate * 100)}% of its tries fail`;
   }
 }
--- a/src/load-balancing/load-balancer.ts
+++ b/src/load-balancing/load-balancer.ts
@@ -1,9 +1,9 @@
 /** The choice of a backend for each attempt. */
 import type { EdgePlacement } from "../control-protocol/edge-placement.js";
 import type { Backend } from "./backend.js";
-import { connectionLimit, ringOrder, subsetSizeFor } from "./backend-ring.js";
+import { computeConnectionLimit, computeRingOrder, computeSubsetSize } from "./backend-ring.js";
 import { BackendStats } from "./backend-stats.js";
-import { RouteStatsTable, UNSEEN_RESPONSE_BYTES, type RouteStats } from "./route-stats.js";
+import { RouteStatsTable, DEFAULT_RESPONSE_BYTES, type RouteStats } from "./route-stats.js";
 import type { AttemptSample } from "./attempt-sample.js";
 
 /** How long a backend without instances takes to warm up. */
@@ -12,7 +12,7 @@
 /** A backend is failing where more than this part of its attempts fail: more than one in ten, one after the other. */
 const FAILING_RATE = 0.15;
 /** How much a KiB of a response from another zone costs, as a delay. */
-const REMOTE_KIB_MS = 2;
+const REMOTE_MS_PER_KIB = 2;
 /** How long a backend may go without progress: a multiple of what its routes usually take, and some more. */
 const TOLERANCE = { factor: 3, extraMs: 150, defaultLatencyMs: 500 };
 /** How often a backend is chosen by weight alone, so that the recovery of a slow one is noticed. */
@@ -32,7 +32,7 @@
 /** What limits the choice of a backend for one attempt. */
 export interface PickOptions {
   /** Addresses of the request's former attempts. */
-  readonly tried: ReadonlySet<string>;
+  readonly triedAddresses: ReadonlySet<string>;
   /** How many requests this daemon may have in flight at one backend. */
   readonly maxInFlight: number;
   /** How many connections one backend accepts from all daemons together. */
@@ -41,7 +41,7 @@
 }
 
 /** Identifies a registration of a backend. */
-const keyOf = ({ address, number }: Backend): string => `${address} ${number}`;
+const registrationKey = ({ address, number }: Backend): string => `${address} ${number}`;
 
 /** Chooses among a service's backends by what this daemon has measured of them. */
 export class LoadBalancer {
@@ -72,7 +72,7 @@
    */
   pick<B extends Backend>(
     backends: readonly B[],
-    { tried, maxInFlight: inHandLimit, maxConnections, route = "" }: PickOptions,
+    { triedAddresses: tried, maxInFlight: inHandLimit, maxConnections, route = "" }: PickOptions,
     nowMs: number,
   ): B | undefined {
     const sharing = {
@@ -80,14 +80,14 @@
       backendCount: backends.length,
       daemonCount: this.daemonCount,
     };
-    const limit = Math.min(inHandLimit, connectionLimit(sharing));
+    const limit = Math.min(inHandLimit, computeConnectionLimit(sharing));
     const available = this.ordered(backends).filter(
       (backend) => !tried.has(backend.address) && this.stats(backend, nowMs).inFlight < limit,
     );
     const healthy = available.filter((backend) => this.stats(backend, nowMs).isHealthy(nowMs));
     const candidates = this.subset(
       healthy.length > 0 ? healthy : available,
-      subsetSizeFor(sharing),
+      computeSubsetSize(sharing),
       nowMs,
     );
     const weights = candidates.map((backend) => this.weight(backend, nowMs));
@@ -102,7 +102,7 @@
 
   /** Counts an attempt that starts. */
   attemptStarted(backend: Backend, nowMs: number, route = ""): void {
-    const expectedMs = this.routes.find(route)?.tookMs ?? TOLERANCE.defaultLatencyMs;
+    const expectedMs = this.routes.find(route)?.meanLatencyMs ?? TOLERANCE.defaultLatencyMs;
     const toleranceMs = TOLERANCE.factor * expectedMs + TOLERANCE.extraMs;
     this.stats(backend, nowMs).start(toleranceMs, nowMs);
   }
@@ -116,25 +116,25 @@
   attemptEnded(backend: Backend, sample: AttemptSample, nowMs: number): void {
     const stats = this.stats(backend, nowMs);
     stats.end(nowMs);
-    const { tookMs: expectedMs } = this.routes.learn(sample);
-    stats.learn(sample, expectedMs, nowMs, this.random);
+    const { meanLatencyMs: expectedMs } = this.routes.recordSample(sample);
+    stats.recordSample(sample, expectedMs, nowMs, this.random);
     stats.adjustWeight(sample.latencyTargetMs, nowMs);
   }
 
   /** Whether a backend fails so often that the failures are its own rather than its requests'. */
   isFailing(backend: Backend): boolean {
-    return (this.statsByKey.get(keyOf(backend))?.failureRate ?? 0) > FAILING_RATE;
+    return (this.statsByKey.get(registrationKey(backend))?.failureRate ?? 0) > FAILING_RATE;
   }
 
   /** Why each backend has its weight. */
   explain(backends: readonly Backend[], nowMs: number): WeightExplanation[] {
     return backends.map((backend) => {
       const stats = this.stats(backend, nowMs);
-      const reasons = [stats.reason];
+      const reasons = [stats.weightReason];
       if (backend.zone !== this.zone) reasons.push("in another zone");
       if (this.warmth(backend, stats, nowMs) < 1) reasons.push("still warming up");
       if (stats.avoidUntilMs > nowMs)
-        reasons.push(`avoided after ${stats.failuresInARow} failures in a row`);
+        reasons.push(`avoided after ${stats.consecutiveFailures} failures in a row`);
       return {
         address: backend.address,
         zone: backend.zone,
@@ -150,7 +150,7 @@
   /** Sets the known backends: new ones start to warm up now, others are forgotten. */
   setBackends(backends: readonly Backend[], nowMs: number): void {
     for (const backend of backends) this.stats(backend, nowMs);
-    const keys = new Set(backends.map(keyOf));
+    const keys = new Set(backends.map(registrationKey));
     for (const key of this.statsByKey.keys()) if (!keys.has(key)) this.statsByKey.delete(key);
     this.statsCache = new WeakMap();
   }
@@ -163,7 +163,8 @@
   /** Backends in this daemon's ring order, which is computed once for each list. */
   private ordered<B extends Backend>(backends: readonly B[]): readonly B[] {
     if (!this.placement) return backends;
-    const order = this.ringOrders.get(backends) ?? ringOrder(backends, this.zone, this.placement);
+    const order =
+      this.ringOrders.get(backends) ?? computeRingOrder(backends, this.zone, this.placement);
     this.ringOrders.set(backends, order);
     return order.flatMap((index) => backends[index] ?? []);
   }
@@ -184,7 +185,7 @@
   private stats(backend: Backend, nowMs: number): BackendStats {
     const cached = this.statsCache.get(backend);
     if (cached) return cached;
-    const key = keyOf(backend);
+    const key = registrationKey(backend);
     const stats = this.statsByKey.get(key) ?? new BackendStats(nowMs);
     this.statsByKey.set(key, stats);
     this.statsCache.set(backend, stats);
@@ -193,7 +194,7 @@
 
   /** How warm a backend is, 0.05 to 1. */
   private warmth(backend: Backend, stats: BackendStats, nowMs: number): number {
-    const knownForMs = nowMs - stats.sinceMs;
+    const knownForMs = nowMs - stats.knownSinceMs;
     if (backend.instance === "")
       return Math.min(1, Math.max(MIN_WARMTH, backend.warmth, knownForMs / WARM_UP_MS));
     return backend.warmMs <= 0 ? 1 : Math.min(1, Math.max(MIN_WARMTH, knownForMs / backend.warmMs));
@@ -209,9 +210,9 @@
     const stats = this.stats(backend, nowMs);
     const queued = 1 + stats.inFlight / Math.max(1, backend.capacity);
     const isRemote = backend.zone !== this.zone;
-    const responseBytes = route?.bytes ?? UNSEEN_RESPONSE_BYTES;
-    const transferMs = isRemote ? (responseBytes / 1024) * REMOTE_KIB_MS : 0;
-    const expectedMs = route?.tookMs ?? stats.latencyMs;
+    const responseBytes = route?.meanResponseBytes ?? DEFAULT_RESPONSE_BYTES;
+    const transferMs = isRemote ? (responseBytes / 1024) * REMOTE_MS_PER_KIB : 0;
+    const expectedMs = route?.meanLatencyMs ?? stats.latencyMs;
     return (expectedMs * stats.relativeLatency * queued) / this.weight(backend, nowMs) + transferMs;
   }
 
--- a/src/load-balancing/route-stats.ts
+++ b/src/load-balancing/route-stats.ts
@@ -2,18 +2,18 @@
 import type { AttemptSample } from "./attempt-sample.js";
 
 /** The assumed size of a route's responses until one was seen. */
-export const UNSEEN_RESPONSE_BYTES = 32 * 1024;
+export const DEFAULT_RESPONSE_BYTES = 32 * 1024;
 /** The table is cleared when it has as many routes as this. */
 const MAX_ROUTES = 4096;
 /** How much the newest sample counts in the moving means. */
-const LEARNING_RATE = 0.05;
+const SMOOTHING_FACTOR = 0.05;
 
 /** Moving means of a route's complete responses. */
 export interface RouteStats {
   /** Mean time that attempts take. */
-  tookMs: number;
+  meanLatencyMs: number;
   /** Mean size of the responses. */
-  bytes: number;
+  meanResponseBytes: number;
 }
 
 /** The statistics of the routes that this daemon has served, up to a bound. */
@@ -26,13 +26,19 @@
   }
 
   /** Learns from an attempt, and returns the statistics of its route. */
-  learn({ route = "", tookMs, isComplete: isWhole, bytes }: AttemptSample): RouteStats {
+  recordSample({
+    route = "",
+    latencyMs: tookMs,
+    isComplete: isWhole,
+    responseBytes: bytes,
+  }: AttemptSample): RouteStats {
     const stats = this.statsOf(route, tookMs);
     if (!isWhole) return stats;
-    stats.tookMs += (tookMs - stats.tookMs) * LEARNING_RATE;
+    stats.meanLatencyMs += (tookMs - stats.meanLatencyMs) * SMOOTHING_FACTOR;
     if (bytes !== undefined)
-      stats.bytes +=
-        (bytes - stats.bytes) * (stats.bytes === UNSEEN_RESPONSE_BYTES ? 1 : LEARNING_RATE);
+      stats.meanResponseBytes +=
+        (bytes - stats.meanResponseBytes) *
+        (stats.meanResponseBytes === DEFAULT_RESPONSE_BYTES ? 1 : SMOOTHING_FACTOR);
     return stats;
   }
 
@@ -40,7 +46,7 @@
     const known = this.byRoute.get(route);
     if (known) return known;
     if (this.byRoute.size >= MAX_ROUTES) this.byRoute.clear();
-    const stats = { tookMs, bytes: UNSEEN_RESPONSE_BYTES };
+    const stats = { tookMs, bytes: DEFAULT_RESPONSE_BYTES };
     this.byRoute.set(route, stats);
     return stats;
   }
--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -2,7 +2,7 @@
 import type { RuleOverride } from "./random-search.js";
 import { MemberGroup } from "./member-group.js";
 import type { Counterexample } from "./search-run.js";
-import { type GroupSettings, groupSettingsOf } from "./group-settings.js";
+import { type GroupSettings, createGroupSettings } from "./group-settings.js";
 import type { Step } from "./step.js";
 
 /** What an exhaustive exploration saw. */
@@ -10,32 +10,32 @@
   /** How many steps were tried. */
   readonly steps: number;
   /** How many situations differ. */
-  readonly situations: number;
+  readonly states: number;
   /** Up to which number of steps all orders were tried. */
   readonly depth: number;
   readonly counterexample: Counterexample | undefined;
 }
 
-interface Place {
+interface SearchNode {
   readonly group: MemberGroup;
   readonly steps: readonly Step[];
   /** How many members have stopped on the way here. */
-  readonly stops: number;
+  readonly failures: number;
 }
 
-const quantumMs = 100;
-const mostStops = 2;
+const tickMs = 100;
+const maxFailures = 2;
 
 /** Everything that may happen next: each message, each write, time, a client's write, a stop with or without the disk. */
-const choicesAt = ({ group, stops }: Place): Step[] => {
-  const choices: Step[] = [{ kind: "advance", ms: quantumMs, paused: [] }];
+const possibleSteps = ({ group, failures: stops }: SearchNode): Step[] => {
+  const choices: Step[] = [{ kind: "advance", ms: tickMs, paused: [] }];
   for (const { id, from, to } of group.messages.values())
-    if (!group.cuts.has(`${from}>${to}`))
+    if (!group.blockedLinks.has(`${from}>${to}`))
       choices.push({ kind: "deliver", message: id, twice: false });
   for (const { name, isUp, disk, state } of group.members.values()) {
     if (!isUp) choices.push({ kind: "start", member: name });
-    else if (stops < mostStops) choices.push({ kind: "crash", member: name, keptWrites: 0 });
-    if (isUp && stops < mostStops && group.mayWipe(name))
+    else if (stops < maxFailures) choices.push({ kind: "crash", member: name, keptWrites: 0 });
+    if (isUp && stops < maxFailures && group.mayWipe(name))
       choices.push({ kind: "wipe", member: name });
     if (disk.pending.length > 0) choices.push({ kind: "sync", member: name });
     if (isUp && state.role === "leader") choices.push({ kind: "write", member: name });
@@ -44,12 +44,12 @@
 };
 
 /** A group that has a leader and one committed entry, with nothing under way. */
-const settled = (settings: GroupSettings): Place => {
+const createInitialNode = (settings: GroupSettings): SearchNode => {
   const group = new MemberGroup(settings);
   const steps: Step[] = [];
   const take = (step: Step): void => {
     steps.push(step);
-    group.take(step);
+    group.execute(step);
   };
   while (group.checks.acknowledgedIndex === 0) {
     take({ kind: "advance", ms: 20, paused: [] });
@@ -58,7 +58,7 @@
     for (const id of [...group.messages.keys()])
       take({ kind: "deliver", message: id, twice: false });
   }
-  return { group, steps, stops: 0 };
+  return { group, steps, failures: 0 };
 };
 
 /** Tries all orders of steps up to a depth, once from each situation, from a settled group of three on. */
@@ -67,34 +67,34 @@
   mostSteps: number,
   alteration: RuleOverride = {},
 ): Coverage => {
-  const settings = groupSettingsOf(3, 0, 1, alteration);
+  const settings = createGroupSettings(3, 0, 1, alteration);
   const seen = new Set<string>();
-  let frontier: Place[] = [settled(settings)];
+  let frontier: SearchNode[] = [createInitialNode(settings)];
   let steps = 0;
   for (let level = 0; level < depth; level += 1) {
-    const next: Place[] = [];
+    const next: SearchNode[] = [];
     for (const place of frontier)
-      for (const step of choicesAt(place)) {
+      for (const step of possibleSteps(place)) {
         steps += 1;
         if (steps > mostSteps)
-          return { steps, situations: seen.size, depth: level, counterexample: undefined };
+          return { steps, states: seen.size, depth: level, counterexample: undefined };
         const group = place.group.clone();
         const taken = [...place.steps, step];
         try {
-          group.take(step);
+          group.execute(step);
         } catch (error) {
           if (!(error instanceof InvariantViolation)) throw error;
-          const { promise, message: how } = error;
+          const { invariant: promise, message: how } = error;
           const counterexample = { settings, steps: taken, promise, how };
-          return { steps, situations: seen.size, depth: level, counterexample };
+          return { steps, states: seen.size, depth: level, counterexample };
         }
         const { fingerprint } = group;
         if (seen.has(fingerprint)) continue;
         seen.add(fingerprint);
         const isStop = step.kind === "crash" || step.kind === "wipe";
-        next.push({ group, steps: taken, stops: place.stops + (isStop ? 1 : 0) });
+        next.push({ group, steps: taken, failures: place.failures + (isStop ? 1 : 0) });
       }
     frontier = next;
   }
-  return { steps, situations: seen.size, depth, counterexample: undefined };
+  return { steps, states: seen.size, depth, counterexample: undefined };
 };
--- a/src/model-checker/group-settings.ts
+++ b/src/model-checker/group-settings.ts
@@ -10,37 +10,37 @@
   readonly clockRates: readonly number[];
   /** Varies the election waits. */
   readonly seed: number;
-  readonly waits: ElectionTimeouts;
+  readonly timeouts: ElectionTimeouts;
   readonly replaceAfterMs: number;
-  readonly provenAfterMs: number;
+  readonly responsiveAfterMs: number;
   readonly forgetAfterMs: number;
   /** How many entries one request carries at most. */
-  readonly batchEntries: number;
+  readonly maxBatchEntries: number;
   readonly rules: SafetyRules;
 }
 
 /** How far clocks may differ: the lease and the election wait leave room for 11% each way. */
-const clockSpread = 0.08;
+const clockRateSpread = 0.08;
 
 /** A group with production's waits and rules. */
-export function groupSettingsOf(
+export function createGroupSettings(
   voters: number,
   spares: number,
   seed: number,
-  change: { rules?: Partial<SafetyRules>; waits?: Partial<ElectionTimeouts> } = {},
+  change: { rules?: Partial<SafetyRules>; timeouts?: Partial<ElectionTimeouts> } = {},
 ): GroupSettings {
   const names = Array.from({ length: voters + spares }, (_, at) => `m${at + 1}`);
-  const clockRates = names.map((_, at) => 1 + clockSpread * (((seed + at * 2) % 3) - 1));
+  const clockRates = names.map((_, at) => 1 + clockRateSpread * (((seed + at * 2) % 3) - 1));
   return {
     names,
     wantedVoters: voters,
     clockRates,
     seed,
-    waits: { ...defaultReplicationTimeouts, ...change.waits },
+    timeouts: { ...defaultReplicationTimeouts, ...change.timeouts },
     replaceAfterMs: defaultReplicationTimeouts.replaceAfterMs,
-    provenAfterMs: defaultReplicationTimeouts.responsiveAfterMs,
+    responsiveAfterMs: defaultReplicationTimeouts.responsiveAfterMs,
     forgetAfterMs: defaultReplicationTimeouts.forgetAfterMs,
-    batchEntries: seed % 4 < 2 ? 1 : 8,
+    maxBatchEntries: seed % 4 < 2 ? 1 : 8,
     rules: { ...safetyRules, ...change.rules },
   };
 }
--- a/src/model-checker/history/linearizability.ts
+++ b/src/model-checker/history/linearizability.ts
@@ -2,7 +2,7 @@
 
 /** The calls that no order explains, and why. */
 export interface Contradiction {
-  readonly why: string;
+  readonly reason: string;
   readonly operations: readonly Operation[];
 }
 
@@ -24,7 +24,7 @@
   endedAt: -1e15,
 });
 
-const clusterOf = (write: Operation, reads: readonly Operation[]): Cluster => {
+const createCluster = (write: Operation, reads: readonly Operation[]): Cluster => {
   const operations = [write, ...reads];
   return {
     value: write.value,
@@ -38,7 +38,7 @@
  * Whether two values can't each have been in force for as long as their calls ask for: the one over a whole span, the
  * other at some moment or over a span that can't be put before or after it.
  */
-const collide = (one: Cluster, other: Cluster): boolean =>
+const contradict = (one: Cluster, other: Cluster): boolean =>
   one.firstEnd < one.lastBegin && one.firstEnd < other.lastBegin && other.firstEnd < one.lastBegin;
 
 /**
@@ -58,20 +58,20 @@
   const known = new Set(writes.map(({ value }) => value));
   const invented = reads.find(({ value }) => !known.has(value));
   if (invented !== undefined)
-    return { why: "a read gave what nobody wrote", operations: [invented] };
+    return { reason: "a read gave what nobody wrote", operations: [invented] };
   const clusters: Cluster[] = [];
   for (const write of writes) {
     const own = reads.filter(({ value }) => value === write.value);
     const early = own.find(({ endedAt = 0 }) => endedAt < write.beganAt);
     if (early !== undefined)
-      return { why: "a read gave what was written later", operations: [write, early] };
-    if (write.endedAt !== undefined || own.length > 0) clusters.push(clusterOf(write, own));
+      return { reason: "a read gave what was written later", operations: [write, early] };
+    if (write.endedAt !== undefined || own.length > 0) clusters.push(createCluster(write, own));
   }
   for (const one of clusters)
     for (const other of clusters)
-      if (one !== other && collide(one, other))
+      if (one !== other && contradict(one, other))
         return {
-          why: `${one.value} and ${other.value} were both in force at one time`,
+          reason: `${one.value} and ${other.value} were both in force at one time`,
           operations: [...one.operations, ...other.operations],
         };
   return undefined;
--- a/src/model-checker/history/operation-history.ts
+++ b/src/model-checker/history/operation-history.ts
@@ -24,7 +24,7 @@
     this.recorded[call] = { ...operation, value: value ?? operation.value, endedAt: this.moment };
   }
 
-  takeOver(other: OperationHistory): void {
+  copyFrom(other: OperationHistory): void {
     this.recorded.splice(0, this.recorded.length, ...other.recorded);
     this.moment = other.moment;
   }
--- a/src/model-checker/invariant-checks.ts
+++ b/src/model-checker/invariant-checks.ts
@@ -1,14 +1,14 @@
 import { majoritiesOverlap } from "../consensus/membership-change.js";
-import { type Members, membersIn } from "../consensus/members.js";
+import { type Members, parseMembersEntry } from "../consensus/members.js";
 import type { ModelMember } from "./model-member.js";
 
 /** A promise of the agreement that was broken, and by what. */
 export class InvariantViolation extends Error {
-  readonly promise: string;
+  readonly invariant: string;
 
-  constructor(promise: string, how: string) {
-    super(`${promise}: ${how}`);
-    this.promise = promise;
+  constructor(invariant: string, how: string) {
+    super(`${invariant}: ${how}`);
+    this.invariant = invariant;
   }
 }
 
@@ -45,7 +45,7 @@
   }
 
   /** A member was elected: it is the only one in its term, and holds all that was committed in earlier ones. */
-  elected({ name, state }: ModelMember): void {
+  onElected({ name, state }: ModelMember): void {
     const other = this.leaders.get(state.term);
     if (other !== undefined && other !== name)
       throw new InvariantViolation(
@@ -66,12 +66,12 @@
   }
 
   /** A member applied an entry: every member applies the same one at an index. */
-  applied({ name, state }: ModelMember, index: number, term: number, text: string): void {
+  onApplied({ name, state }: ModelMember, index: number, term: number, text: string): void {
     const known = this.committed.get(index);
     if (known === undefined) {
       this.committed.set(index, { term, text, committedInTerm: state.term });
       this.lastCommittedIndex = Math.max(this.lastCommittedIndex, index);
-      const members = membersIn(text);
+      const members = parseMembersEntry(text);
       if (members !== undefined && index > this.latestMembersIndex) {
         if (!majoritiesOverlap(this.latestMembers, members))
           throw new InvariantViolation(
@@ -91,9 +91,9 @@
   }
 
   /** What each member would answer now, and by which members each leader counts. */
-  look(members: Iterable<ModelMember>): void {
+  checkMembers(members: Iterable<ModelMember>): void {
     for (const member of members) {
-      if (member.answers && member.appliedIndex < this.acknowledgedIndex)
+      if (member.canServeReads && member.appliedIndex < this.acknowledgedIndex)
         throw new InvariantViolation(
           "no read older than an acknowledged change",
           `${member.name} answers by entry ${member.appliedIndex}, ${this.acknowledgedIndex} was acknowledged`,
--- a/src/model-checker/main.ts
+++ b/src/model-checker/main.ts
@@ -5,8 +5,8 @@
 import { mutants } from "./mutants.js";
 import { replay, type Counterexample } from "./search-run.js";
 import { shrink } from "./shrink.js";
-import { stepsFromText } from "./step.js";
-import { traceFile, traceText } from "./trace.js";
+import { parseSteps } from "./step.js";
+import { formatTraceFile, formatTrace } from "./trace.js";
 
 interface Options {
   readonly steps: number;
@@ -18,41 +18,41 @@
   readonly out?: string;
 }
 
-const say = (line: string): void => {
+const print = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-const report = (found: Counterexample, out: string | undefined): void => {
+const reportCounterexample = (found: Counterexample, out: string | undefined): void => {
   const shrunk = shrink(found);
-  say(traceText(shrunk));
-  if (out !== undefined) writeFileSync(out, traceFile(shrunk));
+  print(formatTrace(shrunk));
+  if (out !== undefined) writeFileSync(out, formatTraceFile(shrunk));
   process.exitCode = 1;
 };
 
 const exploreProduction = ({ steps, run, seed, depth, out }: Options): void => {
   const all = exploreAll(depth, steps);
-  say(`all orders: depth ${all.depth}, ${all.steps} steps, ${all.situations} situations`);
-  if (all.counterexample !== undefined) return report(all.counterexample, out);
-  const random = exploreRandomly({ firstSeed: seed, mostSteps: steps, stepsPerRun: run });
-  say(`at random: ${random.runs} runs, ${random.steps} steps`);
+  print(`all orders: depth ${all.depth}, ${all.steps} steps, ${all.states} situations`);
+  if (all.counterexample !== undefined) return reportCounterexample(all.counterexample, out);
+  const random = exploreRandomly({ firstSeed: seed, maxSteps: steps, stepsPerRun: run });
+  print(`at random: ${random.runs} runs, ${random.steps} steps`);
   if (random.counterexample !== undefined) {
-    say(`seed ${random.seed ?? 0}`);
-    report(random.counterexample, out);
-  } else say("no promise was broken");
+    print(`seed ${random.seed ?? 0}`);
+    reportCounterexample(random.counterexample, out);
+  } else print("no promise was broken");
 };
 
 const exploreMutants = ({ steps, run, seed }: Options): void => {
-  for (const { name, alteration } of mutants) {
-    const extent = { firstSeed: seed, mostSteps: steps, stepsPerRun: run };
+  for (const { name, ruleOverride: alteration } of mutants) {
+    const extent = { firstSeed: seed, maxSteps: steps, stepsPerRun: run };
     const found = exploreRandomly(extent, alteration);
-    const promise = found.counterexample?.promise ?? "not found";
-    say(`| ${name} | ${promise} | ${found.steps} | ${found.seed ?? "-"} |`);
+    const promise = found.counterexample?.invariant ?? "not found";
+    print(`| ${name} | ${promise} | ${found.steps} | ${found.seed ?? "-"} |`);
   }
 };
 
-const playAgain = (file: string, seed: number): void => {
-  const found = replay(settingsFor(seed, {}), stepsFromText(readFileSync(file, "utf8")));
-  say(found === undefined ? "no promise was broken" : traceText(found));
+const replayFile = (file: string, seed: number): void => {
+  const found = replay(settingsFor(seed, {}), parseSteps(readFileSync(file, "utf8")));
+  print(found === undefined ? "no promise was broken" : formatTrace(found));
   if (found !== undefined) process.exitCode = 1;
 };
 
@@ -67,7 +67,7 @@
   .option("--replay <file>", "Plays a trace again instead")
   .option("--out <file>", "Where the trace of a counterexample goes")
   .action((options: Options) => {
-    if (options.replay !== undefined) playAgain(options.replay, options.seed);
+    if (options.replay !== undefined) replayFile(options.replay, options.seed);
     else if (options.mutants === true) exploreMutants(options);
     else exploreProduction(options);
   });
--- a/src/model-checker/member-fingerprint.ts
+++ b/src/model-checker/member-fingerprint.ts
@@ -17,10 +17,10 @@
 }
 
 /** A text that is equal for equal states, with times relative to now. */
-export const fingerprintOf = (member: FingerprintedMember, nowMs: number): string => {
+export const computeFingerprint = (member: FingerprintedMember, nowMs: number): string => {
   const {
     log,
-    matched,
+    matchIndexes: matched,
     acknowledgedSentMs,
     responsiveSinceMs,
     votes,
