--- a/src/model-checker/member-group.ts
+++ b/src/model-checker/member-group.ts
@@ -1,4 +1,4 @@
-import { type Members, membersIn } from "../consensus/members.js";
+import { type Members, parseMembersEntry } from "../consensus/members.js";
 import { emptyContent } from "./disk-contents.js";
 import { InvariantChecks } from "./invariant-checks.js";
 import { OperationHistory } from "./history/operation-history.js";
@@ -15,14 +15,14 @@
 /** By how many voters a group may exceed the wanted number. */
 const MAX_EXTRA_VOTERS = 2;
 
-const linkOf = (from: string, to: string): string => `${from}>${to}`;
+const linkName = (from: string, to: string): string => `${from}>${to}`;
 
 /** Members, the messages between them, and the checks on all of it; moved on by steps. */
 export class MemberGroup implements GroupEnvironment {
   readonly settings: GroupSettings;
   readonly members = new Map<string, ModelMember>();
   readonly messages = new Map<string, Message>();
-  readonly cuts = new Set<string>();
+  readonly blockedLinks = new Set<string>();
   readonly history: OperationHistory;
   checks: InvariantChecks;
   nowMs = 1000;
@@ -64,13 +64,13 @@
     copy.messages.clear();
     for (const [name, member] of this.members) copy.members.set(name, member.clone(copy));
     for (const [id, message] of this.messages) copy.messages.set(id, message);
-    for (const cut of this.cuts) copy.cuts.add(cut);
+    for (const cut of this.blockedLinks) copy.blockedLinks.add(cut);
     for (const [name, count] of this.counts) copy.counts.set(name, count);
     copy.counts.forEach((_, name) => {
       if (!this.counts.has(name)) copy.counts.delete(name);
     });
     for (const [entry, call] of this.calls) copy.calls.set(entry, call);
-    copy.history.takeOver(this.history);
+    copy.history.copyFrom(this.history);
     return copy;
   }
 
@@ -80,7 +80,7 @@
     const messages = [...this.messages.values()]
       .map(({ from, to, body }) => JSON.stringify([from, to, body]))
       .sort();
-    return [...members, ...messages, [...this.cuts].sort().join()].join("\n");
+    return [...members, ...messages, [...this.blockedLinks].sort().join()].join("\n");
   }
 
   member(name: string): ModelMember {
@@ -90,10 +90,10 @@
   }
 
   /** Does one step and checks what must hold; a step that makes no sense now does nothing. */
-  take(step: Step): void {
+  execute(step: Step): void {
     this.perform(step);
     this.countLosses();
-    this.checks.look(this.members.values());
+    this.checks.checkMembers(this.members.values());
   }
 
   private perform(step: Step): void {
@@ -118,17 +118,17 @@
       case "start":
         return this.member(step.member).start();
       case "cut":
-        this.cuts.add(linkOf(step.from, step.to));
+        this.blockedLinks.add(linkName(step.from, step.to));
         return;
       case "mend":
-        this.cuts.delete(linkOf(step.from, step.to));
+        this.blockedLinks.delete(linkName(step.from, step.to));
         return;
       case "write":
         return this.write(this.member(step.member));
       case "read":
         return this.read(this.member(step.member));
       case "handOver":
-        return this.member(step.member).handOver();
+        return this.member(step.member).transferLeadership();
       case "compact":
         return this.member(step.member).compact();
       case "demote":
@@ -146,18 +146,18 @@
     const { voters } = this.checks.latestMembers;
     const { wantedVoters } = this.settings;
     const tolerated = (wantedVoters - 1) / 2;
-    const lost = voters.filter((voter) => !this.member(voter).isWhole);
+    const lost = voters.filter((voter) => !this.member(voter).hasCompleteDisk);
     const isChanging = [...this.members.values()].some(
       ({ disk }) =>
         disk.content?.entries.some(
           ({ index, text }) =>
-            index > this.checks.lastCommittedIndex && membersIn(text) !== undefined,
+            index > this.checks.lastCommittedIndex && parseMembersEntry(text) !== undefined,
         ) === true ||
         disk.pending.some(
           ({ content }) =>
             "records" in content &&
             content.records.some(
-              (record) => record.kind === "entry" && membersIn(record.text) !== undefined,
+              (record) => record.kind === "entry" && parseMembersEntry(record.text) !== undefined,
             ),
         ),
     );
@@ -168,11 +168,12 @@
   private countLosses(): void {
     if (!this.isWithinTolerance) return;
     const { wantedVoters, names } = this.settings;
-    if (names.every((name) => this.member(name).isWhole)) return;
-    const cutOff = new Set([...this.cuts].flatMap((cut) => cut.split(">")));
+    if (names.every((name) => this.member(name).hasCompleteDisk)) return;
+    const cutOff = new Set([...this.blockedLinks].flatMap((cut) => cut.split(">")));
     const { voters } = this.checks.latestMembers;
     const lost = voters.filter(
-      (voter) => !this.member(voter).isWhole || !this.member(voter).isUp || cutOff.has(voter),
+      (voter) =>
+        !this.member(voter).hasCompleteDisk || !this.member(voter).isUp || cutOff.has(voter),
     );
     const isFilling = [...this.members.values()].some(
       ({ isUp, state }) => isUp && state.members.voters.length !== wantedVoters,
@@ -182,11 +183,11 @@
 
   private deliver(id: string, twice: boolean): void {
     const message = this.messages.get(id);
-    if (message === undefined || this.cuts.has(linkOf(message.from, message.to))) return;
+    if (message === undefined || this.blockedLinks.has(linkName(message.from, message.to))) return;
     if (!twice) this.messages.delete(id);
     const receiver = this.member(message.to);
     const { body, from, requestId } = message;
-    if (body.way === "request") receiver.receive(from, requestId, body.request);
+    if (body.direction === "request") receiver.receive(from, requestId, body.request);
     else receiver.receiveReply(requestId, body.reply);
   }
 
@@ -199,8 +200,8 @@
   }
 
   private read(member: ModelMember): void {
-    if (!member.answers) return;
-    this.history.end(this.history.begin("read"), member.value);
+    if (!member.canServeReads) return;
+    this.history.end(this.history.begin("read"), member.registerValue);
   }
 
   /** Demotes another voter, as production's choice of members does; a leader never demotes itself. */
@@ -229,27 +230,27 @@
 
   send(from: string, to: string, request: ModelRequest): string {
     const id = this.nameFor(from, to, request.kind);
-    this.put({ id, from, to, requestId: id, body: { way: "request", request } });
+    this.put({ id, from, to, requestId: id, body: { direction: "request", request } });
     return id;
   }
 
   reply(from: string, to: string, requestId: string, reply: ModelReply): void {
     const id = this.nameFor(from, to, `${reply.kind}-reply`);
-    this.put({ id, from, to, requestId, body: { way: "reply", reply } });
+    this.put({ id, from, to, requestId, body: { direction: "reply", reply } });
   }
 
-  draw(member: string): number {
+  randomFraction(member: string): number {
     const count = this.next(`draw ${member}`);
     const place = this.settings.names.indexOf(member);
     return new RandomSource(this.settings.seed * 1009 + place * 97 + count).next();
   }
 
-  nonce(): string {
+  createNonce(): string {
     return `nonce-${this.next("nonce")}`;
   }
 
-  applied(member: ModelMember, index: number, term: number, text: string): void {
-    this.checks.applied(member, index, term, text);
+  onApplied(member: ModelMember, index: number, term: number, text: string): void {
+    this.checks.onApplied(member, index, term, text);
     const key = `${member.name} ${term} ${index}`;
     const call = this.calls.get(key);
     if (call === undefined || member.state.role !== "leader" || member.state.term !== term) return;
@@ -257,8 +258,8 @@
     this.history.end(call);
   }
 
-  elected(member: ModelMember): void {
-    this.checks.elected(member);
+  onElected(member: ModelMember): void {
+    this.checks.onElected(member);
   }
 
   knownMembers(): Members | undefined {
@@ -275,7 +276,7 @@
   }
 
   private nameFor(from: string, to: string, kind: string): string {
-    const name = `${linkOf(from, to)}:${kind}`;
+    const name = `${linkName(from, to)}:${kind}`;
     return `${name}#${this.next(name)}`;
   }
 
--- a/src/model-checker/membership-review.ts
+++ b/src/model-checker/membership-review.ts
@@ -12,9 +12,15 @@
   nowMs: number,
   settings: GroupSettings,
 ): Members | undefined => {
-  const { members, acknowledgedSentMs, responsiveSinceMs, matched, committedIndex, syncedIndex } =
-    state;
-  const change = MembershipPolicy.next({
+  const {
+    members,
+    acknowledgedSentMs,
+    responsiveSinceMs,
+    matchIndexes: matched,
+    committedIndex,
+    syncedIndex,
+  } = state;
+  const change = MembershipPolicy.nextChange({
     self,
     voters: members.voters,
     learners: members.learners,
@@ -23,20 +29,20 @@
     committedIndex,
     progressOf: (member) =>
       member === self
-        ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchedIndex: syncedIndex }
+        ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchIndex: syncedIndex }
         : {
             unresponsiveMs:
               nowMs - Math.max(leadingSinceMs, acknowledgedSentMs.get(member) ?? leadingSinceMs),
             hasAcknowledged: acknowledgedSentMs.has(member),
             responsiveMs: nowMs - (responsiveSinceMs.get(member) ?? nowMs),
-            matchedIndex: matched.get(member) ?? 0,
+            matchIndex: matched.get(member) ?? 0,
           },
     timeouts: {
-      responsiveWithinMs: settings.waits.electionMaxMs,
+      responsiveWithinMs: settings.timeouts.electionMaxMs,
       replaceAfterMs: settings.replaceAfterMs,
-      responsiveAfterMs: settings.provenAfterMs,
+      responsiveAfterMs: settings.responsiveAfterMs,
       forgetAfterMs: settings.forgetAfterMs,
     },
   });
-  return change === undefined ? undefined : MembershipPolicy.after(members, change);
+  return change === undefined ? undefined : MembershipPolicy.applyChange(members, change);
 };
--- a/src/model-checker/message.ts
+++ b/src/model-checker/message.ts
@@ -31,6 +31,6 @@
   readonly to: string;
   readonly requestId: string;
   readonly body:
-    | { readonly way: "request"; readonly request: ModelRequest }
-    | { readonly way: "reply"; readonly reply: ModelReply };
+    | { readonly direction: "request"; readonly request: ModelRequest }
+    | { readonly direction: "reply"; readonly reply: ModelReply };
 }
--- a/src/model-checker/model-disk.ts
+++ b/src/model-checker/model-disk.ts
@@ -8,12 +8,13 @@
 
 /** A write under way, and what its member does once it is on disk. */
 export interface PendingWrite<Then> {
-  readonly content: { readonly records: readonly LogRecord[] } | { readonly whole: DiskContent };
-  readonly then: Then;
+  readonly content:
+    { readonly records: readonly LogRecord[] } | { readonly fullContent: DiskContent };
+  readonly effect: Then;
 }
 
 /** Adds one record to what the disk holds, as the store replays its log. */
-const withRecord = (content: DiskContent, record: LogRecord): DiskContent => {
+const applyRecord = (content: DiskContent, record: LogRecord): DiskContent => {
   switch (record.kind) {
     case "vote":
       return { ...content, term: record.term, votedFor: record.text };
@@ -39,7 +40,7 @@
     const write = this.pending.shift();
     if (write === undefined) return undefined;
     this.put(write);
-    return write.then;
+    return write.effect;
   }
 
   /** The machine stops: some of the oldest writes are on disk though nobody was told, the others are lost. */
@@ -61,8 +62,8 @@
   }
 
   private put({ content }: PendingWrite<Then>): void {
-    if ("whole" in content) this.content = content.whole;
+    if ("whole" in content) this.content = content.fullContent;
     else if (this.content !== undefined)
-      this.content = content.records.reduce(withRecord, this.content);
+      this.content = content.records.reduce(applyRecord, this.content);
   }
 }
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -13,7 +13,7 @@
 import {
   appendAsLeader,
   becomeLeader,
-  transferTargetOf,
+  selectTransferTarget,
   isLeading,
   leadershipEntryText,
   stepDownReason,
@@ -21,8 +21,8 @@
 import { mayChangeMembers, membersEntryText } from "../consensus/membership-change.js";
 import {
   completesRejoin,
-  afterRejoin,
-  rejoinMarkerIn,
+  stateAfterRejoin,
+  parseRejoinMarker,
   rejoinMarkerEntryText,
 } from "../consensus/rejoin.js";
 import {
@@ -31,7 +31,7 @@
   needsSnapshot,
   type Progress,
 } from "../consensus/replication.js";
-import { memberRightsOf } from "../consensus/rights.js";
+import { currentMemberRights } from "../consensus/rights.js";
 import {
   acknowledgeSnapshot,
   compactLog,
@@ -53,7 +53,7 @@
 import type { ModelDisk } from "./model-disk.js";
 import { emptyContent, snapshotContent } from "./disk-contents.js";
 import type { GroupSettings } from "./group-settings.js";
-import { fingerprintOf } from "./member-fingerprint.js";
+import { computeFingerprint } from "./member-fingerprint.js";
 import { reviewMembership } from "./membership-review.js";
 import { PeerReplications } from "./peer-replications.js";
 import { PendingRequests } from "./pending-requests.js";
@@ -68,14 +68,14 @@
   send(from: string, to: string, request: ModelRequest): string;
   reply(from: string, to: string, requestId: string, reply: ModelReply): void;
   /** A number from 0 up to 1 for an election timeout. */
-  draw(member: string): number;
+  randomFraction(member: string): number;
   /** Called when a member has applied the entry at an index. */
-  applied(member: ModelMember, index: number, term: number, text: string): void;
+  onApplied(member: ModelMember, index: number, term: number, text: string): void;
   /** Called when a member has become leader. */
-  elected(member: ModelMember): void;
+  onElected(member: ModelMember): void;
   /** The members as a member with an empty disk learns them; undefined where no other is up. */
   knownMembers(): Members | undefined;
-  nonce(): string;
+  createNonce(): string;
 }
 
 const SNAPSHOT_TIMEOUT_MS = 5000;
@@ -83,11 +83,11 @@
 const REJOIN_INTERVAL_MS = 500;
 const MAX_BATCH_BYTES = 1024 * 1024;
 
-const valueIn = (text: string): number | undefined =>
+const parseWriteEntry = (text: string): number | undefined =>
   text.startsWith("write ") ? Number(text.slice("write ".length)) : undefined;
 
 /** The entry by which a client sets the register. */
-export const writeText = (value: number): string => `write ${value}`;
+export const writeEntryText = (value: number): string => `write ${value}`;
 
 /**
  * One member of an explored group. It has the timers, the disk queue and the pending requests of a replication node; every
@@ -99,7 +99,7 @@
   disk: ModelDisk<WriteEffect>;
   isUp = false;
   state: ConsensusState;
-  value = 0;
+  registerValue = 0;
   appliedIndex = 0;
   private readonly group: GroupEnvironment;
   private activeRole: Role = "follower";
@@ -129,7 +129,7 @@
     const copy = new ModelMember(this.name, this.clockRate, group, this.disk.clone());
     copy.isUp = this.isUp;
     copy.state = this.state;
-    copy.value = this.value;
+    copy.registerValue = this.registerValue;
     copy.appliedIndex = this.appliedIndex;
     copy.activeRole = this.activeRole;
     copy.electionDeadlineMs = this.electionDeadlineMs;
@@ -149,14 +149,14 @@
   /** A text that is equal for equal states, with times relative to now. */
   get fingerprint(): string {
     const { isUp, state, electionDeadlineMs, replications, disk } = this;
-    return fingerprintOf({ isUp, state, electionDeadlineMs, replications, disk }, this.nowMs);
+    return computeFingerprint({ isUp, state, electionDeadlineMs, replications, disk }, this.nowMs);
   }
 
   get context(): DecisionContext {
     const { settings } = this.group;
     return {
       nowMs: this.nowMs,
-      timeouts: settings.waits,
+      timeouts: settings.timeouts,
       rules: settings.rules,
       stage: this.hasStorage ? "formed" : "empty",
       isRetired: false,
@@ -165,17 +165,17 @@
   }
 
   /** Whether this member may answer reads now. */
-  get answers(): boolean {
+  get canServeReads(): boolean {
     return (
       this.isUp &&
       (this.appliedIndex >= this.state.leadingSinceIndex ||
         !this.group.settings.rules.serveOnlyInCommittedTerm) &&
-      memberRightsOf(this.state, this.context).serve
+      currentMemberRights(this.state, this.context).serve
     );
   }
 
   /** Whether its disk has all that it ever acknowledged. */
-  get isWhole(): boolean {
+  get hasCompleteDisk(): boolean {
     const { content } = this.disk;
     return content !== undefined && content.rejoinNonce === "";
   }
@@ -186,7 +186,7 @@
     const { content } = this.disk;
     this.state = initialState(this.name, this.nowMs);
     this.hasStorage = content !== undefined;
-    this.value = content?.value ?? 0;
+    this.registerValue = content?.value ?? 0;
     this.appliedIndex = content?.lastIndex ?? 0;
     if (content !== undefined) this.state = restoredState(this.state, content);
     this.state = stateAfterRestart(this.state, this.context);
@@ -230,18 +230,18 @@
   }
 
   /** Sets the register through this member; false where it doesn't lead. */
-  write(value: number): boolean {
+  write(registerValue: number): boolean {
     if (!this.isUp || this.state.role !== "leader") return false;
-    this.append([writeText(value)]);
+    this.append([writeEntryText(registerValue)]);
     this.settle();
     return true;
   }
 
   /** Transfers the leadership to the most up-to-date voter. */
-  handOver(): void {
+  transferLeadership(): void {
     if (!this.isUp || this.state.role !== "leader") return;
     const { term } = this.state;
-    const target = transferTargetOf(this.state);
+    const target = selectTransferTarget(this.state);
     this.state = becomeFollower(this.state, term, "", this.nowMs);
     if (target !== undefined)
       this.send(target, { kind: "handOver", term }, this.waits.electionMinMs);
@@ -300,7 +300,7 @@
   }
 
   private get waits() {
-    return this.group.settings.waits;
+    return this.group.settings.timeouts;
   }
 
   private send(peer: string, request: ModelRequest, timeoutMs: number): string {
@@ -312,7 +312,7 @@
 
   private electionWaitMs(): number {
     const { electionMinMs, electionMaxMs } = this.waits;
-    return electionMinMs + this.group.draw(this.name) * (electionMaxMs - electionMinMs);
+    return electionMinMs + this.group.randomFraction(this.name) * (electionMaxMs - electionMinMs);
   }
 
   private waitForElection(): void {
@@ -330,7 +330,7 @@
 
   private tickLeader(): void {
     const why = stepDownReason(this.state, this.leadingSinceMs, this.context);
-    if (why === "notVoter") return this.handOver();
+    if (why === "notVoter") return this.transferLeadership();
     if (why === "noContact") {
       this.state = becomeFollower(this.state, this.state.term, "", this.nowMs);
       return;
@@ -370,7 +370,7 @@
           this.electionDeadlineMs = this.nowMs + this.electionWaitMs();
           this.disk.pending.push({
             content: { records },
-            then: { kind: "requestVotes", request },
+            effect: { kind: "requestVotes", request },
           });
           break;
         }
@@ -384,7 +384,7 @@
   private lead(): void {
     this.state = becomeLeader(this.state);
     this.leadingSinceMs = this.nowMs;
-    this.group.elected(this);
+    this.group.onElected(this);
     this.append([leadershipEntryText(this.state)]);
   }
 
@@ -399,8 +399,12 @@
   private append(texts: readonly string[]): void {
     const { state, records } = appendAsLeader(this.state, texts);
     this.state = state;
-    const then: WriteEffect = { kind: "ownEntries", term: state.term, index: state.log.lastIndex };
-    this.disk.pending.push({ content: { records }, then });
+    const effect: WriteEffect = {
+      kind: "ownEntries",
+      term: state.term,
+      index: state.log.lastIndex,
+    };
+    this.disk.pending.push({ content: { records }, effect });
     this.replications.expedite(this.nowMs);
   }
 
@@ -411,7 +415,11 @@
     for (const peer of peers) {
       if (peer === this.name) continue;
       const initial = (): Progress => initialProgress(this.state);
-      const { progress, requestId, dueMs } = this.replications.open(peer, initial, this.nowMs);
+      const { progress, requestId, dueMs } = this.replications.getOrCreate(
+        peer,
+        initial,
+        this.nowMs,
+      );
       if (requestId === undefined && this.nowMs >= dueMs) this.replicate(peer, progress);
     }
   }
@@ -425,12 +433,12 @@
         lastIndex: this.appliedIndex,
         lastTerm: state.log.termAt(this.appliedIndex) ?? 0,
         members: membersAt(state, this.appliedIndex),
-        value: this.value,
+        value: this.registerValue,
       };
       const snapshot: ModelRequest = { kind: "snapshot", request };
       this.replications.begin(peer, this.send(peer, snapshot, SNAPSHOT_TIMEOUT_MS));
     } else {
-      const limit = { entries: this.group.settings.batchEntries, bytes: MAX_BATCH_BYTES };
+      const limit = { entries: this.group.settings.maxBatchEntries, bytes: MAX_BATCH_BYTES };
       const request = appendRequestFor(state, progress, limit);
       const append: ModelRequest = { kind: "append", request };
       this.replications.begin(peer, this.send(peer, append, this.waits.electionMinMs));
@@ -448,13 +456,13 @@
     this.state = decision.state;
     const { reply, records } = decision;
     if (decision.replyAfterSync) {
-      const then: WriteEffect = { kind: "replyVote", to: from, requestId, reply };
-      if (records.length > 0) this.disk.pending.push({ content: { records }, then });
-      else this.completeWrite(then);
+      const effect: WriteEffect = { kind: "replyVote", to: from, requestId, reply };
+      if (records.length > 0) this.disk.pending.push({ content: { records }, effect: then });
+      else this.completeWrite(effect);
       return;
     }
     if (records.length > 0)
-      this.disk.pending.push({ content: { records }, then: { kind: "none" } });
+      this.disk.pending.push({ content: { records }, effect: { kind: "none" } });
     this.group.reply(this.name, from, requestId, { kind: "vote", reply });
   }
 
@@ -469,7 +477,7 @@
     const then: WriteEffect = { kind: "acknowledgeAppend", to: from, requestId, pending };
     const waits = this.group.settings.rules.syncEntriesBeforeReply;
     if (mustSync)
-      this.disk.pending.push({ content: { records }, then: waits ? then : { kind: "none" } });
+      this.disk.pending.push({ content: { records }, effect: waits ? then : { kind: "none" } });
     if (!mustSync || !waits) this.completeWrite(then);
     this.apply();
   }
@@ -482,16 +490,25 @@
       return;
     }
     const { counts, entries } = decision;
-    const { lastIndex, lastTerm, members, value } = request;
+    const { lastIndex, lastTerm, members, value: registerValue } = request;
     this.state = installSnapshot(this.state, request, members, entries);
     this.appliedIndex = lastIndex;
-    this.value = value;
+    this.registerValue = registerValue;
     const { term, votedFor, rejoinNonce, truncations } = this.state;
     this.disk.pending.push({
       content: {
-        whole: { term, votedFor, rejoinNonce, lastIndex, lastTerm, members, entries, value },
+        fullContent: {
+          term,
+          votedFor,
+          rejoinNonce,
+          lastIndex,
+          lastTerm,
+          members,
+          entries,
+          value: registerValue,
+        },
       },
-      then: {
+      effect: {
         kind: "acknowledgeSnapshot",
         to: from,
         requestId,
@@ -502,7 +519,7 @@
   }
 
   private onRejoin(machine: string, nonce: string): void {
-    if (!this.answers) return;
+    if (!this.canServeReads) return;
     const { voters, learners } = this.state.members;
     if (![...voters, ...learners].includes(machine)) {
       if (!mayChangeMembers(this.state, this.context)) return;
@@ -541,7 +558,7 @@
     const { term, lastIndex } = request;
     this.state = onAcknowledgment(
       this.state,
-      { peer, term, sentMs, matched, counts },
+      { peer, term, sentMs, matchIndex: matched, counts },
       this.context,
     );
     if (reply.term > term) this.followNewerTerm(reply.term);
@@ -588,7 +605,7 @@
         this.waitForElection();
         return;
       case "rejoined":
-        this.state = afterRejoin(this.state);
+        this.state = stateAfterRejoin(this.state);
         return;
       case "none":
         return;
@@ -600,10 +617,10 @@
     if (this.disk.pending.length > 0) return;
     const members = this.group.knownMembers();
     if (members === undefined) return;
-    const content = emptyContent(members, this.group.nonce());
+    const content = emptyContent(members, this.group.createNonce());
     this.disk.pending.push({
-      content: { whole: content },
-      then: { kind: "beginRejoin", content },
+      content: { fullContent: content },
+      effect: { kind: "beginRejoin", content },
     });
   }
 
@@ -630,18 +647,18 @@
       if (entry === undefined || entry.index !== index)
         throw new Error(`${this.name}: entry ${index} is not where it should be.`);
       this.appliedIndex = index;
-      this.value = valueIn(entry.text) ?? this.value;
-      const mark = rejoinMarkerIn(entry.text);
+      this.registerValue = parseWriteEntry(entry.text) ?? this.registerValue;
+      const mark = parseRejoinMarker(entry.text);
       if (mark !== undefined && completesRejoin(this.state, mark, this.context))
         this.writeSnapshot("", { kind: "rejoined" });
-      this.group.applied(this, index, entry.term, entry.text);
+      this.group.onApplied(this, index, entry.term, entry.text);
     }
   }
 
   private writeSnapshot(rejoinNonce: string, then: WriteEffect): void {
     const lastIndex = this.appliedIndex;
-    const content = snapshotContent(this.state, lastIndex, this.value, rejoinNonce);
+    const content = snapshotContent(this.state, lastIndex, this.registerValue, rejoinNonce);
     this.state = compactLog(this.state, lastIndex);
-    this.disk.pending.push({ content: { whole: content }, then });
+    this.disk.pending.push({ content: { fullContent: content }, effect: then });
   }
 }
--- a/src/model-checker/mutants.ts
+++ b/src/model-checker/mutants.ts
@@ -3,12 +3,12 @@
 /** One safety rule taken out of the decisions, to see whether the explorer notices. */
 export interface Mutant {
   readonly name: string;
-  readonly alteration: RuleOverride;
+  readonly ruleOverride: RuleOverride;
 }
 
 const withoutRule = (rule: keyof NonNullable<RuleOverride["rules"]>, name: string): Mutant => ({
   name,
-  alteration: { rules: { [rule]: false } },
+  ruleOverride: { rules: { [rule]: false } },
 });
 
 /** All mutants: each rule of the agreement once, and the lease once longer than the election wait. */
@@ -32,5 +32,8 @@
   withoutRule("oneMembershipChangeAtATime", "members change while a change is uncommitted"),
   withoutRule("leaseFromSending", "the lease counts from the answer, not from the sending"),
   withoutRule("serveOnlyInCommittedTerm", "a new leader answers before an entry of its term"),
-  { name: "a lease longer than the election wait", alteration: { waits: { leaderLeaseMs: 900 } } },
+  {
+    name: "a lease longer than the election wait",
+    ruleOverride: { timeouts: { leaderLeaseMs: 900 } },
+  },
 ];
--- a/src/model-checker/peer-replications.ts
+++ b/src/model-checker/peer-replications.ts
@@ -20,7 +20,7 @@
   }
 
   /** The replication to a peer; one that is new is due at once. */
-  open(peer: string, initial: () => Progress, nowMs: number): PeerReplication {
+  getOrCreate(peer: string, initial: () => Progress, nowMs: number): PeerReplication {
     const known = this.replications.get(peer);
     if (known !== undefined) return known;
     const replication = { progress: initial(), requestId: undefined, dueMs: nowMs };
--- a/src/model-checker/phase-walk.ts
+++ b/src/model-checker/phase-walk.ts
@@ -4,8 +4,8 @@
 import type { Step } from "./step.js";
 
 /** How likely a phase ends with the next step. */
-const phaseEnd = 0.03;
-const paces = [5, 20, 60];
+const phaseEndProbability = 0.03;
+const timeStepsMs = [5, 20, 60];
 
 /**
  * Draws steps in phases. In each, some members reach one another and nothing is lost among them; the others are cut
@@ -25,7 +25,7 @@
   }
 
   next(group: MemberGroup): Step {
-    if (this.planned.length === 0 && this.random.chance(phaseEnd)) this.plan(group);
+    if (this.planned.length === 0 && this.random.chance(phaseEndProbability)) this.plan(group);
     return this.planned.shift() ?? this.progress(group);
   }
 
@@ -66,7 +66,7 @@
     for (const from of names)
       for (const to of names) {
         if (from === to) continue;
-        const isCut = group.cuts.has(`${from}>${to}`);
+        const isCut = group.blockedLinks.has(`${from}>${to}`);
         const reaches = together.has(from) && together.has(to);
         if (isCut && reaches) this.planned.push({ kind: "mend", from, to });
         if (!isCut && !reaches) this.planned.push({ kind: "cut", from, to });
@@ -79,11 +79,11 @@
     const writer = random.oneOf(writing);
     if (writer !== undefined && random.chance(0.5)) return { kind: "sync", member: writer.name };
     const open = [...group.messages.values()].filter(
-      ({ from, to }) => !group.cuts.has(`${from}>${to}`),
+      ({ from, to }) => !group.blockedLinks.has(`${from}>${to}`),
     );
     const message = random.chance(0.15) ? random.oneOf(open) : open[0];
     if (message !== undefined && random.chance(0.9))
       return { kind: "deliver", message: message.id, twice: random.chance(0.02) };
-    return { kind: "advance", ms: random.oneOf(paces) ?? 20, paused: [] };
+    return { kind: "advance", ms: random.oneOf(timeStepsMs) ?? 20, paused: [] };
   }
 }
--- a/src/model-checker/random-walk.ts
+++ b/src/model-checker/random-walk.ts
@@ -4,51 +4,51 @@
 import type { Step } from "./step.js";
 
 /** How often each kind of trouble comes, by the run: some are nearly calm, so that much is committed between failures. */
-interface Climate {
+interface FailureProfile {
   readonly loss: number;
   readonly crash: number;
   readonly wipe: number;
-  readonly cut: number;
+  readonly linkBlock: number;
   readonly isolation: number;
   readonly pause: number;
   readonly membership: number;
-  readonly handOver: number;
+  readonly leadershipTransfer: number;
   /** How often a message is delivered out of turn. */
-  readonly disorder: number;
+  readonly reordering: number;
   readonly slowDisk: number;
   /** How much time passes at once while somebody leads. */
-  readonly paces: readonly number[];
+  readonly timeStepsMs: readonly number[];
 }
 
-const calm: Climate = {
+const noFailures: FailureProfile = {
   loss: 0,
   crash: 0,
   wipe: 0,
-  cut: 0,
+  linkBlock: 0,
   isolation: 0,
   pause: 0,
   membership: 0,
-  handOver: 0,
-  disorder: 0,
+  leadershipTransfer: 0,
+  reordering: 0,
   slowDisk: 0,
-  paces: [2, 5, 10],
+  timeStepsMs: [2, 5, 10],
 };
 
 /** All troubles at once, each more or less. */
-const mixed = (random: RandomSource): Climate => {
+const drawMixedProfile = (random: RandomSource): FailureProfile => {
   const upTo = (most: number): number => (random.chance(0.4) ? 0 : most * random.next() ** 2);
   return {
     loss: upTo(0.15),
     crash: upTo(0.04),
     wipe: upTo(0.03),
-    cut: upTo(0.04),
+    linkBlock: upTo(0.04),
     isolation: upTo(0.05),
     pause: upTo(0.4),
     membership: upTo(0.06),
-    handOver: upTo(0.02),
-    disorder: upTo(0.8),
+    leadershipTransfer: upTo(0.02),
+    reordering: upTo(0.8),
     slowDisk: upTo(0.8),
-    paces: random.oneOf([
+    timeStepsMs: random.oneOf([
       [2, 5, 10],
       [5, 20, 60],
       [20, 60, 150],
@@ -57,24 +57,24 @@
 };
 
 /** Some runs have all troubles, others few that work together, so that much is committed between failures. */
-const climateOf = (random: RandomSource): Climate => {
+const drawProfile = (random: RandomSource): FailureProfile => {
   const some = (most: number): number => most * (0.2 + 0.8 * random.next());
   switch (random.below(6)) {
     case 0:
-      return { ...calm, isolation: some(0.02), pause: some(0.2) };
+      return { ...noFailures, isolation: some(0.02), pause: some(0.2) };
     case 1:
-      return { ...calm, isolation: some(0.015), crash: some(0.03), slowDisk: some(0.8) };
+      return { ...noFailures, isolation: some(0.015), crash: some(0.03), slowDisk: some(0.8) };
     case 2:
-      return { ...calm, isolation: some(0.015), wipe: some(0.02) };
+      return { ...noFailures, isolation: some(0.015), wipe: some(0.02) };
     case 3:
-      return { ...calm, isolation: some(0.015), crash: some(0.01), membership: some(0.05) };
+      return { ...noFailures, isolation: some(0.015), crash: some(0.01), membership: some(0.05) };
     default:
-      return mixed(random);
+      return drawMixedProfile(random);
   }
 };
 
 /** How much time passes at once while nobody leads, so that elections come soon. */
-const leaderlessPaces = [20, 60, 150];
+const leaderlessTimeStepsMs = [20, 60, 150];
 
 const isLeader = ({ isUp, state }: { isUp: boolean; state: { role: string } }): boolean =>
   isUp && state.role === "leader";
@@ -82,14 +82,14 @@
 /** Draws steps for a group, the same ones for the same seed. */
 export class RandomWalk {
   private readonly random: RandomSource;
-  private readonly climate: Climate;
+  private readonly climate: FailureProfile;
   private readonly phases: PhaseWalk | undefined;
   /** Steps that belong together and come one after the other. */
   private planned: Step[] = [];
 
   constructor(seed: number) {
     this.random = new RandomSource(seed);
-    this.climate = climateOf(this.random);
+    this.climate = drawProfile(this.random);
     this.phases = this.random.chance(0.5) ? new PhaseWalk(this.random) : undefined;
   }
 
@@ -109,9 +109,9 @@
   }
 
   /** A voter more often than another member, since voters decide. */
-  private voter(group: MemberGroup): string {
-    const voter = this.random.oneOf(group.checks.latestMembers.voters);
-    return voter === undefined || this.random.chance(0.2) ? this.name(group) : voter;
+  private drawVoter(group: MemberGroup): string {
+    const drawVoter = this.random.oneOf(group.checks.latestMembers.voters);
+    return drawVoter === undefined || this.random.chance(0.2) ? this.name(group) : drawVoter;
   }
 
   private failure(group: MemberGroup): Step | undefined {
@@ -120,31 +120,32 @@
     if (down !== undefined && random.chance(0.06)) return { kind: "start", member: down.name };
     if (random.chance(climate.crash)) return this.crash(group);
     if (random.chance(climate.wipe)) return this.wipe(group);
-    if (group.cuts.size > 0 && random.chance(0.03)) return this.mend(group);
+    if (group.blockedLinks.size > 0 && random.chance(0.03)) return this.mend(group);
     if (random.chance(climate.isolation)) return this.isolate(group);
-    if (random.chance(climate.cut))
-      return { kind: "cut", from: this.leader(group), to: this.voter(group) };
-    if (random.chance(climate.cut / 2))
-      return { kind: "cut", from: this.voter(group), to: this.leader(group) };
-    if (random.chance(climate.handOver)) return { kind: "handOver", member: this.leader(group) };
+    if (random.chance(climate.linkBlock))
+      return { kind: "cut", from: this.leader(group), to: this.drawVoter(group) };
+    if (random.chance(climate.linkBlock / 2))
+      return { kind: "cut", from: this.drawVoter(group), to: this.leader(group) };
+    if (random.chance(climate.leadershipTransfer))
+      return { kind: "handOver", member: this.leader(group) };
     return random.chance(climate.membership) ? this.membershipChange(group) : undefined;
   }
 
   private crash(group: MemberGroup): Step {
-    const member = this.voter(group);
+    const member = this.drawVoter(group);
     if (this.random.chance(0.5)) this.planned.push({ kind: "start", member });
     return { kind: "crash", member, keptWrites: this.random.below(3) };
   }
 
   private wipe(group: MemberGroup): Step {
-    const member = this.voter(group);
+    const member = this.drawVoter(group);
     if (this.random.chance(0.7)) this.planned.push({ kind: "start", member });
     return { kind: "wipe", member };
   }
 
   /** One cut ends, or all of them. */
   private mend(group: MemberGroup): Step {
-    const steps = [...group.cuts].map((cut): Step => {
+    const steps = [...group.blockedLinks].map((cut): Step => {
       const [from = "", to = ""] = cut.split(">");
       return { kind: "mend", from, to };
     });
@@ -155,9 +156,9 @@
 
   /** A member is cut off, both ways or one way, often in place of the one that was. */
   private isolate(group: MemberGroup): Step {
-    const member = this.random.chance(0.5) ? this.leader(group) : this.voter(group);
+    const member = this.random.chance(0.5) ? this.leader(group) : this.drawVoter(group);
     const ways = this.random.oneOf(["both", "out", "in"]);
-    const former = this.random.chance(0.5) ? [...group.cuts] : [];
+    const former = this.random.chance(0.5) ? [...group.blockedLinks] : [];
     for (const cut of former) {
       const [from = "", to = ""] = cut.split(">");
       this.planned.push({ kind: "mend", from, to });
@@ -174,10 +175,12 @@
     const leader = this.leader(group);
     const { voters, learners } = group.member(leader).state.members;
     const learner = this.random.oneOf(learners);
-    const voter = this.random.oneOf(voters);
+    const drawVoter = this.random.oneOf(voters);
     if (learner !== undefined && this.random.chance(0.55))
       return { kind: "promote", member: leader, learner };
-    return voter === undefined ? undefined : { kind: "demote", member: leader, voter };
+    return drawVoter === undefined
+      ? undefined
+      : { kind: "demote", member: leader, voter: drawVoter };
   }
 
   private call(group: MemberGroup): Step | undefined {
@@ -194,18 +197,20 @@
     if (writer !== undefined && !random.chance(0.4 + climate.slowDisk / 2))
       return { kind: "sync", member: writer.name };
     const open = [...group.messages.values()].filter(
-      ({ from, to }) => !group.cuts.has(`${from}>${to}`),
+      ({ from, to }) => !group.blockedLinks.has(`${from}>${to}`),
     );
     const { voters } = group.checks.latestMembers;
     const between = open.filter(({ from, to }) => voters.includes(from) && voters.includes(to));
     const eligible = between.length > 0 && random.chance(0.7) ? between : open;
-    const message = random.chance(climate.disorder) ? random.oneOf(eligible) : eligible[0];
+    const message = random.chance(climate.reordering) ? random.oneOf(eligible) : eligible[0];
     if (message !== undefined && random.chance(0.85)) {
       if (random.chance(climate.loss)) return { kind: "lose", message: message.id };
       return { kind: "deliver", message: message.id, twice: random.chance(climate.loss / 2) };
     }
     const paused = group.settings.names.filter(() => random.chance(climate.pause / 2));
-    const paces = [...group.members.values()].some(isLeader) ? climate.paces : leaderlessPaces;
+    const paces = [...group.members.values()].some(isLeader)
+      ? climate.timeStepsMs
+      : leaderlessTimeStepsMs;
     return { kind: "advance", ms: random.oneOf(paces) ?? 20, paused };
   }
 }
--- a/src/model-checker/search-run.ts
+++ b/src/model-checker/search-run.ts
@@ -10,8 +10,8 @@
 export interface Counterexample {
   readonly settings: GroupSettings;
   readonly steps: readonly Step[];
-  readonly promise: string;
-  readonly how: string;
+  readonly invariant: string;
+  readonly message: string;
 }
 
 const checkHistory = (group: MemberGroup): void => {
@@ -19,16 +19,16 @@
   if (contradiction !== undefined)
     throw new InvariantViolation(
       "linearizable",
-      `${contradiction.why}: ${JSON.stringify(contradiction.operations)}`,
+      `${contradiction.reason}: ${JSON.stringify(contradiction.operations)}`,
     );
 };
 
-const finish = (group: MemberGroup): void => {
+const checkEnd = (group: MemberGroup): void => {
   checkHistory(group);
   recover(group);
 };
 
-const attempt = (
+const catchViolation = (
   settings: GroupSettings,
   steps: readonly Step[],
   work: () => void,
@@ -38,7 +38,7 @@
     return undefined;
   } catch (error) {
     if (!(error instanceof InvariantViolation)) throw error;
-    return { settings, steps, promise: error.promise, how: error.message };
+    return { settings, steps, invariant: error.invariant, message: error.message };
   }
 };
 
@@ -49,12 +49,12 @@
 ): Counterexample | undefined => {
   const group = new MemberGroup(settings);
   const played: Step[] = [];
-  return attempt(settings, played, () => {
+  return catchViolation(settings, played, () => {
     for (const step of steps) {
       played.push(step);
-      group.take(step);
+      group.execute(step);
     }
-    finish(group);
+    checkEnd(group);
   });
 };
 
@@ -67,12 +67,12 @@
   const group = new MemberGroup(settings);
   const walk = new RandomWalk(seed);
   const steps: Step[] = [];
-  return attempt(settings, steps, () => {
+  return catchViolation(settings, steps, () => {
     while (steps.length < length) {
       const step = walk.next(group);
       steps.push(step);
-      group.take(step);
+      group.execute(step);
     }
-    finish(group);
+    checkEnd(group);
   });
 };
--- a/src/model-checker/shrink.ts
+++ b/src/model-checker/shrink.ts
@@ -1,7 +1,7 @@
 import { replay, type Counterexample } from "./search-run.js";
 import type { Step } from "./step.js";
 
-const without = (steps: readonly Step[], from: number, count: number): Step[] => [
+const withoutRange = (steps: readonly Step[], from: number, count: number): Step[] => [
   ...steps.slice(0, from),
   ...steps.slice(from + count),
 ];
@@ -17,8 +17,8 @@
       for (let from = smallest.steps.length - size; from >= 0; from -= size) {
         replays += 1;
         if (replays >= mostReplays) break;
-        const shorter = replay(found.settings, without(smallest.steps, from, size));
-        if (shorter === undefined || shorter.promise !== found.promise) continue;
+        const shorter = replay(found.settings, withoutRange(smallest.steps, from, size));
+        if (shorter === undefined || shorter.invariant !== found.invariant) continue;
         smallest = shorter;
         hasShrunk = true;
       }
--- a/src/model-checker/step.ts
+++ b/src/model-checker/step.ts
@@ -35,11 +35,11 @@
 export type Step = Infer<typeof stepShape>;
 
 /** A trace as a file: one step a line. */
-export const stepsToText = (steps: readonly Step[]): string =>
+export const formatSteps = (steps: readonly Step[]): string =>
   steps.map((step) => JSON.stringify(step)).join("\n");
 
 /** The steps of such a file; lines that begin with # are comments. */
-export const stepsFromText = (text: string): Step[] =>
+export const parseSteps = (text: string): Step[] =>
   text
     .split("\n")
     .filter((line) => line.trim() !== "" && !line.startsWith("#"))
--- a/src/model-checker/trace.ts
+++ b/src/model-checker/trace.ts
@@ -2,10 +2,11 @@
 import { InvariantViolation } from "./invariant-checks.js";
 import type { Message } from "./message.js";
 import type { Counterexample } from "./search-run.js";
-import { stepsToText, type Step } from "./step.js";
+import { formatSteps, type Step } from "./step.js";
 
-const contentOf = ({ body }: Message): string => {
-  if (body.way === "reply") return `${body.reply.kind} reply ${JSON.stringify(body.reply.reply)}`;
+const describeMessage = ({ body }: Message): string => {
+  if (body.direction === "reply")
+    return `${body.reply.kind} reply ${JSON.stringify(body.reply.reply)}`;
   const { request } = body;
   switch (request.kind) {
     case "vote":
@@ -18,7 +19,7 @@
   }
 };
 
-const describe = (group: MemberGroup, step: Step): string => {
+const describeStep = (group: MemberGroup, step: Step): string => {
   switch (step.kind) {
     case "advance": {
       const paused = step.paused.length > 0 ? `, ${step.paused.join(" and ")} paused` : "";
@@ -30,7 +31,7 @@
       if (message === undefined) return `${step.message} is gone already`;
       const what =
         step.kind === "lose" ? "is lost" : step.twice ? "arrives, a copy stays" : "arrives";
-      return `${message.from} to ${message.to}: ${contentOf(message)} ${what}`;
+      return `${message.from} to ${message.to}: ${describeMessage(message)} ${what}`;
     }
     case "sync":
       return `${step.member}: its oldest write is on disk`;
@@ -59,7 +60,7 @@
   }
 };
 
-const stateOf = (group: MemberGroup): string =>
+const describeStates = (group: MemberGroup): string =>
   [...group.members.values()]
     .map(({ name, isUp, state }) => {
       const { role, term, log, committedIndex } = state;
@@ -70,27 +71,27 @@
     .join("  ");
 
 /** A counterexample for a person: what happened, step by step, and how each member stood then. */
-export const traceText = ({ settings, steps, how }: Counterexample): string => {
+export const formatTrace = ({ settings, steps, message: how }: Counterexample): string => {
   const group = new MemberGroup(settings);
   const lines: string[] = [];
   for (const [at, step] of steps.entries()) {
-    lines.push(`${at + 1}. ${describe(group, step)}`);
+    lines.push(`${at + 1}. ${describeStep(group, step)}`);
     try {
-      group.take(step);
+      group.execute(step);
     } catch (error) {
       if (!(error instanceof InvariantViolation)) throw error;
     }
-    lines.push(`     ${stateOf(group)}`);
+    lines.push(`     ${describeStates(group)}`);
   }
   return [...lines, how].join("\n");
 };
 
 /** A counterexample as a file that can be played again: what a person reads as comments, then the steps. */
-export const traceFile = (found: Counterexample): string =>
+export const formatTraceFile = (found: Counterexample): string =>
   [
-    ...traceText(found)
+    ...formatTrace(found)
       .split("\n")
       .map((line) => `# ${line}`),
-    stepsToText(found.steps),
+    formatSteps(found.steps),
     "",
   ].join("\n");
--- a/src/proxy/attempt-runner.ts
+++ b/src/proxy/attempt-runner.ts
@@ -9,7 +9,7 @@
 import type { BulkAdmission } from "./bulk-admission.js";
 import type { HeaderNames } from "./header-names.js";
 import { endToEndHeaders } from "./hop-by-hop-headers.js";
-import { outcomeOfFailure, outcomeRuleOf } from "./outcome-rules.js";
+import { createFailureOutcome, getOutcomeRule } from "./outcome-rules.js";
 import type { ProxyCounters } from "./proxy-counters.js";
 import type { RequestContext } from "./request-context.js";
 import type { RequestOutcome } from "./request-outcome.js";
@@ -74,15 +74,15 @@
     loadBalancer.attemptStarted(registration, startedMs, route.name);
     const opened = yield* backendClient.send(this.backendAttempt(attempt, requestId, startedMs));
     if (opened.kind === "failed" && (opened.cause === "refused" || opened.cause === "foreign"))
-      clusterView.noteRefused(registration);
+      clusterView.markRefused(registration);
     if (opened.kind === "failed" && opened.cause === "withdrawn") {
       loadBalancer.attemptCancelled(registration, clock.nowMs());
-      return { outcome: outcomeOfFailure("withdrawn", RETRY_AFTER_MS.soon), isSent: false };
+      return { outcome: createFailureOutcome("withdrawn", RETRY_AFTER_MS.soon), isSent: false };
     }
-    const isSent = opened.kind === "opened" || outcomeRuleOf(opened.cause).isSent;
+    const isSent = opened.kind === "opened" || getOutcomeRule(opened.cause).isSent;
     const outcome =
       opened.kind === "failed"
-        ? outcomeOfFailure(opened.cause, RETRY_AFTER_MS.soon)
+        ? createFailureOutcome(opened.cause, RETRY_AFTER_MS.soon)
         : yield* responseForwarder.forward(opened.response, {
             context,
             route,
@@ -101,7 +101,7 @@
   private backendAttempt(attempt: Attempt, requestId: string, startedMs: number): BackendAttempt {
     const { context, route, service, registration } = attempt;
     const { client, clientRequest } = context;
-    const { method, target, body, rest } = clientRequest;
+    const { method, target, body, bodyRemainder: rest } = clientRequest;
     const untilMs =
       this.options.headerNames.deadline === undefined
         ? startedMs + route.timeoutMs
@@ -115,13 +115,13 @@
         path: target,
         headers: this.requestHeaders(attempt, requestId, untilMs),
         body,
-        rest,
+        bodyRemainder: rest,
       },
       deadlineMs: untilMs,
       dueMs: client.dueMs,
       isAtMostOnce: !route.repeatable,
       ...(route.repeatable && client.onClosed
-        ? { onUnwanted: (run) => client.onClosed?.(run) ?? noCancel }
+        ? { onClientClosed: (run) => client.onClosed?.(run) ?? noCancel }
         : {}),
       maySend: () => this.confirmSend(attempt),
     };
@@ -134,10 +134,10 @@
     untilMs: number,
   ): Record<string, string> {
     const { clock, headerNames } = this.options;
-    const { requestId, deadline, expected, proof } = headerNames;
+    const { requestId, deadline, expectedInstance: expected, proof } = headerNames;
     const headers = endToEndHeaders(clientRequest.headers);
     const contentLength = clientRequest.headers["content-length"];
-    if (clientRequest.rest && contentLength !== undefined)
+    if (clientRequest.bodyRemainder && contentLength !== undefined)
       headers["content-length"] = contentLength;
     if (proof === "connection") {
       delete headers["host"];
@@ -157,7 +157,7 @@
     const { counts, counters } = this.options;
     const { context, service, isRetry } = attempt;
     counters.countAttempt(isRetry);
-    if (context.clientRequest.rest) context.isBodyConsumed = true;
+    if (context.clientRequest.bodyRemainder) context.isBodyConsumed = true;
     counts.countAttempt(service, isRetry);
     return true;
   }
@@ -169,10 +169,10 @@
     return (
       !client.isClosed &&
       route !== undefined &&
-      route.servesWith(service) &&
+      route.routesTo(service) &&
       servingView.maySend(clientRequest, route) &&
       clusterView.isRegistered(registration) &&
-      clock.nowMs() + servingView.egressDelayMs(clientRequest) < (claim?.sendUntilMs ?? Infinity)
+      clock.nowMs() + servingView.egressDelayMs(clientRequest) < (claim?.sendDeadlineMs ?? Infinity)
     );
   }
 
@@ -185,7 +185,7 @@
     const { clock, loadBalancer, bulkAdmission } = this.options;
     const nowMs = clock.nowMs();
     // A client that left and so ended the attempt says nothing about the backend.
-    if (outcome.why !== "" && context.client.isClosed && route.repeatable) {
+    if (outcome.reason !== "" && context.client.isClosed && route.repeatable) {
       loadBalancer.attemptCancelled(registration, nowMs);
       return;
     }
@@ -193,17 +193,17 @@
     const isWhole =
       typeof response === "string"
         ? response === "streamed"
-        : outcome.why === "" && response.code < 500;
+        : outcome.reason === "" && response.code < 500;
     const bytes = typeof response === "string" || !isWhole ? undefined : response.body.length;
     if (bytes !== undefined) bulkAdmission.recordSize(route.name, bytes);
     loadBalancer.attemptEnded(
       registration,
       {
-        tookMs: nowMs - startedMs,
+        latencyMs: nowMs - startedMs,
         isComplete: isWhole,
         latencyTargetMs: route.latencyTargetMs,
         route: route.name,
-        bytes,
+        responseBytes: bytes,
       },
       nowMs,
     );
--- a/src/proxy/bulk-admission.ts
+++ b/src/proxy/bulk-admission.ts
@@ -29,7 +29,7 @@
     const bytes = this.averageBytes(route);
     if (bytes <= egress.smallBytes || expectedBytes + egress.bulkBytes < 1) return true;
     const arrivalMs = bytes <= this.maxBufferedBytes ? egress.transferMs(bytes) : 0;
-    return arrivalMs + egress.waitMs(expectedBytes + bytes) <= leftMs;
+    return arrivalMs + egress.estimateWaitMs(expectedBytes + bytes) <= leftMs;
   }
 
   /** Reserves capacity for a response of the route's average size; the returned function releases it, and may be called again. */
--- a/src/proxy/expired-lease-policy.ts
+++ b/src/proxy/expired-lease-policy.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "../runtime/clock.js";
 
 /** What a daemon knows of its connections to the replicas of the log. */
-export interface CoreContact {
+export interface ReplicaReachability {
   /** The addresses of the replicas, as last received. */
   readonly replicas: readonly string[];
   /** Whether since a moment a connection to a replica failed or became unresponsive, and nothing was received from it after that. */
@@ -23,10 +23,10 @@
  */
 export class ExpiredLeasePolicy {
   private readonly clock: Clock;
-  private readonly core: CoreContact;
+  private readonly core: ReplicaReachability;
   private readonly bounds: ExpiredLeaseBounds;
 
-  constructor(clock: Clock, core: CoreContact, bounds: ExpiredLeaseBounds) {
+  constructor(clock: Clock, core: ReplicaReachability, bounds: ExpiredLeaseBounds) {
     this.clock = clock;
     this.core = core;
     this.bounds = bounds;
--- a/src/proxy/header-names.ts
+++ b/src/proxy/header-names.ts
@@ -7,15 +7,15 @@
   /** In which a backend gets the attempt's name. */
   readonly requestId: string;
   /** In which a backend's response repeats that name. */
-  readonly echo: string;
+  readonly requestIdEcho: string;
   /** Which each complete success must carry, if any. */
   readonly seal: string | undefined;
   /** The idempotency key: in which a client names the operation that its attempts belong to. */
-  readonly key: string;
+  readonly idempotencyKey: string;
   /** In which clients state, and backends get, how many milliseconds are left. */
   readonly deadline: string | undefined;
   /** In which a backend gets the instance that is meant; a response 421 states that it is another. */
-  readonly expected: string | undefined;
+  readonly expectedInstance: string | undefined;
   /** By which a backend's response states that the request was not run. */
   readonly notRun: string | undefined;
   /** Whether clients read fractions of a second in `Retry-After`. */
@@ -27,14 +27,14 @@
 const OWN_HEADER_NAMES: HeaderNames = {
   clientRequestId: undefined,
   requestId: "x-daledoor-job",
-  echo: "x-daledoor-stamp",
+  requestIdEcho: "x-daledoor-stamp",
   seal: undefined,
-  key: "idempotency-key",
+  idempotencyKey: "idempotency-key",
   deadline: undefined,
-  expected: undefined,
+  expectedInstance: undefined,
   notRun: undefined,
   hasFractionalRetryAfter: false,
   proof: "connection",
 };
 
-export const ownHeaderNames = OWN_HEADER_NAMES;
+export const defaultHeaderNames = OWN_HEADER_NAMES;
--- a/src/proxy/http-proxy.ts
+++ b/src/proxy/http-proxy.ts
@@ -23,7 +23,7 @@
 import { runFilters, type RequestFilter } from "./request-filter.js";
 import { type ClientResponse, jsonResponse, type RequestOutcome } from "./request-outcome.js";
 import { MAX_BUFFERED_RESPONSE_BYTES, ResponseForwarder } from "./response-forwarder.js";
-import { RETRY_AFTER_MS, withSpreadRetryAfter } from "./retry-after.js";
+import { RETRY_AFTER_MS, withJitteredRetryAfter } from "./retry-after.js";
 import { RetryHandler } from "./retry-handler.js";
 import { RoutingFilter } from "./routing-filter.js";
 import { ServingView } from "./serving-view.js";
@@ -103,7 +103,7 @@
   }
 
   /** How many requests and tasks must end before the daemon may stop. */
-  get unfinished(): number {
+  get pendingWorkCount(): number {
     return this.activeRequestCount + this.claims.pendingTasks;
   }
 
@@ -174,7 +174,7 @@
   /** A response as clients of this protocol read it. */
   private clientResponse(outcome: RequestOutcome, response: ClientResponse): ClientResponse {
     return this.headerNames.hasFractionalRetryAfter
-      ? withSpreadRetryAfter(outcome, response, () => this.runtime.random())
+      ? withJitteredRetryAfter(outcome, response, () => this.runtime.random())
       : response;
   }
 }
--- a/src/proxy/idempotency/idempotency-claims.ts
+++ b/src/proxy/idempotency/idempotency-claims.ts
@@ -1,7 +1,7 @@
 /** Claims of idempotency keys in the replicated log, and the answers to requests whose key another request claimed. */
 import { createHash } from "node:crypto";
 import type { CommandForwarder } from "../../cluster-view/command-forwarder.js";
-import { normalizedHost } from "../../cluster-view/route-table.js";
+import { normalizeHost } from "../../cluster-view/route-table.js";
 import { type ClaimResponse, readClaimResponse } from "../../control-protocol/claim-response.js";
 import { overloadedResponse } from "../../control-protocol/command-response.js";
 import type { Command } from "../../control-protocol/command.js";
@@ -21,7 +21,7 @@
 
 /** A claim that this daemon acquired: its request may be sent until a moment of the daemon's own clock. */
 export interface HeldClaim extends KeyedRequest {
-  readonly sendUntilMs: number;
+  readonly sendDeadlineMs: number;
   /** The daemons that store the request's outcome, this one first. */
   readonly holders: readonly string[];
 }
@@ -80,16 +80,16 @@
 /** When clients had better retry a key whose response is lost: once the key is free again. */
 const LOST_RESPONSE_RETRY_AFTER_MS = 120_000;
 
-const hashOf = (...parts: Array<string | Uint8Array>): string => {
+const computeHash = (...parts: Array<string | Uint8Array>): string => {
   const hash = createHash("sha256");
   for (const part of parts) hash.update(part).update("\0");
   return hash.digest("hex");
 };
 
 /** The scope within which a key is unique: a host, method and path. */
-const scopeOf = (clientRequest: ProxyRequest, key: string): string =>
-  hashOf(
-    normalizedHost(clientRequest.headers["host"] ?? ""),
+const computeScope = (clientRequest: ProxyRequest, key: string): string =>
+  computeHash(
+    normalizeHost(clientRequest.headers["host"] ?? ""),
     clientRequest.method,
     requestPath(clientRequest),
     key,
@@ -161,12 +161,12 @@
     const { clock } = this.runtime;
     const startedMs = clock.nowMs();
     this.claims += 1;
-    const scope = scopeOf(clientRequest, key);
-    const bodyHash = hashOf(clientRequest.target, clientRequest.body);
+    const scope = computeScope(clientRequest, key);
+    const bodyHash = computeHash(clientRequest.target, clientRequest.body);
     const request: KeyedRequest = { scope, requestId: `${this.incarnation}/${this.claims}` };
     const holders = this.outcomes.holdersFor(scope);
     const pending: PendingClaim = { request, bodyHash, holders, startedMs, deadlineMs };
-    this.outcomes.note(request, { kind: "inHand" });
+    this.outcomes.storeLocally(request, { kind: "inHand" });
     let replacedId: string | undefined;
     for (;;) {
       const sentMs = clock.nowMs();
@@ -189,9 +189,9 @@
   }
 
   /** Records how a claimed request ended, and has its response stored for repeats. */
-  conclude(claim: HeldClaim, { execution, response }: RequestOutcome): void {
+  recordOutcome(claim: HeldClaim, { execution, response }: RequestOutcome): void {
     if (execution === "neverRan") {
-      this.outcomes.note(claim, { kind: "neverRan" });
+      this.outcomes.storeLocally(claim, { kind: "neverRan" });
       this.start(this.release(claim));
       return;
     }
@@ -201,11 +201,11 @@
       response.body.length <= MAX_STORED_BODY_BYTES
     ) {
       const outcome: KeyedOutcome = { kind: "ran", response };
-      this.outcomes.note(claim, outcome);
-      this.start(this.outcomes.share(claim, outcome, claim.holders));
+      this.outcomes.storeLocally(claim, outcome);
+      this.start(this.outcomes.replicate(claim, outcome, claim.holders));
       return;
     }
-    this.outcomes.note(claim, { kind: execution === "ran" ? "ranNotKept" : "mayHaveRun" });
+    this.outcomes.storeLocally(claim, { kind: execution === "ran" ? "ranNotKept" : "mayHaveRun" });
   }
 
   /** Sends the claim to the leader; undefined where its fate is unknown or the leader is overloaded. */
@@ -233,20 +233,20 @@
     existing: ExistingClaim,
   ): Task<RequestOutcome | undefined> {
     if (existing.bodyHash !== bodyHash) {
-      this.outcomes.note(request, { kind: "neverRan" });
+      this.outcomes.storeLocally(request, { kind: "neverRan" });
       return rejectedOutcome(422, "This key came before with another body.");
     }
     const waitMs = Math.min(OUTCOME_WAIT_MS, (deadlineMs - startedMs) / 2);
     const outcome = yield* this.awaitOutcome(request.scope, existing, startedMs + waitMs);
     if (outcome !== "unreachable" && outcome.kind === "neverRan") return undefined;
-    this.outcomes.note(request, { kind: "neverRan" });
+    this.outcomes.storeLocally(request, { kind: "neverRan" });
     if (outcome === "unreachable") return this.unreachableOutcome();
     return repeatedOutcome(outcome) ?? this.inProgressOutcome();
   }
 
   /** Ends a claim whose fate is unknown: its request is never sent, so that a repeat may replace the claim. */
   private giveUp(request: KeyedRequest): RequestOutcome {
-    this.outcomes.note(request, { kind: "neverRan" });
+    this.outcomes.storeLocally(request, { kind: "neverRan" });
     return unavailableOutcome("The key could not be claimed in the record.", this.retryAfterMs);
   }
 
--- a/src/proxy/idempotency/idempotency-filter.ts
+++ b/src/proxy/idempotency/idempotency-filter.ts
@@ -13,7 +13,7 @@
 
 const MAX_KEY_LENGTH = 200;
 /** Which part of a route's latency goal the claim of a first attempt may take; a later refusal leaves no time for a retry. */
-const CLAIM_GOAL_FRACTION = 0.2;
+const CLAIM_LATENCY_FRACTION = 0.2;
 const MIN_CLAIM_TIMEOUT_MS = 40;
 
 /** How a request is treated by its route, method and key. */
@@ -53,7 +53,7 @@
   }
 
   *handle(context: RequestContext, next: NextHandler): Task<RequestOutcome> {
-    const check = checkKey(context, this.headerNames.key);
+    const check = checkKey(context, this.headerNames.idempotencyKey);
     if (check.kind === "unkeyed") return yield* next();
     if (check.kind === "invalid") return check.outcome;
     if (!this.clusterView.holdsLease)
@@ -71,7 +71,7 @@
     if (result.kind === "answered") return result.outcome;
     context.claim = result.claim;
     const outcome = yield* next();
-    this.claims.conclude(result.claim, outcome);
+    this.claims.recordOutcome(result.claim, outcome);
     return outcome;
   }
 
@@ -83,7 +83,7 @@
     if (this.headerNames.deadline === undefined) return undefined;
     const givenMs = deadlineMs - arrivedMs;
     return isFirstAttempt(givenMs, route)
-      ? Math.max(MIN_CLAIM_TIMEOUT_MS, route.latencyTargetMs * CLAIM_GOAL_FRACTION)
+      ? Math.max(MIN_CLAIM_TIMEOUT_MS, route.latencyTargetMs * CLAIM_LATENCY_FRACTION)
       : givenMs;
   }
 }
--- a/src/proxy/idempotency/keyed-outcome.ts
+++ b/src/proxy/idempotency/keyed-outcome.ts
@@ -29,7 +29,7 @@
 const headersSchema = record(string(), string());
 const EMPTY_RESPONSE = { code: 0, headers: "{}", body: new Uint8Array() };
 
-const responseOf = ({ code, headers, body }: OutcomeMessage): ClientResponse => ({
+const decodeResponse = ({ code, headers, body }: OutcomeMessage): ClientResponse => ({
   code,
   headers: create(JSON.parse(headers), headersSchema),
   // A copy, so that the frame it came in can be freed.
@@ -48,5 +48,5 @@
 export function decodeKeyedOutcome(message: OutcomeMessage): KeyedOutcome | undefined {
   const kind = MESSAGE_KINDS[message.state];
   if (kind === undefined || kind === "unknown") return undefined;
-  return kind === "ran" ? { kind, response: responseOf(message) } : { kind };
+  return kind === "ran" ? { kind, response: decodeResponse(message) } : { kind };
 }
--- a/src/proxy/idempotency/outcome-cache.ts
+++ b/src/proxy/idempotency/outcome-cache.ts
@@ -13,7 +13,7 @@
 /** About what an entry takes beside its body and headers. */
 const ENTRY_OVERHEAD_BYTES = 200;
 
-const sizeOf = (outcome: KeyedOutcome): number => {
+const computeSizeBytes = (outcome: KeyedOutcome): number => {
   if (outcome.kind !== "ran") return ENTRY_OVERHEAD_BYTES;
   const { headers, body } = outcome.response;
   let sizeBytes = ENTRY_OVERHEAD_BYTES + body.length;
@@ -30,7 +30,7 @@
   private readonly maxBytes: number;
   /** By scope and request, the oldest first. */
   private readonly entries = new Map<string, CacheEntry>();
-  private sizeBytes = 0;
+  private totalBytes = 0;
 
   constructor(clock: Clock, retentionMs: number, maxBytes = OUTCOME_CACHE_BYTES) {
     this.clock = clock;
@@ -39,20 +39,20 @@
   }
 
   /** How many bytes are stored now. */
-  get bytes(): number {
-    return this.sizeBytes;
+  get storedBytes(): number {
+    return this.totalBytes;
   }
 
   /** Stores an outcome in place of an earlier one of the same request, and evicts what is too old or too much. */
-  note(request: KeyedRequest, outcome: KeyedOutcome): void {
+  store(request: KeyedRequest, outcome: KeyedOutcome): void {
     const key = entryKey(request);
     this.remove(key);
-    const sizeBytes = sizeOf(outcome);
-    this.entries.set(key, { outcome, sizeBytes, storedMs: this.clock.nowMs() });
-    this.sizeBytes += sizeBytes;
+    const totalBytes = computeSizeBytes(outcome);
+    this.entries.set(key, { outcome, sizeBytes: totalBytes, storedMs: this.clock.nowMs() });
+    this.totalBytes += totalBytes;
     const oldestMs = this.clock.nowMs() - this.retentionMs;
     for (const [oldestKey, { storedMs }] of this.entries) {
-      if (this.sizeBytes <= this.maxBytes && storedMs >= oldestMs) return;
+      if (this.totalBytes <= this.maxBytes && storedMs >= oldestMs) return;
       this.remove(oldestKey);
     }
   }
@@ -63,7 +63,7 @@
   }
 
   private remove(key: string): void {
-    this.sizeBytes -= this.entries.get(key)?.sizeBytes ?? 0;
+    this.totalBytes -= this.entries.get(key)?.sizeBytes ?? 0;
     this.entries.delete(key);
   }
 }
--- a/src/proxy/idempotency/outcome-replicator.ts
+++ b/src/proxy/idempotency/outcome-replicator.ts
@@ -28,10 +28,11 @@
 const STORE_TIMEOUT_MS = 400;
 const LOOKUP_TIMEOUT_MS = 400;
 /** How many hexadecimal digits of a scope choose its replica. */
-const DRAW_DIGITS = 6;
+const REPLICA_DRAW_DIGITS = 6;
 
 /** A number that differs from scope to scope: the last digits of what is a hash already. */
-const drawOf = (scope: string): number => Number.parseInt(scope.slice(-DRAW_DIGITS), 16) || 0;
+const replicaDraw = (scope: string): number =>
+  Number.parseInt(scope.slice(-REPLICA_DRAW_DIGITS), 16) || 0;
 
 /**
  * Stores and finds the outcomes of keyed requests. The log stores the claim of a key only, and the holders of its outcome:
@@ -54,7 +55,7 @@
     const { cache } = this;
     this.rpc.serve(rpcMethods.replicateOutcome, function* ({ scope, job, ...message }) {
       const outcome = decodeKeyedOutcome(message);
-      if (outcome) cache.note({ scope, requestId: job }, outcome);
+      if (outcome) cache.store({ scope, requestId: job }, outcome);
       return { isKept: outcome !== undefined };
     });
     this.rpc.serve(rpcMethods.keyedOutcome, function* ({ scope, job }) {
@@ -69,12 +70,12 @@
   }
 
   /** Stores an outcome at this daemon. */
-  note(request: KeyedRequest, outcome: KeyedOutcome): void {
-    this.cache.note(request, outcome);
+  storeLocally(request: KeyedRequest, outcome: KeyedOutcome): void {
+    this.cache.store(request, outcome);
   }
 
   /** Has the other holders store an outcome. */
-  *share(
+  *replicate(
     { scope, requestId }: KeyedRequest,
     outcome: KeyedOutcome,
     holders: readonly string[],
@@ -128,6 +129,6 @@
     const followers = others.filter(({ peer }) => peer !== leader);
     const sameZone = followers.filter((member) => member.zone === zone);
     const candidates = [sameZone, followers, others].find((group) => group.length > 0) ?? [];
-    return candidates[drawOf(scope) % candidates.length]?.peer;
+    return candidates[replicaDraw(scope) % candidates.length]?.peer;
   }
 }
--- a/src/proxy/outcome-rules.ts
+++ b/src/proxy/outcome-rules.ts
@@ -20,7 +20,7 @@
  * - The body failed: `bodyCut`, `bodyTooLong`; `streamCut` where its head had been forwarded to the client already.
  * - `answered`: the client had its final response already. `whole` and `streamed`: forwarded, unchanged.
  */
-export type AttemptResult = FailureCause | CompletedAttempt;
+export type AttemptResult = FailureCause | ForwardedResult;
 
 /** Ways that leave the client without a backend's response. */
 export type FailureCause =
@@ -42,7 +42,7 @@
   | "answered";
 
 /** Ways in which the client gets a backend's response, or the beginning of one. */
-export type CompletedAttempt = "whole" | "streamed" | "streamCut";
+export type ForwardedResult = "whole" | "streamed" | "streamCut";
 
 /** What follows from the way an attempt ended. */
 export interface OutcomeRule {
@@ -55,7 +55,7 @@
   /** The status that the client gets if no other backend answers; the backend's own; or its connection is cut. */
   readonly clientStatus: 502 | 503 | 504 | "backend" | "cut";
   /** Why, in words for the client. */
-  readonly why: string;
+  readonly reason: string;
 }
 
 /** The rule of a way that leaves the client without a backend's response. */
@@ -63,72 +63,72 @@
   readonly clientStatus: 502 | 503 | 504;
 }
 
-const notSent = (why: string, connection: OutcomeRule["connection"] = "none"): FailureRule => ({
+const notSentRule = (why: string, connection: OutcomeRule["connection"] = "none"): FailureRule => ({
   execution: "neverRan",
   isSent: false,
   connection,
   clientStatus: 503,
-  why,
+  reason: why,
 });
 
-const declined = (why: string): FailureRule => ({
+const declinedRule = (why: string): FailureRule => ({
   execution: "neverRan",
   isSent: true,
   connection: "keep",
   clientStatus: 503,
-  why,
+  reason: why,
 });
 
-const uncertain = (why: string, clientStatus: 502 | 504 = 502): FailureRule => ({
+const uncertainRule = (why: string, clientStatus: 502 | 504 = 502): FailureRule => ({
   execution: "mayHaveRun",
   isSent: true,
   connection: "close",
   clientStatus,
-  why,
+  reason: why,
 });
 
 const FAILURE_RULES: Readonly<Record<FailureCause, FailureRule>> = {
-  refused: notSent("The back end took no connection."),
-  foreign: notSent("The back end took no connection."),
-  unreached: notSent("The back end took no connection."),
-  withdrawn: notSent("This daemon's view changed before the request could be sent.", "keep"),
-  lost: uncertain("The connection to the back end broke."),
-  late: uncertain("The back end did not return in time.", 504),
-  otherInstance: declined("Another instance has the address."),
-  notRun: declined("The back end did not take the request."),
-  otherRequest: uncertain("The return carries no stamp of this request."),
-  bareRefusal: uncertain("The back end itself says try later."),
-  noSeal: uncertain("The return carries no seal."),
-  encoded: uncertain("The return's body is encoded."),
-  noLength: uncertain("The return states no length."),
-  bodyCut: uncertain("The back end's body was cut short."),
-  bodyTooLong: uncertain("The back end's body is longer than stated."),
-  answered: uncertain("The caller has its answer already."),
+  refused: notSentRule("The back end took no connection."),
+  foreign: notSentRule("The back end took no connection."),
+  unreached: notSentRule("The back end took no connection."),
+  withdrawn: notSentRule("This daemon's view changed before the request could be sent.", "keep"),
+  lost: uncertainRule("The connection to the back end broke."),
+  late: uncertainRule("The back end did not return in time.", 504),
+  otherInstance: declinedRule("Another instance has the address."),
+  notRun: declinedRule("The back end did not take the request."),
+  otherRequest: uncertainRule("The return carries no stamp of this request."),
+  bareRefusal: uncertainRule("The back end itself says try later."),
+  noSeal: uncertainRule("The return carries no seal."),
+  encoded: uncertainRule("The return's body is encoded."),
+  noLength: uncertainRule("The return states no length."),
+  bodyCut: uncertainRule("The back end's body was cut short."),
+  bodyTooLong: uncertainRule("The back end's body is longer than stated."),
+  answered: uncertainRule("The caller has its answer already."),
 };
 
-const FORWARDED: OutcomeRule = {
+const FORWARDED_RULE: OutcomeRule = {
   execution: "ran",
   isSent: true,
   connection: "keep",
   clientStatus: "backend",
-  why: "",
+  reason: "",
 };
 
 const OUTCOME_RULES: Readonly<Record<AttemptResult, OutcomeRule>> = {
   ...FAILURE_RULES,
-  whole: FORWARDED,
-  streamed: FORWARDED,
+  whole: FORWARDED_RULE,
+  streamed: FORWARDED_RULE,
   streamCut: {
     execution: "mayHaveRun",
     isSent: true,
     connection: "close",
     clientStatus: "cut",
-    why: "",
+    reason: "",
   },
 };
 
 /** The rule for the way an attempt ended. */
-export const outcomeRuleOf = (cause: AttemptResult): OutcomeRule => OUTCOME_RULES[cause];
+export const getOutcomeRule = (cause: AttemptResult): OutcomeRule => OUTCOME_RULES[cause];
 
 /** The rules of all ways in which an attempt can end. */
 export const outcomeRules: ReadonlyMap<string, OutcomeRule> = new Map(
@@ -136,8 +136,8 @@
 );
 
 /** The outcome of a request whose attempt failed, if no other backend answers; the client had better retry after `afterMs`. */
-export const outcomeOfFailure = (cause: FailureCause, afterMs: number): RequestOutcome => {
-  const { execution, clientStatus, why } = FAILURE_RULES[cause];
+export const createFailureOutcome = (cause: FailureCause, afterMs: number): RequestOutcome => {
+  const { execution, clientStatus, reason: why } = FAILURE_RULES[cause];
   return clientStatus === 503
     ? unavailableOutcome(why, afterMs)
     : failedOutcome(clientStatus, why, execution, afterMs);
--- a/src/proxy/proxy-request.ts
+++ b/src/proxy/proxy-request.ts
@@ -10,7 +10,7 @@
   readonly headers: Record<string, string>;
   readonly body: Uint8Array;
   /** What follows `body`, as it arrives; it can be read once, and throws where the client aborts it. */
-  readonly rest?: AsyncIterable<Uint8Array>;
+  readonly bodyRemainder?: AsyncIterable<Uint8Array>;
 }
 
 /** The connection to a client, for the response to one request. */
--- a/src/proxy/request-outcome.ts
+++ b/src/proxy/request-outcome.ts
@@ -15,9 +15,9 @@
   readonly execution: ExecutionStatus;
   readonly response: ClientResponse | "streamed" | "cut";
   /** Why the proxy answered itself, in words for the client; empty where a backend's response is forwarded. */
-  readonly why: string;
+  readonly reason: string;
   /** When the client had better retry, where this is stated. */
-  readonly afterMs?: number;
+  readonly retryAfterMs?: number;
 }
 
 /** A response with a JSON body that ends in a line feed. */
@@ -37,15 +37,15 @@
 const DEFAULT_RETRY_AFTER_MS = 1000;
 
 /** An outcome whose JSON body and headers state when to retry. */
-const withRetryAfter = (
+const retryableOutcome = (
   code: number,
   why: string,
   execution: ExecutionStatus,
   afterMs: number,
 ): RequestOutcome => ({
   execution,
-  why,
-  afterMs,
+  reason: why,
+  retryAfterMs: afterMs,
   response: jsonResponse(
     code,
     { error: why, verdict: execution, retryAfterS: afterMs / 1000 },
@@ -55,13 +55,13 @@
 
 /** 503: the request has not run and won't; the client may retry. */
 export const unavailableOutcome = (why: string, afterMs = DEFAULT_RETRY_AFTER_MS): RequestOutcome =>
-  withRetryAfter(503, why, "neverRan", afterMs);
+  retryableOutcome(503, why, "neverRan", afterMs);
 
 /** The request is invalid: a retry won't help. */
 export function rejectedOutcome(code: number, why: string): RequestOutcome {
   return {
     execution: "neverRan",
-    why,
+    reason: why,
     response: jsonResponse(code, { error: why, verdict: "neverRan" }),
   };
 }
@@ -72,9 +72,9 @@
   why: string,
   execution: ExecutionStatus,
   afterMs = DEFAULT_RETRY_AFTER_MS,
-): RequestOutcome => withRetryAfter(code, why, execution, afterMs);
+): RequestOutcome => retryableOutcome(code, why, execution, afterMs);
 
 /** A backend's response, unchanged. */
 export function forwardedOutcome(response: ClientResponse): RequestOutcome {
-  return { execution: "ran", response, why: "" };
+  return { execution: "ran", response, reason: "" };
 }
--- a/src/proxy/response-forwarder.ts
+++ b/src/proxy/response-forwarder.ts
@@ -7,12 +7,12 @@
 import type { BulkAdmission } from "./bulk-admission.js";
 import type { HeaderNames } from "./header-names.js";
 import { endToEndHeaders } from "./hop-by-hop-headers.js";
-import { outcomeOfFailure, outcomeRuleOf, type FailureCause } from "./outcome-rules.js";
+import { createFailureOutcome, getOutcomeRule, type FailureCause } from "./outcome-rules.js";
 import type { RequestContext } from "./request-context.js";
 import { type RequestOutcome, forwardedOutcome } from "./request-outcome.js";
 import { RETRY_AFTER_MS } from "./retry-after.js";
 import type { BackendResponse } from "./upstream/backend-client.js";
-import { responseBodyEnd, responseHeadFault } from "./upstream/response-validation.js";
+import { responseBodyFraming, findResponseHeadFault } from "./upstream/response-validation.js";
 
 /** Responses up to this size are buffered whole before they are forwarded. */
 export const MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024;
@@ -57,11 +57,12 @@
   *forward(response: BackendResponse, target: ResponseTarget): Task<RequestOutcome> {
     const { headerNames } = this.options;
     const { context, route, registration, requestId } = target;
-    const echoHeader = headerNames.proof === "connection" ? route.stampHeader : headerNames.echo;
-    const fault = responseHeadFault(response, { headerNames, id: requestId, echoHeader });
-    if (response.headers[echoHeader] === undefined) response.noteUnnamed?.();
+    const echoHeader =
+      headerNames.proof === "connection" ? route.stampHeader : headerNames.requestIdEcho;
+    const fault = findResponseHeadFault(response, { headerNames, requestId, echoHeader });
+    if (response.headers[echoHeader] === undefined) response.markUnidentified?.();
     if (fault !== undefined) return yield* this.refuse(response, registration, fault);
-    const end = responseBodyEnd(context.clientRequest.method, response);
+    const end = responseBodyFraming(context.clientRequest.method, response);
     if (end === "unknown") return yield* this.refuse(response, registration, "noLength");
     const isBodiless = end === "bodiless";
     const headers = endToEndHeaders(response.headers);
@@ -79,12 +80,12 @@
     const chunks: Uint8Array[] = [];
     let bufferedBytes = 0;
     for (;;) {
-      const chunk = yield* response.next();
+      const chunk = yield* response.nextChunk();
       if (typeof chunk === "string" && isBodiless) break;
-      if (chunk === "cut") return outcomeOfFailure("bodyCut", RETRY_AFTER_MS.soon);
+      if (chunk === "cut") return createFailureOutcome("bodyCut", RETRY_AFTER_MS.soon);
       if (chunk === "end") {
         if (lengthBytes !== undefined && bufferedBytes !== lengthBytes)
-          return outcomeOfFailure("bodyCut", RETRY_AFTER_MS.soon);
+          return createFailureOutcome("bodyCut", RETRY_AFTER_MS.soon);
         break;
       }
       bufferedBytes += chunk.length;
@@ -126,7 +127,7 @@
     const pending = [...buffered];
     let sentBytes = 0;
     for (;;) {
-      const chunk = pending.shift() ?? (yield* response.next());
+      const chunk = pending.shift() ?? (yield* response.nextChunk());
       if (chunk === "cut") return this.cutStream(context, response);
       if (chunk === "end") {
         if (lengthBytes !== undefined && sentBytes !== lengthBytes)
@@ -143,14 +144,14 @@
   private endStream({ client, route }: RequestContext, sentBytes: number): RequestOutcome {
     client.end();
     this.options.bulkAdmission.recordSize(route?.name ?? "", sentBytes);
-    return { execution: outcomeRuleOf("streamed").execution, response: "streamed", why: "" };
+    return { execution: getOutcomeRule("streamed").execution, response: "streamed", reason: "" };
   }
 
   private cutStream({ client, route }: RequestContext, response: BackendResponse): RequestOutcome {
     response.cancel();
     client.abort();
     this.options.log.warn("response cut short", { route: route?.name });
-    return { execution: outcomeRuleOf("streamCut").execution, response: "cut", why: "" };
+    return { execution: getOutcomeRule("streamCut").execution, response: "cut", reason: "" };
   }
 
   /** Refuses a response. Its connection is reused once the rest of it arrived, where the cause allows that. */
@@ -159,15 +160,15 @@
     registration: Registration,
     cause: FailureCause,
   ): Task<RequestOutcome> {
-    if (cause === "otherInstance") this.options.clusterView.noteRefused(registration);
-    if (outcomeRuleOf(cause).connection !== "keep") return this.discard(response, cause);
-    let chunk = yield* response.next();
-    while (typeof chunk !== "string") chunk = yield* response.next();
-    return outcomeOfFailure(cause, RETRY_AFTER_MS.soon);
+    if (cause === "otherInstance") this.options.clusterView.markRefused(registration);
+    if (getOutcomeRule(cause).connection !== "keep") return this.discard(response, cause);
+    let chunk = yield* response.nextChunk();
+    while (typeof chunk !== "string") chunk = yield* response.nextChunk();
+    return createFailureOutcome(cause, RETRY_AFTER_MS.soon);
   }
 
   private discard(response: BackendResponse, cause: FailureCause): RequestOutcome {
     response.cancel();
-    return outcomeOfFailure(cause, RETRY_AFTER_MS.soon);
+    return createFailureOutcome(cause, RETRY_AFTER_MS.soon);
   }
 }
--- a/src/proxy/retry-after.ts
+++ b/src/proxy/retry-after.ts
@@ -14,17 +14,17 @@
 } as const;
 
 /** The spread of delays, so that clients that failed together don't come back together: 75% to 125%. */
-const SPREAD_START = 0.75;
-const SPREAD_RANGE = 0.5;
+const JITTER_MIN = 0.75;
+const JITTER_RANGE = 0.5;
 
 /** A response with its delay spread at random and stated in fractions of a second; unchanged where the outcome has no delay. */
-export const withSpreadRetryAfter = (
-  { afterMs }: RequestOutcome,
+export const withJitteredRetryAfter = (
+  { retryAfterMs: afterMs }: RequestOutcome,
   response: ClientResponse,
   random: () => number,
 ): ClientResponse => {
   if (afterMs === undefined) return response;
-  const spreadMs = afterMs * (SPREAD_START + SPREAD_RANGE * random());
+  const spreadMs = afterMs * (JITTER_MIN + JITTER_RANGE * random());
   return {
     ...response,
     headers: { ...response.headers, "retry-after": (spreadMs / 1000).toFixed(3) },
--- a/src/proxy/retry-handler.ts
+++ b/src/proxy/retry-handler.ts
@@ -28,7 +28,7 @@
   attempts: number;
   retries: number;
   /** Attempts of which bytes were sent. */
-  sends: number;
+  sentAttempts: number;
 }
 
 /** What to do next with a request. */
@@ -50,7 +50,7 @@
 
 const endWith = (outcome: RequestOutcome): NextStep => ({ kind: "end", outcome });
 
-const giveUp = (
+const createFinalOutcome = (
   { uncertainOutcome }: RetryProgress,
   why: string,
   afterMs: number = RETRY_AFTER_MS.soon,
@@ -72,7 +72,7 @@
       uncertainOutcome: undefined,
       attempts: 0,
       retries: 0,
-      sends: 0,
+      sentAttempts: 0,
     };
     while (progress.attempts < MAX_ATTEMPTS) {
       const step = this.nextStep(context, progress);
@@ -82,14 +82,14 @@
       const { outcome, isSent } = yield* attemptRunner.run(attempt);
       if (this.isFinal(attempt, outcome)) return outcome;
       progress.attempts += 1;
-      if (isSent) progress.sends += 1;
+      if (isSent) progress.sentAttempts += 1;
       if (outcome.execution !== "neverRan") progress.uncertainOutcome = outcome;
       if (!isSent && attempt.isRetry) {
         progress.retries -= 1;
         budget.refund(attempt.service, decidedMs);
       }
     }
-    return giveUp(progress, "Too many back ends took no connection.");
+    return createFinalOutcome(progress, "Too many back ends took no connection.");
   }
 
   /** Decides on the next attempt, if there is to be one. */
@@ -103,18 +103,22 @@
       );
     if (!servingView.maySend(context.clientRequest, route))
       return endWith(
-        giveUp(progress, "This daemon's view is not proven fresh.", RETRY_AFTER_MS.viewSettled),
+        createFinalOutcome(
+          progress,
+          "This daemon's view is not proven fresh.",
+          RETRY_AFTER_MS.viewSettled,
+        ),
       );
-    if (!route.servesWith(context.service)) context.service = route.choose(context.splitDraw);
+    if (!route.routesTo(context.service)) context.service = route.chooseService(context.splitDraw);
     const expiry = this.expiryOf(context, progress, nowMs);
-    if (expiry !== undefined) return endWith(giveUp(progress, expiry));
+    if (expiry !== undefined) return endWith(createFinalOutcome(progress, expiry));
     const { service } = context;
     const registration = this.pickBackend(route, service, progress, nowMs);
     if (!registration)
-      return endWith(giveUp(progress, `No back end of ${service} can take this now.`));
-    const isRetry = progress.sends > 0;
+      return endWith(createFinalOutcome(progress, `No back end of ${service} can take this now.`));
+    const isRetry = progress.sentAttempts > 0;
     const refusal = isRetry ? this.refuseRetry(context, route, progress, nowMs) : undefined;
-    if (refusal !== undefined) return endWith(giveUp(progress, refusal));
+    if (refusal !== undefined) return endWith(createFinalOutcome(progress, refusal));
     const attempt = { context, route, service, registration, isRetry };
     return { kind: "attempt", attempt, decidedMs: nowMs };
   }
@@ -126,7 +130,7 @@
     nowMs: number,
   ): string | undefined {
     const { servingView } = this.options;
-    if (claim && nowMs + servingView.egressDelayMs(clientRequest) >= claim.sendUntilMs)
+    if (claim && nowMs + servingView.egressDelayMs(clientRequest) >= claim.sendDeadlineMs)
       return "The key's claim is too old to send under.";
     if (nowMs + (attempts > 0 ? MIN_RETRY_TIME_MS : 0) >= deadlineMs)
       return `No back end of ${service} took this in time.`;
@@ -143,7 +147,7 @@
     return loadBalancer.pick(
       clusterView.backendsOf(service),
       {
-        tried: triedAddresses,
+        triedAddresses,
         maxInFlight: route.maxInFlight,
         maxConnections: clusterView.routeTable.service(service)?.maxConnections,
         route: route.name,
@@ -176,7 +180,10 @@
   }
 
   /** Whether the client gets this outcome: a backend's response, unless a retry of an error of a failing backend is safe. */
-  private isFinal({ route, registration }: Attempt, { response, why }: RequestOutcome): boolean {
+  private isFinal(
+    { route, registration }: Attempt,
+    { response, reason: why }: RequestOutcome,
+  ): boolean {
     if (why !== "") return false;
     const isServerError = typeof response !== "string" && response.code >= 500;
     return !(
--- a/src/proxy/routing-filter.ts
+++ b/src/proxy/routing-filter.ts
@@ -42,7 +42,7 @@
         ? rejectedOutcome(404, "No route takes this request.")
         : unavailableOutcome("This daemon's view is not proven fresh.", RETRY_AFTER_MS.viewSettled);
     context.route = route;
-    context.service = route.choose(context.splitDraw);
+    context.service = route.chooseService(context.splitDraw);
     context.deadlineMs = context.arrivedMs + this.timeoutMs(context.clientRequest, route);
     context.client.dueMs = context.arrivedMs + route.latencyTargetMs;
     if (!this.admitsResponse(context, route))
--- a/src/proxy/upstream/backend-client.ts
+++ b/src/proxy/upstream/backend-client.ts
@@ -7,7 +7,7 @@
   readonly path: string;
   readonly headers: Record<string, string>;
   readonly body: Uint8Array;
-  readonly rest?: AsyncIterable<Uint8Array> | undefined;
+  readonly bodyRemainder?: AsyncIterable<Uint8Array> | undefined;
 }
 
 /** The head of a backend's response, and its body chunk by chunk. */
@@ -15,11 +15,11 @@
   readonly code: number;
   readonly headers: Record<string, string>;
   /** The next chunk; `end` after the last, `cut` where the body was cut short or came too late. */
-  next(): Task<Uint8Array | "end" | "cut">;
+  nextChunk(): Task<Uint8Array | "end" | "cut">;
   /** Ends the response, whose body is not read any further. */
   cancel(): void;
   /** Notes that it names no request: a duplicate of it could pass for the response to the next request on its connection. */
-  noteUnnamed?(): void;
+  markUnidentified?(): void;
 }
 
 /**
@@ -67,7 +67,7 @@
   /** Whether it must run at most once: it then uses no connection on which a response named no request. */
   readonly isAtMostOnce?: boolean;
   /** Registers a callback for when nobody waits for the response any more, where it may then be cancelled; returns a cancel function. */
-  onUnwanted?(run: () => void): () => void;
+  onClientClosed?(run: () => void): () => void;
   /** Whether it may still be sent; called when the connection is open, right before the first byte. */
   maySend(): boolean;
 }
--- a/src/proxy/upstream/backend-connection.ts
+++ b/src/proxy/upstream/backend-connection.ts
@@ -23,7 +23,7 @@
   timeoutMs: number,
 ): Task<OpenedSocket | OpenFailure> {
   return yield* waitFor<OpenedSocket | OpenFailure>((done) => {
-    const socket = connect({ ...Address.parts(address), noDelay: true });
+    const socket = connect({ ...Address.parse(address), noDelay: true });
     const cancelTimeout = clock.after(timeoutMs, () => {
       socket.destroy();
       done(openFailure("unreached"));
@@ -41,7 +41,7 @@
 };
 
 /** A client that speaks HTTP/1.1 over this socket alone, one request at a time; it never opens another. */
-const clientOn = (socket: Socket, address: string): Client => {
+const createClient = (socket: Socket, address: string): Client => {
   let isSocketTaken = false;
   return new Client(`http://${address}`, {
     pipelining: 1,
@@ -62,11 +62,11 @@
   readonly client: Client;
   readonly socket: Socket;
   /** A response came on it that named no request. */
-  hasUnnamedResponse = false;
+  hasUnidentifiedResponse = false;
 
   constructor(socket: Socket, address: string, pool: string) {
     this.socket = socket;
     this.pool = pool;
-    this.client = clientOn(socket, address);
+    this.client = createClient(socket, address);
   }
 }
--- a/src/proxy/upstream/connection-pool.ts
+++ b/src/proxy/upstream/connection-pool.ts
@@ -24,7 +24,9 @@
   /** Takes an idle connection into use. A request that must run at most once gets none on which a response named no request. */
   takeIdle(pool: string, isOnce: boolean): BackendConnection | undefined {
     const idle = this.idle.get(pool) ?? [];
-    const index = idle.findLastIndex(({ hasUnnamedResponse }) => !isOnce || !hasUnnamedResponse);
+    const index = idle.findLastIndex(
+      ({ hasUnidentifiedResponse: hasUnnamedResponse }) => !isOnce || !hasUnnamedResponse,
+    );
     return index < 0 ? undefined : idle.splice(index, 1)[0];
   }
 
--- a/src/proxy/upstream/http-backend-client.ts
+++ b/src/proxy/upstream/http-backend-client.ts
@@ -1,6 +1,6 @@
 /** A backend client over HTTP/1.1 by undici, whose own pools, retries and pipelining stay unused. */
 import type { Clock } from "../../runtime/clock.js";
-import { type LinkPacers, linkPacersOf } from "../../runtime/link-pacer.js";
+import { type LinkPacers, createLinkPacers } from "../../runtime/link-pacer.js";
 import { type Task, fromPromise } from "../../runtime/task.js";
 import type { HeaderNames } from "../header-names.js";
 import {
@@ -47,7 +47,7 @@
     const {
       proof = "connection",
       connectTimeoutMs = CONNECT_TIMEOUT_MS,
-      pacers = linkPacersOf(clock, undefined),
+      pacers = createLinkPacers(clock, undefined),
     } = options;
     this.clock = clock;
     this.provesConnections = proof === "connection";
--- a/src/proxy/upstream/http-exchange.ts
+++ b/src/proxy/upstream/http-exchange.ts
@@ -80,8 +80,8 @@
       this.done(openFailure("unreached"));
       return;
     }
-    this.cancelUnwanted = this.attempt.onUnwanted?.(() => this.cancel()) ?? noCancel;
-    pacers.egress.note(requestHeadBytes(request));
+    this.cancelUnwanted = this.attempt.onClientClosed?.(() => this.cancel()) ?? noCancel;
+    pacers.egress.recordBytes(requestHeadBytes(request));
     this.connection.client.dispatch(
       {
         method: request.method,
@@ -104,10 +104,10 @@
     return {
       code,
       headers,
-      next: () => this.reader.next(),
+      nextChunk: () => this.reader.nextChunk(),
       cancel: () => this.cancel(),
-      noteUnnamed: () => {
-        this.connection.hasUnnamedResponse = true;
+      markUnidentified: () => {
+        this.connection.hasUnidentifiedResponse = true;
       },
     };
   }
--- a/src/proxy/upstream/request-encoding.ts
+++ b/src/proxy/upstream/request-encoding.ts
@@ -22,12 +22,12 @@
 
 /** A request's body as undici sends it: a large one in turns with the other transfers on the link. */
 export const requestBody = (
-  { body, rest }: BackendRequest,
+  { body, bodyRemainder: rest }: BackendRequest,
   egress: LinkPacer,
   dueMs: number,
 ): Uint8Array | Readable | null => {
   if (!rest && body.length <= egress.smallBytes) {
-    egress.note(body.length);
+    egress.recordBytes(body.length);
     return body.length > 0 ? body : null;
   }
   return Readable.from(
@@ -47,7 +47,7 @@
 
 /** A request's headers as undici sends them; the length of a paced body is stated. */
 export const requestHeaders = (
-  { headers, body, rest }: BackendRequest,
+  { headers, body, bodyRemainder: rest }: BackendRequest,
   { smallBytes }: LinkPacer,
 ): BackendRequest["headers"] =>
   !rest && body.length > smallBytes
--- a/src/proxy/upstream/response-reader.ts
+++ b/src/proxy/upstream/response-reader.ts
@@ -104,7 +104,7 @@
     if (!this.isDiscarding) this.chunks.push(chunk);
     this.bufferedBytes += chunk.length;
     this.receivedBytes += chunk.length;
-    this.ingress.note(Math.max(0, chunk.length - this.creditBytes));
+    this.ingress.recordBytes(Math.max(0, chunk.length - this.creditBytes));
     this.creditBytes = Math.max(0, this.creditBytes - chunk.length);
     if (this.mayPause) this.applyBackpressure(controller);
     else if (this.bufferedBytes > MAX_BUFFERED_CLOSING_BYTES) this.abort(controller);
@@ -127,7 +127,7 @@
   }
 
   /** The next chunk; `end` after the last, `cut` where the body was cut short. */
-  *next(): Task<Uint8Array | "end" | "cut"> {
+  *nextChunk(): Task<Uint8Array | "end" | "cut"> {
     for (;;) {
       const chunk = this.chunks.shift();
       if (chunk) {
--- a/src/proxy/upstream/response-validation.ts
+++ b/src/proxy/upstream/response-validation.ts
@@ -12,7 +12,7 @@
 export interface ExpectedResponse {
   readonly headerNames: HeaderNames;
   /** The request's name toward the backend. */
-  readonly id: string;
+  readonly requestId: string;
   /** In which header the response repeats that name. */
   readonly echoHeader: string;
 }
@@ -21,9 +21,13 @@
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** How a backend states that it did not run the request; a response that names no request may state it too. */
-const declinedBy = (
+const findDeclineCause = (
   { code, headers }: ResponseHead,
-  { headerNames: { expected, notRun }, id, echoHeader }: ExpectedResponse,
+  {
+    headerNames: { expectedInstance: expected, notRun },
+    requestId: id,
+    echoHeader,
+  }: ExpectedResponse,
 ): FailureCause | undefined => {
   const echoedId = headers[echoHeader];
   if (echoedId !== undefined && echoedId !== id) return undefined;
@@ -32,14 +36,14 @@
 };
 
 /** Why a response is not forwarded as the answer to its request; undefined where it is. */
-export const responseHeadFault = (
+export const findResponseHeadFault = (
   head: ResponseHead,
   expectedResponse: ExpectedResponse,
 ): FailureCause | undefined => {
   const { code, headers } = head;
-  const { headerNames, id, echoHeader } = expectedResponse;
+  const { headerNames, requestId: id, echoHeader } = expectedResponse;
   const { seal, proof } = headerNames;
-  const declined = declinedBy(head, expectedResponse);
+  const declined = findDeclineCause(head, expectedResponse);
   if (declined !== undefined) return declined;
   if (headers[echoHeader] !== id) return "otherRequest";
   if (NOT_RUN_STATUSES.has(code)) return "bareRefusal";
@@ -49,7 +53,7 @@
 };
 
 /** How a response's body ends: it has none, after a stated length, by its chunks, or in no way that is known. */
-export const responseBodyEnd = (
+export const responseBodyFraming = (
   method: string,
   { code, headers }: ResponseHead,
 ): "bodiless" | { readonly lengthBytes: number } | "chunked" | "unknown" => {
--- a/src/replication/bootstrap/cluster-bootstrap.ts
+++ b/src/replication/bootstrap/cluster-bootstrap.ts
@@ -43,7 +43,7 @@
 /** How many discovered addresses are retained. */
 const MAX_DISCOVERED = 64;
 /** How long the initiator waits for more candidates to choose from, where all seeds reply and where some don't. */
-const CANDIDATE_WAIT_MS = { all: 500, some: 3000 };
+const CANDIDATE_WAIT_MS = { allSeedsReplied: 500, seedsMissing: 3000 };
 /** How long the initiator stays with the members that it chose. */
 const FORMATION_TIMEOUT_MS = 10_000;
 /** The shortest time between two warnings that the bootstrap waits. */
@@ -270,7 +270,7 @@
     }
     this.candidatesSinceMs ??= nowMs;
     const haveAll = seeds.every((seed) => seed === this.location.self || statuses.has(seed));
-    const waitMs = haveAll ? CANDIDATE_WAIT_MS.all : CANDIDATE_WAIT_MS.some;
+    const waitMs = haveAll ? CANDIDATE_WAIT_MS.allSeedsReplied : CANDIDATE_WAIT_MS.seedsMissing;
     if (nowMs - this.candidatesSinceMs < waitMs) return;
     const fleet = randomNonce(this.runtime);
     this.formation = { fleet, members, startedMs: nowMs };
--- a/src/replication/bootstrap/node-formation.ts
+++ b/src/replication/bootstrap/node-formation.ts
@@ -88,7 +88,7 @@
   open(fleet: string): void {
     if (!this.isForming || this.isWriting || fleet !== this.fleetId) return;
     this.isOpen = true;
-    this.opened.putOnce(true);
+    this.opened.putIfEmpty(true);
   }
 
   *rejoin(fleet: string, { voters, learners }: Members): Task {
@@ -98,7 +98,7 @@
     yield* this.write(durableState);
     log.warn("rejoin started", { fleet });
     this.adopt(durableState);
-    this.opened.putOnce(true);
+    this.opened.putIfEmpty(true);
   }
 
   /** Whether the log was formed here, but not yet by all of its voters as far as is known. */
--- a/src/replication/bootstrap/node-location.ts
+++ b/src/replication/bootstrap/node-location.ts
@@ -43,7 +43,9 @@
   ))
     byZone.set(candidate.zone, [...(byZone.get(candidate.zone) ?? []), candidate]);
   const inTurn = [...byZone.values()]
-    .flatMap((zone, zoneIndex) => zone.map((candidate, turn) => ({ candidate, zoneIndex, turn })))
+    .flatMap((zone, zoneIndex) =>
+      zone.map((candidate, rankInZone) => ({ candidate, zoneIndex, turn: rankInZone })),
+    )
     .sort((a, b) => a.turn - b.turn || a.zoneIndex - b.zoneIndex);
   const chosen = inTurn.slice(0, wanted).map(({ candidate }) => candidate);
   if (chosen.length < wanted) return undefined;
--- a/src/replication/consensus-owner.ts
+++ b/src/replication/consensus-owner.ts
@@ -2,7 +2,7 @@
 import { becomeFollower } from "../consensus/follow.js";
 import { isLeading } from "../consensus/leadership.js";
 import type { MemberRights } from "../consensus/member-rights.js";
-import { memberRightsOf } from "../consensus/rights.js";
+import { currentMemberRights } from "../consensus/rights.js";
 import type { ConsensusState, DecisionContext } from "../consensus/state.js";
 
 /** Holds the consensus state; every new value comes from a pure function of `consensus/`. */
@@ -27,7 +27,7 @@
 
   /** What this member may do now. */
   get rights(): MemberRights {
-    return memberRightsOf(this.state, this.context);
+    return currentMemberRights(this.state, this.context);
   }
 
   update(state: ConsensusState): void {
--- a/src/replication/history/config-history.ts
+++ b/src/replication/history/config-history.ts
@@ -16,11 +16,11 @@
  */
 export const CONFIGS_PER_FILE = 64;
 /** A file takes at most this part of the quota, unless a single config is larger. */
-const MAX_QUOTA_PART_PER_FILE = 1 / 16;
+const MAX_FILE_QUOTA_FRACTION = 1 / 16;
 /** No file is full because of its size before it has this many bytes. */
 const MIN_FULL_FILE_BYTES = 64 * 1024;
 /** How much text one piece that travels carries, unless a single config is larger. */
-const MAX_PIECE_TEXT_BYTES = 1024 * 1024;
+const MAX_PIECE_TEXT_LENGTH = 1024 * 1024;
 
 /** Sequences from the first to the last, both included. */
 export interface SequenceRange {
@@ -36,21 +36,21 @@
   /** How many configs it has; until the file was measured, as many as fit before the next file. */
   count: number;
   /** How long it is, once it was measured. */
-  bytes: number | undefined;
+  measuredBytes: number | undefined;
   /** Whether fewer configs were read from it than it should have. */
   isDamaged: boolean;
 }
 
 const lastSequenceOf = ({ first, count }: HistoryFile): number => first + count - 1;
-const FORMER_NAME = /^history-(\d+)$/;
-const CURRENT_NAME = /^configs-(\d+)$/;
+const LEGACY_FILE_NAME = /^history-(\d+)$/;
+const FILE_NAME = /^configs-(\d+)$/;
 
 const fileFromName = (name: string): HistoryFile | undefined => {
-  const unmeasured = { name, count: 0, bytes: undefined, isDamaged: false };
-  const former = FORMER_NAME.exec(name)?.[1];
+  const unmeasured = { name, count: 0, measuredBytes: undefined, isDamaged: false };
+  const former = LEGACY_FILE_NAME.exec(name)?.[1];
   if (former !== undefined)
     return { ...unmeasured, layout: "complete", first: Number(former) * CONFIGS_PER_FILE + 1 };
-  const first = CURRENT_NAME.exec(name)?.[1];
+  const first = FILE_NAME.exec(name)?.[1];
   return first === undefined
     ? undefined
     : { ...unmeasured, layout: "deltas", first: Number(first) };
@@ -77,8 +77,8 @@
   }
 
   /** Whether a file of this name belongs to a history. */
-  static isName(name: string): boolean {
-    return FORMER_NAME.test(name) || CURRENT_NAME.test(name);
+  static isHistoryFileName(name: string): boolean {
+    return LEGACY_FILE_NAME.test(name) || FILE_NAME.test(name);
   }
 
   /** The sequence of the newest config that this member removed for lack of room, or 0. */
@@ -87,19 +87,19 @@
   }
 
   /** The sequence of the newest stored config, or 0. */
-  get newest(): number {
+  get newestSequence(): number {
     const last = this.files.at(-1);
     return last ? lastSequenceOf(last) : 0;
   }
 
   /** The size of all files that were measured. */
-  get bytes(): number {
-    return this.files.reduce((sum, { bytes = 0 }) => sum + bytes, 0);
+  get measuredBytes(): number {
+    return this.files.reduce((sum, { measuredBytes = 0 }) => sum + measuredBytes, 0);
   }
 
   /** Whether older configs may still be added without the removal of others. */
-  get hasRoom(): boolean {
-    return this.bytes < (this.quotaBytes * 3) / 4;
+  get hasSpareQuota(): boolean {
+    return this.measuredBytes < (this.quotaBytes * 3) / 4;
   }
 
   /** Whether a file was found to have fewer configs than it should. */
@@ -118,7 +118,11 @@
       const next = this.files[position + 1];
       file.count = next ? Math.min(CONFIGS_PER_FILE, next.first - file.first) : 0;
     }
-    for (let last = this.files.at(-1); last && last.bytes === undefined; last = this.files.at(-1))
+    for (
+      let last = this.files.at(-1);
+      last && last.measuredBytes === undefined;
+      last = this.files.at(-1)
+    )
       yield* this.measure(last);
   }
 
@@ -126,7 +130,7 @@
   *check(): Task<SequenceRange[]> {
     const damaged: SequenceRange[] = [];
     for (const file of [...this.files]) {
-      if (file.bytes !== undefined && !file.isDamaged) continue;
+      if (file.measuredBytes !== undefined && !file.isDamaged) continue;
       const last = lastSequenceOf(file);
       const wasCut = yield* this.measure(file);
       if (wasCut && lastSequenceOf(file) < last)
@@ -145,7 +149,7 @@
   /** Removes the oldest files until the rest is within the quota; returns the sequences that were removed. */
   *shrink(): Task<SequenceRange | undefined> {
     let from: number | undefined;
-    while (this.bytes > this.quotaBytes && this.files.length > 1) {
+    while (this.measuredBytes > this.quotaBytes && this.files.length > 1) {
       const range = yield* this.removeOldest();
       from ??= range?.from;
     }
@@ -155,7 +159,7 @@
   /** Removes the oldest file of a full disk, never the newest; the quota is what the rest takes from then on. */
   *reclaim(): Task<SequenceRange | undefined> {
     const range = yield* this.removeOldest();
-    if (range) this.quotaBytes = Math.min(this.quotaBytes, this.bytes);
+    if (range) this.quotaBytes = Math.min(this.quotaBytes, this.measuredBytes);
     return range;
   }
 
@@ -166,17 +170,17 @@
   }
 
   /** Reads configs from a sequence on that follow one another, as they travel. */
-  *piece(from: number): Task<Uint8Array> {
+  *readPiece(from: number): Task<Uint8Array> {
     let textBytes = 0;
     const configs = yield* this.readFrom(from, ({ text }) => {
       textBytes += text.length;
-      return textBytes >= MAX_PIECE_TEXT_BYTES;
+      return textBytes >= MAX_PIECE_TEXT_LENGTH;
     });
-    return ConfigHistory.pack(configs);
+    return ConfigHistory.packPiece(configs);
   }
 
   /** The newest sequences below one that are not stored here, as a range without a gap; `undefined` where none is missing. */
-  missingBelow(sequence: number): SequenceRange | undefined {
+  findMissingBelow(sequence: number): SequenceRange | undefined {
     let to = sequence - 1;
     for (const file of [...this.files].reverse()) {
       if (lastSequenceOf(file) < to) return { from: lastSequenceOf(file) + 1, to };
@@ -186,11 +190,11 @@
   }
 
   /** Configs as they travel, as many as one piece may carry. */
-  static pack(configs: readonly AcceptedConfig[]): Uint8Array {
+  static packPiece(configs: readonly AcceptedConfig[]): Uint8Array {
     const pieces: Buffer[] = [];
     let textBytes = 0;
     for (const config of configs) {
-      if (pieces.length > 0 && textBytes + config.text.length > MAX_PIECE_TEXT_BYTES) break;
+      if (pieces.length > 0 && textBytes + config.text.length > MAX_PIECE_TEXT_LENGTH) break;
       pieces.push(encodeCompleteConfig(config));
       textBytes += config.text.length;
     }
@@ -198,8 +202,8 @@
   }
 
   /** Reads what another sent; nothing where it doesn't begin with the wanted config. */
-  static unpack(bytes: Uint8Array, from: number): AcceptedConfig[] {
-    return [...readConfigs(Buffer.from(bytes), from, "complete")];
+  static unpackPiece(measuredBytes: Uint8Array, from: number): AcceptedConfig[] {
+    return [...readConfigs(Buffer.from(measuredBytes), from, "complete")];
   }
 
   private fileWith(sequence: number): HistoryFile | undefined {
@@ -207,7 +211,7 @@
   }
 
   private get fileBytes(): number {
-    return Math.max(MIN_FULL_FILE_BYTES, this.quotaBytes * MAX_QUOTA_PART_PER_FILE);
+    return Math.max(MIN_FULL_FILE_BYTES, this.quotaBytes * MAX_FILE_QUOTA_FRACTION);
   }
 
   /** Adds what fits into one file; returns how many configs that were. */
@@ -217,18 +221,19 @@
     const { file, previous } = yield* this.fileFor(first.sequence);
     const records: Buffer[] = [];
     let last = previous;
-    let bytes = file.bytes ?? 0;
+    let measuredBytes = file.measuredBytes ?? 0;
     for (const config of configs) {
-      const isFull = file.count + records.length >= CONFIGS_PER_FILE || bytes > this.fileBytes;
+      const isFull =
+        file.count + records.length >= CONFIGS_PER_FILE || measuredBytes > this.fileBytes;
       if (last && (isFull || config.sequence !== last.sequence + 1)) break;
       const record = encodeNextConfig(last, config);
       records.push(record);
-      bytes += record.length;
+      measuredBytes += record.length;
       last = config;
     }
     yield* this.write(file, Buffer.concat(records));
     file.count += records.length;
-    file.bytes = bytes;
+    file.measuredBytes = measuredBytes;
     if (last) this.tail = { file, config: last };
     return records.length;
   }
@@ -258,7 +263,7 @@
       layout: "deltas",
       first: sequence,
       count: 0,
-      bytes: 0,
+      measuredBytes: 0,
       isDamaged: false,
     };
     return { file, previous: undefined };
@@ -270,7 +275,7 @@
       file.layout === "deltas" &&
       lastSequenceOf(file) + 1 === sequence &&
       file.count < CONFIGS_PER_FILE &&
-      (file.bytes ?? 0) <= this.fileBytes
+      (file.measuredBytes ?? 0) <= this.fileBytes
     );
   }
 
@@ -282,10 +287,10 @@
     const file = this.fileWith(sequence);
     if (!file) return [];
     const last = lastSequenceOf(file);
-    const bytes = Buffer.from((yield* this.disk.read(file.name)) ?? Buffer.alloc(0));
+    const measuredBytes = Buffer.from((yield* this.disk.read(file.name)) ?? Buffer.alloc(0));
     const found: AcceptedConfig[] = [];
     let lastRead = file.first - 1;
-    for (const config of readConfigs(bytes, file.first, file.layout)) {
+    for (const config of readConfigs(measuredBytes, file.first, file.layout)) {
       if (config.sequence > last) break;
       lastRead = config.sequence;
       if (lastRead < sequence) continue;
@@ -298,17 +303,17 @@
 
   /** Counts the configs of a file and cuts off what is incomplete or damaged after them; returns whether anything was. */
   private *measure(file: HistoryFile): Task<boolean> {
-    const bytes = Buffer.from((yield* this.disk.read(file.name)) ?? Buffer.alloc(0));
-    const { count, intactBytes } = measureRecords(bytes);
-    if (intactBytes < bytes.length) yield* this.disk.truncate(file.name, intactBytes);
+    const measuredBytes = Buffer.from((yield* this.disk.read(file.name)) ?? Buffer.alloc(0));
+    const { count, intactBytes } = measureRecords(measuredBytes);
+    if (intactBytes < measuredBytes.length) yield* this.disk.truncate(file.name, intactBytes);
     file.count = count;
-    file.bytes = intactBytes;
+    file.measuredBytes = intactBytes;
     file.isDamaged = false;
     if (count === 0) {
       this.files = this.files.filter((one) => one !== file);
       yield* this.disk.remove(file.name);
     }
-    return intactBytes < bytes.length;
+    return intactBytes < measuredBytes.length;
   }
 
   private *removeOldest(): Task<SequenceRange | undefined> {
--- a/src/replication/history/history-format.ts
+++ b/src/replication/history/history-format.ts
@@ -6,7 +6,7 @@
   storedConfig,
   type AcceptedConfig,
 } from "../../state/accepted-config.js";
-import { textDeltaBetween, applyTextDelta, textDeltaShape } from "../../state/text-delta.js";
+import { computeTextDelta, applyTextDelta, textDeltaShape } from "../../state/text-delta.js";
 import { readRecords, withChecksum } from "../log/checksum.js";
 
 /**
@@ -32,7 +32,7 @@
 
 const encodeDelta = (previous: AcceptedConfig, config: AcceptedConfig): Buffer => {
   const { text, delta, ...rest } = config;
-  return encodeRecord({ ...rest, delta: delta ?? textDeltaBetween(previous.text, text) });
+  return encodeRecord({ ...rest, delta: delta ?? computeTextDelta(previous.text, text) });
 };
 
 const decodeDelta = (previous: AcceptedConfig, body: Buffer): AcceptedConfig => {
--- a/src/replication/history/history-service.ts
+++ b/src/replication/history/history-service.ts
@@ -17,9 +17,9 @@
 /** For how long a peer whose connection failed, and that sent nothing since, is passed over. */
 const UNREACHABLE_MS = 3000;
 /** A member rests this many times as long as a fetch took, so that the other members have time for other work. */
-const RESTS_PER_FETCH = 3;
+const REST_TIME_PER_FETCH_TIME = 3;
 /** The part of the pending text's limit at which configs are written to disk. */
-const PERSIST_PART = 1 / 4;
+const PERSIST_FRACTION = 1 / 4;
 /** Within which time members begin to write the configs that they have by then. */
 const PERSIST_SPREAD_MS = 1000;
 
@@ -55,7 +55,7 @@
   readonly isMissingEverywhere: boolean;
 }
 
-const textBytesOf = (configs: readonly AcceptedConfig[]): number =>
+const totalTextLength = (configs: readonly AcceptedConfig[]): number =>
   configs.reduce((sum, { text }) => sum + text.length, 0);
 
 const ignoreResult = (): void => undefined;
@@ -97,7 +97,7 @@
         const startedMs = clock.nowMs();
         yield* this.fetchMissing();
         const tookMs = clock.nowMs() - startedMs;
-        yield* sleep(clock, RESTS_PER_FETCH * tookMs);
+        yield* sleep(clock, REST_TIME_PER_FETCH_TIME * tookMs);
       }
       yield* sleep(clock, FETCH_INTERVAL_MS);
     }
@@ -123,7 +123,7 @@
     const { configs } = stateMachine;
     const newest = configs.at(-1)?.sequence ?? 0;
     this.needsRetry = false;
-    if (newest <= history.newest) return onReleased(history.newest);
+    if (newest <= history.newestSequence) return onReleased(history.newestSequence);
     this.isPersisting = true;
     writer.attempt(
       () => history.add(configs),
@@ -154,17 +154,19 @@
   private get isLarge(): boolean {
     const { stateMachine, maxPendingBytes } = this.options;
     const { configs } = stateMachine;
-    return configs.length > 1 && textBytesOf(configs) > maxPendingBytes * PERSIST_PART;
+    return configs.length > 1 && totalTextLength(configs) > maxPendingBytes * PERSIST_FRACTION;
   }
 
   private *pieceFrom(from: number): Task<DecodedMessage<typeof rpcMethods.history.response>> {
     const { stateMachine, history, isFormed } = this.options;
     if (!isFormed()) return { configs: new Uint8Array() };
-    const stored = yield* history.piece(from);
+    const stored = yield* history.readPiece(from);
     if (stored.length > 0) return { configs: stored };
     const { configs } = stateMachine;
     const first = configs.findIndex(({ sequence }) => sequence === from);
-    return { configs: first < 0 ? new Uint8Array() : ConfigHistory.pack(configs.slice(first)) };
+    return {
+      configs: first < 0 ? new Uint8Array() : ConfigHistory.packPiece(configs.slice(first)),
+    };
   }
 
   /** Fetches configs from one on, as another member has them; followers are asked before the leader. */
@@ -180,7 +182,7 @@
       const response = yield* rpc.call(peer, rpcMethods.history, { from }, FETCH_TIMEOUT_MS);
       if (!response) continue;
       replied.add(peer);
-      const configs = ConfigHistory.unpack(response.configs, from);
+      const configs = ConfigHistory.unpackPiece(response.configs, from);
       if (configs.length > 0) return { configs, isMissingEverywhere: false };
     }
     return { configs: [], isMissingEverywhere: voterPeers.every((voter) => replied.has(voter)) };
@@ -196,7 +198,7 @@
     const { history } = this.options;
     const missing = this.missingRange();
     if (!missing) {
-      if (this.wasIncomplete) this.log.info("history complete", { newest: history.newest });
+      if (this.wasIncomplete) this.log.info("history complete", { newest: history.newestSequence });
       this.wasIncomplete = false;
       return;
     }
@@ -223,13 +225,13 @@
     const { history } = this.options;
     const range = this.missingOnDisk();
     const removedUpTo = Math.max(this.unavailableUpTo, history.removedUpTo);
-    if (!range || range.to <= removedUpTo || !history.hasRoom) return undefined;
+    if (!range || range.to <= removedUpTo || !history.hasSpareQuota) return undefined;
     return { from: Math.max(range.from, removedUpTo + 1), to: range.to };
   }
 
   private missingOnDisk(): SequenceRange | undefined {
     const { stateMachine, history } = this.options;
-    return history.missingBelow(stateMachine.configs[0]?.sequence ?? 1);
+    return history.findMissingBelow(stateMachine.configs[0]?.sequence ?? 1);
   }
 
   private *insert(configs: AcceptedConfig[]): Task {
@@ -270,7 +272,7 @@
     const { stateMachine, maxPendingBytes, onReleased } = this.options;
     const { configs } = stateMachine;
     const upTo = configs.at(-2)?.sequence;
-    if (textBytesOf(configs) <= maxPendingBytes || upTo === undefined) return;
+    if (totalTextLength(configs) <= maxPendingBytes || upTo === undefined) return;
     this.log.warn("history write failed, pending configs dropped", { upTo });
     onReleased(upTo);
   }
--- a/src/replication/leadership/leader-driver.ts
+++ b/src/replication/leadership/leader-driver.ts
@@ -3,7 +3,7 @@
   becomeLeader,
   leadershipEntryText,
   stepDownReason,
-  transferTargetOf,
+  selectTransferTarget,
 } from "../../consensus/leadership.js";
 import type { RpcEndpoint } from "../../rpc/rpc-endpoint.js";
 import { rpcMethods } from "../../rpc/rpc-method.js";
@@ -74,7 +74,7 @@
   transferLeadership(why: string): void {
     const { runtime, rpc, log, consensus, membership } = this.options;
     const { term } = consensus.current;
-    const target = transferTargetOf(consensus.current, membership.stoppingMembers());
+    const target = selectTransferTarget(consensus.current, membership.stoppingMembers());
     log.warn("leadership transfer", { why, to: target ?? "nobody" });
     consensus.follow(term, "");
     if (target === undefined) return;
--- a/src/replication/leadership/leader-replication.ts
+++ b/src/replication/leadership/leader-replication.ts
@@ -80,12 +80,12 @@
       events,
       timeouts,
       snapshotSender,
-      makeSnapshot: () => this.makeSnapshot(),
+      createSnapshot: () => this.makeSnapshot(),
     });
     yield* replicator.run();
     if (this.wakeups.get(peer) !== wakeup) return;
     this.wakeups.delete(peer);
-    snapshotSender.end(peer);
+    snapshotSender.endTransfer(peer);
   }
 
   private makeSnapshot(): SharedSnapshot {
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -39,7 +39,7 @@
   readonly events: NodeEventSink;
   readonly timeouts: ReplicationTimeouts;
   readonly snapshotSender: SnapshotSender;
-  readonly makeSnapshot: () => SharedSnapshot;
+  readonly createSnapshot: () => SharedSnapshot;
 }
 
 /** The replication to one peer during one term. */
@@ -79,7 +79,10 @@
     if (reply?.term !== term) return false;
     const { fits, counts } = reply;
     const matched = fits ? reply.matched : 0;
-    events.put({ kind: "acknowledged", acknowledgment: { peer, term, sentMs, matched, counts } });
+    events.put({
+      kind: "acknowledged",
+      acknowledgment: { peer, term, sentMs, matchIndex: matched, counts },
+    });
     this.isResponsive = true;
     this.progress = progressAfter(sent, reply);
     return !fits || consensus.current.log.lastIndex >= this.progress.next;
@@ -96,7 +99,15 @@
 
   /** Returns the index up to which the peer has the log, 0 while the transfer advances, `undefined` where it didn't. */
   private *transferSnapshot(): Task<number | undefined> {
-    const { peer, term, clock, consensus, events, snapshotSender, makeSnapshot } = this.options;
+    const {
+      peer,
+      term,
+      clock,
+      consensus,
+      events,
+      snapshotSender,
+      createSnapshot: makeSnapshot,
+    } = this.options;
     const sentMs = clock.nowMs();
     const { baseIndex } = consensus.current.log;
     const message = snapshotSender.nextMessage(peer, baseIndex, sentMs, makeSnapshot);
@@ -107,10 +118,13 @@
       return undefined;
     }
     const { matched, counts } = reply;
-    events.put({ kind: "acknowledged", acknowledgment: { peer, term, sentMs, matched, counts } });
+    events.put({
+      kind: "acknowledged",
+      acknowledgment: { peer, term, sentMs, matchIndex: matched, counts },
+    });
     const isInstalled = matched >= message.snapshot.identity.lastIndex;
     if (isInstalled) {
-      snapshotSender.end(peer);
+      snapshotSender.endTransfer(peer);
       return matched;
     }
     if (message.kind === "complete") return undefined;
--- a/src/replication/log/disk-reclaimer.ts
+++ b/src/replication/log/disk-reclaimer.ts
@@ -26,7 +26,7 @@
   }
 
   /** A write was refused; returns whether a file was removed, so that a retry may succeed. */
-  *refused(): Task<boolean> {
+  *onWriteRefused(): Task<boolean> {
     const nowMs = this.clock.nowMs();
     if (nowMs < this.nextRemovalMs) return false;
     this.nextRemovalMs = nowMs + this.intervalMs;
@@ -45,7 +45,7 @@
   }
 
   /** The disk accepts writes. */
-  accepted(): void {
+  onWriteAccepted(): void {
     this.intervalMs = FIRST_INTERVAL_MS;
     this.nextRemovalMs = -Infinity;
   }
--- a/src/replication/log/durable-state.ts
+++ b/src/replication/log/durable-state.ts
@@ -70,7 +70,7 @@
 /** The kinds of records by their numbers on disk. */
 const RecordKind = { entry: 1, vote: 2, truncate: 3 };
 
-const fieldsOf = (record: LogRecord) => {
+const recordFields = (record: LogRecord) => {
   switch (record.kind) {
     case "entry":
       return { term: record.term, index: record.index, text: record.text };
@@ -83,7 +83,7 @@
 
 /** The bytes of a record of the log. */
 export const encodeLogRecord = (record: LogRecord): Uint8Array =>
-  withChecksum(recordLayout.toBuffer({ kind: RecordKind[record.kind], ...fieldsOf(record) }));
+  withChecksum(recordLayout.toBuffer({ kind: RecordKind[record.kind], ...recordFields(record) }));
 
 /** Applies a record's body to a durable state; false where it doesn't follow on what came before. */
 export const replayLogRecord = (state: DurableState, body: Buffer): boolean => {
--- a/src/replication/log/log-applier.ts
+++ b/src/replication/log/log-applier.ts
@@ -1,5 +1,5 @@
 /** Applies committed entries to the state machine. */
-import { completesRejoin, rejoinMarkerIn } from "../../consensus/rejoin.js";
+import { completesRejoin, parseRejoinMarker } from "../../consensus/rejoin.js";
 import type { ConsensusState } from "../../consensus/state.js";
 import type { Entry } from "../../rpc/rpc-method.js";
 import type { StepTimer } from "../../runtime/step-timer.js";
@@ -57,7 +57,7 @@
   private apply(entry: Entry): void {
     const { steps, consensus, stateMachine, pending, snapshots } = this.options;
     this.index = entry.index;
-    const marker = rejoinMarkerIn(entry.text);
+    const marker = parseRejoinMarker(entry.text);
     if (marker !== undefined && completesRejoin(consensus.current, marker, consensus.context))
       snapshots.write(this.index, { completesRejoin: true });
     const outcome = steps.run("applyEntry", () => stateMachine.apply(entry.index, entry.text));
--- a/src/replication/log/log-store.ts
+++ b/src/replication/log/log-store.ts
@@ -63,7 +63,7 @@
   }
 
   /** The size of the log after the newest snapshot. */
-  get addedBytes(): number {
+  get logBytes(): number {
     return this.logBytes;
   }
 
@@ -74,7 +74,9 @@
     if (names.includes(CLEARING_MARKER)) return damaged("The disk was being cleared.");
     const { newest, damagedCount } = yield* this.readSlots();
     if (!newest) {
-      const hasOthers = names.some((name) => isLogName(name) || ConfigHistory.isName(name));
+      const hasOthers = names.some(
+        (name) => isLogName(name) || ConfigHistory.isHistoryFileName(name),
+      );
       return hasOthers || damagedCount > 1 ? damaged("No slot can be read.") : { kind: "empty" };
     }
     this.sequence = newest.sequence;
@@ -92,7 +94,7 @@
   *clear(): Task {
     yield* this.disk.write(CLEARING_MARKER, Buffer.alloc(0));
     for (const name of yield* this.disk.list())
-      if (SLOT_NAMES.includes(name) || isLogName(name) || ConfigHistory.isName(name))
+      if (SLOT_NAMES.includes(name) || isLogName(name) || ConfigHistory.isHistoryFileName(name))
         yield* this.disk.remove(name);
     yield* this.history.load([]);
     this.sequence = 0;
--- a/src/replication/log/log-writer.ts
+++ b/src/replication/log/log-writer.ts
@@ -53,12 +53,12 @@
   }
 
   /** How many syncs have ended. */
-  get syncs(): number {
+  get completedSyncs(): number {
     return this.syncCount;
   }
 
   /** How many records have been written. */
-  get written(): number {
+  get writtenRecords(): number {
     return this.recordCount;
   }
 
@@ -68,8 +68,8 @@
   }
 
   /** The size of the log after the newest snapshot. */
-  get addedBytes(): number {
-    return this.store.addedBytes;
+  get logBytes(): number {
+    return this.store.logBytes;
   }
 
   /** Appends records; `onDone` is called once they are durable. */
@@ -120,7 +120,7 @@
         return;
       } catch (error) {
         if (!(error instanceof DiskError)) throw error;
-        if (yield* this.reclaimer.refused()) continue;
+        if (yield* this.reclaimer.onWriteRefused()) continue;
         this.onFailure(error);
         yield* sleep(this.clock, RETRY_INTERVAL_MS);
       }
@@ -134,7 +134,7 @@
       return true;
     } catch (error) {
       if (!(error instanceof DiskError)) throw error;
-      yield* this.reclaimer.refused();
+      yield* this.reclaimer.onWriteRefused();
       return false;
     }
   }
@@ -150,7 +150,7 @@
     this.syncCount += 1;
     if (this.lastFailure !== undefined) this.log.info("disk writes recovered");
     this.lastFailure = undefined;
-    this.reclaimer.accepted();
+    this.reclaimer.onWriteAccepted();
   }
 
   private onFailure(error: DiskError): void {
--- a/src/replication/membership/membership-join.ts
+++ b/src/replication/membership/membership-join.ts
@@ -79,8 +79,8 @@
       yield* this.waitUntil(RETRY_INTERVAL_MS, () => this.acceptedRequest === request);
     }
     if (this.acceptedRequest !== request) return;
-    const tookMs = Math.round(clock.nowMs() - startedMs);
-    this.log.info("membership request accepted", { rounds, tookMs });
+    const durationMs = Math.round(clock.nowMs() - startedMs);
+    this.log.info("membership request accepted", { rounds, tookMs: durationMs });
     const isOver = (): boolean =>
       this.member.request !== request || this.member.installedSnapshots !== snapshots;
     yield* this.waitUntil(SETTLE_TIMEOUT_MS, isOver);
--- a/src/replication/membership/membership-leave.ts
+++ b/src/replication/membership/membership-leave.ts
@@ -43,7 +43,7 @@
   }
 
   /** Repeats the report until a status satisfies, or a moment of the clock has come; returns whether one did. */
-  *until(satisfies: (status: LeaveStatus) => boolean, untilMs: number): Task<boolean> {
+  *reportUntil(satisfies: (status: LeaveStatus) => boolean, untilMs: number): Task<boolean> {
     const { clock } = this.runtime;
     while (clock.nowMs() < untilMs) {
       const status = yield* this.report();
--- a/src/replication/membership/membership-manager.ts
+++ b/src/replication/membership/membership-manager.ts
@@ -48,7 +48,7 @@
       if (!consensus.isMember(machine)) {
         if (!mayChangeMembers(consensus.current, consensus.context)) return;
         const { voters, learners } = consensus.current.members;
-        this.change({ voters, learners: [...learners, machine] });
+        this.appendMembers({ voters, learners: [...learners, machine] });
       }
       this.requestedLearners.shift();
       respond(true);
@@ -61,7 +61,7 @@
   }
 
   /** Notes that a member is about to stop; returns its status, or nothing where this node doesn't lead. */
-  noteStopping(machine: string, lastIndex: number): LeaveStatus | undefined {
+  markStopping(machine: string, lastIndex: number): LeaveStatus | undefined {
     const { clock, consensus, timeouts } = this.options;
     const { role, members, membersIndex, committedIndex, log } = consensus.current;
     if (role !== "leader") return undefined;
@@ -70,7 +70,11 @@
     const view = this.viewSince(nowMs);
     return {
       isVoter: members.voters.includes(machine) || membersIndex > committedIndex,
-      isHeld: MembershipPolicy.isHeldWithout(view, machine, Math.min(lastIndex, log.lastIndex)),
+      isHeld: MembershipPolicy.isReplicatedWithout(
+        view,
+        machine,
+        Math.min(lastIndex, log.lastIndex),
+      ),
     };
   }
 
@@ -85,14 +89,14 @@
   review(leadingSinceMs: number): void {
     const { log, consensus } = this.options;
     if (!mayChangeMembers(consensus.current, consensus.context)) return;
-    const change = MembershipPolicy.next(this.viewSince(leadingSinceMs));
-    if (!change) return;
-    const { kind, member, reason } = change;
-    log.warn("membership change", { change: kind, member, why: reason });
-    this.change(MembershipPolicy.after(consensus.current.members, change));
+    const appendMembers = MembershipPolicy.nextChange(this.viewSince(leadingSinceMs));
+    if (!appendMembers) return;
+    const { kind, member, reason } = appendMembers;
+    log.warn("membership change", { appendMembers: kind, member, why: reason });
+    this.appendMembers(MembershipPolicy.applyChange(consensus.current.members, appendMembers));
   }
 
-  private change(members: Members): void {
+  private appendMembers(members: Members): void {
     this.options.leaderLog.append([membersEntryText(members)]);
   }
 
@@ -100,7 +104,7 @@
   private viewSince(leadingSinceMs: number): MembershipView {
     const { clock, location, consensus, timeouts } = this.options;
     const nowMs = clock.nowMs();
-    const { self, members, committedIndex, syncedIndex, matched } = consensus.current;
+    const { self, members, committedIndex, syncedIndex, matchIndexes: matched } = consensus.current;
     const { acknowledgedSentMs, responsiveSinceMs } = consensus.current;
     return {
       self,
@@ -111,13 +115,13 @@
       committedIndex,
       progressOf: (member) =>
         member === self
-          ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchedIndex: syncedIndex }
+          ? { unresponsiveMs: 0, hasAcknowledged: true, responsiveMs: 0, matchIndex: syncedIndex }
           : {
               unresponsiveMs:
                 nowMs - Math.max(leadingSinceMs, acknowledgedSentMs.get(member) ?? leadingSinceMs),
               hasAcknowledged: acknowledgedSentMs.has(member),
               responsiveMs: nowMs - (responsiveSinceMs.get(member) ?? nowMs),
-              matchedIndex: matched.get(member) ?? 0,
+              matchIndex: matched.get(member) ?? 0,
             },
       timeouts: {
         responsiveWithinMs: timeouts.electionMaxMs,
--- a/src/replication/membership/membership-policy.ts
+++ b/src/replication/membership/membership-policy.ts
@@ -18,7 +18,7 @@
   /** For how long the member has acknowledged this leader's requests, from the first one on. */
   readonly responsiveMs: number;
   /** The index up to which the member's log is known to match the leader's. */
-  readonly matchedIndex: number;
+  readonly matchIndex: number;
 }
 
 /** The durations that decide when a member counts as lost. */
@@ -68,7 +68,7 @@
 const isReady = (view: MembershipView, learner: string): boolean =>
   !view.stopping.has(learner) &&
   isResponsive(view, learner) &&
-  view.progressOf(learner).matchedIndex + MAX_READY_LAG_ENTRIES >= view.committedIndex;
+  view.progressOf(learner).matchIndex + MAX_READY_LAG_ENTRIES >= view.committedIndex;
 
 /** Whether the responsive members are a majority of a group of voters. */
 const hasMajority = (view: MembershipView, voters: readonly string[]): boolean =>
@@ -128,7 +128,7 @@
 /** The policy by which a leader changes the members. */
 export const MembershipPolicy = {
   /** The next change of the membership, or none. */
-  next(view: MembershipView): MembershipChange | undefined {
+  nextChange(view: MembershipView): MembershipChange | undefined {
     const { voters, learners, wantedVoters } = view;
     const ready = learners.find((learner) => isReady(view, learner));
     if (voters.length > wantedVoters) return removeSurplusVoter(view) ?? removeLostLearner(view);
@@ -138,7 +138,7 @@
   },
 
   /** The group after a change. */
-  after(
+  applyChange(
     { voters, learners }: Pick<MembershipView, "voters" | "learners">,
     change: MembershipChange,
   ): { voters: string[]; learners: string[] } {
@@ -156,13 +156,13 @@
   },
 
   /** Whether a majority of the voters has what is committed, and all up to an index, without counting one of them. */
-  isHeldWithout(view: MembershipView, stopping: string, index: number): boolean {
+  isReplicatedWithout(view: MembershipView, stopping: string, index: number): boolean {
     const neededIndex = Math.max(view.committedIndex, index);
     const holders = view.voters.filter(
       (voter) =>
         voter !== stopping &&
         isResponsive(view, voter) &&
-        view.progressOf(voter).matchedIndex >= neededIndex,
+        view.progressOf(voter).matchIndex >= neededIndex,
     );
     return holders.length >= majoritySize(view.voters.length);
   },
--- a/src/replication/membership/own-membership.ts
+++ b/src/replication/membership/own-membership.ts
@@ -33,7 +33,7 @@
   }
 
   /** The process by which this node asks the leader for its membership. */
-  join(): MembershipJoin {
+  createJoin(): MembershipJoin {
     const { runtime, rpc, consensus, snapshots, contacts } = this.options;
     const request = (): string | undefined => this.request;
     return new MembershipJoin(runtime, rpc, {
@@ -51,7 +51,7 @@
   }
 
   /** The process by which this node tells the leader that it is about to stop. */
-  leave(): MembershipLeave {
+  createLeave(): MembershipLeave {
     const { runtime, rpc, consensus } = this.options;
     const leader = (): string => this.leader;
     return new MembershipLeave(runtime, rpc, {
--- a/src/replication/replication-node.ts
+++ b/src/replication/replication-node.ts
@@ -2,7 +2,7 @@
 import { onAcknowledgment, onOwnEntriesSynced } from "../consensus/commit.js";
 import type { MemberRights } from "../consensus/member-rights.js";
 import type { Members } from "../consensus/members.js";
-import { afterRejoin } from "../consensus/rejoin.js";
+import { stateAfterRejoin } from "../consensus/rejoin.js";
 import { safetyRules } from "../consensus/safety-rules.js";
 import { initialState, stateAfterRestart, type DecisionContext } from "../consensus/state.js";
 import type { RpcEndpoint } from "../rpc/rpc-endpoint.js";
@@ -166,8 +166,8 @@
       voters: members.voters,
       learners: members.learners,
       disk: this.writer.failure ?? "well",
-      syncs: this.writer.syncs,
-      written: this.writer.written,
+      syncs: this.writer.completedSyncs,
+      written: this.writer.writtenRecords,
     };
   }
 
@@ -224,7 +224,9 @@
 
   /** Leaves the voters once a learner is ready to replace this node; ends then, or at a moment of the clock. */
   *leave(untilMs: number): Task {
-    const isReplaced = yield* this.ownMembership.leave().until(({ isVoter }) => !isVoter, untilMs);
+    const isReplaced = yield* this.ownMembership
+      .createLeave()
+      .reportUntil(({ isVoter }) => !isVoter, untilMs);
     if (isReplaced) this.log.info("replaced as a voter");
   }
 
@@ -238,7 +240,9 @@
     this.isRetired = true;
     const { voters } = this.state.members;
     if (!voters.includes(this.self) || voters.length === 1) return;
-    const isReplicated = yield* this.ownMembership.leave().until(({ isHeld }) => isHeld, untilMs);
+    const isReplicated = yield* this.ownMembership
+      .createLeave()
+      .reportUntil(({ isHeld }) => isHeld, untilMs);
     if (!isReplicated) this.log.warn("stopping before all acknowledged entries are replicated");
   }
 
@@ -258,7 +262,7 @@
     startTask(runtime, "replication", this.bootstrap.run());
     yield* formation.waitUntilOpen();
     consensus.update(stateAfterRestart(consensus.current, consensus.context));
-    startTask(runtime, "replication", this.ownMembership.join().run());
+    startTask(runtime, "replication", this.ownMembership.createJoin().run());
     startTask(runtime, "replication", this.history.run());
     for (;;) {
       switch (this.state.role) {
@@ -325,7 +329,7 @@
 
   private serve(): void {
     this.bootstrap.serve();
-    serveReplicationRpc(this.rpc, this.events, () => this.rights.takePart);
+    serveReplicationRpc(this.rpc, this.events, () => this.rights.participate);
     this.history.serve();
   }
 
@@ -373,9 +377,9 @@
         if (this.state.role === "leader") leadership.transferLeadership("stop requested");
         return event.respond(true);
       case "memberStopping":
-        return event.respond(this.membership.noteStopping(event.machine, event.lastIndex));
+        return event.respond(this.membership.markStopping(event.machine, event.lastIndex));
       case "rejoinPersisted":
-        consensus.update(afterRejoin(consensus.current));
+        consensus.update(stateAfterRejoin(consensus.current));
         this.log.info("rejoin completed");
         return;
       case "configsReleased":
--- a/src/replication/snapshot/snapshot-installer.ts
+++ b/src/replication/snapshot/snapshot-installer.ts
@@ -50,7 +50,7 @@
 
   /** Goes on with the pieces that were received before a restart. */
   resume(pieces: readonly SnapshotPiece[]): void {
-    for (const piece of pieces) this.receiver.take(piece);
+    for (const piece of pieces) this.receiver.receive(piece);
   }
 
   /** Receives a piece, and installs the snapshot once it is complete. */
@@ -59,7 +59,7 @@
     const decision = decideSnapshot(consensus.current, request, consensus.context);
     consensus.update(decision.state);
     if (decision.kind === "reply") return respond({ ...decision.reply, receivedBytes: 0 });
-    const received = this.receiver.take(request);
+    const received = this.receiver.receive(request);
     if (received.kind === "partial") {
       if (received.isAdded) writer.attempt(() => store.snapshotPart.add(request), ignoreResult);
       const { receivedBytes } = received;
--- a/src/replication/snapshot/snapshot-receiver.ts
+++ b/src/replication/snapshot/snapshot-receiver.ts
@@ -52,7 +52,7 @@
   }
 
   /** Accepts a piece. One that doesn't follow the received ones changes nothing; one of another snapshot begins anew. */
-  take(piece: SnapshotPiece): SnapshotReceived {
+  receive(piece: SnapshotPiece): SnapshotReceived {
     const { lastIndex, lastTerm, totalBytes, checksum } = piece;
     if (totalBytes > MAX_SNAPSHOT_BYTES)
       return { kind: "partial", receivedBytes: 0, isAdded: false };
--- a/src/replication/snapshot/snapshot-sender.ts
+++ b/src/replication/snapshot/snapshot-sender.ts
@@ -65,7 +65,7 @@
   readonly snapshot: SharedSnapshot;
   /** What the member is known to have received; `undefined` before it was queried. */
   readonly receivedBytes: number | undefined;
-  readonly advancedMs: number;
+  readonly lastAdvanceMs: number;
 }
 
 /** The next message: a piece, or the complete snapshot for a member that may not know of pieces. */
@@ -94,7 +94,7 @@
     const snapshot = this.shared;
     let transfer = this.transfers.get(peer);
     if (transfer?.snapshot !== snapshot) {
-      transfer = { snapshot, receivedBytes: undefined, advancedMs: nowMs };
+      transfer = { snapshot, receivedBytes: undefined, lastAdvanceMs: nowMs };
       this.transfers.set(peer, transfer);
     }
     const count = this.messagesWithoutReply.get(peer) ?? 0;
@@ -120,8 +120,8 @@
     const isWithin = receivedBytes < totalBytes && receivedBytes % SNAPSHOT_PIECE_BYTES === 0;
     const nextBytes = isWithin ? receivedBytes : 0;
     const hasAdvanced = nextBytes > (transfer.receivedBytes ?? -1);
-    const answeredMs = hasAdvanced ? nowMs : transfer.advancedMs;
-    this.transfers.set(peer, { ...transfer, receivedBytes: nextBytes, advancedMs: answeredMs });
+    const answeredMs = hasAdvanced ? nowMs : transfer.lastAdvanceMs;
+    this.transfers.set(peer, { ...transfer, receivedBytes: nextBytes, lastAdvanceMs: answeredMs });
     return hasAdvanced;
   }
 
@@ -132,7 +132,7 @@
   }
 
   /** A member needs no snapshot any more. */
-  end(peer: string): void {
+  endTransfer(peer: string): void {
     this.transfers.delete(peer);
     this.messagesWithoutReply.delete(peer);
     if (this.transfers.size === 0) this.shared = undefined;
@@ -140,8 +140,8 @@
 
   /** The index after which the log must be retained for transfers under way, or nothing. */
   retainedIndex(nowMs: number): number | undefined {
-    for (const [peer, { advancedMs: answeredMs }] of this.transfers)
-      if (nowMs - answeredMs > TRANSFER_IDLE_MS) this.end(peer);
+    for (const [peer, { lastAdvanceMs: answeredMs }] of this.transfers)
+      if (nowMs - answeredMs > TRANSFER_IDLE_MS) this.endTransfer(peer);
     return this.shared?.identity.lastIndex;
   }
 }
--- a/src/replication/snapshot/snapshot-writer.ts
+++ b/src/replication/snapshot/snapshot-writer.ts
@@ -62,7 +62,7 @@
   /** Writes a snapshot up to the applied index, where the log is large and none is being written. */
   writeIfDue(appliedIndex: number): void {
     const { writer, formation } = this.options;
-    if (this.isWriting || writer.addedBytes <= this.dueBytes || !formation.isFormed) return;
+    if (this.isWriting || writer.logBytes <= this.dueBytes || !formation.isFormed) return;
     this.write(appliedIndex, { completesRejoin: false });
   }
 
@@ -98,7 +98,7 @@
       lastIndex,
       lastTerm: log.termAt(lastIndex) ?? 0,
       snapshot: steps.run("makeSnapshot", () =>
-        stateMachine.snapshot(members, store.history.newest),
+        stateMachine.snapshot(members, store.history.newestSequence),
       ),
       entries: log.entriesFrom(lastIndex + 1),
     };
--- a/src/retry-budget/count-aggregator.ts
+++ b/src/retry-budget/count-aggregator.ts
@@ -14,7 +14,7 @@
   childKey,
   type CountPush,
   readCountPush,
-  EXPEDITED_PUSH_MS,
+  EXPEDITED_PUSH_DELAY_MS,
   isSameChild,
   isSameProcess,
   ROUTE_COUNTS_INTERVAL_MS,
@@ -84,7 +84,7 @@
   private halfTripMs = 0;
   private readonly expedited = new Queue<true>();
   /** How many pushes were refused for what they carried. */
-  refused = 0;
+  refusedPushes = 0;
 
   /** `self` is this daemon's peer address, `leader` gives that of the leader or an empty text. */
   constructor(
@@ -120,7 +120,7 @@
     const { clock } = this.runtime;
     for (;;) {
       const startedMs = clock.nowMs();
-      yield* sleep(clock, EXPEDITED_PUSH_MS);
+      yield* sleep(clock, EXPEDITED_PUSH_DELAY_MS);
       const expedited = yield* this.expedited.takeUntil(clock, startedMs + pushMs);
       const prepared = this.preparePush(expedited !== undefined);
       const leader = this.leader();
@@ -199,7 +199,7 @@
       received = { push, counts, atMs: nowMs };
     } catch (error) {
       if (!(error instanceof SketchMismatchError)) throw error;
-      this.refused += 1;
+      this.refusedPushes += 1;
       this.log.warn("sketch refused", { why: error.message });
       const refusal: AggregatedCounts = {
         taken: error.message,
@@ -219,7 +219,7 @@
     const former = this.edges.get(key);
     if (!former || former.push.push <= push.push)
       this.edges.set(key, { ...received, counts: counts.withRoutesOf(former?.counts) });
-    if (push.isHurried) this.expedited.putOnce(true);
+    if (push.isHurried) this.expedited.putIfEmpty(true);
     const includedPush = this.cluster?.includedPushes.get(key);
     const { bytes, atMs } = this.encodeCluster(counts.hasRoutes);
     const response: AggregatedCounts = {
--- a/src/retry-budget/count-messages.ts
+++ b/src/retry-budget/count-messages.ts
@@ -16,7 +16,7 @@
 export const ROUTE_COUNTS_INTERVAL_MS = 10_000;
 
 /** How long an expedited push waits after the last one. */
-export const EXPEDITED_PUSH_MS = 250;
+export const EXPEDITED_PUSH_DELAY_MS = 250;
 
 const childShape = object({ machine: string(), incarnation: string(), parentSequence: number() });
 
--- a/src/retry-budget/edge-counts.ts
+++ b/src/retry-budget/edge-counts.ts
@@ -12,7 +12,7 @@
 import {
   type AggregatedCounts,
   readAggregatedCounts,
-  EXPEDITED_PUSH_MS,
+  EXPEDITED_PUSH_DELAY_MS,
   ROUTE_COUNTS_INTERVAL_MS,
   type CountCoverage,
   type CountPush,
@@ -157,7 +157,7 @@
 
   /** Has the next push sent sooner, since retries are requested. */
   expedite(): void {
-    this.expedited.putOnce(true);
+    this.expedited.putIfEmpty(true);
   }
 
   /** Pushes to a collector about every `pushMs` for as long as the daemon runs, or sooner where expedited. */
@@ -165,7 +165,7 @@
     const { clock } = this.runtime;
     for (;;) {
       const startedMs = clock.nowMs();
-      yield* sleep(clock, EXPEDITED_PUSH_MS);
+      yield* sleep(clock, EXPEDITED_PUSH_DELAY_MS);
       const jitter = PUSH_JITTER.min + this.runtime.random() * PUSH_JITTER.range;
       const expedited = yield* this.expedited.takeUntil(clock, startedMs + pushMs * jitter);
       const sentMs = clock.nowMs();
--- a/src/retry-budget/request-counts.ts
+++ b/src/retry-budget/request-counts.ts
@@ -30,7 +30,7 @@
 };
 
 /** The default format for another window of the retry budget; as long as the stamps allow. */
-export function requestCountsFormatFor(retryWindowMs: number): RequestCountsFormat {
+export function createRequestCountsFormat(retryWindowMs: number): RequestCountsFormat {
   const { attempts: tries, routes, routeBits } = defaultRequestCountsFormat;
   const windowMs = Math.min(2 * retryWindowMs, MAX_WINDOW_MS);
   return { attempts: { ...tries, windowMs }, routes: { ...routes, windowMs }, routeBits };
@@ -112,8 +112,8 @@
   }
 
   /** Routes that make up at least the part `phi` of all requests in the last `rangeMs`, by number. */
-  heavyRoutes(phi: number, nowMs: number, rangeMs: number): HeavyItem[] {
-    return this.routes.heavy(phi, stampOf(nowMs), rangeMs);
+  findHeavyRoutes(phi: number, nowMs: number, rangeMs: number): HeavyItem[] {
+    return this.routes.findHeavyItems(phi, stampOf(nowMs), rangeMs);
   }
 
   /** Drops what is older than the window. */
@@ -126,8 +126,8 @@
   encode(nowMs: number, withRoutes = true): Uint8Array {
     const now = stampOf(nowMs);
     return countsStruct.toBuffer({
-      attempts: this.attempts.aged(now),
-      routes: withRoutes && this.hasRoutes ? this.routes.aged(now) : [],
+      attempts: this.attempts.agedForm(now),
+      routes: withRoutes && this.hasRoutes ? this.routes.agedForm(now) : [],
     });
   }
 
@@ -140,14 +140,14 @@
   ): RequestCounts {
     const decoded = decodeExactly(countsStruct, bytes);
     const now = stampOf(nowMs);
-    const attempts = EcmSketch.ofAged(decoded.attempts, format.attempts, now, olderMs);
+    const attempts = EcmSketch.fromAged(decoded.attempts, format.attempts, now, olderMs);
     if (decoded.routes.length === 0) return new RequestCounts(format, attempts, undefined, false);
     if (decoded.routes.length !== format.routeBits)
       throw new SketchMismatchError("The sketch has another number of levels.");
     return new RequestCounts(
       format,
       attempts,
-      DyadicSketch.ofAged(decoded.routes, format.routes, format.routeBits, now, olderMs),
+      DyadicSketch.fromAged(decoded.routes, format.routes, format.routeBits, now, olderMs),
     );
   }
 
--- a/src/retry-budget/retry-budget.ts
+++ b/src/retry-budget/retry-budget.ts
@@ -1,9 +1,9 @@
 /** The decision whether a retry may be sent, by the sketch of the cluster and an exact local guard. */
-import { type RetryRules, retryRulesOf } from "./retry-rules.js";
+import { type RetryRules, createRetryRules } from "./retry-rules.js";
 import { RETRY_WINDOW_MS } from "./request-counts.js";
 
 /** The rules unless settings say otherwise: a fifth of a service's requests and seventy more in any ten seconds. */
-export const defaultRetryRules: RetryRules = retryRulesOf(0.2, 70, RETRY_WINDOW_MS);
+export const defaultRetryRules: RetryRules = createRetryRules(0.2, 70, RETRY_WINDOW_MS);
 
 export const {
   rule: defaultRetryRule,
@@ -50,7 +50,7 @@
   private readonly accounts = new Map<string, Account>();
   private readonly retainedSlots: number;
   /** Called when a capacity is nearly used up. */
-  onShort: () => void = () => undefined;
+  onNearlyExhausted: () => void = () => undefined;
 
   constructor(rules: RetryRules = defaultRetryRules) {
     this.rules = rules;
@@ -72,7 +72,7 @@
     const slot = this.slot(account, nowMs);
     slot.requested += 1;
     const remaining = account.capacity - this.used(account);
-    if (remaining < SHORT_CAPACITY) this.onShort();
+    if (remaining < SHORT_CAPACITY) this.onNearlyExhausted();
     if (sketch && sketch.used + 1 > sketch.limit) return "sketch";
     if (remaining < 1) return "guard";
     slot.retries += 1;
--- a/src/retry-budget/retry-rules.ts
+++ b/src/retry-budget/retry-rules.ts
@@ -20,7 +20,7 @@
 }
 
 /** The rules by which each window has at most `ratio` retries for each request, and `extra` more. */
-export function retryRulesOf(ratio: number, extra: number, windowMs: number): RetryRules {
+export function createRetryRules(ratio: number, extra: number, windowMs: number): RetryRules {
   return {
     rule: { earned: ratio, pool: extra },
     sketch: { earned: ratio * 0.825, pool: (extra * 45) / 70 },
--- a/src/rpc/paced-connection.ts
+++ b/src/rpc/paced-connection.ts
@@ -123,7 +123,7 @@
   }
 
   private write(frame: Uint8Array): void {
-    this.egress.note(frame.length);
+    this.egress.recordBytes(frame.length);
     this.connection.send(frame);
   }
 }
--- a/src/rpc/peer-connection.ts
+++ b/src/rpc/peer-connection.ts
@@ -86,8 +86,8 @@
   }
 
   /** Closes the connection if an error was raised by what came over it. */
-  refuse(error: unknown): void {
-    this.context.guard.refuse(this.connection, error);
+  closeOnViolation(error: unknown): void {
+    this.context.guard.closeOnViolation(this.connection, error);
   }
 
   /** Connects whenever there is something to send, for as long as the daemon runs. */
@@ -129,14 +129,14 @@
       const piece = yield* connection.incoming.take();
       if (piece === "closed") return hasFrames;
       this.noteReceived();
-      pacers.ingress.note(piece.length);
+      pacers.ingress.recordBytes(piece.length);
       try {
         for (const { isResponse, requestId, body } of reader.read(piece)) {
           hasFrames = true;
           if (isResponse) this.pending.settle(requestId, body);
         }
       } catch (error) {
-        guard.refuse(connection, error);
+        guard.closeOnViolation(connection, error);
         return hasFrames;
       }
     }
--- a/src/rpc/protocol-guard.ts
+++ b/src/rpc/protocol-guard.ts
@@ -22,7 +22,7 @@
   }
 
   /** Closes the connection on which an error was raised by what a peer sent; any other error is thrown on. */
-  refuse(connection: Connection | undefined, error: unknown): void {
+  closeOnViolation(connection: Connection | undefined, error: unknown): void {
     if (!isProtocolError(error)) throw error;
     this.count += 1;
     this.log.warn("frame refused, connection closed", { why: error.message });
--- a/src/rpc/rpc-endpoint.ts
+++ b/src/rpc/rpc-endpoint.ts
@@ -1,6 +1,6 @@
 /** A daemon's end of the links to its peers: calls of their methods, and the service of its own. */
 import type * as r from "restructure";
-import { linkPacersOf } from "../runtime/link-pacer.js";
+import { createLinkPacers } from "../runtime/link-pacer.js";
 import { type Runtime, startTask } from "../runtime/runtime.js";
 import type { Task } from "../runtime/task.js";
 import { decodeExactly, FRAME_VERSION } from "./frame.js";
@@ -14,12 +14,12 @@
 const REQUEST_ID_LIMIT = 2 ** 32;
 
 /** The message that an encoding of requests or responses carries. */
-export type DecodedMessage<C> = r.Held<C>;
+export type DecodedMessage<C> = r.Decoded<C>;
 
 /** How a response after its timeout is taken, and for how long it is waited for. */
 export interface LateResponse<R> {
   readonly waitMs: number;
-  take(response: R): void;
+  onResponse(response: R): void;
 }
 
 /** The links of one daemon to its peers: requests, and the responses to them. */
@@ -36,7 +36,7 @@
     runtime: Runtime,
     self: string,
     newestVersion = FRAME_VERSION,
-    pacers = linkPacersOf(runtime.clock, undefined),
+    pacers = createLinkPacers(runtime.clock, undefined),
   ) {
     this.self = self;
     this.guard = new ProtocolGuard(runtime.loggers.component("rpc"));
@@ -78,14 +78,14 @@
     if (body === undefined) {
       if (late)
         peer.awaitLate(requestId, late.waitMs, (found) =>
-          late.take(decodeExactly(method.response, found)),
+          late.onResponse(decodeExactly(method.response, found)),
         );
       return undefined;
     }
     try {
       return decodeExactly(method.response, body);
     } catch (error) {
-      peer.refuse(error);
+      peer.closeOnViolation(error);
       return undefined;
     }
   }
--- a/src/rpc/rpc-method.ts
+++ b/src/rpc/rpc-method.ts
@@ -26,7 +26,7 @@
 const entryStruct = new r.Struct({ index: r.uint32, term: r.uint32, text });
 
 /** One entry of the replicated log as it travels and as it is stored. */
-export type Entry = r.Held<typeof entryStruct>;
+export type Entry = r.Decoded<typeof entryStruct>;
 
 export const rpcMethods = {
   /** Requests a vote; in a pre-vote, whether it would be given. */
--- a/src/rpc/rpc-server.ts
+++ b/src/rpc/rpc-server.ts
@@ -56,12 +56,12 @@
     for (;;) {
       const piece = yield* connection.incoming.take();
       if (piece === "closed") return connection.close();
-      pacers.ingress.note(piece.length);
+      pacers.ingress.recordBytes(piece.length);
       try {
         for (const frame of reader.read(piece))
           startTask(runtime, "rpc", this.respond(connection, frame, this.handlerOf(frame)));
       } catch (error) {
-        guard.refuse(connection, error);
+        guard.closeOnViolation(connection, error);
         return;
       }
     }
@@ -80,7 +80,7 @@
       const body = yield* handler.handle(frame.body);
       connection.send(encodeFrame({ ...frame, isResponse: true, body }), expiresMs);
     } catch (error) {
-      guard.refuse(connection, error);
+      guard.closeOnViolation(connection, error);
     }
   }
 }
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -23,7 +23,7 @@
 const ROUNDING_MS = 0.001;
 
 /** The clock of a scheduler of streams. */
-export function clockOf(scheduler: Scheduler): Clock {
+export function createClock(scheduler: Scheduler): Clock {
   return {
     scheduler,
     nowMs: () => currentTime(scheduler),
@@ -48,7 +48,7 @@
 
 /** The clock of the machine this process runs on. */
 export function systemClock(): Clock {
-  return clockOf(newScheduler(newClockTimer(newPlatformClock()), newTimeline()));
+  return createClock(newScheduler(newClockTimer(newPlatformClock()), newTimeline()));
 }
 
 /** Suspends a task for a time. */
--- a/src/runtime/link-pacer.ts
+++ b/src/runtime/link-pacer.ts
@@ -15,7 +15,7 @@
 /** One large body that is sent over the link. */
 export interface Transfer {
   /** Waits until that many bytes may be written, which then count as written; at most `turnBytes`. */
-  turn(bytes: number): Task;
+  awaitTurn(bytes: number): Task;
   /** Calls back once that many bytes may be written, which then count as written. Returns a cancel function. */
   onTurn(bytes: number, run: () => void): () => void;
   /** Ends the transfer, whose remaining bytes no longer count as bulk. */
@@ -94,7 +94,7 @@
   }
 
   /** How long it takes to send the queue, all bulk that is known of, and that many bytes more. */
-  waitMs(moreBytes: number): number {
+  estimateWaitMs(moreBytes: number): number {
     return this.queueMs + this.transferMs(this.remainingBulkBytes + moreBytes);
   }
 
@@ -109,7 +109,7 @@
   }
 
   /** Counts bytes that are written at once. */
-  note(bytes: number): void {
+  recordBytes(bytes: number): void {
     if (!this.isPaced) return;
     this.emptyAtMs = Math.max(this.emptyAtMs, this.clock.nowMs()) + bytes / this.bytesPerMs;
   }
@@ -134,7 +134,7 @@
       });
     return {
       onTurn,
-      *turn(part) {
+      *awaitTurn(part) {
         yield* waitFor<true>((done) => {
           onTurn(part, () => done(true));
         });
@@ -170,7 +170,7 @@
       }
       const next = this.next();
       if (!next) return;
-      this.note(next.bytes);
+      this.recordBytes(next.bytes);
       next.run();
     }
   }
@@ -194,6 +194,6 @@
 }
 
 /** The two directions of a link of that rate each. */
-export function linkPacersOf(clock: Clock, linkMbps: number | undefined): LinkPacers {
+export function createLinkPacers(clock: Clock, linkMbps: number | undefined): LinkPacers {
   return { egress: new LinkPacer(clock, linkMbps), ingress: new LinkPacer(clock, linkMbps) };
 }
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -33,7 +33,7 @@
 }
 
 /** Passes lines to a function and throws errors, for tests and the simulator. */
-export function lineLoggers(lines: (line: string) => void): LoggerFactory {
+export function createLineLoggers(lines: (line: string) => void): LoggerFactory {
   return {
     component: (name) => ({
       info: (event, fields) =>
--- a/src/runtime/network.ts
+++ b/src/runtime/network.ts
@@ -43,7 +43,7 @@
 /** Addresses of the form IP:port. */
 export const Address = {
   /** The host without brackets, and the port. */
-  parts(address: string): { host: string; port: number } {
+  parse(address: string): { host: string; port: number } {
     const colon = address.lastIndexOf(":");
     return {
       host: address.slice(0, colon).replace(/^\[|\]$/g, ""),
@@ -65,7 +65,7 @@
     *connect(address) {
       return yield* waitFor<Connection | undefined>((done) => {
         const socket = track(
-          connectSocket({ ...Address.parts(address), timeout: CONNECT_TIMEOUT_MS }),
+          connectSocket({ ...Address.parse(address), timeout: CONNECT_TIMEOUT_MS }),
         );
         const fail = (): void => {
           socket.destroy();
@@ -86,7 +86,7 @@
         const server = createServer((socket) => accept(connectionOf(track(socket))));
         servers.push(server);
         server.once("error", done);
-        server.listen(Address.parts(address), () => done("listening"));
+        server.listen(Address.parse(address), () => done("listening"));
       });
       if (outcome !== "listening")
         throw new ListenError(`Can't listen for peers on ${address}.`, { cause: outcome });
--- a/src/runtime/queue.ts
+++ b/src/runtime/queue.ts
@@ -23,7 +23,7 @@
   }
 
   /** Adds an item unless the queue has one already, where one says as much as many. */
-  putOnce(item: T): void {
+  putIfEmpty(item: T): void {
     if (this.items.length === 0) this.put(item);
   }
 
--- a/src/simulation/faults/catch-up-faults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -1,4 +1,4 @@
-import { boundsOf } from "../../daemon/bounds.js";
+import { deriveBounds } from "../../daemon/bounds.js";
 import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { Simulation } from "../simulation.js";
@@ -25,7 +25,7 @@
 /** Faults in which a member lags many config changes behind while the others are killed. */
 export const catchUpFaults: Record<string, FaultScenario> = {
   *changeWhileMemberIsAway(simulation) {
-    const { catchUpMs } = boundsOf(simulation.profile).values;
+    const { catchUpMs } = deriveBounds(simulation.profile).values;
     const stoppedMember = pick(simulation, diskMachines(simulation));
     if (!stoppedMember) return;
     simulation.kill(stoppedMember, true);
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -1,4 +1,4 @@
-import { boundsOf } from "../../daemon/bounds.js";
+import { deriveBounds } from "../../daemon/bounds.js";
 import { sleep } from "../../runtime/clock.js";
 import type { Task } from "../../runtime/task.js";
 import type { SimulatedMachine } from "../simulated-machine.js";
@@ -20,7 +20,8 @@
 /** A way to lose a member; returns the time from which the member no longer counts as lost. */
 type Loss = (simulation: Simulation, member: SimulatedMachine) => Task<number>;
 
-const catchUpMs = (simulation: Simulation): number => boundsOf(simulation.profile).values.catchUpMs;
+const catchUpMs = (simulation: Simulation): number =>
+  deriveBounds(simulation.profile).values.catchUpMs;
 
 const replaceAfterLoss: Loss = function* (simulation, member) {
   simulation.remove(member);
--- a/src/simulation/virtual-backends.ts
+++ b/src/simulation/virtual-backends.ts
@@ -192,7 +192,7 @@
     return openedResponse({
       code: response.code,
       headers: response.headers,
-      *next() {
+      *nextChunk() {
         if (offset >= body.length) {
           if (response.truncateAt !== undefined) return "cut";
           release(connection, pool);
--- a/src/simulation/virtual-clock.ts
+++ b/src/simulation/virtual-clock.ts
@@ -1,6 +1,6 @@
 import { newScheduler, newTimeline } from "@most/scheduler";
 import type { Scheduler } from "@most/types";
-import { type Clock, clockOf } from "../runtime/clock.js";
+import { type Clock, createClock } from "../runtime/clock.js";
 
 /** Virtual time, which advances only through `runUntil`. It drives the scheduler of the event streams. */
 export class VirtualClock {
@@ -31,7 +31,7 @@
 
   /** Creates a machine's clock, with an offset and a rate of its own; its timers are dropped once `isAlive` returns false. */
   clock(offsetMs = 0, rate = 1, isAlive: () => boolean = () => true): Clock {
-    const base = clockOf(this.scheduler);
+    const base = createClock(this.scheduler);
     return {
       scheduler: this.scheduler,
       nowMs: () => offsetMs + this.currentMs * rate,
--- a/src/simulation/virtual-runtime.ts
+++ b/src/simulation/virtual-runtime.ts
@@ -1,7 +1,7 @@
 import type { Network } from "../runtime/network.js";
 import type { Clock } from "../runtime/clock.js";
 import type { Disk } from "../runtime/disk.js";
-import { lineLoggers } from "../runtime/logger.js";
+import { createLineLoggers } from "../runtime/logger.js";
 import type { Runtime } from "../runtime/runtime.js";
 
 /** The parts of a virtual runtime. Without `disk` it has none, without `writeLine` it logs nothing. */
@@ -26,7 +26,7 @@
   clock,
   network,
   disk,
-  loggers: lineLoggers(writeLine),
+  loggers: createLineLoggers(writeLine),
   onTaskFailure: (_part, error) => {
     throw error;
   },
--- a/src/sketch/dyadic-sketch.ts
+++ b/src/sketch/dyadic-sketch.ts
@@ -30,7 +30,7 @@
   }
 
   /** All items that make up at least the part `phi` of all arrivals, found from the widest ranges down. */
-  heavy(phi: number, now: number, rangeMs: number): HeavyItem[] {
+  findHeavyItems(phi: number, now: number, rangeMs: number): HeavyItem[] {
     const threshold = phi * (this.levels[0]?.total(now, rangeMs) ?? 0);
     let found: HeavyItem[] = [
       { item: 0, estimate: 0 },
@@ -59,13 +59,13 @@
   }
 
   /** The form that travels. */
-  aged(now: number): AgedSketch[] {
-    return this.levels.map((sketch) => sketch.aged(now));
+  agedForm(now: number): AgedSketch[] {
+    return this.levels.map((sketch) => sketch.agedForm(now));
   }
 
   /** A sketch from its aged form; `olderMs` is how long it was in transit. */
-  static ofAged(
-    aged: AgedSketch[],
+  static fromAged(
+    agedForm: AgedSketch[],
     format: SketchFormat,
     bits: number,
     now: number,
@@ -74,7 +74,7 @@
     return new DyadicSketch(
       format,
       bits,
-      aged.slice(0, bits).map((sketch) => EcmSketch.ofAged(sketch, format, now, olderMs)),
+      agedForm.slice(0, bits).map((sketch) => EcmSketch.fromAged(sketch, format, now, olderMs)),
     );
   }
 
--- a/src/sketch/ecm-sketch.ts
+++ b/src/sketch/ecm-sketch.ts
@@ -89,25 +89,33 @@
   }
 
   /** The form that travels, with ages in place of stamps. */
-  aged(now: number): AgedSketch {
+  agedForm(now: number): AgedSketch {
     this.expire(now);
     return {
       format: this.format,
-      cells: [...this.cells].map(([cell, histogram]) => ({ cell, histogram: histogram.aged(now) })),
+      cells: [...this.cells].map(([cell, histogram]) => ({
+        cell,
+        histogram: histogram.agedForm(now),
+      })),
     };
   }
 
   /** A sketch from its aged form; `olderMs` is how long it was in transit. */
-  static ofAged(aged: AgedSketch, format: SketchFormat, now: number, olderMs: number): EcmSketch {
-    if (!isSameSketchFormat(aged.format, format))
+  static fromAged(
+    agedForm: AgedSketch,
+    format: SketchFormat,
+    now: number,
+    olderMs: number,
+  ): EcmSketch {
+    if (!isSameSketchFormat(agedForm.format, format))
       throw new SketchMismatchError("The sketch has other dimensions.");
     const sketch = new EcmSketch(format);
-    for (const { cell, histogram } of aged.cells) {
+    for (const { cell, histogram } of agedForm.cells) {
       if (cell >= sketch.width * sketch.depth)
         throw new SketchMismatchError("The sketch has a cell too many.");
       sketch.cells.set(
         cell,
-        ExponentialHistogram.ofAged(histogram, sketch.cellEpsilon, format.windowMs, now, olderMs),
+        ExponentialHistogram.fromAged(histogram, sketch.cellEpsilon, format.windowMs, now, olderMs),
       );
     }
     return sketch;
--- a/src/sketch/exponential-histogram.ts
+++ b/src/sketch/exponential-histogram.ts
@@ -115,7 +115,7 @@
   }
 
   /** The histogram with ages in place of stamps. */
-  aged(now: number): AgedHistogram {
+  agedForm(now: number): AgedHistogram {
     this.expire(now);
     const floorAge =
       typeof this.floor === "number"
@@ -125,8 +125,8 @@
   }
 
   /** A histogram from its aged form. */
-  static ofAged(
-    aged: AgedHistogram,
+  static fromAged(
+    agedForm: AgedHistogram,
     epsilon: number,
     windowMs: number,
     now: number,
@@ -135,8 +135,8 @@
     const histogram = new ExponentialHistogram(epsilon, windowMs);
     const rebased = (age: number): number =>
       stampOf(now - Math.min(age + olderMs, STAMP_WRAP_MS / 2 - 1));
-    aged.levels.forEach((level, index) => histogram.level(index).push(...level.map(rebased)));
-    histogram.floor = aged.floorAge >= windowMs ? "before" : rebased(aged.floorAge);
+    agedForm.levels.forEach((level, index) => histogram.level(index).push(...level.map(rebased)));
+    histogram.floor = agedForm.floorAge >= windowMs ? "before" : rebased(agedForm.floorAge);
     const [first] = histogram.buckets(now);
     histogram.newest = stampOf(now - (first?.endAge ?? 0));
     histogram.expire(now);
--- a/src/state/config-payload.ts
+++ b/src/state/config-payload.ts
@@ -1,7 +1,7 @@
 /** The form in which a log entry carries the text of a configuration: whole or as a delta, compressed where it is long. */
 import { optional, string } from "superstruct";
 import { TextCompression } from "../runtime/text-compression.js";
-import { type TextDelta, textDeltaBetween, applyTextDelta, textDeltaShape } from "./text-delta.js";
+import { type TextDelta, computeTextDelta, applyTextDelta, textDeltaShape } from "./text-delta.js";
 
 /** The length beyond which a text or a delta is stored compressed, in characters. */
 const COMPRESSION_THRESHOLD_CHARS = 4096;
@@ -36,28 +36,28 @@
   readonly code = "INVALID_CONFIG_PAYLOAD";
 }
 
-const textPayload = (text: string): ConfigPayload =>
+const encodeWholeText = (text: string): ConfigPayload =>
   text.length > COMPRESSION_THRESHOLD_CHARS
     ? { packedText: TextCompression.compress(text) }
     : { text };
 
-const deltaOf = ({ delta, packedDelta }: ConfigPayload): TextDelta | undefined =>
+const decodeDelta = ({ delta, packedDelta }: ConfigPayload): TextDelta | undefined =>
   packedDelta === undefined
     ? delta
     : textDeltaShape.create(JSON.parse(TextCompression.decompress(packedDelta)));
 
-const lengthOf = ({ text, packedText, packedDelta }: ConfigPayload): number =>
+const payloadLength = ({ text, packedText, packedDelta }: ConfigPayload): number =>
   (text ?? packedText ?? packedDelta ?? "").length;
 
 /** The shorter of a text and its delta from the former text, compressed where it is long. */
 export function encodeConfigPayload(former: string | undefined, text: string): ConfigPayload {
-  if (former === undefined) return textPayload(text);
-  const delta = textDeltaBetween(former, text);
+  if (former === undefined) return encodeWholeText(text);
+  const delta = computeTextDelta(former, text);
   const json = JSON.stringify(delta);
   if (json.length <= COMPRESSION_THRESHOLD_CHARS) return { delta };
   const compressed = { packedDelta: TextCompression.compress(json) };
-  const whole = textPayload(text);
-  return lengthOf(compressed) < lengthOf(whole) ? compressed : whole;
+  const whole = encodeWholeText(text);
+  return payloadLength(compressed) < payloadLength(whole) ? compressed : whole;
 }
 
 /** The text itself; `former` is the one that the entry builds on. */
@@ -68,7 +68,7 @@
   if (payload.text !== undefined) return { text: payload.text };
   if (payload.packedText !== undefined)
     return { text: TextCompression.decompress(payload.packedText) };
-  const delta = deltaOf(payload);
+  const delta = decodeDelta(payload);
   if (delta === undefined || former === undefined)
     throw new ConfigPayloadError("An entry holds no text of a configuration, or no base for it.");
   return { text: applyTextDelta(former, delta), delta };
--- a/src/state/config-table.ts
+++ b/src/state/config-table.ts
@@ -67,7 +67,7 @@
   }
 
   /** The version under which a change was accepted, if it was and is retained. */
-  changeVersion(changeId: string): number | undefined {
+  findVersionOfChange(changeId: string): number | undefined {
     const numbers = this.changes.get(changeId);
     return numbers && versionOf(numbers);
   }
@@ -85,7 +85,7 @@
   }
 
   /** The stored form of the table, without the configurations up to a sequence, which the history contains. */
-  stored(historyUpTo: number): StoredConfigTable {
+  toStored(historyUpTo: number): StoredConfigTable {
     return {
       configs: this.after(historyUpTo).map(storedConfig),
       recent: this.recent,
@@ -115,7 +115,7 @@
   apply(index: number, command: LogCommandOf<"config">): LogOutcome {
     const { changeId, acceptedAt } = command;
     const activeSequence = this.active?.sequence ?? 0;
-    const accepted = this.changeVersion(changeId);
+    const accepted = this.findVersionOfChange(changeId);
     if (accepted !== undefined) return { accepted };
     const version = command.version ?? this.version + 1;
     if (command.expected !== activeSequence || version <= this.version)
@@ -154,10 +154,10 @@
     rested = [],
   }: LogCommandOf<"config">): void {
     if (names) {
-      this.ids.change(names, rested);
+      this.ids.applyNameChanges(names, rested);
       return;
     }
-    this.ids.adopt(
+    this.ids.setActiveNames(
       [
         ...services.map((service) => IdAllocator.serviceName(service)),
         ...routes.map((route) => IdAllocator.routeName(route)),
--- a/src/state/id-allocator.ts
+++ b/src/state/id-allocator.ts
@@ -33,7 +33,7 @@
   }
 
   /** The ids that rest until no window counts by them. */
-  get resting(): ReadonlySet<number> {
+  get quarantinedIds(): ReadonlySet<number> {
     return new Set(this.restingIds.values());
   }
 
@@ -48,9 +48,9 @@
   }
 
   /** Takes over a stored state. */
-  restore({ inForce, resting, free, next }: IdAllocatorState): void {
+  restore({ inForce, resting: quarantinedIds, free, next }: IdAllocatorState): void {
     this.active = new Map(inForce);
-    this.restingIds = new Map(resting);
+    this.restingIds = new Map(quarantinedIds);
     this.free = [...free];
     this.nextId = next;
   }
@@ -66,14 +66,14 @@
   }
 
   /** Applies a configuration with these names; `rested` are ids that can be allocated again. */
-  adopt(names: readonly string[], rested: readonly number[]): void {
+  setActiveNames(names: readonly string[], rested: readonly number[]): void {
     const wanted = new Set(names);
     const removed = [...this.active.keys()].filter((name) => !wanted.has(name));
-    this.change({ added: [...wanted], removed }, rested);
+    this.applyNameChanges({ added: [...wanted], removed }, rested);
   }
 
   /** Applies the changes of names; `rested` are ids that can be allocated again. */
-  change({ added, removed }: NameChanges, rested: readonly number[]): void {
+  applyNameChanges({ added, removed }: NameChanges, rested: readonly number[]): void {
     this.release(rested);
     for (const name of removed) this.rest(name);
     for (const name of added) this.allocate(name);
--- a/src/state/idempotency-claim-table.ts
+++ b/src/state/idempotency-claim-table.ts
@@ -46,7 +46,7 @@
 );
 
 /** A claim without the fields that a former build stored beside it. */
-const withoutFormerFields = ({
+const withoutLegacyFields = ({
   bodyHash,
   job,
   verdict,
@@ -70,13 +70,13 @@
   }
 
   /** The stored form of the table. */
-  stored(): StoredClaim[] {
+  toStored(): StoredClaim[] {
     return [...this.claims].map(([scope, claim]) => ({ scope, claim }));
   }
 
   /** Takes over stored claims. */
-  restore(stored: readonly StoredClaim[]): void {
-    this.claims = new Map(stored.map(({ scope, claim }) => [scope, withoutFormerFields(claim)]));
+  restore(toStored: readonly StoredClaim[]): void {
+    this.claims = new Map(toStored.map(({ scope, claim }) => [scope, withoutLegacyFields(claim)]));
   }
 
   /** Applies a log command. */
--- a/src/state/registration-table.ts
+++ b/src/state/registration-table.ts
@@ -29,7 +29,7 @@
   }
 
   /** The registrations of an instance: at most one that isn't leaving, and others that it left before. */
-  ofInstance(instance: string): Registration[] {
+  findByInstance(instance: string): Registration[] {
     return instance === ""
       ? []
       : [...this.registrations.values()].filter(
@@ -38,14 +38,14 @@
   }
 
   /** The stored form of the registrations. */
-  stored(): Registration[] {
+  toStored(): Registration[] {
     return [...this.registrations.values()];
   }
 
   /** Takes over stored registrations. */
-  restore(stored: readonly Registration[], sequence: number): void {
+  restore(toStored: readonly Registration[], sequence: number): void {
     this.registrations = ImmutableMap(
-      stored.map((registration) => [registration.address, registration]),
+      toStored.map((registration) => [registration.address, registration]),
     );
     this.changedAt = sequence;
   }
@@ -142,7 +142,7 @@
 
   private deregisterInstance(index: number, instance: string, drained: boolean): LogOutcome {
     this.tombstones.add(index, instance);
-    const registrations = this.ofInstance(instance);
+    const registrations = this.findByInstance(instance);
     for (const registration of registrations) this.markLeft(index, registration, drained);
     if (registrations.length > 0) this.changedAt = index;
     return { known: registrations.length > 0 };
@@ -169,7 +169,7 @@
     index: number,
     { address, instance }: Pick<Registration, "address" | "instance">,
   ): void {
-    for (const other of this.ofInstance(instance))
+    for (const other of this.findByInstance(instance))
       if (other.address !== address && !other.leaving) this.markLeft(index, other);
   }
 
--- a/src/state/retry-capacity-holder-table.ts
+++ b/src/state/retry-capacity-holder-table.ts
@@ -11,13 +11,13 @@
   }
 
   /** The stored form of the table. */
-  stored(): string[] {
+  toStored(): string[] {
     return [...this.names];
   }
 
   /** Takes over stored edges. */
-  restore(stored: readonly string[]): void {
-    this.names = new Set(stored);
+  restore(toStored: readonly string[]): void {
+    this.names = new Set(toStored);
   }
 
   /** Applies a log command. */
--- a/src/state/state-machine.ts
+++ b/src/state/state-machine.ts
@@ -80,8 +80,8 @@
   }
 
   /** The version under which a change was accepted, if it was and is retained. */
-  changeVersion(changeId: string): number | undefined {
-    return this.configTable.changeVersion(changeId);
+  findVersionOfChange(changeId: string): number | undefined {
+    return this.configTable.findVersionOfChange(changeId);
   }
 
   /** The version up to which the ids of changes aren't retained any more, or 0. */
@@ -100,8 +100,8 @@
   }
 
   /** The registrations of an instance: at most one that isn't leaving, and others that it left before. */
-  registrationsOf(instance: string): Registration[] {
-    return this.registrationTable.ofInstance(instance);
+  findRegistrations(instance: string): Registration[] {
+    return this.registrationTable.findByInstance(instance);
   }
 
   /** The instances that never register again, with the index of the log entry by which each left. */
@@ -146,14 +146,14 @@
   snapshot(members: Members, historyUpTo = 0): string {
     return JSON.stringify({
       ...members,
-      ...this.configTable.stored(historyUpTo),
-      contracts: this.registrationTable.stored(),
-      gone: this.tombstoneTable.stored(),
+      ...this.configTable.toStored(historyUpTo),
+      contracts: this.registrationTable.toStored(),
+      gone: this.tombstoneTable.toStored(),
       directorySequence: this.registrationTable.sequence,
-      keys: this.claimTable.stored(),
+      keys: this.claimTable.toStored(),
       numbering: this.idAllocator.state,
       journal: this.journalTable.entries,
-      holders: this.holderTable.stored(),
+      holders: this.holderTable.toStored(),
     });
   }
 
--- a/src/state/text-delta.ts
+++ b/src/state/text-delta.ts
@@ -44,7 +44,7 @@
 };
 
 /** The index of each block of a range of the base by its hash; of those with equal hashes the first. */
-const blocksOf = (base: string, { from, to }: Range): Map<number, number> => {
+const indexBlocks = (base: string, { from, to }: Range): Map<number, number> => {
   const blocks = new Map<number, number>();
   for (let index = from; index + BLOCK_CHARS <= to; index += BLOCK_CHARS) {
     const hash = blockHash(base, index);
@@ -88,13 +88,13 @@
 };
 
 /** The steps for a range of the text, found by the blocks of a range of the base. */
-const stepsBetween = (base: string, baseRange: Range, text: string, textRange: Range): Step[] => {
+const computeSteps = (base: string, baseRange: Range, text: string, textRange: Range): Step[] => {
   const steps: Step[] = [];
   /** Where the text begins for which there is no step yet. */
   let pendingFrom = textRange.from;
   let index = textRange.from;
   const blocks =
-    textRange.to - index < BLOCK_CHARS ? new Map<number, number>() : blocksOf(base, baseRange);
+    textRange.to - index < BLOCK_CHARS ? new Map<number, number>() : indexBlocks(base, baseRange);
   let hash = blocks.size > 0 ? blockHash(text, index) : 0;
   while (blocks.size > 0 && index + BLOCK_CHARS <= textRange.to) {
     const blockIndex = blocks.get(hash);
@@ -117,11 +117,11 @@
 };
 
 /** The delta that makes a text from a base: short where most of the text occurs in the base. */
-export function textDeltaBetween(base: string, text: string): TextDelta {
+export function computeTextDelta(base: string, text: string): TextDelta {
   const prefix = commonLengthFrom(base, 0, text, 0);
   const maxSuffix = Math.min(base.length, text.length) - prefix;
   const suffix = commonLengthBefore(base, base.length, text, text.length, maxSuffix);
-  const steps = stepsBetween(base, { from: prefix, to: base.length - suffix }, text, {
+  const steps = computeSteps(base, { from: prefix, to: base.length - suffix }, text, {
     from: prefix,
     to: text.length - suffix,
   });
--- a/src/state/tombstone-table.ts
+++ b/src/state/tombstone-table.ts
@@ -29,13 +29,13 @@
   }
 
   /** The stored form of the table. */
-  stored(): StoredTombstone[] {
+  toStored(): StoredTombstone[] {
     return [...this.indexes];
   }
 
   /** Takes over stored tombstones. */
-  restore(stored: readonly StoredTombstone[]): void {
-    this.indexes = new Map(stored);
+  restore(toStored: readonly StoredTombstone[]): void {
+    this.indexes = new Map(toStored);
   }
 
   /** Whether an instance has a tombstone. */
--- a/test/admin/config-archive.test.ts
+++ b/test/admin/config-archive.test.ts
@@ -4,14 +4,14 @@
 import { join } from "node:path";
 import git from "isomorphic-git";
 import { expect, test } from "vitest";
-import { lineLoggers } from "../../src/runtime/logger.js";
+import { createLineLoggers } from "../../src/runtime/logger.js";
 import { runTask } from "../../src/runtime/task.js";
 import { ConfigArchive } from "../../src/admin/config-archive.js";
 import type { AcceptedConfig } from "../../src/state/accepted-config.js";
 
 test("commits each config once, also across a restart", async () => {
   const folder = await mkdtemp(join(tmpdir(), "daledoor-archive-"));
-  const log = lineLoggers(() => undefined).component("operator");
+  const log = createLineLoggers(() => undefined).component("operator");
   const config = (sequence: number): AcceptedConfig => ({
     sequence,
     index: sequence,
--- a/test/cluster-view/route-table.test.ts
+++ b/test/cluster-view/route-table.test.ts
@@ -104,15 +104,15 @@
   const route = new RouteTable({
     services,
     routes: { r: { match: { path: "/*" }, split } },
-  }).named("r");
+  }).findByName("r");
   const counts = new Map<string, number>();
   for (let index = 0; index < 10_000; index += 1) {
-    const service = route?.choose(index / 10_000) ?? "";
+    const service = route?.chooseService(index / 10_000) ?? "";
     counts.set(service, (counts.get(service) ?? 0) + 1);
   }
   expect(Object.fromEntries(counts)).toEqual({ much: 9000, few: 950, rare: 50 });
-  expect(route?.choose(1 - Number.EPSILON / 2)).toBe("rare");
-  expect(split.map(({ service }) => route?.servesWith(service))).toEqual([
+  expect(route?.chooseService(1 - Number.EPSILON / 2)).toBe("rare");
+  expect(split.map(({ service }) => route?.routesTo(service))).toEqual([
     false,
     true,
     true,
@@ -178,7 +178,7 @@
     routeTable.limits,
     routeTable.service("s"),
     routeTable.service("toString"),
-    routeTable.named("toString"),
+    routeTable.findByName("toString"),
   ]).toEqual([{ idleMs: 9 }, { keepsKeys: true }, undefined, undefined]);
 });
 
--- a/test/compatibility/frames.test.ts
+++ b/test/compatibility/frames.test.ts
@@ -3,18 +3,18 @@
 import { array, create, object, optional, record, string, unknown } from "superstruct";
 import { beforeAll, describe, expect, test } from "vitest";
 import {
-  historyTexts,
-  outcomeMessages,
+  historyRecordTexts,
+  encodedOutcomes,
   readers,
-  rewrittenOutcome,
-  rewrittenSketch,
+  reencodeOutcome,
+  reencodeSketch,
   samples,
-  Script,
-  sketch,
-  sketchEstimates,
+  RequestScript,
+  encodeSketch,
+  estimatesFromSketch,
   stepShape,
-  TappedFleet,
-  unpackedText,
+  RecordingFleet,
+  unpackText,
 } from "./frames.js";
 
 const texts = record(string(), string());
@@ -50,35 +50,38 @@
     expect(hex).toBe(recorded.frames[name]);
   });
 
-  test.each([...samples])("$name is decoded to the same value", ({ name, isReadFrom }) => {
-    expect(isReadFrom(recorded.frames[name] ?? "")).toBe(true);
-  });
+  test.each([...samples])(
+    "$name is decoded to the same value",
+    ({ name, decodesFrom: isReadFrom }) => {
+      expect(isReadFrom(recorded.frames[name] ?? "")).toBe(true);
+    },
+  );
 });
 
 describe("binary bodies", () => {
   test("outcomes of requests with keys are encoded to the same bytes", () => {
-    expect(outcomeMessages()).toEqual(recorded.outcomes);
+    expect(encodedOutcomes()).toEqual(recorded.outcomes);
   });
 
   test.each(Object.entries(recorded.outcomes))("the outcome %s is decoded", (_kind, hex) => {
-    expect(rewrittenOutcome(hex)).toBe(hex);
+    expect(reencodeOutcome(hex)).toBe(hex);
   });
 
   test("sketches are encoded to the same bytes", () => {
     const { withRoutes, withoutRoutes } = recorded.sketches;
-    expect(sketch(true)).toBe(withRoutes);
-    expect(sketch(false)).toBe(withoutRoutes);
+    expect(encodeSketch(true)).toBe(withRoutes);
+    expect(encodeSketch(false)).toBe(withoutRoutes);
   });
 
   test("sketches are decoded to the same counts and encoded again to the same bytes", () => {
     const { withRoutes, withoutRoutes, estimates } = recorded.sketches;
-    expect(rewrittenSketch(withRoutes)).toBe(withRoutes);
-    expect(rewrittenSketch(withoutRoutes)).toBe(withoutRoutes);
-    expect(sketchEstimates(withRoutes)).toEqual(estimates);
+    expect(reencodeSketch(withRoutes)).toBe(withRoutes);
+    expect(reencodeSketch(withoutRoutes)).toBe(withoutRoutes);
+    expect(estimatesFromSketch(withRoutes)).toEqual(estimates);
   });
 
   test("configurations of the history travel in the same words", () => {
-    expect(historyTexts()).toEqual(recorded.history);
+    expect(historyRecordTexts()).toEqual(recorded.history);
   });
 });
 
@@ -91,33 +94,33 @@
   );
 
   test("a packed text is read", () => {
-    expect(unpackedText(recorded.packed.packedText)).toBe(recorded.packed.text);
+    expect(unpackText(recorded.packed.packedText)).toBe(recorded.packed.text);
   });
 });
 
 describe("a fleet that is asked as it was before", () => {
-  const fleet = new TappedFleet();
-  const script = new Script(fleet, recorded.sketches.withRoutes);
+  const fleet = new RecordingFleet();
+  const script = new RequestScript(fleet, recorded.sketches.withRoutes);
   beforeAll(() => {
     fleet.bootAll();
     fleet.wait(4000);
-    for (const step of recorded.steps) script.run(step);
-    fleet.playEnd();
+    for (const step of recorded.steps) script.send(step);
+    fleet.runRecoveryAndLeaderDrain();
   }, 120_000);
 
   test.each(Object.keys(recorded.answers))("answers with the same keys: %s", (name) => {
-    expect(script.answers.all[name]).toEqual(recorded.answers[name]);
+    expect(script.responseKeyPaths.all[name]).toEqual(recorded.answers[name]);
   });
 
   test.each(Object.keys(recorded.sent))("sends with the same keys: %s", (name) => {
-    expect(fleet.sent.all[name]).toEqual(recorded.sent[name]);
+    expect(fleet.sentKeyPaths.all[name]).toEqual(recorded.sent[name]);
   });
 
   test("sends nothing that was not recorded", () => {
-    expect(Object.keys(fleet.sent.all)).toEqual(Object.keys(recorded.sent));
+    expect(Object.keys(fleet.sentKeyPaths.all)).toEqual(Object.keys(recorded.sent));
   });
 
   test("names the states of members by the same words", () => {
-    expect([...fleet.meetingStates].sort()).toEqual(recorded.meetingStates);
+    expect([...fleet.bootstrapStates].sort()).toEqual(recorded.meetingStates);
   });
 });
