--- a/test/replication/disk-limit.test.ts
+++ b/test/replication/disk-limit.test.ts
@@ -6,52 +6,52 @@
 import { encodeCompleteConfig } from "../../src/replication/history/history-format.js";
 import type { DurableState } from "../../src/replication/log/durable-state.js";
 import { LogStore } from "../../src/replication/log/log-store.js";
-import { FleetStage, type StageMachine } from "./fleet-stage.js";
+import { ClusterFixture, type FixtureMachine } from "./fleet-stage.js";
 import { LargeConfig } from "./large-config.js";
 
 const diskMb = 64;
-const isLed = (stage: FleetStage) => (): boolean =>
-  stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+const hasLeader = (stage: ClusterFixture) => (): boolean =>
+  stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
 
 /** Has the leader accept configs one after another, and keeps their texts. */
-class Changes {
+class ConfigChanges {
   readonly texts: string[] = [];
-  private readonly stage: FleetStage;
+  private readonly stage: ClusterFixture;
   private readonly config: LargeConfig;
   private readonly fromSequence: number;
 
-  constructor(stage: FleetStage, config: LargeConfig, fromSequence = 1) {
+  constructor(stage: ClusterFixture, config: LargeConfig, fromSequence = 1) {
     this.stage = stage;
     this.config = config;
     this.fromSequence = fromSequence;
   }
 
-  get newest(): number {
+  get newestSequence(): number {
     return this.fromSequence + this.texts.length - 1;
   }
 
   /** One change; tells how it ended within five seconds. */
-  accept(): string {
+  proposeNext(): string {
     const replicationNode = this.stage.leader.daemon?.replicationNode;
     if (!replicationNode) return "no leader";
     const text = this.config.next();
     const command = encodeLogCommand({
       kind: "config",
-      expected: this.newest,
-      changeId: `c${this.newest + 1}`,
+      expected: this.newestSequence,
+      changeId: `c${this.newestSequence + 1}`,
       acceptedAt: "2026-01-01T00:00:00.000Z",
       text,
       services: [],
       routes: [],
     });
     const outcomes: string[] = [];
-    this.stage.start(
+    this.stage.startTask(
       (function* () {
         const proposed = yield* replicationNode.propose(command);
         outcomes.push(proposed.kind === "committed" ? proposed.outcome : proposed.kind);
       })(),
     );
-    this.stage.until(() => outcomes.length > 0, 5000);
+    this.stage.waitUntil(() => outcomes.length > 0, 5000);
     const [outcome = ""] = outcomes;
     if (outcome.includes("accepted")) this.texts.push(text);
     return outcome;
@@ -59,22 +59,26 @@
 }
 
 /** How a read of a version ends at a machine. */
-const readAt = (stage: FleetStage, machine: StageMachine, sequence: number): string => {
+const readConfigAt = (stage: ClusterFixture, machine: FixtureMachine, sequence: number): string => {
   const { replicationNode } = machine.daemon ?? {};
   const reads: string[] = [];
   if (!replicationNode) return "no node";
-  stage.start(
+  stage.startTask(
     (function* () {
       const read = yield* replicationNode.readConfig(sequence);
       reads.push(read.kind === "found" ? read.config.text : read.kind);
     })(),
   );
-  stage.until(() => reads.length > 0, 10_000);
+  stage.waitUntil(() => reads.length > 0, 10_000);
   return reads[0] ?? "";
 };
 
 /** How the operators' port of a machine answers for a version. */
-const versionAt = (stage: FleetStage, machine: StageMachine, version: number): number => {
+const requestVersionAt = (
+  stage: ClusterFixture,
+  machine: FixtureMachine,
+  version: number,
+): number => {
   const codes: number[] = [];
   machine.daemon?.adminRequests.emit({
     clientRequest: {
@@ -85,12 +89,12 @@
     },
     respond: ({ code }) => codes.push(code),
   });
-  stage.until(() => codes.length > 0, 10_000);
+  stage.waitUntil(() => codes.length > 0, 10_000);
   return codes[0] ?? 0;
 };
 
-const limitDisks = (stage: FleetStage): void => {
-  for (const { disk } of stage.disks) if (disk) disk.capacityBytes = diskMb * 1_000_000;
+const limitDisks = (stage: ClusterFixture): void => {
+  for (const { disk } of stage.diskMachines) if (disk) disk.capacityBytes = diskMb * 1_000_000;
 };
 
 test("a large config is one that a gateway accepts", () => {
@@ -99,66 +103,66 @@
 });
 
 test("1,000 changes of a configuration with 2,500 routes fit on a disk of 64 MB, before and after a restart", () => {
-  const stage = new FleetStage(["d:a"], [0], {
+  const stage = new ClusterFixture(["d:a"], [0], {
     tolerate: { machines: 0, zones: 0 },
     limits: { diskMb },
   });
   limitDisks(stage);
-  const machine = stage.at(0);
+  const machine = stage.machineAt(0);
   stage.bootAll();
-  stage.until(isLed(stage), 5000);
-  const changes = new Changes(stage, new LargeConfig(2500));
-  for (let round = 0; round < 1000; round += 1) expect(changes.accept()).toContain("accepted");
+  stage.waitUntil(hasLeader(stage), 5000);
+  const changes = new ConfigChanges(stage, new LargeConfig(2500));
+  for (let round = 0; round < 1000; round += 1) expect(changes.proposeNext()).toContain("accepted");
   stage.kill(machine);
   stage.boot(machine, { bootstrap: false });
-  stage.until(isLed(stage), 10_000);
+  stage.waitUntil(hasLeader(stage), 10_000);
   for (const sequence of [1, 2, 64, 65, 700, 999, 1000])
-    expect(readAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
-  expect(stage.lines.filter((line) => line.includes("disk full"))).toEqual([]);
+    expect(readConfigAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
+  expect(stage.logLines.filter((line) => line.includes("disk full"))).toEqual([]);
   expect(machine.disk?.usedBytes ?? Infinity).toBeLessThan(diskMb * 1_000_000);
 }, 300_000);
 
 test("the history removes its oldest configs once its quota is used up, and reports them as removed", () => {
-  const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb: 1 } });
+  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb: 1 } });
   stage.bootAll();
-  stage.until(isLed(stage), 5000);
+  stage.waitUntil(hasLeader(stage), 5000);
   const config = new LargeConfig(120);
-  const changes = new Changes(stage, config);
+  const changes = new ConfigChanges(stage, config);
   let accepted = 0;
-  while (accepted < 1400) accepted += changes.accept().includes("accepted") ? 1 : 0;
+  while (accepted < 1400) accepted += changes.proposeNext().includes("accepted") ? 1 : 0;
   stage.wait(5000);
   const { leader } = stage;
-  expect(stage.lines.some((line) => line.includes("history quota exceeded"))).toBe(true);
-  for (const machine of stage.disks) {
-    expect(readAt(stage, machine, 1)).toBe("removed");
-    expect(readAt(stage, machine, 1400) === changes.texts[1399]).toBe(true);
-    expect(readAt(stage, machine, 1200) === changes.texts[1199]).toBe(true);
-    expect([1, 1200, 1400, 1401].map((version) => versionAt(stage, machine, version))).toEqual([
-      410, 200, 200, 404,
-    ]);
+  expect(stage.logLines.some((line) => line.includes("history quota exceeded"))).toBe(true);
+  for (const machine of stage.diskMachines) {
+    expect(readConfigAt(stage, machine, 1)).toBe("removed");
+    expect(readConfigAt(stage, machine, 1400) === changes.texts[1399]).toBe(true);
+    expect(readConfigAt(stage, machine, 1200) === changes.texts[1199]).toBe(true);
+    expect(
+      [1, 1200, 1400, 1401].map((version) => requestVersionAt(stage, machine, version)),
+    ).toEqual([410, 200, 200, 404]);
   }
-  for (const machine of stage.disks) stage.kill(machine);
-  for (const machine of stage.disks) stage.boot(machine, { bootstrap: false });
-  stage.until(isLed(stage), 6000);
+  for (const machine of stage.diskMachines) stage.kill(machine);
+  for (const machine of stage.diskMachines) stage.boot(machine, { bootstrap: false });
+  stage.waitUntil(hasLeader(stage), 6000);
   stage.wait(3000);
-  expect(readAt(stage, leader, 1)).toBe("removed");
-  expect(readAt(stage, leader, 1400) === changes.texts[1399]).toBe(true);
+  expect(readConfigAt(stage, leader, 1)).toBe("removed");
+  expect(readConfigAt(stage, leader, 1400) === changes.texts[1399]).toBe(true);
 }, 300_000);
 
 test("a disk that is full for a while delays changes only as long, and no old config is lost with the newest file", () => {
-  const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
+  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
   stage.bootAll();
-  stage.until(isLed(stage), 5000);
-  const changes = new Changes(stage, new LargeConfig(600));
+  stage.waitUntil(hasLeader(stage), 5000);
+  const changes = new ConfigChanges(stage, new LargeConfig(600));
   const acceptUntil = (count: number): void => {
     for (let tries = 0; changes.texts.length < count; tries += 1) {
       if (tries > count + 40) throw new Error("Too many changes were refused.");
-      if (!isLed(stage)()) stage.until(isLed(stage), 6000);
-      changes.accept();
+      if (!hasLeader(stage)()) stage.waitUntil(hasLeader(stage), 6000);
+      changes.proposeNext();
     }
   };
   acceptUntil(300);
-  const [first, second] = stage.disks;
+  const [first, second] = stage.diskMachines;
   for (const machine of [first, second]) {
     if (!machine?.disk) throw new Error("A disk is missing.");
     machine.disk.isFull = true;
@@ -167,24 +171,25 @@
     stage.wait(2000);
     acceptUntil(changes.texts.length + 150);
   }
-  for (const { disk } of stage.disks) if (disk) disk.isFull = true;
+  for (const { disk } of stage.diskMachines) if (disk) disk.isFull = true;
   stage.wait(3000);
-  for (const { disk } of stage.disks) if (disk) disk.isFull = false;
-  stage.until(isLed(stage), 6000);
+  for (const { disk } of stage.diskMachines) if (disk) disk.isFull = false;
+  stage.waitUntil(hasLeader(stage), 6000);
   acceptUntil(700);
-  for (const machine of stage.disks) stage.kill(machine);
-  for (const machine of stage.disks) stage.boot(machine, { bootstrap: false });
-  stage.until(isLed(stage), 6000);
-  for (const machine of stage.disks)
+  for (const machine of stage.diskMachines) stage.kill(machine);
+  for (const machine of stage.diskMachines) stage.boot(machine, { bootstrap: false });
+  stage.waitUntil(hasLeader(stage), 6000);
+  for (const machine of stage.diskMachines)
     for (const sequence of [690, 700])
-      expect(readAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
-  for (const { disk } of stage.disks) expect(disk?.usedBytes).toBeLessThan(diskMb * 1_000_000);
+      expect(readConfigAt(stage, machine, sequence) === changes.texts[sequence - 1]).toBe(true);
+  for (const { disk } of stage.diskMachines)
+    expect(disk?.usedBytes).toBeLessThan(diskMb * 1_000_000);
 }, 300_000);
 
 /** A member's disk as a former build left it: full of whole configs, 64 a file. */
-const fillAsFormerBuild = (
-  stage: FleetStage,
-  machine: StageMachine,
+const writeLegacyDisk = (
+  stage: ClusterFixture,
+  machine: FixtureMachine,
   config: LargeConfig,
 ): number => {
   const { disk, peer } = machine;
@@ -222,7 +227,7 @@
     snapshot: stateMachine.snapshot({ voters: [peer], learners: [] }),
     entries: [],
   };
-  stage.start(new LogStore(disk).writeSnapshot(durableState));
+  stage.startTask(new LogStore(disk).writeSnapshot(durableState));
   stage.wait(200);
   return newest;
 };
@@ -235,47 +240,52 @@
   ],
 ] as const)
   test(`changes continue on a disk that a former build filled, ${what}`, () => {
-    const stage = new FleetStage(["d:a"], [0], {
+    const stage = new ClusterFixture(["d:a"], [0], {
       tolerate: { machines: 0, zones: 0 },
       limits: { diskMb: limitMb },
       bootstrap: false,
     });
-    const machine = stage.at(0);
+    const machine = stage.machineAt(0);
     const config = new LargeConfig(2500);
-    const newest = fillAsFormerBuild(stage, machine, config);
+    const newest = writeLegacyDisk(stage, machine, config);
     if (!machine.disk) throw new Error("The disk is missing.");
     expect(machine.disk.usedBytes).toBeGreaterThan(50_000_000);
     machine.disk.capacityBytes = machine.disk.usedBytes + 400_000;
     stage.bootAll();
-    stage.until(isLed(stage), 5000);
-    const changes = new Changes(stage, config, newest + 1);
-    while (changes.texts.length < 200) expect(changes.accept()).toContain("accepted");
-    expect(readAt(stage, machine, changes.newest) === changes.texts.at(-1)).toBe(true);
-    expect(readAt(stage, machine, 1)).toBe("removed");
-    expect(JSON.parse(readAt(stage, machine, newest - 1))).toHaveProperty("routes");
+    stage.waitUntil(hasLeader(stage), 5000);
+    const changes = new ConfigChanges(stage, config, newest + 1);
+    while (changes.texts.length < 200) expect(changes.proposeNext()).toContain("accepted");
+    expect(readConfigAt(stage, machine, changes.newestSequence) === changes.texts.at(-1)).toBe(
+      true,
+    );
+    expect(readConfigAt(stage, machine, 1)).toBe("removed");
+    expect(JSON.parse(readConfigAt(stage, machine, newest - 1))).toHaveProperty("routes");
     stage.kill(machine);
     stage.boot(machine);
-    stage.until(isLed(stage), 5000);
-    expect(readAt(stage, machine, changes.newest) === changes.texts.at(-1)).toBe(true);
+    stage.waitUntil(hasLeader(stage), 5000);
+    expect(readConfigAt(stage, machine, changes.newestSequence) === changes.texts.at(-1)).toBe(
+      true,
+    );
   }, 300_000);
 
 test("a member that lost its disk counts before it has the history, and fetches it afterwards", () => {
-  const stage = new FleetStage(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
+  const stage = new ClusterFixture(["d:a", "d:b", "d:c"], [0, 1, 2], { limits: { diskMb } });
   stage.bootAll();
-  stage.until(isLed(stage), 5000);
-  const changes = new Changes(stage, new LargeConfig(400));
-  while (changes.texts.length < 900) expect(changes.accept()).toContain("accepted");
+  stage.waitUntil(hasLeader(stage), 5000);
+  const changes = new ConfigChanges(stage, new LargeConfig(400));
+  while (changes.texts.length < 900) expect(changes.proposeNext()).toContain("accepted");
   const { leader } = stage;
-  const [emptied, other] = stage.disks.filter((machine) => machine !== leader);
+  const [emptied, other] = stage.diskMachines.filter((machine) => machine !== leader);
   if (!emptied || !other) throw new Error("A member is missing.");
   stage.kill(emptied, true);
   stage.boot(emptied, { bootstrap: false });
-  stage.until(() => emptied.record?.state === "formed", 4000);
+  stage.waitUntil(() => emptied.status?.state === "formed", 4000);
   stage.kill(other);
-  expect(changes.accept()).toContain("accepted");
+  expect(changes.proposeNext()).toContain("accepted");
   stage.boot(other, { bootstrap: false });
   stage.wait(60_000);
-  for (const machine of stage.disks.filter((machine) => machine !== emptied)) stage.kill(machine);
+  for (const machine of stage.diskMachines.filter((machine) => machine !== emptied))
+    stage.kill(machine);
   for (const sequence of [1, 64, 65, 500, 900, 901])
-    expect(readAt(stage, emptied, sequence) === changes.texts[sequence - 1]).toBe(true);
+    expect(readConfigAt(stage, emptied, sequence) === changes.texts[sequence - 1]).toBe(true);
 }, 300_000);
--- a/test/replication/fleet-stage.ts
+++ b/test/replication/fleet-stage.ts
@@ -13,7 +13,7 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-const fail = (error: unknown): void => {
+const throwError = (error: unknown): void => {
   throw error;
 };
 
@@ -22,7 +22,7 @@
   `{"services":{"service-${sequence}":{}},"routes":{}}`;
 
 /** One machine of a staged fleet. */
-export class StageMachine {
+export class FixtureMachine {
   settings: Settings;
   readonly disk: VirtualDisk | undefined;
   gate = new EventGate();
@@ -37,73 +37,75 @@
     return this.settings.peers;
   }
 
-  get record() {
+  get status() {
     return this.daemon?.replicationNode?.status;
   }
 }
 
 /** What the process of a staged machine runs on. */
-export interface MachineLife {
+export interface ProcessEnvironment {
   readonly gate: EventGate;
   readonly clock: Clock;
   readonly network: Network;
 }
 
 /** Daemons on a virtual network: `d` is a machine with a disk, `e` one without; each letter pair names kind and zone. */
-export class FleetStage {
-  readonly time = new VirtualClock();
+export class ClusterFixture {
+  readonly virtualClock = new VirtualClock();
   readonly random = RandomDraw.of(7);
-  readonly network = new VirtualNetwork(this.time.clock(), this.random);
-  readonly lines: string[] = [];
-  readonly machines: StageMachine[];
+  readonly network = new VirtualNetwork(this.virtualClock.clock(), this.random);
+  readonly logLines: string[] = [];
+  readonly machines: FixtureMachine[];
 
   /** Machines such as "d:a" (a disk in zone a) and "e:b" (an edge in zone b); the seeds are given by their places in the list. */
   constructor(machines: readonly string[], seeds: readonly number[], more: Partial<Settings> = {}) {
-    const peer = (at: number): string => `10.0.0.${at + 1}:7000`;
-    this.machines = machines.map((word, at) => {
+    const peer = (machineAt: number): string => `10.0.0.${machineAt + 1}:7000`;
+    this.machines = machines.map((word, machineAt) => {
       const [kind, zone = ""] = word.split(":");
       const settings: Settings = {
-        machine: `${kind === "d" ? "disk" : "edge"}-${at + 1}`,
+        machine: `${kind === "d" ? "disk" : "edge"}-${machineAt + 1}`,
         zone,
-        operators: `10.0.0.${at + 1}:7070`,
-        peers: peer(at),
+        operators: `10.0.0.${machineAt + 1}:7070`,
+        peers: peer(machineAt),
         seeds: seeds.map(peer),
-        ...(kind === "d" ? { dataFolder: "data" } : { callers: `10.0.0.${at + 1}:8080` }),
+        ...(kind === "d" ? { dataFolder: "data" } : { callers: `10.0.0.${machineAt + 1}:8080` }),
         ...more,
       };
-      return new StageMachine(
+      return new FixtureMachine(
         settings,
-        kind === "d" ? new VirtualDisk(this.time.clock(), this.random) : undefined,
+        kind === "d" ? new VirtualDisk(this.virtualClock.clock(), this.random) : undefined,
       );
     });
   }
 
-  at(place: number): StageMachine {
+  machineAt(place: number): FixtureMachine {
     const machine = this.machines[place];
     if (!machine) throw new Error(`There is no machine ${place}.`);
     return machine;
   }
 
-  get disks(): StageMachine[] {
+  get diskMachines(): FixtureMachine[] {
     return this.machines.filter(({ disk }) => disk !== undefined);
   }
 
   /** The machine that leads and may answer. */
-  get leader(): StageMachine {
-    const leader = this.disks.find(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+  get leader(): FixtureMachine {
+    const leader = this.diskMachines.find(
+      ({ daemon }) => daemon?.replicationNode?.holdsLease === true,
+    );
     if (!leader) throw new Error("Nobody leads.");
     return leader;
   }
 
   /** The fleets whose record is held, by machine. */
-  fleetOf(machine: StageMachine): string {
+  fleetIdOf(machine: FixtureMachine): string {
     return machine.daemon?.replicationNode?.bootstrapStatus.fleet ?? "";
   }
 
-  boot(machine: StageMachine, more: Partial<Settings> = {}): void {
+  boot(machine: FixtureMachine, more: Partial<Settings> = {}): void {
     if (machine.daemon) return;
     machine.settings = { ...machine.settings, ...more };
-    const { gate, clock, network } = this.lifeOf(machine);
+    const { gate, clock, network } = this.createEnvironment(machine);
     machine.gate = gate;
     machine.disk?.restart(clock);
     const name = machine.settings.machine;
@@ -112,10 +114,11 @@
       network,
       disk: machine.disk,
       random: this.random,
-      writeLine: (line) => this.lines.push(`${this.time.nowMs().toFixed(0)} ${name} ${line}`),
+      writeLine: (line) =>
+        this.logLines.push(`${this.virtualClock.nowMs().toFixed(0)} ${name} ${line}`),
     });
     machine.daemon = new Daemon(runtime, machine.settings, this.daemonOptions());
-    this.start(machine.daemon.start());
+    this.startTask(machine.daemon.start());
   }
 
   /** What its daemons are told besides their settings. */
@@ -124,9 +127,9 @@
   }
 
   /** What a machine's next life runs on. */
-  protected lifeOf({ settings }: StageMachine): MachineLife {
+  protected createEnvironment({ settings }: FixtureMachine): ProcessEnvironment {
     const gate = new EventGate();
-    const clock = gate.clock(this.time.clock());
+    const clock = gate.clock(this.virtualClock.clock());
     return { gate, clock, network: this.network.createInterface(settings.machine, gate) };
   }
 
@@ -135,7 +138,7 @@
   }
 
   /** The process dies at once; with `wipes`, its disk is lost too. */
-  kill(machine: StageMachine, wipes = false): void {
+  kill(machine: FixtureMachine, wipes = false): void {
     machine.gate.kill();
     machine.daemon = undefined;
     machine.disk?.finishWrites();
@@ -144,7 +147,7 @@
   }
 
   /** Cuts two machines from each other, or joins them again. */
-  cut(one: StageMachine, other: StageMachine, mends = false): void {
+  partition(one: FixtureMachine, other: FixtureMachine, mends = false): void {
     for (const [from, to] of [
       [one, other],
       [other, one],
@@ -155,24 +158,24 @@
   }
 
   wait(forMs: number): void {
-    this.time.runUntil(this.time.nowMs() + forMs);
+    this.virtualClock.runUntil(this.virtualClock.nowMs() + forMs);
   }
 
   /** Moves time on until something holds; tells how long that took. */
-  until(holds: () => boolean, atMostMs: number): number {
-    const sinceMs = this.time.nowMs();
+  waitUntil(holds: () => boolean, atMostMs: number): number {
+    const sinceMs = this.virtualClock.nowMs();
     while (!holds()) {
-      if (this.time.nowMs() - sinceMs >= atMostMs)
+      if (this.virtualClock.nowMs() - sinceMs >= atMostMs)
         throw new Error(
-          `It doesn't hold after ${atMostMs} ms.\n${this.lines.slice(-30).join("\n")}`,
+          `It doesn't hold after ${atMostMs} ms.\n${this.logLines.slice(-30).join("\n")}`,
         );
       this.wait(5);
     }
-    return this.time.nowMs() - sinceMs;
+    return this.virtualClock.nowMs() - sinceMs;
   }
 
   /** Has the leader accept a config; tells whether it was acknowledged within five seconds. */
-  commit(sequence: number): boolean {
+  commitConfig(sequence: number): boolean {
     const outcomes: boolean[] = [];
     const replicationNode = this.leader.daemon?.replicationNode;
     if (!replicationNode) return false;
@@ -185,32 +188,32 @@
       services: [],
       routes: [],
     });
-    this.start(
+    this.startTask(
       (function* () {
         const result = yield* replicationNode.propose(text);
         outcomes.push(result.kind === "committed" && result.outcome.includes("accepted"));
       })(),
     );
-    this.until(() => outcomes.length > 0, 5000);
+    this.waitUntil(() => outcomes.length > 0, 5000);
     return outcomes[0] === true;
   }
 
   /** The text of an accepted config, as a machine's recorder finds it. */
-  config(machine: StageMachine, sequence: number): string | undefined {
+  readConfig(machine: FixtureMachine, sequence: number): string | undefined {
     const texts: Array<string | undefined> = [];
     const replicationNode = machine.daemon?.replicationNode;
     if (!replicationNode) return undefined;
-    this.start(
+    this.startTask(
       (function* () {
         const read = yield* replicationNode.readConfig(sequence);
         texts.push(read.kind === "found" ? read.config.text : undefined);
       })(),
     );
-    this.until(() => texts.length > 0, 5000);
+    this.waitUntil(() => texts.length > 0, 5000);
     return texts[0];
   }
 
-  start(task: Task<unknown>): void {
-    runTask(task, fail);
+  startTask(task: Task<unknown>): void {
+    runTask(task, throwError);
   }
 }
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -3,7 +3,7 @@
 import type { AcceptedConfig } from "../../../src/state/accepted-config.js";
 import { ConfigHistory } from "../../../src/replication/history/config-history.js";
 import { encodeCompleteConfig } from "../../../src/replication/history/history-format.js";
-import { applyTextDelta, textDeltaBetween } from "../../../src/state/text-delta.js";
+import { applyTextDelta, computeTextDelta } from "../../../src/state/text-delta.js";
 import { RandomDraw } from "../../../src/simulation/random-draw.js";
 import { checkRules } from "../../../src/simulation/invariant-checker.js";
 import { shippedProfiles } from "../../../src/simulation/profile.js";
@@ -11,7 +11,7 @@
 import { VirtualClock } from "../../../src/simulation/virtual-clock.js";
 import { VirtualDisk } from "../../../src/simulation/virtual-disk.js";
 
-const config = (sequence: number, version?: number): AcceptedConfig => ({
+const createConfig = (sequence: number, version?: number): AcceptedConfig => ({
   sequence,
   index: sequence,
   changeId: `c${sequence}`,
@@ -24,7 +24,7 @@
   const time = new VirtualClock();
   const disk = new VirtualDisk(time.clock(), () => 0.5);
   const errors: unknown[] = [];
-  const run = <T>(task: Task<T>): T | undefined => {
+  const runTaskToEnd = <T>(task: Task<T>): T | undefined => {
     const values: T[] = [];
     runTask(
       task,
@@ -35,46 +35,46 @@
     return values[0];
   };
   const history = new ConfigHistory(disk);
-  run(history.load([]));
-  run(history.add([config(1), config(2, 9)]));
+  runTaskToEnd(history.load([]));
+  runTaskToEnd(history.add([createConfig(1), createConfig(2, 9)]));
   const whole = Buffer.from(disk.peek("configs-1"));
   disk.isFull = true;
-  run(history.add([config(3, 12)]));
+  runTaskToEnd(history.add([createConfig(3, 12)]));
   expect(errors).toHaveLength(1);
   disk.isFull = false;
   disk.poke("configs-1", Buffer.concat([whole, whole.subarray(0, 20)]));
-  run(history.add([config(3, 12), config(4, 13)]));
+  runTaskToEnd(history.add([createConfig(3, 12), createConfig(4, 13)]));
   const again = new ConfigHistory(disk);
-  run(again.load(["configs-1"]));
-  expect(again.newest).toBe(4);
-  expect([1, 2, 3, 4].map((sequence) => run(again.read(sequence)))).toEqual([
-    config(1),
-    config(2, 9),
-    config(3, 12),
-    config(4, 13),
+  runTaskToEnd(again.load(["configs-1"]));
+  expect(again.newestSequence).toBe(4);
+  expect([1, 2, 3, 4].map((sequence) => runTaskToEnd(again.read(sequence)))).toEqual([
+    createConfig(1),
+    createConfig(2, 9),
+    createConfig(3, 12),
+    createConfig(4, 13),
   ]);
   expect(errors).toHaveLength(1);
 });
 
-const fail = (error: unknown): void => {
+const throwError = (error: unknown): void => {
   throw error;
 };
 const setUp = () => {
   const time = new VirtualClock();
   const disk = new VirtualDisk(time.clock(), () => 0.5);
-  const run = <T>(task: Task<T>): T => {
+  const runTaskToEnd = <T>(task: Task<T>): T => {
     const values: T[] = [];
-    runTask(task, fail, (value) => values.push(value));
+    runTask(task, throwError, (value) => values.push(value));
     time.runUntil(time.nowMs() + 5000);
     for (const value of values) return value;
     throw new Error("The task has not ended.");
   };
-  const reopened = (): ConfigHistory => {
+  const reopenHistory = (): ConfigHistory => {
     const history = new ConfigHistory(disk);
-    run(history.load(run(disk.list())));
+    runTaskToEnd(history.load(runTaskToEnd(disk.list())));
     return history;
   };
-  return { disk, run, reopened };
+  return { disk, run: runTaskToEnd, reopened: reopenHistory };
 };
 
 test("hundreds of accepted configs are read back, also after one disk was lost, one damaged, and the third machine lost", () => {
@@ -119,99 +119,102 @@
 });
 
 test("configs are stored in order across files, once each, and an incomplete record at the end is cut off", () => {
-  const { disk, run, reopened } = setUp();
-  const history = reopened();
-  run(history.add(Array.from({ length: 150 }, (_, at) => config(at + 1))));
-  run(history.add([config(149), config(150), config(151)]));
-  expect(history.newest).toBe(151);
+  const { disk, run: runTaskToEnd, reopened: reopenHistory } = setUp();
+  const history = reopenHistory();
+  runTaskToEnd(history.add(Array.from({ length: 150 }, (_, at) => createConfig(at + 1))));
+  runTaskToEnd(history.add([createConfig(149), createConfig(150), createConfig(151)]));
+  expect(history.newestSequence).toBe(151);
   const tail = disk.peek("configs-129");
   disk.poke("configs-129", tail.subarray(0, tail.length - 3));
-  const again = reopened();
-  expect(again.newest).toBe(150);
-  run(again.add([config(151), config(152)]));
+  const again = reopenHistory();
+  expect(again.newestSequence).toBe(150);
+  runTaskToEnd(again.add([createConfig(151), createConfig(152)]));
   for (const sequence of [1, 64, 65, 128, 129, 152])
-    expect(run(reopened().read(sequence))).toEqual(config(sequence));
-  expect(run(again.read(153))).toBeUndefined();
-  expect(ConfigHistory.unpack(run(again.piece(100)), 100).map(({ sequence }) => sequence)).toEqual(
-    Array.from({ length: 29 }, (_, at) => at + 100),
-  );
-  expect(run(disk.list()).sort()).toEqual(["configs-1", "configs-129", "configs-65"]);
-  expect([again.missingBelow(153), again.missingBelow(160)]).toEqual([
+    expect(runTaskToEnd(reopenHistory().read(sequence))).toEqual(createConfig(sequence));
+  expect(runTaskToEnd(again.read(153))).toBeUndefined();
+  expect(
+    ConfigHistory.unpackPiece(runTaskToEnd(again.readPiece(100)), 100).map(
+      ({ sequence }) => sequence,
+    ),
+  ).toEqual(Array.from({ length: 29 }, (_, at) => at + 100));
+  expect(runTaskToEnd(disk.list()).sort()).toEqual(["configs-1", "configs-129", "configs-65"]);
+  expect([again.findMissingBelow(153), again.findMissingBelow(160)]).toEqual([
     undefined,
     { from: 153, to: 159 },
   ]);
 });
 
-const formerFiles = (count: number): Array<[string, Buffer]> =>
+const createLegacyFiles = (count: number): Array<[string, Buffer]> =>
   Array.from({ length: Math.ceil(count / 64) }, (_, file) => [
     `history-${file}`,
     Buffer.concat(
       Array.from({ length: Math.min(64, count - file * 64) }, (__, at) =>
-        encodeCompleteConfig(config(file * 64 + at + 1)),
+        encodeCompleteConfig(createConfig(file * 64 + at + 1)),
       ),
     ),
   ]);
 
 test("files of former builds are read, and later configs are added in the current layout", () => {
-  const { disk, run, reopened } = setUp();
-  for (const [name, bytes] of formerFiles(70)) disk.poke(name, bytes);
-  const history = reopened();
-  expect(history.newest).toBe(70);
-  run(history.add(Array.from({ length: 140 }, (_, at) => config(at + 65))));
-  expect(run(disk.list()).sort()).toEqual([
+  const { disk, run: runTaskToEnd, reopened: reopenHistory } = setUp();
+  for (const [name, bytes] of createLegacyFiles(70)) disk.poke(name, bytes);
+  const history = reopenHistory();
+  expect(history.newestSequence).toBe(70);
+  runTaskToEnd(history.add(Array.from({ length: 140 }, (_, at) => createConfig(at + 65))));
+  expect(runTaskToEnd(disk.list()).sort()).toEqual([
     "configs-135",
     "configs-199",
     "configs-71",
     "history-0",
     "history-1",
   ]);
-  const again = reopened();
-  expect(run(again.check())).toEqual([]);
-  expect(again.newest).toBe(204);
+  const again = reopenHistory();
+  expect(runTaskToEnd(again.check())).toEqual([]);
+  expect(again.newestSequence).toBe(204);
   for (const sequence of [1, 64, 65, 70, 71, 150, 198, 199, 204])
-    expect(run(again.read(sequence))).toEqual(config(sequence));
-  expect(again.missingBelow(205)).toBeUndefined();
+    expect(runTaskToEnd(again.read(sequence))).toEqual(createConfig(sequence));
+  expect(again.findMissingBelow(205)).toBeUndefined();
 });
 
 test("older configs fill gaps between files, and later ones are appended to them", () => {
-  const { run, reopened } = setUp();
-  const history = reopened();
-  run(history.add([config(1), config(2)]));
-  run(history.add([config(300), config(301)]));
-  expect(history.missingBelow(300)).toEqual({ from: 3, to: 299 });
-  run(history.add(Array.from({ length: 20 }, (_, at) => config(at + 190))));
-  run(history.add(Array.from({ length: 100 }, (_, at) => config(at + 205))));
-  expect(history.missingBelow(300)).toEqual({ from: 3, to: 189 });
-  const again = reopened();
-  run(again.check());
-  expect(again.missingBelow(302)).toEqual({ from: 3, to: 189 });
+  const { run: runTaskToEnd, reopened: reopenHistory } = setUp();
+  const history = reopenHistory();
+  runTaskToEnd(history.add([createConfig(1), createConfig(2)]));
+  runTaskToEnd(history.add([createConfig(300), createConfig(301)]));
+  expect(history.findMissingBelow(300)).toEqual({ from: 3, to: 299 });
+  runTaskToEnd(history.add(Array.from({ length: 20 }, (_, at) => createConfig(at + 190))));
+  runTaskToEnd(history.add(Array.from({ length: 100 }, (_, at) => createConfig(at + 205))));
+  expect(history.findMissingBelow(300)).toEqual({ from: 3, to: 189 });
+  const again = reopenHistory();
+  runTaskToEnd(again.check());
+  expect(again.findMissingBelow(302)).toEqual({ from: 3, to: 189 });
   for (const sequence of [1, 2, 190, 209, 210, 299, 300, 301])
-    expect(run(again.read(sequence))).toEqual(config(sequence));
-  expect(run(again.read(189))).toBeUndefined();
+    expect(runTaskToEnd(again.read(sequence))).toEqual(createConfig(sequence));
+  expect(runTaskToEnd(again.read(189))).toBeUndefined();
 });
 
 test("the oldest files are removed beyond the quota and on a full disk, never the newest", () => {
-  const { disk, run } = setUp();
+  const { disk, run: runTaskToEnd } = setUp();
   const random = RandomDraw.of(5);
   const large = (sequence: number): AcceptedConfig => ({
-    ...config(sequence),
+    ...createConfig(sequence),
     text: Array.from({ length: 4000 }, () => random().toString(36)).join(" "),
   });
   const history = new ConfigHistory(disk, 1_000_000);
-  run(history.load([]));
-  for (let sequence = 1; sequence <= 60; sequence += 1) run(history.add([large(sequence)]));
-  const filled = history.bytes;
-  const removed = run(history.shrink());
+  runTaskToEnd(history.load([]));
+  for (let sequence = 1; sequence <= 60; sequence += 1)
+    runTaskToEnd(history.add([large(sequence)]));
+  const filled = history.measuredBytes;
+  const removed = runTaskToEnd(history.shrink());
   expect(removed?.from).toBe(1);
   expect(history.removedUpTo).toBe(removed?.to);
   expect(filled).toBeGreaterThan(1_000_000);
-  expect(history.bytes).toBeLessThanOrEqual(1_000_000);
-  expect(disk.usedBytes).toBe(history.bytes);
-  expect(run(history.read(removed?.to ?? 0))).toBeUndefined();
-  expect(run(history.read((removed?.to ?? 0) + 1))?.sequence).toBe((removed?.to ?? 0) + 1);
-  for (let round = 0; round < 40; round += 1) run(history.reclaim());
-  expect(run(history.read(60))?.sequence).toBe(60);
-  expect([history.bytes > 0, history.hasRoom]).toEqual([true, false]);
+  expect(history.measuredBytes).toBeLessThanOrEqual(1_000_000);
+  expect(disk.usedBytes).toBe(history.measuredBytes);
+  expect(runTaskToEnd(history.read(removed?.to ?? 0))).toBeUndefined();
+  expect(runTaskToEnd(history.read((removed?.to ?? 0) + 1))?.sequence).toBe((removed?.to ?? 0) + 1);
+  for (let round = 0; round < 40; round += 1) runTaskToEnd(history.reclaim());
+  expect(runTaskToEnd(history.read(60))?.sequence).toBe(60);
+  expect([history.measuredBytes > 0, history.hasSpareQuota]).toEqual([true, false]);
 });
 
 test("a delta restores any text, also one that shares nothing or only moves parts", () => {
@@ -232,21 +235,24 @@
     Array.from({ length: 300 }, word).join(""),
   ];
   for (const text of texts) {
-    expect(applyTextDelta(base, textDeltaBetween(base, text))).toBe(text);
-    expect(applyTextDelta(text, textDeltaBetween(text, base))).toBe(base);
+    expect(applyTextDelta(base, computeTextDelta(base, text))).toBe(text);
+    expect(applyTextDelta(text, computeTextDelta(text, base))).toBe(base);
   }
-  expect(JSON.stringify(textDeltaBetween(base, texts[5] ?? "")).length).toBeLessThan(120);
-  expect(JSON.stringify(textDeltaBetween(base, texts[7] ?? "")).length).toBeLessThan(120);
+  expect(JSON.stringify(computeTextDelta(base, texts[5] ?? "")).length).toBeLessThan(120);
+  expect(JSON.stringify(computeTextDelta(base, texts[7] ?? "")).length).toBeLessThan(120);
 });
 
 test("a history with arbitrary damage returns a config as it was stored or none, and accepts more", () => {
   const random = RandomDraw.of(11);
   let missing = 0;
   for (let round = 0; round < 60; round += 1) {
-    const { disk, run, reopened } = setUp();
+    const { disk, run: runTaskToEnd, reopened: reopenHistory } = setUp();
     const isFormer = round % 4 >= 2;
-    if (isFormer) for (const [file, bytes] of formerFiles(70)) disk.poke(file, bytes);
-    else run(reopened().add(Array.from({ length: 150 }, (_, at) => config(at + 1))));
+    if (isFormer) for (const [file, bytes] of createLegacyFiles(70)) disk.poke(file, bytes);
+    else
+      runTaskToEnd(
+        reopenHistory().add(Array.from({ length: 150 }, (_, at) => createConfig(at + 1))),
+      );
     const names = isFormer ? ["history-0", "history-1"] : ["configs-1", "configs-65"];
     const name = names[round % 2] ?? "";
     const bytes = Buffer.from(disk.peek(name));
@@ -256,19 +262,19 @@
       bytes[at] = Math.floor(random() * 256);
       disk.poke(name, bytes);
     }
-    const history = reopened();
+    const history = reopenHistory();
     for (const sequence of isFormer ? [1, 30, 64, 65, 70] : [1, 64, 65, 128, 150]) {
-      const read = run(history.read(sequence));
-      if (read) expect(read).toEqual(config(sequence));
+      const read = runTaskToEnd(history.read(sequence));
+      if (read) expect(read).toEqual(createConfig(sequence));
       else missing += 1;
     }
-    const { newest } = history;
-    run(history.add([config(newest + 1)]));
-    expect(run(reopened().read(newest + 1))).toEqual(config(newest + 1));
+    const { newestSequence: newest } = history;
+    runTaskToEnd(history.add([createConfig(newest + 1)]));
+    expect(runTaskToEnd(reopenHistory().read(newest + 1))).toEqual(createConfig(newest + 1));
   }
   expect(missing).toBeGreaterThan(20);
   expect(
-    ConfigHistory.unpack(
+    ConfigHistory.unpackPiece(
       Buffer.from(Array.from({ length: 300 }, () => Math.floor(random() * 256))),
       1,
     ),
--- a/test/replication/log/log-store.test.ts
+++ b/test/replication/log/log-store.test.ts
@@ -19,7 +19,7 @@
 const setUp = () => {
   const time = new VirtualClock();
   const disk = new VirtualDisk(time.clock(), () => 0.5);
-  const run = <T>(task: Task<T>): T => {
+  const runTaskToEnd = <T>(task: Task<T>): T => {
     const values: T[] = [];
     runTask(
       task,
@@ -32,17 +32,17 @@
     for (const value of values) return value;
     throw new Error("The task has not ended.");
   };
-  return { disk, run };
+  return { disk, run: runTaskToEnd };
 };
 
 test("an incomplete record at the log's end is cut off, damage before it is reported, and nothing synced is lost", () => {
-  const { disk, run } = setUp();
+  const { disk, run: runTaskToEnd } = setUp();
   const store = new LogStore(disk);
-  expect(run(store.load())).toEqual({ kind: "empty" });
-  run(store.writeSnapshot(durableState));
+  expect(runTaskToEnd(store.load())).toEqual({ kind: "empty" });
+  runTaskToEnd(store.writeSnapshot(durableState));
   for (let index = 1; index <= 3; index += 1)
-    run(store.append([{ kind: "entry", index, term: 1, text: `e${index}` }]));
-  run(
+    runTaskToEnd(store.append([{ kind: "entry", index, term: 1, text: `e${index}` }]));
+  runTaskToEnd(
     store.append([
       { kind: "truncate", index: 3 },
       { kind: "vote", term: 4, text: "x" },
@@ -52,7 +52,7 @@
   const bytes = disk.peek(name);
   for (let size = bytes.length; size >= 0; size -= 1) {
     disk.poke(name, bytes.subarray(0, size));
-    const loaded = run(new LogStore(disk).load());
+    const loaded = runTaskToEnd(new LogStore(disk).load());
     expect(loaded.kind).toBe("loaded");
     if (loaded.kind === "loaded" && size === bytes.length)
       expect([loaded.state.entries.map((entry) => entry.text), loaded.state.term]).toEqual([
@@ -63,41 +63,43 @@
   const bent = Buffer.from(bytes);
   bent[12] = (bent[12] ?? 0) ^ 255;
   disk.poke(name, bent);
-  expect(run(new LogStore(disk).load()).kind).toBe("damaged");
+  expect(runTaskToEnd(new LogStore(disk).load()).kind).toBe("damaged");
 });
 
 test("an entry that is both in the slot and in the log counts once; a gap is reported", () => {
-  const { disk, run } = setUp();
+  const { disk, run: runTaskToEnd } = setUp();
   const store = new LogStore(disk);
-  run(store.load());
+  runTaskToEnd(store.load());
   const entries = [1, 2].map((index) => ({ index, term: 1, text: `e${index}` }));
-  run(store.writeSnapshot({ ...durableState, entries }));
-  run(
+  runTaskToEnd(store.writeSnapshot({ ...durableState, entries }));
+  runTaskToEnd(
     store.append([
       { kind: "entry", index: 2, term: 1, text: "e2" },
       { kind: "entry", index: 3, term: 1, text: "e3" },
     ]),
   );
-  const loaded = run(new LogStore(disk).load());
+  const loaded = runTaskToEnd(new LogStore(disk).load());
   expect(loaded.kind === "loaded" && loaded.state.entries.map((entry) => entry.index)).toEqual([
     1, 2, 3,
   ]);
-  run(store.append([{ kind: "entry", index: 5, term: 1, text: "e5" }]));
-  expect(run(new LogStore(disk).load()).kind).toBe("damaged");
+  runTaskToEnd(store.append([{ kind: "entry", index: 5, term: 1, text: "e5" }]));
+  expect(runTaskToEnd(new LogStore(disk).load()).kind).toBe("damaged");
 });
 
 test("a disk with arbitrary damage is loaded or reported as damaged, and then accepts writes", async () => {
   const random = RandomDraw.of(6);
   const seen = new Set<string>();
   for (let round = 0; round < 200; round += 1) {
-    const { disk, run } = setUp();
+    const { disk, run: runTaskToEnd } = setUp();
     const store = new LogStore(disk);
-    run(store.load());
-    run(store.writeSnapshot(durableState));
-    run(store.append([{ kind: "entry", index: 1, term: 1, text: "a" }]));
+    runTaskToEnd(store.load());
+    runTaskToEnd(store.writeSnapshot(durableState));
+    runTaskToEnd(store.append([{ kind: "entry", index: 1, term: 1, text: "a" }]));
     if (round % 2 === 0)
-      run(store.writeSnapshot({ ...durableState, entries: [{ index: 1, term: 1, text: "a" }] }));
-    for (const name of run(disk.list())) {
+      runTaskToEnd(
+        store.writeSnapshot({ ...durableState, entries: [{ index: 1, term: 1, text: "a" }] }),
+      );
+    for (const name of runTaskToEnd(disk.list())) {
       if (random() < 0.5) continue;
       const bytes = disk.peek(name);
       const at = Math.floor(random() * bytes.length);
@@ -113,14 +115,14 @@
         );
     }
     const again = new LogStore(disk);
-    const loaded = run(again.load());
+    const loaded = runTaskToEnd(again.load());
     seen.add(loaded.kind);
     if (loaded.kind === "damaged") {
-      run(again.clear());
-      expect(run(new LogStore(disk).load()).kind).toBe("damaged");
+      runTaskToEnd(again.clear());
+      expect(runTaskToEnd(new LogStore(disk).load()).kind).toBe("damaged");
     }
-    run(again.writeSnapshot(durableState));
-    expect(run(new LogStore(disk).load())).toMatchObject({
+    runTaskToEnd(again.writeSnapshot(durableState));
+    expect(runTaskToEnd(new LogStore(disk).load())).toMatchObject({
       kind: "loaded",
       state: { entries: [] },
     });
@@ -129,13 +131,13 @@
 });
 
 test("an incomplete snapshot leaves the older slot and its log valid", () => {
-  const { disk, run } = setUp();
+  const { disk, run: runTaskToEnd } = setUp();
   const store = new LogStore(disk);
-  run(store.load());
-  run(store.writeSnapshot(durableState));
-  run(store.append([{ kind: "entry", index: 1, term: 1, text: "kept" }]));
+  runTaskToEnd(store.load());
+  runTaskToEnd(store.writeSnapshot(durableState));
+  runTaskToEnd(store.append([{ kind: "entry", index: 1, term: 1, text: "kept" }]));
   disk.poke("slot-a", Buffer.from("half a slo"));
-  const loaded = run(new LogStore(disk).load());
+  const loaded = runTaskToEnd(new LogStore(disk).load());
   expect(loaded.kind === "loaded" && loaded.state.entries.map((entry) => entry.text)).toEqual([
     "kept",
   ]);
--- a/test/replication/membership/membership-leave.test.ts
+++ b/test/replication/membership/membership-leave.test.ts
@@ -1,24 +1,24 @@
 import { expect, test } from "vitest";
-import { configText, FleetStage, type StageMachine } from "../fleet-stage.js";
+import { configText, ClusterFixture, type FixtureMachine } from "../fleet-stage.js";
 
-const isLed = (stage: FleetStage) => (): boolean =>
-  stage.disks.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
-const later = { bootstrap: false };
+const hasLeader = (stage: ClusterFixture) => (): boolean =>
+  stage.diskMachines.some(({ daemon }) => daemon?.replicationNode?.holdsLease === true);
+const restartSettings = { bootstrap: false };
 const catchUpMs = 4000;
 const graceMs = 6000;
 
-const fleetOf = (disks: number, up: number): FleetStage => {
+const createCluster = (disks: number, up: number): ClusterFixture => {
   const words = Array.from({ length: disks }, (_, at) => `d:${"abc"[at % 3] ?? "a"}`);
-  const stage = new FleetStage(words, [0, 1, 2], { bounds: { catchUpMs, graceMs } });
-  for (const machine of stage.disks.slice(0, up)) stage.boot(machine);
-  stage.until(isLed(stage), 5000);
+  const stage = new ClusterFixture(words, [0, 1, 2], { bounds: { catchUpMs, graceMs } });
+  for (const machine of stage.diskMachines.slice(0, up)) stage.boot(machine);
+  stage.waitUntil(hasLeader(stage), 5000);
   return stage;
 };
 
-const follower = (stage: FleetStage): StageMachine => {
+const findFollowingVoter = (stage: ClusterFixture): FixtureMachine => {
   const { leader } = stage;
-  const voters = leader.record?.voters ?? [];
-  const other = stage.disks.find(
+  const voters = leader.status?.voters ?? [];
+  const other = stage.diskMachines.find(
     (machine) => machine.daemon && machine !== leader && voters.includes(machine.peer),
   );
   if (!other) throw new Error("There is no other voter.");
@@ -26,11 +26,11 @@
 };
 
 /** Tells a machine to stop; the holder says whether its process has ended. */
-const stop = (stage: FleetStage, machine: StageMachine): { ended: boolean } => {
+const stopMachine = (stage: ClusterFixture, machine: FixtureMachine): { ended: boolean } => {
   const state = { ended: false };
   const { daemon } = machine;
   if (!daemon) throw new Error("It doesn't run.");
-  stage.start(
+  stage.startTask(
     (function* () {
       yield* daemon.drain();
       state.ended = true;
@@ -39,54 +39,54 @@
   return state;
 };
 
-for (const who of ["a follower", "the leader"] as const)
-  test(`${who} that stops is replaced by the ready learner before it ends`, () => {
-    const stage = fleetOf(4, 3);
-    expect(stage.commit(1)).toBe(true);
-    const successor = stage.at(3);
-    stage.boot(successor, later);
+for (const role of ["a follower", "the leader"] as const)
+  test(`${role} that stops is replaced by the ready learner before it ends`, () => {
+    const stage = createCluster(4, 3);
+    expect(stage.commitConfig(1)).toBe(true);
+    const successor = stage.machineAt(3);
+    stage.boot(successor, restartSettings);
     stage.wait(catchUpMs);
-    const leaver = who === "the leader" ? stage.leader : follower(stage);
-    const stopping = stop(stage, leaver);
-    stage.until(() => stopping.ended, graceMs);
-    const voters = stage.leader.record?.voters ?? [];
+    const leaver = role === "the leader" ? stage.leader : findFollowingVoter(stage);
+    const stopping = stopMachine(stage, leaver);
+    stage.waitUntil(() => stopping.ended, graceMs);
+    const voters = stage.leader.status?.voters ?? [];
     expect(voters).toHaveLength(3);
     expect(voters).toContain(successor.peer);
     expect(voters).not.toContain(leaver.peer);
     stage.kill(leaver, true);
     stage.kill(stage.leader, true);
-    stage.until(isLed(stage), 2000);
-    expect(stage.commit(2)).toBe(true);
-    expect(stage.config(stage.leader, 1)).toBe(configText(1));
+    stage.waitUntil(hasLeader(stage), 2000);
+    expect(stage.commitConfig(2)).toBe(true);
+    expect(stage.readConfig(stage.leader, 1)).toBe(configText(1));
   });
 
 test("a voter that stops ends only once a majority without it has what it acknowledged", () => {
-  const stage = fleetOf(3, 3);
+  const stage = createCluster(3, 3);
   const { leader } = stage;
-  const leaver = follower(stage);
-  const [behind] = stage.disks.filter((machine) => machine !== leader && machine !== leaver);
+  const leaver = findFollowingVoter(stage);
+  const [behind] = stage.diskMachines.filter((machine) => machine !== leader && machine !== leaver);
   if (!behind) throw new Error("There are too few members.");
-  for (const other of [leader, leaver]) stage.cut(behind, other);
-  expect(stage.commit(1)).toBe(true);
-  const stopping = stop(stage, leaver);
+  for (const other of [leader, leaver]) stage.partition(behind, other);
+  expect(stage.commitConfig(1)).toBe(true);
+  const stopping = stopMachine(stage, leaver);
   stage.wait(3500);
   expect(stopping.ended).toBe(false);
-  for (const other of [leader, leaver]) stage.cut(behind, other, true);
-  stage.until(() => stopping.ended, graceMs - 3500);
-  expect(behind.record?.lastIndex).toBeGreaterThanOrEqual(leader.record?.committed ?? Infinity);
+  for (const other of [leader, leaver]) stage.partition(behind, other, true);
+  stage.waitUntil(() => stopping.ended, graceMs - 3500);
+  expect(behind.status?.lastIndex).toBeGreaterThanOrEqual(leader.status?.committed ?? Infinity);
   stage.kill(leaver, true);
-  stage.until(isLed(stage), 2000);
-  expect(stage.commit(2)).toBe(true);
+  stage.waitUntil(hasLeader(stage), 2000);
+  expect(stage.commitConfig(2)).toBe(true);
 });
 
 test("a voter that stops while there is no leader ends within its grace period", () => {
-  const stage = fleetOf(3, 3);
-  const [one, two, three] = stage.disks;
+  const stage = createCluster(3, 3);
+  const [one, two, three] = stage.diskMachines;
   if (!one || !two || !three) throw new Error("There are too few members.");
   stage.kill(one);
   stage.kill(two);
-  const stopping = stop(stage, three);
-  stage.until(() => stopping.ended, graceMs);
+  const stopping = stopMachine(stage, three);
+  stage.waitUntil(() => stopping.ended, graceMs);
 });
 
 for (const [disks, what] of [
@@ -94,30 +94,30 @@
   [4, "with a learner that stands ready"],
 ] as const)
   test(`a rolling restart ${what} leaves enough voters at all times, and a leader at once`, () => {
-    const stage = fleetOf(disks, disks);
+    const stage = createCluster(disks, disks);
     stage.wait(2000);
     let sequence = 0;
     let leaderlessMs = 0;
     const wait = (forMs: number): void => {
       for (let at = 0; at < forMs; at += 20) {
         stage.wait(20);
-        if (!isLed(stage)()) leaderlessMs += 20;
-        else expect(stage.leader.record?.voters.length).toBeGreaterThanOrEqual(3);
+        if (!hasLeader(stage)()) leaderlessMs += 20;
+        else expect(stage.leader.status?.voters.length).toBeGreaterThanOrEqual(3);
       }
     };
-    for (const machine of [...stage.disks, ...stage.disks]) {
-      const stopping = stop(stage, machine);
+    for (const machine of [...stage.diskMachines, ...stage.diskMachines]) {
+      const stopping = stopMachine(stage, machine);
       while (!stopping.ended) wait(20);
       stage.kill(machine);
       wait(300);
-      stage.boot(machine, later);
+      stage.boot(machine, restartSettings);
       wait(1300);
       sequence += 1;
-      expect(stage.commit(sequence)).toBe(true);
+      expect(stage.commitConfig(sequence)).toBe(true);
     }
     expect(leaderlessMs).toBeLessThan(1500);
     stage.wait(catchUpMs);
-    stage.kill(follower(stage), true);
+    stage.kill(findFollowingVoter(stage), true);
     stage.wait(100);
-    expect(stage.commit(sequence + 1)).toBe(true);
+    expect(stage.commitConfig(sequence + 1)).toBe(true);
   });
--- a/test/replication/replication-node.test.ts
+++ b/test/replication/replication-node.test.ts
@@ -17,27 +17,27 @@
 import { VirtualNetwork } from "../../src/simulation/virtual-network.js";
 import { virtualRuntime } from "../../src/simulation/virtual-runtime.js";
 
-type AppendAsk = DecodedMessage<typeof rpcMethods.append.request>;
-type VoteAsk = DecodedMessage<typeof rpcMethods.vote.request>;
+type AppendMessage = DecodedMessage<typeof rpcMethods.append.request>;
+type VoteMessage = DecodedMessage<typeof rpcMethods.vote.request>;
 
 const [own, second, third] = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"];
-const note = (index: number, term: number): Entry => ({
+const createNoteEntry = (index: number, term: number): Entry => ({
   index,
   term,
   text: '{"kind":"note","text":"n"}',
 });
 
 /** One node under test, and the network by which a recorded trace is sent to it. */
-const stage = (formed: boolean) => {
-  const time = new VirtualClock();
-  const network = new VirtualNetwork(time.clock(), RandomDraw.of(1));
-  const disk = new VirtualDisk(time.clock(), () => 0.5);
+const createNodeFixture = (formed: boolean) => {
+  const virtualClock = new VirtualClock();
+  const network = new VirtualNetwork(virtualClock.clock(), RandomDraw.of(1));
+  const disk = new VirtualDisk(virtualClock.clock(), () => 0.5);
   const fail = (error: unknown): void => {
     throw error;
   };
   const worldOf = (place: string): Runtime =>
     virtualRuntime({
-      clock: time.clock(),
+      clock: virtualClock.clock(),
       network: network.createInterface(place, new EventGate()),
       disk,
       random: RandomDraw.of(2),
@@ -51,7 +51,7 @@
     tolerate: { machines: 1, zones: 0 },
     seeds: () => seeds,
   };
-  const begin = (): ReplicationNode => {
+  const startNode = (): ReplicationNode => {
     const runtime = worldOf("own");
     const rpc = new RpcEndpoint(runtime, own);
     const replicationNode = new ReplicationNode({
@@ -82,10 +82,10 @@
     };
   });
   runTask(player.listen(), fail);
-  const send = <A, R>(kind: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
+  const send = <A, R>(method: RpcMethod<A, R>, asked: A, waitMs = 200): R | undefined => {
     const returns: Array<R | undefined> = [];
-    runTask(player.call(own, kind, asked, waitMs), fail, (ret) => returns.push(ret));
-    time.runUntil(time.nowMs() + waitMs);
+    runTask(player.call(own, method, asked, waitMs), fail, (ret) => returns.push(ret));
+    virtualClock.runUntil(virtualClock.nowMs() + waitMs);
     return returns[0];
   };
   if (formed) {
@@ -97,21 +97,26 @@
       lastIndex: 0,
       lastTerm: 0,
       snapshot: new StateMachine().snapshot({ voters: seeds, learners: [] }),
-      entries: [note(1, 1)],
+      entries: [createNoteEntry(1, 1)],
     };
     runTask(new LogStore(disk).writeSnapshot(durableState), fail);
-    time.runUntil(100);
+    virtualClock.runUntil(100);
   }
-  return { time, disk, begin, send };
+  return { time: virtualClock, disk, begin: startNode, send };
 };
-const append = (
+const createAppendRequest = (
   term: number,
   previousIndex: number,
   previousTerm: number,
   entries: Entry[],
   committed = 0,
-): AppendAsk => ({ term, leader: second, previousIndex, previousTerm, committed, entries });
-const vote = (term: number, lastIndex: number, lastTerm: number, isPreVote = false): VoteAsk => ({
+): AppendMessage => ({ term, leader: second, previousIndex, previousTerm, committed, entries });
+const createVoteRequest = (
+  term: number,
+  lastIndex: number,
+  lastTerm: number,
+  isPreVote = false,
+): VoteMessage => ({
   isPreVote,
   term,
   candidate: third,
@@ -121,49 +126,64 @@
 });
 
 test("trace: no vote within an election timeout of a leader's contact, none for a shorter log, one in a term, also after a restart", () => {
-  const { time, begin, send } = stage(true);
-  begin();
-  time.runUntil(150);
-  expect(send(rpcMethods.vote, vote(2, 9, 9))?.granted).toBe(false);
-  expect(send(rpcMethods.append, append(2, 1, 1, []))).toMatchObject({
+  const { time: virtualClock, begin: startNode, send } = createNodeFixture(true);
+  startNode();
+  virtualClock.runUntil(150);
+  expect(send(rpcMethods.vote, createVoteRequest(2, 9, 9))?.granted).toBe(false);
+  expect(send(rpcMethods.append, createAppendRequest(2, 1, 1, []))).toMatchObject({
     fits: true,
     counts: true,
     matched: 1,
   });
-  expect(send(rpcMethods.vote, vote(3, 9, 9, true))?.granted).toBe(false);
-  time.runUntil(time.nowMs() + 450);
-  expect(send(rpcMethods.vote, vote(9, 0, 0))?.granted).toBe(false);
-  expect(send(rpcMethods.vote, vote(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
-  begin();
-  time.runUntil(time.nowMs() + 10);
-  time.runUntil(time.nowMs() + 500);
-  expect(send(rpcMethods.vote, { ...vote(9, 5, 5), candidate: second }, 30)?.granted).toBe(false);
+  expect(send(rpcMethods.vote, createVoteRequest(3, 9, 9, true))?.granted).toBe(false);
+  virtualClock.runUntil(virtualClock.nowMs() + 450);
+  expect(send(rpcMethods.vote, createVoteRequest(9, 0, 0))?.granted).toBe(false);
+  expect(send(rpcMethods.vote, createVoteRequest(9, 1, 1), 30)).toEqual({ term: 9, granted: true });
+  startNode();
+  virtualClock.runUntil(virtualClock.nowMs() + 10);
+  virtualClock.runUntil(virtualClock.nowMs() + 500);
+  expect(
+    send(rpcMethods.vote, { ...createVoteRequest(9, 5, 5), candidate: second }, 30)?.granted,
+  ).toBe(false);
 });
 
 test("trace: an entry is acknowledged once it is on disk, and not after the term has changed", () => {
-  const { time, disk, begin, send } = stage(true);
-  begin();
-  time.runUntil(150);
+  const { time: virtualClock, disk, begin: startNode, send } = createNodeFixture(true);
+  startNode();
+  virtualClock.runUntil(150);
   disk.stall(600);
-  expect(send(rpcMethods.append, append(2, 1, 1, [note(2, 2)]), 100)).toBeUndefined();
-  expect(send(rpcMethods.append, append(3, 1, 1, [note(2, 3)]), 1500)).toMatchObject({
+  expect(
+    send(rpcMethods.append, createAppendRequest(2, 1, 1, [createNoteEntry(2, 2)]), 100),
+  ).toBeUndefined();
+  expect(
+    send(rpcMethods.append, createAppendRequest(3, 1, 1, [createNoteEntry(2, 3)]), 1500),
+  ).toMatchObject({
     term: 3,
     fits: true,
     matched: 2,
   });
-  expect(send(rpcMethods.append, append(2, 2, 2, [note(3, 2)]))).toMatchObject({
+  expect(
+    send(rpcMethods.append, createAppendRequest(2, 2, 2, [createNoteEntry(3, 2)])),
+  ).toMatchObject({
     term: 3,
     fits: false,
   });
 });
 
 test("trace: a node that lost its disk neither votes nor counts until its own rejoin marker is committed", () => {
-  const { time, begin, send } = stage(false);
-  const replicationNode = begin();
-  time.runUntil(400);
+  const { time: virtualClock, begin: startNode, send } = createNodeFixture(false);
+  const replicationNode = startNode();
+  virtualClock.runUntil(400);
   expect(replicationNode.status.state).toBe("rejoining");
-  expect(send(rpcMethods.vote, { ...vote(5, 9, 9), handOver: true })?.granted).toBe(false);
-  expect(send(rpcMethods.append, append(5, 0, 0, [note(1, 5), note(2, 5)], 2))).toMatchObject({
+  expect(send(rpcMethods.vote, { ...createVoteRequest(5, 9, 9), handOver: true })?.granted).toBe(
+    false,
+  );
+  expect(
+    send(
+      rpcMethods.append,
+      createAppendRequest(5, 0, 0, [createNoteEntry(1, 5), createNoteEntry(2, 5)], 2),
+    ),
+  ).toMatchObject({
     fits: true,
     counts: false,
     matched: 2,
@@ -171,17 +191,24 @@
   const foreign = {
     index: 3,
     term: 5,
-    text: JSON.stringify({ kind: "rejoined", machine: own, nonce: "another" }),
+    text: JSON.stringify({ method: "rejoined", machine: own, nonce: "another" }),
   };
-  expect(send(rpcMethods.append, append(5, 2, 5, [foreign], 3))).toMatchObject({ counts: false });
-  expect(send(rpcMethods.append, append(5, 3, 5, []))).toMatchObject({ counts: false });
+  expect(send(rpcMethods.append, createAppendRequest(5, 2, 5, [foreign], 3))).toMatchObject({
+    counts: false,
+  });
+  expect(send(rpcMethods.append, createAppendRequest(5, 3, 5, []))).toMatchObject({
+    counts: false,
+  });
   const mark = {
     index: 4,
     term: 5,
-    text: JSON.stringify({ kind: "rejoined", machine: own, nonce: replicationNode.rejoinNonce }),
+    text: JSON.stringify({ method: "rejoined", machine: own, nonce: replicationNode.rejoinNonce }),
   };
-  send(rpcMethods.append, append(5, 3, 5, [mark], 4));
-  expect(send(rpcMethods.append, append(5, 4, 5, []))).toMatchObject({ counts: true, matched: 4 });
+  send(rpcMethods.append, createAppendRequest(5, 3, 5, [mark], 4));
+  expect(send(rpcMethods.append, createAppendRequest(5, 4, 5, []))).toMatchObject({
+    counts: true,
+    matched: 4,
+  });
 });
 
 test("batches and the retained log are bounded in entries and bytes; a single larger entry is a batch", () => {
@@ -197,7 +224,7 @@
 
 test("the timeout of an append request includes the time of its entries on a slow link", () => {
   const entries = [{ index: 1, term: 1, text: "x".repeat(4 * 1024 * 1024) }];
-  const request = append(1, 0, 0, entries);
+  const request = createAppendRequest(1, 0, 0, entries);
   expect(appendTimeoutMs({ ...request, entries: [] }, defaultReplicationTimeouts)).toBe(
     defaultReplicationTimeouts.electionMinMs,
   );
--- a/test/replication/tombstones.test.ts
+++ b/test/replication/tombstones.test.ts
@@ -3,7 +3,7 @@
 import { type LogCommand, encodeLogCommand } from "../../src/state/log-command.js";
 import { MAX_TOMBSTONES } from "../../src/state/tombstone-table.js";
 
-const registration = (
+const createRegistration = (
   instance: string,
   more: Partial<Extract<LogCommand, { kind: "contract" }>> = {},
 ): LogCommand => ({
@@ -15,7 +15,7 @@
   instance,
   ...more,
 });
-const leave = (instance: string): LogCommand => ({
+const createLeave = (instance: string): LogCommand => ({
   kind: "leave",
   address: "",
   service: "",
@@ -28,16 +28,16 @@
   const stateMachine = new StateMachine();
   const apply = (on: StateMachine, index: number, command: LogCommand): unknown =>
     JSON.parse(on.apply(index, encodeLogCommand(command)));
-  expect(apply(stateMachine, 1, registration("one"))).toEqual({ number: 1 });
-  expect(apply(stateMachine, 2, leave("one"))).toEqual({ known: true });
-  expect(apply(stateMachine, 3, leave("never-seen"))).toEqual({ known: false });
+  expect(apply(stateMachine, 1, createRegistration("one"))).toEqual({ number: 1 });
+  expect(apply(stateMachine, 2, createLeave("one"))).toEqual({ known: true });
+  expect(apply(stateMachine, 3, createLeave("never-seen"))).toEqual({ known: false });
   const copy = new StateMachine();
   copy.restore(stateMachine.snapshot(members));
   for (const on of [stateMachine, copy]) {
-    expect(apply(on, 4, registration("one"))).toEqual({ gone: true });
-    expect(apply(on, 5, registration("never-seen"))).toEqual({ gone: true });
-    expect(apply(on, 6, registration("two"))).toEqual({ number: 6 });
-    expect(apply(on, 7, registration("three"))).toEqual({ number: 7 });
+    expect(apply(on, 4, createRegistration("one"))).toEqual({ gone: true });
+    expect(apply(on, 5, createRegistration("never-seen"))).toEqual({ gone: true });
+    expect(apply(on, 6, createRegistration("two"))).toEqual({ number: 6 });
+    expect(apply(on, 7, createRegistration("three"))).toEqual({ number: 7 });
     expect([...on.tombstones]).toEqual([
       ["one", 2],
       ["never-seen", 3],
@@ -48,7 +48,7 @@
 
 test("a drain by address removes its instance for good; an older log is read as one without instances", () => {
   const stateMachine = new StateMachine();
-  stateMachine.apply(1, encodeLogCommand(registration("one")));
+  stateMachine.apply(1, encodeLogCommand(createRegistration("one")));
   stateMachine.apply(
     2,
     encodeLogCommand({ kind: "leave", address: "a:1", service: "s", drained: true }),
@@ -83,7 +83,7 @@
 test("tombstones are bounded: the oldest are removed", () => {
   const stateMachine = new StateMachine();
   for (let at = 1; at <= MAX_TOMBSTONES + 5; at += 1)
-    stateMachine.apply(at, encodeLogCommand(leave(`i${at}`)));
+    stateMachine.apply(at, encodeLogCommand(createLeave(`i${at}`)));
   expect(stateMachine.tombstones.size).toBe(MAX_TOMBSTONES);
   expect([stateMachine.tombstones.has("i5"), stateMachine.tombstones.has("i6")]).toEqual([
     false,
--- a/test/replication/versions.test.ts
+++ b/test/replication/versions.test.ts
@@ -3,7 +3,7 @@
 import { encodeLogCommand } from "../../src/state/log-command.js";
 
 const members = { voters: ["a"], learners: [] };
-const put = (
+const applyConfig = (
   stateMachine: StateMachine,
   index: number,
   expected: number,
@@ -29,12 +29,12 @@
 test("versions rise by whatever steps are chosen, beside sequences without a gap", () => {
   const stateMachine = new StateMachine();
   expect([
-    put(stateMachine, 1, 0, "a", 7),
-    put(stateMachine, 2, 1, "b"),
-    put(stateMachine, 3, 2, "c", 8),
-    put(stateMachine, 4, 2, "d", 30),
-    put(stateMachine, 5, 0, "e", 40),
-    put(stateMachine, 6, 3, "a", 50),
+    applyConfig(stateMachine, 1, 0, "a", 7),
+    applyConfig(stateMachine, 2, 1, "b"),
+    applyConfig(stateMachine, 3, 2, "c", 8),
+    applyConfig(stateMachine, 4, 2, "d", 30),
+    applyConfig(stateMachine, 5, 0, "e", 40),
+    applyConfig(stateMachine, 6, 3, "a", 50),
   ]).toEqual([
     { accepted: 7 },
     { accepted: 8 },
@@ -53,21 +53,21 @@
   expect(copy.snapshot(members)).toBe(stateMachine.snapshot(members));
   expect([
     copy.version,
-    copy.changeVersion("b"),
-    put(copy, 7, 3, "f"),
+    copy.findVersionOfChange("b"),
+    applyConfig(copy, 7, 3, "f"),
     copy.activeConfig?.sequence,
   ]).toEqual([30, 8, { accepted: 31 }, 4]);
 });
 
 test("a snapshot from before there were versions is read with the sequences as versions", () => {
   const stateMachine = new StateMachine();
-  put(stateMachine, 1, 0, "a");
-  put(stateMachine, 2, 1, "b");
+  applyConfig(stateMachine, 1, 0, "a");
+  applyConfig(stateMachine, 2, 1, "b");
   const text = stateMachine.snapshot(members);
   expect(text).not.toContain('"version"');
   const copy = new StateMachine();
   copy.restore(text);
-  expect([copy.version, copy.changeVersion("a"), put(copy, 3, 2, "c", 9)]).toEqual([
+  expect([copy.version, copy.findVersionOfChange("a"), applyConfig(copy, 3, 2, "c", 9)]).toEqual([
     2,
     1,
     { accepted: 9 },
--- a/test/retry-budget/request-counts.test.ts
+++ b/test/retry-budget/request-counts.test.ts
@@ -40,7 +40,7 @@
     defaultRequestCountsFormat,
     12_000,
   );
-  const found = merged.heavyRoutes(0.1, 12_000, 10_000);
+  const found = merged.findHeavyRoutes(0.1, 12_000, 10_000);
   for (const route of heavy) expect(found.map(({ item }) => item)).toContain(route);
   const cell = Math.sqrt(1 + defaultRequestCountsFormat.routes.epsilon) - 1;
   const bound = 2 * cell + cell * cell + cell + (2 * cell + cell * cell) * cell;
--- a/test/retry-budget/retry-budget.test.ts
+++ b/test/retry-budget/retry-budget.test.ts
@@ -79,7 +79,7 @@
 test("the sketch decides before the guard, and used capacity returns once the window is over", () => {
   const budget = new RetryBudget();
   let short = 0;
-  budget.onShort = () => (short += 1);
+  budget.onNearlyExhausted = () => (short += 1);
   budget.setCapacities(new Map([["s", 3]]), 0);
   expect(budget.take("s", { limit: 0.5, used: 0 }, 0)).toBe("sketch");
   for (const expected of ["granted", "granted", "granted", "guard"])
--- a/test/retry-budget/retry-rules.test.ts
+++ b/test/retry-budget/retry-rules.test.ts
@@ -2,7 +2,7 @@
 import { RandomDraw } from "../../src/simulation/random-draw.js";
 import { RetryQuotas } from "../../src/retry-budget/retry-quotas.js";
 import { RetryBudget } from "../../src/retry-budget/retry-budget.js";
-import { retryRulesOf } from "../../src/retry-budget/retry-rules.js";
+import { createRetryRules } from "../../src/retry-budget/retry-rules.js";
 
 test("with other settings than the defaults the guard enforces the rule in every window", () => {
   for (const [ratio, extra, windowMs] of [
@@ -11,7 +11,7 @@
     [0.5, 8, 2000],
     [0.3, 100, 20_000],
   ] as const) {
-    const rules = retryRulesOf(ratio, extra, windowMs);
+    const rules = createRetryRules(ratio, extra, windowMs);
     const random = RandomDraw.of(extra + 1);
     const quotas = new RetryQuotas(rules, 800);
     quotas.beginTerm(0, "l", new Set());
--- a/test/rpc/paced-connection.test.ts
+++ b/test/rpc/paced-connection.test.ts
@@ -88,7 +88,7 @@
   const closed = connectionOf();
   closed.paced.send(frameOf(1, 1_000_000));
   closed.paced.close();
-  expect(egress.waitMs(0)).toBeLessThanOrEqual(30);
+  expect(egress.estimateWaitMs(0)).toBeLessThanOrEqual(30);
   const other = connectionOf();
   other.paced.send(frameOf(2, 20_000));
   time.runUntil(200);
--- a/test/runtime/link-pacer.test.ts
+++ b/test/runtime/link-pacer.test.ts
@@ -21,7 +21,7 @@
         const one = pacer.begin(rank, bytes);
         for (let remainingBytes = bytes; remainingBytes > 0;) {
           const part = Math.min(remainingBytes, pacer.turnBytes);
-          yield* one.turn(part);
+          yield* one.awaitTurn(part);
           written.push({ name, atMs: time.nowMs(), bytes: part });
           remainingBytes -= part;
         }
@@ -49,7 +49,7 @@
 
 test("small messages count: bulk waits until they have left", () => {
   const { time, pacer, written, transfer } = stage();
-  pacer.note(usableBytesPerMs * 100);
+  pacer.recordBytes(usableBytesPerMs * 100);
   expect(pacer.queueMs).toBeCloseTo(100, 0);
   transfer("download", 1000, { transferClass: "response", dueMs: 1000 });
   time.runUntil(80);
@@ -75,18 +75,18 @@
 test("the estimated wait covers what is queued and what is yet to be written, without ended transfers", () => {
   const { time, pacer } = stage();
   const one = pacer.begin({ transferClass: "response", dueMs: 1000 }, usableBytesPerMs * 500);
-  expect(pacer.waitMs(usableBytesPerMs * 100)).toBeCloseTo(600, 0);
+  expect(pacer.estimateWaitMs(usableBytesPerMs * 100)).toBeCloseTo(600, 0);
   one.onTurn(usableBytesPerMs * 10, () => undefined);
-  expect(pacer.waitMs(0)).toBeCloseTo(500, 0);
+  expect(pacer.estimateWaitMs(0)).toBeCloseTo(500, 0);
   time.runUntil(10);
-  expect(pacer.waitMs(0)).toBeCloseTo(490, 0);
+  expect(pacer.estimateWaitMs(0)).toBeCloseTo(490, 0);
   one.end();
-  expect(pacer.waitMs(0)).toBe(0);
+  expect(pacer.estimateWaitMs(0)).toBe(0);
 });
 
 test("a cancelled turn is not granted", () => {
   const { time, pacer, written, transfer } = stage();
-  pacer.note(usableBytesPerMs * 100);
+  pacer.recordBytes(usableBytesPerMs * 100);
   const one = pacer.begin({ transferClass: "control", dueMs: 0 });
   const given: string[] = [];
   one.onTurn(100, () => given.push("cancelled"))();
@@ -98,9 +98,9 @@
 
 test("without a known rate nothing is delayed", () => {
   const { pacer, written, transfer } = stage(0);
-  pacer.note(10 ** 9);
+  pacer.recordBytes(10 ** 9);
   transfer("download", 10 ** 8, { transferClass: "response", dueMs: 0 });
   expect(written).toHaveLength(1);
   expect(pacer.queueMs).toBe(0);
-  expect(pacer.waitMs(10 ** 9)).toBe(0);
+  expect(pacer.estimateWaitMs(10 ** 9)).toBe(0);
 });
--- a/test/simulation/virtual-backends.test.ts
+++ b/test/simulation/virtual-backends.test.ts
@@ -89,7 +89,7 @@
           maySend: () => true,
         });
         if (opened.kind === "failed") return opened.cause;
-        while (typeof (yield* opened.response.next()) !== "string");
+        while (typeof (yield* opened.response.nextChunk()) !== "string");
         return "returned";
       })(),
       (error) => {
--- a/test/sketch/dyadic-sketch.test.ts
+++ b/test/sketch/dyadic-sketch.test.ts
@@ -17,6 +17,6 @@
     sketch.add(item, stampOf(atMs));
     counts.set(item, (counts.get(item) ?? 0) + 1);
   }
-  const found = sketch.heavy(0.1, stampOf(9000), 10_000).map(({ item }) => item);
+  const found = sketch.findHeavyItems(0.1, stampOf(9000), 10_000).map(({ item }) => item);
   expect(new Set(found)).toEqual(new Set([17, 400, 1023]));
 });
--- a/test/sketch/ecm-sketch.test.ts
+++ b/test/sketch/ecm-sketch.test.ts
@@ -53,5 +53,5 @@
 test("a sketch with another seed is refused", () => {
   const other = new EcmSketch({ ...format, seed: 12 });
   expect(() => EcmSketch.merge([other], format, 0)).toThrow(SketchMismatchError);
-  expect(() => EcmSketch.ofAged(other.aged(0), format, 0, 0)).toThrow(SketchMismatchError);
+  expect(() => EcmSketch.fromAged(other.agedForm(0), format, 0, 0)).toThrow(SketchMismatchError);
 });
--- a/test/sketch/exponential-histogram.test.ts
+++ b/test/sketch/exponential-histogram.test.ts
@@ -70,8 +70,8 @@
 test("a copy from the aged form estimates as the original does, and an idle histogram becomes empty", () => {
   const histogram = new ExponentialHistogram(0.1, windowMs);
   for (let atMs = 0; atMs < 30_000; atMs += 7) histogram.add(stampOf(atMs));
-  const copy = ExponentialHistogram.ofAged(
-    histogram.aged(stampOf(30_000)),
+  const copy = ExponentialHistogram.fromAged(
+    histogram.agedForm(stampOf(30_000)),
     0.1,
     windowMs,
     stampOf(512),
--- a/test/state/id-allocator.test.ts
+++ b/test/state/id-allocator.test.ts
@@ -4,21 +4,22 @@
 describe("IdAllocator", () => {
   test("over thousands of configurations no id is reused within its rest, and ids don't run out", () => {
     const ids = new IdAllocator();
-    const lastNameById = new Map<number, { name: string; at: number }>();
+    const lastNameById = new Map<number, { name: string; round: number }>();
     const restingSince = new Map<number, number>();
     const restConfigs = 60;
-    for (let at = 0; at < 3000; at += 1) {
-      const names = Array.from({ length: at % 500 === 0 ? 10_000 : 40 }, (_, one) =>
-        one < 30 ? `kept-${one}` : `r-${at}-${one}`,
+    for (let round = 0; round < 3000; round += 1) {
+      const names = Array.from({ length: round % 500 === 0 ? 10_000 : 40 }, (_, one) =>
+        one < 30 ? `kept-${one}` : `r-${round}-${one}`,
       );
-      const rested = [...ids.resting].filter(
-        (number) => (restingSince.get(number) ?? at) < at - restConfigs,
+      const rested = [...ids.quarantinedIds].filter(
+        (number) => (restingSince.get(number) ?? round) < round - restConfigs,
       );
-      ids.adopt(names, rested);
+      ids.setActiveNames(names, rested);
       for (const number of rested) restingSince.delete(number);
-      for (const number of ids.resting) if (!restingSince.has(number)) restingSince.set(number, at);
+      for (const number of ids.quarantinedIds)
+        if (!restingSince.has(number)) restingSince.set(number, round);
       expect(ids.activeIds.size).toBe(names.length);
-      if (at % 100 === 0) {
+      if (round % 100 === 0) {
         const copy = new IdAllocator();
         copy.restore(ids.state);
         expect(copy.state).toEqual(ids.state);
@@ -26,8 +27,8 @@
       }
       for (const [name, number] of ids.activeIds) {
         const last = lastNameById.get(number);
-        if (last && last.name !== name) expect(at - last.at).toBeGreaterThan(restConfigs);
-        lastNameById.set(number, { name, at });
+        if (last && last.name !== name) expect(round - last.round).toBeGreaterThan(restConfigs);
+        lastNameById.set(number, { name, at: round });
       }
     }
     expect(Math.max(...lastNameById.keys())).toBeLessThan(25_000);
--- a/test/tools/docs.test.ts
+++ b/test/tools/docs.test.ts
@@ -4,17 +4,17 @@
 
 const PAGES = ["README.md", "CONTRIBUTING.md", "docs/architecture.md", "docs/glossary.md"];
 
-const textOf = (page: string): string => readFileSync(page, "utf8");
+const readPage = (page: string): string => readFileSync(page, "utf8");
 
 /** Paths of the repository that a page names in code spans. */
 const namedPaths = (page: string): string[] =>
-  [...textOf(page).matchAll(/`((?:src|platform|test|tools|deploy|docs)\/[\w./-]+)`/g)].flatMap(
+  [...readPage(page).matchAll(/`((?:src|platform|test|tools|deploy|docs)\/[\w./-]+)`/g)].flatMap(
     ([, path]) => path ?? [],
   );
 
 /** Pages that a page links to, relative to the repository. */
 const linkedPages = (page: string): string[] =>
-  [...textOf(page).matchAll(/\]\(([\w./-]+)\)/g)].map(([, path]) =>
+  [...readPage(page).matchAll(/\]\(([\w./-]+)\)/g)].map(([, path]) =>
     join(dirname(page), path ?? ""),
   );
 
--- a/test/tools/lint.test.ts
+++ b/test/tools/lint.test.ts
@@ -8,7 +8,7 @@
 const PLANTED_FOLDER = "src/sketch";
 
 /** The rules that a planted source file breaks, as errors; the file isn't written anywhere. */
-const brokenRules = async (source: string, fileName = "planted.ts"): Promise<string[]> => {
+const violatedRules = async (source: string, fileName = "planted.ts"): Promise<string[]> => {
   const eslint = new ESLint({
     overrideConfig: {
       languageOptions: {
@@ -41,16 +41,16 @@
 
 describe("eslint in a finished folder", () => {
   test("accepts a short documented function in a file with a kebab-case name", async () => {
-    expect(await brokenRules(DOCUMENTED)).toEqual([]);
+    expect(await violatedRules(DOCUMENTED)).toEqual([]);
   });
 
   test("refuses an exported function without a doc comment", async () => {
     const source = "export const increment = (value: number): number => value + 1;\n";
-    expect(await brokenRules(source)).toEqual(["jsdoc/require-jsdoc"]);
+    expect(await violatedRules(source)).toEqual(["jsdoc/require-jsdoc"]);
   });
 
   test("refuses a file name in camel case", async () => {
-    expect(await brokenRules(DOCUMENTED, "plantedFile.ts")).toEqual([
+    expect(await violatedRules(DOCUMENTED, "plantedFile.ts")).toEqual([
       "check-file/filename-naming-convention",
     ]);
   });
@@ -59,9 +59,9 @@
     const lines = (count: number): string => "  total += 1;\n".repeat(count);
     const source = (count: number): string =>
       `/** Counts. */\nexport const count = (): number => {\n  let total = 0;\n${lines(count)}  return total;\n};\n`;
-    expect(await brokenRules(source(50))).toEqual([]);
-    expect(await brokenRules(source(70))).toEqual(["max-lines-per-function"]);
-    expect(await brokenRules(source(400))).toEqual(["max-lines-per-function", "max-lines"]);
+    expect(await violatedRules(source(50))).toEqual([]);
+    expect(await violatedRules(source(70))).toEqual(["max-lines-per-function"]);
+    expect(await violatedRules(source(400))).toEqual(["max-lines-per-function", "max-lines"]);
   });
 
   test("refuses a function with more than 12 paths", async () => {
@@ -70,19 +70,19 @@
       (_, index) => `  if (value === ${index}) return ${index};\n`,
     );
     const source = `/** Chooses. */\nexport const choose = (value: number): number => {\n${branches.join("")}  return -1;\n};\n`;
-    expect(await brokenRules(source)).toEqual(["complexity"]);
+    expect(await violatedRules(source)).toEqual(["complexity"]);
   });
 
   test("refuses any, casts and non-null assertions", async () => {
     const source = (expression: string): string =>
       `/** A value. */\nexport const value = (given: number | undefined): number => ${expression};\n`;
-    expect(await brokenRules(source("given!"))).toContain(
+    expect(await violatedRules(source("given!"))).toContain(
       "@typescript-eslint/no-non-null-assertion",
     );
-    expect(await brokenRules(source("given as number"))).toContain(
+    expect(await violatedRules(source("given as number"))).toContain(
       "@typescript-eslint/consistent-type-assertions",
     );
-    expect(await brokenRules(source("[].length as any"))).toContain(
+    expect(await violatedRules(source("[].length as any"))).toContain(
       "@typescript-eslint/no-explicit-any",
     );
   });
--- a/types/restructure.d.ts
+++ b/types/restructure.d.ts
@@ -4,7 +4,7 @@
     toBuffer(value: T): Uint8Array;
     fromBuffer(bytes: Uint8Array): T;
   }
-  export type Held<C> = C extends Coder<infer T> ? T : never;
+  export type Decoded<C> = C extends Coder<infer T> ? T : never;
   export const uint8: Coder<number>;
   export const uint16: Coder<number>;
   export const uint32: Coder<number>;
