--- a/src/simulation/faults/catch-up-faults.ts
+++ b/src/simulation/faults/catch-up-faults.ts
@@ -7,32 +7,32 @@
 import { timedCommand } from "./timed-command.js";
 
 const CHANGES_WHILE_DOWN = 300;
-/** The changes end after so long, however many there were: other failures may hold them up. */
+/** The time limit for the config changes, since other faults may delay them. */
 const MAX_CHANGING_MS = 40_000;
 const DOWN_MS = 2500;
 const COMMAND_DELAY_MS = 300;
 
 const CHANGES_BEFORE_RESTART = 60;
-/** Processes that are killed together come back within so long. */
+/** The longest delay until the processes that were killed together are started again. */
 const MAX_RESTART_DELAY_MS = 900;
 
-const putConfigs = function* (simulation: Simulation, changes: number): Task {
+const putConfigs = function* (simulation: Simulation, count: number): Task {
   const untilMs = simulation.virtualClock.nowMs() + MAX_CHANGING_MS;
-  for (let made = 0; made < changes && simulation.virtualClock.nowMs() < untilMs; made += 1)
+  for (let index = 0; index < count && simulation.virtualClock.nowMs() < untilMs; index += 1)
     yield* simulation.workload.putConfig();
 };
 
-/** A member is behind by hundreds of changes when the others are lost in turn. */
+/** Faults in which a member lags many config changes behind while the others are killed. */
 export const catchUpFaults: Record<string, FaultScenario> = {
   *changeWhileMemberIsAway(simulation) {
     const { catchUpMs } = deriveBounds(simulation.profile).values;
-    const away = pick(simulation, diskMachines(simulation));
-    if (!away) return;
-    simulation.kill(away, true);
+    const stoppedMember = pick(simulation, diskMachines(simulation));
+    if (!stoppedMember) return;
+    simulation.kill(stoppedMember, true);
     yield* putConfigs(simulation, CHANGES_WHILE_DOWN);
-    simulation.boot(away);
+    simulation.boot(stoppedMember);
     yield* sleep(simulation.clock, catchUpMs);
-    for (const other of diskMachines(simulation).filter((one) => one !== away)) {
+    for (const other of diskMachines(simulation).filter((member) => member !== stoppedMember)) {
       simulation.kill(other, true);
       yield* sleep(simulation.clock, COMMAND_DELAY_MS);
       simulation.start(timedCommand(simulation, "one lost after many changes"));
@@ -43,13 +43,13 @@
     yield* sleepBetween(simulation, 200, 500);
   },
   *restartAllWithMemberBehind(simulation) {
-    const away = pick(simulation, diskMachines(simulation));
-    if (!away) return;
-    simulation.kill(away, true);
+    const stoppedMember = pick(simulation, diskMachines(simulation));
+    if (!stoppedMember) return;
+    simulation.kill(stoppedMember, true);
     yield* putConfigs(simulation, CHANGES_BEFORE_RESTART);
     const others = diskMachines(simulation);
     for (const other of others) simulation.kill(other);
-    simulation.boot(away);
+    simulation.boot(stoppedMember);
     yield* sleepBetween(simulation, 300, MAX_RESTART_DELAY_MS);
     for (const other of others) simulation.boot(other);
     simulation.start(timedCommand(simulation, "all restarted, one of them behind"));
--- a/src/simulation/faults/member-partition-faults.ts
+++ b/src/simulation/faults/member-partition-faults.ts
@@ -15,15 +15,16 @@
 } from "./targets.js";
 import { OPERATOR_TIMEOUT_MS } from "./timed-command.js";
 
-/** How long a member stays cut off from the others. */
+/** How long a member is partitioned from the others. */
 const PARTITION_MS = 20_000;
-/** How often two operators race meanwhile. */
+/** How often two operators send concurrent changes during the partition. */
 const RACE_INTERVAL_MS = 1800;
-/** How far above the current version operators choose the next one. */
+/** The largest step from the current version to the one that operators request. */
 const MAX_VERSION_STEP = 5;
+/** The probability that the partitioned member is the leader. */
 const LEADER_FRACTION = 0.7;
 
-/** Which ways of a cut member are cut. */
+/** Which direction of a member's links is partitioned. */
 type Direction = "both" | "outward" | "inward";
 
 const linksToPartition = (
@@ -31,13 +32,15 @@
   others: readonly SimulatedMachine[],
   direction: Direction,
 ): NetworkLinks => {
-  const own = [machineNameOf(member)];
-  const rest = others.map(machineNameOf);
-  if (direction === "both") return linksBetween(own, rest);
-  return direction === "outward" ? linksBetween(own, rest, true) : linksBetween(rest, own, true);
+  const memberLocations = [machineNameOf(member)];
+  const otherLocations = others.map(machineNameOf);
+  if (direction === "both") return linksBetween(memberLocations, otherLocations);
+  return direction === "outward"
+    ? linksBetween(memberLocations, otherLocations, true)
+    : linksBetween(otherLocations, memberLocations, true);
 };
 
-/** Two operators change the same version under one number, one of them by way of the cut member. */
+/** Two operators change the same version and request the same new one, one of them through the partitioned member. */
 const raceOnBothSides = (
   simulation: Simulation,
   member: SimulatedMachine,
@@ -45,43 +48,43 @@
 ): void => {
   const { operators } = simulation.workload;
   const version = operators.sequence + 1 + Math.floor(simulation.random() * MAX_VERSION_STEP);
-  const outside = (): string | undefined => pick(simulation, others)?.settings.machine;
+  const chooseOther = (): string | undefined => pick(simulation, others)?.settings.machine;
   let attempts = 0;
-  const inside = (): string | undefined => {
+  const chooseMemberFirst = (): string | undefined => {
     attempts += 1;
-    return attempts % 2 === 1 ? member.settings.machine : outside();
+    return attempts % 2 === 1 ? member.settings.machine : chooseOther();
   };
-  for (const via of [inside, outside])
+  for (const chooseDaemon of [chooseMemberFirst, chooseOther])
     simulation.start(
       operators.submit(operators.prepare(version), {
-        chooseDaemon: via,
+        chooseDaemon,
         timeoutMs: OPERATOR_TIMEOUT_MS,
       }),
     );
   simulation.start(operators.read(member.settings.machine));
 };
 
-/** A back end leaves in order while the cut lasts, whichever side hears it. */
+/** Deregisters and replaces a backend during the partition, through a daemon on either side. */
 const replaceBackend = function* (simulation: Simulation): Task {
-  const one = pick(simulation, workingBackends(simulation));
-  if (!one) return;
-  if (yield* simulation.workload.deregister(one)) yield* sleepBetween(simulation, 2600, 3200);
-  one.stop();
+  const backend = pick(simulation, workingBackends(simulation));
+  if (!backend) return;
+  if (yield* simulation.workload.deregister(backend)) yield* sleepBetween(simulation, 2600, 3200);
+  backend.stop();
   yield* sleepBetween(simulation, 200, 900);
-  one.replace(one.service);
+  backend.replace(backend.service);
 };
 
 const partitionMember = function* (simulation: Simulation, direction: Direction): Task {
-  const led = simulation.random() < LEADER_FRACTION ? leaders(simulation)[0] : undefined;
-  const member = led ?? pick(simulation, diskMachines(simulation));
+  const leader = simulation.random() < LEADER_FRACTION ? leaders(simulation)[0] : undefined;
+  const member = leader ?? pick(simulation, diskMachines(simulation));
   if (!member) return;
   const others = diskMachines(simulation).filter((other) => other !== member);
-  const ways = linksToPartition(member, others, direction);
-  for (const [from, to] of ways) simulation.network.partition(from, to);
+  const links = linksToPartition(member, others, direction);
+  for (const [from, to] of links) simulation.network.partition(from, to);
   const atMs = simulation.virtualClock.nowMs();
   const untilMs = atMs + PARTITION_MS;
   simulation.recorder.environmentRecords.push({
-    kind: "memberCut",
+    kind: "memberPartitioned",
     atMs,
     endMs: untilMs,
     daemon: member.settings.machine,
@@ -92,7 +95,7 @@
     yield* sleep(simulation.clock, RACE_INTERVAL_MS);
   }
   simulation.kill(member, simulation.random() < 0.5);
-  for (const [from, to] of ways) simulation.network.heal(from, to);
+  for (const [from, to] of links) simulation.network.heal(from, to);
   simulation.boot(member);
   yield* sleepBetween(simulation, 200, 1500);
   yield* reboot(
@@ -101,7 +104,7 @@
   );
 };
 
-/** A member of the replicated log is cut off from the others for twenty seconds, and restarted before them. */
+/** A member of the replicated log is partitioned from the others for 20 s, and restarted before they are. */
 export const memberPartitionFaults: Record<string, FaultScenario> = {
   *cutMemberForLong(simulation) {
     yield* partitionMember(simulation, "both");
--- a/src/simulation/faults/replacement-faults.ts
+++ b/src/simulation/faults/replacement-faults.ts
@@ -7,14 +7,17 @@
 import { allFormed, diskMachines, leaders, sleepBetween } from "./targets.js";
 import { timedCommand } from "./timed-command.js";
 
-/** A planned successor starts so long before the old one is told to stop, a sudden one so long after it is gone. */
+/**
+ * Delay between a replacement's start and the stop of the member that it replaces, in ms; if the member is lost
+ * unplanned, the delay between its loss and the replacement's start.
+ */
 const REPLACEMENT_DELAY_MS = 1000;
 const DOWN_MS = 3000;
-/** An operator's order comes so long after a loss. */
+/** Delay between a loss and an operator's config change, in ms. */
 const COMMAND_DELAY_MS = 300;
 const POLL_INTERVAL_MS = 50;
 
-/** One way to lose a member; it tells from when on the member no longer counts as lost. */
+/** A way to lose a member; returns the time from which the member no longer counts as lost. */
 type Loss = (simulation: Simulation, member: SimulatedMachine) => Task<number>;
 
 const catchUpMs = (simulation: Simulation): number =>
@@ -29,11 +32,11 @@
 
 const replaceBeforeStop: Loss = function* (simulation, member) {
   simulation.addReplacement(member.settings.zone);
-  const wholeMs = simulation.virtualClock.nowMs() + catchUpMs(simulation);
+  const recoveredMs = simulation.virtualClock.nowMs() + catchUpMs(simulation);
   yield* sleep(simulation.clock, REPLACEMENT_DELAY_MS);
   yield* simulation.stop(member);
   simulation.remove(member);
-  return wholeMs;
+  return recoveredMs;
 };
 
 const loseDisk: Loss = function* (simulation, member) {
@@ -52,51 +55,51 @@
   return simulation.virtualClock.nowMs() + catchUpMs(simulation);
 };
 
-/** The members to lose next: the leader first, then those that have been there longest. */
+/** Chooses the members to lose next: the leader first, then the oldest ones. */
 const chooseMembersToLose = (simulation: Simulation, count: number): SimulatedMachine[] => {
-  const led = leaders(simulation);
-  const others = diskMachines(simulation).filter((one) => !led.includes(one));
-  return [...led, ...others].slice(0, count);
+  const currentLeaders = leaders(simulation);
+  const others = diskMachines(simulation).filter((machine) => !currentLeaders.includes(machine));
+  return [...currentLeaders, ...others].slice(0, count);
 };
 
-/** Loses as many members at once as may be lost; ends when none of them counts as lost any more. */
-const loseConcurrently = function* (simulation: Simulation, lose: Loss, name: string): Task {
+/** Loses as many members at once as the profile tolerates, and waits until none of them counts as lost. */
+const loseConcurrently = function* (simulation: Simulation, lose: Loss, cause: string): Task {
   const members = chooseMembersToLose(simulation, simulation.profile.tolerate?.machines ?? 1);
-  const wholeMs: number[] = [];
+  const recoveredMs: number[] = [];
   simulation.recorder.environmentRecords.push({
     kind: "membersLost",
     atMs: simulation.virtualClock.nowMs(),
-    cause: name,
+    cause,
     machines: members.map(({ settings }) => settings.machine),
   });
   for (const member of members)
     simulation.start(
       (function* () {
-        wholeMs.push(yield* lose(simulation, member));
+        recoveredMs.push(yield* lose(simulation, member));
       })(),
     );
   yield* sleep(simulation.clock, COMMAND_DELAY_MS);
-  simulation.start(timedCommand(simulation, name));
-  while (wholeMs.length < members.length) yield* sleep(simulation.clock, POLL_INTERVAL_MS);
-  const untilMs = Math.max(...wholeMs);
+  simulation.start(timedCommand(simulation, cause));
+  while (recoveredMs.length < members.length) yield* sleep(simulation.clock, POLL_INTERVAL_MS);
+  const untilMs = Math.max(...recoveredMs);
   yield* sleep(simulation.clock, Math.max(0, untilMs - simulation.virtualClock.nowMs()));
 };
 
-/** Loses members again and again, each time at the first moment that the bounds allow. */
+/** Loses members repeatedly, each time as soon as the profile's bounds allow. */
 const loseRepeatedly = function* (
   simulation: Simulation,
-  losses: ReadonlyArray<readonly [name: string, lose: Loss]>,
+  losses: ReadonlyArray<readonly [cause: string, lose: Loss]>,
 ): Task {
-  // Whoever was lost before counts as lost for so long.
+  // A member lost by an earlier fault counts as lost until it has caught up.
   yield* sleep(simulation.clock, catchUpMs(simulation));
   if (!allFormed(simulation)) return;
   simulation.isLosingDisk = true;
-  for (const [name, lose] of losses) yield* loseConcurrently(simulation, lose, name);
+  for (const [cause, lose] of losses) yield* loseConcurrently(simulation, lose, cause);
   simulation.isLosingDisk = false;
   yield* sleepBetween(simulation, 500, 1000);
 };
 
-/** Members are replaced by empty machines, and the next are lost as soon as that is allowed. */
+/** Members are replaced by machines with empty disks, and the next are lost as soon as the bounds allow. */
 export const replacementFaults: Record<string, FaultScenario> = {
   *replaceMembersSuddenly(simulation) {
     yield* loseRepeatedly(simulation, [
--- a/test/simulation/invariant-checker.test.ts
+++ b/test/simulation/invariant-checker.test.ts
@@ -66,24 +66,25 @@
   return recorder;
 };
 const injectViolation: Record<string, (recorder: EventRecorder) => void> = {
-  "a key runs once in a minute": (recorder) =>
+  "an idempotency key runs at most once per minute": (recorder) =>
     recorder.runs.push(
       createRunRecord({ requestId: "a", method: "POST", key: "k" }),
       createRunRecord({ requestId: "b", method: "POST", key: "k", atMs: 60_000 }),
     ),
-  "a return is the caller's own, whole and stamped": (recorder) =>
+  "a client gets a complete response to its own request": (recorder) =>
     recorder.clientRecords.push(createClientRecord({ id: "c2", echoedId: "c1" })),
-  "what is told to try later never runs": (recorder) =>
+  "a request answered with 503 never runs": (recorder) =>
     recorder.clientRecords.push(createClientRecord({ code: 503 })),
-  "what may not be repeated runs once": (recorder) =>
+  "a request with an unsafe method runs at most once": (recorder) =>
     recorder.runs.push(
       createRunRecord({ requestId: "c3", method: "POST" }),
       createRunRecord({ requestId: "c3", method: "POST", atMs: 9000 }),
     ),
-  "repeats stay under a fifth plus seventy in ten seconds": (recorder) => {
-    for (let at = 0; at < 72; at += 1) recorder.runs.push(createRunRecord({ atMs: 5021 + at }));
+  "retries stay within 70 plus a fifth of the requests in 10 s": (recorder) => {
+    for (let count = 0; count < 72; count += 1)
+      recorder.runs.push(createRunRecord({ atMs: 5021 + count }));
   },
-  "a leaving back end gets no work two seconds on": (recorder) =>
+  "a deregistered backend gets no requests after 2 s": (recorder) =>
     recorder.environmentRecords.push({
       kind: "left",
       atMs: 3000,
@@ -91,39 +92,39 @@
       service: "s",
       incarnation: 1,
     }),
-  "no request meets a config older than two seconds": (recorder) =>
+  "an accepted config is in use after 2 s": (recorder) =>
     recorder.clientRecords.push(createClientRecord({ path: "/probe/1" })),
-  "a daemon never slips back to an older config": (recorder) =>
+  "a daemon never goes back to an older config": (recorder) =>
     recorder.clientRecords.push(
       createClientRecord({ path: "/probe/2", sentMs: 1500, endedMs: 1600 }),
       createClientRecord({ path: "/probe/1", sentMs: 1900 }),
     ),
-  "no request reaches a service that was never allowed": (recorder) =>
+  "no request reaches a service to which no config routes it": (recorder) =>
     recorder.runs.push(createRunRecord({ service: "other" })),
-  "only accepted configs are in force, and none is lost": (recorder) =>
+  "only accepted configs take effect, and none is lost": (recorder) =>
     recorder.environmentRecords.push({
       kind: "readBack",
       atMs: 9000,
       sequence: 2,
       text: undefined,
     }),
-  "operators see one register of configs": (recorder) =>
+  "config changes and reads are linearizable": (recorder) =>
     recorder.configReads.push({ startMs: 2000, endMs: 2010, version: 1 }),
-  "a stop finishes the work in hand": (recorder) => {
+  "a stopping daemon finishes its requests in progress": (recorder) => {
     recorder.environmentRecords.push({ kind: "stopped", atMs: 5010, daemon: "e1", endedMs: 5200 });
     recorder.clientRecords.push(createClientRecord({ code: 0, failure: "broken" }));
   },
-  "most requests are served 15 s after a fault": (recorder) => {
+  "90% of requests are served from 15 s after the last fault": (recorder) => {
     recorder.environmentRecords.push({ kind: "recovered", atMs: 10_000 });
     recorder.clientRecords.push(createClientRecord({ sentMs: 30_000, code: 503, id: "c9" }));
   },
 };
 test.each(Object.keys(rules))(
-  "the judge of '%s' catches a planted breach and passes a clean run",
+  "the check of '%s' finds an injected violation and accepts correct records",
   (rule) => {
     expect(checkRules(createCorrectRecords())).toEqual([]);
     const recorder = createCorrectRecords();
     injectViolation[rule]?.(recorder);
-    expect(checkRules(recorder).map((breach) => breach.rule)).toEqual([rule]);
+    expect(checkRules(recorder).map((violation) => violation.rule)).toEqual([rule]);
   },
 );
