--- a/src/configuration/config-items.ts
+++ b/src/configuration/config-items.ts
@@ -55,12 +55,12 @@
     key.startsWith(ID_KEY_PREFIX) ? key.slice(ID_KEY_PREFIX.length) : undefined,
 
   /** All items of a configuration, with its ids. */
-  *all({ config, ids: numbers }: NumberedConfig): Iterable<ConfigItem> {
+  *all({ config, ids }: NumberedConfig): Iterable<ConfigItem> {
     for (const section of SECTIONS)
       for (const [name, value] of Object.entries(getSection(config, section)))
         yield { key: ConfigItems.key(section, name), value };
     if (config.limits) yield { key: LIMITS_KEY, value: config.limits };
-    for (const [name, value] of numbers) yield { key: ConfigItems.idKey(name), value };
+    for (const [name, value] of ids) yield { key: ConfigItems.idKey(name), value };
   },
 
   /** Removes the data that an adapter stores with an item. */
--- a/src/control-plane/daemon-registry.ts
+++ b/src/control-plane/daemon-registry.ts
@@ -28,21 +28,16 @@
   private readonly log: LeaderLog;
   private readonly replica: DaemonRegistryOptions["replica"];
   private readonly logger: Logger;
-  private readonly unresponsiveMs: number;
+  private readonly unresponsiveAfterMs: number;
   private readonly observedDaemons = new Map<string, ObservedDaemon>();
   /** The cached placements of all edges; cleared when an edge appears or becomes unresponsive. */
   private placements: ReadonlyMap<string, EdgePlacement> | undefined;
 
-  constructor({
-    log,
-    replica,
-    logger,
-    unresponsiveAfterMs: unresponsiveMs,
-  }: DaemonRegistryOptions) {
+  constructor({ log, replica, logger, unresponsiveAfterMs }: DaemonRegistryOptions) {
     this.log = log;
     this.replica = replica;
     this.logger = logger;
-    this.unresponsiveMs = unresponsiveMs;
+    this.unresponsiveAfterMs = unresponsiveAfterMs;
   }
 
   /** All daemons that sent a watch request in this term. */
@@ -69,7 +64,7 @@
   /** Marks the daemons that sent no watch request in time, and adds them to the replicated journal. */
   markUnresponsive(nowMs: number): void {
     for (const [name, daemon] of this.observedDaemons) {
-      if (daemon.isUnresponsive || nowMs - daemon.lastSeenMs < this.unresponsiveMs) continue;
+      if (daemon.isUnresponsive || nowMs - daemon.lastSeenMs < this.unresponsiveAfterMs) continue;
       this.observedDaemons.set(name, { ...daemon, isUnresponsive: true });
       this.placements = undefined;
       this.logger.warn("daemon unresponsive", { machine: name });
--- a/src/daemon/bounds.ts
+++ b/src/daemon/bounds.ts
@@ -158,7 +158,7 @@
   } = values;
   const leaseMs = LEASE_FRACTION * Math.min(applyMs, drainMs);
   const watchIntervalMs = leaseMs / 4;
-  const holdMs = Math.min(leaseMs / 5, MAX_POLL_HOLD_MS);
+  const maxWatchWaitMs = Math.min(leaseMs / 5, MAX_POLL_HOLD_MS);
   const heartbeatMs = settings.heartbeatMs ?? DEFAULT_HEARTBEAT_MS;
   const electionTimeoutScale = computeElectionTimeoutScale(leaseMs, values);
   const scaled = (ms: number): number => Math.round(ms * electionTimeoutScale);
@@ -166,14 +166,15 @@
     values: values,
     leaseMs,
     watchIntervalMs,
-    watchTimeoutMs: holdMs + Math.max(leaseMs * POLL_OVERHEAD_FRACTION, MIN_POLL_OVERHEAD_MS),
+    watchTimeoutMs:
+      maxWatchWaitMs + Math.max(leaseMs * POLL_OVERHEAD_FRACTION, MIN_POLL_OVERHEAD_MS),
     controlPlaneTimeouts: {
       ...defaultControlPlaneTimeouts,
       leaseMs,
       heartbeatMs,
       // A heartbeat reaches the leader with the next poll of the daemon that received it.
       expiryMs: 3.5 * heartbeatMs + 2 * watchIntervalMs,
-      maxWatchWaitMs: holdMs,
+      maxWatchWaitMs,
       holdDownMs: drainMs + 500,
       keyMs: keyWindowMs + 10_000,
       unresponsiveAfterMs: Math.max(leaseMs + 400, (contactMs * 5) / 6),
--- a/src/model-checker/exhaustive-search.ts
+++ b/src/model-checker/exhaustive-search.ts
@@ -32,15 +32,15 @@
  * All steps that are possible next: time advances, a message is delivered, a write reaches the disk, a client writes, or a
  * member crashes, loses its disk or starts.
  */
-const possibleSteps = ({ group, failures: stops }: SearchNode): Step[] => {
+const possibleSteps = ({ group, failures }: SearchNode): Step[] => {
   const steps: Step[] = [{ kind: "advance", ms: tickMs, paused: [] }];
   for (const { id, from, to } of group.messages.values())
     if (!group.blockedLinks.has(`${from}>${to}`))
       steps.push({ kind: "deliver", message: id, twice: false });
   for (const { name, isUp, disk, state } of group.members.values()) {
     if (!isUp) steps.push({ kind: "start", member: name });
-    else if (stops < maxFailures) steps.push({ kind: "crash", member: name, keptWrites: 0 });
-    if (isUp && stops < maxFailures && group.mayWipe(name))
+    else if (failures < maxFailures) steps.push({ kind: "crash", member: name, keptWrites: 0 });
+    if (isUp && failures < maxFailures && group.mayWipe(name))
       steps.push({ kind: "wipe", member: name });
     if (disk.pending.length > 0) steps.push({ kind: "sync", member: name });
     if (isUp && state.role === "leader") steps.push({ kind: "write", member: name });
--- a/src/model-checker/model-member.ts
+++ b/src/model-checker/model-member.ts
@@ -574,15 +574,15 @@
     sentMs: number,
     { reply }: Extract<ModelReply, { kind: "snapshot" }>,
   ): void {
-    const { matched, counts } = reply;
+    const { matched: matchIndex, counts } = reply;
     const { term, lastIndex } = request;
     this.state = onAcknowledgment(
       this.state,
-      { peer, term, sentMs, matchIndex: matched, counts },
+      { peer, term, sentMs, matchIndex, counts },
       this.context,
     );
     if (reply.term > term) this.followNewerTerm(reply.term);
-    if (matched >= lastIndex) this.replications.continueAfter(peer, requestId, matched);
+    if (matchIndex >= lastIndex) this.replications.continueAfter(peer, requestId, matchIndex);
     this.endReplicationRequest(peer, requestId);
     this.apply();
   }
--- a/src/replication/leadership/peer-replicator.ts
+++ b/src/replication/leadership/peer-replicator.ts
@@ -102,18 +102,10 @@
    * advanced without completing, or `undefined` if it didn't advance.
    */
   private *transferSnapshot(): Task<number | undefined> {
-    const {
-      peer,
-      term,
-      clock,
-      consensus,
-      events,
-      snapshotSender,
-      createSnapshot: makeSnapshot,
-    } = this.options;
+    const { peer, term, clock, consensus, events, snapshotSender, createSnapshot } = this.options;
     const sentMs = clock.nowMs();
     const { baseIndex } = consensus.current.log;
-    const message = snapshotSender.nextMessage(peer, baseIndex, sentMs, makeSnapshot);
+    const message = snapshotSender.nextMessage(peer, baseIndex, sentMs, createSnapshot);
     const reply = yield* this.sendSnapshotMessage(message);
     if (reply && reply.term > term) events.put({ kind: "newerTermSeen", term: reply.term });
     if (reply?.term !== term) {
--- a/src/simulation/main.ts
+++ b/src/simulation/main.ts
@@ -55,7 +55,7 @@
         if (options.trace !== undefined) {
           const faultLines = result.simulation.recorder
             .ofKind("fault")
-            .map(({ atMs, name: what }) => `${(atMs / 1000).toFixed(3)} FAULT ${what}`);
+            .map(({ atMs, name }) => `${(atMs / 1000).toFixed(3)} FAULT ${name}`);
           writeFileSync(
             options.trace,
             [...result.simulation.logLines, ...faultLines]
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -127,16 +127,16 @@
       ...(bounds === undefined ? {} : { bounds }),
     };
     const gate = new EventGate();
-    const offsetMs = this.random() * 1e7;
-    const rate = 1 + (this.random() - 0.5) * 0.002;
+    const clockOffsetMs = this.random() * 1e7;
+    const clockRate = 1 + (this.random() - 0.5) * 0.002;
     const disk = hasDisk
-      ? new VirtualDisk(this.machineClock(gate, offsetMs, rate), this.random)
+      ? new VirtualDisk(this.machineClock(gate, clockOffsetMs, clockRate), this.random)
       : undefined;
     return {
       settings,
       disk,
-      clockOffsetMs: offsetMs,
-      clockRate: rate,
+      clockOffsetMs,
+      clockRate,
       wallClockJumpMs: 0,
       gate,
       daemon: undefined,
--- a/test/compatibility/frames.test.ts
+++ b/test/compatibility/frames.test.ts
@@ -56,8 +56,8 @@
 
   test.each([...samples])(
     "the recorded $name is decoded to the same value",
-    ({ name, decodesFrom: isReadFrom }) => {
-      expect(isReadFrom(recorded.frames[name] ?? "")).toBe(true);
+    ({ name, decodesFrom }) => {
+      expect(decodesFrom(recorded.frames[name] ?? "")).toBe(true);
     },
   );
 });
--- a/test/load-balancing/load-balancer-responsiveness.test.ts
+++ b/test/load-balancing/load-balancer-responsiveness.test.ts
@@ -56,7 +56,7 @@
   const [local, remote] = [createBackend("local", 1), createBackend("remote", 2, "b")];
   for (let round = 0; round < 40; round += 1)
     for (const backend of [local, remote])
-      for (const [route, bytes] of [
+      for (const [route, responseBytes] of [
         ["large", 200_000],
         ["small", 400],
       ] as const) {
@@ -68,7 +68,7 @@
             isComplete: true,
             latencyTargetMs: 500,
             route,
-            responseBytes: bytes,
+            responseBytes,
           },
           round * 100 + 50,
         );
--- a/test/replication/history/config-history.test.ts
+++ b/test/replication/history/config-history.test.ts
@@ -269,9 +269,11 @@
       if (read) expect(read).toEqual(createConfig(sequence));
       else missingCount += 1;
     }
-    const { newestSequence: newest } = history;
-    runTaskToEnd(history.add([createConfig(newest + 1)]));
-    expect(runTaskToEnd(reopenHistory().read(newest + 1))).toEqual(createConfig(newest + 1));
+    const { newestSequence } = history;
+    runTaskToEnd(history.add([createConfig(newestSequence + 1)]));
+    expect(runTaskToEnd(reopenHistory().read(newestSequence + 1))).toEqual(
+      createConfig(newestSequence + 1),
+    );
   }
   expect(missingCount).toBeGreaterThan(20);
   expect(
