--- a/src/retry-budget/count-messages.ts
+++ b/src/retry-budget/count-messages.ts
@@ -38,7 +38,7 @@
   isHurried: boolean(),
 });
 
-/** The message that accompanies a sketch on its way up the tree. */
+/** The message that a child sends to its parent in the tree, together with its sketch. */
 export type CountPush = Infer<typeof pushShape>;
 
 const aggregatedShape = object({
@@ -53,7 +53,7 @@
   sinceMs: optional(number()),
 });
 
-/** The message that accompanies the cluster's sketch on its way down the tree. */
+/** The response of a parent to a push, sent together with the sketch of the cluster; a refusal carries no sketch. */
 export type AggregatedCounts = Infer<typeof aggregatedShape>;
 
 /** Number of edges that counts cover, and the age of the oldest of their counts. */
